--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,14 @@
 # What a developer needs: `make build`, `make test`, `make lint`, `make run` (with RELAY_CONFIG set).
 
-.PHONY: build test lint run try lab
+.PHONY: build test lint run try testbed
 
 build:
 	cargo build --release --locked
 
-# The laboratory beside the node, and a short scenario played on it: leaves found/lab/report.html to open.
-lab:
+# The testbed beside the node, and a short scenario played on it: leaves found/testbed/report.html to open.
+testbed:
 	cargo build --release --workspace --locked
-	target/release/curlewusher-lab run scenarios/smoke.toml
+	target/release/curlewusher-testbed run scenarios/smoke.toml
 
 test:
 	cargo test --workspace --locked
--- a/crates/operation/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::call::{Call, Verdict};
+use crate::command::{Call, Verdict};
 
 const MAGIC: &[u8; 4] = b"CWUS";
 /// Any change to the form of a frame or of a payload has a new version.
--- a/crates/operation/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -4,8 +4,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod bans;
-pub mod call;
+pub mod command;
 pub mod frame;
+pub mod maintenance;
 pub mod phase;
-pub mod succession;
+pub mod takeover;
--- a/crates/operation/src/bans.rs
+++ b/crates/control/src/maintenance.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::call::{Refusal, Verdict};
+use crate::command::{Refusal, Verdict};
 
 /// So many core workers can be out at once. One that has left the list is out until it is put back, so that there may be
 /// more of them than a list has.
--- a/crates/operation/tests/bounds.rs
+++ b/crates/control/tests/bounds.rs
@@ -1,8 +1,8 @@
 //! What operators can do on a site of a thousand core workers with long names.
 
-use curlewusher_operation::bans::Bans;
-use curlewusher_operation::call::{Call, LONGEST_ID};
-use curlewusher_operation::frame::LONGEST_HERITAGE;
+use curlewusher_control::command::{Call, LONGEST_ID};
+use curlewusher_control::frame::LONGEST_HERITAGE;
+use curlewusher_control::maintenance::Bans;
 
 const WORKERS: usize = 1024;
 
--- a/crates/operation/tests/unit/frame.rs
+++ b/crates/control/tests/unit/frame.rs
@@ -2,7 +2,7 @@
 //! looks at what the decoder holds and at sums of its own making; it makes nothing public.
 
 use super::*;
-use crate::call::Refusal;
+use crate::command::Refusal;
 use crate::phase::Phase;
 use proptest::prelude::*;
 
--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::choice::*;
-use crate::discovery::DiscoveryClient;
+use crate::gossip;
 use crate::interface::*;
-use crate::ledger::*;
-use crate::peers;
+use crate::policy::*;
+use crate::poll_schedule::DiscoveryClient;
+use crate::state::*;
 
 /// The dispatcher of one node: give it events, carry out its actions.
 pub struct Dispatcher {
@@ -219,7 +219,7 @@
     /// Whether nodes tell each other their work. With many of them a message is dear, costs all of them CPU,
     /// and must be so rare that what it says is past.
     pub(crate) fn tells(&self) -> bool {
-        let messages = f64::from(self.group_nodes() - 1) * peers::ENTRY as f64 / peers::MOST_BYTES as f64;
+        let messages = f64::from(self.group_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
         self.settings.may_tell && messages > 0.0 && self.settings.tell_price * messages <= TELL_MOST
     }
 
@@ -408,7 +408,7 @@
     pub(crate) fn tell(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.news = false;
         let mut data = Vec::new();
-        let mut room = peers::MOST_ENTRIES;
+        let mut room = gossip::MOST_ENTRIES;
         for n in 0..self.fleet.near.len() {
             let i = self.fleet.near[n];
             let w = &self.fleet.workers[i];
@@ -417,7 +417,7 @@
                 self.news = true;
             } else if w.dirty || again {
                 let work = w.flights.iter().map(|f| self.remaining(now, w.speed, f) * f.slots).sum();
-                peers::write(&mut data, w.id, work, w.flights.iter().map(|f| f.slots).sum());
+                gossip::write(&mut data, w.id, work, w.flights.iter().map(|f| f.slots).sum());
                 let w = &mut self.fleet.workers[i];
                 (w.dirty, w.told_at) = (false, now);
                 room -= 1;
@@ -436,8 +436,8 @@
         if from >= self.settings.nodes {
             return;
         }
-        for (worker, work, slots) in peers::read(data) {
-            let near = self.fleet.near.iter().find(|i| peers::short(self.fleet.workers[**i].id) == worker);
+        for (worker, work, slots) in gossip::read(data) {
+            let near = self.fleet.near.iter().find(|i| gossip::short(self.fleet.workers[**i].id) == worker);
             let Some(&i) = near else { continue };
             let told = &mut self.fleet.workers[i].told;
             told.retain(|t| t.from != from);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 //! the work already there weighted by the worker's utilisation. `docs/design.md` tells what was added and why.
 //!
 //! ```
-//! use curlewusher::*;
+//! use curlewusher_core::*;
 //!
 //! let settings = Settings {
 //!     nodes: 1,
@@ -93,15 +93,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod choice;
-mod departures;
-mod discovery;
 mod dispatcher;
-mod heritage;
+mod gossip;
 mod interface;
-mod ledger;
-mod peers;
+mod policy;
+mod poll_schedule;
+mod snapshot;
+mod state;
 
 pub use dispatcher::Dispatcher;
-pub use heritage::{Learned, MovedJob};
 pub use interface::*;
+pub use snapshot::{Learned, MovedJob};
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/policy/mod.rs
@@ -4,11 +4,13 @@
 //!
 //! Every ordinary job goes to the ready worker with the lowest `x + w/(1-r)`: see [`Dispatcher::cost`].
 
+mod pre_send;
+
 use std::ops::Bound;
 
 use crate::dispatcher::Dispatcher;
 use crate::interface::*;
-use crate::ledger::*;
+use crate::state::*;
 
 /// Work of a job that came without a hint, s, as long as its class has taught nothing.
 pub(crate) const UNHINTED_WORK: f64 = 0.1;
--- a/crates/core/src/departures.rs
+++ b/crates/core/src/policy/pre_send.rs
@@ -2,10 +2,10 @@
 //! takes time: a connection that rests, a place for one, a dial. It must never choose a worker, and never take back
 //! what may have left.
 
-use crate::choice::WINDOW_MARGIN;
 use crate::dispatcher::Dispatcher;
 use crate::interface::*;
-use crate::ledger::*;
+use crate::policy::WINDOW_MARGIN;
+use crate::state::*;
 
 impl Dispatcher {
     /// A worker that takes nothing new gets nothing late either.
--- a/crates/core/src/heritage.rs
+++ b/crates/core/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::interface::*;
-use crate::ledger::*;
+use crate::state::*;
 
 /// No more workers, keys and sends than these are taken on, whatever a record holds.
 const MOST_WORKERS: usize = 4096;
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/state/mod.rs
@@ -4,8 +4,8 @@
 
 use arrayvec::ArrayVec;
 
-use crate::choice::*;
 use crate::interface::*;
+use crate::policy::*;
 
 /// Room for the attempts of one job; settings that allow more are cut to this.
 pub(crate) const MAX_ATTEMPTS: usize = 8;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings, workers and a node to drive, for all tests.
 #![allow(dead_code)]
 
-use curlewusher::*;
+use curlewusher_core::*;
 
 pub const SECOND: Micros = 1_000_000;
 
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use curlewusher::*;
+use curlewusher_core::*;
 
 fn fleet(n: u64) -> Vec<Listing> {
     (0..n).map(listing).collect()
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 
 use common::*;
-use curlewusher::*;
+use curlewusher_core::*;
 
 const MS: Micros = 1_000;
 const STEP: Micros = 10 * MS;
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use curlewusher::*;
+use curlewusher_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/node/src/console.rs
+++ b/crates/node/src/admin/listener.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewusher_operation::call::{Call, CallError, LONGEST_LINE, Refusal, Verdict, answer};
+use curlewusher_control::command::{Call, CallError, LONGEST_LINE, Refusal, Verdict, answer};
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -17,7 +17,7 @@
 use tracing::{error, warn};
 
 use crate::lifecycle::{Lifecycle, Phase};
-use crate::logs::NODE;
+use crate::telemetry::logging::NODE;
 
 /// So many callers at once. Where all places are taken the one that came first goes: those that finish their call are
 /// gone within milliseconds.
--- a/crates/node/src/operate.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,18 +1,20 @@
 //! Owns how operators' calls are carried out, in this process and in the other one of its node. It must never answer yes
 //! before both hold what was called for, and never keep a list of its own: bans are the dispatch task's.
 
+pub mod listener;
+
 use std::cell::Cell;
 use std::rc::Rc;
 
-use curlewusher_operation::call::{Call, Refusal, Verdict, answer};
+use curlewusher_control::command::{Call, Refusal, Verdict, answer};
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
-use crate::console::Handed;
+use crate::admin::listener::Handed;
 use crate::dispatch::Order;
 use crate::handover::Peer;
 use crate::lifecycle::{Lifecycle, Move};
-use crate::logs::NODE;
+use crate::telemetry::logging::NODE;
 
 /// Carries out calls.
 #[derive(Clone)]
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::list_reader::ListMessage;
+use crate::discovery::endpoint_list::ListMessage;
 
 /// Why what a node was told cannot be used. Each names the place, and says what would be right.
 #[derive(Debug, Error)]
--- a/crates/node/src/list_reader.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::BytesMut;
-use curlewusher::{CellId, KindId, Life, Listing, WorkerId, ZoneId};
+use curlewusher_core::{CellId, KindId, Life, Listing, WorkerId, ZoneId};
 use curlewusher_settings::Site;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
--- a/crates/node/src/transport_map.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,6 +1,8 @@
 //! Owns the watch on discovery's list, the transport map.
 //! It must never keep back, reorder or judge a change: each goes to the dispatch task the moment it is read.
 
+pub mod endpoint_list;
+
 use std::future::{Future, pending, poll_fn};
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher::Settings;
+use curlewusher_core::Settings;
 use http_body_util::Empty;
 use hyper::body::{Body, Incoming};
 use hyper::{Request, StatusCode, header};
@@ -20,11 +22,11 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tracing::{debug, warn};
 
-use crate::counters::{Counter, Counters};
+use crate::discovery::endpoint_list::{ListError, ListMessage, ListReader, Names};
 use crate::dispatch::{Notice, Queue};
-use crate::list_reader::{ListError, ListMessage, ListReader, Names};
-use crate::logs::TRANSPORT_MAP;
-use crate::next_hop::Parcel;
+use crate::telemetry::logging::TRANSPORT_MAP;
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::Parcel;
 
 /// A watch sends a line every 2 s. One that is late by half of that, on a slow network or machine, is not
 /// silent yet: all nodes would call at once.
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use curlewusher::{
+use curlewusher_control::command::Verdict;
+use curlewusher_control::maintenance::Bans;
+use curlewusher_core::{
     Action, ClassId, Dispatcher, Event, JobId, Learned, Life, Listing, Micros, MovedJob, Offer, Outcome,
     TenantId, WorkerId,
 };
-use curlewusher_operation::bans::Bans;
-use curlewusher_operation::call::Verdict;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 use tracing::{debug, trace};
 
-use crate::clearance::{Clearance, Flag};
-use crate::counters::{Counter, Counters};
 use crate::handover::MOVE_TIME;
-use crate::logs::DISPATCH;
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::send_permit::{Clearance, Flag};
 
 /// Room in the queue, beside the place that each open job holds for the news that its client has gone: were
 /// those of one room, jobs could fill it, and nothing that ends a job would reach the task any more.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover/mod.rs
@@ -3,6 +3,8 @@
 //! is `operation::succession`, and never hold up the node: a process that does not answer or read is as good
 //! as gone.
 
+pub mod takeover;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::fs::{self, File, TryLockError};
@@ -16,9 +18,9 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes};
-use curlewusher_operation::call::{Call, Verdict};
-use curlewusher_operation::frame::{Decoder, Frame, FrameError, LONGEST_HERITAGE, Why};
-use curlewusher_operation::succession::Claims;
+use curlewusher_control::command::{Call, Verdict};
+use curlewusher_control::frame::{Decoder, Frame, FrameError, LONGEST_HERITAGE, Why};
+use curlewusher_control::takeover::Claims;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, Shutdown, recvmsg, sendmsg, shutdown, sockopt::socket_acceptconn,
@@ -32,7 +34,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
 
-use crate::logs::NODE;
+use crate::telemetry::logging::NODE;
 
 /// An elder answers a hello within this, or the newer process starts without it.
 const ANSWER_TIME: Duration = Duration::from_millis(1500);
@@ -1008,5 +1010,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/handover.rs"]
+#[path = "../../tests/unit/handover.rs"]
 mod tests;
--- a/crates/node/src/upgrade.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_operation::succession::{Deed, Event, Share, Succession};
+use curlewusher_control::takeover::{Deed, Event, Share, Succession};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
+use crate::admin::Operations;
 use crate::dispatch::{Estate, Order};
 use crate::handover::{Asked, Elder, HandoverError, Hello, Link, Place, Seat, Turn, call_on};
 use crate::lifecycle::Move;
-use crate::logs::NODE;
-use crate::next_hop::NextHops;
-use crate::operate::Operations;
-use crate::sender_side::SenderSide;
+use crate::server::SenderSide;
+use crate::telemetry::logging::NODE;
+use crate::upstream::NextHops;
 
 /// The form of what goes over; one of another form is passed over.
 const FORM: u32 = 1;
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,11 +1,11 @@
 //! Owns the phase that the program is in, from its start to its exit, as an object that all parts can ask.
-//! It must never touch a socket or a job, nor know a move that the table in `curlewusher_operation::phase` has not.
+//! It must never touch a socket or a job, nor know a move that the table in `curlewusher_control::phase` has not.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-pub use curlewusher_operation::phase::{Move, Phase};
+pub use curlewusher_control::phase::{Move, Phase};
 
 /// After SIGTERM the front still sends new connections here for up to 0.4 s, and clients use what they have.
 pub const DRAIN_AT_LEAST: Duration = Duration::from_millis(700);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -2,26 +2,18 @@
 
 #![forbid(unsafe_code)]
 
-mod callback;
+mod admin;
 mod check;
-mod clearance;
 mod config;
-mod connection;
-mod connection_pool;
-mod console;
-mod counters;
+mod connection_budget;
+mod discovery;
 mod dispatch;
 mod handover;
 mod lifecycle;
-mod list_reader;
-mod logs;
-mod next_hop;
-mod operate;
-mod places;
-mod sender_side;
 mod serve;
-mod transport_map;
-mod upgrade;
+mod server;
+mod telemetry;
+mod upstream;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher::{Dispatcher, Micros, SettingsError};
+use curlewusher_core::{Dispatcher, Micros, SettingsError};
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -15,20 +15,20 @@
 use tokio::task::{LocalSet, spawn_local};
 use tracing::{error, info};
 
+use crate::admin::Operations;
+use crate::admin::listener::{self, ConsoleError};
 use crate::config::{Config, ConfigError, Told};
-use crate::console::{self, ConsoleError};
-use crate::counters::{Counter, Counters};
+use crate::connection_budget::Places;
+use crate::discovery::endpoint_list::Names;
+use crate::discovery::{Pace, TransportMap};
 use crate::dispatch::{self, Clock, Dispatch, Notice};
 use crate::handover::Peer;
+use crate::handover::takeover::{Beginning, Parts, Upgrade};
 use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, Move};
-use crate::list_reader::Names;
-use crate::logs::{Logs, NODE};
-use crate::next_hop::NextHops;
-use crate::operate::Operations;
-use crate::places::Places;
-use crate::sender_side::{Bounds, SenderSide};
-use crate::transport_map::{Pace, TransportMap};
-use crate::upgrade::{Beginning, Parts, Upgrade};
+use crate::server::{Bounds, SenderSide};
+use crate::telemetry::logging::{Logs, NODE};
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::NextHops;
 
 /// Descriptors that are neither for clients nor for next hops: standard streams, discovery, the listener, the
 /// event queue, and some to spare. A node of few has a quarter of them for that, but never fewer than it needs: 11
@@ -123,10 +123,10 @@
     let (there, is_there) = watch::channel(false);
     // Of the descriptors a third is for next hops. While two processes of the node run, each lives in half of them.
     let spared = (limits.sockets / 4).clamp(LEAST_RESERVED, RESERVED_SOCKETS)
-        + console.map_or(0, |_| console::SOCKETS);
+        + console.map_or(0, |_| listener::SOCKETS);
     let all = limits.sockets.saturating_sub(spared).max(LEAST_SOCKETS);
     let half =
-        (limits.sockets / 2).saturating_sub(spared / 2 + console::SOCKETS / 2).clamp(LEAST_SOCKETS, all);
+        (limits.sockets / 2).saturating_sub(spared / 2 + listener::SOCKETS / 2).clamp(LEAST_SOCKETS, all);
     let (queue, notices) = dispatch::queue(all);
     let peer = Peer::default();
     let next_hops = NextHops::new(
@@ -163,7 +163,7 @@
         peer.clone(),
         Bounds { room: Places::new(all - all / 3, half - half / 3), tuning: sender_side_tuning.clone() },
     );
-    let opened = console.map(|at| console::open(at, lifecycle.clone())).transpose();
+    let opened = console.map(|at| listener::open(at, lifecycle.clone())).transpose();
     let (operators, calls) = opened?.unzip();
 
     // Where there is no second address nobody starts a version beside another.
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/server/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use crate::counters::{Counter, Counters};
+use crate::telemetry::metrics::{Counter, Counters};
 
 /// No head is longer; hyper buffers no more than this either.
 pub const LONGEST_HEAD: usize = 16 << 10;
--- a/crates/node/src/sender_side.rs
+++ b/crates/node/src/server/mod.rs
@@ -3,6 +3,9 @@
 //! job, and never answer one before the dispatch task has, but for what is malformed, finds no room here, or
 //! comes when the node has answered all and ends: none of these is taken.
 
+pub mod callback;
+pub mod connection;
+
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -15,8 +18,8 @@
 use std::time::Duration;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use curlewusher::{ClassId, Effect, TenantId, number_of};
-use curlewusher_operation::succession::{Route, route};
+use curlewusher_control::takeover::{Route, route};
+use curlewusher_core::{ClassId, Effect, TenantId, number_of};
 use curlewusher_settings::Site;
 use curlewusher_settings::operator::SenderSide as Tuning;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -36,18 +39,18 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
 
-use crate::callback::Callback;
-use crate::connection::{
-    Connection, ConnectionState, FilteredStream, LONGEST_HEAD, READ_TIME, ReadFilter, WRITE_TIME, discard,
-    linger,
-};
-use crate::counters::{Counter, Counters};
+use crate::connection_budget::Places;
 use crate::dispatch::{Adopted, Answer, Clock, Holder, Moved, Notice, Queue, Taken, Ticket};
 use crate::handover::{Heard, Peer};
 use crate::lifecycle::Lifecycle;
-use crate::logs::SENDER_SIDE;
-use crate::next_hop::{IDEMPOTENCY_KEY, Parcel, X_DEADLINE, X_REQUEST_ID};
-use crate::places::Places;
+use crate::server::callback::Callback;
+use crate::server::connection::{
+    Connection, ConnectionState, FilteredStream, LONGEST_HEAD, READ_TIME, ReadFilter, WRITE_TIME, discard,
+    linger,
+};
+use crate::telemetry::logging::SENDER_SIDE;
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::{IDEMPOTENCY_KEY, Parcel, X_DEADLINE, X_REQUEST_ID};
 
 const X_CLASS: HeaderName = HeaderName::from_static("x-class");
 const X_TENANT: HeaderName = HeaderName::from_static("x-tenant");
--- a/crates/node/src/next_hop.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,6 +1,9 @@
 //! Owns the delivery attempts on next hops and their withdrawals. It must never send an attempt twice, choose
 //! a next hop, or call an attempt unsent that may have arrived: where that is in doubt, it is lost.
 
+pub mod pool;
+pub mod send_permit;
+
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::net::SocketAddr;
@@ -9,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher::Outcome;
+use curlewusher_core::Outcome;
 use curlewusher_settings::operator::NextHop as Tuning;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderName, HeaderValue};
@@ -18,12 +21,12 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tracing::debug;
 
-use crate::clearance::Clearance;
-use crate::connection_pool::{Broken, ConnectionPool, NotUp};
-use crate::counters::{Counter, Counters};
+use crate::connection_budget::Places;
 use crate::dispatch::{Carrier, DeliveryAttempt, Notice, Queue};
-use crate::logs::NEXT_HOP;
-use crate::places::Places;
+use crate::telemetry::logging::NEXT_HOP;
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::pool::{Broken, ConnectionPool, NotUp};
+use crate::upstream::send_permit::Clearance;
 
 pub const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 pub const X_DEADLINE: HeaderName = HeaderName::from_static("x-deadline");
--- a/crates/node/src/connection_pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -27,10 +27,10 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::{debug, trace};
 
-use crate::clearance::Clearance;
-use crate::counters::{Counter, Counters};
-use crate::logs::NEXT_HOP;
-use crate::places::Places;
+use crate::connection_budget::Places;
+use crate::telemetry::logging::NEXT_HOP;
+use crate::telemetry::metrics::{Counter, Counters};
+use crate::upstream::send_permit::Clearance;
 
 /// No body of a next hop's own answer is longer.
 const LONGEST_BODY: usize = 64 << 10;
--- a/crates/node/src/clearance.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -82,5 +82,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/clearance.rs"]
+#[path = "../../tests/unit/send_permit.rs"]
 mod tests;
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -7,7 +7,7 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 
-use curlewusher_operation::frame::{Decoder, Frame};
+use curlewusher_control::frame::{Decoder, Frame};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
 use crate::common::*;
--- a/crates/node/tests/random_lives/life.rs
+++ b/crates/node/tests/random_lives/life.rs
@@ -11,7 +11,7 @@
 use std::os::fd::AsFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use curlewusher::number_of;
+use curlewusher_core::number_of;
 use fastrand::Rng;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -2,7 +2,7 @@
 //! process. The clock stands, or goes on where nothing else can happen: no test here waits for time itself.
 
 use super::*;
-use curlewusher_operation::call::Refusal;
+use curlewusher_control::command::Refusal;
 use tempfile::TempDir;
 use tokio::task::{LocalSet, yield_now};
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use curlewusher::{Class, Effect, KeyScope, KindId, Micros, Settings, ZoneId};
+use curlewusher_core::{Class, Effect, KeyScope, KindId, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
 pub mod operator;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -293,7 +293,7 @@
 impl Operator {
     /// Reads the text of a file; the error names line, field, and what would be right.
     pub fn parse(text: &str) -> Result<Self, String> {
-        curlewusher_files::parse(text)
+        curlewusher_toml_diagnostics::parse(text)
     }
 
     /// Every field with its value in effect, in the order of [`FIELDS`].
--- a/crates/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use curlewusher::{
+use curlewusher_core::{
     Action, CellId, ClassId, Dispatcher, Event, JobId, KindId, Life, Listing, Micros, Offer, Outcome,
     TenantId, WorkerId, ZoneId,
 };
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -32,7 +32,7 @@
 /// Ends with 0 when no rule was broken and no node crashed, 1 when one was or did, 2 when it could not begin, and 3 when
 /// the run does not count.
 #[derive(Parser)]
-#[command(name = "curlewusher-lab", version)]
+#[command(name = "curlewusher-testbed", version)]
 struct CommandLine {
     #[command(subcommand)]
     command: Command,
@@ -54,7 +54,7 @@
         #[arg(long)]
         seed: Option<u64>,
         /// Where report.html, figures.json, seen.jsonl and the nodes' logs go
-        #[arg(long, default_value = "found/lab", value_name = "FOLDER")]
+        #[arg(long, default_value = "found/testbed", value_name = "FOLDER")]
         out: PathBuf,
         /// No progress bar
         #[arg(long)]
@@ -126,7 +126,7 @@
     match command(CommandLine::parse().command) {
         Ok(code) => ExitCode::from(code),
         Err(problem) => {
-            eprintln!("curlewusher-lab: {problem}");
+            eprintln!("curlewusher-testbed: {problem}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -105,7 +105,7 @@
     let places: NodePlaces = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
     let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone()).await?;
     let front = Arc::new(Front::new(scenario.nodes.count, places.clone(), log.clone()));
-    let temporary = std::env::temp_dir().join(format!("curlewusher-lab-{}", std::process::id()));
+    let temporary = std::env::temp_dir().join(format!("curlewusher-testbed-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&temporary);
     let stage = Arc::new(Stage {
         nodes: (0..scenario.nodes.count).map(|_| Mutex::default()).collect(),
--- a/crates/lab/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -11,7 +11,7 @@
 }
 
 fn run(scenario: &str, name: &str, more: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_curlewusher-lab"))
+    Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
         .args(["run", scenario, "--quiet", "--out"])
         .arg(folder(name))
         .args(more)
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_short_scenario_on_the_real_node_keeps_all_rules_and_leaves_a_report() {
-    let node = Path::new(env!("CARGO_BIN_EXE_curlewusher-lab")).with_file_name("curlewusher");
+    let node = Path::new(env!("CARGO_BIN_EXE_curlewusher-testbed")).with_file_name("curlewusher");
     assert!(node.is_file(), "build the node first: cargo test --workspace does");
     let out = run(SMOKE, "smoke", &[]);
     // 3 says that a busy machine made the load late, which is no fault of the node.
@@ -206,7 +206,7 @@
 fn drills_end_by_themselves_with_a_table_and_find_what_is_wrong() {
     let drill = |arguments: &[&str]| {
         let out = folder(&format!("drill-{}", arguments.join("")));
-        Command::new(env!("CARGO_BIN_EXE_curlewusher-lab"))
+        Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
             .args(["drill", "--quiet", "--out"])
             .arg(out)
             .args(arguments)
@@ -245,7 +245,7 @@
     std::fs::write(folder("long.toml"), long).expect("a place");
     let out = folder("interrupted");
     let _ = std::fs::remove_dir_all(&out);
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_curlewusher-lab"))
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
         .args(["run", folder("long.toml").to_str().expect("a path"), "--quiet", "--out"])
         .arg(&out)
         .stdout(std::process::Stdio::piped())
