--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -84,7 +84,7 @@
             least_wait: 0.0,
             retries: RETRY_STORE,
             copy_work: 0.0,
-            top_worth: settings.classes.iter().map(|c| c.worth).fold(1e-9, f64::max),
+            top_worth: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
             ends: Micros::MAX,
             retired: false,
             wake_at: None,
@@ -98,53 +98,53 @@
     /// Takes an event and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Listed { entries, whole } => {
+            Event::EndpointsChanged { endpoints: entries, snapshot: whole } => {
                 self.listed(now, entries, whole);
                 self.recall(out);
             }
-            Event::ListStands => self.discovery.stands(now),
-            Event::ListAnswered { took } => self.discovery.answered(took),
-            Event::ListSpoilt => self.discovery.spoilt(now),
-            Event::ListMoved => self.discovery.moved(now),
-            Event::ListFailed => self.discovery.failed(now, &mut self.rng),
-            Event::Offered(offer) => self.take(now, &offer, out),
-            Event::Accepted { job, attempt } => self.accepted(now, job, attempt),
-            Event::Started { job, attempt } => {
+            Event::EndpointsConfirmed => self.discovery.stands(now),
+            Event::PollAnswered { duration: took } => self.discovery.answered(took),
+            Event::EndpointsUnreadable => self.discovery.spoilt(now),
+            Event::DiscoveryMoved => self.discovery.moved(now),
+            Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
+            Event::JobSubmitted(offer) => self.take(now, &offer, out),
+            Event::AttemptAccepted { job, attempt } => self.accepted(now, job, attempt),
+            Event::AttemptStarted { job, attempt } => {
                 self.accepted(now, job, attempt);
                 self.started(now, job, attempt, out);
             }
-            Event::Progress { job, attempt, done } => {
+            Event::AttemptProgressed { job, attempt, done } => {
                 self.accepted(now, job, attempt);
                 self.progressed(now, job, attempt, done);
             }
-            Event::Streaming { job, attempt } => {
+            Event::AttemptStreaming { job, attempt } => {
                 self.started(now, job, attempt, out);
                 self.jobs.entry(job).and_modify(|j| j.bound = true);
             }
-            Event::Ended { job, attempt, outcome, settled } => {
-                let held_back = outcome == Outcome::NeverSent && self.was_recalled(job, attempt);
+            Event::AttemptEnded { job, attempt, outcome, settled } => {
+                let held_back = outcome == Outcome::NotSent && self.was_recalled(job, attempt);
                 if (self.attempt_ended(now, job, attempt, outcome) || settled)
                     && !(held_back && !settled && self.back_in_line(now, job, out))
                 {
                     self.follow_up(now, job, settled, out);
                 }
             }
-            Event::ClientGone { job } => self.client_gone(job, out),
-            Event::Told { from, data } => self.hear(now, from, data),
-            Event::Maintenance { worker, out: true } => {
+            Event::ClientDisconnected { job } => self.client_gone(job, out),
+            Event::GossipReceived { from, data } => self.hear(now, from, data),
+            Event::MaintenanceChanged { worker, disabled: true } => {
                 self.fleet.take_out(now, worker);
                 self.recall(out);
             }
-            Event::Maintenance { worker, out: false } => {
+            Event::MaintenanceChanged { worker, disabled: false } => {
                 self.fleet.put_back(now, worker);
                 self.dispatch(now, out);
             }
-            Event::Retired(retired) => self.retired = retired,
-            Event::Ending { by } => {
+            Event::SuccessorActive(retired) => self.retired = retired,
+            Event::ShutdownStarted { deadline: by } => {
                 self.ends = by;
                 self.woken(now, out);
             }
-            Event::Woken => self.woken(now, out),
+            Event::TimerExpired => self.woken(now, out),
         }
         self.arm(now, out);
     }
@@ -152,7 +152,7 @@
     /// How long a keyed repeat may take to reach its worker. Where 202s tell, it is an attempt on sockets,
     /// whose connection may come up late: a worker that is reached after the window runs the repeat as well.
     pub(crate) fn on_its_way(&self) -> Micros {
-        WINDOW_MARGIN.max(self.settings.accepts_within)
+        WINDOW_MARGIN.max(self.settings.accept_timeout)
     }
 
     /// Remembers a job for as long as something may still come of it.
@@ -220,7 +220,7 @@
     /// and must be so rare that what it says is past.
     pub(crate) fn tells(&self) -> bool {
         let messages = f64::from(self.group_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
-        self.settings.may_tell && messages > 0.0 && self.settings.tell_price * messages <= TELL_MOST
+        self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= TELL_MOST
     }
 
     /// Nodes that share this node's own workers.
@@ -231,7 +231,7 @@
     pub(crate) fn woken(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.wake_at = self.wake_at.filter(|at| *at > now);
         if self.discovery.woken(now, &mut self.rng) {
-            out.push(Action::Watch);
+            out.push(Action::WatchEndpoints);
         }
         self.fleet.relearn_slots(now, f64::from(self.group_nodes()));
         self.watch_workers(now);
@@ -254,7 +254,7 @@
             return 1.0;
         }
         let age = since(w.started, now) / secs(self.settings.warm_up);
-        (self.settings.cold_share + (1.0 - self.settings.cold_share) * age).clamp(MIN_WARMTH, 1.0)
+        (self.settings.warm_up_floor + (1.0 - self.settings.warm_up_floor) * age).clamp(MIN_WARMTH, 1.0)
     }
 
     /// Work of a flight that is still to do: by its progress where that was told, else by its hint. A job
@@ -355,13 +355,13 @@
         if self.wake_at.is_none_or(|at| at > next || at < now) {
             let after = next.saturating_sub(now).max(1);
             self.wake_at = Some(now + after);
-            out.push(Action::Wake { after });
+            out.push(Action::SetTimer { after });
         }
     }
 
     /// Books an attempt that is being sent.
     pub(crate) fn record(&mut self, now: Micros, job: &mut Job, index: usize, run: f64, foreseen: f64) {
-        let span = secs(self.settings.fall_window) * COLD_STRETCH;
+        let span = secs(self.settings.overload_window) * COLD_STRETCH;
         let w = &mut self.fleet.workers[index];
         w.cold_sent.retain(|(at, _)| since(*at, now) < span);
         if w.warmth < 1.0 {
@@ -382,7 +382,7 @@
             recalled: false,
             foreseen,
             // Where starts are not told, a missing notice is no sign of silence.
-            started: (!self.settings.tells_start).then_some(now + micros(foreseen)),
+            started: (!self.settings.reports_start).then_some(now + micros(foreseen)),
             progress: None,
             unhinted: job.unhinted.then_some((job.class, job.work)),
         });
@@ -425,9 +425,9 @@
         }
         if !data.is_empty() {
             let groups = self.fleet.groups as u32;
-            let peers = (self.settings.rank % groups..self.settings.nodes).step_by(groups as usize);
-            let peers = peers.filter(|to| *to != self.settings.rank);
-            out.extend(peers.map(|to| Action::Tell { to, data: data.clone() }));
+            let peers = (self.settings.node_index % groups..self.settings.nodes).step_by(groups as usize);
+            let peers = peers.filter(|to| *to != self.settings.node_index);
+            out.extend(peers.map(|to| Action::SendGossip { to, data: data.clone() }));
         }
     }
 
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -20,12 +20,12 @@
 impl WorkerId {
     /// The same number for a worker at every node.
     pub fn of_name(name: &str) -> Self {
-        WorkerId(number_of(name))
+        WorkerId(stable_hash(name))
     }
 }
 
 /// FNV-1a of a name: the same number for it at every node, whatever its machine or version.
-pub fn number_of(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
@@ -49,7 +49,7 @@
 
 /// Which workers discard the repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyScope {
+pub enum DeduplicationScope {
     /// Any worker.
     All,
     /// Those in the zone of the first attempt.
@@ -60,35 +60,35 @@
 
 /// What happens when a job of a class runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing.
-    Safe,
+    Idempotent,
     /// Repeats are discarded within the scope, for `window` from the first attempt that might have run.
-    Keyed {
+    WithKey {
         /// Who discards repeats.
-        scope: KeyScope,
+        scope: DeduplicationScope,
         /// For how long.
         window: Micros,
     },
     /// Harm.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of jobs.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer within `aim + stretch x work` is in time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// See `aim`.
-    pub stretch: f64,
+    pub latency_objective_stretch: f64,
     /// What an answer in time is worth: for a unit of work, where work differs.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The client's total wait.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// The only kind of machine that runs it.
-    pub kind: Option<KindId>,
+    pub required_kind: Option<KindId>,
 }
 
 /// What a dispatcher is told once, at its start.
@@ -97,7 +97,7 @@
     /// Nodes that dispatch to the same workers, this one included.
     pub nodes: u32,
     /// This node's number among them, from 0.
-    pub rank: u32,
+    pub node_index: u32,
     /// This node's zone.
     pub zone: ZoneId,
     /// Job classes.
@@ -105,42 +105,42 @@
     /// For each tenant the jobs a second, over all nodes, within its share. Empty: no tenants.
     pub tenant_quotas: Vec<f64>,
     /// Worth of a job beyond its tenant's quota, as a share of its class's.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// The list of workers comes only when asked for.
-    pub list_on_request: bool,
+    pub endpoints_on_request: bool,
     /// Without a subscription, a node silent for this long counts as told.
-    pub ask_within: Micros,
+    pub poll_within: Micros,
     /// Where the list comes only when asked for: what it says counts as told this long after it could have been
     /// had, whatever came of the calls. A node that cannot know sends nothing more by an older list. 0: never.
-    pub told_within: Micros,
+    pub notified_within: Micros,
     /// The list tells how large workers are.
-    pub sizes_told: bool,
+    pub sizes_listed: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// A worker that has not taken an attempt on after this long is silent; 0: workers do not say.
-    pub accepts_within: Micros,
+    pub accept_timeout: Micros,
     /// `Action::Cancel` is allowed.
     pub may_cancel: bool,
     /// A job may have two attempts out at once.
     pub may_duplicate: bool,
     /// `Action::Tell` is allowed.
-    pub may_tell: bool,
+    pub may_gossip: bool,
     /// Price of one full message (256 bytes) to one node for each job, as a share of a job's worth.
-    pub tell_price: f64,
+    pub gossip_price: f64,
     /// Most attempts for a job.
     pub max_attempts: u32,
     /// Longest wait that a refusal can advise; 0: none.
-    pub max_advice: Micros,
+    pub max_retry_after: Micros,
     /// Price of a zone crossing, as a share of a job's worth.
     pub cross_zone_price: f64,
     /// A started worker has at least this share of its capacity.
-    pub cold_share: f64,
+    pub warm_up_floor: f64,
     /// And is warm after this.
     pub warm_up: Micros,
     /// It falls over when sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... over this long, by all nodes together.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 /// Settings that cannot be worked with.
@@ -168,16 +168,24 @@
         let class = |f: fn(&Class) -> bool| self.classes.iter().all(f);
         let rules = [
             (!self.classes.is_empty(), "classes", "is empty"),
-            (class(|c| c.stretch.is_finite() && c.stretch >= 0.0), "classes.stretch", "is negative"),
-            (class(|c| c.worth.is_finite() && c.worth >= 0.0), "classes.worth", "is negative"),
-            (share(self.over_quota_worth), "over_quota_worth", "is no share"),
-            (class(|c| c.give_up > 0), "classes.give_up", "is zero"),
+            (
+                class(|c| c.latency_objective_stretch.is_finite() && c.latency_objective_stretch >= 0.0),
+                "classes.stretch",
+                "is negative",
+            ),
+            (
+                class(|c| c.priority_weight.is_finite() && c.priority_weight >= 0.0),
+                "classes.worth",
+                "is negative",
+            ),
+            (share(self.over_quota_weight), "over_quota_worth", "is no share"),
+            (class(|c| c.client_timeout > 0), "classes.give_up", "is zero"),
             (self.nodes > 0, "nodes", "is zero"),
             (self.max_attempts > 0, "max_attempts", "is zero"),
             (self.tenant_quotas.iter().all(|q| finite(*q)), "tenant_quotas", "is negative"),
             (finite(self.cross_zone_price), "cross_zone_price", "is negative"),
-            (finite(self.tell_price), "tell_price", "is negative"),
-            (share(self.cold_share), "cold_share", "is no share"),
+            (finite(self.gossip_price), "tell_price", "is negative"),
+            (share(self.warm_up_floor), "cold_share", "is no share"),
             (finite(self.overload_factor), "overload_factor", "is negative"),
         ];
         match rules.iter().find(|rule| !rule.0) {
@@ -189,7 +197,7 @@
 
 /// What the list says of a worker's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum WorkerStatus {
     /// Takes work.
     Ready,
     /// Completes its work and takes nothing new.
@@ -200,7 +208,7 @@
 
 /// A line of the workers' list.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct Endpoint {
     /// Which worker.
     pub worker: WorkerId,
     /// Its zone.
@@ -210,7 +218,7 @@
     /// Its cell.
     pub cell: CellId,
     /// Whether it takes work.
-    pub life: Life,
+    pub status: WorkerStatus,
     /// When it last started; 0: long ago.
     pub started: Micros,
     /// Its size, in slots, give or take; counts only where [`Settings::sizes_told`].
@@ -219,7 +227,7 @@
 
 /// A job that this node has taken.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct JobSubmission {
     /// Its number.
     pub job: JobId,
     /// Its class.
@@ -229,13 +237,13 @@
     /// The moment at which the client stops waiting.
     pub deadline: Micros,
     /// Guess of its work, in seconds on a core of speed 1.
-    pub hint: Option<f64>,
+    pub cost_hint: Option<f64>,
     /// Slots it takes.
     pub slots: f64,
     /// What it concerns: a worker that has just had a job of the same key need not fetch that again.
     pub key: Option<u64>,
     /// Its client marks it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt ended.
@@ -246,7 +254,8 @@
     /// The worker answered with an error; the job may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    #[serde(rename = "Full")]
+    Rejected,
     /// No answer in time; may have run.
     TimedOut,
     /// No connection; never ran.
@@ -256,13 +265,14 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    NeverSent,
+    #[serde(rename = "NeverSent")]
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the job is proven not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent)
+        matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent)
     }
 }
 
@@ -270,43 +280,43 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The list, or changes to it.
-    Listed {
+    EndpointsChanged {
         /// Its lines.
-        entries: &'a [Listing],
+        endpoints: &'a [Endpoint],
         /// A worker that is not among them is gone.
-        whole: bool,
+        snapshot: bool,
     },
     /// The subscription that is open says that what is known of the list stands.
-    ListStands,
+    EndpointsConfirmed,
     /// A call for the list was answered.
-    ListAnswered {
+    PollAnswered {
         /// After this long.
-        took: Micros,
+        duration: Micros,
     },
     /// Something came where a list should have been, and could not be read.
-    ListSpoilt,
+    EndpointsUnreadable,
     /// The list is elsewhere from now on: another service has it.
-    ListMoved,
+    DiscoveryMoved,
     /// Asking for the list failed, or the subscription broke.
-    ListFailed,
+    WatchFailed,
     /// A job was taken.
-    Offered(Offer),
+    JobSubmitted(JobSubmission),
     /// A worker has taken an attempt on.
-    Accepted {
+    AttemptAccepted {
         /// Of this job.
         job: JobId,
         /// Which attempt, from 0 in the order of sends.
         attempt: u32,
     },
     /// An attempt has started to run.
-    Started {
+    AttemptStarted {
         /// Of this job.
         job: JobId,
         /// Which attempt, from 0 in the order of sends.
         attempt: u32,
     },
     /// An attempt has got on.
-    Progress {
+    AttemptProgressed {
         /// Of this job.
         job: JobId,
         /// Which attempt.
@@ -315,14 +325,14 @@
         done: f64,
     },
     /// The answer has begun to flow: the job is bound to this attempt and has no deadline any more.
-    Streaming {
+    AttemptStreaming {
         /// Of this job.
         job: JobId,
         /// Which attempt.
         attempt: u32,
     },
     /// An attempt is over.
-    Ended {
+    AttemptEnded {
         /// Of this job.
         job: JobId,
         /// Which attempt.
@@ -333,40 +343,40 @@
         settled: bool,
     },
     /// The client has left; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// Whose.
         job: JobId,
     },
     /// Another node's `Action::Tell` has come.
-    Told {
+    GossipReceived {
         /// Its rank.
         from: u32,
         /// Its bytes.
         data: &'a [u8],
     },
     /// An operator takes a worker out, so that nothing more goes there whatever the list says, or puts it back.
-    Maintenance {
+    MaintenanceChanged {
         /// Which worker.
         worker: WorkerId,
         /// Whether it is taken out; may be said again of one that is out, or that is not.
-        out: bool,
+        disabled: bool,
     },
     /// Another process of this node has taken over, or is gone again: cold workers are that one's to fill meanwhile.
-    Retired(bool),
+    SuccessorActive(bool),
     /// This node is to end: all that it has taken must be answered by then.
-    Ending {
+    ShutdownStarted {
         /// The moment.
-        by: Micros,
+        deadline: Micros,
     },
     /// A wake-up has come due. One is also given right after the start.
-    Woken,
+    TimerExpired,
 }
 
 /// What a dispatcher wants done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of the job to the worker.
-    Send {
+    SendAttempt {
         /// Which job.
         job: JobId,
         /// Where to.
@@ -375,14 +385,14 @@
         timeout: Micros,
         /// Its first byte may leave until then, and not from then on: it ends as [`Outcome::NeverSent`]. None where
         /// the attempt's timeout is all that bounds it.
-        leave_by: Option<Micros>,
+        send_by: Option<Micros>,
     },
     /// End the job; the client may safely come again.
-    Refuse {
+    Reject {
         /// Which job.
         job: JobId,
         /// Not before this long; 0: no advice.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// End the job with an error that promises nothing.
     Fail {
@@ -392,31 +402,31 @@
     /// Hold an attempt back, since its worker takes nothing new any more: where no byte of it has left it is not
     /// sent, and ends as [`Outcome::NeverSent`]; where one has, it goes on as if nothing had been said. For an
     /// embedder that sends in the moment in which it is told to, this is nothing.
-    Recall {
+    RevokeAttempt {
         /// Of this job.
         job: JobId,
         /// Which attempt.
         attempt: u32,
     },
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// Of this job.
         job: JobId,
         /// Which attempt.
         attempt: u32,
     },
     /// Send these bytes, at most 256, to another node.
-    Tell {
+    SendGossip {
         /// Its rank.
         to: u32,
         /// The bytes.
         data: Vec<u8>,
     },
     /// Send `Event::Woken` after this long.
-    Wake {
+    SetTimer {
         /// From now.
         after: Micros,
     },
     /// Subscribe to the list of workers.
-    Watch,
+    WatchEndpoints,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -103,4 +103,4 @@
 
 pub use dispatcher::Dispatcher;
 pub use interface::*;
-pub use snapshot::{Learned, MovedJob};
+pub use snapshot::{MigratedJob, StateSnapshot};
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -249,7 +249,9 @@
         self.fleet.workers[i].sign_of_life(now);
         // Copies that still wait elsewhere must not run as well.
         let Some(j) = self.jobs.get(&job).filter(|_| self.settings.may_cancel) else { return };
-        out.extend(j.live().filter(|l| l.0 != attempt).map(|(attempt, _)| Action::Cancel { job, attempt }));
+        out.extend(
+            j.live().filter(|l| l.0 != attempt).map(|(attempt, _)| Action::CancelAttempt { job, attempt }),
+        );
     }
 
     /// What an outcome says of its worker. Only served jobs teach speed, and only a warm worker is taught.
@@ -271,9 +273,9 @@
                 self.fleet.workers[i].unreachable = true;
                 self.strike(now, i);
             }
-            Outcome::Error | Outcome::Full | Outcome::Lost => self.strike(now, i),
+            Outcome::Error | Outcome::Rejected | Outcome::Lost => self.strike(now, i),
             Outcome::TimedOut if flight.started.is_none() => self.strike(now, i),
-            Outcome::Cancelled if flight.unheard(now, self.settings.accepts_within) => self.strike(now, i),
+            Outcome::Cancelled if flight.unheard(now, self.settings.accept_timeout) => self.strike(now, i),
             Outcome::Cancelled if flight.started.is_none() => {
                 // What called it off was a start elsewhere: this worker is as late as that shows.
                 let late = since(flight.sent, now) - flight.foreseen;
@@ -281,7 +283,7 @@
                 let unseen = &mut self.fleet.workers[i].unseen;
                 unseen.set(now, late.max(unseen.get(now, UNSEEN_SPAN)));
             }
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -293,7 +295,7 @@
         // Rule 1: nothing after the final answer or the deadline.
         let open = !job.ended && !job.bound && now < job.deadline;
         // Rule 3: nothing new to a worker that drains or is gone, or that operators have taken out.
-        let takes = self.open_to_work(w) && s.classes[job.class].kind.is_none_or(|k| k == w.kind);
+        let takes = self.open_to_work(w) && s.classes[job.class].required_kind.is_none_or(|k| k == w.kind);
         let allowed = job.attempts.len() < (s.max_attempts as usize).min(MAX_ATTEMPTS)
             && (s.may_duplicate || job.live().next().is_none());
         let allowed = allowed && !job.may_still_be_told_of(w.id);
@@ -301,16 +303,16 @@
     }
 
     fn open_to_work(&self, w: &Worker) -> bool {
-        w.life == Life::Ready && !self.fleet.out.contains_key(&w.id)
+        w.life == WorkerStatus::Ready && !self.fleet.out.contains_key(&w.id)
     }
 
     /// Rule 2: an effect must not happen twice.
     fn may_repeat(&self, now: Micros, w: &Worker, job: &Job) -> bool {
         let Some(first) = job.may_have_run() else { return true };
-        match self.settings.classes[job.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope, window } => {
+        match self.settings.classes[job.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::WithKey { scope, window } => {
                 w.discards_repeats(first, scope) && now + self.on_its_way() < first.repeats_until(window)
             }
         }
@@ -318,9 +320,9 @@
 
     /// Rule 2: a refusal says that a retry does no harm.
     fn may_refuse(&self, job: &Job) -> bool {
-        let harmless = match self.settings.classes[job.class].effect {
-            Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => false,
+        let harmless = match self.settings.classes[job.class].idempotency {
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::WithKey { .. } | Idempotency::NonIdempotent => false,
         };
         !job.ended && !job.bound && (harmless || job.may_have_run().is_none())
     }
@@ -332,7 +334,7 @@
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
-        let window = secs(self.settings.fall_window);
+        let window = secs(self.settings.overload_window);
         let recent = w.cold_sent.iter().filter(|(at, _)| since(*at, now) < window * COLD_STRETCH);
         let a_slot = self.settings.overload_factor * self.fleet.speed(w) * warmth * window;
         let slots = self.fleet.proven_slots(w);
@@ -356,7 +358,7 @@
     /// use it. Where warm workers are jammed, whatever has a turn at a cold one goes there: if that is more
     /// than all cold ones together may take, so few have one that it is not.
     fn turns(&self, now: Micros, budget: f64) -> u64 {
-        let window = secs(self.settings.fall_window) * COLD_STRETCH;
+        let window = secs(self.settings.overload_window) * COLD_STRETCH;
         let known_for = since(self.first_came, now).min(LOST_SPAN);
         if known_for < window {
             return 1;
@@ -374,8 +376,8 @@
     /// job where nodes are many, so they take turns by the clock: a window meets two turns at most. Where
     /// several have one at once, each goes by its own figure: how many do is right on average only.
     fn has_turn(&self, now: Micros, w: &Worker, nodes: u32, turns: u64) -> bool {
-        let turn = now / micros(secs(self.settings.fall_window) * COLD_STRETCH).max(1);
-        let place = u64::from(self.settings.rank / self.fleet.groups as u32);
+        let turn = now / micros(secs(self.settings.overload_window) * COLD_STRETCH).max(1);
+        let place = u64::from(self.settings.node_index / self.fleet.groups as u32);
         let first = w.id.0.wrapping_add(turn.wrapping_mul(turns)) % u64::from(nodes);
         (place + u64::from(nodes) - first) % u64::from(nodes) < turns
     }
@@ -386,11 +388,11 @@
     /// after failures, and then until a repeatable job has shown that it serves. A late start shows in w.
     fn sick(&self, now: Micros, w: &Worker, job: &Job) -> bool {
         let on_trial = w.strikes > 1 && !(self.repeatable(job) && w.flights.is_empty());
-        now < w.avoid_until || on_trial || w.silent(now, self.settings.accepts_within)
+        now < w.avoid_until || on_trial || w.silent(now, self.settings.accept_timeout)
     }
 
     fn repeatable(&self, job: &Job) -> bool {
-        self.settings.classes[job.class].effect == Effect::Safe
+        self.settings.classes[job.class].idempotency == Idempotency::Idempotent
     }
 
     /// An attempt to take back from a silent worker, where another may have the job. Where none may, the job
@@ -398,7 +400,7 @@
     fn unheard(&self, now: Micros, job: &Job) -> Option<u32> {
         let (attempt, at) = job.live().next().filter(|_| self.settings.may_cancel)?;
         let other = |w: &Worker| w.id != at && self.open_to_work(w) && self.may_repeat(now, w, job);
-        let silent = self.flight(job.id, attempt, at)?.unheard(now, self.settings.accepts_within);
+        let silent = self.flight(job.id, attempt, at)?.unheard(now, self.settings.accept_timeout);
         (silent && self.fleet.workers.iter().any(other)).then_some(attempt)
     }
 
@@ -413,26 +415,26 @@
 
     // ---- the life of a job ------------------------------------------------------------------------------
 
-    pub(crate) fn take(&mut self, now: Micros, offer: &Offer, out: &mut Vec<Action>) {
+    pub(crate) fn take(&mut self, now: Micros, offer: &JobSubmission, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(offer.class.0) else {
             return out.push(Action::Fail { job: offer.job });
         };
         if self.jobs.contains_key(&offer.job) {
             return;
         }
-        let hint = offer.hint.filter(|h| h.is_finite() && *h > 0.0);
+        let hint = offer.cost_hint.filter(|h| h.is_finite() && *h > 0.0);
         let work = hint.map_or(self.fleet.unhinted_work(offer.class.0), |h| h.clamp(1e-4, 1e4));
         // A client's retry has less time left than a first try: its aim counts from the first.
-        let left = offer.deadline.saturating_sub(now).min(class.give_up);
+        let left = offer.deadline.saturating_sub(now).min(class.client_timeout);
         let span = &mut self.spans[offer.class.0];
         *span = left.max(*span);
         let waited = *span - left;
-        let first = !offer.repeat && waited < JUST_COME;
-        let aim = class.aim + micros(class.stretch * work * SURE);
+        let first = !offer.is_retry && waited < JUST_COME;
+        let aim = class.latency_objective + micros(class.latency_objective_stretch * work * SURE);
         let slots = if offer.slots.is_finite() { offer.slots.clamp(1.0, 64.0) } else { 1.0 };
-        let worth = class.worth / self.top_worth / slots;
+        let worth = class.priority_weight / self.top_worth / slots;
         let over_quota = self.over_quota(now, offer.tenant.0, first);
-        let value = if over_quota { worth * self.settings.over_quota_worth } else { worth };
+        let value = if over_quota { worth * self.settings.over_quota_weight } else { worth };
         let aim_at = (now + aim).saturating_sub(waited);
         let unhinted = hint.is_none();
         let mut job = Job { over_quota, value, first, work, unhinted, slots, aim_at, ..Job::new(offer) };
@@ -532,14 +534,17 @@
     fn send(&mut self, now: Micros, job: &mut Job, p: Promise, out: &mut Vec<Action>) {
         self.record(now, job, p.index, p.run, p.wait);
         let (worker, leave_by) = (self.fleet.workers[p.index].id, self.leave_by(job));
-        out.push(Action::Send { job: job.id, worker, timeout: job.deadline - now, leave_by });
+        out.push(Action::SendAttempt { job: job.id, worker, timeout: job.deadline - now, send_by: leave_by });
         self.survey(now, p.index);
     }
 
     /// The final answer to a job not served.
     fn answer(&mut self, job: &mut Job, out: &mut Vec<Action>) {
         if self.may_refuse(job) {
-            out.push(Action::Refuse { job: job.id, wait: REFUSED_WAIT.min(self.settings.max_advice) });
+            out.push(Action::Reject {
+                job: job.id,
+                retry_after: REFUSED_WAIT.min(self.settings.max_retry_after),
+            });
         } else {
             out.push(Action::Fail { job: job.id });
         }
@@ -550,7 +555,7 @@
     pub(crate) fn close(&self, job: &mut Job, out: &mut Vec<Action>) {
         job.ended = true;
         if self.settings.may_cancel {
-            out.extend(job.live().map(|(attempt, _)| Action::Cancel { job: job.id, attempt }));
+            out.extend(job.live().map(|(attempt, _)| Action::CancelAttempt { job: job.id, attempt }));
         }
     }
 
@@ -638,7 +643,7 @@
             self.give_up(now, &mut job, out);
         } else if !idle {
             let back = self.unheard(now, &job).or_else(|| self.better_elsewhere(now, &mut job));
-            out.extend(back.map(|attempt| Action::Cancel { job: id, attempt }));
+            out.extend(back.map(|attempt| Action::CancelAttempt { job: id, attempt }));
             self.hedge(now, &mut job, out);
         }
         self.keep(job);
@@ -665,7 +670,8 @@
     /// once, the less of that doubt is for the job: those behind it suffer.
     fn doomed(&self, now: Micros, job: &Job) -> bool {
         let most = (HINT_ERRORS * self.fleet.hint_error * self.fleet.prompt).exp();
-        let rest = self.settings.classes[job.class].stretch * (most - SURE) - 1.0 / self.fleet.all.speed;
+        let rest = self.settings.classes[job.class].latency_objective_stretch * (most - SURE)
+            - 1.0 / self.fleet.all.speed;
         let waits = |(a, w)| self.flight(job.id, a, w).is_some_and(|f| f.started.is_none());
         let left = since(now, job.aim_at) - since(job.aim_at, now) + rest * job.work;
         self.settings.may_cancel && left < 0.0 && job.live().all(waits)
@@ -673,7 +679,7 @@
 
     // ---- the list ----------------------------------------------------------------------------------------
 
-    pub(crate) fn listed(&mut self, now: Micros, entries: &[Listing], whole: bool) {
+    pub(crate) fn listed(&mut self, now: Micros, entries: &[Endpoint], whole: bool) {
         self.discovery.listed(now);
         self.fleet.follow(now, entries, whole);
     }
--- a/crates/core/src/policy/pre_send.rs
+++ b/crates/core/src/policy/pre_send.rs
@@ -10,7 +10,7 @@
 impl Dispatcher {
     /// A worker that takes nothing new gets nothing late either.
     pub(crate) fn recall(&mut self, out: &mut Vec<Action>) {
-        out.extend(self.fleet.recalls.drain(..).map(|(job, attempt)| Action::Recall { job, attempt }));
+        out.extend(self.fleet.recalls.drain(..).map(|(job, attempt)| Action::RevokeAttempt { job, attempt }));
     }
 
     /// Whether an attempt that is out was recalled.
@@ -48,7 +48,9 @@
     /// A keyed repeat has to be with its worker while that discards it: however long it waits for its connection, it
     /// leaves no later than the shortest way before that ends.
     fn window_ends(&self, job: &Job) -> Option<Micros> {
-        let Effect::Keyed { window, .. } = self.settings.classes[job.class].effect else { return None };
+        let Idempotency::WithKey { window, .. } = self.settings.classes[job.class].idempotency else {
+            return None;
+        };
         let (_, earlier) = job.attempts.split_last()?;
         let first = earlier.iter().find(|a| !a.end.is_some_and(Outcome::never_ran))?;
         Some(first.repeats_until(window).saturating_sub(WINDOW_MARGIN))
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -71,11 +71,11 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         DiscoveryClient {
             nodes: Micros::from(settings.nodes),
-            on_request: settings.list_on_request,
-            ask_within: settings.ask_within,
-            told_within: settings.told_within,
+            on_request: settings.endpoints_on_request,
+            ask_within: settings.poll_within,
+            told_within: settings.notified_within,
             call_time: None,
-            ask_at: settings.list_on_request.then_some(0),
+            ask_at: settings.endpoints_on_request.then_some(0),
             asked: 0,
             out: false,
             failures: 0,
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -18,9 +18,9 @@
 /// What a dispatcher has learned. Times are microseconds since the Unix epoch, which both processes read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Learned {
-    workers: Vec<LearnedWorker>,
-    kinds: Vec<LearnedKind>,
+pub struct StateSnapshot {
+    workers: Vec<WorkerSnapshot>,
+    kinds: Vec<KindSnapshot>,
     /// Middle logarithm of the fleet's speed, and how many jobs taught it.
     all: (f64, u32),
     hint_error: f64,
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LearnedWorker {
+struct WorkerSnapshot {
     id: u64,
     offset: f64,
     lessons: u32,
@@ -49,7 +49,7 @@
 /// A job that goes from one process of a node to another, with all that was tried for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MovedJob {
+pub struct MigratedJob {
     class: usize,
     over_quota: bool,
     value: f64,
@@ -59,21 +59,21 @@
     key: Option<u64>,
     aim_at: Micros,
     deadline: Micros,
-    attempts: Vec<MovedAttempt>,
+    attempts: Vec<MigratedAttempt>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MovedAttempt {
+struct MigratedAttempt {
     worker: u64,
     zone: u32,
     cell: u32,
     sent: Micros,
     end: Option<Outcome>,
-    flight: Option<MovedFlight>,
+    flight: Option<MigratedInFlight>,
 }
 
-impl MovedJob {
+impl MigratedJob {
     /// Its class.
     pub fn class(&self) -> ClassId {
         ClassId(self.class)
@@ -88,7 +88,7 @@
 /// What is known of an attempt that is out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MovedFlight {
+struct MigratedInFlight {
     work: f64,
     slots: f64,
     accepted: bool,
@@ -99,7 +99,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LearnedKind {
+struct KindSnapshot {
     id: u32,
     ln_speed: f64,
     lessons: u32,
@@ -116,8 +116,8 @@
 
 impl Dispatcher {
     /// What is known now, for a successor.
-    pub fn learned(&self) -> Learned {
-        let worker = |w: &Worker| LearnedWorker {
+    pub fn snapshot(&self) -> StateSnapshot {
+        let worker = |w: &Worker| WorkerSnapshot {
             id: w.id.0,
             offset: w.offset,
             lessons: w.lessons,
@@ -130,9 +130,9 @@
             keys: w.keys.iter().copied().collect(),
             cold_sent: w.cold_sent.iter().copied().take(MOST_SENDS).collect(),
         };
-        let kind = |k: &Kind| LearnedKind { id: k.id.0, ln_speed: k.pace.ln_speed, lessons: k.pace.lessons };
+        let kind = |k: &Kind| KindSnapshot { id: k.id.0, ln_speed: k.pace.ln_speed, lessons: k.pace.lessons };
         let fleet = &self.fleet;
-        Learned {
+        StateSnapshot {
             workers: fleet.workers.iter().take(MOST_WORKERS).map(worker).collect(),
             kinds: fleet.kinds.iter().map(kind).collect(),
             all: (fleet.all.ln_speed, fleet.all.lessons),
@@ -145,7 +145,7 @@
 
     /// Takes on what the process before this one has learned of workers that this one's list names too. Of those that it
     /// has taught itself it knows better.
-    pub fn inherit(&mut self, now: Micros, learned: &Learned) {
+    pub fn restore(&mut self, now: Micros, learned: &StateSnapshot) {
         for k in &learned.kinds {
             let at = self.fleet.kind_at(KindId(k.id));
             if let Some(ln_speed) = ln(k.ln_speed).filter(|_| self.fleet.kinds[at].pace.lessons == 0) {
@@ -173,7 +173,7 @@
 
 impl Dispatcher {
     /// Lets a job go that has no answer yet: nothing of it is known here any more, and nothing is called off.
-    pub fn release(&mut self, job: JobId) -> Option<MovedJob> {
+    pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
         let job = self.jobs.get(&job).filter(|j| !j.ended && !j.bound)?.id;
         let job = self.jobs.remove(&job)?;
         self.line.retain(|place| place.2 != job.id);
@@ -181,13 +181,13 @@
         for (a, number) in job.attempts.iter().zip(0..) {
             let at = self.fleet.find(a.worker);
             let flight = at.and_then(|i| self.fleet.workers[i].land(job.id, number));
-            attempts.push(MovedAttempt {
+            attempts.push(MigratedAttempt {
                 worker: a.worker.0,
                 zone: a.zone.0,
                 cell: a.cell.0,
                 sent: a.sent,
                 end: a.end,
-                flight: flight.map(|f| MovedFlight {
+                flight: flight.map(|f| MigratedInFlight {
                     work: f.work,
                     slots: f.slots,
                     accepted: f.accepted,
@@ -197,7 +197,7 @@
                 }),
             });
         }
-        Some(MovedJob {
+        Some(MigratedJob {
             class: job.class,
             over_quota: job.over_quota,
             value: job.value,
@@ -212,7 +212,7 @@
     }
 
     /// Whether that can be a job here.
-    pub fn knows(&self, moved: &MovedJob) -> bool {
+    pub fn accepts_migrated_job(&self, moved: &MigratedJob) -> bool {
         moved.class < self.settings.classes.len()
             && [moved.work, moved.slots, moved.value].iter().all(|v| v.is_finite() && *v >= 0.0)
             && moved.attempts.len() <= MAX_ATTEMPTS
@@ -220,19 +220,19 @@
 
     /// Takes a job on that another process of this node let go, under a number of this one's. False where it
     /// cannot be one.
-    pub fn adopt(&mut self, now: Micros, id: JobId, moved: &MovedJob, out: &mut Vec<Action>) -> bool {
-        if !self.knows(moved) || self.jobs.contains_key(&id) {
+    pub fn adopt_job(&mut self, now: Micros, id: JobId, moved: &MigratedJob, out: &mut Vec<Action>) -> bool {
+        if !self.accepts_migrated_job(moved) || self.jobs.contains_key(&id) {
             return false;
         }
-        let offer = Offer {
+        let offer = JobSubmission {
             job: id,
             class: ClassId(moved.class),
             tenant: TenantId(0),
             deadline: moved.deadline,
-            hint: None,
+            cost_hint: None,
             slots: moved.slots,
             key: moved.key,
-            repeat: !moved.first,
+            is_retry: !moved.first,
         };
         let mut job = Job {
             over_quota: moved.over_quota,
@@ -279,7 +279,7 @@
     }
 }
 
-impl LearnedWorker {
+impl WorkerSnapshot {
     fn teach(&self, now: Micros, w: &mut Worker) {
         if w.lessons == 0
             && let Some(offset) = ln(self.offset)
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -22,7 +22,7 @@
 /// it knows them, and can afford to tell its nodes' work. Where nothing may be told, groups would only make each fetch
 /// what the others hold already.
 fn most_groups(settings: &Settings) -> usize {
-    if !settings.may_tell {
+    if !settings.may_gossip {
         return 1;
     }
     (settings.nodes / GROUP_NODES).max(1) as usize
@@ -181,7 +181,7 @@
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
-    pub life: Life,
+    pub life: WorkerStatus,
     /// One of this node's own: see [`Fleet::near`].
     pub near: bool,
     /// Last start as listed or inferred; 0: long ago.
@@ -228,13 +228,13 @@
 }
 
 impl Worker {
-    pub fn new(entry: &Listing, kind_at: usize) -> Self {
+    pub fn new(entry: &Endpoint, kind_at: usize) -> Self {
         Worker {
             id: entry.worker,
             zone: entry.zone,
             kind: entry.kind,
             cell: entry.cell,
-            life: entry.life,
+            life: entry.status,
             near: false,
             started: entry.started,
             size: 1.0,
@@ -271,11 +271,11 @@
     }
 
     /// Whether it discards repeats of what that attempt ran.
-    pub fn discards_repeats(&self, first: &Attempt, scope: KeyScope) -> bool {
+    pub fn discards_repeats(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
         match scope {
-            KeyScope::All => true,
-            KeyScope::Zone => first.zone == self.zone,
-            KeyScope::Cell => first.zone == self.zone && first.cell == self.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.zone == self.zone,
+            DeduplicationScope::Cell => first.zone == self.zone && first.cell == self.cell,
         }
     }
 
@@ -399,7 +399,7 @@
 }
 
 impl Job {
-    pub fn new(offer: &Offer) -> Self {
+    pub fn new(offer: &JobSubmission) -> Self {
         Job {
             id: offer.job,
             class: offer.class.0,
@@ -505,7 +505,7 @@
 impl Usual {
     /// Nothing was seen yet: what is wanted of the class tells the order of magnitude.
     fn guessed(class: &Class) -> Self {
-        let mean = secs(class.aim).clamp(UNHINTED_WORK, 10.0 * UNHINTED_WORK);
+        let mean = secs(class.latency_objective).clamp(UNHINTED_WORK, 10.0 * UNHINTED_WORK);
         Usual { mean, ln: mean.ln(), lessons: 0 }
     }
 
@@ -580,12 +580,12 @@
 impl Fleet {
     pub fn new(settings: &Settings) -> Self {
         Fleet {
-            sizes_told: settings.sizes_told,
+            sizes_told: settings.sizes_listed,
             near: Vec::new(),
             cold: 0,
             groups: 1,
             most_groups: most_groups(settings),
-            rank: settings.rank as usize,
+            rank: settings.node_index as usize,
             workers: Vec::new(),
             out: BTreeMap::new(),
             back: BTreeMap::new(),
@@ -700,9 +700,9 @@
     }
 
     /// Takes over a list, or changes to it. A worker that has left is kept until its attempts have ended.
-    pub fn follow(&mut self, now: Micros, entries: &[Listing], whole: bool) {
+    pub fn follow(&mut self, now: Micros, entries: &[Endpoint], whole: bool) {
         if whole {
-            self.workers.iter_mut().for_each(|w| w.life = Life::Gone);
+            self.workers.iter_mut().for_each(|w| w.life = WorkerStatus::Gone);
         }
         for entry in entries {
             let told = self.sizes_told && entry.size.is_finite();
@@ -711,7 +711,7 @@
                 Ok(i) => {
                     let kind_at = self.kind_at(entry.kind);
                     let w = &mut self.workers[i];
-                    (w.zone, w.kind, w.cell, w.life) = (entry.zone, entry.kind, entry.cell, entry.life);
+                    (w.zone, w.kind, w.cell, w.life) = (entry.zone, entry.kind, entry.cell, entry.status);
                     if entry.started.min(now) > w.started {
                         // What is on its way was meant for the process before, which was warm, perhaps elsewhere.
                         self.recalls.extend(w.recall());
@@ -729,8 +729,8 @@
                 }
             }
         }
-        self.workers.retain(|w| w.life != Life::Gone || !w.flights.is_empty());
-        for w in self.workers.iter_mut().filter(|w| w.life != Life::Ready) {
+        self.workers.retain(|w| w.life != WorkerStatus::Gone || !w.flights.is_empty());
+        for w in self.workers.iter_mut().filter(|w| w.life != WorkerStatus::Ready) {
             self.recalls.extend(w.recall());
         }
         self.regroup();
@@ -760,8 +760,9 @@
     /// Deals the ready workers out to the groups, each zone's and kind's evenly. Nodes with the same list agree.
     fn regroup(&mut self) {
         self.near.clear();
-        let takes =
-            |i: &usize| self.workers[*i].life == Life::Ready && !self.out.contains_key(&self.workers[*i].id);
+        let takes = |i: &usize| {
+            self.workers[*i].life == WorkerStatus::Ready && !self.out.contains_key(&self.workers[*i].id)
+        };
         self.near.extend((0..self.workers.len()).filter(takes));
         let workers = &self.workers;
         self.groups = self.most_groups.min(self.near.len() / GROUP_WORKERS).max(1);
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -5,7 +5,7 @@
 use common::*;
 use curlewusher_core::*;
 
-fn fleet(n: u64) -> Vec<Listing> {
+fn fleet(n: u64) -> Vec<Endpoint> {
     (0..n).map(listing).collect()
 }
 
@@ -93,7 +93,7 @@
         node.pass(50_000);
         node.start(job, 0);
         node.now += 2_000;
-        node.tell(Event::Woken);
+        node.tell(Event::TimerExpired);
         node.end(job - 1, 0, Outcome::Done);
     }
     node.end(19, 0, Outcome::Done);
@@ -135,21 +135,21 @@
     node.start(9, 0);
     let mut aged = offer(1, 0, 3.0, node.now);
     aged.deadline -= 3_000;
-    node.tell(Event::Offered(aged));
+    node.tell(Event::JobSubmitted(aged));
     node.offer(3, 0, 0.5);
     let mut other = offer(2, 0, 2.0, node.now);
     other.tenant = TenantId(1);
-    node.tell(Event::Offered(other));
+    node.tell(Event::JobSubmitted(other));
     node.now += 500_000;
     let actions = node.end(9, 0, Outcome::Done);
-    assert!(matches!(actions[0], Action::Send { job: JobId(2), .. }), "{actions:?}");
+    assert!(matches!(actions[0], Action::SendAttempt { job: JobId(2), .. }), "{actions:?}");
 }
 
 #[test]
 fn unsafe_is_tried_again_only_when_it_never_ran() {
     let mut node = Node::new(settings(), &fleet(3));
     let first = sent(&node.offer(1, 2, 0.1));
-    let again = node.end(1, 0, Outcome::Full);
+    let again = node.end(1, 0, Outcome::Rejected);
     assert!(sent(&again).is_some() && sent(&again) != first, "{again:?}");
     let actions = node.end(1, 1, Outcome::Lost);
     assert!(failed(&actions) && sent(&actions).is_none() && !refused(&actions), "{actions:?}");
@@ -165,7 +165,7 @@
         assert_eq!(sent(&node.end(1, 0, Outcome::Unreachable)), None);
     }
     let actions = node.pass(200_000);
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 1, "{actions:?}");
+    assert_eq!(actions.iter().filter(|a| matches!(a, Action::SendAttempt { .. })).count(), 1, "{actions:?}");
 }
 
 #[test]
@@ -177,13 +177,13 @@
         [(0, 0, true), (5 * SECOND, 0, false), (late, 0, true), (late, slow, false), (0, slow, true)]
     {
         let mut s = settings();
-        s.accepts_within = accepts_within;
-        s.classes[1].give_up = 60 * SECOND;
-        s.classes[1].aim = 40 * SECOND;
+        s.accept_timeout = accepts_within;
+        s.classes[1].client_timeout = 60 * SECOND;
+        s.classes[1].latency_objective = 40 * SECOND;
         let mut node = Node::new(s, &workers);
         let mut keyed = offer(1, 1, 0.1, node.now);
         keyed.deadline = node.now + 60 * SECOND;
-        let first = sent(&node.tell(Event::Offered(keyed))).expect("sent");
+        let first = sent(&node.tell(Event::JobSubmitted(keyed))).expect("sent");
         node.start(1, 0);
         node.now += wait;
         let actions = node.end(1, 0, Outcome::Error);
@@ -197,9 +197,9 @@
 #[test]
 fn a_keyed_repeat_leaves_within_its_window_and_all_else_at_any_time() {
     let leave_by = |actions: &[Action]| {
-        let sent = actions
-            .iter()
-            .find_map(|a| if let Action::Send { leave_by, .. } = a { Some(*leave_by) } else { None });
+        let sent = actions.iter().find_map(|a| {
+            if let Action::SendAttempt { send_by: leave_by, .. } = a { Some(*leave_by) } else { None }
+        });
         sent.unwrap_or_else(|| panic!("nothing is sent: {actions:?}"))
     };
     for (class, ran) in [(0, true), (1, true), (1, false), (2, false)] {
@@ -207,7 +207,7 @@
         let begun = node.now;
         assert_eq!(leave_by(&node.offer(1, class, 0.1)), None);
         node.now += 100_000;
-        let again = leave_by(&node.end(1, 0, if ran { Outcome::Lost } else { Outcome::Full }));
+        let again = leave_by(&node.end(1, 0, if ran { Outcome::Lost } else { Outcome::Rejected }));
         // The window is counted from the first that may have run, and some of it is left for the way.
         let bound = (class == 1 && ran).then_some(begun + 5 * SECOND);
         assert_eq!(again.is_some(), bound.is_some(), "class {class}, ran {ran}");
@@ -219,40 +219,40 @@
 fn nothing_goes_to_a_draining_worker() {
     let mut workers = fleet(2);
     let mut node = Node::new(settings(), &workers);
-    workers[0].life = Life::Draining;
-    node.tell(Event::Listed { entries: &workers[..1], whole: false });
+    workers[0].status = WorkerStatus::Draining;
+    node.tell(Event::EndpointsChanged { endpoints: &workers[..1], snapshot: false });
     for job in 0..20 {
         assert_ne!(sent(&node.offer(job, 0, 0.01)), Some(0));
         node.pass(100_000);
     }
     // A whole list that no longer names a worker drops it.
-    node.tell(Event::Listed { entries: &[], whole: true });
+    node.tell(Event::EndpointsChanged { endpoints: &[], snapshot: true });
     assert_eq!(sent(&node.offer(50, 0, 0.01)), None);
 }
 
 #[test]
 fn what_a_worker_has_not_taken_on_is_recalled_once_it_takes_nothing_new() {
     let workers = fleet(1);
-    let listed = |life, started| [Listing { life, started, ..workers[0].clone() }];
-    let (drains, gone) = (listed(Life::Draining, 0), listed(Life::Gone, 0));
-    let (anew, as_it_was) = (listed(Life::Ready, 9 * SECOND), listed(Life::Ready, 0));
-    let list = |entries, whole| Event::Listed { entries, whole };
+    let listed = |life, started| [Endpoint { status: life, started, ..workers[0].clone() }];
+    let (drains, gone) = (listed(WorkerStatus::Draining, 0), listed(WorkerStatus::Gone, 0));
+    let (anew, as_it_was) = (listed(WorkerStatus::Ready, 9 * SECOND), listed(WorkerStatus::Ready, 0));
+    let list = |entries, whole| Event::EndpointsChanged { endpoints: entries, snapshot: whole };
     for (unfit, event) in [
         (true, list(&drains, false)),
         (true, list(&gone, false)),
         (true, list(&[], true)),
         (true, list(&anew, false)),
-        (true, Event::Maintenance { worker: WorkerId(0), out: true }),
+        (true, Event::MaintenanceChanged { worker: WorkerId(0), disabled: true }),
         (false, list(&as_it_was, true)),
-        (false, Event::Maintenance { worker: WorkerId(1), out: true }),
+        (false, Event::MaintenanceChanged { worker: WorkerId(1), disabled: true }),
     ] {
         let mut node = Node::new(settings(), &workers);
         assert!([1, 2].iter().all(|job| sent(&node.offer(*job, 2, 0.005)) == Some(0)));
         // One that was taken on is the worker's to complete; the other is recalled, and that is said once.
-        node.tell(Event::Accepted { job: JobId(1), attempt: 0 });
-        for expected in [&[Action::Recall { job: JobId(2), attempt: 0 }][usize::from(!unfit)..], &[]] {
+        node.tell(Event::AttemptAccepted { job: JobId(1), attempt: 0 });
+        for expected in [&[Action::RevokeAttempt { job: JobId(2), attempt: 0 }][usize::from(!unfit)..], &[]] {
             let mut said = node.tell(event.clone());
-            said.retain(|a| matches!(a, Action::Recall { .. }));
+            said.retain(|a| matches!(a, Action::RevokeAttempt { .. }));
             assert_eq!(said, expected, "{event:?}");
         }
     }
@@ -265,15 +265,15 @@
     let workers = fleet(2);
     let mut node = Node::new(settings(), &workers);
     for job in 0..60 {
-        node.tell(Event::Listed { entries: &workers, whole: true });
+        node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         let first = sent(&node.offer(job, 2, 0.01)).expect("sent");
         let left = (1 - first) as usize;
         let entries = if job % 2 == 0 { &workers[left..=left] } else { &[] };
-        node.tell(Event::Listed { entries, whole: true });
-        let mut said = node.end(job, 0, Outcome::NeverSent);
+        node.tell(Event::EndpointsChanged { endpoints: entries, snapshot: true });
+        let mut said = node.end(job, 0, Outcome::NotSent);
         if entries.is_empty() {
             assert!(sent(&said).is_none() && !refused(&said) && !failed(&said), "job {job}: {said:?}");
-            node.tell(Event::Listed { entries: &workers[left..=left], whole: true });
+            node.tell(Event::EndpointsChanged { endpoints: &workers[left..=left], snapshot: true });
             said = node.pass(20_000);
         }
         assert_eq!(sent(&said), Some(1 - first), "job {job}");
@@ -287,21 +287,21 @@
 fn a_worker_that_operators_took_out_gets_nothing_until_they_put_it_back() {
     let workers = fleet(2);
     let mut node = Node::new(settings(), &workers);
-    let out = |out| Event::Maintenance { worker: WorkerId(0), out };
+    let out = |out| Event::MaintenanceChanged { worker: WorkerId(0), disabled: out };
     node.tell(out(true));
     node.tell(out(true));
     // Whatever the list says meanwhile: gone, there again, started anew.
     let mut restarted = workers.clone();
     restarted[0].started = node.now;
     for (job, entries) in [&workers[1..], &workers[..], &restarted[..]].into_iter().enumerate() {
-        node.tell(Event::Listed { entries, whole: true });
+        node.tell(Event::EndpointsChanged { endpoints: entries, snapshot: true });
         assert_eq!(sent(&node.offer(job as u64, 0, 0.1)), Some(1));
         node.start(job as u64, 0);
         node.end(job as u64, 0, Outcome::Done);
         node.now += 10_000;
     }
     // Its only other worker being gone, a job waits.
-    node.tell(Event::Listed { entries: &restarted[..1], whole: true });
+    node.tell(Event::EndpointsChanged { endpoints: &restarted[..1], snapshot: true });
     assert_eq!(sent(&node.offer(9, 0, 0.1)), None);
     // One call back is enough, however many calls out there were.
     assert_eq!(sent(&node.tell(out(false))), Some(0));
@@ -319,9 +319,9 @@
         node.now += 50_000;
         node.end(job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
     }
-    node.tell(Event::Maintenance { worker: WorkerId(0), out: true });
+    node.tell(Event::MaintenanceChanged { worker: WorkerId(0), disabled: true });
     node.pass(SECOND);
-    node.tell(Event::Maintenance { worker: WorkerId(0), out: false });
+    node.tell(Event::MaintenanceChanged { worker: WorkerId(0), disabled: false });
     assert_eq!(sent(&node.offer(20, 0, 0.02)), Some(0));
     // It counts as cold: another job would fill its budget, and goes to the warm one.
     assert_eq!(sent(&node.offer(21, 0, 0.15)), Some(1));
@@ -331,11 +331,11 @@
     let mut sends = Vec::new();
     for rank in 0..nodes {
         let mut s = settings();
-        (s.nodes, s.rank) = (nodes, rank);
+        (s.nodes, s.node_index) = (nodes, rank);
         let mut workers = fleet(1);
         let mut node = Node::new(s, &workers);
         workers[0].started = node.now;
-        node.tell(Event::Listed { entries: &workers, whole: true });
+        node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         let end = node.now + span;
         node.now += gap * u64::from(rank) / u64::from(nodes);
         for job in 0.. {
@@ -390,19 +390,19 @@
 fn sent_to_few_cold_workers() -> Vec<(u64, Micros, u64)> {
     let mut sends = Vec::new();
     for rank in 0..150 {
-        let mut s = Settings { nodes: 150, rank, ..settings() };
-        (s.classes[0].kind, s.classes[1].kind) = (Some(KindId(0)), Some(KindId(1)));
-        let listed = |w| Listing { kind: KindId(u32::from(w >= 6)), ..listing(w) };
-        let mut workers: Vec<Listing> = (0..100).map(listed).collect();
+        let mut s = Settings { nodes: 150, node_index: rank, ..settings() };
+        (s.classes[0].required_kind, s.classes[1].required_kind) = (Some(KindId(0)), Some(KindId(1)));
+        let listed = |w| Endpoint { kind: KindId(u32::from(w >= 6)), ..listing(w) };
+        let mut workers: Vec<Endpoint> = (0..100).map(listed).collect();
         let mut node = Node::new(s, &workers);
         workers[..6].iter_mut().for_each(|w| w.started = node.now);
-        node.tell(Event::Listed { entries: &workers, whole: true });
+        node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         node.now += u64::from(rank) * 600;
         for job in 0..60 {
             // Those that waited for a turn go out with the next one that comes.
             let out = node.offer(job, usize::from(job % 10 > 0), 0.02);
             let sent = out.iter().filter_map(|a| match a {
-                Action::Send { job, worker, .. } => Some((job.0, worker.0)),
+                Action::SendAttempt { job, worker, .. } => Some((job.0, worker.0)),
                 _ => None,
             });
             let sent: Vec<(u64, u64)> = sent.collect();
@@ -437,20 +437,20 @@
     let mut most = 0.0f64;
     for rank in 0..50 {
         let mut workers = fleet(11);
-        (workers[10].life, workers[10].kind) = (Life::Draining, KindId(1));
-        let mut s = Settings { nodes: 50, rank, ..settings() };
-        s.classes[0].kind = Some(KindId(1));
+        (workers[10].status, workers[10].kind) = (WorkerStatus::Draining, KindId(1));
+        let mut s = Settings { nodes: 50, node_index: rank, ..settings() };
+        s.classes[0].required_kind = Some(KindId(1));
         let mut node = Node::new(s, &workers);
         for job in 0..10 {
-            node.tell(Event::Offered(Offer {
+            node.tell(Event::JobSubmitted(JobSubmission {
                 deadline: node.now + 99 * SECOND,
                 ..offer(job, 2, 0.1, node.now)
             }));
             node.start(job, 0);
         }
         node.pass(10 * SECOND);
-        (workers[10].life, workers[10].started) = (Life::Ready, node.now);
-        node.tell(Event::Listed { entries: &workers, whole: true });
+        (workers[10].status, workers[10].started) = (WorkerStatus::Ready, node.now);
+        node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         let mut sum = 0.0;
         for job in 10..30 {
             if sent(&node.offer(job, 0, 0.1)) == Some(10) {
@@ -471,7 +471,13 @@
     let chosen = |rank| {
         let mut workers = fleet(2);
         workers[1].started = 1;
-        let s = Settings { nodes: 2, rank, cold_share: 0.4, warm_up: 1_000 * SECOND, ..settings() };
+        let s = Settings {
+            nodes: 2,
+            node_index: rank,
+            warm_up_floor: 0.4,
+            warm_up: 1_000 * SECOND,
+            ..settings()
+        };
         let mut node = Node::new(s, &workers);
         for job in 0..3 {
             node.offer(job, 0, 0.2);
@@ -522,9 +528,9 @@
     let mut out = Vec::new();
     for job in 0..200 {
         out.extend(node.offer(job, 0, 0.05));
-        while let Some(at) = out.iter().position(|a| matches!(a, Action::Send { .. })) {
-            let Action::Send { job, worker, .. } = out.remove(at) else { continue };
-            let attempt = out.iter().filter(|a| matches!(a, Action::Cancel { .. })).count() as u32;
+        while let Some(at) = out.iter().position(|a| matches!(a, Action::SendAttempt { .. })) {
+            let Action::SendAttempt { job, worker, .. } = out.remove(at) else { continue };
+            let attempt = out.iter().filter(|a| matches!(a, Action::CancelAttempt { .. })).count() as u32;
             if worker.0 != 0 {
                 attempts += 1;
             }
@@ -542,7 +548,7 @@
 fn node_with_a_waiting_job(nodes: u32, class: usize) -> (Node, Option<u64>) {
     let mut s = settings();
     s.nodes = nodes;
-    s.classes.iter_mut().for_each(|c| c.aim = 2 * SECOND);
+    s.classes.iter_mut().for_each(|c| c.latency_objective = 2 * SECOND);
     let mut node = Node::new(s, &fleet(4));
     for job in 10..40 {
         node.offer(job, 0, 0.1);
@@ -560,7 +566,7 @@
     let (mut node, first) = node_with_a_waiting_job(1, 0);
     assert_eq!(sent(&node.pass(SECOND / 2)), None, "all work there is its own: it must be slow");
     let actions = node.pass(SECOND);
-    let copies: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Send { .. })).collect();
+    let copies: Vec<_> = actions.iter().filter(|a| matches!(a, Action::SendAttempt { .. })).collect();
     assert_eq!(copies.len(), 1, "{actions:?}");
     assert_ne!(sent(&actions), first);
 }
@@ -572,8 +578,8 @@
     assert!(sent(&actions).is_some_and(|copy| Some(copy) != first), "{actions:?}");
     // The copy starts: what still waits must not run as well.
     let actions = node.start(1, 1);
-    assert!(actions.contains(&Action::Cancel { job: JobId(1), attempt: 0 }), "{actions:?}");
-    assert!(!actions.contains(&Action::Cancel { job: JobId(1), attempt: 1 }), "{actions:?}");
+    assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
+    assert!(!actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 1 }), "{actions:?}");
 }
 
 #[test]
@@ -587,17 +593,19 @@
 /// which has taken it on.
 fn node_with_an_accepted_job(nodes: u32, class: usize) -> (Node, Option<u64>) {
     let mut s = Settings { nodes, may_duplicate: false, ..settings() };
-    s.classes.iter_mut().for_each(|c| c.aim = 2 * SECOND);
+    s.classes.iter_mut().for_each(|c| c.latency_objective = 2 * SECOND);
     let mut node = Node::new(s, &fleet(12));
-    let first = sent(&node.tell(Event::Offered(Offer { key: Some(7), ..offer(1, class, 0.1, node.now) })));
+    let first = sent(
+        &node.tell(Event::JobSubmitted(JobSubmission { key: Some(7), ..offer(1, class, 0.1, node.now) })),
+    );
     node.now += 10_000;
-    node.tell(Event::Accepted { job: JobId(1), attempt: 0 });
+    node.tell(Event::AttemptAccepted { job: JobId(1), attempt: 0 });
     (node, first)
 }
 
 #[test]
 fn a_job_that_waits_where_all_send_it_moves_to_the_next_home_of_its_key() {
-    let called_off = Action::Cancel { job: JobId(1), attempt: 0 };
+    let called_off = Action::CancelAttempt { job: JobId(1), attempt: 0 };
     for nodes in [3, 300] {
         let (mut node, first) = node_with_an_accepted_job(nodes, 0);
         assert_eq!(node.pass(130_000), [], "its start may yet be told");
@@ -605,7 +613,7 @@
         assert!(!actions.is_empty() && actions.iter().all(|a| *a == called_off), "{actions:?}");
         let second = sent(&node.end(1, 0, Outcome::Cancelled));
         assert!(second.is_some() && second != first, "{first:?}, {second:?}");
-        node.tell(Event::Accepted { job: JobId(1), attempt: 1 });
+        node.tell(Event::AttemptAccepted { job: JobId(1), attempt: 1 });
         node.start(1, 1);
         assert_eq!(node.pass(SECOND / 2), [], "what runs stays");
     }
@@ -621,7 +629,7 @@
     assert!(sent(&node.offer(1, 0, 0.1)).is_some());
     let actions = node.pass(4 * SECOND);
     assert!(refused(&actions), "{actions:?}");
-    assert!(actions.contains(&Action::Cancel { job: JobId(1), attempt: 0 }), "{actions:?}");
+    assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
     // One that runs is left alone.
     let mut node = Node::new(settings(), &fleet(1));
     node.offer(1, 0, 0.1);
@@ -634,7 +642,7 @@
     // 32 nodes and 32 workers: four groups of eight.
     let used = |rank| {
         let mut s = settings();
-        (s.nodes, s.rank, s.may_tell) = (32, rank, true);
+        (s.nodes, s.node_index, s.may_gossip) = (32, rank, true);
         let mut node = Node::new(s, &fleet(32));
         let mut used = [false; 32];
         for job in 0..60 {
@@ -656,11 +664,11 @@
 fn work_is_told_only_within_the_group_and_only_where_that_is_cheap() {
     let told = |nodes, price| {
         let mut s = settings();
-        (s.nodes, s.rank, s.may_tell, s.tell_price) = (nodes, 1, true, price);
+        (s.nodes, s.node_index, s.may_gossip, s.gossip_price) = (nodes, 1, true, price);
         let mut node = Node::new(s, &fleet(nodes.into()));
         node.offer(1, 0, 3.0);
         let all = node.pass(SECOND / 5).into_iter();
-        let to = all.filter_map(|a| if let Action::Tell { to, .. } = a { Some(to) } else { None });
+        let to = all.filter_map(|a| if let Action::SendGossip { to, .. } = a { Some(to) } else { None });
         to.collect::<std::collections::BTreeSet<u32>>()
     };
     assert_eq!(told(32, 0.01), [5, 9, 13, 17, 21, 25, 29].into());
@@ -670,10 +678,10 @@
 #[test]
 fn a_group_without_a_worker_for_a_job_sends_it_to_anothers() {
     let mut s = settings();
-    (s.nodes, s.rank, s.may_tell) = (32, 0, true);
+    (s.nodes, s.node_index, s.may_gossip) = (32, 0, true);
     let mut workers = fleet(32);
     workers.iter_mut().for_each(|w| w.kind = KindId(u32::from(w.worker.0 % 16 == 7)));
-    s.classes[0].kind = Some(KindId(1));
+    s.classes[0].required_kind = Some(KindId(1));
     let mut node = Node::new(s, &workers);
     // Two workers of that kind in four groups: most groups have none.
     let mut out = node.offer(1, 0, 0.01);
@@ -684,7 +692,7 @@
 #[test]
 fn jobs_that_fit_nowhere_do_not_stop_those_behind_them_in_a_large_fleet() {
     let mut s = settings();
-    s.classes[0].kind = Some(KindId(9));
+    s.classes[0].required_kind = Some(KindId(9));
     let last = s.classes.len() - 1;
     let mut node = Node::new(s, &fleet(32));
     for id in 1..=10 {
@@ -709,7 +717,7 @@
 #[test]
 fn a_listed_size_counts_as_slots() {
     let mut s = settings();
-    s.sizes_told = true;
+    s.sizes_listed = true;
     let mut workers = fleet(1);
     workers[0].size = 2.0;
     let mut node = Node::new(s, &workers);
@@ -732,17 +740,17 @@
     node.start(9, 0);
     let mut other = offer(2, 0, 2.0, node.now);
     other.tenant = TenantId(1);
-    node.tell(Event::Offered(other));
+    node.tell(Event::JobSubmitted(other));
     node.offer(3, 0, 1.6);
     node.now += 500_000;
     let actions = node.end(9, 0, Outcome::Done);
-    assert!(matches!(actions[0], Action::Send { job: JobId(3), .. }), "{actions:?}");
+    assert!(matches!(actions[0], Action::SendAttempt { job: JobId(3), .. }), "{actions:?}");
 }
 
 #[test]
 fn where_starts_are_not_told_a_long_job_is_no_silence() {
     let mut s = settings();
-    s.tells_start = false;
+    s.reports_start = false;
     let mut node = Node::new(s, &fleet(2));
     for job in 10..40 {
         node.offer(job, 0, 0.1);
@@ -784,8 +792,8 @@
 fn a_job_whose_time_is_up_as_it_comes_is_answered_at_once() {
     // A client's last retry can come with no time left: waiting for the next sweep would lose it.
     let mut node = Node::new(settings(), &fleet(1));
-    let last = Offer { deadline: node.now + 5_000, repeat: true, ..offer(1, 0, 0.1, node.now) };
-    assert!(refused(&node.tell(Event::Offered(last))));
+    let last = JobSubmission { deadline: node.now + 5_000, is_retry: true, ..offer(1, 0, 0.1, node.now) };
+    assert!(refused(&node.tell(Event::JobSubmitted(last))));
     assert!(node.pass(SECOND).is_empty());
 }
 
@@ -797,15 +805,15 @@
     for attempt in [0, 1, u32::MAX] {
         assert_eq!(sent(&node.end(1, attempt, Outcome::Lost)), None);
         assert_eq!(sent(&node.start(77, attempt)), None);
-        node.tell(Event::Progress { job: JobId(1), attempt, done: f64::NAN });
+        node.tell(Event::AttemptProgressed { job: JobId(1), attempt, done: f64::NAN });
     }
-    node.tell(Event::ClientGone { job: JobId(77) });
-    node.tell(Event::Told { from: 9, data: &[1, 2, 3] });
-    let odd = Offer { class: ClassId(9), ..offer(5, 0, 0.1, node.now) };
-    assert!(failed(&node.tell(Event::Offered(odd))));
+    node.tell(Event::ClientDisconnected { job: JobId(77) });
+    node.tell(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
+    let odd = JobSubmission { class: ClassId(9), ..offer(5, 0, 0.1, node.now) };
+    assert!(failed(&node.tell(Event::JobSubmitted(odd))));
     for (job, hint, slots) in [(6, f64::NAN, f64::NAN), (7, -1.0, -3.0), (8, f64::INFINITY, 1e300)] {
-        let odd = Offer { hint: Some(hint), slots, deadline: 0, ..offer(job, 0, 0.1, node.now) };
-        node.tell(Event::Offered(odd));
+        let odd = JobSubmission { cost_hint: Some(hint), slots, deadline: 0, ..offer(job, 0, 0.1, node.now) };
+        node.tell(Event::JobSubmitted(odd));
     }
     node.pass(SECOND);
 }
@@ -813,15 +821,15 @@
 #[test]
 fn the_list_is_asked_for_again_with_backoff() {
     let mut s = settings();
-    s.list_on_request = true;
+    s.endpoints_on_request = true;
     let mut node = Node::new(s, &fleet(1));
     let mut asked = Vec::new();
-    node.tell(Event::ListFailed);
+    node.tell(Event::WatchFailed);
     for _ in 0..2_000 {
-        if node.pass(10_000).contains(&Action::Watch) {
+        if node.pass(10_000).contains(&Action::WatchEndpoints) {
             asked.push(node.now);
             node.now += 1;
-            node.tell(Event::ListFailed);
+            node.tell(Event::WatchFailed);
         }
     }
     let gaps: Vec<_> = asked.windows(2).map(|w| w[1] - w[0]).collect();
@@ -835,7 +843,7 @@
     // A call takes 65 ms, in turn. One that waits for 2 s fails, and still takes its turn.
     let listed_after = |nodes: u32| {
         let node = |rank| {
-            let s = Settings { nodes, rank, list_on_request: true, ..settings() };
+            let s = Settings { nodes, node_index: rank, endpoints_on_request: true, ..settings() };
             Node { dispatcher: Dispatcher::new(s, u64::from(rank)).expect("good settings"), now: 10 * SECOND }
         };
         let mut all: Vec<Node> = (0..nodes).map(node).collect();
@@ -846,8 +854,8 @@
                 node.now = now;
                 if waiting[i].is_some_and(|at| now >= at + 2 * SECOND) {
                     waiting[i] = None;
-                    node.tell(Event::ListFailed);
-                } else if node.tell(Event::Woken).contains(&Action::Watch) {
+                    node.tell(Event::WatchFailed);
+                } else if node.tell(Event::TimerExpired).contains(&Action::WatchEndpoints) {
                     waiting[i] = Some(now);
                     calls.push_back((i, now));
                 }
@@ -855,7 +863,7 @@
             while let Some((i, at)) = calls.pop_front_if(|_| free_at <= now) {
                 free_at = now + 65_000;
                 if waiting[i].take_if(|since| *since == at).is_some() {
-                    all[i].tell(Event::Listed { entries: &fleet(1), whole: true });
+                    all[i].tell(Event::EndpointsChanged { endpoints: &fleet(1), snapshot: true });
                     unlisted -= 1;
                 }
             }
@@ -873,18 +881,19 @@
 fn told_work_steers_away_and_is_forgotten() {
     let mut s = settings();
     s.nodes = 2;
-    s.may_tell = true;
+    s.may_gossip = true;
     let workers = fleet(2);
     // What one node tells, its twin hears.
     let mut teller = Node::new(s.clone(), &workers[..1]);
     teller.offer(1, 0, 3.0);
     let told = teller.pass(20_000);
-    let Some(Action::Tell { data, .. }) = told.iter().find(|a| matches!(a, Action::Tell { .. })) else {
+    let Some(Action::SendGossip { data, .. }) = told.iter().find(|a| matches!(a, Action::SendGossip { .. }))
+    else {
         panic!("{told:?}")
     };
     assert!(data.len() <= 256);
     let mut node = Node::new(s, &workers);
-    node.tell(Event::Told { from: 1, data });
+    node.tell(Event::GossipReceived { from: 1, data });
     for job in 0..8 {
         assert_eq!(sent(&node.offer(job, 0, 0.01)), Some(1));
         node.start(job, 0);
@@ -926,8 +935,8 @@
         Dispatcher::new(s, 1).err().map(|e| e.field)
     };
     assert_eq!(bad(|s| s.classes.clear()), Some("classes"));
-    assert_eq!(bad(|s| s.cold_share = 1.5), Some("cold_share"));
-    assert_eq!(bad(|s| s.classes[0].stretch = -1.0), Some("classes.stretch"));
+    assert_eq!(bad(|s| s.warm_up_floor = 1.5), Some("cold_share"));
+    assert_eq!(bad(|s| s.classes[0].latency_objective_stretch = -1.0), Some("classes.stretch"));
     assert_eq!(bad(|s| s.tenant_quotas = vec![f64::NAN]), Some("tenant_quotas"));
     assert_eq!(bad(|s| s.nodes = 0), Some("nodes"));
     assert_eq!(bad(|_| {}), None);
@@ -938,15 +947,15 @@
 fn after_losses() -> Node {
     let mut s = settings();
     s.tenant_quotas = vec![0.0, 1000.0];
-    s.classes[1].worth = 0.1;
+    s.classes[1].priority_weight = 0.1;
     let mut node = Node::new(s, &fleet(2));
     for job in 0..22 {
         let mut o = offer(job, 0, if job < 2 { 4.0 } else { 0.4 }, node.now);
         o.tenant = TenantId(1);
-        node.tell(Event::Offered(o));
+        node.tell(Event::JobSubmitted(o));
     }
     (0..2).for_each(|job| _ = node.start(job, 0));
-    assert!(node.pass(500_000).iter().filter(|a| matches!(a, Action::Refuse { .. })).count() > 10);
+    assert!(node.pass(500_000).iter().filter(|a| matches!(a, Action::Reject { .. })).count() > 10);
     node.end(0, 0, Outcome::Done);
     node
 }
@@ -959,7 +968,7 @@
     assert!(sent(&node.offer(50, 0, 0.1)).is_none());
     let mut within = offer(51, 0, 0.1, node.now);
     within.tenant = TenantId(1);
-    assert!(sent(&node.tell(Event::Offered(within))).is_some());
+    assert!(sent(&node.tell(Event::JobSubmitted(within))).is_some());
 }
 
 #[test]
@@ -967,10 +976,10 @@
     let mut node = after_losses();
     let mut cheap = offer(50, 1, 0.1, node.now);
     cheap.tenant = TenantId(1);
-    assert!(sent(&node.tell(Event::Offered(cheap))).is_none());
+    assert!(sent(&node.tell(Event::JobSubmitted(cheap))).is_none());
     let mut dear = offer(51, 0, 0.1, node.now);
     dear.tenant = TenantId(1);
-    assert!(sent(&node.tell(Event::Offered(dear))).is_some());
+    assert!(sent(&node.tell(Event::JobSubmitted(dear))).is_some());
 }
 
 #[test]
@@ -996,7 +1005,7 @@
 #[test]
 fn a_slow_fleet_is_known_before_each_worker_is() {
     let mut s = settings();
-    s.classes.push(Class { stretch: 0.0, ..class(Effect::Safe) });
+    s.classes.push(Class { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
     let mut node = Node::new(s, &fleet(20));
     let mut round = |first: u64, work: f64, speed: f64, end: bool| {
         (first..first + 20).for_each(|job| _ = node.offer(job, 0, work));
@@ -1029,8 +1038,8 @@
     let mut of_key = std::collections::BTreeMap::new();
     for n in 0..60 {
         let key = n % 3;
-        let offer = Offer { key: Some(key), ..offer(n, 0, 0.1, node.now) };
-        let to = sent(&node.tell(Event::Offered(offer))).expect("all are free");
+        let offer = JobSubmission { key: Some(key), ..offer(n, 0, 0.1, node.now) };
+        let to = sent(&node.tell(Event::JobSubmitted(offer))).expect("all are free");
         assert_eq!(*of_key.entry(key).or_insert(to), to, "key {key}");
         serve(&mut node, n);
     }
@@ -1042,14 +1051,20 @@
         let mut homes = std::collections::BTreeSet::new();
         for key in 0..20 {
             let first = |rank: u32| {
-                let mut node = Node::new(Settings { nodes, rank, ..settings() }, &fleet(workers));
+                let mut node = Node::new(Settings { nodes, node_index: rank, ..settings() }, &fleet(workers));
                 // What it has done before differs from node to node; this key was not wanted.
                 for n in 100..140 + u64::from(rank) {
-                    node.tell(Event::Offered(Offer { key: Some(n), ..offer(n, 0, 0.1, node.now) }));
+                    node.tell(Event::JobSubmitted(JobSubmission {
+                        key: Some(n),
+                        ..offer(n, 0, 0.1, node.now)
+                    }));
                     serve(&mut node, n);
                 }
                 node.now += 60 * SECOND;
-                sent(&node.tell(Event::Offered(Offer { key: Some(key), ..offer(1, 0, 0.1, node.now) })))
+                sent(&node.tell(Event::JobSubmitted(JobSubmission {
+                    key: Some(key),
+                    ..offer(1, 0, 0.1, node.now)
+                })))
             };
             assert!(first(0).is_some() && first(0) == first(1) && first(1) == first(2), "key {key}");
             homes.insert(first(0));
@@ -1065,16 +1080,17 @@
         let mut to = std::collections::BTreeSet::new();
         for rank in 0..30 {
             let mut workers = fleet(20);
-            let mut node = Node::new(Settings { nodes: 30, rank, ..settings() }, &workers);
-            let of = |key, job, now| Event::Offered(Offer { key, ..offer(job, 0, 0.1, now) });
+            let mut node = Node::new(Settings { nodes: 30, node_index: rank, ..settings() }, &workers);
+            let of = |key, job, now| Event::JobSubmitted(JobSubmission { key, ..offer(job, 0, 0.1, now) });
             for job in 0..40 {
                 let key = if job % one_of == 0 { 7 } else { 1000 + job };
                 let at = sent(&node.tell(of(Some(key), job, node.now))).expect("all are free");
                 // Where it went itself does not count: that worker leaves.
-                workers[at as usize].life = if key == 7 { Life::Draining } else { workers[at as usize].life };
+                workers[at as usize].status =
+                    if key == 7 { WorkerStatus::Draining } else { workers[at as usize].status };
                 serve(&mut node, job);
             }
-            node.tell(Event::Listed { entries: &workers, whole: true });
+            node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
             // Nodes differ in what they drew at random before.
             for job in 100..100 + u64::from(rank) {
                 node.tell(of(None, job, node.now));
@@ -1112,7 +1128,7 @@
     // 30 nodes and 10 workers. Always one own job running: like nodes have three at each worker, which run at once.
     let home_of_second = |nodes| {
         let mut node = Node::new(Settings { nodes, ..settings() }, &fleet(10));
-        let offer = |job, now| Event::Offered(Offer { key: Some(1), ..offer(job, 0, 1.0, now) });
+        let offer = |job, now| Event::JobSubmitted(JobSubmission { key: Some(1), ..offer(job, 0, 1.0, now) });
         for job in 0..20 {
             node.tell(offer(job, node.now));
             node.start(job, 0);
@@ -1132,13 +1148,13 @@
 #[test]
 fn a_worker_that_does_not_take_a_job_on_loses_it_and_gets_no_other() {
     // Silence used to cost a job its whole deadline, and the next ones followed it.
-    let told = Settings { accepts_within: SECOND / 2, ..settings() };
+    let told = Settings { accept_timeout: SECOND / 2, ..settings() };
     for (class, taken_back) in [(0, true), (1, true), (2, false)] {
         let mut node = Node::new(told.clone(), &fleet(2));
         let silent = sent(&node.offer(1, class, 2.0)).expect("both are free");
         let asked = node.pass(SECOND);
         assert_eq!(
-            asked.contains(&Action::Cancel { job: JobId(1), attempt: 0 }),
+            asked.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }),
             taken_back,
             "class {class}"
         );
@@ -1149,26 +1165,26 @@
         // One that has taken the job on may take its time.
         let mut node = Node::new(told.clone(), &fleet(2));
         node.offer(1, class, 2.0);
-        node.tell(Event::Accepted { job: JobId(1), attempt: 0 });
-        assert!(!node.pass(SECOND).iter().any(|a| matches!(a, Action::Cancel { .. })));
+        node.tell(Event::AttemptAccepted { job: JobId(1), attempt: 0 });
+        assert!(!node.pass(SECOND).iter().any(|a| matches!(a, Action::CancelAttempt { .. })));
     }
 }
 
 #[test]
 fn a_node_that_ends_answers_all_before_and_keeps_no_job_that_would_outlast_it() {
     let mut node = Node::new(settings(), &fleet(1));
-    node.tell(Event::Listed { entries: &[], whole: true });
+    node.tell(Event::EndpointsChanged { endpoints: &[], snapshot: true });
     // Neither can be sent: one could still be served in time, one could not.
     node.offer(1, 2, 0.5);
     node.offer(2, 2, 4.0);
     let by = node.now + 3 * SECOND;
     let refuses = |actions: &[Action], job| {
-        actions.iter().any(|a| matches!(a, Action::Refuse { job: refused, .. } if *refused == JobId(job)))
+        actions.iter().any(|a| matches!(a, Action::Reject { job: refused, .. } if *refused == JobId(job)))
     };
-    let told = node.tell(Event::Ending { by });
+    let told = node.tell(Event::ShutdownStarted { deadline: by });
     assert!(refuses(&told, 2) && !refuses(&told, 1), "{told:?}");
     assert!(refuses(&node.offer(3, 2, 4.0), 3), "another node is its better chance");
-    node.tell(Event::Listed { entries: &fleet(1), whole: true });
+    node.tell(Event::EndpointsChanged { endpoints: &fleet(1), snapshot: true });
     assert!(sent(&node.pass(20_000)).is_some());
     // What may have run fails before the end, however long its client would wait.
     assert!(failed(&node.pass(3 * SECOND - 40_000)));
@@ -1180,37 +1196,37 @@
     let mut elder = Node::new(settings(), &workers);
     elder.teach(&workers, 1, 4.0, 100);
     workers[2].started = elder.now;
-    elder.tell(Event::Listed { entries: &workers, whole: true });
+    elder.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
     // It spends what a cold worker may get, by jobs that end at once.
-    elder.tell(Event::Listed { entries: &workers[2..], whole: true });
+    elder.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     let spent = (1..100).take_while(|job| {
         let goes = sent(&elder.offer(*job, 2, 0.05)).is_some();
         elder.end(*job, 0, Outcome::Done);
         goes
     });
     assert!((2..99).contains(&spent.count()));
-    elder.tell(Event::Listed { entries: &workers, whole: true });
-    let learned = elder.dispatcher.learned();
+    elder.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
+    let learned = elder.dispatcher.snapshot();
 
-    let successor = |learned: &Learned| {
+    let successor = |learned: &StateSnapshot| {
         let mut node = Node::new(settings(), &workers);
         node.now = elder.now;
-        node.dispatcher.inherit(node.now, learned);
+        node.dispatcher.restore(node.now, learned);
         node
     };
     assert_eq!(sent(&successor(&learned).offer(1, 0, 0.1)), Some(1), "the fast one");
     let mut node = successor(&learned);
-    node.tell(Event::Listed { entries: &workers[2..], whole: true });
+    node.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     assert_eq!(sent(&node.offer(1, 2, 0.05)), None, "spent by the elder");
-    let mut node = successor(&Learned::default());
-    node.tell(Event::Listed { entries: &workers[2..], whole: true });
+    let mut node = successor(&StateSnapshot::default());
+    node.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     assert_eq!(sent(&node.offer(1, 2, 0.05)), Some(2));
     // And the elder sends nothing more there once it has handed over, until it has the node back.
-    elder.tell(Event::Retired(true));
-    elder.tell(Event::Listed { entries: &workers[2..], whole: true });
+    elder.tell(Event::SuccessorActive(true));
+    elder.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     assert_eq!(sent(&elder.pass(2 * SECOND)), None);
     assert_eq!(sent(&elder.offer(200, 2, 0.05)), None);
-    elder.tell(Event::Retired(false));
+    elder.tell(Event::SuccessorActive(false));
     assert_eq!(sent(&elder.pass(SECOND / 10)), Some(2));
 }
 
@@ -1228,12 +1244,12 @@
     let mut younger = Node::new(s, &workers);
     let mut out = Vec::new();
     for (job, number) in [(1, 11), (2, 12), (3, 13)] {
-        let moved = elder.dispatcher.release(JobId(job)).expect("it is held");
-        assert!(younger.dispatcher.adopt(younger.now, JobId(number), &moved, &mut out));
+        let moved = elder.dispatcher.release_job(JobId(job)).expect("it is held");
+        assert!(younger.dispatcher.adopt_job(younger.now, JobId(number), &moved, &mut out));
     }
     assert_eq!(sent(&out), None, "what is out there is known");
     assert!(elder.pass(6 * SECOND).is_empty(), "nothing is known of them any more");
-    assert_eq!(elder.dispatcher.release(JobId(1)), None);
+    assert_eq!(elder.dispatcher.release_job(JobId(1)), None);
     // The first one broke off: it may have run. The waiting one goes where there is room now.
     assert!(failed(&younger.end(11, 0, Outcome::Lost)));
     assert_eq!(sent(&younger.end(12, 0, Outcome::Done)), Some(1 - first));
@@ -1247,33 +1263,33 @@
         assert!(sent(&node.offer(job, class, work)).is_some());
         node.start(job, 0);
     }
-    let said = node.tell(Event::Ending { by: node.now + SECOND });
+    let said = node.tell(Event::ShutdownStarted { deadline: node.now + SECOND });
     let refused: Vec<_> =
-        said.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect();
-    assert!(matches!(refused[..], [Action::Refuse { job: JobId(1), .. }]), "{said:?}");
-    assert!(said.contains(&Action::Cancel { job: JobId(1), attempt: 0 }));
+        said.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).collect();
+    assert!(matches!(refused[..], [Action::Reject { job: JobId(1), .. }]), "{said:?}");
+    assert!(said.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }));
 }
 
 #[test]
 fn a_cold_workers_budget_is_kept_where_jobs_come_without_hints_and_their_work_has_a_long_tail() {
     // Nine in ten jobs of the class run for 50 ms, one for 2 s: 245 ms in the mean, 72 ms in the middle.
-    let unhinted = |job, now| Offer { hint: None, ..offer(job, 0, 0.0, now) };
+    let unhinted = |job, now| JobSubmission { cost_hint: None, ..offer(job, 0, 0.0, now) };
     let workers = [listing(0), listing(1)];
     let mut node = Node::new(settings(), &workers[..1]);
     for job in 0..200 {
-        node.tell(Event::Offered(unhinted(job, node.now)));
+        node.tell(Event::JobSubmitted(unhinted(job, node.now)));
         node.start(job, 0);
         node.now += if job % 10 == 9 { 2 * SECOND } else { 50_000 };
         node.end(job, 0, Outcome::Done);
     }
-    let warm = Listing { life: Life::Draining, ..listing(0) };
-    let cold = Listing { started: node.now, ..listing(1) };
-    node.tell(Event::Listed { entries: &[warm, cold], whole: true });
+    let warm = Endpoint { status: WorkerStatus::Draining, ..listing(0) };
+    let cold = Endpoint { started: node.now, ..listing(1) };
+    node.tell(Event::EndpointsChanged { endpoints: &[warm, cold], snapshot: true });
     let mut sends = 0;
     for job in 1_000..1_040 {
-        let out = node.tell(Event::Offered(unhinted(job, node.now)));
+        let out = node.tell(Event::JobSubmitted(unhinted(job, node.now)));
         for action in out.into_iter().chain(node.pass(10_000)) {
-            let Action::Send { job: JobId(job), worker, .. } = action else { continue };
+            let Action::SendAttempt { job: JobId(job), worker, .. } = action else { continue };
             assert_eq!(worker, WorkerId(1));
             sends += 1;
             node.start(job, 0);
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -109,8 +109,13 @@
 }
 
 fn start(day: &Day, rank: u32, now: Micros, seed: u64) -> One {
-    let s =
-        Settings { nodes: day.nodes, rank, list_on_request: true, told_within: TOLD_WITHIN, ..settings() };
+    let s = Settings {
+        nodes: day.nodes,
+        node_index: rank,
+        endpoints_on_request: true,
+        notified_within: TOLD_WITHIN,
+        ..settings()
+    };
     let node = Node { dispatcher: Dispatcher::new(s, seed).expect("good settings"), now };
     One {
         node,
@@ -126,7 +131,7 @@
 fn live(day: &Day, seed: u64) -> Found {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let begin = 10 * SECOND;
-    let workers: Vec<Listing> = (0..day.drains.len() as u64 + 4).map(listing).collect();
+    let workers: Vec<Endpoint> = (0..day.drains.len() as u64 + 4).map(listing).collect();
     let mut found = Found::default();
     let mut all: Vec<One> = (0..day.nodes).map(|rank| start(day, rank, begin, rng.u64(..))).collect();
     let mut queue: VecDeque<(usize, Micros)> = VecDeque::new();
@@ -165,7 +170,7 @@
             if answered.contains(&i)
                 && let Line::Calls { since } = one.line
             {
-                out.extend(one.node.tell(Event::ListAnswered { took: now - since }));
+                out.extend(one.node.tell(Event::PollAnswered { duration: now - since }));
                 one.line = Line::Open { heard: now, next: now + BEATS, silent: false };
                 heard = true;
             }
@@ -173,14 +178,14 @@
                 Line::Calls { since } if now >= since + WAITS => {
                     one.line = Line::None;
                     found.failed += 1;
-                    out.extend(one.node.tell(Event::ListFailed));
+                    out.extend(one.node.tell(Event::WatchFailed));
                 }
                 Line::Open { heard: last, next, silent } => {
                     let reset = now == day.reset / STEP * STEP || !day.up(now);
                     let silent = silent || now == day.silent / STEP * STEP;
                     if reset || silent && now >= last + SILENCE {
                         one.line = Line::None;
-                        out.extend(one.node.tell(Event::ListFailed));
+                        out.extend(one.node.tell(Event::WatchFailed));
                     } else if silent {
                         one.line = Line::Open { heard: last, next, silent };
                     } else {
@@ -196,18 +201,20 @@
             if heard {
                 let mut entries = workers.clone();
                 for (n, at) in day.drains.iter().enumerate().filter(|(_, at)| **at < now) {
-                    entries[n].life = Life::Draining;
+                    entries[n].status = WorkerStatus::Draining;
                     one.told[n].get_or_insert(now.max(*at));
                 }
-                out.extend(one.node.tell(Event::Listed { entries: &entries, whole: true }));
-                out.extend(one.node.tell(Event::ListStands));
+                out.extend(one.node.tell(Event::EndpointsChanged { endpoints: &entries, snapshot: true }));
+                out.extend(one.node.tell(Event::EndpointsConfirmed));
             }
             if now >= one.wake {
                 one.wake = Micros::MAX;
-                out.extend(one.node.tell(Event::Woken));
+                out.extend(one.node.tell(Event::TimerExpired));
                 if now == one.started {
                     // The saved list comes in the moment of the first wake-up.
-                    out.extend(one.node.tell(Event::Listed { entries: &workers, whole: true }));
+                    out.extend(
+                        one.node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true }),
+                    );
                 }
             }
             if (now / STEP + i as u64).is_multiple_of(20) {
@@ -218,12 +225,12 @@
             let mut at = 0;
             while at < out.len() {
                 match out[at].clone() {
-                    Action::Watch if one.line == Line::None => {
+                    Action::WatchEndpoints if one.line == Line::None => {
                         one.line = Line::Calls { since: now };
                         queue.push_back((i, now));
                     }
-                    Action::Wake { after } => one.wake = one.wake.min(now + after),
-                    Action::Send { job, worker, .. } => {
+                    Action::SetTimer { after } => one.wake = one.wake.min(now + after),
+                    Action::SendAttempt { job, worker, .. } => {
                         one.sent += 1;
                         let n = worker.0 as usize;
                         if let Some(changed) = day.drains.get(n).filter(|at| **at < now) {
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -33,7 +33,7 @@
 struct Checker {
     settings: Settings,
     jobs: BTreeMap<JobId, Known>,
-    list: BTreeMap<WorkerId, Listing>,
+    list: BTreeMap<WorkerId, Endpoint>,
     /// Those that operators have taken out.
     out: BTreeSet<WorkerId>,
     /// Most slots that any worker was seen to use: bounds the capacity at speed 1.
@@ -47,8 +47,8 @@
         Checker { settings, jobs, list, out: BTreeSet::new(), slots: 1.0, cold }
     }
 
-    fn offered(&mut self, o: &Offer) {
-        let load = o.hint.unwrap_or(0.1) * o.slots;
+    fn offered(&mut self, o: &JobSubmission) {
+        let load = o.cost_hint.unwrap_or(0.1) * o.slots;
         let known =
             Known { class: o.class.0, deadline: o.deadline, load, tries: Vec::new(), answered: false };
         self.jobs.insert(o.job, known);
@@ -56,21 +56,21 @@
 
     fn check(&mut self, now: Micros, action: &Action) -> Result<(), String> {
         match action {
-            Action::Send { job, worker, timeout, leave_by } => {
+            Action::SendAttempt { job, worker, timeout, send_by: leave_by } => {
                 self.check_send(now, *job, *worker, *timeout, *leave_by)
             }
-            Action::Refuse { job, .. } => {
+            Action::Reject { job, .. } => {
                 let k = self.jobs.get_mut(job).ok_or("refused an unknown job")?;
                 let ran = k.tries.iter().any(|t| !t.outcome.is_some_and(Outcome::never_ran));
                 let all = matches!(
-                    self.settings.classes[k.class].effect,
-                    Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. }
+                    self.settings.classes[k.class].idempotency,
+                    Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
                 );
                 answer(k, now)?;
                 if ran && !all { Err("rule 2: refused what may have run".into()) } else { Ok(()) }
             }
             Action::Fail { job } => answer(self.jobs.get_mut(job).ok_or("failed an unknown job")?, now),
-            Action::Cancel { job, attempt } => {
+            Action::CancelAttempt { job, attempt } => {
                 let k = self.jobs.get(job).ok_or("cancelled an unknown job")?;
                 let sent = k.tries.get(*attempt as usize).is_some();
                 if sent && self.settings.may_cancel {
@@ -79,15 +79,15 @@
                     Err("cancelled what was not sent".into())
                 }
             }
-            Action::Recall { job, attempt } => {
+            Action::RevokeAttempt { job, attempt } => {
                 let k = self.jobs.get(job).ok_or("recalled an unknown job")?;
                 let sent = k.tries.get(*attempt as usize).filter(|t| t.outcome.is_none());
                 if sent.is_some() { Ok(()) } else { Err("recalled what is not out".into()) }
             }
-            Action::Tell { data, .. } if data.len() > 256 || !self.settings.may_tell => {
+            Action::SendGossip { data, .. } if data.len() > 256 || !self.settings.may_gossip => {
                 Err("told too much".into())
             }
-            Action::Tell { .. } | Action::Wake { .. } | Action::Watch => Ok(()),
+            Action::SendGossip { .. } | Action::SetTimer { .. } | Action::WatchEndpoints => Ok(()),
         }
     }
 
@@ -105,7 +105,7 @@
         if k.answered || now + timeout > k.deadline {
             return Err("rule 1: sent after the answer, or past the deadline".into());
         }
-        if entry.life != Life::Ready {
+        if entry.status != WorkerStatus::Ready {
             return Err("rule 3: sent to a draining worker".into());
         }
         if self.out.contains(&worker) {
@@ -118,15 +118,15 @@
         }
         let ran = k.tries.iter().filter(|t| !t.outcome.is_some_and(Outcome::never_ran));
         for t in ran {
-            let fine = match s.classes[k.class].effect {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { scope, window } => {
+            let fine = match s.classes[k.class].idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::WithKey { scope, window } => {
                     leave_by.is_some_and(|by| now < by && by < t.sent + window)
                         && match scope {
-                            KeyScope::All => true,
-                            KeyScope::Zone => t.zone == entry.zone,
-                            KeyScope::Cell => t.cell == entry.cell,
+                            DeduplicationScope::All => true,
+                            DeduplicationScope::Zone => t.zone == entry.zone,
+                            DeduplicationScope::Cell => t.cell == entry.cell,
                         }
                 }
             };
@@ -136,14 +136,14 @@
         }
         if entry.started > 0 && now < entry.started + s.warm_up {
             let age = (now - entry.started) as f64 / s.warm_up as f64;
-            let warmth = s.cold_share + (1.0 - s.cold_share) * age;
-            let window = s.fall_window as f64 / 1e6;
+            let warmth = s.warm_up_floor + (1.0 - s.warm_up_floor) * age;
+            let window = s.overload_window as f64 / 1e6;
             // One of many nodes may have its turn, but never the whole budget.
             let share = f64::from(s.nodes.min(2));
             let budget = s.overload_factor * warmth * self.slots * window / share;
             let sends = self.cold.entry(worker).or_default();
             sends.push((now, k.load));
-            let sum: f64 = sends.iter().filter(|x| x.0 + s.fall_window > now).map(|x| x.1).sum();
+            let sum: f64 = sends.iter().filter(|x| x.0 + s.overload_window > now).map(|x| x.1).sum();
             if sum > budget {
                 return Err(format!("rule 4: {sum} s of work to a cold worker, {budget} s allowed"));
             }
@@ -178,18 +178,19 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let scope = [KeyScope::All, KeyScope::Zone, KeyScope::Cell][rng.usize(0..3)];
+        let scope =
+            [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][rng.usize(0..3)];
         let mut s = settings();
-        s.classes[1].effect = Effect::Keyed { scope, window: rng.u64(0..8) * SECOND };
+        s.classes[1].idempotency = Idempotency::WithKey { scope, window: rng.u64(0..8) * SECOND };
         s.nodes = if rng.bool() { rng.u32(1..4) } else { rng.u32(8..40) };
-        s.rank = rng.u32(0..s.nodes);
+        s.node_index = rng.u32(0..s.nodes);
         s.may_cancel = rng.bool();
         s.may_duplicate = rng.bool();
-        s.may_tell = rng.bool();
-        s.list_on_request = rng.bool();
+        s.may_gossip = rng.bool();
+        s.endpoints_on_request = rng.bool();
         s.max_attempts = rng.u32(1..12);
         s.tenant_quotas = if rng.bool() { vec![3.0] } else { Vec::new() };
-        s.classes[0].kind = rng.bool().then_some(KindId(1));
+        s.classes[0].required_kind = rng.bool().then_some(KindId(1));
         let node = Node { dispatcher: Dispatcher::new(s.clone(), seed).expect("good"), now: 10 * SECOND };
         World { rng, node, checker: Checker::new(s), next_job: 0, out: Vec::new() }
     }
@@ -197,7 +198,7 @@
     fn tell(&mut self, event: Event) -> Result<(), String> {
         for action in self.node.tell(event) {
             self.checker.check(self.node.now, &action)?;
-            if let Action::Send { job, .. } = action {
+            if let Action::SendAttempt { job, .. } = action {
                 self.out.push((job, self.checker.jobs[&job].tries.len() as u32 - 1, None));
             }
         }
@@ -213,8 +214,8 @@
             l.zone = ZoneId(id as u32 / 4);
             l.kind = KindId(self.rng.u32(0..2));
             let lives = if whole { 2 } else { 3 };
-            l.life =
-                [Life::Ready, Life::Draining, Life::Gone][self.rng.usize(0..lives).min(self.rng.usize(0..3))];
+            l.status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone]
+                [self.rng.usize(0..lives).min(self.rng.usize(0..3))];
             let before = self.checker.list.get(&l.worker).map_or(0, |b| b.started);
             l.started = if self.rng.u8(0..4) == 0 { self.node.now } else { before };
             entries.push(l);
@@ -223,12 +224,12 @@
             self.checker.list.clear();
         }
         for l in &entries {
-            match l.life {
-                Life::Gone => _ = self.checker.list.remove(&l.worker),
+            match l.status {
+                WorkerStatus::Gone => _ = self.checker.list.remove(&l.worker),
                 _ => _ = self.checker.list.insert(l.worker, l.clone()),
             }
         }
-        self.tell(Event::Listed { entries: &entries, whole })
+        self.tell(Event::EndpointsChanged { endpoints: &entries, snapshot: whole })
     }
 
     fn step(&mut self) -> Result<(), String> {
@@ -242,33 +243,33 @@
                 o.slots = f64::from(self.rng.u32(1..3));
                 self.next_job += 1;
                 self.checker.offered(&o);
-                self.tell(Event::Offered(o))?;
+                self.tell(Event::JobSubmitted(o))?;
             }
             30..33 => {
                 let data: Vec<u8> = (0..self.rng.usize(0..40)).map(|_| self.rng.u8(..)).collect();
                 let from = self.rng.u32(0..5);
-                self.tell(Event::Told { from, data: &data })?;
+                self.tell(Event::GossipReceived { from, data: &data })?;
             }
-            33 => self.tell(Event::ListFailed)?,
+            33 => self.tell(Event::WatchFailed)?,
             36 => {
                 let (worker, out) = (WorkerId(self.rng.u64(0..8)), self.rng.bool());
                 match out {
                     true => _ = self.checker.out.insert(worker),
                     false => _ = self.checker.out.remove(&worker),
                 }
-                self.tell(Event::Maintenance { worker, out })?;
+                self.tell(Event::MaintenanceChanged { worker, disabled: out })?;
             }
             34..36 if self.next_job > 0 => {
                 let job = JobId(self.rng.u64(0..self.next_job));
                 if let Some(k) = self.checker.jobs.get_mut(&job) {
                     k.answered = true;
                 }
-                self.tell(Event::ClientGone { job })?;
+                self.tell(Event::ClientDisconnected { job })?;
             }
             _ => {}
         }
         self.run()?;
-        self.tell(Event::Woken)?;
+        self.tell(Event::TimerExpired)?;
         match self.checker.overdue(self.node.now) {
             Some(job) => Err(format!("rule 1: {job:?} was never answered")),
             None => Ok(()),
@@ -285,7 +286,7 @@
                 _ if self.node.now >= k.deadline => Some(Outcome::TimedOut),
                 (_, 0..4) => Some(Outcome::Lost),
                 (_, 4..8) => Some(Outcome::Error),
-                (None, 8..20) => Some(Outcome::Full),
+                (None, 8..20) => Some(Outcome::Rejected),
                 (None, 20..40) => Some(Outcome::Unreachable),
                 _ => None,
             };
@@ -294,10 +295,10 @@
                 k.tries[attempt as usize].outcome = Some(outcome);
                 k.answered |= outcome == Outcome::Done;
                 let settled = k.answered;
-                self.tell(Event::Ended { job, attempt, outcome, settled })?;
+                self.tell(Event::AttemptEnded { job, attempt, outcome, settled })?;
             } else if started.is_none() && self.rng.u32(0..3) == 0 {
                 self.out.push((job, attempt, Some(self.node.now)));
-                self.tell(Event::Started { job, attempt })?;
+                self.tell(Event::AttemptStarted { job, attempt })?;
                 let jobs = &self.checker.jobs;
                 let here = |o: &&(JobId, u32, Option<Micros>)| {
                     o.2.is_some() && jobs[&o.0].tries[o.1 as usize].worker == worker
@@ -338,10 +339,10 @@
     };
     let leaves = |worker, leave_by| {
         let (job, worker) = (JobId(1), WorkerId(worker));
-        Action::Send { job, worker, timeout: SECOND, leave_by }
+        Action::SendAttempt { job, worker, timeout: SECOND, send_by: leave_by }
     };
     let send = |worker| leaves(worker, Some(now + SECOND));
-    let refuse = Action::Refuse { job: JobId(1), wait: 0 };
+    let refuse = Action::Reject { job: JobId(1), retry_after: 0 };
     let fail = Action::Fail { job: JobId(1) };
     let says =
         |r: Result<(), String>, rule: &str| assert!(r.as_ref().is_err_and(|e| e.starts_with(rule)), "{r:?}");
@@ -366,7 +367,7 @@
     c.check(now, &send(1)).unwrap();
 
     let mut c = fresh(0);
-    c.list.get_mut(&WorkerId(0)).unwrap().life = Life::Draining;
+    c.list.get_mut(&WorkerId(0)).unwrap().status = WorkerStatus::Draining;
     says(c.check(now, &send(0)), "rule 3");
     says(c.check(now, &send(9)), "rule 3");
     c.out.insert(WorkerId(1));
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::discovery::endpoint_list::ListMessage;
+use crate::discovery::endpoint_list::EndpointListMessage;
 
 /// Why what a node was told cannot be used. Each names the place, and says what would be right.
 #[derive(Debug, Error)]
@@ -74,7 +74,7 @@
     console: Option<String>,
     seed: String,
     limits: Limits,
-    known: ListMessage,
+    known: EndpointListMessage,
     settings: serde_json::Value,
 }
 
@@ -86,7 +86,7 @@
     pub console: Option<SocketAddr>,
     pub seed: u64,
     pub limits: Limits,
-    pub known: ListMessage,
+    pub known: EndpointListMessage,
     pub site: curlewusher_settings::Site,
     pub operator: Operator,
 }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 
 use bytes::BytesMut;
-use curlewusher_core::{CellId, KindId, Life, Listing, WorkerId, ZoneId};
+use curlewusher_core::{CellId, Endpoint, KindId, WorkerId, WorkerStatus, ZoneId};
 use curlewusher_settings::Site;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use thiserror::Error;
 
-use crate::dispatch::NextHop;
+use crate::dispatch::NamedEndpoint;
 
 /// No list is longer than this; what goes on beyond it is nonsense. An indented line with a name of 200 characters has
 /// some 450 bytes, so that it is room for 9,000 core workers.
@@ -18,17 +18,17 @@
 
 /// A list or a change of it, as discovery writes it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ListMessage {
+pub struct EndpointListMessage {
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
     #[serde(default)]
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// A line of it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Endpoint {
+pub struct EndpointRecord {
     name: String,
     address: SocketAddr,
     zone: String,
@@ -37,7 +37,7 @@
     #[serde(default)]
     group: u32,
     status: Status,
-    #[serde(default = "Endpoint::usual_weight")]
+    #[serde(default = "EndpointRecord::usual_weight")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
@@ -51,7 +51,7 @@
     Terminated,
 }
 
-impl Endpoint {
+impl EndpointRecord {
     fn usual_weight() -> f64 {
         1.0
     }
@@ -59,14 +59,14 @@
 
 /// Turns names into the numbers that the module knows: places in the settings, or, for a name that is not
 /// there, a number of its own behind them.
-pub struct Names {
+pub struct EndpointResolver {
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
-impl Names {
+impl EndpointResolver {
     pub fn new(site: &Site) -> Self {
-        Names { zones: site.zones.clone(), kinds: site.kinds.clone() }
+        EndpointResolver { zones: site.zones.clone(), kinds: site.kinds.clone() }
     }
 
     fn place(names: &mut Vec<String>, name: &str) -> u32 {
@@ -77,19 +77,19 @@
         at as u32
     }
 
-    pub fn hops(&mut self, endpoints: &[Endpoint]) -> Vec<NextHop> {
-        let hop = |e: &Endpoint| NextHop {
+    pub fn resolve(&mut self, endpoints: &[EndpointRecord]) -> Vec<NamedEndpoint> {
+        let hop = |e: &EndpointRecord| NamedEndpoint {
             name: e.name.as_str().into(),
             address: e.address,
-            listing: Listing {
+            listing: Endpoint {
                 worker: WorkerId::of_name(&e.name),
                 zone: ZoneId(Self::place(&mut self.zones, &e.zone)),
                 kind: KindId(Self::place(&mut self.kinds, &e.kind)),
                 cell: CellId(e.group),
-                life: match e.status {
-                    Status::InService => Life::Ready,
-                    Status::Terminating => Life::Draining,
-                    Status::Terminated => Life::Gone,
+                status: match e.status {
+                    Status::InService => WorkerStatus::Ready,
+                    Status::Terminating => WorkerStatus::Draining,
+                    Status::Terminated => WorkerStatus::Gone,
                 },
                 started: e.since_ms.saturating_mul(1000),
                 size: e.weight,
@@ -101,7 +101,7 @@
 
 /// What is no list. Whatever follows on that watch cannot be told from it.
 #[derive(Debug, Error)]
-pub enum ListError {
+pub enum EndpointListError {
     /// Something else than a list.
     #[error("{0}; see that discovery's version is one that this node knows")]
     NotAList(#[from] serde_json::Error),
@@ -116,7 +116,7 @@
 /// Finds the lists in what a watch brings, however it is cut into pieces and indented. Looks at each byte
 /// once.
 #[derive(Default)]
-pub struct ListReader {
+pub struct EndpointListReader {
     text: BytesMut,
     /// So much of the text has been looked at.
     at: usize,
@@ -134,7 +134,7 @@
     sound: usize,
 }
 
-impl ListReader {
+impl EndpointListReader {
     /// Takes what has been read, in pieces of any size.
     pub fn take(&mut self, bytes: &[u8]) {
         self.text.extend_from_slice(bytes);
@@ -142,7 +142,7 @@
 
     /// The next list; `Some(None)` for an empty line between lists, which says that nothing has changed; none
     /// where more must be read first.
-    pub fn next(&mut self) -> Result<Option<Option<ListMessage>>, ListError> {
+    pub fn next(&mut self) -> Result<Option<Option<EndpointListMessage>>, EndpointListError> {
         while let Some(&byte) = self.text.get(self.at) {
             self.at += 1;
             match byte {
@@ -170,11 +170,11 @@
                     }
                 }
                 _ if self.depth > 0 || byte.is_ascii_whitespace() => {}
-                _ => return Err(ListError::Byte(byte)),
+                _ => return Err(EndpointListError::Byte(byte)),
             }
         }
         if self.text.len() > LONGEST_LIST {
-            return Err(ListError::TooLong);
+            return Err(EndpointListError::TooLong);
         }
         // A spoilt list could swallow those behind it. What has come is read again only once it has doubled,
         // so that tiny pieces cost no more than twice the whole; and no further than to the last mark: the
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -22,7 +22,9 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tracing::{debug, warn};
 
-use crate::discovery::endpoint_list::{ListError, ListMessage, ListReader, Names};
+use crate::discovery::endpoint_list::{
+    EndpointListError, EndpointListMessage, EndpointListReader, EndpointResolver,
+};
 use crate::dispatch::{Notice, Queue};
 use crate::telemetry::logging::TRANSPORT_MAP;
 use crate::telemetry::metrics::{Counter, Counters};
@@ -87,7 +89,7 @@
     Silent,
     /// Something else than a list.
     #[error("a list of the watch cannot be read: {0}")]
-    Spoilt(#[from] ListError),
+    Spoilt(#[from] EndpointListError),
 }
 
 impl WatchError {
@@ -127,12 +129,12 @@
     took: Duration,
     connection: Option<Connection>,
     body: Incoming,
-    reader: ListReader,
+    reader: EndpointListReader,
     heard: Instant,
 }
 
 /// A watch that is being opened, up to its first line.
-type Opening = Pin<Box<dyn Future<Output = Result<(Watch, Option<ListMessage>), WatchError>>>>;
+type Opening = Pin<Box<dyn Future<Output = Result<(Watch, Option<EndpointListMessage>), WatchError>>>>;
 
 impl Watch {
     async fn open(from: SocketAddr, era: u32, index: u64) -> Result<Self, WatchError> {
@@ -158,7 +160,7 @@
                     took: Duration::ZERO,
                     connection,
                     body,
-                    reader: ListReader::default(),
+                    reader: EndpointListReader::default(),
                     heard,
                 })
             }
@@ -168,7 +170,7 @@
 
     /// The next list; none where an empty line says that nothing has changed. May be dropped and called
     /// again: what was read and the time of it stay with the watch.
-    async fn next(&mut self) -> Result<Option<ListMessage>, WatchError> {
+    async fn next(&mut self) -> Result<Option<EndpointListMessage>, WatchError> {
         loop {
             if let Some(list) = self.reader.next()? {
                 // Mere bytes are no sign of life: a list that never ends tells nothing.
@@ -200,8 +202,8 @@
 
 impl Pace {
     pub fn new(settings: &Settings) -> Self {
-        let (all, turn) = (CALL * settings.nodes, CALL * settings.rank);
-        Pace { pushed: !settings.list_on_request, all, turn: turn.min(all) }
+        let (all, turn) = (CALL * settings.nodes, CALL * settings.node_index);
+        Pace { pushed: !settings.endpoints_on_request, all, turn: turn.min(all) }
     }
 
     /// How long after a call one more is made beside it, should it not have begun; none where it would but
@@ -227,8 +229,8 @@
 enum Came {
     /// It is time for a call.
     Due,
-    Begun(u32, Result<(Watch, Option<ListMessage>), WatchError>),
-    Line(u32, Result<Option<ListMessage>, WatchError>),
+    Begun(u32, Result<(Watch, Option<EndpointListMessage>), WatchError>),
+    Line(u32, Result<Option<EndpointListMessage>, WatchError>),
 }
 
 /// The one place that knows which watch is open, which calls are under way, and when the next is due. While
@@ -325,7 +327,7 @@
     }
 
     /// What there is to tell of that, and the era that it is of; a list of none where what is known stands.
-    fn heard(&mut self, came: Came) -> Option<(u32, Result<Option<ListMessage>, WatchError>)> {
+    fn heard(&mut self, came: Came) -> Option<(u32, Result<Option<EndpointListMessage>, WatchError>)> {
         match came {
             Came::Due => {
                 self.left = self.left.saturating_sub(1);
@@ -343,7 +345,8 @@
                     self.live = Some(watch);
                 }
                 // A first line without a change says that the list stands: the module waits for that.
-                let unchanged = ListMessage { index: self.index, snapshot: false, endpoints: Vec::new() };
+                let unchanged =
+                    EndpointListMessage { index: self.index, snapshot: false, endpoints: Vec::new() };
                 first.or(now.then_some(unchanged)).map(|list| (era, Ok(Some(list))))
             }
             Came::Begun(era, Err(broken)) => Some((era, Err(broken))),
@@ -396,7 +399,7 @@
 /// The task that watches discovery, whenever the dispatch task asks for it or [`Pace`] has it so.
 pub struct TransportMap {
     pub discovery: SocketAddr,
-    pub names: Names,
+    pub names: EndpointResolver,
     pub index: u64,
     pub queue: Queue<Parcel>,
     /// Says that a list has come.
@@ -460,7 +463,7 @@
                     }
                     calls.bridged();
                     self.there.send_replace(true);
-                    let hops = self.names.hops(&list.endpoints);
+                    let hops = self.names.resolve(&list.endpoints);
                     let (index, entries, whole) = (list.index, hops.len(), list.snapshot);
                     debug!(target: TRANSPORT_MAP, index, entries, whole, ?took, "list or change");
                     Notice::Listed { hops, whole, stands, took }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -12,8 +12,8 @@
 use curlewusher_control::command::Verdict;
 use curlewusher_control::maintenance::Bans;
 use curlewusher_core::{
-    Action, ClassId, Dispatcher, Event, JobId, Learned, Life, Listing, Micros, MovedJob, Offer, Outcome,
-    TenantId, WorkerId,
+    Action, ClassId, Dispatcher, Endpoint, Event, JobId, JobSubmission, Micros, MigratedJob, Outcome,
+    StateSnapshot, TenantId, WorkerId, WorkerStatus,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
@@ -146,7 +146,7 @@
     id: String,
     taken: Micros,
     attempts: Vec<MovedDelivery>,
-    job: MovedJob,
+    job: MigratedJob,
 }
 
 impl Moved {
@@ -199,10 +199,10 @@
 }
 
 /// A line of the transport map.
-pub struct NextHop {
+pub struct NamedEndpoint {
     pub name: Rc<str>,
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub listing: Endpoint,
 }
 
 /// What reaches the dispatch task.
@@ -234,7 +234,7 @@
     Ended(AttemptKey, Outcome),
     GivenUp(AttemptKey),
     Listed {
-        hops: Vec<NextHop>,
+        hops: Vec<NamedEndpoint>,
         whole: bool,
         /// It is of the discovery that counts now, and with it all that is known stands.
         stands: bool,
@@ -273,7 +273,7 @@
 pub struct Estate {
     pub bans: Bans,
     /// None where only what operators called for is to be taken on.
-    pub learned: Option<Learned>,
+    pub learned: Option<StateSnapshot>,
 }
 
 pub type Queue<P> = mpsc::Sender<Notice<P>>;
@@ -380,10 +380,10 @@
     }
 
     /// Serves until nothing can reach it any more.
-    pub async fn run(mut self, known: Vec<NextHop>) {
+    pub async fn run(mut self, known: Vec<NamedEndpoint>) {
         // The saved list comes in the moment of the first wake-up: by that the module knows it for no answer.
         let now = self.clock.now();
-        self.dispatcher.handle(now, Event::Woken, &mut self.actions);
+        self.dispatcher.handle(now, Event::TimerExpired, &mut self.actions);
         self.listed(now, known, true);
         loop {
             let next = self.due.first().map(|(at, _)| self.clock.instant(*at));
@@ -411,7 +411,7 @@
         while let Some(&(at, due)) = self.due.first().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, due));
             match due {
-                Due::Wake => self.tell(Event::Woken),
+                Due::Wake => self.tell(Event::TimerExpired),
                 Due::TimeOut(key) => self.give_up(key, Outcome::TimedOut),
             }
         }
@@ -422,7 +422,7 @@
             Order::Maintain { name, out, verdict } => {
                 let said = if out { self.bans.disable(&name) } else { self.bans.enable(&name) };
                 if said.is_ok() {
-                    self.tell(Event::Maintenance { worker: WorkerId::of_name(&name), out });
+                    self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
                 }
                 // An operator who no longer waits may ask again.
                 let _ = verdict.send(said);
@@ -432,18 +432,18 @@
                 self.obey(Order::Maintain { name, out, verdict });
             }
             Order::Bequeath(estate) => {
-                let learned = Some(self.dispatcher.learned());
+                let learned = Some(self.dispatcher.snapshot());
                 let _ = estate.send(Estate { bans: self.bans.clone(), learned });
             }
             Order::Inherit(estate) => {
                 for (name, out) in self.bans.inherit(estate.bans) {
-                    self.tell(Event::Maintenance { worker: WorkerId::of_name(&name), out });
+                    self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
                 }
                 if let Some(learned) = &estate.learned {
-                    self.dispatcher.inherit(self.clock.now(), learned);
+                    self.dispatcher.restore(self.clock.now(), learned);
                 }
             }
-            Order::Retire(retired) => self.tell(Event::Retired(retired)),
+            Order::Retire(retired) => self.tell(Event::SuccessorActive(retired)),
         }
     }
 
@@ -471,7 +471,7 @@
                 if let Some(attempt) = self.attempt(key) {
                     attempt.accepted = true;
                     self.counters.add(Counter::Accepted);
-                    self.tell(Event::Accepted { job: key.job, attempt: key.attempt });
+                    self.tell(Event::AttemptAccepted { job: key.job, attempt: key.attempt });
                 }
             }
             Notice::Ended(key, outcome) => self.ended(key, outcome),
@@ -483,20 +483,20 @@
             }
             Notice::Listed { hops, whole, stands, took } => {
                 if let Some(took) = took {
-                    self.tell(Event::ListAnswered { took: took.as_micros() as Micros });
+                    self.tell(Event::PollAnswered { duration: took.as_micros() as Micros });
                 }
                 self.listed(self.clock.now(), hops, whole);
                 if stands {
-                    self.tell(Event::ListStands);
+                    self.tell(Event::EndpointsConfirmed);
                 }
             }
-            Notice::ListStands => self.tell(Event::ListStands),
-            Notice::ListSpoilt => self.tell(Event::ListSpoilt),
-            Notice::ListMoved => self.tell(Event::ListMoved),
-            Notice::ListFailed => self.tell(Event::ListFailed),
+            Notice::ListStands => self.tell(Event::EndpointsConfirmed),
+            Notice::ListSpoilt => self.tell(Event::EndpointsUnreadable),
+            Notice::ListMoved => self.tell(Event::DiscoveryMoved),
+            Notice::ListFailed => self.tell(Event::WatchFailed),
             Notice::Ending(after) => {
                 let by = self.clock.now() + after.as_micros() as Micros;
-                self.tell(Event::Ending { by });
+                self.tell(Event::ShutdownStarted { deadline: by });
             }
         }
     }
@@ -509,7 +509,7 @@
         if held.answer.take().is_some() {
             self.counters.add(Counter::ClientsGone);
             debug!(target: DISPATCH, request_id = %held.id, "client gone");
-            self.tell(Event::ClientGone { job });
+            self.tell(Event::ClientDisconnected { job });
             self.forget(job);
         }
     }
@@ -534,7 +534,9 @@
         if !movable || to.is_closed() {
             return;
         }
-        let (Some(job), Some(held)) = (self.dispatcher.release(id), self.held.remove(&id)) else { return };
+        let (Some(job), Some(held)) = (self.dispatcher.release_job(id), self.held.remove(&id)) else {
+            return;
+        };
         let delivery = |a: &Attempt| MovedDelivery {
             from: a.from.to_string(),
             to: a.to,
@@ -577,10 +579,10 @@
             self.due.insert((a.times_out, Due::TimeOut(AttemptKey { job: id, attempt: number })));
         }
         // What was let go a moment ago can be taken on again.
-        self.dispatcher.adopt(self.clock.now(), id, &moved.job, &mut self.actions);
+        self.dispatcher.adopt_job(self.clock.now(), id, &moved.job, &mut self.actions);
         self.carry_out();
         if gone {
-            self.tell(Event::ClientGone { job: id });
+            self.tell(Event::ClientDisconnected { job: id });
         }
     }
 
@@ -588,7 +590,7 @@
     fn expect(&mut self, adopted: Adopted<C::Parcel>) {
         let Adopted { moved, parcel, ticket, answer, held } = adopted;
         let name = Rc::<str>::from(moved.id.as_str());
-        if self.ids.contains_key(&name) || !self.dispatcher.knows(&moved.job) {
+        if self.ids.contains_key(&name) || !self.dispatcher.accepts_migrated_job(&moved.job) {
             let _ = held.send(false);
             return;
         }
@@ -606,7 +608,7 @@
         };
         let (name, moved, parcel, answer, ticket) = coming;
         let now = self.clock.now();
-        if !ours || !self.dispatcher.adopt(now, id, &moved.job, &mut self.actions) {
+        if !ours || !self.dispatcher.adopt_job(now, id, &moved.job, &mut self.actions) {
             self.ids.remove(&name);
             return;
         }
@@ -681,15 +683,15 @@
             attempts: Vec::new(),
         };
         self.held.insert(job, held);
-        self.tell(Event::Offered(Offer {
+        self.tell(Event::JobSubmitted(JobSubmission {
             job,
             class: taken.class,
             tenant: taken.tenant,
             deadline: taken.deadline,
-            hint: taken.hint,
+            cost_hint: taken.hint,
             slots: taken.slots,
             key: taken.key,
-            repeat: taken.repeat,
+            is_retry: taken.repeat,
         }));
     }
 
@@ -721,7 +723,7 @@
             Word::Failed | Word::Returned | Word::Lost if repeat => return self.give_up(key, Outcome::Error),
             Word::Started => {
                 debug!(target: DISPATCH, request_id = id, attempt = number, from, "attempt started");
-                return self.tell(Event::Started { job, attempt: number });
+                return self.tell(Event::AttemptStarted { job, attempt: number });
             }
             Word::Running(share) if *share <= attempt.share => {
                 // A repeat that arrives late must not set the clock of the progress back.
@@ -729,11 +731,11 @@
             }
             Word::Running(share) => {
                 attempt.share = *share;
-                return self.tell(Event::Progress { job, attempt: number, done: *share });
+                return self.tell(Event::AttemptProgressed { job, attempt: number, done: *share });
             }
             Word::Done(_) => Outcome::Done,
             Word::Failed => Outcome::Error,
-            Word::Returned => Outcome::Full,
+            Word::Returned => Outcome::Rejected,
             Word::Lost => Outcome::Lost,
         };
         if let Word::Done(result) = &word {
@@ -765,12 +767,12 @@
         self.counters.add(match outcome {
             Outcome::Done => Counter::EndedDone,
             Outcome::Error => Counter::EndedError,
-            Outcome::Full => Counter::EndedFull,
+            Outcome::Rejected => Counter::EndedFull,
             Outcome::TimedOut => Counter::EndedTimedOut,
             Outcome::Unreachable => Counter::EndedUnreachable,
             Outcome::Lost => Counter::EndedLost,
             Outcome::Cancelled => Counter::EndedCancelled,
-            Outcome::NeverSent => Counter::EndedNeverSent,
+            Outcome::NotSent => Counter::EndedNeverSent,
         });
         let held = self.held.get(&key.job);
         if let Some(held) = held {
@@ -778,7 +780,7 @@
             debug!(target: DISPATCH, request_id = %held.id, attempt = key.attempt, to, ?outcome, "attempt ended");
         }
         let settled = held.is_some_and(|held| held.answer.is_none());
-        self.tell(Event::Ended { job: key.job, attempt: key.attempt, outcome, settled });
+        self.tell(Event::AttemptEnded { job: key.job, attempt: key.attempt, outcome, settled });
         self.forget(key.job);
     }
 
@@ -794,28 +796,32 @@
         self.counters.add(Counter::GivenUp);
     }
 
-    fn listed(&mut self, now: Micros, hops: Vec<NextHop>, whole: bool) {
+    fn listed(&mut self, now: Micros, hops: Vec<NamedEndpoint>, whole: bool) {
         self.counters.add(Counter::ListChanges);
         self.bans.listed(hops.iter().map(|hop| &*hop.name));
-        let entries: Vec<Listing> = hops.iter().map(|hop| hop.listing.clone()).collect();
+        let entries: Vec<Endpoint> = hops.iter().map(|hop| hop.listing.clone()).collect();
         if whole {
             self.hops.clear();
         }
-        for NextHop { name, address, listing } in hops {
+        for NamedEndpoint { name, address, listing } in hops {
             trace!(target: DISPATCH, %name, %address, ?listing, "listed");
             let old = self.starts.insert(listing.worker, listing.started);
-            if listing.life == Life::Gone || old.is_some_and(|old| old != listing.started) {
+            if listing.status == WorkerStatus::Gone || old.is_some_and(|old| old != listing.started) {
                 // The connections that are left are those of a process that is no more.
                 self.carrier.forget(address);
             }
-            if listing.life == Life::Gone {
+            if listing.status == WorkerStatus::Gone {
                 self.starts.remove(&listing.worker);
                 self.hops.remove(&listing.worker);
             } else {
                 self.hops.insert(listing.worker, (name, address));
             }
         }
-        self.dispatcher.handle(now, Event::Listed { entries: &entries, whole }, &mut self.actions);
+        self.dispatcher.handle(
+            now,
+            Event::EndpointsChanged { endpoints: &entries, snapshot: whole },
+            &mut self.actions,
+        );
         self.carry_out();
     }
 
@@ -828,10 +834,10 @@
         let mut unsent = Vec::new();
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { job, worker, timeout, leave_by } => {
+                Action::SendAttempt { job, worker, timeout, send_by: leave_by } => {
                     unsent.extend(self.send(job, worker, timeout, leave_by));
                 }
-                Action::Refuse { job, wait } => {
+                Action::Reject { job, retry_after: wait } => {
                     self.answer(job, Answer::Defer { after: Duration::from_micros(wait) });
                     self.forget(job);
                 }
@@ -839,26 +845,26 @@
                     self.answer(job, Answer::Failed);
                     self.forget(job);
                 }
-                Action::Recall { job, attempt } => {
+                Action::RevokeAttempt { job, attempt } => {
                     let attempt = self.attempt(AttemptKey { job, attempt });
                     if let Some(attempt) = attempt.filter(|a| a.stage == Stage::Out) {
                         attempt.clearance.revoke();
                     }
                 }
-                Action::Cancel { job, attempt } => {
+                Action::CancelAttempt { job, attempt } => {
                     self.give_up(AttemptKey { job, attempt }, Outcome::Cancelled);
                 }
-                Action::Wake { after } => {
+                Action::SetTimer { after } => {
                     self.due.insert((self.clock.now() + after, Due::Wake));
                 }
                 // A request to watch that is under way answers this one as well.
-                Action::Watch => _ = self.watch.try_send(()),
+                Action::WatchEndpoints => _ = self.watch.try_send(()),
                 // The settings allow no messages between nodes, and no protocol carries any.
-                Action::Tell { .. } => {}
+                Action::SendGossip { .. } => {}
             }
         }
         for key in unsent {
-            self.ended(key, Outcome::NeverSent);
+            self.ended(key, Outcome::NotSent);
         }
     }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -19,7 +19,7 @@
 use crate::admin::listener::{self, ConsoleError};
 use crate::config::{Config, ConfigError, Told};
 use crate::connection_budget::Places;
-use crate::discovery::endpoint_list::Names;
+use crate::discovery::endpoint_list::EndpointResolver;
 use crate::discovery::{Pace, TransportMap};
 use crate::dispatch::{self, Clock, Dispatch, Notice};
 use crate::handover::Peer;
@@ -110,13 +110,14 @@
     let clock = Clock::new();
 
     // PROTOCOL lets any refusal carry Retry-After, also where the simulator's clients would not hear of it.
-    site.decisions.max_advice = site.max_retry_after;
+    site.decisions.max_retry_after = site.max_retry_after;
     // On sockets a 202 tells that a next hop is there, long before the job starts.
-    site.decisions.accepts_within = site.connect_timeout + ACCEPTANCE;
-    site.decisions.told_within = TOLD_WITHIN.as_micros() as Micros;
+    site.decisions.accept_timeout = site.connect_timeout + ACCEPTANCE;
+    site.decisions.notified_within = TOLD_WITHIN.as_micros() as Micros;
     let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
 
-    let longest = site.decisions.classes.iter().map(|class| Duration::from_micros(class.give_up)).max();
+    let longest =
+        site.decisions.classes.iter().map(|class| Duration::from_micros(class.client_timeout)).max();
     let answered_within = DRAIN_AT_MOST.min(longest.unwrap_or_default()) + DRAIN_AT_LEAST - LAST_ANSWERS;
     let (ask, asked) = mpsc::channel(1);
     let (move_to, moved) = watch::channel(discovery);
@@ -137,8 +138,8 @@
         next_hop_tuning.clone(),
         Places::new(all / 3, half / 3),
     );
-    let mut names = Names::new(&site);
-    let hops = names.hops(&known.endpoints);
+    let mut names = EndpointResolver::new(&site);
+    let hops = names.resolve(&known.endpoints);
     let listed = !hops.is_empty();
     let (order, orders) = mpsc::channel(ORDERS_ROOM);
     let dispatch =
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -19,9 +19,9 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use curlewusher_control::takeover::{Route, route};
-use curlewusher_core::{ClassId, Effect, TenantId, number_of};
+use curlewusher_core::{ClassId, Idempotency, TenantId, stable_hash};
 use curlewusher_settings::Site;
-use curlewusher_settings::operator::SenderSide as Tuning;
+use curlewusher_settings::operator::ServerOptions as Tuning;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{ALLOW, CONNECTION, CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
@@ -244,7 +244,8 @@
         peer: Peer,
         Bounds { room, tuning }: Bounds,
     ) -> Self {
-        let keyed = site.decisions.classes.iter().map(|c| matches!(c.effect, Effect::Keyed { .. }));
+        let keyed =
+            site.decisions.classes.iter().map(|c| matches!(c.idempotency, Idempotency::WithKey { .. }));
         let shared = Rc::new(Shared {
             queue,
             clock,
@@ -742,7 +743,7 @@
         // Where jobs concern nothing in particular the path ends with their name for all of them.
         let subject =
             path.path().strip_prefix(JOBS).and_then(|rest| rest.rsplit('/').next()).filter(|s| !s.is_empty());
-        let subject = subject.map(number_of);
+        let subject = subject.map(stable_hash);
         let (parts, incoming) = request.into_parts();
         let body = self.body(incoming).await;
         // No await from here to where it counts as open: the node ends once it has seen that nothing is.
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use curlewusher_core::Outcome;
-use curlewusher_settings::operator::NextHop as Tuning;
+use curlewusher_settings::operator::UpstreamOptions as Tuning;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
@@ -202,7 +202,7 @@
                 return;
             }
             Exchange::Answered(StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, true) => {
-                Outcome::Full
+                Outcome::Rejected
             }
             Exchange::Answered(status, _) => {
                 // What no core worker says of a job: it may have it for all that.
@@ -225,7 +225,7 @@
                 self.forget(to);
                 Outcome::Lost
             }
-            Exchange::HeldBack => Outcome::NeverSent,
+            Exchange::HeldBack => Outcome::NotSent,
             Exchange::GivenUp { written } => {
                 // Where nothing was written the next hop has shown no weakness: a client has left.
                 if written {
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_settings::operator::NextHop as Tuning;
+use curlewusher_settings::operator::UpstreamOptions as Tuning;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/node/tests/random_lives/life.rs
+++ b/crates/node/tests/random_lives/life.rs
@@ -11,7 +11,7 @@
 use std::os::fd::AsFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use curlewusher_core::number_of;
+use curlewusher_core::stable_hash;
 use fastrand::Rng;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
@@ -783,7 +783,7 @@
 
     /// Draws that depend on nothing but the seed and these.
     fn draw(&self, what: &str, job: usize, number: usize) -> Rng {
-        Rng::with_seed(number_of(&format!("{} {what} {job} {number}", self.seed)))
+        Rng::with_seed(stable_hash(&format!("{} {what} {job} {number}", self.seed)))
     }
 
     fn withdrawn(&mut self, link: usize, job: usize) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use curlewusher_core::{Class, Effect, KeyScope, KindId, Micros, Settings, ZoneId};
+use curlewusher_core::{Class, DeduplicationScope, Idempotency, KindId, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
 pub mod operator;
@@ -175,44 +175,44 @@
     let max_retry_after = wire.limits.max_retry_after_us.min(LONGEST);
     let class = |(i, s): (usize, &Service)| -> Result<Class, String> {
         Ok(Class {
-            effect: effect(s)?,
-            aim: s.objective_us.min(LONGEST),
-            stretch: s.aim_stretch.or(info.class_stretch.get(i).copied()).unwrap_or(0.0),
-            give_up: s.give_up_us.min(LONGEST),
-            worth: s.worth,
-            kind: info.class_kind.get(i).and_then(|k| u32::try_from(*k).ok()).map(KindId),
+            idempotency: effect(s)?,
+            latency_objective: s.objective_us.min(LONGEST),
+            latency_objective_stretch: s.aim_stretch.or(info.class_stretch.get(i).copied()).unwrap_or(0.0),
+            client_timeout: s.give_up_us.min(LONGEST),
+            priority_weight: s.worth,
+            required_kind: info.class_kind.get(i).and_then(|k| u32::try_from(*k).ok()).map(KindId),
         })
     };
     let settings = Settings {
         nodes: wire.balancers,
-        rank: wire.rank,
+        node_index: wire.rank,
         zone: ZoneId(wire.zone),
         classes: wire.services.iter().enumerate().map(class).collect::<Result<_, _>>()?,
         tenant_quotas: wire.customers.iter().map(|c| c.quota_per_s).collect(),
-        over_quota_worth: wire.over_share_worth,
-        list_on_request: match wire.discovery.as_str() {
+        over_quota_weight: wire.over_share_worth,
+        endpoints_on_request: match wire.discovery.as_str() {
             "subscribe" => true,
             "automatic" => false,
             _ => return Err("discovery is neither automatic nor subscribe".into()),
         },
-        ask_within: wire.rules.ask_within_us.clamp(LEAST_ASK, LONGEST),
-        told_within: 0,
+        poll_within: wire.rules.ask_within_us.clamp(LEAST_ASK, LONGEST),
+        notified_within: 0,
         // Sizes that change with the load, or are the same for all, tell nothing of slots.
-        sizes_told: matches!(wire.weights.as_str(), "nominal" | "rough"),
-        tells_start: info.tells_start,
+        sizes_listed: matches!(wire.weights.as_str(), "nominal" | "rough"),
+        reports_start: info.tells_start,
         // Only real connections tell.
-        accepts_within: 0,
+        accept_timeout: 0,
         may_cancel: wire.limits.cancel,
         may_duplicate: wire.limits.may_duplicate,
-        may_tell: wire.limits.may_tell,
-        tell_price: wire.prices.peer,
+        may_gossip: wire.limits.may_tell,
+        gossip_price: wire.prices.peer,
         max_attempts: wire.limits.send_cap,
-        max_advice: if wire.limits.retry_after { max_retry_after } else { 0 },
+        max_retry_after: if wire.limits.retry_after { max_retry_after } else { 0 },
         cross_zone_price: wire.prices.cross_zone,
-        cold_share: wire.rules.cold_share,
+        warm_up_floor: wire.rules.cold_share,
         warm_up: wire.rules.warm_up_us.min(LONGEST),
         overload_factor: wire.rules.overload_factor,
-        fall_window: wire.rules.fall_us.min(LONGEST),
+        overload_window: wire.rules.fall_us.min(LONGEST),
     };
     settings.check().map_err(|e| {
         let (field, remedy) = written(e.field);
@@ -253,17 +253,17 @@
     }
 }
 
-fn effect(s: &Service) -> Result<Effect, String> {
+fn effect(s: &Service) -> Result<Idempotency, String> {
     let scope = match s.key_scope.as_str() {
-        "zone" => KeyScope::Zone,
-        "cell" => KeyScope::Cell,
-        "all" | "" => KeyScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        "all" | "" => DeduplicationScope::All,
         _ => return Err("services.keyScope is none of all, zone, cell".into()),
     };
     match s.idempotency.as_str() {
-        "safe" => Ok(Effect::Safe),
-        "keyed" => Ok(Effect::Keyed { scope, window: s.dedup_window_us.min(LONGEST) }),
-        "unsafe" => Ok(Effect::Unsafe),
+        "safe" => Ok(Idempotency::Idempotent),
+        "keyed" => Ok(Idempotency::WithKey { scope, window: s.dedup_window_us.min(LONGEST) }),
+        "unsafe" => Ok(Idempotency::NonIdempotent),
         _ => Err("services.idempotency is none of safe, keyed, unsafe".into()),
     }
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -93,11 +93,14 @@
     /// Jobs and their attempts.
     Dispatch,
     /// Clients, call-backs, questions.
-    SenderSide,
+    #[serde(rename = "sender_side")]
+    Server,
     /// Connections to workers.
-    NextHop,
+    #[serde(rename = "next_hop")]
+    Upstream,
     /// The watch on discovery.
-    TransportMap,
+    #[serde(rename = "transport_map")]
+    Discovery,
 }
 
 impl Part {
@@ -105,9 +108,9 @@
     pub const ALL: [(Part, &str); 5] = [
         (Part::Node, "node"),
         (Part::Dispatch, "dispatch"),
-        (Part::SenderSide, "sender_side"),
-        (Part::NextHop, "next_hop"),
-        (Part::TransportMap, "transport_map"),
+        (Part::Server, "sender_side"),
+        (Part::Upstream, "next_hop"),
+        (Part::Discovery, "transport_map"),
     ];
 }
 
@@ -149,32 +152,32 @@
 /// The side where clients and call-backs come in.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SenderSide {
+pub struct ServerOptions {
     /// A connection between requests is closed after this.
     pub idle_ms: Whole<1_000, 3_600_000>,
     /// With all places for jobs taken, a client is told to come back after this.
     pub crowded_retry_ms: Whole<10, 60_000>,
 }
 
-impl Default for SenderSide {
+impl Default for ServerOptions {
     fn default() -> Self {
-        SenderSide { idle_ms: Whole::new(60_000), crowded_retry_ms: Whole::new(500) }
+        ServerOptions { idle_ms: Whole::new(60_000), crowded_retry_ms: Whole::new(500) }
     }
 }
 
 /// The connections to next hops.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct NextHop {
+pub struct UpstreamOptions {
     /// A connection that has been idle for longer carries no further job.
     pub reuse_ms: Whole<0, 600_000>,
     /// A withdrawal that a next hop does not answer within this is made again, while the job has time.
     pub withdrawal_ms: Whole<50, 10_000>,
 }
 
-impl Default for NextHop {
+impl Default for UpstreamOptions {
     fn default() -> Self {
-        NextHop { reuse_ms: Whole::new(300), withdrawal_ms: Whole::new(400) }
+        UpstreamOptions { reuse_ms: Whole::new(300), withdrawal_ms: Whole::new(400) }
     }
 }
 
@@ -207,10 +210,10 @@
 pub struct Operator {
     /// See [`Log`].
     pub log: Log,
-    /// See [`SenderSide`].
-    pub sender_side: SenderSide,
-    /// See [`NextHop`].
-    pub next_hop: NextHop,
+    /// See [`ServerOptions`].
+    pub sender_side: ServerOptions,
+    /// See [`UpstreamOptions`].
+    pub next_hop: UpstreamOptions,
     /// See [`Metrics`].
     pub metrics: Metrics,
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -5,8 +5,8 @@
 use std::str::FromStr;
 
 use curlewusher_core::{
-    Action, CellId, ClassId, Dispatcher, Event, JobId, KindId, Life, Listing, Micros, Offer, Outcome,
-    TenantId, WorkerId, ZoneId,
+    Action, CellId, ClassId, Dispatcher, Endpoint, Event, JobId, JobSubmission, KindId, Micros, Outcome,
+    TenantId, WorkerId, WorkerStatus, ZoneId,
 };
 
 use curlewusher_settings as settings;
@@ -30,7 +30,7 @@
 
 #[derive(Default)]
 struct Catalog {
-    entries: Vec<Listing>,
+    entries: Vec<Endpoint>,
     names: Vec<String>,
 }
 
@@ -80,30 +80,30 @@
     Ok(match word {
         "completed" => Outcome::Done,
         "errored" => Outcome::Error,
-        "saturated" => Outcome::Full,
+        "saturated" => Outcome::Rejected,
         "overdue" => Outcome::TimedOut,
         "refused_conn" => Outcome::Unreachable,
         "severed" => Outcome::Lost,
         "recalled" => Outcome::Cancelled,
-        "superseded" => Outcome::NeverSent,
+        "superseded" => Outcome::NotSent,
         _ => return Err(format!("field outcome is malformed: {word}")),
     })
 }
 
-fn listing(f: &Fields) -> Result<(Listing, String), String> {
+fn listing(f: &Fields) -> Result<(Endpoint, String), String> {
     let name = f.word("executor")?;
     let life = match f.word("lifecycle")? {
-        "live" => Life::Ready,
-        "quiescing" => Life::Draining,
-        "dead" => Life::Gone,
+        "live" => WorkerStatus::Ready,
+        "quiescing" => WorkerStatus::Draining,
+        "dead" => WorkerStatus::Gone,
         other => return Err(format!("field lifecycle is malformed: {other}")),
     };
-    let entry = Listing {
+    let entry = Endpoint {
         worker: WorkerId::of_name(name),
         zone: ZoneId(f.or("area", 0)?),
         kind: KindId(f.or("classOfHost", 0)?),
         cell: CellId(f.or("unitGroup", 0)?),
-        life,
+        status: life,
         started: f.or("cameUpUs", 0)?,
         size: f.or("scale", 1.0)?,
     };
@@ -155,7 +155,7 @@
                 let dispatcher =
                     Dispatcher::new(settings, seed).map_err(|e| format!("field bootInfo: {e}"))?;
                 let mut instance = Instance::new(dispatcher);
-                instance.tell(self.now, Event::Woken);
+                instance.tell(self.now, Event::TimerExpired);
                 self.instances.insert(number, instance);
             }
             "exit" => {
@@ -176,7 +176,7 @@
             "sync" => {
                 let form = f.word("form")?;
                 if form == "X" {
-                    instance.tell(now, Event::ListFailed);
+                    instance.tell(now, Event::WatchFailed);
                     return Ok(());
                 }
                 let whole = match form {
@@ -191,20 +191,20 @@
                 for (entry, name) in catalog.entries.iter().zip(&catalog.names) {
                     instance.workers.entry(entry.worker).or_insert_with(|| name.clone());
                 }
-                instance.tell(now, Event::Listed { entries: &catalog.entries, whole });
+                instance.tell(now, Event::EndpointsChanged { endpoints: &catalog.entries, snapshot: whole });
             }
             "new_request" => {
-                let offer = Offer {
+                let offer = JobSubmission {
                     job: instance.name_job(f.word("corr")?),
                     class: ClassId(f.need("type")?),
                     tenant: TenantId(f.or("team", 0)?),
                     deadline: f.need("dropDeadUs")?,
-                    hint: f.optional::<f64>("workUs")?.map(|us| us / 1e6),
+                    cost_hint: f.optional::<f64>("workUs")?.map(|us| us / 1e6),
                     slots: f.or("coresNeeded", 1.0)?,
                     key: f.optional("affinity")?,
-                    repeat: f.or("retry", 0u8)? == 1,
+                    is_retry: f.or("retry", 0u8)? == 1,
                 };
-                instance.tell(now, Event::Offered(offer));
+                instance.tell(now, Event::JobSubmitted(offer));
             }
             "attempt_end" => {
                 let (job, attempt) = instance.attempt(f)?;
@@ -214,33 +214,34 @@
                     named.attempts_out = named.attempts_out.saturating_sub(1);
                     named.over |= settled;
                 }
-                instance.tell(now, Event::Ended { job, attempt, outcome, settled });
+                instance.tell(now, Event::AttemptEnded { job, attempt, outcome, settled });
                 instance.forget(job);
             }
             "progress" => {
                 let (job, attempt) = instance.attempt(f)?;
                 match f.need("topic")? {
-                    1u32 => instance.tell(now, Event::Started { job, attempt }),
-                    2 => instance.tell(now, Event::Progress { job, attempt, done: f.or("amount", 0.0)? }),
+                    1u32 => instance.tell(now, Event::AttemptStarted { job, attempt }),
+                    2 => instance
+                        .tell(now, Event::AttemptProgressed { job, attempt, done: f.or("amount", 0.0)? }),
                     _ => {}
                 }
             }
             "ack_first" => {
                 let (job, attempt) = instance.attempt(f)?;
-                instance.tell(now, Event::Streaming { job, attempt });
+                instance.tell(now, Event::AttemptStreaming { job, attempt });
             }
             "aborted" => {
                 if let Some(&job) = instance.ids.get(f.word("corr")?) {
                     instance.jobs.entry(job).and_modify(|named| named.over = true);
-                    instance.tell(now, Event::ClientGone { job });
+                    instance.tell(now, Event::ClientDisconnected { job });
                     instance.forget(job);
                 }
             }
             "message" => {
                 let data = bytes(f.word("data")?)?;
-                instance.tell(now, Event::Told { from: f.need("sender")?, data: &data });
+                instance.tell(now, Event::GossipReceived { from: f.need("sender")?, data: &data });
             }
-            "wakeup" => instance.tell(now, Event::Woken),
+            "wakeup" => instance.tell(now, Event::TimerExpired),
             // Probes are never sent; messages of later wires are none of ours.
             _ => {}
         }
@@ -301,10 +302,10 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             let _ = match action {
-                Action::Send { job, worker, timeout, leave_by: _ } => {
+                Action::SendAttempt { job, worker, timeout, send_by: _ } => {
                     self.write_send(job, worker, timeout, out)
                 }
-                Action::Refuse { job, wait } => {
+                Action::Reject { job, retry_after: wait } => {
                     let written = self.name(job).map(|n| writeln!(out, "shed corr={n} waitUs={wait}"));
                     self.end(job, written)
                 }
@@ -313,11 +314,11 @@
                     self.end(job, written)
                 }
                 // What is written here is sent in that moment: none is left to hold back.
-                Action::Recall { .. } => None,
-                Action::Cancel { job, attempt } => {
+                Action::RevokeAttempt { .. } => None,
+                Action::CancelAttempt { job, attempt } => {
                     self.name(job).map(|n| writeln!(out, "undo_send corr={n} copy={attempt}"))
                 }
-                Action::Tell { to, data } => {
+                Action::SendGossip { to, data } => {
                     let _ = write!(out, "announce dest={to} data=");
                     for byte in &data {
                         let _ = write!(out, "{byte:02x}");
@@ -325,8 +326,8 @@
                     out.push('\n');
                     None
                 }
-                Action::Wake { after } => Some(writeln!(out, "wake_me name=w spanUs={after}")),
-                Action::Watch => Some(writeln!(out, "watch enable=1")),
+                Action::SetTimer { after } => Some(writeln!(out, "wake_me name=w spanUs={after}")),
+                Action::WatchEndpoints => Some(writeln!(out, "watch enable=1")),
             };
         }
         self.actions = actions;
