--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::command::{Call, Verdict};
+use crate::command::{AdminCommand, CommandResult};
 
 const MAGIC: &[u8; 4] = b"CWUS";
 /// Any change to the form of a frame or of a payload has a new version.
 pub const VERSION: u8 = 1;
 const HEADER: usize = 4 + 1 + 1 + 8 + 4 + 4;
 /// No record of what was learned is longer, in bytes.
-pub const LONGEST_HERITAGE: usize = 4 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 /// No other payload is longer, in bytes: a request with its body is the longest that is sent.
-pub const LONGEST_OTHER: usize = 128 << 10;
+pub const MAX_PAYLOAD_BYTES: usize = 128 << 10;
 
 /// Why a process that asks to be the successor is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum Why {
+pub enum RejectReason {
     /// There are two processes of the node already. Asking again later may do.
     #[error("another process of this node is still coming or going; it is asked again")]
     Busy,
@@ -34,7 +34,8 @@
     OtherNode,
     /// The one that is asked has been told to end.
     #[error("the process there is ending; the new one starts cold, nothing is to be done")]
-    Ending,
+    #[serde(rename = "Ending")]
+    ShuttingDown,
     /// What the newer one said could not be read.
     #[error("the process there does not know this version; the new one starts cold, nothing is to be done")]
     OtherVersion,
@@ -53,31 +54,31 @@
     /// It is the successor, and this is what the older one has learned so far.
     Welcome(Bytes),
     /// It is not.
-    TurnedAway(Why),
+    Rejected(RejectReason),
     /// The newer one is ready; answered by `Yours`.
-    TakeOver,
+    TakeoverRequest,
     /// New connections are the newer one's, and this is what the older one has learned since.
-    Yours(Bytes),
+    TakeoverGranted(Bytes),
     /// The newer one is ending and the older one is to take the node back; has no answer.
-    GiveBack,
+    HandBack,
     /// The body of a call-back for a job that the sender does not hold; answered by `Heard`.
-    Word(Bytes),
+    Callback(Bytes),
     /// Whether the call-back was for a job held there.
-    Heard(bool),
+    CallbackResult(bool),
     /// The sender is about to take a job of this id; answered by `Claimed`.
-    Claim(String),
+    ClaimJob(String),
     /// Whether it may.
-    Claimed(bool),
+    ClaimResult(bool),
     /// An operator's call that holds for both; answered by `Done`.
-    Call(Call),
+    Command(AdminCommand),
     /// What the other process says to the call.
-    Done(Verdict),
+    CommandResult(CommandResult),
     /// A job that the sender held, with its client's socket beside the bytes; answered by `Moved`.
-    Move(Bytes),
+    MigrateJob(Bytes),
     /// Whether the receiver holds it now.
-    Moved(bool),
+    MigrationResult(bool),
     /// A next hop that has not yet heard of a withdrawal, which is the receiver's from now on; has no answer.
-    Withdraw {
+    CancelAttempt {
         /// The next hop.
         to: SocketAddr,
         /// The job's id.
@@ -92,7 +93,7 @@
     #[error(
         "what speaks on the node's socket in $TMPDIR is no curlewusher; give the node a $TMPDIR of its own"
     )]
-    Foreign,
+    NotAFrame,
     /// A version of this program with another form of frames.
     #[error(
         "the other process speaks form {theirs}, not {ours}; the new one starts cold, nothing is to be done"
@@ -105,10 +106,10 @@
     },
     /// The bytes end within a frame.
     #[error("the other process ended in the middle of a message; each goes on alone, nothing is to be done")]
-    Torn,
+    Truncated,
     /// The checksum is that of other bytes.
     #[error("a message between both processes is damaged; each goes on alone, report it if it comes again")]
-    BadSum,
+    ChecksumMismatch,
     /// A payload over the bound of its kind.
     #[error("a message of {length} bytes between both processes is over the bound; the new one starts cold")]
     TooLong {
@@ -138,45 +139,49 @@
 
 impl Frame {
     /// Whether it answers something that was asked over the link.
-    pub fn is_answer(&self) -> bool {
-        use Frame::{Claimed, Done, Heard, Moved, Yours};
-        matches!(self, Yours(_) | Heard(_) | Claimed(_) | Done(_) | Moved(_))
+    pub fn is_response(&self) -> bool {
+        use Frame::{CallbackResult, ClaimResult, CommandResult, MigrationResult, TakeoverGranted};
+        matches!(
+            self,
+            TakeoverGranted(_) | CallbackResult(_) | ClaimResult(_) | CommandResult(_) | MigrationResult(_)
+        )
     }
 
     fn kind(&self) -> u8 {
         match self {
             Frame::Hello { .. } => 1,
             Frame::Welcome(_) => 2,
-            Frame::TurnedAway(_) => 3,
-            Frame::TakeOver => 4,
-            Frame::Yours(_) => 5,
-            Frame::GiveBack => 6,
-            Frame::Word(_) => 7,
-            Frame::Heard(_) => 8,
-            Frame::Claim(_) => 9,
-            Frame::Claimed(_) => 10,
-            Frame::Call(_) => 11,
-            Frame::Done(_) => 12,
-            Frame::Withdraw { .. } => 13,
-            Frame::Move(_) => 14,
-            Frame::Moved(_) => 15,
+            Frame::Rejected(_) => 3,
+            Frame::TakeoverRequest => 4,
+            Frame::TakeoverGranted(_) => 5,
+            Frame::HandBack => 6,
+            Frame::Callback(_) => 7,
+            Frame::CallbackResult(_) => 8,
+            Frame::ClaimJob(_) => 9,
+            Frame::ClaimResult(_) => 10,
+            Frame::Command(_) => 11,
+            Frame::CommandResult(_) => 12,
+            Frame::CancelAttempt { .. } => 13,
+            Frame::MigrateJob(_) => 14,
+            Frame::MigrationResult(_) => 15,
         }
     }
 
     fn payload(&self) -> Bytes {
         match self {
             Frame::Hello { node, listen } => json(&(node, listen)),
-            Frame::Welcome(bytes) | Frame::Yours(bytes) | Frame::Word(bytes) | Frame::Move(bytes) => {
-                bytes.clone()
-            }
-            Frame::TurnedAway(why) => json(why),
-            Frame::TakeOver | Frame::GiveBack => Bytes::new(),
-            Frame::Heard(yes) | Frame::Claimed(yes) | Frame::Moved(yes) => json(yes),
-            Frame::Claim(id) => Bytes::copy_from_slice(id.as_bytes()),
+            Frame::Welcome(bytes)
+            | Frame::TakeoverGranted(bytes)
+            | Frame::Callback(bytes)
+            | Frame::MigrateJob(bytes) => bytes.clone(),
+            Frame::Rejected(why) => json(why),
+            Frame::TakeoverRequest | Frame::HandBack => Bytes::new(),
+            Frame::CallbackResult(yes) | Frame::ClaimResult(yes) | Frame::MigrationResult(yes) => json(yes),
+            Frame::ClaimJob(id) => Bytes::copy_from_slice(id.as_bytes()),
             // As an operator would write it: it is read again by the same rules.
-            Frame::Call(call) => call.to_string().into(),
-            Frame::Done(verdict) => json(verdict),
-            Frame::Withdraw { to, id } => json(&(to, id)),
+            Frame::Command(call) => call.to_string().into(),
+            Frame::CommandResult(verdict) => json(verdict),
+            Frame::CancelAttempt { to, id } => json(&(to, id)),
         }
     }
 
@@ -184,19 +189,19 @@
         Some(match kind {
             1 => from_json(&payload).map(|(node, listen)| Frame::Hello { node, listen })?,
             2 => Frame::Welcome(payload),
-            3 => Frame::TurnedAway(from_json(&payload)?),
-            4 if payload.is_empty() => Frame::TakeOver,
-            5 => Frame::Yours(payload),
-            6 if payload.is_empty() => Frame::GiveBack,
-            7 => Frame::Word(payload),
-            8 => Frame::Heard(from_json(&payload)?),
-            9 => Frame::Claim(text(&payload)?),
-            10 => Frame::Claimed(from_json(&payload)?),
-            11 => Frame::Call(Call::read(&payload).ok()?),
-            12 => Frame::Done(from_json(&payload)?),
-            13 => from_json(&payload).map(|(to, id)| Frame::Withdraw { to, id })?,
-            14 => Frame::Move(payload),
-            15 => Frame::Moved(from_json(&payload)?),
+            3 => Frame::Rejected(from_json(&payload)?),
+            4 if payload.is_empty() => Frame::TakeoverRequest,
+            5 => Frame::TakeoverGranted(payload),
+            6 if payload.is_empty() => Frame::HandBack,
+            7 => Frame::Callback(payload),
+            8 => Frame::CallbackResult(from_json(&payload)?),
+            9 => Frame::ClaimJob(text(&payload)?),
+            10 => Frame::ClaimResult(from_json(&payload)?),
+            11 => Frame::Command(AdminCommand::parse(&payload).ok()?),
+            12 => Frame::CommandResult(from_json(&payload)?),
+            13 => from_json(&payload).map(|(to, id)| Frame::CancelAttempt { to, id })?,
+            14 => Frame::MigrateJob(payload),
+            15 => Frame::MigrationResult(from_json(&payload)?),
             _ => return None,
         })
     }
@@ -222,8 +227,8 @@
 
 fn longest(kind: u8) -> usize {
     match kind {
-        2 | 5 => LONGEST_HERITAGE,
-        _ => LONGEST_OTHER,
+        2 | 5 => MAX_SNAPSHOT_BYTES,
+        _ => MAX_PAYLOAD_BYTES,
     }
 }
 
@@ -250,10 +255,10 @@
     }
 
     /// The next whole frame and its number; none where more must come first.
-    pub fn take(&mut self) -> Result<Option<(u64, Frame)>, FrameError> {
+    pub fn next_frame(&mut self) -> Result<Option<(u64, Frame)>, FrameError> {
         let begin = self.held.len().min(MAGIC.len());
         if self.held[..begin] != MAGIC[..begin] {
-            return Err(FrameError::Foreign);
+            return Err(FrameError::NotAFrame);
         }
         if let Some(&theirs) = self.held.get(MAGIC.len()).filter(|theirs| **theirs != VERSION) {
             return Err(FrameError::OtherVersion { theirs, ours: VERSION });
@@ -273,7 +278,7 @@
             return Ok(None);
         };
         if sum(kind, seq, payload) != told {
-            return Err(FrameError::BadSum);
+            return Err(FrameError::ChecksumMismatch);
         }
         let frame = Frame::read(kind, Bytes::copy_from_slice(payload));
         let frame = frame.ok_or(FrameError::Malformed { kind })?;
@@ -282,10 +287,10 @@
     }
 
     /// Nothing more comes; `Torn` where that is within a frame.
-    pub fn end(&self) -> Result<(), FrameError> {
+    pub fn finish(&self) -> Result<(), FrameError> {
         match self.held.is_empty() {
             true => Ok(()),
-            false => Err(FrameError::Torn),
+            false => Err(FrameError::Truncated),
         }
     }
 }
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -4,20 +4,20 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::command::{Refusal, Verdict};
+use crate::command::{CommandError, CommandResult};
 
 /// So many core workers can be out at once. One that has left the list is out until it is put back, so that there may be
 /// more of them than a list has.
-pub const MOST_OUT: usize = 4096;
+pub const MAX_DISABLED_WORKERS: usize = 4096;
 /// So many ids are remembered as listed, and so many bytes of them: a site of a thousand that are all replaced ten
-/// times a day reaches it on the fourth day. A successor is told all of them in one frame: see `LONGEST_HERITAGE`.
-const MOST_LISTED: usize = 32_768;
-const MOST_LISTED_BYTES: usize = 3 << 19;
+/// times a day reaches it on the fourth day. A successor is told all of them in one frame: see `MAX_SNAPSHOT_BYTES`.
+const MAX_LISTED_WORKERS: usize = 32_768;
+const MAX_LISTED_BYTES: usize = 3 << 19;
 
 /// The core workers that are out, by their names in discovery's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Bans {
+pub struct DisabledWorkers {
     out: BTreeSet<String>,
     listed: BTreeSet<String>,
     /// Bytes of those.
@@ -28,11 +28,12 @@
     called: BTreeSet<String>,
 }
 
-impl Bans {
+impl DisabledWorkers {
     /// The list names these; what it says of them changes no ban.
-    pub fn listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
+    pub fn record_listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
-            let room = self.listed.len() < MOST_LISTED && self.listed_bytes + name.len() <= MOST_LISTED_BYTES;
+            let room =
+                self.listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES;
             if room && !self.listed.contains(name) {
                 self.listed.insert(name.to_owned());
                 self.listed_bytes += name.len();
@@ -41,10 +42,10 @@
     }
 
     /// Nothing more to this one; done as well where it is out already.
-    pub fn disable(&mut self, name: &str) -> Verdict {
+    pub fn disable(&mut self, name: &str) -> CommandResult {
         self.known(name)?;
-        if !self.out.contains(name) && self.out.len() >= MOST_OUT {
-            return Err(Refusal::TooManyOut(MOST_OUT));
+        if !self.out.contains(name) && self.out.len() >= MAX_DISABLED_WORKERS {
+            return Err(CommandError::TooManyDisabled(MAX_DISABLED_WORKERS));
         }
         self.out.insert(name.to_owned());
         self.called.insert(name.to_owned());
@@ -52,34 +53,34 @@
     }
 
     /// Back again, however often it was taken out; done as well where it is not out.
-    pub fn enable(&mut self, name: &str) -> Verdict {
+    pub fn enable(&mut self, name: &str) -> CommandResult {
         self.known(name)?;
         self.out.remove(name);
         self.called.insert(name.to_owned());
         Ok(())
     }
 
-    fn known(&self, name: &str) -> Verdict {
+    fn known(&self, name: &str) -> CommandResult {
         match self.listed.contains(name) {
             true => Ok(()),
-            false => Err(Refusal::NeverListed(name.to_owned())),
+            false => Err(CommandError::UnknownWorker(name.to_owned())),
         }
     }
 
     /// Whether it is out.
-    pub fn is_out(&self, name: &str) -> bool {
+    pub fn is_disabled(&self, name: &str) -> bool {
         self.out.contains(name)
     }
 
     /// Those that are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
+    pub fn disabled(&self) -> impl Iterator<Item = &str> {
         self.out.iter().map(String::as_str)
     }
 
     /// Takes on what the older process of this node knows: its bans are the node's, but for those that calls have come
     /// for here since. Returns what changes: names, and whether each is out now.
-    pub fn inherit(&mut self, older: Bans) -> Vec<(String, bool)> {
-        self.listed(older.listed.iter().map(String::as_str));
+    pub fn merge_predecessor(&mut self, older: DisabledWorkers) -> Vec<(String, bool)> {
+        self.record_listed(older.listed.iter().map(String::as_str));
         let changed: Vec<(String, bool)> = self
             .out
             .symmetric_difference(&older.out)
@@ -107,13 +108,13 @@
         /// changes its process; an id that no list has named gets a no.
         #[test]
         fn a_ban_holds_until_its_call_back(steps in prop::collection::vec((0u8..4, 0u8..6), 0..60)) {
-            let (mut bans, mut told) = (Bans::default(), BTreeMap::new());
+            let (mut bans, mut told) = (DisabledWorkers::default(), BTreeMap::new());
             for (what, which) in steps {
                 let name = format!("s-{which}");
                 let listed = told.contains_key(&name);
                 match what {
                     0 => {
-                        bans.listed([name.as_str()]);
+                        bans.record_listed([name.as_str()]);
                         told.entry(name).or_insert(false);
                     }
                     1 => {
@@ -125,13 +126,13 @@
                         told.entry(name).and_modify(|out| *out = false);
                     }
                     _ => {
-                        let mut newer = Bans::default();
-                        newer.inherit(bans);
+                        let mut newer = DisabledWorkers::default();
+                        newer.merge_predecessor(bans);
                         bans = newer;
                     }
                 }
                 for (name, out) in &told {
-                    prop_assert_eq!(bans.is_out(name), *out);
+                    prop_assert_eq!(bans.is_disabled(name), *out);
                 }
             }
         }
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -17,33 +17,35 @@
     /// An operator has drained the node: it serves what still comes, and sends clients on elsewhere.
     Drained,
     /// Its successor serves: it answers what it has taken, and would take the node back should that one end.
-    Retired {
+    #[serde(rename = "Retired")]
+    Superseded {
         /// See [`Phase`].
         drained: bool,
     },
     /// It was told to end: it serves on and answers all that it has taken.
-    Ending,
+    #[serde(rename = "Ending")]
+    ShuttingDown,
     /// Everything is answered.
     Stopped,
 }
 
 /// What moves a process from phase to phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum PhaseEvent {
     /// The transport map is there.
-    Listed,
+    EndpointsAvailable,
     /// An operator drains the node.
     Drain,
     /// An operator ends the drain.
     Undrain,
     /// The successor is ready.
-    HandOver,
+    HandedOver,
     /// The successor is gone.
-    TakeBack,
+    TookBack,
     /// SIGTERM.
     Terminate,
     /// All is answered.
-    Answered,
+    ShutdownCompleted,
 }
 
 impl Phase {
@@ -53,64 +55,69 @@
         Phase::Starting { drained: true },
         Phase::Ready,
         Phase::Drained,
-        Phase::Retired { drained: false },
-        Phase::Retired { drained: true },
-        Phase::Ending,
+        Phase::Superseded { drained: false },
+        Phase::Superseded { drained: true },
+        Phase::ShuttingDown,
         Phase::Stopped,
     ];
 
     /// The phase after a move; none where the table has no such move, and the phase stays.
-    pub fn after(self, by: Move) -> Option<Phase> {
+    pub fn next(self, by: PhaseEvent) -> Option<Phase> {
         use Phase::*;
         Some(match (self, by) {
-            (Starting { .. } | Ready | Drained | Retired { .. }, Move::Terminate) => Ending,
-            (Ending, Move::Answered) => Stopped,
-            (Starting { drained: false } | Retired { drained: false }, Move::Undrain) => return None,
-            (Starting { .. }, Move::Drain) => Starting { drained: true },
-            (Starting { .. }, Move::Undrain) => Starting { drained: false },
-            (Starting { drained: false }, Move::Listed) => Ready,
-            (Starting { drained: true }, Move::Listed) => Drained,
-            (Ready, Move::Drain) => Drained,
-            (Drained, Move::Undrain) => Ready,
-            (Starting { drained } | Retired { drained }, Move::HandOver) => Retired { drained },
-            (Ready, Move::HandOver) => Retired { drained: false },
-            (Drained, Move::HandOver) => Retired { drained: true },
-            (Retired { .. }, Move::Drain) => Retired { drained: true },
-            (Retired { .. }, Move::Undrain) => Retired { drained: false },
-            (Retired { drained: false }, Move::TakeBack) => Ready,
-            (Retired { drained: true }, Move::TakeBack) => Drained,
+            (Starting { .. } | Ready | Drained | Superseded { .. }, PhaseEvent::Terminate) => ShuttingDown,
+            (ShuttingDown, PhaseEvent::ShutdownCompleted) => Stopped,
+            (Starting { drained: false } | Superseded { drained: false }, PhaseEvent::Undrain) => {
+                return None;
+            }
+            (Starting { .. }, PhaseEvent::Drain) => Starting { drained: true },
+            (Starting { .. }, PhaseEvent::Undrain) => Starting { drained: false },
+            (Starting { drained: false }, PhaseEvent::EndpointsAvailable) => Ready,
+            (Starting { drained: true }, PhaseEvent::EndpointsAvailable) => Drained,
+            (Ready, PhaseEvent::Drain) => Drained,
+            (Drained, PhaseEvent::Undrain) => Ready,
+            (Starting { drained } | Superseded { drained }, PhaseEvent::HandedOver) => Superseded { drained },
+            (Ready, PhaseEvent::HandedOver) => Superseded { drained: false },
+            (Drained, PhaseEvent::HandedOver) => Superseded { drained: true },
+            (Superseded { .. }, PhaseEvent::Drain) => Superseded { drained: true },
+            (Superseded { .. }, PhaseEvent::Undrain) => Superseded { drained: false },
+            (Superseded { drained: false }, PhaseEvent::TookBack) => Ready,
+            (Superseded { drained: true }, PhaseEvent::TookBack) => Drained,
             _ => return None,
         })
     }
 
     /// Whether the node, of which this is one process, wants new clients: what the front is told.
-    pub fn wants_clients(self) -> bool {
-        matches!(self, Phase::Ready | Phase::Retired { drained: false })
+    pub fn accepts_new_clients(self) -> bool {
+        matches!(self, Phase::Ready | Phase::Superseded { drained: false })
     }
 
     /// Whether clients on open connections are to go on elsewhere: to another node, or to the successor.
-    pub fn sends_on(self) -> bool {
+    pub fn redirects_clients(self) -> bool {
         !matches!(self, Phase::Starting { drained: false } | Phase::Ready)
     }
 
     /// Whether the process was told to end.
-    pub fn ends(self) -> bool {
-        matches!(self, Phase::Ending | Phase::Stopped)
+    pub fn is_shutting_down(self) -> bool {
+        matches!(self, Phase::ShuttingDown | Phase::Stopped)
     }
 
     /// Whether an operator has drained the node.
-    pub fn drained(self) -> bool {
-        matches!(self, Phase::Starting { drained: true } | Phase::Drained | Phase::Retired { drained: true })
+    pub fn is_drained(self) -> bool {
+        matches!(
+            self,
+            Phase::Starting { drained: true } | Phase::Drained | Phase::Superseded { drained: true }
+        )
     }
 
     /// What an operator can do about a process that is not ready.
-    pub fn advice(self) -> &'static str {
+    pub fn operator_advice(self) -> &'static str {
         match self {
             Phase::Starting { .. } => "no list of core workers yet; look at discovery if this lasts",
             Phase::Ready => "it serves",
-            Phase::Drained | Phase::Retired { drained: true } => "send UNDRAIN to end the drain",
-            Phase::Retired { drained: false } => "its successor serves; ask that one",
-            Phase::Ending => "told to end; wait for its successor",
+            Phase::Drained | Phase::Superseded { drained: true } => "send UNDRAIN to end the drain",
+            Phase::Superseded { drained: false } => "its successor serves; ask that one",
+            Phase::ShuttingDown => "told to end; wait for its successor",
             Phase::Stopped => "it has ended; start it again",
         }
     }
@@ -122,8 +129,8 @@
             Phase::Starting { .. } => "starting",
             Phase::Ready => "ready",
             Phase::Drained => "drained",
-            Phase::Retired { .. } => "retired",
-            Phase::Ending => "ending",
+            Phase::Superseded { .. } => "retired",
+            Phase::ShuttingDown => "ending",
             Phase::Stopped => "stopped",
         })
     }
@@ -134,15 +141,15 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn moves() -> impl Strategy<Value = Move> {
+    fn moves() -> impl Strategy<Value = PhaseEvent> {
         prop::sample::select(vec![
-            Move::Listed,
-            Move::Drain,
-            Move::Undrain,
-            Move::HandOver,
-            Move::TakeBack,
-            Move::Terminate,
-            Move::Answered,
+            PhaseEvent::EndpointsAvailable,
+            PhaseEvent::Drain,
+            PhaseEvent::Undrain,
+            PhaseEvent::HandedOver,
+            PhaseEvent::TookBack,
+            PhaseEvent::Terminate,
+            PhaseEvent::ShutdownCompleted,
         ])
     }
 
@@ -154,21 +161,21 @@
             let (mut phase, mut drained, mut listed) = (Phase::Starting { drained: false }, false, false);
             for by in all {
                 let before = phase;
-                phase = phase.after(by).unwrap_or(phase);
-                if before.ends() {
-                    prop_assert!(phase.ends());
+                phase = phase.next(by).unwrap_or(phase);
+                if before.is_shutting_down() {
+                    prop_assert!(phase.is_shutting_down());
                     continue;
                 }
                 match by {
-                    Move::Drain => drained = true,
-                    Move::Undrain => drained = false,
-                    Move::Listed | Move::HandOver => listed = true,
+                    PhaseEvent::Drain => drained = true,
+                    PhaseEvent::Undrain => drained = false,
+                    PhaseEvent::EndpointsAvailable | PhaseEvent::HandedOver => listed = true,
                     _ => {}
                 }
-                prop_assert_eq!(phase.ends(), by == Move::Terminate);
-                if !phase.ends() {
-                    prop_assert_eq!(phase.drained(), drained, "{:?} after {:?}", phase, by);
-                    prop_assert_eq!(phase.wants_clients(), listed && !drained);
+                prop_assert_eq!(phase.is_shutting_down(), by == PhaseEvent::Terminate);
+                if !phase.is_shutting_down() {
+                    prop_assert_eq!(phase.is_drained(), drained, "{:?} after {:?}", phase, by);
+                    prop_assert_eq!(phase.accepts_new_clients(), listed && !drained);
                 }
             }
         }
@@ -177,9 +184,13 @@
     #[test]
     fn what_the_front_is_told_and_what_clients_are_told_go_together() {
         for phase in Phase::ALL {
-            assert!(phase.wants_clients() || phase.sends_on() || phase == Phase::Starting { drained: false });
-            assert!(phase.after(Move::Terminate).is_some() != phase.ends());
-            assert!(!phase.advice().is_empty());
+            assert!(
+                phase.accepts_new_clients()
+                    || phase.redirects_clients()
+                    || phase == Phase::Starting { drained: false }
+            );
+            assert!(phase.next(PhaseEvent::Terminate).is_some() != phase.is_shutting_down());
+            assert!(!phase.operator_advice().is_empty());
         }
     }
 }
--- a/crates/control/src/takeover.rs
+++ b/crates/control/src/takeover.rs
@@ -3,21 +3,21 @@
 
 use std::collections::HashMap;
 
-pub use crate::frame::Why;
-use crate::phase::Move;
+pub use crate::frame::RejectReason;
+use crate::phase::PhaseEvent;
 
 /// What a process is to the other process of its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// There is no other that it can hear.
-    Alone,
+    Single,
     /// The other came later.
-    Elder {
+    Predecessor {
         /// New connections are the other's.
         handed_over: bool,
     },
     /// The other was there first.
-    Younger {
+    Successor {
         /// New connections are this one's.
         took_over: bool,
     },
@@ -34,13 +34,13 @@
         listen: String,
     },
     /// This process's own list of core workers is there.
-    MapThere,
+    EndpointsAvailable,
     /// The younger one is ready and asks for the new connections.
-    TakeOverAsked,
+    TakeoverRequested,
     /// The elder answered: the new connections are this one's.
-    TookOver,
+    TakeoverGranted,
     /// The younger one took over, was told to end, and gives the node back.
-    GivenBack,
+    HandedBack,
     /// The other cannot be heard any more.
     LinkLost,
     /// SIGTERM.
@@ -49,7 +49,7 @@
 
 /// A share of the descriptors that one node may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Share {
+pub enum DescriptorShare {
     /// While both run.
     Half,
     /// For the only one.
@@ -58,34 +58,34 @@
 
 /// What a process is to do, in the order given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum TakeoverCommand {
     /// Answer the hello: it is the successor.
-    Welcome,
+    SendWelcome,
     /// Answer the hello: it is not, and why.
-    TurnAway(Why),
+    RejectHello(RejectReason),
     /// Ask the elder for the new connections.
-    AskToTakeOver,
+    RequestTakeover,
     /// Answer the younger: the new connections are its.
-    Yours,
+    GrantTakeover,
     /// Tell the elder to take the node back.
-    GiveBack,
+    HandBack,
     /// Close the link.
-    LetGo,
+    CloseLink,
     /// Take new connections.
-    Accept,
+    StartAccepting,
     /// Take no more; the listener stays open, or what waits in its queue would be reset.
     StopAccepting,
     /// Move to another phase.
-    Move(Move),
+    ApplyPhaseEvent(PhaseEvent),
     /// Use this share.
-    Descriptors(Share),
+    SetDescriptorShare(DescriptorShare),
     /// Wait for the next successor at the known place, whoever waited there before.
-    SitDown,
+    ListenForSuccessor,
 }
 
 /// One process's part in the succession.
 #[derive(Clone, Debug)]
-pub struct Succession {
+pub struct Takeover {
     node: String,
     listen: String,
     role: Role,
@@ -95,22 +95,26 @@
     ending: bool,
 }
 
-impl Succession {
+impl Takeover {
     /// A process that found no other: it serves at once.
-    pub fn first(node: &str, listen: &str) -> (Succession, Vec<Deed>) {
-        let deeds = vec![Deed::Descriptors(Share::All), Deed::Accept, Deed::SitDown];
-        (Self::new(node, listen, Role::Alone), deeds)
+    pub fn without_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
+        let deeds = vec![
+            TakeoverCommand::SetDescriptorShare(DescriptorShare::All),
+            TakeoverCommand::StartAccepting,
+            TakeoverCommand::ListenForSuccessor,
+        ];
+        (Self::new(node, listen, Role::Single), deeds)
     }
 
     /// A process whose hello was answered with a welcome: it waits until it has a list of core workers.
-    pub fn welcomed(node: &str, listen: &str) -> (Succession, Vec<Deed>) {
-        let deeds = vec![Deed::Descriptors(Share::Half)];
-        (Self::new(node, listen, Role::Younger { took_over: false }), deeds)
+    pub fn with_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
+        let deeds = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half)];
+        (Self::new(node, listen, Role::Successor { took_over: false }), deeds)
     }
 
-    fn new(node: &str, listen: &str, role: Role) -> Succession {
+    fn new(node: &str, listen: &str, role: Role) -> Takeover {
         let (node, listen) = (node.to_owned(), listen.to_owned());
-        Succession { node, listen, role, mapped: false, listed: false, ending: false }
+        Takeover { node, listen, role, mapped: false, listed: false, ending: false }
     }
 
     /// What it is to the other.
@@ -120,112 +124,122 @@
 
     /// What is to be done about an event. One that does not fit the role, as when two cross, asks for
     /// nothing.
-    pub fn handle(&mut self, event: Event) -> Vec<Deed> {
+    pub fn handle(&mut self, event: Event) -> Vec<TakeoverCommand> {
         match event {
             Event::Hello { node, listen } => self.hello(&node, &listen),
-            Event::MapThere => self.map_there(),
-            Event::TakeOverAsked => self.take_over_asked(),
-            Event::TookOver => self.took_over(),
-            Event::GivenBack => self.given_back(),
+            Event::EndpointsAvailable => self.map_there(),
+            Event::TakeoverRequested => self.take_over_asked(),
+            Event::TakeoverGranted => self.took_over(),
+            Event::HandedBack => self.given_back(),
             Event::LinkLost => self.link_lost(),
             Event::Terminate => self.terminate(),
         }
     }
 
-    fn hello(&mut self, node: &str, listen: &str) -> Vec<Deed> {
+    fn hello(&mut self, node: &str, listen: &str) -> Vec<TakeoverCommand> {
         let why = if node != self.node || listen != self.listen {
-            Why::OtherNode
-        } else if self.role != Role::Alone {
-            Why::Busy
+            RejectReason::OtherNode
+        } else if self.role != Role::Single {
+            RejectReason::Busy
         } else if self.ending {
-            Why::Ending
+            RejectReason::ShuttingDown
         } else {
-            self.role = Role::Elder { handed_over: false };
-            return vec![Deed::Descriptors(Share::Half), Deed::Welcome];
+            self.role = Role::Predecessor { handed_over: false };
+            return vec![
+                TakeoverCommand::SetDescriptorShare(DescriptorShare::Half),
+                TakeoverCommand::SendWelcome,
+            ];
         };
-        vec![Deed::TurnAway(why)]
+        vec![TakeoverCommand::RejectHello(why)]
     }
 
-    fn map_there(&mut self) -> Vec<Deed> {
+    fn map_there(&mut self) -> Vec<TakeoverCommand> {
         if std::mem::replace(&mut self.mapped, true) || self.ending {
             return vec![];
         }
         match self.role {
-            Role::Younger { took_over: false } => vec![Deed::AskToTakeOver],
+            Role::Successor { took_over: false } => vec![TakeoverCommand::RequestTakeover],
             _ => self.list().into_iter().collect(),
         }
     }
 
-    fn list(&mut self) -> Option<Deed> {
+    fn list(&mut self) -> Option<TakeoverCommand> {
         let new = !std::mem::replace(&mut self.listed, true);
-        new.then_some(Deed::Move(Move::Listed))
+        new.then_some(TakeoverCommand::ApplyPhaseEvent(PhaseEvent::EndpointsAvailable))
     }
 
-    fn take_over_asked(&mut self) -> Vec<Deed> {
-        if self.role != (Role::Elder { handed_over: false }) {
+    fn take_over_asked(&mut self) -> Vec<TakeoverCommand> {
+        if self.role != (Role::Predecessor { handed_over: false }) {
             return vec![];
         }
-        self.role = Role::Elder { handed_over: true };
-        let mut deeds = vec![Deed::StopAccepting];
+        self.role = Role::Predecessor { handed_over: true };
+        let mut deeds = vec![TakeoverCommand::StopAccepting];
         // An end is never left.
         if !self.ending {
             self.listed = true;
-            deeds.push(Deed::Move(Move::HandOver));
+            deeds.push(TakeoverCommand::ApplyPhaseEvent(PhaseEvent::HandedOver));
         }
         // Last: from here on the other one accepts.
-        deeds.push(Deed::Yours);
+        deeds.push(TakeoverCommand::GrantTakeover);
         deeds
     }
 
-    fn took_over(&mut self) -> Vec<Deed> {
-        if self.role != (Role::Younger { took_over: false }) {
+    fn took_over(&mut self) -> Vec<TakeoverCommand> {
+        if self.role != (Role::Successor { took_over: false }) {
             return vec![];
         }
-        self.role = Role::Younger { took_over: true };
+        self.role = Role::Successor { took_over: true };
         self.go_on()
     }
 
-    fn given_back(&mut self) -> Vec<Deed> {
-        if self.ending || self.role != (Role::Elder { handed_over: true }) {
+    fn given_back(&mut self) -> Vec<TakeoverCommand> {
+        if self.ending || self.role != (Role::Predecessor { handed_over: true }) {
             return vec![];
         }
-        self.role = Role::Elder { handed_over: false };
+        self.role = Role::Predecessor { handed_over: false };
         Self::take_back()
     }
 
-    fn take_back() -> Vec<Deed> {
-        vec![Deed::Accept, Deed::Move(Move::TakeBack), Deed::SitDown]
+    fn take_back() -> Vec<TakeoverCommand> {
+        vec![
+            TakeoverCommand::StartAccepting,
+            TakeoverCommand::ApplyPhaseEvent(PhaseEvent::TookBack),
+            TakeoverCommand::ListenForSuccessor,
+        ]
     }
 
-    fn link_lost(&mut self) -> Vec<Deed> {
-        let deeds = match std::mem::replace(&mut self.role, Role::Alone) {
-            Role::Alone => return vec![],
-            Role::Elder { handed_over: true } if !self.ending => Self::take_back(),
-            Role::Younger { took_over: false } => self.go_on(),
-            Role::Elder { .. } | Role::Younger { took_over: true } => vec![],
+    fn link_lost(&mut self) -> Vec<TakeoverCommand> {
+        let deeds = match std::mem::replace(&mut self.role, Role::Single) {
+            Role::Single => return vec![],
+            Role::Predecessor { handed_over: true } if !self.ending => Self::take_back(),
+            Role::Successor { took_over: false } => self.go_on(),
+            Role::Predecessor { .. } | Role::Successor { took_over: true } => vec![],
         };
-        [vec![Deed::Descriptors(Share::All)], deeds].concat()
+        [vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::All)], deeds].concat()
     }
 
     /// A younger process serves from here on.
-    fn go_on(&mut self) -> Vec<Deed> {
+    fn go_on(&mut self) -> Vec<TakeoverCommand> {
         let listed = if self.mapped { self.list() } else { None };
-        [Some(Deed::Accept), listed, Some(Deed::SitDown)].into_iter().flatten().collect()
+        [Some(TakeoverCommand::StartAccepting), listed, Some(TakeoverCommand::ListenForSuccessor)]
+            .into_iter()
+            .flatten()
+            .collect()
     }
 
-    fn terminate(&mut self) -> Vec<Deed> {
+    fn terminate(&mut self) -> Vec<TakeoverCommand> {
         if std::mem::replace(&mut self.ending, true) {
             return vec![];
         }
-        let mut deeds = vec![Deed::Move(Move::Terminate)];
+        let mut deeds = vec![TakeoverCommand::ApplyPhaseEvent(PhaseEvent::Terminate)];
         match self.role {
-            Role::Younger { took_over: true } => deeds.push(Deed::GiveBack),
-            Role::Younger { took_over: false } => {
+            Role::Successor { took_over: true } => deeds.push(TakeoverCommand::HandBack),
+            Role::Successor { took_over: false } => {
                 // The elder may have handed over in this moment: that the link is gone makes it take back.
-                self.role = Role::Alone;
-                deeds.push(Deed::LetGo);
+                self.role = Role::Single;
+                deeds.push(TakeoverCommand::CloseLink);
             }
-            Role::Alone | Role::Elder { .. } => {}
+            Role::Single | Role::Predecessor { .. } => {}
         }
         deeds
     }
@@ -233,22 +247,22 @@
 
 /// What becomes of a call-back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Route {
+pub enum CallbackRoute {
     /// Its job is held here.
-    Here,
+    Local,
     /// The other process may hold its job, and hears it before the next hop is answered.
-    PassOn,
+    Forward,
     /// Nobody holds its job.
-    Idle,
+    Unknown,
 }
 
 /// Where a call-back goes. For one that the other process has passed on, `linked` is false: it is not sent
 /// back.
-pub fn route(held_here: bool, linked: bool) -> Route {
+pub fn route(held_here: bool, linked: bool) -> CallbackRoute {
     match (held_here, linked) {
-        (true, _) => Route::Here,
-        (false, true) => Route::PassOn,
-        (false, false) => Route::Idle,
+        (true, _) => CallbackRoute::Local,
+        (false, true) => CallbackRoute::Forward,
+        (false, false) => CallbackRoute::Unknown,
     }
 }
 
@@ -256,21 +270,21 @@
 /// until `over`, which is when the job counts as held or is not taken after all. What is claimed by answers
 /// cannot be held twice, as long as a process's answers and claims arrive in the order in which it made them.
 #[derive(Clone, Debug)]
-pub struct Claims {
+pub struct JobClaims {
     elder: bool,
     /// Whether it was granted.
     mine: HashMap<String, bool>,
 }
 
-impl Claims {
+impl JobClaims {
     /// `elder`: whether this process is the elder on this link.
-    pub fn new(elder: bool) -> Claims {
-        Claims { elder, mine: HashMap::new() }
+    pub fn new(elder: bool) -> JobClaims {
+        JobClaims { elder, mine: HashMap::new() }
     }
 
     /// A job of this id came here. Whether it is to be claimed: one that is being claimed already is a second
     /// copy.
-    pub fn ask(&mut self, id: &str) -> bool {
+    pub fn try_claim(&mut self, id: &str) -> bool {
         if self.mine.contains_key(id) {
             return false;
         }
@@ -279,20 +293,20 @@
     }
 
     /// The other said yes, does not answer or is gone: the id is this one's.
-    pub fn granted(&mut self, id: &str) {
+    pub fn confirm(&mut self, id: &str) {
         if let Some(granted) = self.mine.get_mut(id) {
             *granted = true;
         }
     }
 
     /// The job is held here from now on and known as such, or is not taken.
-    pub fn over(&mut self, id: &str) {
+    pub fn release(&mut self, id: &str) {
         self.mine.remove(id);
     }
 
     /// The other claims this id. Whether it may have it. Where both claim one id at once the elder's claim
     /// stands.
-    pub fn asked(&self, id: &str, held_here: bool) -> bool {
+    pub fn allows_peer_claim(&self, id: &str, held_here: bool) -> bool {
         !held_here
             && match self.mine.get(id) {
                 Some(granted) => !granted && !self.elder,
@@ -331,13 +345,13 @@
 
     #[derive(Clone, Debug)]
     struct Process {
-        succession: Succession,
-        claims: Claims,
+        succession: Takeover,
+        claims: JobClaims,
         /// Its link, and which end of that.
         link: Option<(usize, usize)>,
         alive: bool,
         accepts: bool,
-        share: Option<Share>,
+        share: Option<DescriptorShare>,
         phase: Phase,
         /// Jobs held, and whether each was claimed by an answer.
         held: HashMap<&'static str, bool>,
@@ -359,29 +373,30 @@
             let elder = self.seat.filter(|at| self.processes[*at].alive);
             let hello = Event::Hello { node: "n".into(), listen: "l".into() };
             let said = elder.map(|at| self.happens(at, hello));
-            let welcomed = elder.filter(|_| said.iter().flatten().any(|deed| *deed == Deed::Welcome));
+            let welcomed =
+                elder.filter(|_| said.iter().flatten().any(|deed| *deed == TakeoverCommand::SendWelcome));
             match said.as_deref() {
                 // It asks again later, and has done nothing yet.
-                Some([Deed::TurnAway(Why::Busy)]) => return,
-                Some([Deed::TurnAway(_)]) => self.estranged = true,
+                Some([TakeoverCommand::RejectHello(RejectReason::Busy)]) => return,
+                Some([TakeoverCommand::RejectHello(_)]) => self.estranged = true,
                 // The elder has died, and the younger one does not know it yet and has not sat down.
                 None => self.estranged = self.estranged || self.living().next().is_some(),
                 _ => {}
             }
             let (succession, deeds) = match welcomed {
-                Some(_) => Succession::welcomed("n", "l"),
-                None => Succession::first("n", "l"),
+                Some(_) => Takeover::with_predecessor("n", "l"),
+                None => Takeover::without_predecessor("n", "l"),
             };
             let link = welcomed.map(|elder| {
                 let end = |to| End { to, coming: VecDeque::new(), closed: false };
                 self.links.push([end(elder), end(me)]);
                 self.processes[elder].link = Some((self.links.len() - 1, 0));
-                self.processes[elder].claims = Claims::new(true);
+                self.processes[elder].claims = JobClaims::new(true);
                 (self.links.len() - 1, 1)
             });
             self.processes.push(Process {
                 succession,
-                claims: Claims::new(false),
+                claims: JobClaims::new(false),
                 link,
                 alive: true,
                 accepts: false,
@@ -392,30 +407,32 @@
             self.carry_out(me, &deeds);
         }
 
-        fn happens(&mut self, at: usize, event: Event) -> Vec<Deed> {
+        fn happens(&mut self, at: usize, event: Event) -> Vec<TakeoverCommand> {
             let deeds = self.processes[at].succession.handle(event);
             self.carry_out(at, &deeds);
             deeds
         }
 
-        fn carry_out(&mut self, at: usize, deeds: &[Deed]) {
+        fn carry_out(&mut self, at: usize, deeds: &[TakeoverCommand]) {
             for deed in deeds {
                 let process = &mut self.processes[at];
                 match *deed {
-                    Deed::Welcome | Deed::TurnAway(_) => {}
-                    Deed::AskToTakeOver => self.say(at, Said::TakeOver),
-                    Deed::Yours => self.say(at, Said::Yours),
-                    Deed::GiveBack => self.say(at, Said::GiveBack),
-                    Deed::LetGo => {
+                    TakeoverCommand::SendWelcome | TakeoverCommand::RejectHello(_) => {}
+                    TakeoverCommand::RequestTakeover => self.say(at, Said::TakeOver),
+                    TakeoverCommand::GrantTakeover => self.say(at, Said::Yours),
+                    TakeoverCommand::HandBack => self.say(at, Said::GiveBack),
+                    TakeoverCommand::CloseLink => {
                         // It has taken no connection, and takes none.
                         process.share = None;
                         self.close(at);
                     }
-                    Deed::Accept => process.accepts = true,
-                    Deed::StopAccepting => process.accepts = false,
-                    Deed::Move(by) => process.phase = process.phase.after(by).expect("a move of the table"),
-                    Deed::Descriptors(share) => process.share = Some(share),
-                    Deed::SitDown => self.seat = Some(at),
+                    TakeoverCommand::StartAccepting => process.accepts = true,
+                    TakeoverCommand::StopAccepting => process.accepts = false,
+                    TakeoverCommand::ApplyPhaseEvent(by) => {
+                        process.phase = process.phase.next(by).expect("a move of the table")
+                    }
+                    TakeoverCommand::SetDescriptorShare(share) => process.share = Some(share),
+                    TakeoverCommand::ListenForSuccessor => self.seat = Some(at),
                 }
             }
         }
@@ -475,24 +492,24 @@
             let process = &mut self.processes[at];
             let left: Vec<_> = IDS.into_iter().filter(|id| process.claims.mine.contains_key(*id)).collect();
             for id in left {
-                process.claims.over(id);
+                process.claims.release(id);
                 process.held.insert(id, false);
             }
         }
 
         fn hears(&mut self, at: usize, said: Said) {
             match said {
-                Said::TakeOver => _ = self.happens(at, Event::TakeOverAsked),
-                Said::Yours => _ = self.happens(at, Event::TookOver),
-                Said::GiveBack => _ = self.happens(at, Event::GivenBack),
+                Said::TakeOver => _ = self.happens(at, Event::TakeoverRequested),
+                Said::Yours => _ = self.happens(at, Event::TakeoverGranted),
+                Said::GiveBack => _ = self.happens(at, Event::HandedBack),
                 Said::Claim(id) => {
                     let process = &self.processes[at];
-                    let free = process.claims.asked(id, process.held.contains_key(id));
+                    let free = process.claims.allows_peer_claim(id, process.held.contains_key(id));
                     self.say(at, Said::Claimed(id, free));
                 }
                 Said::Claimed(id, free) => {
                     let process = &mut self.processes[at];
-                    process.claims.over(id);
+                    process.claims.release(id);
                     if free {
                         process.held.insert(id, true);
                     }
@@ -504,13 +521,13 @@
         fn job(&mut self, at: usize, id: &'static str) {
             let process = &mut self.processes[at];
             // One that handed over has connections that are kept.
-            let reached = process.accepts || matches!(process.succession.role(), Role::Elder { .. });
+            let reached = process.accepts || matches!(process.succession.role(), Role::Predecessor { .. });
             if !reached || process.held.contains_key(id) {
                 return;
             }
             match process.link {
                 None => _ = process.held.insert(id, false),
-                Some(_) if process.claims.ask(id) => self.say(at, Said::Claim(id)),
+                Some(_) if process.claims.try_claim(id) => self.say(at, Said::Claim(id)),
                 Some(_) => {}
             }
         }
@@ -525,7 +542,7 @@
                 return;
             }
             match what {
-                1 | 2 => _ = self.happens(at, Event::MapThere),
+                1 | 2 => _ = self.happens(at, Event::EndpointsAvailable),
                 3 => _ = self.happens(at, Event::Terminate),
                 4 => self.kill(at),
                 5 => self.cut(at),
@@ -544,11 +561,12 @@
                 let holders = self.living().filter(|p| p.held.get(id) == Some(&true)).count();
                 prop_assert!(holders < 2, "both hold {id}: {self:#?}");
             }
-            let halves = |p: &Process| p.share.map_or(0, |share| if share == Share::All { 2 } else { 1 });
+            let halves =
+                |p: &Process| p.share.map_or(0, |share| if share == DescriptorShare::All { 2 } else { 1 });
             let used: usize = self.living().map(halves).sum();
             prop_assert!(used <= 2 || self.estranged, "{used} halves in use: {self:#?}");
             for process in self.living() {
-                prop_assert_eq!(process.succession.ending, process.phase.ends());
+                prop_assert_eq!(process.succession.ending, process.phase.is_shutting_down());
             }
             self.settled().check_settled()
         }
@@ -565,7 +583,7 @@
             let serves = |p: &&Process| p.accepts && !p.succession.ending;
             let served = self.living().any(|p| serves(&p));
             prop_assert!(served || !self.living().any(|p| able(&p)), "nobody accepts: {self:#?}");
-            let all = |p: &Process| p.share == Some(Share::All);
+            let all = |p: &Process| p.share == Some(DescriptorShare::All);
             prop_assert!(
                 self.living().all(|p| p.link.is_some() || all(p) || p.succession.ending),
                 "{self:#?}"
@@ -597,36 +615,46 @@
     #[test]
     fn strangers_and_third_ones_are_turned_away() {
         let hello = |node: &str| Event::Hello { node: node.into(), listen: "l".into() };
-        let (mut elder, _) = Succession::first("n", "l");
-        assert_eq!(elder.handle(hello("m")), [Deed::TurnAway(Why::OtherNode)]);
-        assert_eq!(elder.handle(hello("n")), [Deed::Descriptors(Share::Half), Deed::Welcome]);
-        assert_eq!(elder.handle(hello("n")), [Deed::TurnAway(Why::Busy)]);
-        let (mut ending, _) = Succession::first("n", "l");
+        let (mut elder, _) = Takeover::without_predecessor("n", "l");
+        assert_eq!(elder.handle(hello("m")), [TakeoverCommand::RejectHello(RejectReason::OtherNode)]);
+        assert_eq!(
+            elder.handle(hello("n")),
+            [TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::SendWelcome]
+        );
+        assert_eq!(elder.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::Busy)]);
+        let (mut ending, _) = Takeover::without_predecessor("n", "l");
         ending.handle(Event::Terminate);
-        assert_eq!(ending.handle(hello("n")), [Deed::TurnAway(Why::Ending)]);
+        assert_eq!(ending.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::ShuttingDown)]);
     }
 
     #[test]
     fn call_backs_go_where_their_job_is_and_never_back() {
-        assert_eq!(route(true, true), Route::Here);
-        assert_eq!(route(false, true), Route::PassOn);
-        assert_eq!(route(false, false), Route::Idle);
+        assert_eq!(route(true, true), CallbackRoute::Local);
+        assert_eq!(route(false, true), CallbackRoute::Forward);
+        assert_eq!(route(false, false), CallbackRoute::Unknown);
     }
 
     #[test]
     fn of_two_claims_at_once_the_elders_stands() {
-        let (mut elder, mut younger) = (Claims::new(true), Claims::new(false));
+        let (mut elder, mut younger) = (JobClaims::new(true), JobClaims::new(false));
         let mut told = BTreeSet::new();
         for claims in [&mut elder, &mut younger] {
-            assert!(claims.ask("a"));
-            told.insert(claims.asked("a", false));
-            assert!(!claims.ask("a"), "a second copy");
+            assert!(claims.try_claim("a"));
+            told.insert(claims.allows_peer_claim("a", false));
+            assert!(!claims.try_claim("a"), "a second copy");
         }
-        assert_eq!((elder.asked("a", false), younger.asked("a", false)), (false, true));
-        elder.granted("a");
-        assert!(!elder.asked("a", false) && elder.asked("b", false) && !elder.asked("b", true));
-        elder.over("a");
-        younger.over("a");
-        assert!(elder.asked("a", false) && younger.ask("a"));
+        assert_eq!(
+            (elder.allows_peer_claim("a", false), younger.allows_peer_claim("a", false)),
+            (false, true)
+        );
+        elder.confirm("a");
+        assert!(
+            !elder.allows_peer_claim("a", false)
+                && elder.allows_peer_claim("b", false)
+                && !elder.allows_peer_claim("b", true)
+        );
+        elder.release("a");
+        younger.release("a");
+        assert!(elder.allows_peer_claim("a", false) && younger.try_claim("a"));
     }
 }
--- a/crates/control/tests/unit/frame.rs
+++ b/crates/control/tests/unit/frame.rs
@@ -2,42 +2,47 @@
 //! looks at what the decoder holds and at sums of its own making; it makes nothing public.
 
 use super::*;
-use crate::command::Refusal;
+use crate::command::CommandError;
 use crate::phase::Phase;
 use proptest::prelude::*;
 
-fn verdicts() -> impl Strategy<Value = Verdict> {
+fn verdicts() -> impl Strategy<Value = CommandResult> {
     prop_oneof![
         Just(Ok(())),
-        prop::sample::select(Phase::ALL.to_vec()).prop_map(|phase| Err(Refusal::NotReady(phase))),
-        ".{0,40}".prop_map(|id| Err(Refusal::NeverListed(id))),
-        any::<usize>().prop_map(|most| Err(Refusal::TooManyOut(most))),
-        Just(Err(Refusal::Ending)),
-        Just(Err(Refusal::NotDone)),
+        prop::sample::select(Phase::ALL.to_vec()).prop_map(|phase| Err(CommandError::NotReady(phase))),
+        ".{0,40}".prop_map(|id| Err(CommandError::UnknownWorker(id))),
+        any::<usize>().prop_map(|most| Err(CommandError::TooManyDisabled(most))),
+        Just(Err(CommandError::ShuttingDown)),
+        Just(Err(CommandError::TimedOut)),
     ]
 }
 
 fn frames() -> impl Strategy<Value = Frame> {
     let bytes = || prop::collection::vec(any::<u8>(), 0..300).prop_map(Bytes::from);
-    let whys = vec![Why::Busy, Why::OtherNode, Why::Ending, Why::OtherVersion];
+    let whys = vec![
+        RejectReason::Busy,
+        RejectReason::OtherNode,
+        RejectReason::ShuttingDown,
+        RejectReason::OtherVersion,
+    ];
     prop_oneof![
         (".{0,20}", ".{0,20}").prop_map(|(node, listen)| Frame::Hello { node, listen }),
         bytes().prop_map(Frame::Welcome),
-        prop::sample::select(whys).prop_map(Frame::TurnedAway),
-        Just(Frame::TakeOver),
-        bytes().prop_map(Frame::Yours),
-        Just(Frame::GiveBack),
-        bytes().prop_map(Frame::Word),
-        bytes().prop_map(Frame::Move),
-        any::<bool>().prop_map(Frame::Moved),
-        any::<bool>().prop_map(Frame::Heard),
-        ".{0,40}".prop_map(Frame::Claim),
-        any::<bool>().prop_map(Frame::Claimed),
-        "[!-~]{1,40}".prop_map(|id| Frame::Call(Call::Disable(id))),
-        Just(Frame::Call(Call::Undrain)),
-        verdicts().prop_map(Frame::Done),
+        prop::sample::select(whys).prop_map(Frame::Rejected),
+        Just(Frame::TakeoverRequest),
+        bytes().prop_map(Frame::TakeoverGranted),
+        Just(Frame::HandBack),
+        bytes().prop_map(Frame::Callback),
+        bytes().prop_map(Frame::MigrateJob),
+        any::<bool>().prop_map(Frame::MigrationResult),
+        any::<bool>().prop_map(Frame::CallbackResult),
+        ".{0,40}".prop_map(Frame::ClaimJob),
+        any::<bool>().prop_map(Frame::ClaimResult),
+        "[!-~]{1,40}".prop_map(|id| Frame::Command(AdminCommand::Disable(id))),
+        Just(Frame::Command(AdminCommand::Undrain)),
+        verdicts().prop_map(Frame::CommandResult),
         (any::<u16>(), ".{0,40}")
-            .prop_map(|(port, id)| Frame::Withdraw { to: ([10, 0, 0, 1], port).into(), id }),
+            .prop_map(|(port, id)| Frame::CancelAttempt { to: ([10, 0, 0, 1], port).into(), id }),
     ]
 }
 
@@ -55,7 +60,7 @@
         let bytes = &bytes[..bytes.len().saturating_sub(short)];
         let (mut decoder, mut came, mut rest) = (Decoder::default(), vec![], bytes);
         for piece in pieces.iter().cycle() {
-            while let Some(frame) = decoder.take().expect("sound") {
+            while let Some(frame) = decoder.next_frame().expect("sound") {
                 came.push(frame);
             }
             if rest.is_empty() {
@@ -67,7 +72,7 @@
         }
         prop_assert_eq!(&came[..], &sent[..came.len()]);
         let whole: usize = came.iter().map(|(_, frame)| HEADER + frame.payload().len()).sum();
-        prop_assert_eq!(decoder.end().is_ok(), whole == bytes.len());
+        prop_assert_eq!(decoder.finish().is_ok(), whole == bytes.len());
         prop_assert!(short > 0 || came.len() == sent.len());
     }
 
@@ -82,11 +87,11 @@
         bytes[at] = to;
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        let said = decoder.take();
+        let said = decoder.next_frame();
         prop_assert_eq!(said.as_ref().is_ok_and(|frame| frame.is_some()), same, "{:?}", said);
-        prop_assert!(decoder.held.capacity() <= HEADER + LONGEST_HERITAGE + bytes.len());
+        prop_assert!(decoder.held.capacity() <= HEADER + MAX_SNAPSHOT_BYTES + bytes.len());
         if said.is_err() {
-            prop_assert_eq!(decoder.take(), said);
+            prop_assert_eq!(decoder.next_frame(), said);
         }
     }
 }
@@ -94,23 +99,23 @@
 #[test]
 fn each_bad_frame_has_its_own_error() {
     let edited = |kind: u8, edit: &dyn Fn(&mut Vec<u8>)| {
-        let mut bytes = Frame::Heard(true).encode(7).expect("short").to_vec();
+        let mut bytes = Frame::CallbackResult(true).encode(7).expect("short").to_vec();
         bytes[5] = kind;
         let fresh = sum(kind, 7, &bytes[HEADER..]).to_be_bytes();
         bytes[18..22].copy_from_slice(&fresh);
         edit(&mut bytes);
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        decoder.take().expect_err("bad")
+        decoder.next_frame().expect_err("bad")
     };
-    assert_eq!(edited(8, &|b| b[0] = b'G'), FrameError::Foreign);
+    assert_eq!(edited(8, &|b| b[0] = b'G'), FrameError::NotAFrame);
     assert_eq!(edited(8, &|b| b[4] = 9), FrameError::OtherVersion { theirs: 9, ours: VERSION });
-    assert_eq!(edited(8, &|b| b[HEADER] ^= 1), FrameError::BadSum);
+    assert_eq!(edited(8, &|b| b[HEADER] ^= 1), FrameError::ChecksumMismatch);
     assert_eq!(edited(8, &|b| b[14] = 1), FrameError::TooLong { length: (1 << 24) + 4 });
     assert_eq!(edited(200, &|_| {}), FrameError::Malformed { kind: 200 });
     assert_eq!(edited(12, &|_| {}), FrameError::Malformed { kind: 12 });
     let long = |length: usize| Bytes::from(vec![0; length]);
-    assert!(Frame::Yours(long(LONGEST_HERITAGE)).encode(0).is_ok());
-    assert!(Frame::Yours(long(LONGEST_HERITAGE + 1)).encode(0).is_err());
-    assert!(Frame::Word(long(LONGEST_OTHER + 1)).encode(0).is_err());
+    assert!(Frame::TakeoverGranted(long(MAX_SNAPSHOT_BYTES)).encode(0).is_ok());
+    assert!(Frame::TakeoverGranted(long(MAX_SNAPSHOT_BYTES + 1)).encode(0).is_err());
+    assert!(Frame::Callback(long(MAX_PAYLOAD_BYTES + 1)).encode(0).is_err());
 }
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -7,7 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewusher_control::command::{Call, CallError, LONGEST_LINE, Refusal, Verdict, answer};
+use curlewusher_control::command::{
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, answer,
+};
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -34,7 +36,7 @@
 const CALLS_ROOM: usize = 64;
 
 /// A call on its way to the node's task, and where its verdict goes.
-pub type Handed = (Call, oneshot::Sender<Verdict>);
+pub type Handed = (AdminCommand, oneshot::Sender<CommandResult>);
 
 /// Why there is no second address.
 #[derive(Debug, Error)]
@@ -106,7 +108,7 @@
 async fn hear(mut stream: TcpStream, lifecycle: Lifecycle, hand: mpsc::Sender<Handed>) {
     let _ = stream.set_nodelay(true);
     let Ok(Some(line)) = timeout(LINE_TIME, read_line(&mut stream)).await else { return };
-    let said = match Call::read(&line) {
+    let said = match AdminCommand::parse(&line) {
         Ok(call) => Ok(carry_out(call, &lifecycle, &hand).await),
         Err(error) => Err(error),
     };
@@ -115,10 +117,10 @@
         stream.write_all(answer(&said).as_bytes()).await?;
         stream.shutdown().await?;
         // What came after the line is read, as far as it is there: closing on it would reset the answer.
-        let mut rest = [0; LONGEST_LINE];
-        while matches!(said, Err(CallError::TooLong | CallError::NoText)) && stream.read(&mut rest).await? > 0
-        {
-        }
+        let mut rest = [0; MAX_LINE_BYTES];
+        while matches!(said, Err(CommandParseError::TooLong | CommandParseError::NotAscii))
+            && stream.read(&mut rest).await? > 0
+        {}
         Ok::<_, io::Error>(())
     })
     .await;
@@ -127,9 +129,9 @@
 /// A line with its end, or as much of a longer one as shows that it is too long, or what came before the end of the
 /// connection; none where nothing did.
 async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut line = Vec::with_capacity(LONGEST_LINE + 1);
-    while line.len() <= LONGEST_LINE {
-        let mut part = [0; LONGEST_LINE];
+    let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
+    while line.len() <= MAX_LINE_BYTES {
+        let mut part = [0; MAX_LINE_BYTES];
         let count = stream.read(&mut part).await.ok()?;
         if count == 0 {
             return (!line.is_empty()).then_some(line);
@@ -143,16 +145,16 @@
     Some(line)
 }
 
-async fn carry_out(call: Call, lifecycle: &Lifecycle, hand: &mpsc::Sender<Handed>) -> Verdict {
-    if call == Call::Ready {
+async fn carry_out(call: AdminCommand, lifecycle: &Lifecycle, hand: &mpsc::Sender<Handed>) -> CommandResult {
+    if call == AdminCommand::Ready {
         // Said without the node's task: it is asked most when that is busiest. A process whose successor serves is
         // ready as well, for it would take the node back.
         return match lifecycle.phase() {
-            Phase::Ready | Phase::Retired { drained: false } => Ok(()),
-            phase => Err(Refusal::NotReady(phase)),
+            Phase::Ready | Phase::Superseded { drained: false } => Ok(()),
+            phase => Err(CommandError::NotReady(phase)),
         };
     }
     let (verdict, said) = oneshot::channel();
-    hand.try_send((call, verdict)).map_err(|_| Refusal::NotDone)?;
-    timeout(DONE_WITHIN, said).await.ok().and_then(Result::ok).unwrap_or(Err(Refusal::NotDone))
+    hand.try_send((call, verdict)).map_err(|_| CommandError::TimedOut)?;
+    timeout(DONE_WITHIN, said).await.ok().and_then(Result::ok).unwrap_or(Err(CommandError::TimedOut))
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -6,14 +6,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use curlewusher_control::command::{Call, Refusal, Verdict, answer};
+use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, answer};
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
 use crate::admin::listener::Handed;
 use crate::dispatch::Order;
 use crate::handover::Peer;
-use crate::lifecycle::{Lifecycle, Move};
+use crate::lifecycle::{Lifecycle, PhaseEvent};
 use crate::telemetry::logging::NODE;
 
 /// Carries out calls.
@@ -39,45 +39,45 @@
         }
     }
 
-    async fn carry_out(&self, call: &Call) -> Verdict {
-        if self.lifecycle.phase().ends() {
-            return Err(Refusal::Ending);
+    async fn carry_out(&self, call: &AdminCommand) -> CommandResult {
+        if self.lifecycle.phase().is_shutting_down() {
+            return Err(CommandError::ShuttingDown);
         }
         self.here(call, false).await?;
         match self.peer.link() {
             // One that is gone meanwhile has nothing to hold any more.
             Some(link) => {
-                link.call(call).await.unwrap_or(if link.up() { Err(Refusal::NotDone) } else { Ok(()) })
+                link.call(call).await.unwrap_or(if link.up() { Err(CommandError::TimedOut) } else { Ok(()) })
             }
             None => Ok(()),
         }
     }
 
     /// A call that came to the other process of this node.
-    pub async fn follow(&self, call: &Call) -> Verdict {
+    pub async fn follow(&self, call: &AdminCommand) -> CommandResult {
         self.here(call, true).await
     }
 
-    async fn here(&self, call: &Call, vouched: bool) -> Verdict {
+    async fn here(&self, call: &AdminCommand, vouched: bool) -> CommandResult {
         let (verdict, said) = oneshot::channel();
         let order = match (call, vouched) {
-            (Call::Ready, _) => return Ok(()),
-            (Call::Drain | Call::Undrain, _) => {
-                let by = if *call == Call::Drain { Move::Drain } else { Move::Undrain };
+            (AdminCommand::Ready, _) => return Ok(()),
+            (AdminCommand::Drain | AdminCommand::Undrain, _) => {
+                let by = if *call == AdminCommand::Drain { PhaseEvent::Drain } else { PhaseEvent::Undrain };
                 // No move of the table: it is so already, or the process ends.
                 let _ = self.lifecycle.go(by);
                 self.drain_called.set(true);
                 return Ok(());
             }
-            (Call::Disable(name) | Call::Enable(name), vouched) => {
-                let (name, out) = (name.clone(), matches!(call, Call::Disable(_)));
+            (AdminCommand::Disable(name) | AdminCommand::Enable(name), vouched) => {
+                let (name, out) = (name.clone(), matches!(call, AdminCommand::Disable(_)));
                 match vouched {
                     true => Order::Follow { name, out, verdict },
                     false => Order::Maintain { name, out, verdict },
                 }
             }
         };
-        self.order.send(order).await.map_err(|_| Refusal::NotDone)?;
-        said.await.unwrap_or(Err(Refusal::NotDone))
+        self.order.send(order).await.map_err(|_| CommandError::TimedOut)?;
+        said.await.unwrap_or(Err(CommandError::TimedOut))
     }
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -220,7 +220,7 @@
 }
 
 /// A call for a watch that has not begun.
-struct Call {
+struct PendingPoll {
     era: u32,
     opening: Opening,
 }
@@ -243,7 +243,7 @@
     /// What is known of its list.
     index: u64,
     live: Option<Watch>,
-    under_way: Vec<Call>,
+    under_way: Vec<PendingPoll>,
     due: Option<Instant>,
     /// Something has fallen silent and no watch has begun since; so many calls are still to be made unasked.
     silent: bool,
@@ -266,7 +266,7 @@
             };
             timeout(ANSWER, open).await.unwrap_or(Err(WatchError::Late))
         });
-        self.under_way.push(Call { era, opening });
+        self.under_way.push(PendingPoll { era, opening });
         let again = self.pace.gap().filter(|_| self.pace.pushed || self.left > 0);
         self.due = again.map(|gap| Instant::now() + gap);
     }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use curlewusher_control::command::Verdict;
-use curlewusher_control::maintenance::Bans;
+use curlewusher_control::command::CommandResult;
+use curlewusher_control::maintenance::DisabledWorkers;
 use curlewusher_core::{
     Action, ClassId, Dispatcher, Endpoint, Event, JobId, JobSubmission, Micros, MigratedJob, Outcome,
     StateSnapshot, TenantId, WorkerId, WorkerStatus,
@@ -223,7 +223,7 @@
         held: oneshot::Sender<bool>,
     },
     /// A job is to move to the other process; nothing comes back while it cannot.
-    Move(Ticket, oneshot::Sender<(Moved, Rc<P>)>),
+    PhaseEvent(Ticket, oneshot::Sender<(Moved, Rc<P>)>),
     /// Whether the other process holds it; where it does not it is held here again.
     MoveEnded(Ticket, bool),
     /// A job comes from the other process.
@@ -256,9 +256,9 @@
 /// hops bring, so that it does not wait behind a crowd.
 pub enum Order {
     /// Nothing more to the next hop of that name, or work for it again.
-    Maintain { name: String, out: bool, verdict: oneshot::Sender<Verdict> },
+    Maintain { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
     /// The same for one that the other process of this node knows, whether or not a list here has named it.
-    Follow { name: String, out: bool, verdict: oneshot::Sender<Verdict> },
+    Follow { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
     /// What is known now, for a successor.
     Bequeath(oneshot::Sender<Estate>),
     /// What the process before this one knew.
@@ -271,7 +271,7 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Estate {
-    pub bans: Bans,
+    pub bans: DisabledWorkers,
     /// None where only what operators called for is to be taken on.
     pub learned: Option<StateSnapshot>,
 }
@@ -341,7 +341,7 @@
     coming: HashMap<JobId, Coming<C::Parcel>>,
     hops: HashMap<WorkerId, (Rc<str>, SocketAddr)>,
     /// Next hops that operators have taken out.
-    bans: Bans,
+    bans: DisabledWorkers,
     /// When each was last listed to have started.
     starts: HashMap<WorkerId, Micros>,
     due: BTreeSet<(Micros, Due)>,
@@ -372,7 +372,7 @@
             leaving: HashMap::new(),
             coming: HashMap::new(),
             hops: HashMap::new(),
-            bans: Bans::default(),
+            bans: DisabledWorkers::default(),
             starts: HashMap::new(),
             due: BTreeSet::new(),
             actions: Vec::new(),
@@ -428,7 +428,7 @@
                 let _ = verdict.send(said);
             }
             Order::Follow { name, out, verdict } => {
-                self.bans.listed([name.as_str()]);
+                self.bans.record_listed([name.as_str()]);
                 self.obey(Order::Maintain { name, out, verdict });
             }
             Order::Bequeath(estate) => {
@@ -436,7 +436,7 @@
                 let _ = estate.send(Estate { bans: self.bans.clone(), learned });
             }
             Order::Inherit(estate) => {
-                for (name, out) in self.bans.inherit(estate.bans) {
+                for (name, out) in self.bans.merge_predecessor(estate.bans) {
                     self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
                 }
                 if let Some(learned) = &estate.learned {
@@ -463,7 +463,7 @@
                 self.told(&id, &from, word);
             }
             Notice::Holds { id, held } => _ = held.send(self.holder(&id) != Holder::Elsewhere),
-            Notice::Move(ticket, to) => self.let_go(&ticket, to),
+            Notice::PhaseEvent(ticket, to) => self.let_go(&ticket, to),
             Notice::MoveEnded(ticket, held) => self.move_ended(&ticket, held),
             Notice::Adopted(adopted) => self.expect(adopted),
             Notice::Arrived(ticket, ours) => self.arrived(&ticket, ours),
@@ -798,7 +798,7 @@
 
     fn listed(&mut self, now: Micros, hops: Vec<NamedEndpoint>, whole: bool) {
         self.counters.add(Counter::ListChanges);
-        self.bans.listed(hops.iter().map(|hop| &*hop.name));
+        self.bans.record_listed(hops.iter().map(|hop| &*hop.name));
         let entries: Vec<Endpoint> = hops.iter().map(|hop| hop.listing.clone()).collect();
         if whole {
             self.hops.clear();
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -18,9 +18,9 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes};
-use curlewusher_control::command::{Call, Verdict};
-use curlewusher_control::frame::{Decoder, Frame, FrameError, LONGEST_HERITAGE, Why};
-use curlewusher_control::takeover::Claims;
+use curlewusher_control::command::{AdminCommand, CommandResult};
+use curlewusher_control::frame::{Decoder, Frame, FrameError, MAX_SNAPSHOT_BYTES, RejectReason};
+use curlewusher_control::takeover::JobClaims;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, Shutdown, recvmsg, sendmsg, shutdown, sockopt::socket_acceptconn,
@@ -129,7 +129,7 @@
     Gone(#[source] io::Error),
     /// It answered, and said no.
     #[error(transparent)]
-    TurnedAway(Why),
+    TurnedAway(RejectReason),
     /// Another start holds the lock for too long.
     #[error("{path} is held by another start of this node; end that one if it hangs")]
     Held {
@@ -141,7 +141,7 @@
 impl HandoverError {
     /// Whether asking again later may do.
     pub fn is_busy(&self) -> bool {
-        matches!(self, HandoverError::TurnedAway(Why::Busy))
+        matches!(self, HandoverError::TurnedAway(RejectReason::Busy))
     }
 
     fn at(path: &Path, source: io::Error) -> HandoverError {
@@ -253,7 +253,7 @@
         decoder.feed(&[lead]);
     }
     match (read_frame(&stream, &mut decoder).await?, fd) {
-        (Frame::TurnedAway(why), _) => Err(HandoverError::TurnedAway(why)),
+        (Frame::Rejected(why), _) => Err(HandoverError::TurnedAway(why)),
         (Frame::Welcome(heritage), Some(fd)) => {
             let listener = listener_of(fd, listen).ok_or(HandoverError::NoListener { listen })?;
             let (link, asked) = Link::start(stream, false, decoder);
@@ -356,11 +356,11 @@
 /// The first frame that comes.
 async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
-        if let Some((_, frame)) = decoder.take()? {
+        if let Some((_, frame)) = decoder.next_frame()? {
             return Ok(frame);
         }
         if !read_piece(stream, decoder, &mut Fds::new()).await.map_err(HandoverError::Gone)? {
-            decoder.end()?;
+            decoder.finish()?;
             return Err(HandoverError::gone());
         }
     }
@@ -460,7 +460,7 @@
             Ok(_) => Err(HandoverError::OutOfTurn),
             Err(problem) => {
                 if let HandoverError::Speech(FrameError::OtherVersion { .. }) = problem {
-                    say_no(&stream, Why::OtherVersion).await;
+                    say_no(&stream, RejectReason::OtherVersion).await;
                 }
                 Err(problem)
             }
@@ -470,7 +470,7 @@
     async fn hand_in(self, hellos: &mpsc::Sender<Hello>) {
         if let Err(unheard) = hellos.try_send(self) {
             let (mpsc::error::TrySendError::Full(hello) | mpsc::error::TrySendError::Closed(hello)) = unheard;
-            hello.turn_away(Why::Busy).await;
+            hello.turn_away(RejectReason::Busy).await;
         }
     }
 
@@ -488,14 +488,14 @@
     }
 
     /// Tells it that it is not the successor, and why.
-    pub async fn turn_away(self, why: Why) {
+    pub async fn turn_away(self, why: RejectReason) {
         say_no(&self.stream, why).await;
     }
 }
 
 /// It may not be heard, which then comes to the same.
-async fn say_no(stream: &UnixStream, why: Why) {
-    if let Ok(frame) = Frame::TurnedAway(why).encode(0) {
+async fn say_no(stream: &UnixStream, why: RejectReason) {
+    if let Ok(frame) = Frame::Rejected(why).encode(0) {
         let _ = timeout(HELLO_TIME, write_all(stream, frame)).await;
     }
 }
@@ -503,7 +503,7 @@
 /// What was learned, or where that is over the bound nothing: the newer process then starts cold.
 fn bounded(heritage: Bytes) -> Bytes {
     let length = heritage.len();
-    if length <= LONGEST_HERITAGE {
+    if length <= MAX_SNAPSHOT_BYTES {
         return heritage;
     }
     warn!(target: NODE, "what was learned does not go over: {}", FrameError::TooLong { length });
@@ -540,14 +540,14 @@
         free: oneshot::Sender<bool>,
     },
     /// An operator's call.
-    Call {
+    AdminCommand {
         /// The call.
-        call: Call,
+        call: AdminCommand,
         /// What is said to it.
-        verdict: oneshot::Sender<Verdict>,
+        verdict: oneshot::Sender<CommandResult>,
     },
     /// A job that it held, whose attempts go on: whether it is held here, said once it is.
-    Move {
+    PhaseEvent {
         /// The job as it was held.
         job: Bytes,
         /// Its client's socket.
@@ -606,7 +606,7 @@
     written: Notify,
     next: Cell<u64>,
     waiting: RefCell<HashMap<u64, Waiting>>,
-    claims: RefCell<Claims>,
+    claims: RefCell<JobClaims>,
 }
 
 /// The link to the other process. It uses one descriptor, until it is lost and the last clone is dropped.
@@ -626,7 +626,7 @@
             written: Notify::new(),
             next: Cell::new(1),
             waiting: RefCell::default(),
-            claims: RefCell::new(Claims::new(elder)),
+            claims: RefCell::new(JobClaims::new(elder)),
         }));
         spawn_local(link.clone().write());
         let reader = link.clone();
@@ -670,9 +670,9 @@
 
     /// Passes a call-back's body on. Takes 300 ms at most.
     pub async fn word(&self, body: Bytes) -> Heard {
-        match self.request(Frame::Word(body), None, WORD_TIME).await {
-            Some(Frame::Heard(true)) => Heard::Owned,
-            Some(Frame::Heard(false)) => Heard::NotOwned,
+        match self.request(Frame::Callback(body), None, WORD_TIME).await {
+            Some(Frame::CallbackResult(true)) => Heard::Owned,
+            Some(Frame::CallbackResult(false)) => Heard::NotOwned,
             _ => Heard::Unheard,
         }
     }
@@ -682,23 +682,23 @@
     /// is gone. What is returned is dropped once the job is in the queue of whoever answers `Asked::Claim`,
     /// and no sooner.
     pub async fn claim(&self, id: &str) -> Option<Claim> {
-        if !self.0.claims.borrow_mut().ask(id) {
+        if !self.0.claims.borrow_mut().try_claim(id) {
             return None;
         }
         let claim = Claim { link: self.clone(), id: id.into() };
-        let asked = Frame::Claim(id.to_owned());
+        let asked = Frame::ClaimJob(id.to_owned());
         let answer = self.request(asked, Some(claim.id.clone()), CLAIM_TIME).await;
-        if matches!(answer, Some(Frame::Claimed(false))) {
+        if matches!(answer, Some(Frame::ClaimResult(false))) {
             return None;
         }
-        self.0.claims.borrow_mut().granted(id);
+        self.0.claims.borrow_mut().confirm(id);
         Some(claim)
     }
 
     /// Has an operator's call done at the other process too; none where that does not say within 700 ms.
-    pub async fn call(&self, call: &Call) -> Option<Verdict> {
-        match self.request(Frame::Call(call.clone()), None, CALL_TIME).await {
-            Some(Frame::Done(verdict)) => Some(verdict),
+    pub async fn call(&self, call: &AdminCommand) -> Option<CommandResult> {
+        match self.request(Frame::Command(call.clone()), None, CALL_TIME).await {
+            Some(Frame::CommandResult(verdict)) => Some(verdict),
             _ => None,
         }
     }
@@ -706,7 +706,8 @@
     /// Moves a job to the other process, with its client's socket. Whether it is held there; where that is not said within
     /// 2 s the link is given up, after which it cannot be said any more: never do both hold it.
     pub async fn move_job(&self, job: Bytes, client: OwnedFd) -> bool {
-        let Some((_forget, mut from)) = self.ask_for(Frame::Move(job), None, Some(Rc::new(client))) else {
+        let Some((_forget, mut from)) = self.ask_for(Frame::MigrateJob(job), None, Some(Rc::new(client)))
+        else {
             return false;
         };
         let said = match timeout(MOVE_TIME, &mut from).await {
@@ -717,7 +718,7 @@
             }
         };
         match said {
-            Ok(Frame::Moved(held)) => held,
+            Ok(Frame::MigrationResult(held)) => held,
             _ => {
                 self.close();
                 false
@@ -727,14 +728,14 @@
 
     /// Leaves a withdrawal to the other process.
     pub fn withdraw(&self, to: SocketAddr, id: &str) {
-        self.tell(&Frame::Withdraw { to, id: id.to_owned() });
+        self.tell(&Frame::CancelAttempt { to, id: id.to_owned() });
     }
 
     /// Asks the elder for the new connections and what it has learned since. Where it does not say within 1 s
     /// the link is given up: it may have handed over, and takes back when it sees that.
     pub async fn take_over(&self) -> Option<Bytes> {
-        match self.request(Frame::TakeOver, None, TAKE_OVER_TIME).await {
-            Some(Frame::Yours(heritage)) => Some(heritage),
+        match self.request(Frame::TakeoverRequest, None, TAKE_OVER_TIME).await {
+            Some(Frame::TakeoverGranted(heritage)) => Some(heritage),
             _ => {
                 self.close();
                 None
@@ -744,7 +745,7 @@
 
     /// Tells the elder to take the node back.
     pub fn give_back(&self) {
-        self.tell(&Frame::GiveBack);
+        self.tell(&Frame::HandBack);
     }
 
     fn seq(&self) -> u64 {
@@ -838,8 +839,8 @@
         // A descriptor comes with the first byte of its frame, so that they are in one order.
         let mut fds = Fds::new();
         loop {
-            while let Some((seq, frame)) = decoder.take()? {
-                if !self.up() && !frame.is_answer() {
+            while let Some((seq, frame)) = decoder.next_frame()? {
+                if !self.up() && !frame.is_response() {
                     // It cannot be answered any more, and the other process goes by that.
                     continue;
                 }
@@ -847,7 +848,7 @@
             }
             match read_piece(&self.0.stream, &mut decoder, &mut fds).await {
                 Ok(true) => {}
-                Ok(false) => return Ok(decoder.end()?),
+                Ok(false) => return Ok(decoder.finish()?),
                 // It ended before it had read all.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return Ok(()),
                 Err(e) => return Err(HandoverError::Gone(e)),
@@ -863,37 +864,47 @@
         asked: &mpsc::Sender<Asked>,
     ) -> Result<(), HandoverError> {
         match frame {
-            Frame::Yours(_) | Frame::Heard(_) | Frame::Claimed(_) | Frame::Done(_) | Frame::Moved(_) => {
-                self.answered(seq, frame)
-            }
-            Frame::Word(body) => {
-                self.ask(seq, asked, |heard| Asked::Word { body, heard }, |_, said| Frame::Heard(said))
-            }
-            Frame::Claim(id) => self.claimed(seq, id, asked),
-            Frame::Call(call) => {
-                self.ask(seq, asked, |verdict| Asked::Call { call, verdict }, |_, said| Frame::Done(said));
+            Frame::TakeoverGranted(_)
+            | Frame::CallbackResult(_)
+            | Frame::ClaimResult(_)
+            | Frame::CommandResult(_)
+            | Frame::MigrationResult(_) => self.answered(seq, frame),
+            Frame::Callback(body) => self.ask(
+                seq,
+                asked,
+                |heard| Asked::Word { body, heard },
+                |_, said| Frame::CallbackResult(said),
+            ),
+            Frame::ClaimJob(id) => self.claimed(seq, id, asked),
+            Frame::Command(call) => {
+                self.ask(
+                    seq,
+                    asked,
+                    |verdict| Asked::AdminCommand { call, verdict },
+                    |_, said| Frame::CommandResult(said),
+                );
             }
-            Frame::TakeOver => self.ask(
+            Frame::TakeoverRequest => self.ask(
                 seq,
                 asked,
                 |heritage| Asked::TakeOver { heritage },
-                |_, said| Frame::Yours(bounded(said)),
+                |_, said| Frame::TakeoverGranted(bounded(said)),
             ),
-            Frame::Move(job) => {
+            Frame::MigrateJob(job) => {
                 let client = fds.pop_front().ok_or(HandoverError::OutOfTurn)?;
                 let (held, holds) = oneshot::channel();
                 let (written, said) = oneshot::channel();
-                self.pass(asked, Asked::Move { job, client, held, said });
+                self.pass(asked, Asked::PhaseEvent { job, client, held, said });
                 let link = self.clone();
                 spawn_local(async move {
                     if let Ok(held) = holds.await {
-                        link.answer_and(seq, Frame::Moved(held), Some(written));
+                        link.answer_and(seq, Frame::MigrationResult(held), Some(written));
                     }
                 });
             }
-            Frame::Withdraw { to, id } => self.pass(asked, Asked::Withdraw { to, id }),
-            Frame::GiveBack => self.pass(asked, Asked::GiveBack),
-            Frame::Hello { .. } | Frame::Welcome(_) | Frame::TurnedAway(_) => {
+            Frame::CancelAttempt { to, id } => self.pass(asked, Asked::Withdraw { to, id }),
+            Frame::HandBack => self.pass(asked, Asked::GiveBack),
+            Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
                 return Err(HandoverError::OutOfTurn);
             }
         }
@@ -903,20 +914,21 @@
     /// A grant counts from here on, not from when its waiter next runs: the next frame may claim the same id.
     fn answered(&self, seq: u64, frame: Frame) {
         let Some(waiting) = self.0.waiting.borrow_mut().remove(&seq) else { return };
-        if let (Some(id), Frame::Claimed(true)) = (&waiting.claim, &frame) {
-            self.0.claims.borrow_mut().granted(id);
+        if let (Some(id), Frame::ClaimResult(true)) = (&waiting.claim, &frame) {
+            self.0.claims.borrow_mut().confirm(id);
         }
         let _ = waiting.answer.send(frame);
     }
 
     fn claimed(&self, seq: u64, id: String, asked: &mpsc::Sender<Asked>) {
-        if !self.0.claims.borrow().asked(&id, false) {
-            return self.answer(seq, Frame::Claimed(false));
+        if !self.0.claims.borrow().allows_peer_claim(&id, false) {
+            return self.answer(seq, Frame::ClaimResult(false));
         }
         let name = id.clone();
         // Looked at again with the answer: this process may have claimed it meanwhile.
-        let claimed =
-            move |link: &Link, free: bool| Frame::Claimed(link.0.claims.borrow().asked(&name, !free));
+        let claimed = move |link: &Link, free: bool| {
+            Frame::ClaimResult(link.0.claims.borrow().allows_peer_claim(&name, !free))
+        };
         self.ask(seq, asked, |free| Asked::Claim { id, free }, claimed);
     }
 
@@ -952,7 +964,7 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.link.0.claims.borrow_mut().over(&self.id);
+        self.link.0.claims.borrow_mut().release(&self.id);
     }
 }
 
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{Deed, Event, Share, Succession};
+use curlewusher_control::takeover::{DescriptorShare, Event, Takeover, TakeoverCommand};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
@@ -18,7 +18,7 @@
 use crate::admin::Operations;
 use crate::dispatch::{Estate, Order};
 use crate::handover::{Asked, Elder, HandoverError, Hello, Link, Place, Seat, Turn, call_on};
-use crate::lifecycle::Move;
+use crate::lifecycle::PhaseEvent;
 use crate::server::SenderSide;
 use crate::telemetry::logging::NODE;
 use crate::upstream::NextHops;
@@ -133,7 +133,7 @@
 /// The task.
 pub struct Upgrade {
     parts: Parts,
-    succession: Succession,
+    succession: Takeover,
     place: Option<Place>,
     turn: Option<Turn>,
     seat: Rc<RefCell<Option<Seat>>>,
@@ -192,8 +192,8 @@
         parts.operations.peer.estrange(estranged);
         let (node, listen) = (parts.operations.name.clone(), parts.listen.to_string());
         let (succession, deeds) = match elder {
-            Some(_) => Succession::welcomed(&node, &listen),
-            None => Succession::first(&node, &listen),
+            Some(_) => Takeover::with_predecessor(&node, &listen),
+            None => Takeover::without_predecessor(&node, &listen),
         };
         let (hellos, heard) = mpsc::channel(1);
         let (here, happens) = mpsc::channel(16);
@@ -250,7 +250,7 @@
     async fn inherit(&self, drained: bool, estate: Estate) {
         let operations = &self.parts.operations;
         if !operations.drain_called.get() {
-            let _ = operations.lifecycle.go(if drained { Move::Drain } else { Move::Undrain });
+            let _ = operations.lifecycle.go(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
         // A dispatch task that has ended ends the program.
         let _ = operations.order.send(Order::Inherit(Box::new(estate))).await;
@@ -286,14 +286,14 @@
                 Some(hello) = hellos.recv() => self.here(Here::Hello(hello)).await,
                 () = &mut mapped, if waits => {
                     waits = false;
-                    self.succession.handle(Event::MapThere)
+                    self.succession.handle(Event::EndpointsAvailable)
                 }
             };
             self.carry_out(deeds).await;
         }
     }
 
-    async fn here(&mut self, here: Here) -> Vec<Deed> {
+    async fn here(&mut self, here: Here) -> Vec<TakeoverCommand> {
         match here {
             Here::Hello(hello) => {
                 let (node, listen) = (hello.node.clone(), hello.listen.clone());
@@ -307,7 +307,7 @@
                     self.inherit(heritage.drained, heritage.estate).await;
                 }
                 self.learned = None;
-                self.succession.handle(Event::TookOver)
+                self.succession.handle(Event::TakeoverGranted)
             }
             Here::Terminate(done) => {
                 let deeds = self.succession.handle(Event::Terminate);
@@ -318,7 +318,7 @@
         }
     }
 
-    async fn asked(&mut self, asked: Asked) -> Vec<Deed> {
+    async fn asked(&mut self, asked: Asked) -> Vec<TakeoverCommand> {
         match asked {
             Asked::Word { body, heard } => {
                 let sender_side = self.parts.sender_side.clone();
@@ -333,21 +333,21 @@
                 let sender_side = self.parts.sender_side.clone();
                 spawn_local(async move { free.send(!sender_side.holds(id).await) });
             }
-            Asked::Call { call, verdict } => {
+            Asked::AdminCommand { call, verdict } => {
                 let operations = self.parts.operations.clone();
                 spawn_local(async move { verdict.send(operations.follow(&call).await) });
             }
-            Asked::Move { job, client, held, said } => {
+            Asked::PhaseEvent { job, client, held, said } => {
                 spawn_local(self.parts.sender_side.clone().adopt(job, client, held, said));
             }
             Asked::Withdraw { to, id } => self.parts.next_hops.take_over_withdrawal(to, id),
             Asked::TakeOver { heritage } => {
                 self.heir = Some(heritage);
-                return self.succession.handle(Event::TakeOverAsked);
+                return self.succession.handle(Event::TakeoverRequested);
             }
             Asked::GiveBack => {
                 self.parts.sender_side.moves(false);
-                return self.succession.handle(Event::GivenBack);
+                return self.succession.handle(Event::HandedBack);
             }
             Asked::Lost => {
                 self.parts.operations.peer.lose();
@@ -362,16 +362,16 @@
         Vec::new()
     }
 
-    async fn carry_out(&mut self, deeds: Vec<Deed>) {
+    async fn carry_out(&mut self, deeds: Vec<TakeoverCommand>) {
         for deed in deeds {
             match deed {
-                Deed::Welcome => self.welcome().await,
-                Deed::TurnAway(why) => {
+                TakeoverCommand::SendWelcome => self.welcome().await,
+                TakeoverCommand::RejectHello(why) => {
                     if let Some(hello) = self.hello.take() {
                         hello.turn_away(why).await;
                     }
                 }
-                Deed::AskToTakeOver => {
+                TakeoverCommand::RequestTakeover => {
                     if let Some(link) = self.parts.operations.peer.link() {
                         let here = self.here.clone();
                         spawn_local(
@@ -379,41 +379,41 @@
                         );
                     }
                 }
-                Deed::Yours => {
+                TakeoverCommand::GrantTakeover => {
                     let heritage = self.heritage().await;
                     if let Some(heir) = self.heir.take() {
                         let _ = heir.send(heritage);
                     }
                     self.parts.sender_side.moves(true);
                 }
-                Deed::GiveBack => {
+                TakeoverCommand::HandBack => {
                     _ = self.parts.operations.peer.link().map(|link| link.give_back());
                     self.parts.sender_side.moves(true);
                 }
-                Deed::LetGo => {
+                TakeoverCommand::CloseLink => {
                     _ = self.parts.operations.peer.link().map(|link| link.close());
                     self.link(None);
                 }
-                Deed::Accept => self.parts.sender_side.accepts(true),
-                Deed::StopAccepting => self.parts.sender_side.accepts(false),
-                Deed::Move(by) => self.go(by).await,
-                Deed::Descriptors(share) => {
-                    self.parts.sender_side.share(share == Share::Half);
-                    self.parts.next_hops.share(share == Share::Half);
+                TakeoverCommand::StartAccepting => self.parts.sender_side.accepts(true),
+                TakeoverCommand::StopAccepting => self.parts.sender_side.accepts(false),
+                TakeoverCommand::ApplyPhaseEvent(by) => self.go(by).await,
+                TakeoverCommand::SetDescriptorShare(share) => {
+                    self.parts.sender_side.share(share == DescriptorShare::Half);
+                    self.parts.next_hops.share(share == DescriptorShare::Half);
                 }
-                Deed::SitDown => self.sit(),
+                TakeoverCommand::ListenForSuccessor => self.sit(),
             }
         }
     }
 
-    async fn go(&mut self, by: Move) {
+    async fn go(&mut self, by: PhaseEvent) {
         let operations = &self.parts.operations;
         let Some(phase) = operations.lifecycle.go(by) else { return };
-        if by != Move::Listed {
+        if by != PhaseEvent::EndpointsAvailable {
             info!(target: NODE, "curlewusher {}: {phase}", operations.name);
         }
-        if matches!(by, Move::HandOver | Move::TakeBack) {
-            let _ = operations.order.send(Order::Retire(by == Move::HandOver)).await;
+        if matches!(by, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
+            let _ = operations.order.send(Order::Retire(by == PhaseEvent::HandedOver)).await;
         }
     }
 
@@ -422,7 +422,7 @@
         let operations = &self.parts.operations;
         let asked = operations.order.send(Order::Bequeath(estate)).await.is_ok();
         let Some(estate) = bequeathed.await.ok().filter(|_| asked) else { return Bytes::new() };
-        let heritage = Heritage { form: FORM, drained: operations.lifecycle.phase().drained(), estate };
+        let heritage = Heritage { form: FORM, drained: operations.lifecycle.phase().is_drained(), estate };
         match serde_json::to_vec(&heritage) {
             Ok(bytes) => bytes.into(),
             Err(e) => {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-pub use curlewusher_control::phase::{Move, Phase};
+pub use curlewusher_control::phase::{Phase, PhaseEvent};
 
 /// After SIGTERM the front still sends new connections here for up to 0.4 s, and clients use what they have.
 pub const DRAIN_AT_LEAST: Duration = Duration::from_millis(700);
@@ -33,8 +33,8 @@
 
     /// Moves to the phase that the table has for it, and says which that is; none where it has none, as when a list
     /// comes while the program ends. Called by the node's own thread only.
-    pub fn go(&self, by: Move) -> Option<Phase> {
-        let phase = self.phase().after(by)?;
+    pub fn go(&self, by: PhaseEvent) -> Option<Phase> {
+        let phase = self.phase().next(by)?;
         let at = Phase::ALL.iter().position(|p| *p == phase)?;
         self.at.store(at, Ordering::Relaxed);
         Some(phase)
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -24,7 +24,7 @@
 use crate::dispatch::{self, Clock, Dispatch, Notice};
 use crate::handover::Peer;
 use crate::handover::takeover::{Beginning, Parts, Upgrade};
-use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, Move};
+use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, PhaseEvent};
 use crate::server::{Bounds, SenderSide};
 use crate::telemetry::logging::{Logs, NODE};
 use crate::telemetry::metrics::{Counter, Counters};
@@ -246,7 +246,7 @@
         // What came meanwhile. The listener goes last: a connection that it has in its queue would be reset.
         sender_side.close().await;
         accept.abort();
-        lifecycle.go(Move::Answered);
+        lifecycle.go(PhaseEvent::ShutdownCompleted);
     };
     // Without the dispatch task or the transport map a node is deaf: better to end than to hang on.
     tokio::select! {
--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -13,7 +13,7 @@
     #[error("the call cannot be read: {0}")]
     Unreadable(serde_json::Error),
     #[error("field share is missing or no share")]
-    Share,
+    DescriptorShare,
     #[error("field result is missing")]
     NoResult,
     #[error("field result: {0}")]
@@ -50,7 +50,7 @@
             State::Started => Word::Started,
             State::Running => match call.share.filter(|share| (0.0..=1.0).contains(share)) {
                 Some(share) => Word::Running(share),
-                None => return Err(CallbackError::Share),
+                None => return Err(CallbackError::DescriptorShare),
             },
             State::Done => Word::Done(unquoted(body, call.result.ok_or(CallbackError::NoResult)?)?),
             State::Failed => Word::Failed,
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use curlewusher_control::takeover::{Route, route};
+use curlewusher_control::takeover::{CallbackRoute, route};
 use curlewusher_core::{ClassId, Idempotency, TenantId, stable_hash};
 use curlewusher_settings::Site;
 use curlewusher_settings::operator::ServerOptions as Tuning;
@@ -286,7 +286,7 @@
                 let idle = self.shared.tuning.get().idle_ms.millis();
                 // A node that ends keeps them open a little longer: clients use what they have until then.
                 let phase = self.shared.lifecycle.phase();
-                let sends_on = phase.sends_on() && !phase.ends();
+                let sends_on = phase.redirects_clients() && !phase.is_shutting_down();
                 for connection in self.connections() {
                     if connection.is_blocked(WRITE_TIME) {
                         connection.drop_now();
@@ -492,7 +492,7 @@
         let mut reply = match (request.method(), request.uri().path()) {
             (&Method::POST, "/callback") => self.callback(request).await,
             (&Method::GET, "/ready") => Ok(match shared.lifecycle.phase() {
-                phase if phase.wants_clients() => reply(StatusCode::OK, "ready\n"),
+                phase if phase.accepts_new_clients() => reply(StatusCode::OK, "ready\n"),
                 phase => reply(StatusCode::SERVICE_UNAVAILABLE, format!("{phase}\n")),
             }),
             (&Method::GET, "/metrics") => {
@@ -530,7 +530,7 @@
         });
         if let Some(connection) = &self.connection {
             connection.enter(ConnectionState::Idle);
-            let sends_on = shared.lifecycle.phase().sends_on() && !connection.next_hop.get();
+            let sends_on = shared.lifecycle.phase().redirects_clients() && !connection.next_hop.get();
             if sends_on || connection.last.get() || shared.over.get() {
                 // The client is to go on elsewhere.
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -579,7 +579,7 @@
         let linked = link.as_ref().is_some_and(|link| link.up());
         let heard = match (holder, route(holder == Holder::Here, linked), link) {
             (Holder::OnItsWay, ..) => false,
-            (_, Route::PassOn, Some(link)) => match link.word(body.clone()).await {
+            (_, CallbackRoute::Forward, Some(link)) => match link.word(body.clone()).await {
                 Heard::Owned => true,
                 // Its job may have come from there since it was looked for here.
                 Heard::NotOwned => self.hear(body).await.is_some(),
@@ -627,7 +627,7 @@
         // A task of its own: a client that leaves now must not leave the job between both.
         let moving = spawn_local(async move {
             let (to, let_go) = oneshot::channel();
-            queue.send(Notice::Move(ticket.clone(), to)).await.ok()?;
+            queue.send(Notice::PhaseEvent(ticket.clone(), to)).await.ok()?;
             let (moved, parcel) = let_go.await.ok()?;
             let held = match record(&moved, &parcel) {
                 Some(record) => link.move_job(record, client).await,
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -121,8 +121,8 @@
         // The byte that carries the listener.
         younger.stream.read_exact(&mut [0]).expect("a welcome");
         assert!(matches!(younger.hears(), (_, Frame::Welcome(_))));
-        younger.say(1, Frame::TakeOver);
-        assert!(matches!(younger.hears(), (1, Frame::Yours(_))));
+        younger.say(1, Frame::TakeoverRequest);
+        assert!(matches!(younger.hears(), (1, Frame::TakeoverGranted(_))));
         younger
     }
 
@@ -155,7 +155,7 @@
 
     fn hears(&mut self) -> (u64, Frame) {
         loop {
-            if let Some(said) = self.decoder.take().expect("a frame") {
+            if let Some(said) = self.decoder.next_frame().expect("a frame") {
                 return said;
             }
             let mut piece = [0; 4096];
@@ -168,7 +168,7 @@
     /// The next job that is to move here, and the number of that.
     fn moved(&mut self) -> (u64, Frame) {
         let (seq, frame) = self.hears();
-        assert!(matches!(frame, Frame::Move(_)), "{frame:?}");
+        assert!(matches!(frame, Frame::MigrateJob(_)), "{frame:?}");
         (seq, frame)
     }
 }
@@ -194,7 +194,7 @@
     let mut younger = Other::takes_over(&node);
     let (seq, _) = younger.moved();
     leaves(client);
-    younger.say(seq, Frame::Moved(false));
+    younger.say(seq, Frame::MigrationResult(false));
     let withdrawal = hop.request();
     assert_eq!(withdrawal.message.start, "DELETE /jobs/r1 HTTP/1.1");
     withdrawal.answer("200 OK");
@@ -212,7 +212,7 @@
     let mut younger = Other::takes_over(&node);
     let (seq, _) = younger.moved();
     leaves(client);
-    younger.say(seq, Frame::Moved(false));
+    younger.say(seq, Frame::MigrationResult(false));
     drop(younger);
     node.says_of("the other process is gone");
     watch.line(&list(43, false, &[endpoint("s-1", hop.address, "in_service")]));
@@ -236,7 +236,7 @@
     // The younger one does not answer; the client gets its answer all the same.
     assert_eq!(answer(client).status(), 502);
     assert!(hop.request().message.start.starts_with("DELETE "));
-    assert_eq!(younger.decoder.take(), Ok(None), "it was to move");
+    assert_eq!(younger.decoder.next_frame(), Ok(None), "it was to move");
     younger.stream.set_nonblocking(true).expect("a socket");
     let said = younger.stream.read(&mut [0]).map_err(|e| e.kind());
     assert_eq!(said, Err(ErrorKind::WouldBlock), "it was to move, or the link is given up");
@@ -291,8 +291,8 @@
     let (mut to_younger, younger) = Other::is_followed(&patient(discovery.address, &known), &listener);
     Watch::open(&discovery).line(&list(42, true, &known));
     let (seq, asks) = to_younger.hears();
-    assert_eq!(asks, Frame::TakeOver);
-    to_younger.say(seq, Frame::Yours("".into()));
+    assert_eq!(asks, Frame::TakeoverRequest);
+    to_younger.say(seq, Frame::TakeoverGranted("".into()));
     // What it says next does not reach anybody.
     to_younger.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -2,7 +2,7 @@
 //! process. The clock stands, or goes on where nothing else can happen: no test here waits for time itself.
 
 use super::*;
-use curlewusher_control::command::Refusal;
+use curlewusher_control::command::CommandError;
 use tempfile::TempDir;
 use tokio::task::{LocalSet, yield_now};
 
@@ -86,7 +86,7 @@
     run(Time::Stands, async {
         let (_dir, listener, at, place) = place();
         let (_seat, mut heard) = seat(&place);
-        let learned = Bytes::from(vec![7; LONGEST_HERITAGE]);
+        let learned = Bytes::from(vec![7; MAX_SNAPSHOT_BYTES]);
         let ((_link, mut asked), elder) = welcomed(&mut heard, &listener, learned.clone(), &place).await;
         assert_eq!(elder.heritage, learned);
         let waits = std::net::TcpStream::connect(at).expect("in the queue");
@@ -94,7 +94,7 @@
         let hand_over = async {
             let Some(Asked::TakeOver { heritage }) = asked.recv().await else { panic!("no take-over") };
             // More than goes over: the newer one starts cold then.
-            heritage.send(vec![0; LONGEST_HERITAGE + 1].into()).expect("it waits");
+            heritage.send(vec![0; MAX_SNAPSHOT_BYTES + 1].into()).expect("it waits");
         };
         let (yours, ()) = tokio::join!(elder.link.take_over(), hand_over);
         assert_eq!(yours, Some(Bytes::new()));
@@ -113,9 +113,9 @@
                 match what {
                     Asked::Word { body, heard } => _ = heard.send(body == "mine"),
                     Asked::Claim { id, free } => _ = free.send(id != "held"),
-                    Asked::Call { call, verdict } => {
-                        assert_eq!(call, Call::Drain);
-                        _ = verdict.send(Err(Refusal::Ending));
+                    Asked::AdminCommand { call, verdict } => {
+                        assert_eq!(call, AdminCommand::Drain);
+                        _ = verdict.send(Err(CommandError::ShuttingDown));
                     }
                     Asked::GiveBack => return true,
                     _ => return false,
@@ -126,7 +126,7 @@
         let questions = async {
             let words = tokio::join!(younger.word("mine".into()), younger.word("not".into()));
             assert_eq!(words, (Heard::Owned, Heard::NotOwned));
-            assert_eq!(younger.call(&Call::Drain).await, Some(Err(Refusal::Ending)));
+            assert_eq!(younger.call(&AdminCommand::Drain).await, Some(Err(CommandError::ShuttingDown)));
             assert!(younger.claim("held").await.is_none());
             let claim = younger.claim("new").await.expect("free");
             assert!(younger.claim("new").await.is_none(), "a second copy");
@@ -163,7 +163,7 @@
         let elder = async {
             read_frame(&other, &mut Decoder::default()).await.expect("its claim");
             // Both come in one piece: nothing runs between them.
-            let [yes, claim] = [Frame::Claimed(true).encode(1), Frame::Claim("a".into()).encode(2)];
+            let [yes, claim] = [Frame::ClaimResult(true).encode(1), Frame::ClaimJob("a".into()).encode(2)];
             let both = [yes.expect("short"), claim.expect("short")].concat();
             write_all(&other, both.into()).await.expect("it reads");
             read_frame(&other, &mut Decoder::default()).await.expect("an answer")
@@ -174,7 +174,7 @@
         };
         let both = async { tokio::join!(younger.claim("a"), elder) };
         let (claim, answer) = tokio::select! { both = both => both, () = node => unreachable!() };
-        assert!(claim.is_some() && answer == Frame::Claimed(false));
+        assert!(claim.is_some() && answer == Frame::ClaimResult(false));
     });
 }
 
@@ -190,7 +190,7 @@
         assert_eq!(word, Heard::Unheard);
         assert!(claim.is_some() && !younger.up());
         lost(&younger).await;
-        assert_eq!(younger.call(&Call::Drain).await, None);
+        assert_eq!(younger.call(&AdminCommand::Drain).await, None);
         assert!(matches!(told.recv().await, Some(Asked::Lost)) && told.recv().await.is_none());
     });
 }
@@ -209,7 +209,7 @@
         let (link, _asked) = Link::start(one, true, Decoder::default());
         let body = Bytes::from(vec![0; 100 << 10]);
         for _ in 0..=MOST_UNWRITTEN / body.len() {
-            link.answer(1, Frame::Word(body.clone()));
+            link.answer(1, Frame::Callback(body.clone()));
         }
         assert!(!link.up());
         link.written().await;
@@ -234,16 +234,16 @@
         let welcome = Frame::Welcome("learned".into()).encode(0).expect("short");
         let mut older = welcome.to_vec();
         older[4] = 0;
-        assert!(matches!(answered(b"HTTP/1.1 400").await, HandoverError::Speech(FrameError::Foreign)));
+        assert!(matches!(answered(b"HTTP/1.1 400").await, HandoverError::Speech(FrameError::NotAFrame)));
         let error = answered(&older).await;
         assert!(
             matches!(error, HandoverError::Speech(FrameError::OtherVersion { theirs: 0, .. })),
             "{error}"
         );
-        assert!(matches!(answered(&welcome[..9]).await, HandoverError::Speech(FrameError::Torn)));
+        assert!(matches!(answered(&welcome[..9]).await, HandoverError::Speech(FrameError::Truncated)));
         assert!(matches!(answered(&welcome).await, HandoverError::NoListener { .. }));
         assert!(matches!(answered(b"").await, HandoverError::Gone(_)));
-        let busy = Frame::TurnedAway(Why::Busy).encode(0).expect("short");
+        let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("short");
         assert!(answered(&busy).await.is_busy());
     });
     run(Time::Goes, async {
@@ -267,7 +267,7 @@
         let wrong = async { heard.recv().await.expect("a hello").welcome(&other, Bytes::new()).await };
         let (error, _) = tokio::join!(call_on(&place, "n", at), wrong);
         assert!(matches!(error, Err(HandoverError::NoListener { .. })));
-        let no = async { heard.recv().await.expect("a hello").turn_away(Why::Busy).await };
+        let no = async { heard.recv().await.expect("a hello").turn_away(RejectReason::Busy).await };
         let (error, ()) = tokio::join!(call_on(&place, "n", at), no);
         assert!(error.err().expect("no elder").is_busy());
         welcomed(&mut heard, &listener, Bytes::new(), &place).await;
