--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -36,7 +36,7 @@
 const CALLS_ROOM: usize = 64;
 
 /// A call on its way to the node's task, and where its verdict goes.
-pub type Handed = (AdminCommand, oneshot::Sender<CommandResult>);
+pub type PendingCommand = (AdminCommand, oneshot::Sender<CommandResult>);
 
 /// Why there is no second address.
 #[derive(Debug, Error)]
@@ -53,7 +53,7 @@
 pub fn open(
     at: SocketAddr,
     lifecycle: Lifecycle,
-) -> Result<(SocketAddr, mpsc::Receiver<Handed>), ConsoleError> {
+) -> Result<(SocketAddr, mpsc::Receiver<PendingCommand>), ConsoleError> {
     let address = |cause| ConsoleError::Address { at, cause };
     let listener = std::net::TcpListener::bind(at).map_err(address)?;
     listener.set_nonblocking(true).map_err(address)?;
@@ -77,7 +77,7 @@
 async fn take_callers(
     listener: std::net::TcpListener,
     lifecycle: Lifecycle,
-    hand: mpsc::Sender<Handed>,
+    hand: mpsc::Sender<PendingCommand>,
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
@@ -105,7 +105,7 @@
 }
 
 /// One connection: one line, one answer.
-async fn hear(mut stream: TcpStream, lifecycle: Lifecycle, hand: mpsc::Sender<Handed>) {
+async fn hear(mut stream: TcpStream, lifecycle: Lifecycle, hand: mpsc::Sender<PendingCommand>) {
     let _ = stream.set_nodelay(true);
     let Ok(Some(line)) = timeout(LINE_TIME, read_line(&mut stream)).await else { return };
     let said = match AdminCommand::parse(&line) {
@@ -145,7 +145,11 @@
     Some(line)
 }
 
-async fn carry_out(call: AdminCommand, lifecycle: &Lifecycle, hand: &mpsc::Sender<Handed>) -> CommandResult {
+async fn carry_out(
+    call: AdminCommand,
+    lifecycle: &Lifecycle,
+    hand: &mpsc::Sender<PendingCommand>,
+) -> CommandResult {
     if call == AdminCommand::Ready {
         // Said without the node's task: it is asked most when that is busiest. A process whose successor serves is
         // ready as well, for it would take the node back.
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -10,26 +10,26 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
-use crate::admin::listener::Handed;
-use crate::dispatch::Order;
+use crate::admin::listener::PendingCommand;
+use crate::dispatch::DispatchCommand;
 use crate::handover::Peer;
 use crate::lifecycle::{Lifecycle, PhaseEvent};
 use crate::telemetry::logging::NODE;
 
 /// Carries out calls.
 #[derive(Clone)]
-pub struct Operations {
+pub struct AdminService {
     pub name: Rc<str>,
     pub lifecycle: Lifecycle,
-    pub order: mpsc::Sender<Order>,
+    pub order: mpsc::Sender<DispatchCommand>,
     pub peer: Peer,
     /// A call for a drain or its end has come to this process, or to the other while both ran.
     pub drain_called: Rc<Cell<bool>>,
 }
 
-impl Operations {
+impl AdminService {
     /// Serves the second address, for as long as there is one.
-    pub async fn serve(self, calls: Option<mpsc::Receiver<Handed>>) {
+    pub async fn serve(self, calls: Option<mpsc::Receiver<PendingCommand>>) {
         let Some(mut calls) = calls else { return std::future::pending().await };
         while let Some((call, verdict)) = calls.recv().await {
             let said = self.carry_out(&call).await;
@@ -46,9 +46,11 @@
         self.here(call, false).await?;
         match self.peer.link() {
             // One that is gone meanwhile has nothing to hold any more.
-            Some(link) => {
-                link.call(call).await.unwrap_or(if link.up() { Err(CommandError::TimedOut) } else { Ok(()) })
-            }
+            Some(link) => link.forward_command(call).await.unwrap_or(if link.is_connected() {
+                Err(CommandError::TimedOut)
+            } else {
+                Ok(())
+            }),
             None => Ok(()),
         }
     }
@@ -65,15 +67,15 @@
             (AdminCommand::Drain | AdminCommand::Undrain, _) => {
                 let by = if *call == AdminCommand::Drain { PhaseEvent::Drain } else { PhaseEvent::Undrain };
                 // No move of the table: it is so already, or the process ends.
-                let _ = self.lifecycle.go(by);
+                let _ = self.lifecycle.apply(by);
                 self.drain_called.set(true);
                 return Ok(());
             }
             (AdminCommand::Disable(name) | AdminCommand::Enable(name), vouched) => {
                 let (name, out) = (name.clone(), matches!(call, AdminCommand::Disable(_)));
                 match vouched {
-                    true => Order::Follow { name, out, verdict },
-                    false => Order::Maintain { name, out, verdict },
+                    true => DispatchCommand::SetWorkerDisabledByPeer { name, out, verdict },
+                    false => DispatchCommand::SetWorkerDisabled { name, out, verdict },
                 }
             }
         };
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -7,27 +7,27 @@
 use curlewusher_settings::operator::Operator;
 use serde_json::Value;
 
-use crate::config::{Config, ConfigError, Told, VARIABLES};
+use crate::config::{Config, ConfigError, ConfigSources, VARIABLES};
 
 /// Prints all values; an error where a start would fail.
-pub fn run(told: &Told) -> Result<(), ConfigError> {
-    Config::read(told)?;
+pub fn run(sources: &ConfigSources) -> Result<(), ConfigError> {
+    Config::read(sources)?;
     let mut out = String::new();
-    platform(told, &mut out)?;
-    operator(told, &mut out)?;
+    platform(sources, &mut out)?;
+    operator(sources, &mut out)?;
     // A reader that has seen enough may close its end.
     let _ = std::io::stdout().write_all(out.as_bytes());
     Ok(())
 }
 
-fn platform(told: &Told, out: &mut String) -> Result<(), ConfigError> {
-    let (path, text) = told.platform()?;
+fn platform(sources: &ConfigSources, out: &mut String) -> Result<(), ConfigError> {
+    let (path, text) = sources.platform()?;
     let mut written: Value = serde_json::from_str(&text).map_err(|e| ConfigError::Shape(e.to_string()))?;
     let settings = written["settings"].take();
     let effective = curlewusher_settings::effective(settings.clone()).map_err(ConfigError::Settings)?;
     let _ = writeln!(out, "# what the platform tells");
     for (field, variable) in VARIABLES {
-        match told.variable(variable) {
+        match sources.variable(variable) {
             Some(value) => _ = writeln!(out, "{field} = {:?}  # {variable}", value),
             None if written[field].is_null() => _ = writeln!(out, "{field} is not given  # default"),
             None => _ = writeln!(out, "{field} = {}  # {path}", written[field]),
@@ -63,8 +63,8 @@
     }
 }
 
-fn operator(told: &Told, out: &mut String) -> Result<(), ConfigError> {
-    let file = told.operator()?;
+fn operator(sources: &ConfigSources, out: &mut String) -> Result<(), ConfigError> {
+    let file = sources.operator()?;
     let _ = writeln!(out, "# what the operator says");
     let (path, text) = file.as_ref().map_or(("", ""), |(path, text)| (path.as_str(), text.as_str()));
     let operator = Operator::parse(text)
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -100,11 +100,11 @@
 ];
 
 /// Where the configuration is: in the environment, and in the operator's file if there is one.
-pub struct Told {
+pub struct ConfigSources {
     pub operator: Option<PathBuf>,
 }
 
-impl Told {
+impl ConfigSources {
     pub fn variable(&self, name: &str) -> Option<String> {
         std::env::var(name).ok()
     }
@@ -131,25 +131,28 @@
 
 impl Config {
     /// Reads the file that RELAY_CONFIG names. The other variables stand before what it says.
-    pub fn read(told: &Told) -> Result<Self, ConfigError> {
-        Self::parse(told, |name| told.variable(name))
+    pub fn read(sources: &ConfigSources) -> Result<Self, ConfigError> {
+        Self::parse(sources, |name| sources.variable(name))
     }
 
     /// Reads the file again, for SIGHUP: here what it says of discovery stands before RELAY_DISCOVERY, which
     /// is as old as the process. The whole file must be good, or nothing of it counts.
-    pub fn read_again(told: &Told) -> Result<Self, ConfigError> {
-        Self::parse(told, |name| told.variable(name).filter(|_| name != "RELAY_DISCOVERY"))
+    pub fn read_again(sources: &ConfigSources) -> Result<Self, ConfigError> {
+        Self::parse(sources, |name| sources.variable(name).filter(|_| name != "RELAY_DISCOVERY"))
     }
 
-    fn parse(told: &Told, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let operator = match told.operator()? {
+    fn parse(
+        sources: &ConfigSources,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
+        let operator = match sources.operator()? {
             None => Operator::default(),
             Some((path, text)) => {
                 let read = Operator::parse(&text);
                 read.map_err(|e| ConfigError::Operator { path, cause: e.to_string() })?
             }
         };
-        let (_, text) = told.platform()?;
+        let (_, text) = sources.platform()?;
         let json = &mut serde_json::Deserializer::from_str(&text);
         let file: File =
             serde_path_to_error::deserialize(json).map_err(|e| ConfigError::Shape(e.to_string()))?;
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -15,7 +15,7 @@
 
 /// So many places, of which a part can be left to the other process.
 #[derive(Clone)]
-pub struct Places {
+pub struct ConnectionBudget {
     all: usize,
     half: usize,
     /// Those that are this process's to use, and those that should be.
@@ -24,11 +24,11 @@
     room: Arc<Semaphore>,
 }
 
-impl Places {
+impl ConnectionBudget {
     /// `half`: those that are left to this process while another of its node runs.
-    pub fn new(all: usize, half: usize) -> Places {
+    pub fn new(all: usize, half: usize) -> ConnectionBudget {
         let count = || Rc::new(Cell::new(all));
-        Places { all, half, kept: count(), wanted: count(), room: Arc::new(Semaphore::new(all)) }
+        ConnectionBudget { all, half, kept: count(), wanted: count(), room: Arc::new(Semaphore::new(all)) }
     }
 
     /// Places that nobody holds.
@@ -37,22 +37,22 @@
     }
 
     /// So many are to be used at present.
-    pub fn wanted(&self) -> usize {
+    pub fn target(&self) -> usize {
         self.wanted.get()
     }
 
     /// Waits for a place; it is free again once what comes back is dropped.
-    pub async fn take(&self) -> Option<OwnedSemaphorePermit> {
+    pub async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.room.clone().acquire_owned().await.ok()
     }
 
     /// A place that is free now.
-    pub fn try_take(&self) -> Option<OwnedSemaphorePermit> {
+    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.room.clone().try_acquire_owned().ok()
     }
 
     /// Uses half of the places or all. Those in use are given up as they come free; `make_way` asks for one.
-    pub fn share(&self, half: bool, make_way: impl Fn()) {
+    pub fn set_halved(&self, half: bool, make_way: impl Fn()) {
         let wanted = if half { self.half } else { self.all };
         self.wanted.set(wanted);
         if wanted > self.kept.get() {
@@ -73,7 +73,7 @@
 
     async fn shrink(self) {
         while self.kept.get() > self.wanted.get() {
-            if let Ok(Some(place)) = timeout(PAUSE, self.take()).await
+            if let Ok(Some(place)) = timeout(PAUSE, self.acquire()).await
                 && self.kept.get() > self.wanted.get()
             {
                 self.give_up(place);
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -25,10 +25,10 @@
 use crate::discovery::endpoint_list::{
     EndpointListError, EndpointListMessage, EndpointListReader, EndpointResolver,
 };
-use crate::dispatch::{Notice, Queue};
-use crate::telemetry::logging::TRANSPORT_MAP;
-use crate::telemetry::metrics::{Counter, Counters};
-use crate::upstream::Parcel;
+use crate::dispatch::{DispatchMessage, DispatchQueue};
+use crate::telemetry::logging::DISCOVERY;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::RequestPayload;
 
 /// A watch sends a line every 2 s. One that is late by half of that, on a slow network or machine, is not
 /// silent yet: all nodes would call at once.
@@ -191,7 +191,7 @@
 }
 
 /// When this node calls discovery of its own accord. Else it does so where the dispatch task asks for it.
-pub struct Pace {
+pub struct WatchTiming {
     /// Lists are pushed: nobody asks, and what discovery has counts as told.
     pushed: bool,
     /// By then discovery has served a call of each node.
@@ -200,10 +200,10 @@
     turn: Duration,
 }
 
-impl Pace {
+impl WatchTiming {
     pub fn new(settings: &Settings) -> Self {
         let (all, turn) = (CALL * settings.nodes, CALL * settings.node_index);
-        Pace { pushed: !settings.endpoints_on_request, all, turn: turn.min(all) }
+        WatchTiming { pushed: !settings.endpoints_on_request, all, turn: turn.min(all) }
     }
 
     /// How long after a call one more is made beside it, should it not have begun; none where it would but
@@ -236,7 +236,7 @@
 /// The one place that knows which watch is open, which calls are under way, and when the next is due. While
 /// none of these is at discovery's address, the dispatch task has been told that the list failed, and asks.
 struct Calls {
-    pace: Pace,
+    pace: WatchTiming,
     discovery: SocketAddr,
     /// How often discovery has moved.
     era: u32,
@@ -256,7 +256,7 @@
     fn call(&mut self) {
         let (from, era, index) = (self.discovery, self.era, self.index);
         let called = Instant::now();
-        debug!(target: TRANSPORT_MAP, %from, index, "call");
+        debug!(target: DISCOVERY, %from, index, "call");
         let opening = Box::pin(async move {
             let open = async {
                 let mut watch = Watch::open(from, era, index).await?;
@@ -396,19 +396,19 @@
     }
 }
 
-/// The task that watches discovery, whenever the dispatch task asks for it or [`Pace`] has it so.
-pub struct TransportMap {
+/// The task that watches discovery, whenever the dispatch task asks for it or [`WatchTiming`] has it so.
+pub struct EndpointWatcher {
     pub discovery: SocketAddr,
     pub names: EndpointResolver,
     pub index: u64,
-    pub queue: Queue<Parcel>,
+    pub queue: DispatchQueue<RequestPayload>,
     /// Says that a list has come.
     pub there: watch::Sender<bool>,
-    pub counters: Counters,
-    pub pace: Pace,
+    pub counters: Metrics,
+    pub pace: WatchTiming,
 }
 
-impl TransportMap {
+impl EndpointWatcher {
     /// `moved` tells of a new address of discovery.
     pub async fn run(mut self, mut asked: mpsc::Receiver<()>, mut moved: watch::Receiver<SocketAddr>) {
         let mut calls = Calls {
@@ -429,7 +429,7 @@
                 biased;
                 Ok(()) = moved.changed() => {
                     calls.moved(*moved.borrow_and_update());
-                    if self.queue.send(Notice::ListMoved).await.is_err() {
+                    if self.queue.send(DispatchMessage::DiscoveryMoved).await.is_err() {
                         return;
                     }
                     continue;
@@ -454,7 +454,7 @@
             let Some((era, heard)) = calls.heard(came) else { continue };
             let notice = match heard {
                 // An old address says nothing of what the new one has.
-                Ok(None) if era == calls.era => Notice::ListStands,
+                Ok(None) if era == calls.era => DispatchMessage::EndpointsConfirmed,
                 Ok(None) => continue,
                 Ok(Some(list)) => {
                     let stands = era == calls.era;
@@ -465,20 +465,25 @@
                     self.there.send_replace(true);
                     let hops = self.names.resolve(&list.endpoints);
                     let (index, entries, whole) = (list.index, hops.len(), list.snapshot);
-                    debug!(target: TRANSPORT_MAP, index, entries, whole, ?took, "list or change");
-                    Notice::Listed { hops, whole, stands, took }
+                    debug!(target: DISCOVERY, index, entries, whole, ?took, "list or change");
+                    DispatchMessage::EndpointsChanged {
+                        endpoints: hops,
+                        snapshot: whole,
+                        confirmed: stands,
+                        poll_duration: took,
+                    }
                 }
                 Err(broken) => {
                     self.counters.add(Counter::ListFailures);
-                    warn!(target: TRANSPORT_MAP, "transport map: {broken}");
+                    warn!(target: DISCOVERY, "transport map: {broken}");
                     let spoilt = era == calls.era && matches!(broken, WatchError::Spoilt(_));
-                    if spoilt && self.queue.send(Notice::ListSpoilt).await.is_err() {
+                    if spoilt && self.queue.send(DispatchMessage::EndpointsUnreadable).await.is_err() {
                         return;
                     }
                     if !calls.failed(era, &broken, waited) {
                         continue;
                     }
-                    Notice::ListFailed
+                    DispatchMessage::WatchFailed
                 }
             };
             if self.queue.send(notice).await.is_err() {
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -19,23 +19,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::{debug, trace};
 
-use crate::handover::MOVE_TIME;
+use crate::handover::MIGRATION_TIMEOUT;
 use crate::telemetry::logging::DISPATCH;
-use crate::telemetry::metrics::{Counter, Counters};
-use crate::upstream::send_permit::{Clearance, Flag};
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::send_permit::{CancelFlag, SendPermit};
 
 /// Room in the queue, beside the place that each open job holds for the news that its client has gone: were
 /// those of one room, jobs could fill it, and nothing that ends a job would reach the task any more.
 const QUEUE_ROOM: usize = 4096;
 
 /// The queue of a node that has at most so many connections, each with one job.
-pub fn queue<P>(connections: usize) -> (Queue<P>, mpsc::Receiver<Notice<P>>) {
+pub fn queue<P>(connections: usize) -> (DispatchQueue<P>, mpsc::Receiver<DispatchMessage<P>>) {
     mpsc::channel(QUEUE_ROOM + connections)
 }
 
 /// A job that has no longer than this left stays where it is: were the other process to keep silent while it
 /// is on its way there, its answer would come too late. Half a second is for what comes after.
-const TOO_LATE_TO_MOVE: Micros = MOVE_TIME.as_micros() as Micros + 500_000;
+const TOO_LATE_TO_MOVE: Micros = MIGRATION_TIMEOUT.as_micros() as Micros + 500_000;
 
 /// Microseconds since the Unix epoch that never go back: read once from the system, then counted on.
 #[derive(Clone, Copy)]
@@ -61,11 +61,11 @@
 
 /// The final answer to a job.
 #[derive(Debug)]
-pub enum Answer {
+pub enum JobResponse {
     /// A next hop's result.
     Served(Bytes),
     /// Not now: coming again does no harm, and is best done after this long.
-    Defer { after: Duration },
+    Rejected { retry_after: Duration },
     /// Given up; it may have run.
     Failed,
     /// A job of this id is in hand already.
@@ -73,7 +73,7 @@
 }
 
 /// A job as a sender side hands it in.
-pub struct Taken<P> {
+pub struct SubmittedJob<P> {
     pub id: Rc<str>,
     pub class: ClassId,
     pub tenant: TenantId,
@@ -84,22 +84,22 @@
     pub key: Option<u64>,
     pub repeat: bool,
     /// What is to be delivered; the dispatch task never looks into it.
-    pub parcel: P,
-    pub ticket: Ticket,
-    pub answer: oneshot::Sender<Answer>,
+    pub payload: P,
+    pub job_handle: JobHandle,
+    pub answer: oneshot::Sender<JobResponse>,
 }
 
 /// Stands for a job between its sender side, which says on it that the client has gone, and the dispatch task, which
 /// writes the job's number on it.
 #[derive(Clone, Default)]
-pub struct Ticket {
+pub struct JobHandle {
     job: Rc<Cell<Option<JobId>>>,
-    client_gone: Rc<Flag>,
+    client_gone: Rc<CancelFlag>,
 }
 
-impl Ticket {
+impl JobHandle {
     /// No attempt of the job begins from now on. What else is to be done about it is the notice's to bring.
-    pub fn client_goes(&self) {
+    pub fn mark_client_gone(&self) {
         self.client_gone.raise();
     }
 
@@ -110,46 +110,46 @@
 
 /// Which delivery attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptKey {
+pub struct AttemptId {
     job: JobId,
     attempt: u32,
 }
 
 /// A delivery attempt to be made. It is given up when `give_up` says so; once the sending half of that is
 /// dropped, the attempt is over and only its connection is left to care for.
-pub struct DeliveryAttempt<P> {
-    pub key: AttemptKey,
+pub struct AttemptRequest<P> {
+    pub key: AttemptId,
     pub id: Rc<str>,
     pub to: SocketAddr,
-    pub parcel: Rc<P>,
+    pub payload: Rc<P>,
     pub wait: Duration,
     pub give_up: oneshot::Receiver<()>,
     /// Where it holds no more before the first byte has left, none does, and the attempt ends as never sent.
-    pub clearance: Rc<Clearance>,
+    pub send_permit: Rc<SendPermit>,
 }
 
 /// Whatever carries jobs to next hops. It reports through the queue: `Accepted`, then nothing or `GivenUp`;
 /// or `Ended`.
-pub trait Carrier {
-    type Parcel;
-    fn deliver(&self, attempt: DeliveryAttempt<Self::Parcel>);
+pub trait AttemptTransport {
+    type Payload;
+    fn start_attempt(&self, attempt: AttemptRequest<Self::Payload>);
     /// Cares for an attempt that a next hop has taken on from another process of this node.
-    fn resume(&self, attempt: DeliveryAttempt<Self::Parcel>);
+    fn resume_attempt(&self, attempt: AttemptRequest<Self::Payload>);
     /// What is open to that next hop is of no use any more.
-    fn forget(&self, to: SocketAddr);
+    fn forget_endpoint(&self, to: SocketAddr);
 }
 
 /// A job that goes from one process of this node to another, but for its parcel.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Moved {
+pub struct JobMigration {
     id: String,
     taken: Micros,
-    attempts: Vec<MovedDelivery>,
+    attempts: Vec<MigratedAttempt>,
     job: MigratedJob,
 }
 
-impl Moved {
+impl JobMigration {
     pub fn id(&self) -> &str {
         &self.id
     }
@@ -157,39 +157,39 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MovedDelivery {
+struct MigratedAttempt {
     from: String,
     to: Option<SocketAddr>,
     /// Taken on by its next hop and not ended.
     out: bool,
     share: f64,
-    last: Option<Word>,
+    last: Option<CallbackState>,
     times_out: Micros,
 }
 
 /// A job that another process has moved here.
-pub struct Adopted<P> {
-    pub moved: Moved,
-    pub parcel: P,
-    pub ticket: Ticket,
-    pub answer: oneshot::Sender<Answer>,
+pub struct IncomingMigration<P> {
+    pub moved: JobMigration,
+    pub payload: P,
+    pub job_handle: JobHandle,
+    pub answer: oneshot::Sender<JobResponse>,
     /// Whether it is held here.
     pub held: oneshot::Sender<bool>,
 }
 
 /// Which process a call-back for an id is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holder {
-    Here,
+pub enum JobOwner {
+    Local,
     /// It is on its way to the other process or from there.
-    OnItsWay,
+    Migrating,
     /// Not this one.
-    Elsewhere,
+    Unknown,
 }
 
 /// What a next hop tells of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum CallbackState {
     Started,
     Running(f64),
     Done(Bytes),
@@ -206,77 +206,77 @@
 }
 
 /// What reaches the dispatch task.
-pub enum Notice<P> {
-    Taken(Taken<P>),
-    ClientGone(Ticket),
+pub enum DispatchMessage<P> {
+    Submit(SubmittedJob<P>),
+    ClientDisconnected(JobHandle),
     /// A call-back: the job's id, the next hop's name, and what it says.
-    Told {
+    Callback {
         id: String,
-        from: String,
-        word: Word,
+        worker: String,
+        state: CallbackState,
         /// Who holds a job of that id, for whoever would look for it elsewhere.
-        holder: Option<oneshot::Sender<Holder>>,
+        owner: Option<oneshot::Sender<JobOwner>>,
     },
     /// Whether a job of that id is in hand.
-    Holds {
+    QueryJob {
         id: String,
         held: oneshot::Sender<bool>,
     },
     /// A job is to move to the other process; nothing comes back while it cannot.
-    PhaseEvent(Ticket, oneshot::Sender<(Moved, Rc<P>)>),
+    MigrateJob(JobHandle, oneshot::Sender<(JobMigration, Rc<P>)>),
     /// Whether the other process holds it; where it does not it is held here again.
-    MoveEnded(Ticket, bool),
+    MigrationFinished(JobHandle, bool),
     /// A job comes from the other process.
-    Adopted(Adopted<P>),
+    ReceiveMigration(IncomingMigration<P>),
     /// Whether the other process has been told that it is held here; else the job is that one's.
-    Arrived(Ticket, bool),
-    Accepted(AttemptKey),
-    Ended(AttemptKey, Outcome),
-    GivenUp(AttemptKey),
-    Listed {
-        hops: Vec<NamedEndpoint>,
-        whole: bool,
+    MigrationConfirmed(JobHandle, bool),
+    AttemptAccepted(AttemptId),
+    AttemptEnded(AttemptId, Outcome),
+    AttemptCancelled(AttemptId),
+    EndpointsChanged {
+        endpoints: Vec<NamedEndpoint>,
+        snapshot: bool,
         /// It is of the discovery that counts now, and with it all that is known stands.
-        stands: bool,
+        confirmed: bool,
         /// The call that it answers took so long.
-        took: Option<Duration>,
+        poll_duration: Option<Duration>,
     },
     /// The open watch says that nothing has changed.
-    ListStands,
+    EndpointsConfirmed,
     /// The open watch brought what cannot be read.
-    ListSpoilt,
+    EndpointsUnreadable,
     /// Discovery has another address.
-    ListMoved,
-    ListFailed,
+    DiscoveryMoved,
+    WatchFailed,
     /// This node ends after that long.
-    Ending(Duration),
+    ShutdownStarted(Duration),
 }
 
 /// What operators and the other process of this node want of the task. It is looked at before all that clients and next
 /// hops bring, so that it does not wait behind a crowd.
-pub enum Order {
+pub enum DispatchCommand {
     /// Nothing more to the next hop of that name, or work for it again.
-    Maintain { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
+    SetWorkerDisabled { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
     /// The same for one that the other process of this node knows, whether or not a list here has named it.
-    Follow { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
+    SetWorkerDisabledByPeer { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
     /// What is known now, for a successor.
-    Bequeath(oneshot::Sender<Estate>),
+    TakeSnapshot(oneshot::Sender<TransferableState>),
     /// What the process before this one knew.
-    Inherit(Box<Estate>),
+    RestoreSnapshot(Box<TransferableState>),
     /// Whether the other process of this node has taken over.
-    Retire(bool),
+    SetSuccessorActive(bool),
 }
 
 /// What goes from a process to its successor.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Estate {
+pub struct TransferableState {
     pub bans: DisabledWorkers,
     /// None where only what operators called for is to be taken on.
     pub learned: Option<StateSnapshot>,
 }
 
-pub type Queue<P> = mpsc::Sender<Notice<P>>;
+pub type DispatchQueue<P> = mpsc::Sender<DispatchMessage<P>>;
 
 /// Where an attempt stands.
 #[derive(Clone, Copy, PartialEq)]
@@ -295,9 +295,9 @@
     /// Largest share told.
     share: f64,
     /// The word that ended it.
-    last: Option<Word>,
+    last: Option<CallbackState>,
     give_up: Option<oneshot::Sender<()>>,
-    clearance: Rc<Clearance>,
+    send_permit: Rc<SendPermit>,
     times_out: Micros,
 }
 
@@ -306,39 +306,39 @@
     class: ClassId,
     taken: Micros,
     deadline: Micros,
-    parcel: Rc<P>,
-    answer: Option<oneshot::Sender<Answer>>,
-    ticket: Ticket,
+    payload: Rc<P>,
+    answer: Option<oneshot::Sender<JobResponse>>,
+    job_handle: JobHandle,
     attempts: Vec<Attempt>,
 }
 
 /// A job that the other process is about to let go: its id, itself, and who waits for its answer.
-type Coming<P> = (Rc<str>, Moved, P, oneshot::Sender<Answer>, Ticket);
+type Coming<P> = (Rc<str>, JobMigration, P, oneshot::Sender<JobResponse>, JobHandle);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Wake,
-    TimeOut(AttemptKey),
+    TimeOut(AttemptId),
 }
 
 /// The task.
-pub struct Dispatch<C: Carrier> {
+pub struct DispatchTask<C: AttemptTransport> {
     dispatcher: Dispatcher,
     clock: Clock,
-    carrier: C,
-    queue: mpsc::Receiver<Notice<C::Parcel>>,
-    orders: mpsc::Receiver<Order>,
+    transport: C,
+    queue: mpsc::Receiver<DispatchMessage<C::Payload>>,
+    orders: mpsc::Receiver<DispatchCommand>,
     /// Asks for a watch on the transport map.
     watch: mpsc::Sender<()>,
-    counters: Counters,
+    counters: Metrics,
     next_job: u64,
-    held: HashMap<JobId, Held<C::Parcel>>,
+    held: HashMap<JobId, Held<C::Payload>>,
     ids: HashMap<Rc<str>, JobId>,
     /// Jobs on their way to the other process of this node.
-    leaving: HashMap<JobId, (Moved, Held<C::Parcel>)>,
+    leaving: HashMap<JobId, (JobMigration, Held<C::Payload>)>,
     /// Jobs on their way from there, until the other process has been told that they are held here. Nothing
     /// is done for them before that: it may take them back.
-    coming: HashMap<JobId, Coming<C::Parcel>>,
+    coming: HashMap<JobId, Coming<C::Payload>>,
     hops: HashMap<WorkerId, (Rc<str>, SocketAddr)>,
     /// Next hops that operators have taken out.
     bans: DisabledWorkers,
@@ -348,20 +348,20 @@
     actions: Vec<Action>,
 }
 
-impl<C: Carrier> Dispatch<C> {
+impl<C: AttemptTransport> DispatchTask<C> {
     pub fn new(
         dispatcher: Dispatcher,
         clock: Clock,
-        carrier: C,
-        queue: mpsc::Receiver<Notice<C::Parcel>>,
-        orders: mpsc::Receiver<Order>,
+        transport: C,
+        queue: mpsc::Receiver<DispatchMessage<C::Payload>>,
+        orders: mpsc::Receiver<DispatchCommand>,
         watch: mpsc::Sender<()>,
-        counters: Counters,
+        counters: Metrics,
     ) -> Self {
-        Dispatch {
+        DispatchTask {
             dispatcher,
             clock,
-            carrier,
+            transport,
             queue,
             orders,
             watch,
@@ -417,9 +417,9 @@
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn obey(&mut self, order: DispatchCommand) {
         match order {
-            Order::Maintain { name, out, verdict } => {
+            DispatchCommand::SetWorkerDisabled { name, out, verdict } => {
                 let said = if out { self.bans.disable(&name) } else { self.bans.enable(&name) };
                 if said.is_ok() {
                     self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
@@ -427,15 +427,15 @@
                 // An operator who no longer waits may ask again.
                 let _ = verdict.send(said);
             }
-            Order::Follow { name, out, verdict } => {
+            DispatchCommand::SetWorkerDisabledByPeer { name, out, verdict } => {
                 self.bans.record_listed([name.as_str()]);
-                self.obey(Order::Maintain { name, out, verdict });
+                self.obey(DispatchCommand::SetWorkerDisabled { name, out, verdict });
             }
-            Order::Bequeath(estate) => {
+            DispatchCommand::TakeSnapshot(estate) => {
                 let learned = Some(self.dispatcher.snapshot());
-                let _ = estate.send(Estate { bans: self.bans.clone(), learned });
+                let _ = estate.send(TransferableState { bans: self.bans.clone(), learned });
             }
-            Order::Inherit(estate) => {
+            DispatchCommand::RestoreSnapshot(estate) => {
                 for (name, out) in self.bans.merge_predecessor(estate.bans) {
                     self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
                 }
@@ -443,45 +443,50 @@
                     self.dispatcher.restore(self.clock.now(), learned);
                 }
             }
-            Order::Retire(retired) => self.tell(Event::SuccessorActive(retired)),
+            DispatchCommand::SetSuccessorActive(retired) => self.tell(Event::SuccessorActive(retired)),
         }
     }
 
-    fn hear(&mut self, notice: Notice<C::Parcel>) {
+    fn hear(&mut self, notice: DispatchMessage<C::Payload>) {
         match notice {
-            Notice::Taken(taken) => self.take(taken),
-            Notice::ClientGone(ticket) => {
-                if let Some(job) = ticket.job() {
+            DispatchMessage::Submit(taken) => self.take(taken),
+            DispatchMessage::ClientDisconnected(job_handle) => {
+                if let Some(job) = job_handle.job() {
                     self.client_gone(job);
                 }
             }
-            Notice::Told { id, from, word, holder } => {
+            DispatchMessage::Callback { id, worker: from, state: word, owner: holder } => {
                 if let Some(asks) = holder {
                     // Who asks looks elsewhere next, and has ended if it does not listen.
                     let _ = asks.send(self.holder(&id));
                 }
                 self.told(&id, &from, word);
             }
-            Notice::Holds { id, held } => _ = held.send(self.holder(&id) != Holder::Elsewhere),
-            Notice::PhaseEvent(ticket, to) => self.let_go(&ticket, to),
-            Notice::MoveEnded(ticket, held) => self.move_ended(&ticket, held),
-            Notice::Adopted(adopted) => self.expect(adopted),
-            Notice::Arrived(ticket, ours) => self.arrived(&ticket, ours),
-            Notice::Accepted(key) => {
+            DispatchMessage::QueryJob { id, held } => _ = held.send(self.holder(&id) != JobOwner::Unknown),
+            DispatchMessage::MigrateJob(job_handle, to) => self.let_go(&job_handle, to),
+            DispatchMessage::MigrationFinished(job_handle, held) => self.move_ended(&job_handle, held),
+            DispatchMessage::ReceiveMigration(adopted) => self.expect(adopted),
+            DispatchMessage::MigrationConfirmed(job_handle, ours) => self.arrived(&job_handle, ours),
+            DispatchMessage::AttemptAccepted(key) => {
                 if let Some(attempt) = self.attempt(key) {
                     attempt.accepted = true;
                     self.counters.add(Counter::Accepted);
                     self.tell(Event::AttemptAccepted { job: key.job, attempt: key.attempt });
                 }
             }
-            Notice::Ended(key, outcome) => self.ended(key, outcome),
-            Notice::GivenUp(key) => {
+            DispatchMessage::AttemptEnded(key, outcome) => self.ended(key, outcome),
+            DispatchMessage::AttemptCancelled(key) => {
                 let stage = self.attempt(key).map(|a| a.stage);
                 if let Some(Stage::GivingUp(outcome)) = stage {
                     self.ended(key, outcome);
                 }
             }
-            Notice::Listed { hops, whole, stands, took } => {
+            DispatchMessage::EndpointsChanged {
+                endpoints: hops,
+                snapshot: whole,
+                confirmed: stands,
+                poll_duration: took,
+            } => {
                 if let Some(took) = took {
                     self.tell(Event::PollAnswered { duration: took.as_micros() as Micros });
                 }
@@ -490,11 +495,11 @@
                     self.tell(Event::EndpointsConfirmed);
                 }
             }
-            Notice::ListStands => self.tell(Event::EndpointsConfirmed),
-            Notice::ListSpoilt => self.tell(Event::EndpointsUnreadable),
-            Notice::ListMoved => self.tell(Event::DiscoveryMoved),
-            Notice::ListFailed => self.tell(Event::WatchFailed),
-            Notice::Ending(after) => {
+            DispatchMessage::EndpointsConfirmed => self.tell(Event::EndpointsConfirmed),
+            DispatchMessage::EndpointsUnreadable => self.tell(Event::EndpointsUnreadable),
+            DispatchMessage::DiscoveryMoved => self.tell(Event::DiscoveryMoved),
+            DispatchMessage::WatchFailed => self.tell(Event::WatchFailed),
+            DispatchMessage::ShutdownStarted(after) => {
                 let by = self.clock.now() + after.as_micros() as Micros;
                 self.tell(Event::ShutdownStarted { deadline: by });
             }
@@ -514,18 +519,20 @@
         }
     }
 
-    fn holder(&self, id: &str) -> Holder {
+    fn holder(&self, id: &str) -> JobOwner {
         match self.ids.get(id) {
-            Some(job) if self.leaving.contains_key(job) || self.coming.contains_key(job) => Holder::OnItsWay,
-            Some(_) => Holder::Here,
-            None => Holder::Elsewhere,
+            Some(job) if self.leaving.contains_key(job) || self.coming.contains_key(job) => {
+                JobOwner::Migrating
+            }
+            Some(_) => JobOwner::Local,
+            None => JobOwner::Unknown,
         }
     }
 
     /// Lets a job go to the other process, where all that is out of it has been taken on: until then the answer of its next
     /// hop is on its way to a connection of this process.
-    fn let_go(&mut self, ticket: &Ticket, to: oneshot::Sender<(Moved, Rc<C::Parcel>)>) {
-        let Some(id) = ticket.job() else { return };
+    fn let_go(&mut self, job_handle: &JobHandle, to: oneshot::Sender<(JobMigration, Rc<C::Payload>)>) {
+        let Some(id) = job_handle.job() else { return };
         let settled = |a: &Attempt| a.stage == Stage::Over || a.stage == Stage::Out && a.accepted;
         let until = self.clock.now() + TOO_LATE_TO_MOVE;
         let movable =
@@ -537,7 +544,7 @@
         let (Some(job), Some(held)) = (self.dispatcher.release_job(id), self.held.remove(&id)) else {
             return;
         };
-        let delivery = |a: &Attempt| MovedDelivery {
+        let delivery = |a: &Attempt| MigratedAttempt {
             from: a.from.to_string(),
             to: a.to,
             out: a.stage == Stage::Out,
@@ -546,21 +553,21 @@
             times_out: a.times_out,
         };
         for (a, number) in held.attempts.iter().zip(0..) {
-            self.due.remove(&(a.times_out, Due::TimeOut(AttemptKey { job: id, attempt: number })));
+            self.due.remove(&(a.times_out, Due::TimeOut(AttemptId { job: id, attempt: number })));
         }
         let attempts = held.attempts.iter().map(delivery).collect();
-        let moved = Moved { id: held.id.to_string(), taken: held.taken, attempts, job };
+        let moved = JobMigration { id: held.id.to_string(), taken: held.taken, attempts, job };
         debug!(target: DISPATCH, request_id = %held.id, "moves to the other process");
-        let unheard = to.send((moved.clone(), held.parcel.clone())).is_err();
+        let unheard = to.send((moved.clone(), held.payload.clone())).is_err();
         self.leaving.insert(id, (moved, held));
         if unheard {
             // Its sender side has left in this moment.
-            self.move_ended(ticket, false);
+            self.move_ended(job_handle, false);
         }
     }
 
-    fn move_ended(&mut self, ticket: &Ticket, moved_on: bool) {
-        let Some((id, (moved, held))) = ticket.job().and_then(|id| Some((id, self.leaving.remove(&id)?)))
+    fn move_ended(&mut self, job_handle: &JobHandle, moved_on: bool) {
+        let Some((id, (moved, held))) = job_handle.job().and_then(|id| Some((id, self.leaving.remove(&id)?)))
         else {
             return;
         };
@@ -576,7 +583,7 @@
         }
         self.held.insert(id, held);
         for (a, number) in moved.attempts.iter().zip(0..).filter(|(a, _)| a.out) {
-            self.due.insert((a.times_out, Due::TimeOut(AttemptKey { job: id, attempt: number })));
+            self.due.insert((a.times_out, Due::TimeOut(AttemptId { job: id, attempt: number })));
         }
         // What was let go a moment ago can be taken on again.
         self.dispatcher.adopt_job(self.clock.now(), id, &moved.job, &mut self.actions);
@@ -587,8 +594,8 @@
     }
 
     /// A job is about to come from the other process: its id is taken here from now on.
-    fn expect(&mut self, adopted: Adopted<C::Parcel>) {
-        let Adopted { moved, parcel, ticket, answer, held } = adopted;
+    fn expect(&mut self, adopted: IncomingMigration<C::Payload>) {
+        let IncomingMigration { moved, payload, job_handle, answer, held } = adopted;
         let name = Rc::<str>::from(moved.id.as_str());
         if self.ids.contains_key(&name) || !self.dispatcher.accepts_migrated_job(&moved.job) {
             let _ = held.send(false);
@@ -596,37 +603,45 @@
         }
         let id = JobId(self.next_job);
         self.next_job += 1;
-        ticket.job.set(Some(id));
+        job_handle.job.set(Some(id));
         self.ids.insert(name.clone(), id);
-        self.coming.insert(id, (name, moved, parcel, answer, ticket));
+        self.coming.insert(id, (name, moved, payload, answer, job_handle));
         let _ = held.send(true);
     }
 
-    fn arrived(&mut self, ticket: &Ticket, ours: bool) {
-        let Some((id, coming)) = ticket.job().and_then(|id| Some((id, self.coming.remove(&id)?))) else {
+    fn arrived(&mut self, job_handle: &JobHandle, ours: bool) {
+        let Some((id, coming)) = job_handle.job().and_then(|id| Some((id, self.coming.remove(&id)?))) else {
             return;
         };
-        let (name, moved, parcel, answer, ticket) = coming;
+        let (name, moved, payload, answer, job_handle) = coming;
         let now = self.clock.now();
         if !ours || !self.dispatcher.adopt_job(now, id, &moved.job, &mut self.actions) {
             self.ids.remove(&name);
             return;
         }
-        let (parcel, mut attempts) = (Rc::new(parcel), Vec::new());
+        let (payload, mut attempts) = (Rc::new(payload), Vec::new());
         for (a, number) in moved.attempts.into_iter().zip(0..) {
-            let key = AttemptKey { job: id, attempt: number };
+            let key = AttemptId { job: id, attempt: number };
             let mut stage = Stage::Over;
             let mut give_up = None;
             // Its bytes have left.
-            let clearance = Rc::<Clearance>::default();
+            let send_permit = Rc::<SendPermit>::default();
             if let (true, Some(to)) = (a.out, a.to) {
                 let (asks, asked) = oneshot::channel();
                 (stage, give_up) = (Stage::Out, Some(asks));
                 self.due.insert((a.times_out, Due::TimeOut(key)));
                 let wait = Duration::from_micros(a.times_out.saturating_sub(now));
-                let (id, parcel) = (name.clone(), parcel.clone());
-                let clearance = clearance.clone();
-                self.carrier.resume(DeliveryAttempt { key, id, to, parcel, wait, give_up: asked, clearance });
+                let (id, payload) = (name.clone(), payload.clone());
+                let send_permit = send_permit.clone();
+                self.transport.resume_attempt(AttemptRequest {
+                    key,
+                    id,
+                    to,
+                    payload,
+                    wait,
+                    give_up: asked,
+                    send_permit,
+                });
             }
             attempts.push(Attempt {
                 from: a.from.into(),
@@ -636,7 +651,7 @@
                 share: a.share,
                 last: a.last,
                 give_up,
-                clearance,
+                send_permit,
                 times_out: a.times_out,
             });
         }
@@ -645,14 +660,15 @@
         let (class, deadline) = (moved.job.class(), moved.job.deadline());
         let answer = Some(answer);
         let taken = moved.taken;
-        self.held.insert(id, Held { id: name, class, taken, deadline, parcel, answer, ticket, attempts });
+        self.held
+            .insert(id, Held { id: name, class, taken, deadline, payload, answer, job_handle, attempts });
         self.carry_out();
     }
 
-    fn take(&mut self, taken: Taken<C::Parcel>) {
+    fn take(&mut self, taken: SubmittedJob<C::Payload>) {
         if self.ids.contains_key(&taken.id) {
             // Two jobs of one id could not be told apart in a call-back.
-            let _ = taken.answer.send(Answer::Duplicate);
+            let _ = taken.answer.send(JobResponse::Duplicate);
             return;
         }
         self.counters.add(Counter::Taken);
@@ -669,17 +685,17 @@
         );
         let job = JobId(self.next_job);
         self.next_job += 1;
-        taken.ticket.job.set(Some(job));
+        taken.job_handle.job.set(Some(job));
         self.ids.insert(taken.id.clone(), job);
-        let (parcel, answer) = (Rc::new(taken.parcel), Some(taken.answer));
+        let (payload, answer) = (Rc::new(taken.payload), Some(taken.answer));
         let held = Held {
             id: taken.id,
             class: taken.class,
             taken: self.clock.now(),
             deadline: taken.deadline,
-            parcel,
+            payload,
             answer,
-            ticket: taken.ticket,
+            job_handle: taken.job_handle,
             attempts: Vec::new(),
         };
         self.held.insert(job, held);
@@ -696,7 +712,7 @@
     }
 
     /// A call-back counts for the live attempt of that job at that next hop, and for nothing else.
-    fn told(&mut self, id: &str, from: &str, word: Word) {
+    fn told(&mut self, id: &str, from: &str, word: CallbackState) {
         self.counters.add(Counter::Callbacks);
         trace!(target: DISPATCH, request_id = id, from, "call-back");
         let job = self.ids.get(id).copied();
@@ -708,52 +724,56 @@
             let repeat = |a: &Attempt| &*a.from == from && a.last.as_ref() == Some(&word);
             let repeat = attempts[..at].iter().any(repeat);
             let stale = repeat && !attempts[at].accepted;
-            (!stale).then_some((AttemptKey { job, attempt: at as u32 }, &mut attempts[at], repeat))
+            (!stale).then_some((AttemptId { job, attempt: at as u32 }, &mut attempts[at], repeat))
         });
         let Some((key, attempt, repeat)) = found else { return self.counters.add(Counter::CallbacksIdle) };
-        let AttemptKey { job, attempt: number } = key;
+        let AttemptId { job, attempt: number } = key;
         let outcome = match &word {
             // It is being withdrawn: that it starts all the same must not call off the one that is to stay.
-            Word::Started | Word::Running(_) if matches!(attempt.stage, Stage::GivingUp(_)) => {
+            CallbackState::Started | CallbackState::Running(_)
+                if matches!(attempt.stage, Stage::GivingUp(_)) =>
+            {
                 return self.counters.add(Counter::CallbacksIdle);
             }
             // That next hop has taken this one on as well. Whether it says so of this one or once more of the
             // one before cannot be told: this one may run, and is withdrawn before anything else becomes of
             // its job.
-            Word::Failed | Word::Returned | Word::Lost if repeat => return self.give_up(key, Outcome::Error),
-            Word::Started => {
+            CallbackState::Failed | CallbackState::Returned | CallbackState::Lost if repeat => {
+                return self.give_up(key, Outcome::Error);
+            }
+            CallbackState::Started => {
                 debug!(target: DISPATCH, request_id = id, attempt = number, from, "attempt started");
                 return self.tell(Event::AttemptStarted { job, attempt: number });
             }
-            Word::Running(share) if *share <= attempt.share => {
+            CallbackState::Running(share) if *share <= attempt.share => {
                 // A repeat that arrives late must not set the clock of the progress back.
                 return self.counters.add(Counter::CallbacksIdle);
             }
-            Word::Running(share) => {
+            CallbackState::Running(share) => {
                 attempt.share = *share;
                 return self.tell(Event::AttemptProgressed { job, attempt: number, done: *share });
             }
-            Word::Done(_) => Outcome::Done,
-            Word::Failed => Outcome::Error,
-            Word::Returned => Outcome::Rejected,
-            Word::Lost => Outcome::Lost,
+            CallbackState::Done(_) => Outcome::Done,
+            CallbackState::Failed => Outcome::Error,
+            CallbackState::Returned => Outcome::Rejected,
+            CallbackState::Lost => Outcome::Lost,
         };
-        if let Word::Done(result) = &word {
+        if let CallbackState::Done(result) = &word {
             let result = result.clone();
-            self.answer(job, Answer::Served(result));
+            self.answer(job, JobResponse::Served(result));
         } else {
             attempt.last = Some(word);
         }
         self.ended(key, outcome);
     }
 
-    fn attempt(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
+    fn attempt(&mut self, key: AttemptId) -> Option<&mut Attempt> {
         self.held.get_mut(&key.job)?.attempts.get_mut(key.attempt as usize)
     }
 
     /// An attempt is over; only the first end of each counts.
-    fn ended(&mut self, key: AttemptKey, outcome: Outcome) {
-        if self.held.get(&key.job).is_some_and(|held| held.ticket.client_gone.is_raised()) {
+    fn ended(&mut self, key: AttemptId, outcome: Outcome) {
+        if self.held.get(&key.job).is_some_and(|held| held.job_handle.client_gone.is_raised()) {
             // The notice of that may be further back in the queue, and no other attempt is to follow this one.
             self.client_gone(key.job);
         }
@@ -761,7 +781,7 @@
         attempt.stage = Stage::Over;
         attempt.give_up = None;
         // A word can end one that waits for a connection yet.
-        attempt.clearance.revoke();
+        attempt.send_permit.revoke();
         let times_out = attempt.times_out;
         self.due.remove(&(times_out, Due::TimeOut(key)));
         self.counters.add(match outcome {
@@ -785,10 +805,10 @@
     }
 
     /// The module hears of the end only once the give-up is out, so that no two attempts of a job meet.
-    fn give_up(&mut self, key: AttemptKey, outcome: Outcome) {
+    fn give_up(&mut self, key: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempt(key).filter(|a| a.stage == Stage::Out) else { return };
         attempt.stage = Stage::GivingUp(outcome);
-        attempt.clearance.revoke();
+        attempt.send_permit.revoke();
         if let Some(give_up) = attempt.give_up.take() {
             // Where nobody listens any more, the end of the attempt is in the queue already.
             let _ = give_up.send(());
@@ -808,7 +828,7 @@
             let old = self.starts.insert(listing.worker, listing.started);
             if listing.status == WorkerStatus::Gone || old.is_some_and(|old| old != listing.started) {
                 // The connections that are left are those of a process that is no more.
-                self.carrier.forget(address);
+                self.transport.forget_endpoint(address);
             }
             if listing.status == WorkerStatus::Gone {
                 self.starts.remove(&listing.worker);
@@ -838,21 +858,21 @@
                     unsent.extend(self.send(job, worker, timeout, leave_by));
                 }
                 Action::Reject { job, retry_after: wait } => {
-                    self.answer(job, Answer::Defer { after: Duration::from_micros(wait) });
+                    self.answer(job, JobResponse::Rejected { retry_after: Duration::from_micros(wait) });
                     self.forget(job);
                 }
                 Action::Fail { job } => {
-                    self.answer(job, Answer::Failed);
+                    self.answer(job, JobResponse::Failed);
                     self.forget(job);
                 }
                 Action::RevokeAttempt { job, attempt } => {
-                    let attempt = self.attempt(AttemptKey { job, attempt });
+                    let attempt = self.attempt(AttemptId { job, attempt });
                     if let Some(attempt) = attempt.filter(|a| a.stage == Stage::Out) {
-                        attempt.clearance.revoke();
+                        attempt.send_permit.revoke();
                     }
                 }
                 Action::CancelAttempt { job, attempt } => {
-                    self.give_up(AttemptKey { job, attempt }, Outcome::Cancelled);
+                    self.give_up(AttemptId { job, attempt }, Outcome::Cancelled);
                 }
                 Action::SetTimer { after } => {
                     self.due.insert((self.clock.now() + after, Due::Wake));
@@ -875,14 +895,14 @@
         worker: WorkerId,
         timeout: Micros,
         leave_by: Option<Micros>,
-    ) -> Option<AttemptKey> {
+    ) -> Option<AttemptId> {
         let held = self.held.get_mut(&job)?;
-        let key = AttemptKey { job, attempt: held.attempts.len() as u32 };
+        let key = AttemptId { job, attempt: held.attempts.len() as u32 };
         let times_out = self.clock.now() + timeout;
         let (give_up, asked) = oneshot::channel();
         let hop = self.hops.get(&worker);
         let leave_by = leave_by.map(|at| self.clock.instant(at));
-        let clearance = Clearance::new(held.ticket.client_gone.clone(), leave_by);
+        let send_permit = SendPermit::new(held.job_handle.client_gone.clone(), leave_by);
         held.attempts.push(Attempt {
             from: hop.map_or_else(|| "".into(), |hop| hop.0.clone()),
             to: hop.map(|hop| hop.1),
@@ -891,28 +911,36 @@
             share: 0.0,
             last: None,
             give_up: Some(give_up),
-            clearance: clearance.clone(),
+            send_permit: send_permit.clone(),
             times_out,
         });
-        let Some(&(_, to)) = hop.filter(|_| clearance.holds()) else { return Some(key) };
-        let (id, parcel) = (held.id.clone(), held.parcel.clone());
+        let Some(&(_, to)) = hop.filter(|_| send_permit.is_valid()) else { return Some(key) };
+        let (id, payload) = (held.id.clone(), held.payload.clone());
         self.due.insert((times_out, Due::TimeOut(key)));
         self.counters.add(Counter::Sent);
         let name = &*held.attempts[key.attempt as usize].from;
         debug!(target: DISPATCH, request_id = %id, attempt = key.attempt, %to, name, "attempt sent");
         let wait = Duration::from_micros(timeout);
-        self.carrier.deliver(DeliveryAttempt { key, id, to, parcel, wait, give_up: asked, clearance });
+        self.transport.start_attempt(AttemptRequest {
+            key,
+            id,
+            to,
+            payload,
+            wait,
+            give_up: asked,
+            send_permit,
+        });
         None
     }
 
     /// Answers a job once: what comes after the first answer is dropped.
-    fn answer(&mut self, job: JobId, answer: Answer) {
+    fn answer(&mut self, job: JobId, answer: JobResponse) {
         let Some(held) = self.held.get_mut(&job) else { return };
         let Some(sender) = held.answer.take() else { return };
         let kind = match &answer {
-            Answer::Served(_) => Counter::Served,
-            Answer::Defer { .. } => Counter::Deferred,
-            Answer::Failed | Answer::Duplicate => Counter::Failed,
+            JobResponse::Served(_) => Counter::Served,
+            JobResponse::Rejected { .. } => Counter::Deferred,
+            JobResponse::Failed | JobResponse::Duplicate => Counter::Failed,
         };
         let after = Duration::from_micros(self.clock.now().saturating_sub(held.taken));
         self.counters.answered(kind, held.class.0, after);
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -49,7 +49,7 @@
 /// An operator waits behind this for up to 1 s.
 const CALL_TIME: Duration = Duration::from_millis(700);
 /// A job that moves is in nobody's hands for up to this long.
-pub const MOVE_TIME: Duration = Duration::from_millis(2000);
+pub const MIGRATION_TIMEOUT: Duration = Duration::from_millis(2000);
 const TAKE_OVER_TIME: Duration = Duration::from_millis(1000);
 /// A process that reads nothing for so long is as good as gone.
 const STALLED: Duration = Duration::from_millis(2000);
@@ -91,7 +91,7 @@
     },
     /// Anything else about a file in `$TMPDIR`.
     #[error("{path}: {source}; look at what is there in $TMPDIR, or the node's upgrades start cold")]
-    Place {
+    Rendezvous {
         /// What was to be made or used.
         path: PathBuf,
         /// What the system says.
@@ -107,12 +107,12 @@
     },
     /// What was said cannot be read.
     #[error(transparent)]
-    Speech(#[from] FrameError),
+    Protocol(#[from] FrameError),
     /// It said what does not belong there.
     #[error(
         "the other process said something out of turn; the new one starts cold, report it if it comes again"
     )]
-    OutOfTurn,
+    UnexpectedFrame,
     /// What came over is not the listener.
     #[error(
         "the other process does not listen on {listen}; the new one binds it itself, nothing is to be done"
@@ -123,13 +123,13 @@
     },
     /// It does not answer in time.
     #[error("the older process does not answer; the new one starts cold, end the older one if it goes on")]
-    Silent,
+    TimedOut,
     /// It ended meanwhile.
     #[error("the other process ended meanwhile ({0}); nothing is to be done")]
     Gone(#[source] io::Error),
     /// It answered, and said no.
     #[error(transparent)]
-    TurnedAway(RejectReason),
+    Rejected(RejectReason),
     /// Another start holds the lock for too long.
     #[error("{path} is held by another start of this node; end that one if it hangs")]
     Held {
@@ -141,7 +141,7 @@
 impl HandoverError {
     /// Whether asking again later may do.
     pub fn is_busy(&self) -> bool {
-        matches!(self, HandoverError::TurnedAway(RejectReason::Busy))
+        matches!(self, HandoverError::Rejected(RejectReason::Busy))
     }
 
     fn at(path: &Path, source: io::Error) -> HandoverError {
@@ -151,7 +151,7 @@
                 HandoverError::Unwritable { path, source }
             }
             ErrorKind::StorageFull | ErrorKind::QuotaExceeded => HandoverError::Full { path, source },
-            _ => HandoverError::Place { path, source },
+            _ => HandoverError::Rendezvous { path, source },
         }
     }
 
@@ -162,21 +162,21 @@
 
 /// Where the processes of one node meet: a socket in `$TMPDIR`, and a lock beside it.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Rendezvous {
     dir: PathBuf,
     name: String,
 }
 
 /// A start's turn: another start waits until it is dropped. It is held from the hello until a process sits.
-pub struct Turn {
+pub struct StartLock {
     _lock: File,
 }
 
-impl Place {
+impl Rendezvous {
     /// The place of the node that clients reach at `listen`.
-    pub fn new(tmpdir: &Path, listen: SocketAddr) -> Place {
+    pub fn new(tmpdir: &Path, listen: SocketAddr) -> Rendezvous {
         let name = format!("curlewusher-{}-{}.sock", listen.ip(), listen.port());
-        Place { dir: tmpdir.to_owned(), name }
+        Rendezvous { dir: tmpdir.to_owned(), name }
     }
 
     /// The socket's path.
@@ -186,7 +186,7 @@
 
     /// Waits for its turn, for up to 2 s. The lock's file stays where it is: were it removed, two starts
     /// could each hold a lock of that name.
-    pub async fn turn(&self) -> Result<Turn, HandoverError> {
+    pub async fn turn(&self) -> Result<StartLock, HandoverError> {
         let path = self.dir.join(format!("{}.lock", self.name));
         let lock = File::options().create(true).append(true).open(&path);
         let lock = lock.map_err(|e| HandoverError::at(&path, e))?;
@@ -201,7 +201,7 @@
         };
         let turn = timeout(TURN_TIME, held).await;
         turn.unwrap_or_else(|_| Err(HandoverError::Held { path: path.clone() }))?;
-        Ok(Turn { _lock: lock })
+        Ok(StartLock { _lock: lock })
     }
 
     /// A path of that name which fits a socket's address, and what must stay open while it is used.
@@ -225,24 +225,32 @@
 }
 
 /// The older process, which has welcomed this one.
-pub struct Elder {
+pub struct Predecessor {
     /// Its listener for clients, which both processes hold from here on.
     pub listener: TcpListener,
     /// What it has learned so far; empty where it has nothing to give.
     pub heritage: Bytes,
     /// The link to it.
-    pub link: Link,
+    pub link: PeerLink,
     /// What it asks.
-    pub asked: mpsc::Receiver<Asked>,
+    pub asked: mpsc::Receiver<PeerRequest>,
 }
 
 /// Says hello to the process at that place; none where nobody is there. Takes 1.5 s at most.
-pub async fn call_on(place: &Place, node: &str, listen: SocketAddr) -> Result<Option<Elder>, HandoverError> {
+pub async fn contact_predecessor(
+    place: &Rendezvous,
+    node: &str,
+    listen: SocketAddr,
+) -> Result<Option<Predecessor>, HandoverError> {
     let called = timeout(ANSWER_TIME, call(place, node, listen)).await;
-    called.unwrap_or(Err(HandoverError::Silent))
+    called.unwrap_or(Err(HandoverError::TimedOut))
 }
 
-async fn call(place: &Place, node: &str, listen: SocketAddr) -> Result<Option<Elder>, HandoverError> {
+async fn call(
+    place: &Rendezvous,
+    node: &str,
+    listen: SocketAddr,
+) -> Result<Option<Predecessor>, HandoverError> {
     let Some(stream) = connect(place).await? else { return Ok(None) };
     place.same_user(&stream)?;
     let hello = Frame::Hello { node: node.to_owned(), listen: listen.to_string() };
@@ -253,20 +261,20 @@
         decoder.feed(&[lead]);
     }
     match (read_frame(&stream, &mut decoder).await?, fd) {
-        (Frame::Rejected(why), _) => Err(HandoverError::TurnedAway(why)),
+        (Frame::Rejected(why), _) => Err(HandoverError::Rejected(why)),
         (Frame::Welcome(heritage), Some(fd)) => {
             let listener = listener_of(fd, listen).ok_or(HandoverError::NoListener { listen })?;
-            let (link, asked) = Link::start(stream, false, decoder);
-            Ok(Some(Elder { listener, heritage, link, asked }))
+            let (link, asked) = PeerLink::start(stream, false, decoder);
+            Ok(Some(Predecessor { listener, heritage, link, asked }))
         }
         (Frame::Welcome(_), None) => Err(HandoverError::NoListener { listen }),
-        _ => Err(HandoverError::OutOfTurn),
+        _ => Err(HandoverError::UnexpectedFrame),
     }
 }
 
 /// A connection to whoever sits there; none where there is no file, or one that was left by a process that is
 /// no more.
-async fn connect(place: &Place) -> Result<Option<UnixStream>, HandoverError> {
+async fn connect(place: &Rendezvous) -> Result<Option<UnixStream>, HandoverError> {
     let at = |e| HandoverError::at(&place.path(), e);
     let reached = match place.reach(&place.name) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
@@ -276,7 +284,7 @@
         Ok(stream) => Ok(Some(stream)),
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => Ok(None),
         // Its queue is full, and it does not look.
-        Err(e) if e.kind() == ErrorKind::WouldBlock => Err(HandoverError::Silent),
+        Err(e) if e.kind() == ErrorKind::WouldBlock => Err(HandoverError::TimedOut),
         Err(e) => Err(at(e)),
     }
 }
@@ -367,17 +375,20 @@
 }
 
 /// A seat at the known place, where a successor finds this process.
-pub struct Seat {
+pub struct RendezvousListener {
     path: PathBuf,
     /// Device and number of the socket's file.
     file: (u64, u64),
     accepts: JoinHandle<()>,
 }
 
-impl Seat {
+impl RendezvousListener {
     /// Sits down, whoever sat there before; hellos go to `hellos`, and one is turned away where that has no
     /// room.
-    pub fn sit(place: &Place, hellos: mpsc::Sender<Hello>) -> Result<Seat, HandoverError> {
+    pub fn bind(
+        place: &Rendezvous,
+        hellos: mpsc::Sender<SuccessorHello>,
+    ) -> Result<RendezvousListener, HandoverError> {
         let path = place.path();
         let at = |e| HandoverError::at(&path, e);
         // Under another name first: a rename leaves no moment at which nobody sits there.
@@ -397,18 +408,18 @@
             at(e)
         })?;
         let accepts = spawn_local(accept(listener, place.clone(), hellos));
-        Ok(Seat { path, file, accepts })
+        Ok(RendezvousListener { path, file, accepts })
     }
 
     /// Leaves. The file goes as well, unless another process has sat down since.
-    pub fn up(self) {
+    pub fn close(self) {
         if file_of(&self.path).is_ok_and(|file| file == self.file) {
             let _ = fs::remove_file(&self.path);
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for RendezvousListener {
     fn drop(&mut self) {
         self.accepts.abort();
     }
@@ -418,7 +429,7 @@
     fs::symlink_metadata(path).map(|meta| (meta.dev(), meta.ino()))
 }
 
-async fn accept(listener: UnixListener, place: Place, hellos: mpsc::Sender<Hello>) {
+async fn accept(listener: UnixListener, place: Rendezvous, hellos: mpsc::Sender<SuccessorHello>) {
     let strangers = std::sync::Arc::new(Semaphore::new(MOST_STRANGERS));
     while let Ok(room) = strangers.clone().acquire_owned().await {
         let stream = match listener.accept().await {
@@ -432,8 +443,8 @@
         let (place, hellos) = (place.clone(), hellos.clone());
         spawn_local(async move {
             let _room = room;
-            let heard = timeout(HELLO_TIME, Hello::hear(stream, &place)).await;
-            match heard.unwrap_or(Err(HandoverError::Silent)) {
+            let heard = timeout(HELLO_TIME, SuccessorHello::hear(stream, &place)).await;
+            match heard.unwrap_or(Err(HandoverError::TimedOut)) {
                 Ok(hello) => hello.hand_in(&hellos).await,
                 Err(problem) => warn!(target: NODE, "a successor is passed over: {problem}"),
             }
@@ -442,7 +453,7 @@
 }
 
 /// A process that wants to be the successor. Dropped, it is left without an answer.
-pub struct Hello {
+pub struct SuccessorHello {
     /// Name of its node.
     pub node: String,
     /// Where clients reach its node.
@@ -451,15 +462,15 @@
     decoder: Decoder,
 }
 
-impl Hello {
-    async fn hear(stream: UnixStream, place: &Place) -> Result<Hello, HandoverError> {
+impl SuccessorHello {
+    async fn hear(stream: UnixStream, place: &Rendezvous) -> Result<SuccessorHello, HandoverError> {
         place.same_user(&stream)?;
         let mut decoder = Decoder::default();
         match read_frame(&stream, &mut decoder).await {
-            Ok(Frame::Hello { node, listen }) => Ok(Hello { node, listen, stream, decoder }),
-            Ok(_) => Err(HandoverError::OutOfTurn),
+            Ok(Frame::Hello { node, listen }) => Ok(SuccessorHello { node, listen, stream, decoder }),
+            Ok(_) => Err(HandoverError::UnexpectedFrame),
             Err(problem) => {
-                if let HandoverError::Speech(FrameError::OtherVersion { .. }) = problem {
+                if let HandoverError::Protocol(FrameError::OtherVersion { .. }) = problem {
                     say_no(&stream, RejectReason::OtherVersion).await;
                 }
                 Err(problem)
@@ -467,10 +478,10 @@
         }
     }
 
-    async fn hand_in(self, hellos: &mpsc::Sender<Hello>) {
+    async fn hand_in(self, hellos: &mpsc::Sender<SuccessorHello>) {
         if let Err(unheard) = hellos.try_send(self) {
             let (mpsc::error::TrySendError::Full(hello) | mpsc::error::TrySendError::Closed(hello)) = unheard;
-            hello.turn_away(RejectReason::Busy).await;
+            hello.reject(RejectReason::Busy).await;
         }
     }
 
@@ -479,16 +490,16 @@
         self,
         listener: impl AsFd,
         heritage: Bytes,
-    ) -> Result<(Link, mpsc::Receiver<Asked>), HandoverError> {
+    ) -> Result<(PeerLink, mpsc::Receiver<PeerRequest>), HandoverError> {
         let sent = timeout(HELLO_TIME, send_with(&self.stream, &[LEAD], listener)).await;
-        sent.map_err(|_| HandoverError::Silent)?.map_err(HandoverError::Gone)?;
-        let (link, asked) = Link::start(self.stream, true, self.decoder);
+        sent.map_err(|_| HandoverError::TimedOut)?.map_err(HandoverError::Gone)?;
+        let (link, asked) = PeerLink::start(self.stream, true, self.decoder);
         link.answer(0, Frame::Welcome(bounded(heritage)));
         Ok((link, asked))
     }
 
     /// Tells it that it is not the successor, and why.
-    pub async fn turn_away(self, why: RejectReason) {
+    pub async fn reject(self, why: RejectReason) {
         say_no(&self.stream, why).await;
     }
 }
@@ -512,20 +523,20 @@
 
 /// What became of a call-back that was passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ForwardResult {
     /// The other process holds its job and has heard it.
-    Owned,
+    Handled,
     /// The other process does not hold its job.
-    NotOwned,
+    NotHeld,
     /// The other process did not answer.
-    Unheard,
+    NoAnswer,
 }
 
 /// What the other process asks or tells. Whoever does not answer a question leaves it to the other's bound of
 /// time.
-pub enum Asked {
+pub enum PeerRequest {
     /// A call-back for a job that it does not hold: whether it is held here, said once it has been heard.
-    Word {
+    Callback {
         /// As it came from the next hop.
         body: Bytes,
         /// Whether it was owned.
@@ -533,21 +544,21 @@
     },
     /// It is about to take a job: whether that id is *not held* here. What is being claimed is known to the
     /// link.
-    Claim {
+    ClaimJob {
         /// The job's id.
         id: String,
         /// Whether it may.
         free: oneshot::Sender<bool>,
     },
     /// An operator's call.
-    AdminCommand {
+    Command {
         /// The call.
         call: AdminCommand,
         /// What is said to it.
         verdict: oneshot::Sender<CommandResult>,
     },
     /// A job that it held, whose attempts go on: whether it is held here, said once it is.
-    PhaseEvent {
+    MigrateJob {
         /// The job as it was held.
         job: Bytes,
         /// Its client's socket.
@@ -559,19 +570,19 @@
         said: oneshot::Receiver<()>,
     },
     /// A withdrawal that is this process's from now on.
-    Withdraw {
+    CancelAttempt {
         /// The next hop that has not heard it.
         to: SocketAddr,
         /// The job's id.
         id: String,
     },
     /// The younger one is ready: what was learned, said once this process accepts no more.
-    TakeOver {
+    Takeover {
         /// What was learned since the welcome.
         heritage: oneshot::Sender<Bytes>,
     },
     /// The younger one is ending: this process is to take the node back.
-    GiveBack,
+    HandBack,
     /// The link is lost; nothing comes after this.
     Lost,
 }
@@ -611,14 +622,14 @@
 
 /// The link to the other process. It uses one descriptor, until it is lost and the last clone is dropped.
 #[derive(Clone)]
-pub struct Link(Rc<Ends>);
+pub struct PeerLink(Rc<Ends>);
 
-impl Link {
-    fn start(stream: UnixStream, elder: bool, decoder: Decoder) -> (Link, mpsc::Receiver<Asked>) {
+impl PeerLink {
+    fn start(stream: UnixStream, elder: bool, decoder: Decoder) -> (PeerLink, mpsc::Receiver<PeerRequest>) {
         let (asked, from) = mpsc::channel(MOST_ASKED + 1);
         // A place of its own, so that nothing can keep it from being heard.
         let last = asked.clone().try_reserve_owned().ok();
-        let link = Link(Rc::new(Ends {
+        let link = PeerLink(Rc::new(Ends {
             stream,
             up: watch::Sender::new(true),
             unwritten: RefCell::default(),
@@ -637,14 +648,14 @@
             reader.close();
             reader.0.waiting.borrow_mut().clear();
             if let Some(last) = last {
-                last.send(Asked::Lost);
+                last.send(PeerRequest::Lost);
             }
         });
         (link, from)
     }
 
     /// Whether the other process can be heard, as far as is known.
-    pub fn up(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         *self.0.up.borrow()
     }
 
@@ -662,26 +673,26 @@
     }
 
     /// Returns once all that was said so far is written, or the link is lost.
-    pub async fn written(&self) {
-        while self.up() && self.0.unwritten.borrow().bytes > 0 {
+    pub async fn flushed(&self) {
+        while self.is_connected() && self.0.unwritten.borrow().bytes > 0 {
             self.0.written.notified().await;
         }
     }
 
     /// Passes a call-back's body on. Takes 300 ms at most.
-    pub async fn word(&self, body: Bytes) -> Heard {
+    pub async fn forward_callback(&self, body: Bytes) -> ForwardResult {
         match self.request(Frame::Callback(body), None, WORD_TIME).await {
-            Some(Frame::CallbackResult(true)) => Heard::Owned,
-            Some(Frame::CallbackResult(false)) => Heard::NotOwned,
-            _ => Heard::Unheard,
+            Some(Frame::CallbackResult(true)) => ForwardResult::Handled,
+            Some(Frame::CallbackResult(false)) => ForwardResult::NotHeld,
+            _ => ForwardResult::NoAnswer,
         }
     }
 
     /// Claims the id of a job that is about to be taken; none where the other process holds it, or another
     /// copy of the job is being claimed here. Free as well where the other does not answer within 300 ms, or
-    /// is gone. What is returned is dropped once the job is in the queue of whoever answers `Asked::Claim`,
+    /// is gone. What is returned is dropped once the job is in the queue of whoever answers `PeerRequest::Claim`,
     /// and no sooner.
-    pub async fn claim(&self, id: &str) -> Option<Claim> {
+    pub async fn claim_job(&self, id: &str) -> Option<Claim> {
         if !self.0.claims.borrow_mut().try_claim(id) {
             return None;
         }
@@ -696,7 +707,7 @@
     }
 
     /// Has an operator's call done at the other process too; none where that does not say within 700 ms.
-    pub async fn call(&self, call: &AdminCommand) -> Option<CommandResult> {
+    pub async fn forward_command(&self, call: &AdminCommand) -> Option<CommandResult> {
         match self.request(Frame::Command(call.clone()), None, CALL_TIME).await {
             Some(Frame::CommandResult(verdict)) => Some(verdict),
             _ => None,
@@ -705,12 +716,12 @@
 
     /// Moves a job to the other process, with its client's socket. Whether it is held there; where that is not said within
     /// 2 s the link is given up, after which it cannot be said any more: never do both hold it.
-    pub async fn move_job(&self, job: Bytes, client: OwnedFd) -> bool {
+    pub async fn migrate_job(&self, job: Bytes, client: OwnedFd) -> bool {
         let Some((_forget, mut from)) = self.ask_for(Frame::MigrateJob(job), None, Some(Rc::new(client)))
         else {
             return false;
         };
-        let said = match timeout(MOVE_TIME, &mut from).await {
+        let said = match timeout(MIGRATION_TIMEOUT, &mut from).await {
             Ok(said) => said,
             Err(_) => {
                 self.close();
@@ -727,13 +738,13 @@
     }
 
     /// Leaves a withdrawal to the other process.
-    pub fn withdraw(&self, to: SocketAddr, id: &str) {
+    pub fn transfer_cancellation(&self, to: SocketAddr, id: &str) {
         self.tell(&Frame::CancelAttempt { to, id: id.to_owned() });
     }
 
     /// Asks the elder for the new connections and what it has learned since. Where it does not say within 1 s
     /// the link is given up: it may have handed over, and takes back when it sees that.
-    pub async fn take_over(&self) -> Option<Bytes> {
+    pub async fn request_takeover(&self) -> Option<Bytes> {
         match self.request(Frame::TakeoverRequest, None, TAKE_OVER_TIME).await {
             Some(Frame::TakeoverGranted(heritage)) => Some(heritage),
             _ => {
@@ -744,7 +755,7 @@
     }
 
     /// Tells the elder to take the node back.
-    pub fn give_back(&self) {
+    pub fn hand_back(&self) {
         self.tell(&Frame::HandBack);
     }
 
@@ -765,7 +776,7 @@
         fd: Option<Rc<OwnedFd>>,
     ) -> Option<(Forget<'_>, oneshot::Receiver<Frame>)> {
         let seq = self.seq();
-        let bytes = frame.encode(seq).ok().filter(|_| self.up())?;
+        let bytes = frame.encode(seq).ok().filter(|_| self.is_connected())?;
         let (answer, from) = oneshot::channel();
         self.0.waiting.borrow_mut().insert(seq, Waiting { answer, claim });
         let forget = Forget { ends: &self.0, seq };
@@ -790,7 +801,7 @@
 
     /// A process that reads too little is as good as gone.
     fn push(&self, outgoing: Outgoing) {
-        if !self.up() {
+        if !self.is_connected() {
             return;
         }
         let mut unwritten = self.0.unwritten.borrow_mut();
@@ -806,7 +817,7 @@
     }
 
     async fn write(self) {
-        while self.up() {
+        while self.is_connected() {
             let next =
                 self.0.unwritten.borrow().frames.front().map(|next| (next.bytes.clone(), next.fd.clone()));
             let Some((mut frame, fd)) = next else {
@@ -835,12 +846,16 @@
         }
     }
 
-    async fn read(&self, mut decoder: Decoder, asked: &mpsc::Sender<Asked>) -> Result<(), HandoverError> {
+    async fn read(
+        &self,
+        mut decoder: Decoder,
+        asked: &mpsc::Sender<PeerRequest>,
+    ) -> Result<(), HandoverError> {
         // A descriptor comes with the first byte of its frame, so that they are in one order.
         let mut fds = Fds::new();
         loop {
             while let Some((seq, frame)) = decoder.next_frame()? {
-                if !self.up() && !frame.is_response() {
+                if !self.is_connected() && !frame.is_response() {
                     // It cannot be answered any more, and the other process goes by that.
                     continue;
                 }
@@ -861,7 +876,7 @@
         seq: u64,
         frame: Frame,
         fds: &mut Fds,
-        asked: &mpsc::Sender<Asked>,
+        asked: &mpsc::Sender<PeerRequest>,
     ) -> Result<(), HandoverError> {
         match frame {
             Frame::TakeoverGranted(_)
@@ -872,7 +887,7 @@
             Frame::Callback(body) => self.ask(
                 seq,
                 asked,
-                |heard| Asked::Word { body, heard },
+                |heard| PeerRequest::Callback { body, heard },
                 |_, said| Frame::CallbackResult(said),
             ),
             Frame::ClaimJob(id) => self.claimed(seq, id, asked),
@@ -880,21 +895,21 @@
                 self.ask(
                     seq,
                     asked,
-                    |verdict| Asked::AdminCommand { call, verdict },
+                    |verdict| PeerRequest::Command { call, verdict },
                     |_, said| Frame::CommandResult(said),
                 );
             }
             Frame::TakeoverRequest => self.ask(
                 seq,
                 asked,
-                |heritage| Asked::TakeOver { heritage },
+                |heritage| PeerRequest::Takeover { heritage },
                 |_, said| Frame::TakeoverGranted(bounded(said)),
             ),
             Frame::MigrateJob(job) => {
-                let client = fds.pop_front().ok_or(HandoverError::OutOfTurn)?;
+                let client = fds.pop_front().ok_or(HandoverError::UnexpectedFrame)?;
                 let (held, holds) = oneshot::channel();
                 let (written, said) = oneshot::channel();
-                self.pass(asked, Asked::PhaseEvent { job, client, held, said });
+                self.pass(asked, PeerRequest::MigrateJob { job, client, held, said });
                 let link = self.clone();
                 spawn_local(async move {
                     if let Ok(held) = holds.await {
@@ -902,10 +917,10 @@
                     }
                 });
             }
-            Frame::CancelAttempt { to, id } => self.pass(asked, Asked::Withdraw { to, id }),
-            Frame::HandBack => self.pass(asked, Asked::GiveBack),
+            Frame::CancelAttempt { to, id } => self.pass(asked, PeerRequest::CancelAttempt { to, id }),
+            Frame::HandBack => self.pass(asked, PeerRequest::HandBack),
             Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
-                return Err(HandoverError::OutOfTurn);
+                return Err(HandoverError::UnexpectedFrame);
             }
         }
         Ok(())
@@ -920,24 +935,24 @@
         let _ = waiting.answer.send(frame);
     }
 
-    fn claimed(&self, seq: u64, id: String, asked: &mpsc::Sender<Asked>) {
+    fn claimed(&self, seq: u64, id: String, asked: &mpsc::Sender<PeerRequest>) {
         if !self.0.claims.borrow().allows_peer_claim(&id, false) {
             return self.answer(seq, Frame::ClaimResult(false));
         }
         let name = id.clone();
         // Looked at again with the answer: this process may have claimed it meanwhile.
-        let claimed = move |link: &Link, free: bool| {
+        let claimed = move |link: &PeerLink, free: bool| {
             Frame::ClaimResult(link.0.claims.borrow().allows_peer_claim(&name, !free))
         };
-        self.ask(seq, asked, |free| Asked::Claim { id, free }, claimed);
+        self.ask(seq, asked, |free| PeerRequest::ClaimJob { id, free }, claimed);
     }
 
     fn ask<T: 'static>(
         &self,
         seq: u64,
-        asked: &mpsc::Sender<Asked>,
-        question: impl FnOnce(oneshot::Sender<T>) -> Asked,
-        answer: impl FnOnce(&Link, T) -> Frame + 'static,
+        asked: &mpsc::Sender<PeerRequest>,
+        question: impl FnOnce(oneshot::Sender<T>) -> PeerRequest,
+        answer: impl FnOnce(&PeerLink, T) -> Frame + 'static,
     ) {
         let (to, from) = oneshot::channel();
         self.pass(asked, question(to));
@@ -949,7 +964,7 @@
         });
     }
 
-    fn pass(&self, asked: &mpsc::Sender<Asked>, what: Asked) {
+    fn pass(&self, asked: &mpsc::Sender<PeerRequest>, what: PeerRequest) {
         if asked.try_send(what).is_err() {
             debug!(target: NODE, "too much is asked by the other process; some goes without an answer");
         }
@@ -958,7 +973,7 @@
 
 /// A claimed id. While it is there the other process gets a no for that id.
 pub struct Claim {
-    link: Link,
+    link: PeerLink,
     id: Rc<str>,
 }
 
@@ -983,7 +998,7 @@
 /// The other process of this node, as far as this one is linked to it: the one place where all parts look for it.
 #[derive(Clone, Default)]
 pub struct Peer {
-    link: Rc<RefCell<Option<Link>>>,
+    link: Rc<RefCell<Option<PeerLink>>>,
     estranged: Rc<Cell<bool>>,
     /// The process at the other end of a link that was lost.
     lost: Rc<Cell<Option<Pid>>>,
@@ -991,32 +1006,32 @@
 
 impl Peer {
     /// The link, while it is up.
-    pub fn link(&self) -> Option<Link> {
-        self.link.borrow().clone().filter(Link::up)
+    pub fn link(&self) -> Option<PeerLink> {
+        self.link.borrow().clone().filter(PeerLink::is_connected)
     }
 
     /// There is another from now on, or none.
-    pub fn set(&self, link: Option<Link>) {
+    pub fn set_link(&self, link: Option<PeerLink>) {
         *self.link.borrow_mut() = link;
     }
 
     /// The link is lost. Whoever was at its other end is gone, or has given the link up and serves on by
     /// itself.
-    pub fn lose(&self) {
+    pub fn mark_lost(&self) {
         let link = self.link.take();
         let pid = link.and_then(|link| link.0.stream.peer_cred().ok()?.pid()).and_then(Pid::from_raw);
         self.lost.set(pid);
     }
 
     /// Whether another process may serve beside this one that it cannot reach.
-    pub fn estranged(&self) -> bool {
+    pub fn may_have_unknown_peer(&self) -> bool {
         // Once it is no more its number may be another's.
         self.lost.set(self.lost.get().filter(|pid| test_kill_process(*pid).is_ok()));
         self.estranged.get() || self.lost.get().is_some()
     }
 
     /// Another process may be there, since the place where both meet cannot be used; or it is known that none is.
-    pub fn estrange(&self, estranged: bool) {
+    pub fn set_may_have_unknown_peer(&self, estranged: bool) {
         self.estranged.set(estranged);
     }
 }
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -15,13 +15,16 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
-use crate::admin::Operations;
-use crate::dispatch::{Estate, Order};
-use crate::handover::{Asked, Elder, HandoverError, Hello, Link, Place, Seat, Turn, call_on};
+use crate::admin::AdminService;
+use crate::dispatch::{DispatchCommand, TransferableState};
+use crate::handover::{
+    HandoverError, PeerLink, PeerRequest, Predecessor, Rendezvous, RendezvousListener, StartLock,
+    SuccessorHello, contact_predecessor,
+};
 use crate::lifecycle::PhaseEvent;
-use crate::server::SenderSide;
+use crate::server::Server;
 use crate::telemetry::logging::NODE;
-use crate::upstream::NextHops;
+use crate::upstream::UpstreamClient;
 
 /// The form of what goes over; one of another form is passed over.
 const FORM: u32 = 1;
@@ -36,16 +39,16 @@
 /// What goes over from process to process.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Heritage {
+struct StateTransfer {
     form: u32,
     drained: bool,
-    estate: Estate,
+    estate: TransferableState,
 }
 
-impl Heritage {
+impl StateTransfer {
     /// Reads it, or says in one line why the process starts cold.
-    fn read(bytes: &Bytes) -> Option<Heritage> {
-        match serde_json::from_slice::<Heritage>(bytes) {
+    fn read(bytes: &Bytes) -> Option<StateTransfer> {
+        match serde_json::from_slice::<StateTransfer>(bytes) {
             Ok(heritage) if heritage.form == FORM => return Some(heritage),
             Ok(other) => {
                 warn!(target: NODE, "what the older process learned has form {}, not {FORM}: starts cold", other.form)
@@ -60,29 +63,29 @@
 
 /// How a process begins: where successors find it, and the process before it if there is one.
 #[derive(Default)]
-pub struct Beginning {
-    place: Option<Place>,
-    turn: Option<Turn>,
-    elder: Option<Elder>,
+pub struct StartupHandover {
+    place: Option<Rendezvous>,
+    turn: Option<StartLock>,
+    elder: Option<Predecessor>,
     /// Something kept it from asking whether another serves: one may, and is not known.
     estranged: bool,
 }
 
-impl Beginning {
+impl StartupHandover {
     /// Looks in that folder for another process of this node. Whatever goes wrong there is said in a line, and the process
     /// begins as though it were alone.
-    pub async fn look(folder: Option<PathBuf>, node: &str, listen: SocketAddr) -> Beginning {
-        let Some(folder) = folder else { return Beginning::default() };
-        let place = Place::new(&folder, listen);
+    pub async fn look(folder: Option<PathBuf>, node: &str, listen: SocketAddr) -> StartupHandover {
+        let Some(folder) = folder else { return StartupHandover::default() };
+        let place = Rendezvous::new(&folder, listen);
         let since = Instant::now();
         loop {
             let asked = match place.turn().await {
-                Ok(turn) => call_on(&place, node, listen).await.map(|elder| (turn, elder)),
+                Ok(turn) => contact_predecessor(&place, node, listen).await.map(|elder| (turn, elder)),
                 Err(problem @ HandoverError::Held { .. }) => Err(problem),
                 Err(problem) => {
                     warn!(target: NODE, "curlewusher {node}: {problem}");
                     // Where it can make no file it cannot sit either, which need not be said twice.
-                    return Beginning { estranged: true, ..Beginning::default() };
+                    return StartupHandover { estranged: true, ..StartupHandover::default() };
                 }
             };
             match asked {
@@ -90,12 +93,16 @@
                     if elder.is_some() {
                         info!(target: NODE, "curlewusher {node}: goes on for the process that serves");
                     }
-                    return Beginning { place: Some(place), turn: Some(turn), elder, estranged: false };
+                    return StartupHandover { place: Some(place), turn: Some(turn), elder, estranged: false };
                 }
                 Err(problem) if problem.is_busy() && since.elapsed() < BUSY_MOST => sleep(BUSY_PAUSE).await,
                 Err(problem) => {
                     warn!(target: NODE, "curlewusher {node}: {problem}");
-                    return Beginning { place: Some(place), estranged: true, ..Beginning::default() };
+                    return StartupHandover {
+                        place: Some(place),
+                        estranged: true,
+                        ..StartupHandover::default()
+                    };
                 }
             }
         }
@@ -113,48 +120,48 @@
 }
 
 /// The parts of the node that an upgrade concerns.
-pub struct Parts {
+pub struct TakeoverParts {
     pub listen: SocketAddr,
     /// For clients; a successor gets a copy.
     pub listener: TcpListener,
-    pub sender_side: SenderSide,
-    pub next_hops: NextHops,
-    pub operations: Operations,
+    pub server: Server,
+    pub next_hops: UpstreamClient,
+    pub operations: AdminService,
 }
 
 /// What comes to the task from within this process.
 enum Here {
-    Hello(Hello),
+    SuccessorHello(SuccessorHello),
     /// What the elder answered to being asked for the new connections.
     Took(Option<Bytes>),
     Terminate(oneshot::Sender<()>),
 }
 
 /// The task.
-pub struct Upgrade {
-    parts: Parts,
+pub struct TakeoverTask {
+    parts: TakeoverParts,
     succession: Takeover,
-    place: Option<Place>,
-    turn: Option<Turn>,
-    seat: Rc<RefCell<Option<Seat>>>,
-    hellos: mpsc::Sender<Hello>,
+    place: Option<Rendezvous>,
+    turn: Option<StartLock>,
+    seat: Rc<RefCell<Option<RendezvousListener>>>,
+    hellos: mpsc::Sender<SuccessorHello>,
     here: mpsc::Sender<Here>,
-    asked: Option<mpsc::Receiver<Asked>>,
+    asked: Option<mpsc::Receiver<PeerRequest>>,
     /// Who asks to be welcomed, and who asks for the new connections, while that is being decided.
-    hello: Option<Hello>,
+    hello: Option<SuccessorHello>,
     heir: Option<oneshot::Sender<Bytes>>,
     /// What the elder had learned at the welcome, while nothing later has come.
-    learned: Option<Heritage>,
+    learned: Option<StateTransfer>,
 }
 
 /// Where the rest of the program reaches the task.
-pub struct Reach {
+pub struct TakeoverHandle {
     here: mpsc::Sender<Here>,
-    seat: Rc<RefCell<Option<Seat>>>,
-    operations: Operations,
+    seat: Rc<RefCell<Option<RendezvousListener>>>,
+    operations: AdminService,
 }
 
-impl Reach {
+impl TakeoverHandle {
     /// The process was told to end; returns once the other knows what it must.
     pub async fn terminate(&self) {
         let (done, is_done) = oneshot::channel();
@@ -169,27 +176,30 @@
     }
 
     /// The last that is done: withdrawals that no next hop has heard go to the other process, and the seat is left.
-    pub async fn leave(&self, next_hops: &NextHops) {
+    pub async fn leave(&self, next_hops: &UpstreamClient) {
         if let Some(link) = self.operations.peer.link() {
-            next_hops.unheard().iter().for_each(|(to, id)| link.withdraw(*to, id));
-            let _ = timeout(LAST_FRAMES, link.written()).await;
+            next_hops
+                .unacknowledged_cancellations()
+                .iter()
+                .for_each(|(to, id)| link.transfer_cancellation(*to, id));
+            let _ = timeout(LAST_FRAMES, link.flushed()).await;
         }
         if let Some(seat) = self.seat.take() {
-            seat.up();
+            seat.close();
         }
     }
 }
 
-impl Upgrade {
+impl TakeoverTask {
     /// `listed`: there is a saved list to go by. Returns the task, which ends only if the program cannot go on.
     pub fn start(
-        beginning: Beginning,
-        parts: Parts,
+        beginning: StartupHandover,
+        parts: TakeoverParts,
         there: watch::Receiver<bool>,
         listed: bool,
-    ) -> (Reach, impl Future<Output = ()>) {
-        let Beginning { place, turn, elder, estranged } = beginning;
-        parts.operations.peer.estrange(estranged);
+    ) -> (TakeoverHandle, impl Future<Output = ()>) {
+        let StartupHandover { place, turn, elder, estranged } = beginning;
+        parts.operations.peer.set_may_have_unknown_peer(estranged);
         let (node, listen) = (parts.operations.name.clone(), parts.listen.to_string());
         let (succession, deeds) = match elder {
             Some(_) => Takeover::with_predecessor(&node, &listen),
@@ -199,8 +209,8 @@
         let (here, happens) = mpsc::channel(16);
         let seat = Rc::default();
         let operations = parts.operations.clone();
-        let reach = Reach { here: here.clone(), seat: Rc::clone(&seat), operations };
-        let mut upgrade = Upgrade {
+        let reach = TakeoverHandle { here: here.clone(), seat: Rc::clone(&seat), operations };
+        let mut upgrade = TakeoverTask {
             parts,
             succession,
             place,
@@ -229,36 +239,39 @@
     }
 
     /// What the elder knows of operators' calls counts from the first moment, what it has learned from the last.
-    async fn join(&mut self, elder: Elder) {
+    async fn join(&mut self, elder: Predecessor) {
         self.link(Some((elder.link, elder.asked)));
-        if let Some(mut heritage) = Heritage::read(&elder.heritage) {
+        if let Some(mut heritage) = StateTransfer::read(&elder.heritage) {
             let learned = heritage.estate.learned.take();
-            self.inherit(heritage.drained, Estate { bans: heritage.estate.bans.clone(), learned: None })
-                .await;
+            self.inherit(
+                heritage.drained,
+                TransferableState { bans: heritage.estate.bans.clone(), learned: None },
+            )
+            .await;
             heritage.estate.learned = learned;
             self.learned = Some(heritage);
         }
     }
 
-    fn link(&mut self, link: Option<(Link, mpsc::Receiver<Asked>)>) {
-        self.parts.sender_side.moves(false);
+    fn link(&mut self, link: Option<(PeerLink, mpsc::Receiver<PeerRequest>)>) {
+        self.parts.server.set_migrating(false);
         let (link, asked) = link.unzip();
-        self.parts.operations.peer.set(link);
+        self.parts.operations.peer.set_link(link);
         self.asked = asked;
     }
 
-    async fn inherit(&self, drained: bool, estate: Estate) {
+    async fn inherit(&self, drained: bool, estate: TransferableState) {
         let operations = &self.parts.operations;
         if !operations.drain_called.get() {
-            let _ = operations.lifecycle.go(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
+            let _ = operations.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
         // A dispatch task that has ended ends the program.
-        let _ = operations.order.send(Order::Inherit(Box::new(estate))).await;
+        let _ = operations.order.send(DispatchCommand::RestoreSnapshot(Box::new(estate))).await;
     }
 
     async fn run(
         mut self,
-        mut hellos: mpsc::Receiver<Hello>,
+        mut hellos: mpsc::Receiver<SuccessorHello>,
         mut happens: mpsc::Receiver<Here>,
         mut there: watch::Receiver<bool>,
         wait: Option<Duration>,
@@ -283,7 +296,7 @@
                 biased;
                 Some(here) = happens.recv() => self.here(here).await,
                 Some(asked) = next(&mut self.asked) => self.asked(asked).await,
-                Some(hello) = hellos.recv() => self.here(Here::Hello(hello)).await,
+                Some(hello) = hellos.recv() => self.here(Here::SuccessorHello(hello)).await,
                 () = &mut mapped, if waits => {
                     waits = false;
                     self.succession.handle(Event::EndpointsAvailable)
@@ -295,7 +308,7 @@
 
     async fn here(&mut self, here: Here) -> Vec<TakeoverCommand> {
         match here {
-            Here::Hello(hello) => {
+            Here::SuccessorHello(hello) => {
                 let (node, listen) = (hello.node.clone(), hello.listen.clone());
                 self.hello = Some(hello);
                 self.succession.handle(Event::Hello { node, listen })
@@ -303,7 +316,7 @@
             // The link is closed, which is heard by itself.
             Here::Took(None) => Vec::new(),
             Here::Took(Some(bytes)) => {
-                if let Some(heritage) = Heritage::read(&bytes).or_else(|| self.learned.take()) {
+                if let Some(heritage) = StateTransfer::read(&bytes).or_else(|| self.learned.take()) {
                     self.inherit(heritage.drained, heritage.estate).await;
                 }
                 self.learned = None;
@@ -318,39 +331,39 @@
         }
     }
 
-    async fn asked(&mut self, asked: Asked) -> Vec<TakeoverCommand> {
+    async fn asked(&mut self, asked: PeerRequest) -> Vec<TakeoverCommand> {
         match asked {
-            Asked::Word { body, heard } => {
-                let sender_side = self.parts.sender_side.clone();
+            PeerRequest::Callback { body, heard } => {
+                let server = self.parts.server.clone();
                 spawn_local(async move {
                     // Unanswered, it is repeated.
-                    if let Some(owned) = sender_side.hear(body).await {
+                    if let Some(owned) = server.handle_callback(body).await {
                         let _ = heard.send(owned);
                     }
                 });
             }
-            Asked::Claim { id, free } => {
-                let sender_side = self.parts.sender_side.clone();
-                spawn_local(async move { free.send(!sender_side.holds(id).await) });
+            PeerRequest::ClaimJob { id, free } => {
+                let server = self.parts.server.clone();
+                spawn_local(async move { free.send(!server.holds_job(id).await) });
             }
-            Asked::AdminCommand { call, verdict } => {
+            PeerRequest::Command { call, verdict } => {
                 let operations = self.parts.operations.clone();
                 spawn_local(async move { verdict.send(operations.follow(&call).await) });
             }
-            Asked::PhaseEvent { job, client, held, said } => {
-                spawn_local(self.parts.sender_side.clone().adopt(job, client, held, said));
+            PeerRequest::MigrateJob { job, client, held, said } => {
+                spawn_local(self.parts.server.clone().adopt_job(job, client, held, said));
             }
-            Asked::Withdraw { to, id } => self.parts.next_hops.take_over_withdrawal(to, id),
-            Asked::TakeOver { heritage } => {
+            PeerRequest::CancelAttempt { to, id } => self.parts.next_hops.adopt_cancellation(to, id),
+            PeerRequest::Takeover { heritage } => {
                 self.heir = Some(heritage);
                 return self.succession.handle(Event::TakeoverRequested);
             }
-            Asked::GiveBack => {
-                self.parts.sender_side.moves(false);
+            PeerRequest::HandBack => {
+                self.parts.server.set_migrating(false);
                 return self.succession.handle(Event::HandedBack);
             }
-            Asked::Lost => {
-                self.parts.operations.peer.lose();
+            PeerRequest::Lost => {
+                self.parts.operations.peer.mark_lost();
                 self.link(None);
                 if let Some(heritage) = self.learned.take() {
                     self.inherit(heritage.drained, heritage.estate).await;
@@ -368,15 +381,15 @@
                 TakeoverCommand::SendWelcome => self.welcome().await,
                 TakeoverCommand::RejectHello(why) => {
                     if let Some(hello) = self.hello.take() {
-                        hello.turn_away(why).await;
+                        hello.reject(why).await;
                     }
                 }
                 TakeoverCommand::RequestTakeover => {
                     if let Some(link) = self.parts.operations.peer.link() {
                         let here = self.here.clone();
-                        spawn_local(
-                            async move { here.send(Here::Took(link.take_over().await)).await.is_ok() },
-                        );
+                        spawn_local(async move {
+                            here.send(Here::Took(link.request_takeover().await)).await.is_ok()
+                        });
                     }
                 }
                 TakeoverCommand::GrantTakeover => {
@@ -384,22 +397,22 @@
                     if let Some(heir) = self.heir.take() {
                         let _ = heir.send(heritage);
                     }
-                    self.parts.sender_side.moves(true);
+                    self.parts.server.set_migrating(true);
                 }
                 TakeoverCommand::HandBack => {
-                    _ = self.parts.operations.peer.link().map(|link| link.give_back());
-                    self.parts.sender_side.moves(true);
+                    _ = self.parts.operations.peer.link().map(|link| link.hand_back());
+                    self.parts.server.set_migrating(true);
                 }
                 TakeoverCommand::CloseLink => {
                     _ = self.parts.operations.peer.link().map(|link| link.close());
                     self.link(None);
                 }
-                TakeoverCommand::StartAccepting => self.parts.sender_side.accepts(true),
-                TakeoverCommand::StopAccepting => self.parts.sender_side.accepts(false),
+                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
+                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
                 TakeoverCommand::ApplyPhaseEvent(by) => self.go(by).await,
                 TakeoverCommand::SetDescriptorShare(share) => {
-                    self.parts.sender_side.share(share == DescriptorShare::Half);
-                    self.parts.next_hops.share(share == DescriptorShare::Half);
+                    self.parts.server.set_descriptors_halved(share == DescriptorShare::Half);
+                    self.parts.next_hops.set_descriptors_halved(share == DescriptorShare::Half);
                 }
                 TakeoverCommand::ListenForSuccessor => self.sit(),
             }
@@ -408,21 +421,25 @@
 
     async fn go(&mut self, by: PhaseEvent) {
         let operations = &self.parts.operations;
-        let Some(phase) = operations.lifecycle.go(by) else { return };
+        let Some(phase) = operations.lifecycle.apply(by) else { return };
         if by != PhaseEvent::EndpointsAvailable {
             info!(target: NODE, "curlewusher {}: {phase}", operations.name);
         }
         if matches!(by, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
-            let _ = operations.order.send(Order::Retire(by == PhaseEvent::HandedOver)).await;
+            let _ = operations
+                .order
+                .send(DispatchCommand::SetSuccessorActive(by == PhaseEvent::HandedOver))
+                .await;
         }
     }
 
     async fn heritage(&self) -> Bytes {
         let (estate, bequeathed) = oneshot::channel();
         let operations = &self.parts.operations;
-        let asked = operations.order.send(Order::Bequeath(estate)).await.is_ok();
+        let asked = operations.order.send(DispatchCommand::TakeSnapshot(estate)).await.is_ok();
         let Some(estate) = bequeathed.await.ok().filter(|_| asked) else { return Bytes::new() };
-        let heritage = Heritage { form: FORM, drained: operations.lifecycle.phase().is_drained(), estate };
+        let heritage =
+            StateTransfer { form: FORM, drained: operations.lifecycle.phase().is_drained(), estate };
         match serde_json::to_vec(&heritage) {
             Ok(bytes) => bytes.into(),
             Err(e) => {
@@ -450,10 +467,10 @@
 
     fn sit(&mut self) {
         let Some(place) = &self.place else { return };
-        match Seat::sit(place, self.hellos.clone()) {
+        match RendezvousListener::bind(place, self.hellos.clone()) {
             Ok(seat) => *self.seat.borrow_mut() = Some(seat),
             Err(problem) => {
-                self.parts.operations.peer.estrange(true);
+                self.parts.operations.peer.set_may_have_unknown_peer(true);
                 warn!(target: NODE, "no successor can find this process: {problem}");
             }
         }
@@ -463,7 +480,7 @@
 }
 
 /// What the other process asks next; never, where there is none.
-async fn next(asked: &mut Option<mpsc::Receiver<Asked>>) -> Option<Asked> {
+async fn next(asked: &mut Option<mpsc::Receiver<PeerRequest>>) -> Option<PeerRequest> {
     match asked {
         Some(asked) => asked.recv().await,
         None => std::future::pending().await,
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -33,7 +33,7 @@
 
     /// Moves to the phase that the table has for it, and says which that is; none where it has none, as when a list
     /// comes while the program ends. Called by the node's own thread only.
-    pub fn go(&self, by: PhaseEvent) -> Option<Phase> {
+    pub fn apply(&self, by: PhaseEvent) -> Option<Phase> {
         let phase = self.phase().next(by)?;
         let at = Phase::ALL.iter().position(|p| *p == phase)?;
         self.at.store(at, Ordering::Relaxed);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -19,7 +19,7 @@
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use serve::Problem;
+use serve::ServeError;
 
 /// Takes jobs from clients, sends each to one of many unlike workers, and answers every one of them once.
 ///
@@ -51,10 +51,10 @@
 
 fn main() -> ExitCode {
     let line = CommandLine::parse();
-    let told = config::Told { operator: line.operator };
+    let sources = config::ConfigSources { operator: line.operator };
     let done = match line.command.unwrap_or(Command::Serve) {
-        Command::Serve => serve::run(&told),
-        Command::Check => check::run(&told).map_err(Problem::Config),
+        Command::Serve => serve::run(&sources),
+        Command::Check => check::run(&sources).map_err(ServeError::Config),
         Command::Completions { shell } => {
             clap_complete::generate(
                 shell,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -15,20 +15,20 @@
 use tokio::task::{LocalSet, spawn_local};
 use tracing::{error, info};
 
-use crate::admin::Operations;
+use crate::admin::AdminService;
 use crate::admin::listener::{self, ConsoleError};
-use crate::config::{Config, ConfigError, Told};
-use crate::connection_budget::Places;
+use crate::config::{Config, ConfigError, ConfigSources};
+use crate::connection_budget::ConnectionBudget;
 use crate::discovery::endpoint_list::EndpointResolver;
-use crate::discovery::{Pace, TransportMap};
-use crate::dispatch::{self, Clock, Dispatch, Notice};
+use crate::discovery::{EndpointWatcher, WatchTiming};
+use crate::dispatch::{self, Clock, DispatchMessage, DispatchTask};
 use crate::handover::Peer;
-use crate::handover::takeover::{Beginning, Parts, Upgrade};
+use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
 use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, PhaseEvent};
-use crate::server::{Bounds, SenderSide};
-use crate::telemetry::logging::{Logs, NODE};
-use crate::telemetry::metrics::{Counter, Counters};
-use crate::upstream::NextHops;
+use crate::server::{Server, ServerLimits};
+use crate::telemetry::logging::{Logging, NODE};
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::UpstreamClient;
 
 /// Descriptors that are neither for clients nor for next hops: standard streams, discovery, the listener, the
 /// event queue, and some to spare. A node of few has a quarter of them for that, but never fewer than it needs: 11
@@ -51,7 +51,7 @@
 
 /// Why it does not serve, or no longer.
 #[derive(Debug, Error)]
-pub enum Problem {
+pub enum ServeError {
     /// What it was told cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -77,36 +77,36 @@
     Part(&'static str),
 }
 
-impl Problem {
+impl ServeError {
     /// Whether another start with the same configuration ends the same way.
     pub fn stays(&self) -> bool {
-        !matches!(self, Problem::System { .. } | Problem::Part(_))
+        !matches!(self, ServeError::System { .. } | ServeError::Part(_))
     }
 }
 
 /// Serves until SIGTERM.
-pub fn run(told: &Told) -> Result<(), Problem> {
+pub fn run(sources: &ConfigSources) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|cause| Problem::System { what: "the runtime does not start", cause })?;
-    LocalSet::new().block_on(&runtime, serve(told))
+        .map_err(|cause| ServeError::System { what: "the runtime does not start", cause })?;
+    LocalSet::new().block_on(&runtime, serve(sources))
 }
 
-async fn serve(told: &Told) -> Result<(), Problem> {
+async fn serve(sources: &ConfigSources) -> Result<(), ServeError> {
     // Before all else: until a signal is handled it ends the program.
-    let handle = |kind, what| signal(kind).map_err(|cause| Problem::System { what, cause });
+    let handle = |kind, what| signal(kind).map_err(|cause| ServeError::System { what, cause });
     let mut terminate = handle(SignalKind::terminate(), "SIGTERM")?;
     let mut hang_up = handle(SignalKind::hangup(), "SIGHUP")?;
 
-    let config = Config::read(told)?;
+    let config = Config::read(sources)?;
     let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
-    let logs = Logs::start(&operator.log).map_err(Problem::Log)?;
-    let sender_side_tuning = Rc::new(Cell::new(operator.sender_side));
-    let next_hop_tuning = Rc::new(Cell::new(operator.next_hop));
+    let logs = Logging::start(&operator.log).map_err(ServeError::Log)?;
+    let server_options = Rc::new(Cell::new(operator.server));
+    let upstream_options = Rc::new(Cell::new(operator.upstream));
     let lifecycle = Lifecycle::new();
     let bounds: Vec<f64> = operator.metrics.answer_bounds_ms.iter().map(|ms| *ms as f64 / 1e3).collect();
-    let counters = Counters::new(&site.classes, &bounds, logs.dropped());
+    let counters = Metrics::new(&site.classes, &bounds, logs.dropped());
     let clock = Clock::new();
 
     // PROTOCOL lets any refusal carry Retry-After, also where the simulator's clients would not hear of it.
@@ -130,21 +130,22 @@
         (limits.sockets / 2).saturating_sub(spared / 2 + listener::SOCKETS / 2).clamp(LEAST_SOCKETS, all);
     let (queue, notices) = dispatch::queue(all);
     let peer = Peer::default();
-    let next_hops = NextHops::new(
+    let next_hops = UpstreamClient::new(
         queue.clone(),
         counters.clone(),
         Duration::from_micros(site.connect_timeout),
         Duration::from_micros(site.keepalive),
-        next_hop_tuning.clone(),
-        Places::new(all / 3, half / 3),
+        upstream_options.clone(),
+        ConnectionBudget::new(all / 3, half / 3),
     );
     let mut names = EndpointResolver::new(&site);
     let hops = names.resolve(&known.endpoints);
     let listed = !hops.is_empty();
     let (order, orders) = mpsc::channel(ORDERS_ROOM);
     let dispatch =
-        Dispatch::new(dispatcher, clock, next_hops.clone(), notices, orders, ask, counters.clone()).run(hops);
-    let map = TransportMap {
+        DispatchTask::new(dispatcher, clock, next_hops.clone(), notices, orders, ask, counters.clone())
+            .run(hops);
+    let map = EndpointWatcher {
         discovery,
         names,
         // A saved list that names nobody is no list: of changes since its version alone a node would learn nobody.
@@ -152,17 +153,20 @@
         queue: queue.clone(),
         there,
         counters: counters.clone(),
-        pace: Pace::new(&site.decisions),
+        pace: WatchTiming::new(&site.decisions),
     };
     let ending = queue.clone();
-    let sender_side = SenderSide::new(
+    let server = Server::new(
         queue,
         clock,
         &site,
         lifecycle.clone(),
         counters.clone(),
         peer.clone(),
-        Bounds { room: Places::new(all - all / 3, half - half / 3), tuning: sender_side_tuning.clone() },
+        ServerLimits {
+            room: ConnectionBudget::new(all - all / 3, half - half / 3),
+            tuning: server_options.clone(),
+        },
     );
     let opened = console.map(|at| listener::open(at, lifecycle.clone())).transpose();
     let (operators, calls) = opened?.unzip();
@@ -170,25 +174,25 @@
     // Where there is no second address nobody starts a version beside another.
     let folder = console.and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
     let beginning = tokio::select! {
-        beginning = Beginning::look(folder, &name, listen) => beginning,
+        beginning = StartupHandover::look(folder, &name, listen) => beginning,
         _ = terminate.recv() => return Ok(()),
     };
-    let listener = beginning.listener().unwrap_or_else(|| sender_side.listen(listen, console.is_some()));
-    let unusable = |cause| Problem::Listen { listen, cause };
+    let listener = beginning.listener().unwrap_or_else(|| server.listen(listen, console.is_some()));
+    let unusable = |cause| ServeError::Listen { listen, cause };
     let bound = listener.and_then(|listener| Ok((listener.local_addr()?, listener.try_clone()?, listener)));
     let (serves_on, for_successors, listener) = bound.map_err(unusable)?;
     let listener = TcpListener::from_std(listener).map_err(unusable)?;
-    let operations = Operations {
+    let operations = AdminService {
         name: name.as_str().into(),
         lifecycle: lifecycle.clone(),
         order,
         peer,
         drain_called: Rc::default(),
     };
-    let parts = Parts {
+    let parts = TakeoverParts {
         listen,
         listener: for_successors,
-        sender_side: sender_side.clone(),
+        server: server.clone(),
         next_hops: next_hops.clone(),
         operations: operations.clone(),
     };
@@ -196,9 +200,9 @@
     let dispatch = spawn_local(dispatch);
     let map = spawn_local(map.run(asked, moved));
     let sweep = spawn_local(next_hops.clone().sweep());
-    let accept = spawn_local(sender_side.clone().accept(listener));
+    let accept = spawn_local(server.clone().accept(listener));
     let follows = beginning.follows();
-    let (upgrade, upgrading) = Upgrade::start(beginning, parts, is_there, listed);
+    let (upgrade, upgrading) = TakeoverTask::start(beginning, parts, is_there, listed);
     let upgrading = spawn_local(upgrading);
     info!(target: NODE, "curlewusher {name}: {} {serves_on}", if follows { "is to serve on" } else { "serves on" });
     if let Some(at) = operators {
@@ -207,12 +211,12 @@
 
     let reloads = async {
         while hang_up.recv().await.is_some() {
-            match Config::read_again(told) {
+            match Config::read_again(sources) {
                 Ok(config) => {
                     counters.add(Counter::Reloads);
                     logs.apply(&config.operator.log);
-                    sender_side_tuning.set(config.operator.sender_side);
-                    next_hop_tuning.set(config.operator.next_hop);
+                    server_options.set(config.operator.server);
+                    upstream_options.set(config.operator.upstream);
                     info!(target: NODE, discovery = %config.discovery, "configuration read again");
                     move_to
                         .send_if_modified(|to| std::mem::replace(to, config.discovery) != config.discovery);
@@ -230,12 +234,12 @@
         upgrade.terminate().await;
         info!(target: NODE, "curlewusher {name}: drains");
         // Only a dispatch task that has ended does not hear it, and that is said below.
-        let _ = ending.send(Notice::Ending(answered_within)).await;
+        let _ = ending.send(DispatchMessage::ShutdownStarted(answered_within)).await;
         tokio::time::sleep(DRAIN_AT_LEAST).await;
-        sender_side.finish().await;
-        sender_side.close().await;
+        server.drain().await;
+        server.close().await;
         let rest = async {
-            while !next_hops.at_rest() {
+            while !next_hops.is_idle() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
@@ -244,21 +248,21 @@
         let _ = tokio::time::timeout(wait, rest).await;
         upgrade.leave(&next_hops).await;
         // What came meanwhile. The listener goes last: a connection that it has in its queue would be reset.
-        sender_side.close().await;
+        server.close().await;
         accept.abort();
-        lifecycle.go(PhaseEvent::ShutdownCompleted);
+        lifecycle.apply(PhaseEvent::ShutdownCompleted);
     };
     // Without the dispatch task or the transport map a node is deaf: better to end than to hang on.
     tokio::select! {
         () = ended => {}
         // Without its second address nobody could end a drain.
-        () = operated => return Err(Problem::Part("the second address")),
+        () = operated => return Err(ServeError::Part("the second address")),
         // Without its signals it could still serve, but nobody could tell it anything.
-        () = reloads => return Err(Problem::Part("the delivery of SIGHUP")),
-        _ = dispatch => return Err(Problem::Part("the dispatch task")),
-        _ = upgrading => return Err(Problem::Part("the upgrade task")),
-        _ = map => return Err(Problem::Part("the transport map")),
-        _ = sweep => return Err(Problem::Part("the sweep of idle connections")),
+        () = reloads => return Err(ServeError::Part("the delivery of SIGHUP")),
+        _ = dispatch => return Err(ServeError::Part("the dispatch task")),
+        _ = upgrading => return Err(ServeError::Part("the upgrade task")),
+        _ = map => return Err(ServeError::Part("the transport map")),
+        _ = sweep => return Err(ServeError::Part("the sweep of idle connections")),
     }
     logs.figures(&counters.text());
     Ok(())
--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-use crate::dispatch::Word;
+use crate::dispatch::CallbackState;
 
 /// Why a call-back cannot be used; the next hop's own log shows what it sent.
 #[derive(Debug, Error)]
@@ -44,18 +44,18 @@
 
 impl Callback<'_> {
     /// The job's id, the next hop's name, and what it says.
-    pub fn read(body: &Bytes) -> Result<(String, String, Word), CallbackError> {
+    pub fn read(body: &Bytes) -> Result<(String, String, CallbackState), CallbackError> {
         let call: Callback = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
         let word = match call.state {
-            State::Started => Word::Started,
+            State::Started => CallbackState::Started,
             State::Running => match call.share.filter(|share| (0.0..=1.0).contains(share)) {
-                Some(share) => Word::Running(share),
+                Some(share) => CallbackState::Running(share),
                 None => return Err(CallbackError::DescriptorShare),
             },
-            State::Done => Word::Done(unquoted(body, call.result.ok_or(CallbackError::NoResult)?)?),
-            State::Failed => Word::Failed,
-            State::Returned => Word::Returned,
-            State::Lost => Word::Lost,
+            State::Done => CallbackState::Done(unquoted(body, call.result.ok_or(CallbackError::NoResult)?)?),
+            State::Failed => CallbackState::Failed,
+            State::Returned => CallbackState::Returned,
+            State::Lost => CallbackState::Lost,
         };
         Ok((call.id, call.from, word))
     }
--- a/crates/node/src/server/connection.rs
+++ b/crates/node/src/server/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use crate::telemetry::metrics::{Counter, Counters};
+use crate::telemetry::metrics::{Counter, Metrics};
 
 /// No head is longer; hyper buffers no more than this either.
 pub const LONGEST_HEAD: usize = 16 << 10;
@@ -193,7 +193,7 @@
     held: BytesMut,
     /// So much may be handed on: a head that was read, and its body.
     pass: u64,
-    counters: Counters,
+    counters: Metrics,
     /// The node ends: half a request is closed without an answer, so that its client may send it elsewhere.
     over: Rc<Cell<bool>>,
 }
@@ -207,7 +207,7 @@
     pub fn new(
         stream: TcpStream,
         connection: &Rc<Connection>,
-        counters: Counters,
+        counters: Metrics,
         over: Rc<Cell<bool>>,
     ) -> Rc<RefCell<ReadFilter>> {
         let (connection, held) = (connection.clone(), BytesMut::new());
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -39,18 +39,21 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
 
-use crate::connection_budget::Places;
-use crate::dispatch::{Adopted, Answer, Clock, Holder, Moved, Notice, Queue, Taken, Ticket};
-use crate::handover::{Heard, Peer};
+use crate::connection_budget::ConnectionBudget;
+use crate::dispatch::{
+    Clock, DispatchMessage, DispatchQueue, IncomingMigration, JobHandle, JobMigration, JobOwner, JobResponse,
+    SubmittedJob,
+};
+use crate::handover::{ForwardResult, Peer};
 use crate::lifecycle::Lifecycle;
 use crate::server::callback::Callback;
 use crate::server::connection::{
     Connection, ConnectionState, FilteredStream, LONGEST_HEAD, READ_TIME, ReadFilter, WRITE_TIME, discard,
     linger,
 };
-use crate::telemetry::logging::SENDER_SIDE;
-use crate::telemetry::metrics::{Counter, Counters};
-use crate::upstream::{IDEMPOTENCY_KEY, Parcel, X_DEADLINE, X_REQUEST_ID};
+use crate::telemetry::logging::SERVER;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
 
 const X_CLASS: HeaderName = HeaderName::from_static("x-class");
 const X_TENANT: HeaderName = HeaderName::from_static("x-tenant");
@@ -86,17 +89,17 @@
 type Reply = Response<Full<Bytes>>;
 
 struct Shared {
-    queue: Queue<Parcel>,
+    queue: DispatchQueue<RequestPayload>,
     clock: Clock,
     /// Names of the classes, and whether their jobs carry a key.
     classes: Vec<(String, bool)>,
     /// Names of the tenants.
     tenants: Vec<String>,
     lifecycle: Lifecycle,
-    counters: Counters,
+    counters: Metrics,
     tuning: Rc<Cell<Tuning>>,
     connections: RefCell<Vec<Weak<Connection>>>,
-    room: Places,
+    room: ConnectionBudget,
     /// Jobs taken and not yet answered, from the last byte of each on.
     open: Cell<usize>,
     /// Nothing was left unanswered when this node ended: from then on no job is taken.
@@ -110,16 +113,16 @@
 }
 
 /// What the sender side keeps within.
-pub struct Bounds {
+pub struct ServerLimits {
     /// Places for connections.
-    pub room: Places,
+    pub room: ConnectionBudget,
     /// The operator's fields, which may change.
     pub tuning: Rc<Cell<Tuning>>,
 }
 
 /// The sender side of the node; one more for each connection, which is then its connection.
 #[derive(Clone)]
-pub struct SenderSide {
+pub struct Server {
     shared: Rc<Shared>,
     connection: Option<Rc<Connection>>,
 }
@@ -128,7 +131,7 @@
 /// place in the queue for that, since a drop cannot wait for one. Until it has that place nobody knows the
 /// job.
 struct OpenJob {
-    gone: Option<(OwnedPermit<Notice<Parcel>>, Ticket)>,
+    gone: Option<(OwnedPermit<DispatchMessage<RequestPayload>>, JobHandle)>,
     shared: Rc<Shared>,
 }
 
@@ -143,10 +146,10 @@
     fn drop(&mut self) {
         self.shared.open.set(self.shared.open.get() - 1);
         self.shared.answered.notify_waiters();
-        if let Some((place, ticket)) = self.gone.take() {
+        if let Some((place, job_handle)) = self.gone.take() {
             // At once, for what is about to begin: the notice may stand behind a crowd.
-            ticket.client_goes();
-            place.send(Notice::ClientGone(ticket));
+            job_handle.mark_client_gone();
+            place.send(DispatchMessage::ClientDisconnected(job_handle));
         }
     }
 }
@@ -234,15 +237,15 @@
     !id.is_empty() && id.len() <= LONGEST_ID && id.bytes().all(good) && id != "." && id != ".."
 }
 
-impl SenderSide {
+impl Server {
     pub fn new(
-        queue: Queue<Parcel>,
+        queue: DispatchQueue<RequestPayload>,
         clock: Clock,
         site: &Site,
         lifecycle: Lifecycle,
-        counters: Counters,
+        counters: Metrics,
         peer: Peer,
-        Bounds { room, tuning }: Bounds,
+        ServerLimits { room, tuning }: ServerLimits,
     ) -> Self {
         let keyed =
             site.decisions.classes.iter().map(|c| matches!(c.idempotency, Idempotency::WithKey { .. }));
@@ -263,7 +266,7 @@
             peer,
             moves: watch::Sender::new(false),
         });
-        SenderSide { shared, connection: None }
+        Server { shared, connection: None }
     }
 
     /// `shared`: another process of this node may listen there as well.
@@ -300,23 +303,23 @@
     }
 
     /// Takes new connections from now on, or leaves them in the queue for the other process of this node.
-    pub fn accepts(&self, accepts: bool) {
+    pub fn set_accepting(&self, accepts: bool) {
         self.shared.accepts.send_replace(accepts);
     }
 
     /// Whether jobs in hand are to move to the other process of this node.
-    pub fn moves(&self, moves: bool) {
+    pub fn set_migrating(&self, moves: bool) {
         self.shared.moves.send_replace(moves);
     }
 
     /// Uses half of its places or all.
-    pub fn share(&self, half: bool) {
-        self.shared.room.share(half, || self.make_way());
+    pub fn set_descriptors_halved(&self, half: bool) {
+        self.shared.room.set_halved(half, || self.make_way());
     }
 
     /// Most jobs that may be open: others must find room for what they have to say.
     fn most_open(&self) -> usize {
-        self.shared.room.wanted() * 3 / 4
+        self.shared.room.target() * 3 / 4
     }
 
     async fn take_connections(&self, listener: TcpListener) {
@@ -329,7 +332,7 @@
                 if self.shared.room.free() <= SPARE {
                     self.make_way();
                 }
-                if let Ok(room) = timeout(ACCEPT_PAUSE, self.shared.room.take()).await {
+                if let Ok(room) = timeout(ACCEPT_PAUSE, self.shared.room.acquire()).await {
                     break room;
                 }
             };
@@ -344,15 +347,15 @@
                     // accepted before that, and would fill all places with connections that none can close.
                     let connection = Rc::new(Connection::new());
                     self.shared.connections.borrow_mut().push(Rc::downgrade(&connection));
-                    let serve = SenderSide { shared: self.shared.clone(), connection: Some(connection) }
-                        .serve(stream);
+                    let serve =
+                        Server { shared: self.shared.clone(), connection: Some(connection) }.serve(stream);
                     spawn_local(async {
                         serve.await;
                         drop(room);
                     });
                 }
                 Err(e) => {
-                    warn!(target: SENDER_SIDE, "a connection could not be accepted: {e}");
+                    warn!(target: SERVER, "a connection could not be accepted: {e}");
                     // Out of descriptors, or a client that left at once: neither may end the listening.
                     self.shared.counters.add(Counter::AcceptFailures);
                     self.make_way();
@@ -451,7 +454,7 @@
 
     /// Ends idle clients' connections, and returns once nothing that was taken is unanswered. What is read
     /// from then on was never sent on: it is told to come again.
-    pub async fn finish(&self) {
+    pub async fn drain(&self) {
         loop {
             let answered = self.shared.answered.notified();
             self.send_on();
@@ -522,7 +525,7 @@
         }
         .unwrap_or_else(|(status, why)| {
             shared.counters.add(Counter::Rejected);
-            debug!(target: SENDER_SIDE, status = status.as_u16(), why, "turned away");
+            debug!(target: SERVER, status = status.as_u16(), why, "turned away");
             let mut reply = reply(status, why + "\n");
             // Who sends what cannot be used holds no place here.
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -568,25 +571,31 @@
         }
         let body = self.body(request.into_body()).await?;
         let (id, from, word) = Callback::read(&body).map_err(|e| bad(e.to_string()))?;
-        let (link, estranged) = (self.shared.peer.link(), self.shared.peer.estranged());
+        let (link, estranged) = (self.shared.peer.link(), self.shared.peer.may_have_unknown_peer());
         let (holder, holds) = oneshot::channel();
         let holder = (link.is_some() || estranged).then_some(holder);
         let asks = holder.is_some();
-        if self.shared.queue.send(Notice::Told { id, from, word, holder }).await.is_err() {
+        if self
+            .shared
+            .queue
+            .send(DispatchMessage::Callback { id, worker: from, state: word, owner: holder })
+            .await
+            .is_err()
+        {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "this node has ended".into()));
         }
-        let holder = if asks { holds.await.unwrap_or(Holder::Here) } else { Holder::Here };
-        let linked = link.as_ref().is_some_and(|link| link.up());
-        let heard = match (holder, route(holder == Holder::Here, linked), link) {
-            (Holder::OnItsWay, ..) => false,
-            (_, CallbackRoute::Forward, Some(link)) => match link.word(body.clone()).await {
-                Heard::Owned => true,
+        let holder = if asks { holds.await.unwrap_or(JobOwner::Local) } else { JobOwner::Local };
+        let linked = link.as_ref().is_some_and(|link| link.is_connected());
+        let heard = match (holder, route(holder == JobOwner::Local, linked), link) {
+            (JobOwner::Migrating, ..) => false,
+            (_, CallbackRoute::Forward, Some(link)) => match link.forward_callback(body.clone()).await {
+                ForwardResult::Handled => true,
                 // Its job may have come from there since it was looked for here.
-                Heard::NotOwned => self.hear(body).await.is_some(),
-                Heard::Unheard => false,
+                ForwardResult::NotHeld => self.handle_callback(body).await.is_some(),
+                ForwardResult::NoAnswer => false,
             },
             // Another process may be there that this one cannot reach: a repeat may find it.
-            (Holder::Elsewhere, ..) => !estranged,
+            (JobOwner::Unknown, ..) => !estranged,
             _ => true,
         };
         if heard {
@@ -598,15 +607,15 @@
 
     /// A call-back that came to the other process of this node. Whether a job here is meant; nothing is said
     /// where that is about to change, and the call-back is to be repeated.
-    pub async fn hear(&self, body: Bytes) -> Option<bool> {
+    pub async fn handle_callback(&self, body: Bytes) -> Option<bool> {
         let Ok((id, from, word)) = Callback::read(&body) else { return Some(false) };
         let (holder, holds) = oneshot::channel();
-        let told = Notice::Told { id, from, word, holder: Some(holder) };
+        let told = DispatchMessage::Callback { id, worker: from, state: word, owner: Some(holder) };
         self.shared.queue.send(told).await.ok()?;
         match holds.await.ok()? {
-            Holder::Here => Some(true),
-            Holder::Elsewhere => Some(false),
-            Holder::OnItsWay => None,
+            JobOwner::Local => Some(true),
+            JobOwner::Unknown => Some(false),
+            JobOwner::Migrating => None,
         }
     }
 
@@ -619,24 +628,24 @@
 
     /// Moves a job to the other process of this node, with a copy of its client's socket. Whether it is held
     /// there.
-    async fn move_on(&self, ticket: &Ticket, client: Option<OwnedFd>) -> bool {
+    async fn move_on(&self, job_handle: &JobHandle, client: Option<OwnedFd>) -> bool {
         let (Some(link), Some(client)) = (self.shared.peer.link(), client) else { return false };
-        let (queue, ticket) = (self.shared.queue.clone(), ticket.clone());
+        let (queue, job_handle) = (self.shared.queue.clone(), job_handle.clone());
         // Dropped with this future when the client leaves meanwhile.
         let (_client_here, mut client_gone) = oneshot::channel::<Infallible>();
         // A task of its own: a client that leaves now must not leave the job between both.
         let moving = spawn_local(async move {
             let (to, let_go) = oneshot::channel();
-            queue.send(Notice::PhaseEvent(ticket.clone(), to)).await.ok()?;
-            let (moved, parcel) = let_go.await.ok()?;
-            let held = match record(&moved, &parcel) {
-                Some(record) => link.move_job(record, client).await,
+            queue.send(DispatchMessage::MigrateJob(job_handle.clone(), to)).await.ok()?;
+            let (moved, payload) = let_go.await.ok()?;
+            let held = match record(&moved, &payload) {
+                Some(record) => link.migrate_job(record, client).await,
                 None => false,
             };
-            queue.send(Notice::MoveEnded(ticket.clone(), held)).await.ok()?;
+            queue.send(DispatchMessage::MigrationFinished(job_handle.clone(), held)).await.ok()?;
             if !held && client_gone.try_recv() == Err(TryRecvError::Closed) {
                 // While it was on its way nobody heard that; the other process would have seen it by itself.
-                queue.send(Notice::ClientGone(ticket)).await.ok()?;
+                queue.send(DispatchMessage::ClientDisconnected(job_handle)).await.ok()?;
             }
             Some(held)
         });
@@ -645,7 +654,7 @@
 
     /// Takes a job on that the other process of this node has moved here, and answers its client. `said`: the
     /// other process will have read that it is held here.
-    pub async fn adopt(
+    pub async fn adopt_job(
         self,
         job: Bytes,
         client: OwnedFd,
@@ -655,23 +664,30 @@
         let stream = std::net::TcpStream::from(client);
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
         // Unanswered, it stays where it was.
-        let (Some((moved, parcel)), Ok(mut stream), Some(_place), false) =
-            (read_record(&job), stream, self.shared.room.try_take(), self.shared.over.get())
+        let (Some((moved, payload)), Ok(mut stream), Some(_place), false) =
+            (read_record(&job), stream, self.shared.room.try_acquire(), self.shared.over.get())
         else {
             let _ = held.send(false);
             return;
         };
         let mut open = OpenJob::new(&self.shared);
-        let ticket = Ticket::default();
+        let job_handle = JobHandle::default();
         let Ok(place_for_gone) = self.shared.queue.clone().reserve_owned().await else { return };
         let (answer, mut answered) = oneshot::channel();
-        let adopted = Adopted { moved, parcel, ticket: ticket.clone(), answer, held };
-        if self.shared.queue.send(Notice::Adopted(adopted)).await.is_err() {
+        let adopted = IncomingMigration { moved, payload, job_handle: job_handle.clone(), answer, held };
+        if self.shared.queue.send(DispatchMessage::ReceiveMigration(adopted)).await.is_err() {
             return;
         }
-        open.gone = Some((place_for_gone, ticket.clone()));
+        open.gone = Some((place_for_gone, job_handle.clone()));
         let ours = said.await.is_ok();
-        if self.shared.queue.send(Notice::Arrived(ticket.clone(), ours)).await.is_err() || !ours {
+        if self
+            .shared
+            .queue
+            .send(DispatchMessage::MigrationConfirmed(job_handle.clone(), ours))
+            .await
+            .is_err()
+            || !ours
+        {
             open.gone = None;
             return;
         }
@@ -683,7 +699,7 @@
                 () = left(&mut stream) => return,
                 () = self.time_to_move(pause) => {
                     pause = MOVE_AGAIN;
-                    if self.move_on(&ticket, stream.as_fd().try_clone_to_owned().ok()).await {
+                    if self.move_on(&job_handle, stream.as_fd().try_clone_to_owned().ok()).await {
                         open.gone = None;
                         return;
                     }
@@ -703,9 +719,10 @@
     }
 
     /// Whether a job of that id is in hand.
-    pub async fn holds(&self, id: String) -> bool {
+    pub async fn holds_job(&self, id: String) -> bool {
         let (held, holds) = oneshot::channel();
-        self.shared.queue.send(Notice::Holds { id, held }).await.is_ok() && holds.await.unwrap_or(false)
+        self.shared.queue.send(DispatchMessage::QueryJob { id, held }).await.is_ok()
+            && holds.await.unwrap_or(false)
     }
 
     async fn job(&self, request: Request<Incoming>) -> Result<Reply, Malformed> {
@@ -755,7 +772,7 @@
         }
         let body = body?;
         let mut open = OpenJob::new(shared);
-        let parcel = Parcel {
+        let payload = RequestPayload {
             method: parts.method,
             // In the form that a server of its own is asked in, without a scheme and a host.
             path: path.into(),
@@ -768,14 +785,14 @@
         let ended = || (StatusCode::BAD_GATEWAY, "this node has ended".to_owned());
         // While another process of this node runs, a job of one id must not be in hand at both.
         let claim = match shared.peer.link() {
-            Some(link) => Some(link.claim(&id).await.ok_or_else(duplicate)?),
+            Some(link) => Some(link.claim_job(&id).await.ok_or_else(duplicate)?),
             None => None,
         };
-        let ticket = Ticket::default();
+        let job_handle = JobHandle::default();
         let place_for_gone = shared.queue.clone().reserve_owned().await.map_err(|_| ended())?;
-        open.gone = Some((place_for_gone, ticket.clone()));
+        open.gone = Some((place_for_gone, job_handle.clone()));
         let (answer, mut answered) = oneshot::channel();
-        let taken = Taken {
+        let taken = SubmittedJob {
             id,
             class: ClassId(place),
             tenant,
@@ -784,11 +801,11 @@
             slots,
             key: subject,
             repeat,
-            parcel,
-            ticket: ticket.clone(),
+            payload,
+            job_handle: job_handle.clone(),
             answer,
         };
-        shared.queue.send(Notice::Taken(taken)).await.map_err(|_| ended())?;
+        shared.queue.send(DispatchMessage::Submit(taken)).await.map_err(|_| ended())?;
         // From here on the dispatch task knows the id.
         drop(claim);
         let mut pause = Duration::ZERO;
@@ -800,7 +817,7 @@
                     pause = MOVE_AGAIN;
                     let client = self.connection.as_ref().and_then(|connection| connection.copy());
                     if let Some(connection) = self.connection.as_ref()
-                        && self.move_on(&ticket, client).await
+                        && self.move_on(&job_handle, client).await
                     {
                         open.gone = None;
                         connection.drop_now();
@@ -815,12 +832,12 @@
     }
 }
 
-fn answer_to(answer: Answer) -> Result<Reply, Malformed> {
+fn answer_to(answer: JobResponse) -> Result<Reply, Malformed> {
     Ok(match answer {
-        Answer::Served(result) => reply(StatusCode::OK, result),
-        Answer::Defer { after } => deferred(after),
-        Answer::Failed => reply(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
-        Answer::Duplicate => return Err(duplicate()),
+        JobResponse::Served(result) => reply(StatusCode::OK, result),
+        JobResponse::Rejected { retry_after: after } => deferred(after),
+        JobResponse::Failed => reply(StatusCode::BAD_GATEWAY, "failed: it may have run\n"),
+        JobResponse::Duplicate => return Err(duplicate()),
     })
 }
 
@@ -832,7 +849,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Record {
-    moved: Moved,
+    moved: JobMigration,
     method: String,
     path: String,
     key: Option<String>,
@@ -841,27 +858,27 @@
 
 /// A job and its request as bytes: a length, the record, and the body as it came. None where a header is no
 /// text.
-fn record(moved: &Moved, parcel: &Parcel) -> Option<Bytes> {
+fn record(moved: &JobMigration, payload: &RequestPayload) -> Option<Bytes> {
     let text = |value: &Option<HeaderValue>| match value {
         Some(value) => value.to_str().ok().map(|text| Some(text.to_owned())),
         None => Some(None),
     };
     let record = Record {
         moved: moved.clone(),
-        method: parcel.method.to_string(),
-        path: parcel.path.to_string(),
-        key: text(&parcel.key)?,
-        content_type: text(&parcel.content_type)?,
+        method: payload.method.to_string(),
+        path: payload.path.to_string(),
+        key: text(&payload.key)?,
+        content_type: text(&payload.content_type)?,
     };
     let record = serde_json::to_vec(&record).ok()?;
-    let mut bytes = BytesMut::with_capacity(4 + record.len() + parcel.body.len());
+    let mut bytes = BytesMut::with_capacity(4 + record.len() + payload.body.len());
     bytes.put_u32(u32::try_from(record.len()).ok()?);
     bytes.put_slice(&record);
-    bytes.put_slice(&parcel.body);
+    bytes.put_slice(&payload.body);
     Some(bytes.freeze())
 }
 
-fn read_record(bytes: &Bytes) -> Option<(Moved, Parcel)> {
+fn read_record(bytes: &Bytes) -> Option<(JobMigration, RequestPayload)> {
     let mut body = bytes.clone();
     let length = body.try_get_u32().ok()? as usize;
     let record = (length <= body.len()).then(|| body.split_to(length))?;
@@ -870,7 +887,7 @@
         Some(text) => HeaderValue::from_str(&text).ok().map(Some),
         None => Some(None),
     };
-    let parcel = Parcel {
+    let payload = RequestPayload {
         method: method.parse().ok()?,
         path: path.parse().ok()?,
         id: HeaderValue::from_str(moved.id()).ok()?,
@@ -878,7 +895,7 @@
         content_type: header(content_type)?,
         body,
     };
-    Some((moved, parcel))
+    Some((moved, payload))
 }
 
 /// Returns once the far end has closed. That lies behind all that it sends meanwhile, which nobody needs.
@@ -899,7 +916,7 @@
     stream.write_all(&[head.as_bytes(), &body].concat()).await
 }
 
-impl tower::Service<Request<Incoming>> for SenderSide {
+impl tower::Service<Request<Incoming>> for Server {
     type Response = Reply;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Reply, Infallible>>>>;
--- a/crates/node/src/telemetry/logging.rs
+++ b/crates/node/src/telemetry/logging.rs
@@ -18,9 +18,9 @@
 /// Targets of the parts that write lines; see [`Part::ALL`].
 pub const NODE: &str = "node";
 pub const DISPATCH: &str = "dispatch";
-pub const SENDER_SIDE: &str = "sender_side";
-pub const NEXT_HOP: &str = "next_hop";
-pub const TRANSPORT_MAP: &str = "transport_map";
+pub const SERVER: &str = "sender_side";
+pub const UPSTREAM: &str = "next_hop";
+pub const DISCOVERY: &str = "transport_map";
 
 const PARTS: usize = Part::ALL.len();
 
@@ -117,7 +117,7 @@
 }
 
 /// The log of the process. Dropped, it writes out what waits, for a second at most.
-pub struct Logs {
+pub struct Logging {
     gate: Arc<Gate>,
     format: LogFormat,
     out: NonBlocking,
@@ -125,7 +125,7 @@
     _writer: WorkerGuard,
 }
 
-impl Logs {
+impl Logging {
     /// Begins to write to standard error. To be called once.
     pub fn start(log: &Log) -> Result<Self, String> {
         let (out, writer) = NonBlockingBuilder::default()
@@ -143,7 +143,7 @@
             .with(lines.with_filter(Gated(gate.clone())))
             .try_init()
             .map_err(|e| format!("the log does not start: {e}"))?;
-        Ok(Logs { gate, format: log.format, stalled: out.error_counter(), out, _writer: writer })
+        Ok(Logging { gate, format: log.format, stalled: out.error_counter(), out, _writer: writer })
     }
 
     /// Takes up the fields that count at once.
--- a/crates/node/src/telemetry/metrics.rs
+++ b/crates/node/src/telemetry/metrics.rs
@@ -71,7 +71,7 @@
 
 /// The counters of this node, shared by all its parts.
 #[derive(Clone)]
-pub struct Counters(Arc<Set>);
+pub struct Metrics(Arc<Set>);
 
 struct Set {
     counts: Vec<Count>,
@@ -82,7 +82,7 @@
     dropped: Box<dyn Fn() -> [u64; 2] + Send + Sync>,
 }
 
-impl Counters {
+impl Metrics {
     /// All at nought: for these classes, with these upper bounds of the answer time in seconds.
     pub fn new(
         classes: &[String],
@@ -114,7 +114,7 @@
                 times.get_or_create_owned(&vec![("class", class.clone()), ("kind", kind.to_owned())])
             })
         };
-        Counters(Arc::new(Set {
+        Metrics(Arc::new(Set {
             counts,
             answers: classes.iter().map(row).collect(),
             registry,
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -21,12 +21,12 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tracing::debug;
 
-use crate::connection_budget::Places;
-use crate::dispatch::{Carrier, DeliveryAttempt, Notice, Queue};
-use crate::telemetry::logging::NEXT_HOP;
-use crate::telemetry::metrics::{Counter, Counters};
+use crate::connection_budget::ConnectionBudget;
+use crate::dispatch::{AttemptRequest, AttemptTransport, DispatchMessage, DispatchQueue};
+use crate::telemetry::logging::UPSTREAM;
+use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::pool::{Broken, ConnectionPool, NotUp};
-use crate::upstream::send_permit::Clearance;
+use crate::upstream::send_permit::SendPermit;
 
 pub const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 pub const X_DEADLINE: HeaderName = HeaderName::from_static("x-deadline");
@@ -45,7 +45,7 @@
 const TAKEN_OVER: Duration = Duration::from_secs(30);
 
 /// What passes through to a next hop, as it came.
-pub struct Parcel {
+pub struct RequestPayload {
     pub method: Method,
     pub path: Uri,
     pub id: HeaderValue,
@@ -54,7 +54,7 @@
     pub body: Bytes,
 }
 
-impl Parcel {
+impl RequestPayload {
     fn request(&self, to: SocketAddr, wait: Duration) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -74,11 +74,11 @@
 
 /// The delivery attempts on all next hops.
 #[derive(Clone)]
-pub struct NextHops(Rc<Shared>);
+pub struct UpstreamClient(Rc<Shared>);
 
 struct Shared {
-    queue: Queue<Parcel>,
-    counters: Counters,
+    queue: DispatchQueue<RequestPayload>,
+    counters: Metrics,
     pool: ConnectionPool,
     tuning: Rc<Cell<Tuning>>,
     /// Jobs that next hops have not yet heard are not wanted, and where.
@@ -87,26 +87,26 @@
     busy: Cell<usize>,
 }
 
-impl Carrier for NextHops {
-    type Parcel = Parcel;
+impl AttemptTransport for UpstreamClient {
+    type Payload = RequestPayload;
 
-    fn deliver(&self, attempt: DeliveryAttempt<Parcel>) {
+    fn start_attempt(&self, attempt: AttemptRequest<RequestPayload>) {
         tokio::task::spawn_local(self.clone().carry(attempt));
     }
 
-    fn resume(&self, attempt: DeliveryAttempt<Parcel>) {
+    fn resume_attempt(&self, attempt: AttemptRequest<RequestPayload>) {
         let hops = self.clone();
         tokio::task::spawn_local(async move {
-            let DeliveryAttempt { key, id, to, wait, give_up, .. } = attempt;
+            let AttemptRequest { key, id, to, wait, give_up, .. } = attempt;
             if give_up.await.is_ok() {
                 let _busy = Busy::new(&hops.0.busy);
                 hops.call_off(to, &id, Instant::now() + wait, false).await;
-                hops.report(Notice::GivenUp(key)).await;
+                hops.report(DispatchMessage::AttemptCancelled(key)).await;
             }
         });
     }
 
-    fn forget(&self, to: SocketAddr) {
+    fn forget_endpoint(&self, to: SocketAddr) {
         self.0.pool.forget(to);
     }
 }
@@ -123,17 +123,17 @@
     pending().await
 }
 
-impl NextHops {
+impl UpstreamClient {
     pub fn new(
-        queue: Queue<Parcel>,
-        counters: Counters,
+        queue: DispatchQueue<RequestPayload>,
+        counters: Metrics,
         connect_timeout: Duration,
         keepalive: Duration,
         tuning: Rc<Cell<Tuning>>,
-        places: Places,
+        places: ConnectionBudget,
     ) -> Self {
         let pool = ConnectionPool::new(counters.clone(), connect_timeout, keepalive, tuning.clone(), places);
-        NextHops(Rc::new(Shared {
+        UpstreamClient(Rc::new(Shared {
             queue,
             counters,
             pool,
@@ -144,17 +144,17 @@
     }
 
     /// Uses half of its places or all.
-    pub fn share(&self, half: bool) {
+    pub fn set_descriptors_halved(&self, half: bool) {
         self.0.pool.share(half);
     }
 
     /// Withdrawals that no next hop has heard yet.
-    pub fn unheard(&self) -> Vec<(SocketAddr, String)> {
+    pub fn unacknowledged_cancellations(&self) -> Vec<(SocketAddr, String)> {
         self.0.unheard.borrow().clone()
     }
 
     /// Makes a withdrawal that the process before this one could not end.
-    pub fn take_over_withdrawal(&self, to: SocketAddr, id: String) {
+    pub fn adopt_cancellation(&self, to: SocketAddr, id: String) {
         let hops = self.clone();
         tokio::task::spawn_local(async move {
             let _busy = Busy::new(&hops.0.busy);
@@ -164,7 +164,7 @@
     }
 
     /// Whether nothing is under way.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.0.busy.get() == 0
     }
 
@@ -173,23 +173,23 @@
         self.0.pool.sweep().await;
     }
 
-    async fn report(&self, notice: Notice<Parcel>) {
+    async fn report(&self, notice: DispatchMessage<RequestPayload>) {
         // The dispatch task ends last; without it nothing is left to report to.
         let _ = self.0.queue.send(notice).await;
     }
 
-    async fn carry(self, attempt: DeliveryAttempt<Parcel>) {
+    async fn carry(self, attempt: AttemptRequest<RequestPayload>) {
         let _busy = Busy::new(&self.0.busy);
-        let DeliveryAttempt { key, id, to, parcel, wait, give_up, clearance } = attempt;
+        let AttemptRequest { key, id, to, payload, wait, give_up, send_permit } = attempt;
         let mut give_up = Some(give_up);
         let until = Instant::now() + wait;
-        let request = || parcel.request(to, wait);
+        let request = || payload.request(to, wait);
         let mut crossed = false;
         let longest = wait + LATE_ACCEPTANCE;
-        let exchange = self.exchange(to, request, &clearance, &mut give_up, &mut crossed, longest).await;
+        let exchange = self.exchange(to, request, &send_permit, &mut give_up, &mut crossed, longest).await;
         let outcome = match exchange {
             Exchange::Answered(StatusCode::ACCEPTED, _) => {
-                self.report(Notice::Accepted(key)).await;
+                self.report(DispatchMessage::AttemptAccepted(key)).await;
                 let given_up = match give_up {
                     Some(asked) => asked.await.is_ok(),
                     // It was asked for while the 202 was on its way.
@@ -197,7 +197,7 @@
                 };
                 if given_up {
                     self.call_off(to, &id, until, false).await;
-                    self.report(Notice::GivenUp(key)).await;
+                    self.report(DispatchMessage::AttemptCancelled(key)).await;
                 }
                 return;
             }
@@ -218,24 +218,24 @@
             // What else is open to a next hop that died or fell silent would only cost the next attempt its
             // time.
             Exchange::Refused | Exchange::Unreachable => {
-                self.forget(to);
+                self.forget_endpoint(to);
                 Outcome::Unreachable
             }
             Exchange::InDoubt | Exchange::Silent { .. } => {
-                self.forget(to);
+                self.forget_endpoint(to);
                 Outcome::Lost
             }
             Exchange::HeldBack => Outcome::NotSent,
             Exchange::GivenUp { written } => {
                 // Where nothing was written the next hop has shown no weakness: a client has left.
                 if written {
-                    self.forget(to);
+                    self.forget_endpoint(to);
                     self.call_off(to, &id, until, true).await;
                 }
-                return self.report(Notice::GivenUp(key)).await;
+                return self.report(DispatchMessage::AttemptCancelled(key)).await;
             }
         };
-        self.report(Notice::Ended(key, outcome)).await;
+        self.report(DispatchMessage::AttemptEnded(key, outcome)).await;
     }
 
     /// Withdraws a job that a next hop may have, until that has been heard or until `until`.
@@ -243,7 +243,7 @@
         // At its time-out as well it is told once.
         let until = until.max(Instant::now() + self.0.tuning.get().withdrawal_ms.millis());
         if timeout_at(until, self.withdraw(to, id, closed)).await.is_err() {
-            debug!(target: NEXT_HOP, request_id = %id, %to, "never withdrawn");
+            debug!(target: UPSTREAM, request_id = %id, %to, "never withdrawn");
         }
     }
 
@@ -259,11 +259,11 @@
         };
         let mut pause = WITHDRAWN_AGAIN;
         // It may always leave.
-        let clearance = Rc::<Clearance>::default();
+        let send_permit = Rc::<SendPermit>::default();
         let _unheard = Unheard::new(&self.0.unheard, to, id);
         loop {
             let longest = self.0.tuning.get().withdrawal_ms.millis();
-            let heard = match self.exchange(to, request, &clearance, &mut None, &mut false, longest).await {
+            let heard = match self.exchange(to, request, &send_permit, &mut None, &mut false, longest).await {
                 Exchange::Answered(..) => true,
                 // A refusal as well comes over a network that carries the closing. Of a job that was taken on
                 // it says nothing: a next hop that holds as many connections as it may refuses others.
@@ -275,7 +275,7 @@
                 return;
             }
             self.0.counters.add(Counter::WithdrawalsUnheard);
-            debug!(target: NEXT_HOP, request_id = id, %to, "withdrawal not answered");
+            debug!(target: UPSTREAM, request_id = id, %to, "withdrawal not answered");
             tokio::time::sleep(pause).await;
             pause = (2 * pause).min(WITHDRAWN_AGAIN_MOST);
         }
@@ -284,13 +284,13 @@
     /// One request and its answer. A connection that closed while idle has written nothing of the request:
     /// only then does it go out on another, which makes one attempt of it and not two.
     ///
-    /// `clearance` is looked at once there is a connection, which is kept where it holds no more, and once more by
+    /// `send_permit` is looked at once there is a connection, which is kept where it holds no more, and once more by
     /// the socket just before the first byte.
     async fn exchange(
         &self,
         to: SocketAddr,
         request: impl Fn() -> Result<Request<Full<Bytes>>, hyper::http::Error>,
-        clearance: &Rc<Clearance>,
+        send_permit: &Rc<SendPermit>,
         give_up: &mut Option<oneshot::Receiver<()>>,
         crossed: &mut bool,
         longest: Duration,
@@ -301,7 +301,7 @@
                 biased;
                 () = told_to_give_up(give_up) => return Exchange::GivenUp { written: false },
                 // A dial that is under way ends here, and its place is free.
-                () = clearance.ended() => return Exchange::HeldBack,
+                () = send_permit.revoked() => return Exchange::HeldBack,
                 connection = self.0.pool.obtain(to) => match connection {
                     Ok(connection) => connection,
                     Err(NotUp::Refused) => return Exchange::Refused,
@@ -310,7 +310,7 @@
             };
             let (fresh, traffic) = (!connection.reused(), connection.traffic());
             let sent = {
-                let mut sending = pin!(timeout(longest, connection.send(request, clearance.clone())));
+                let mut sending = pin!(timeout(longest, connection.send(request, send_permit.clone())));
                 tokio::select! {
                     biased;
                     // What has not been written by now never is.
@@ -349,7 +349,7 @@
             }
             match broken {
                 Broken::Unsent if *crossed => return Exchange::GivenUp { written: false },
-                Broken::Unsent if !clearance.holds() => return Exchange::HeldBack,
+                Broken::Unsent if !send_permit.is_valid() => return Exchange::HeldBack,
                 Broken::Unsent if fresh => return Exchange::Unreachable,
                 Broken::Unsent => {}
                 Broken::InDoubt => return Exchange::InDoubt,
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -27,10 +27,10 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::{debug, trace};
 
-use crate::connection_budget::Places;
-use crate::telemetry::logging::NEXT_HOP;
-use crate::telemetry::metrics::{Counter, Counters};
-use crate::upstream::send_permit::Clearance;
+use crate::connection_budget::ConnectionBudget;
+use crate::telemetry::logging::UPSTREAM;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::send_permit::SendPermit;
 
 /// No body of a next hop's own answer is longer.
 const LONGEST_BODY: usize = 64 << 10;
@@ -63,7 +63,7 @@
     /// A byte was read after that.
     read: Cell<bool>,
     /// Whether the first byte of that request may leave; none before the first request.
-    clearance: RefCell<Option<Rc<Clearance>>>,
+    send_permit: RefCell<Option<Rc<SendPermit>>>,
 }
 
 impl Traffic {
@@ -119,13 +119,13 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-        clearance: Rc<Clearance>,
+        send_permit: Rc<SendPermit>,
     ) -> Result<Response<Incoming>, Broken> {
-        *self.traffic.clearance.borrow_mut() = Some(clearance);
+        *self.traffic.send_permit.borrow_mut() = Some(send_permit);
         self.traffic.written.set(false);
         self.traffic.read.set(false);
         self.sender.send_request(request).await.map_err(|e| {
-            trace!(target: NEXT_HOP, "no answer: {e}");
+            trace!(target: UPSTREAM, "no answer: {e}");
             if !self.traffic.written() {
                 Broken::Unsent
             } else if e.is_parse() {
@@ -152,7 +152,7 @@
 struct Socket {
     stream: TcpStream,
     traffic: Rc<Traffic>,
-    counters: Counters,
+    counters: Metrics,
 }
 
 impl Socket {
@@ -160,7 +160,7 @@
         if self.traffic.written.get() {
             return Ok(());
         }
-        if self.traffic.clearance.borrow().as_ref().is_some_and(|clearance| !clearance.holds()) {
+        if self.traffic.send_permit.borrow().as_ref().is_some_and(|send_permit| !send_permit.is_valid()) {
             // hyper has taken the request, and would write it whenever it could: nothing less than the end of the
             // connection takes it back.
             return Err(ErrorKind::ConnectionAborted.into());
@@ -172,7 +172,7 @@
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => {
                 self.counters.add(Counter::SpoiltAnswers);
-                debug!(target: NEXT_HOP, to = ?self.stream.peer_addr().ok(), "said something unasked");
+                debug!(target: UPSTREAM, to = ?self.stream.peer_addr().ok(), "said something unasked");
                 Err(ErrorKind::InvalidData.into())
             }
         }
@@ -254,12 +254,12 @@
 
 /// The connections to all next hops.
 pub struct ConnectionPool {
-    counters: Counters,
+    counters: Metrics,
     hops: RefCell<HashMap<SocketAddr, Idle>>,
     connect_timeout: Duration,
     keepalive: Duration,
     tuning: Rc<Cell<Tuning>>,
-    places: Places,
+    places: ConnectionBudget,
 }
 
 /// The idle connections to a next hop, and the era in which they were dialled: one that was dialled before
@@ -273,11 +273,11 @@
 
 impl ConnectionPool {
     pub fn new(
-        counters: Counters,
+        counters: Metrics,
         connect_timeout: Duration,
         keepalive: Duration,
         tuning: Rc<Cell<Tuning>>,
-        places: Places,
+        places: ConnectionBudget,
     ) -> Self {
         ConnectionPool { counters, hops: RefCell::default(), connect_timeout, keepalive, tuning, places }
     }
@@ -292,7 +292,7 @@
 
     /// Uses half of its places or all.
     pub fn share(&self, half: bool) {
-        self.places.share(half, || drop(self.make_way()));
+        self.places.set_halved(half, || drop(self.make_way()));
     }
 
     /// What is open to that next hop is of no use any more.
@@ -365,13 +365,13 @@
     /// A new connection.
     async fn dial(&self, to: SocketAddr) -> Result<Connection, NotUp> {
         self.counters.add(Counter::Connects);
-        trace!(target: NEXT_HOP, %to, "connects");
+        trace!(target: UPSTREAM, %to, "connects");
         let era = self.hops.borrow_mut().entry(to).or_default().era.clone();
         let dialled = timeout(self.connect_timeout, self.dialled(to, era)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|e| {
             self.counters.add(Counter::ConnectsFailed);
-            debug!(target: NEXT_HOP, %to, "connection did not come up: {e}");
+            debug!(target: UPSTREAM, %to, "connection did not come up: {e}");
             match e.kind() {
                 ErrorKind::ConnectionRefused => NotUp::Refused,
                 _ => NotUp::Unreachable,
@@ -394,7 +394,7 @@
                 && !e.source().is_some_and(|source| source.is::<io::Error>())
             {
                 counters.add(Counter::SpoiltAnswers);
-                debug!(target: NEXT_HOP, %to, "closed: {e}");
+                debug!(target: UPSTREAM, %to, "closed: {e}");
             }
         });
         let idle_since = Instant::now();
@@ -406,7 +406,7 @@
         if self.places.free() == 0 {
             drop(self.make_way());
         }
-        self.places.take().await
+        self.places.acquire().await
     }
 
     /// An idle connection, taken out so that its place comes free.
@@ -443,6 +443,6 @@
     /// Counts an answer that was none, or not whole.
     pub fn spoilt(&self, to: SocketAddr, why: &str) {
         self.counters.add(Counter::SpoiltAnswers);
-        debug!(target: NEXT_HOP, %to, "spoilt answer: {why}");
+        debug!(target: UPSTREAM, %to, "spoilt answer: {why}");
     }
 }
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -11,12 +11,12 @@
 
 /// Something that comes true once, and wakes those who wait for it.
 #[derive(Default)]
-pub struct Flag {
+pub struct CancelFlag {
     raised: Cell<bool>,
     told: Notify,
 }
 
-impl Flag {
+impl CancelFlag {
     /// May be said again.
     pub fn raise(&self) {
         if !self.raised.replace(true) {
@@ -44,29 +44,29 @@
 /// Whether the first byte of one delivery attempt may still leave. The dispatch task makes it, and alone revokes it;
 /// the client's going is said by the job's sender side, past the queue, where it might stand behind a crowd.
 #[derive(Default)]
-pub struct Clearance {
-    revoked: Flag,
-    client_gone: Rc<Flag>,
+pub struct SendPermit {
+    revoked: CancelFlag,
+    client_gone: Rc<CancelFlag>,
     leave_by: Option<Instant>,
 }
 
-impl Clearance {
+impl SendPermit {
     /// For an attempt of a job whose client has gone once `client_gone` says so. From `leave_by` on it holds no more.
-    pub fn new(client_gone: Rc<Flag>, leave_by: Option<Instant>) -> Rc<Clearance> {
-        Rc::new(Clearance { revoked: Flag::default(), client_gone, leave_by })
+    pub fn new(client_gone: Rc<CancelFlag>, leave_by: Option<Instant>) -> Rc<SendPermit> {
+        Rc::new(SendPermit { revoked: CancelFlag::default(), client_gone, leave_by })
     }
 
     pub fn revoke(&self) {
         self.revoked.raise();
     }
 
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let over = || self.leave_by.is_some_and(|by| Instant::now() >= by);
         !self.revoked.is_raised() && !self.client_gone.is_raised() && !over()
     }
 
     /// Returns once it holds no more.
-    pub async fn ended(&self) {
+    pub async fn revoked(&self) {
         tokio::select! {
             biased;
             () = self.revoked.wait() => {}
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -37,23 +37,23 @@
     })
 }
 
-fn place() -> (TempDir, TcpListener, SocketAddr, Place) {
+fn place() -> (TempDir, TcpListener, SocketAddr, Rendezvous) {
     let dir = TempDir::new().expect("a directory");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let at = listener.local_addr().expect("bound");
-    let place = Place::new(dir.path(), at);
+    let place = Rendezvous::new(dir.path(), at);
     (dir, listener, at, place)
 }
 
-fn seat(place: &Place) -> (Seat, mpsc::Receiver<Hello>) {
+fn seat(place: &Rendezvous) -> (RendezvousListener, mpsc::Receiver<SuccessorHello>) {
     let (hellos, heard) = mpsc::channel(1);
-    (Seat::sit(place, hellos).expect("a seat"), heard)
+    (RendezvousListener::bind(place, hellos).expect("a seat"), heard)
 }
 
-type End = (Link, mpsc::Receiver<Asked>);
+type End = (PeerLink, mpsc::Receiver<PeerRequest>);
 
 /// Returns once the link is lost.
-async fn lost(link: &Link) {
+async fn lost(link: &PeerLink) {
     // The sender is in the link itself.
     let _ = link.0.up.subscribe().wait_for(|up| !up).await;
 }
@@ -61,23 +61,23 @@
 /// Both ends of a link, the elder's first.
 fn pair() -> (End, End) {
     let (one, other) = UnixStream::pair().expect("a pair");
-    (Link::start(one, true, Decoder::default()), Link::start(other, false, Decoder::default()))
+    (PeerLink::start(one, true, Decoder::default()), PeerLink::start(other, false, Decoder::default()))
 }
 
 /// What comes of a hello that is heard at `heard` and answered with a welcome.
 async fn welcomed(
-    heard: &mut mpsc::Receiver<Hello>,
+    heard: &mut mpsc::Receiver<SuccessorHello>,
     listener: &TcpListener,
     heritage: Bytes,
-    place: &Place,
-) -> (End, Elder) {
+    place: &Rendezvous,
+) -> (End, Predecessor) {
     let at = listener.local_addr().expect("bound");
     let welcome = async {
         let hello = heard.recv().await.expect("a hello");
         assert_eq!((&*hello.node, &*hello.listen), ("n", &*at.to_string()));
         hello.welcome(listener, heritage).await.expect("a link")
     };
-    let (end, elder) = tokio::join!(welcome, call_on(place, "n", at));
+    let (end, elder) = tokio::join!(welcome, contact_predecessor(place, "n", at));
     (end, elder.expect("an answer").expect("an elder"))
 }
 
@@ -92,11 +92,11 @@
         let waits = std::net::TcpStream::connect(at).expect("in the queue");
         drop(listener);
         let hand_over = async {
-            let Some(Asked::TakeOver { heritage }) = asked.recv().await else { panic!("no take-over") };
+            let Some(PeerRequest::Takeover { heritage }) = asked.recv().await else { panic!("no take-over") };
             // More than goes over: the newer one starts cold then.
             heritage.send(vec![0; MAX_SNAPSHOT_BYTES + 1].into()).expect("it waits");
         };
-        let (yours, ()) = tokio::join!(elder.link.take_over(), hand_over);
+        let (yours, ()) = tokio::join!(elder.link.request_takeover(), hand_over);
         assert_eq!(yours, Some(Bytes::new()));
         let listener = tokio::net::TcpListener::from_std(elder.listener).expect("a listener");
         let (_, from) = listener.accept().await.expect("a client");
@@ -111,34 +111,40 @@
         let answers = async {
             while let Some(what) = asked.recv().await {
                 match what {
-                    Asked::Word { body, heard } => _ = heard.send(body == "mine"),
-                    Asked::Claim { id, free } => _ = free.send(id != "held"),
-                    Asked::AdminCommand { call, verdict } => {
+                    PeerRequest::Callback { body, heard } => _ = heard.send(body == "mine"),
+                    PeerRequest::ClaimJob { id, free } => _ = free.send(id != "held"),
+                    PeerRequest::Command { call, verdict } => {
                         assert_eq!(call, AdminCommand::Drain);
                         _ = verdict.send(Err(CommandError::ShuttingDown));
                     }
-                    Asked::GiveBack => return true,
+                    PeerRequest::HandBack => return true,
                     _ => return false,
                 }
             }
             false
         };
         let questions = async {
-            let words = tokio::join!(younger.word("mine".into()), younger.word("not".into()));
-            assert_eq!(words, (Heard::Owned, Heard::NotOwned));
-            assert_eq!(younger.call(&AdminCommand::Drain).await, Some(Err(CommandError::ShuttingDown)));
-            assert!(younger.claim("held").await.is_none());
-            let claim = younger.claim("new").await.expect("free");
-            assert!(younger.claim("new").await.is_none(), "a second copy");
-            assert!(elder.claim("new").await.is_none(), "claimed there, and not held there yet");
+            let words =
+                tokio::join!(younger.forward_callback("mine".into()), younger.forward_callback("not".into()));
+            assert_eq!(words, (ForwardResult::Handled, ForwardResult::NotHeld));
+            assert_eq!(
+                younger.forward_command(&AdminCommand::Drain).await,
+                Some(Err(CommandError::ShuttingDown))
+            );
+            assert!(younger.claim_job("held").await.is_none());
+            let claim = younger.claim_job("new").await.expect("free");
+            assert!(younger.claim_job("new").await.is_none(), "a second copy");
+            assert!(elder.claim_job("new").await.is_none(), "claimed there, and not held there yet");
             drop(claim);
-            younger.give_back();
+            younger.hand_back();
         };
         assert!(tokio::join!(questions, answers).1);
-        elder.withdraw(([10, 0, 0, 1], 80).into(), "w");
-        elder.written().await;
+        elder.transfer_cancellation(([10, 0, 0, 1], 80).into(), "w");
+        elder.flushed().await;
         let withdrawn = told.recv().await;
-        assert!(matches!(withdrawn, Some(Asked::Withdraw { to, id }) if to.port() == 80 && id == "w"));
+        assert!(
+            matches!(withdrawn, Some(PeerRequest::CancelAttempt { to, id }) if to.port() == 80 && id == "w")
+        );
     });
 }
 
@@ -147,10 +153,10 @@
     run(Time::Stands, async {
         let ((elder, _asked), (younger, mut told)) = pair();
         let answer = async {
-            let Some(Asked::Claim { free, .. }) = told.recv().await else { panic!("no claim") };
+            let Some(PeerRequest::ClaimJob { free, .. }) = told.recv().await else { panic!("no claim") };
             free.send(true).expect("it waits");
         };
-        let (first, second, ()) = tokio::join!(elder.claim("a"), younger.claim("a"), answer);
+        let (first, second, ()) = tokio::join!(elder.claim_job("a"), younger.claim_job("a"), answer);
         assert!(first.is_some() && second.is_none());
     });
 }
@@ -159,7 +165,7 @@
 fn a_claim_that_was_granted_counts_before_its_job_is_held() {
     run(Time::Stands, async {
         let (one, other) = UnixStream::pair().expect("a pair");
-        let (younger, mut asked) = Link::start(one, false, Decoder::default());
+        let (younger, mut asked) = PeerLink::start(one, false, Decoder::default());
         let elder = async {
             read_frame(&other, &mut Decoder::default()).await.expect("its claim");
             // Both come in one piece: nothing runs between them.
@@ -170,9 +176,9 @@
         };
         let node = async {
             let asked = asked.recv().await;
-            panic!("the link knows, lost: {}", matches!(asked, Some(Asked::Lost)))
+            panic!("the link knows, lost: {}", matches!(asked, Some(PeerRequest::Lost)))
         };
-        let both = async { tokio::join!(younger.claim("a"), elder) };
+        let both = async { tokio::join!(younger.claim_job("a"), elder) };
         let (claim, answer) = tokio::select! { both = both => both, () = node => unreachable!() };
         assert!(claim.is_some() && answer == Frame::ClaimResult(false));
     });
@@ -183,15 +189,16 @@
     run(Time::Stands, async {
         let ((elder, mut asked), (younger, mut told)) = pair();
         let lose = async {
-            let Some(Asked::Word { .. }) = asked.recv().await else { panic!("no word") };
+            let Some(PeerRequest::Callback { .. }) = asked.recv().await else { panic!("no word") };
             elder.close();
         };
-        let (word, claim, ()) = tokio::join!(younger.word("w".into()), younger.claim("a"), lose);
-        assert_eq!(word, Heard::Unheard);
-        assert!(claim.is_some() && !younger.up());
+        let (word, claim, ()) =
+            tokio::join!(younger.forward_callback("w".into()), younger.claim_job("a"), lose);
+        assert_eq!(word, ForwardResult::NoAnswer);
+        assert!(claim.is_some() && !younger.is_connected());
         lost(&younger).await;
-        assert_eq!(younger.call(&AdminCommand::Drain).await, None);
-        assert!(matches!(told.recv().await, Some(Asked::Lost)) && told.recv().await.is_none());
+        assert_eq!(younger.forward_command(&AdminCommand::Drain).await, None);
+        assert!(matches!(told.recv().await, Some(PeerRequest::Lost)) && told.recv().await.is_none());
     });
 }
 
@@ -199,20 +206,20 @@
 fn one_that_does_not_answer_or_read_holds_nothing_up() {
     run(Time::Goes, async {
         let ((_elder, _asked), (younger, mut told)) = pair();
-        assert_eq!(younger.word("w".into()).await, Heard::Unheard);
-        assert!(younger.claim("a").await.is_some() && younger.up());
-        assert_eq!(younger.take_over().await, None);
+        assert_eq!(younger.forward_callback("w".into()).await, ForwardResult::NoAnswer);
+        assert!(younger.claim_job("a").await.is_some() && younger.is_connected());
+        assert_eq!(younger.request_takeover().await, None);
         // It may have handed over: only that the link is lost tells it to take back.
-        assert!(!younger.up() && matches!(told.recv().await, Some(Asked::Lost)));
+        assert!(!younger.is_connected() && matches!(told.recv().await, Some(PeerRequest::Lost)));
 
         let (one, _reads_nothing) = UnixStream::pair().expect("a pair");
-        let (link, _asked) = Link::start(one, true, Decoder::default());
+        let (link, _asked) = PeerLink::start(one, true, Decoder::default());
         let body = Bytes::from(vec![0; 100 << 10]);
         for _ in 0..=MOST_UNWRITTEN / body.len() {
             link.answer(1, Frame::Callback(body.clone()));
         }
-        assert!(!link.up());
-        link.written().await;
+        assert!(!link.is_connected());
+        link.flushed().await;
     });
 }
 
@@ -225,7 +232,7 @@
         read_frame(&stream, &mut Decoder::default()).await.expect("a hello");
         write_all(&stream, Bytes::copy_from_slice(bytes)).await.expect("it reads");
     };
-    tokio::join!(call_on(&place, "n", at), says).0.err().expect("no elder")
+    tokio::join!(contact_predecessor(&place, "n", at), says).0.err().expect("no elder")
 }
 
 #[test]
@@ -234,13 +241,13 @@
         let welcome = Frame::Welcome("learned".into()).encode(0).expect("short");
         let mut older = welcome.to_vec();
         older[4] = 0;
-        assert!(matches!(answered(b"HTTP/1.1 400").await, HandoverError::Speech(FrameError::NotAFrame)));
+        assert!(matches!(answered(b"HTTP/1.1 400").await, HandoverError::Protocol(FrameError::NotAFrame)));
         let error = answered(&older).await;
         assert!(
-            matches!(error, HandoverError::Speech(FrameError::OtherVersion { theirs: 0, .. })),
+            matches!(error, HandoverError::Protocol(FrameError::OtherVersion { theirs: 0, .. })),
             "{error}"
         );
-        assert!(matches!(answered(&welcome[..9]).await, HandoverError::Speech(FrameError::Truncated)));
+        assert!(matches!(answered(&welcome[..9]).await, HandoverError::Protocol(FrameError::Truncated)));
         assert!(matches!(answered(&welcome).await, HandoverError::NoListener { .. }));
         assert!(matches!(answered(b"").await, HandoverError::Gone(_)));
         let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("short");
@@ -249,7 +256,7 @@
     run(Time::Goes, async {
         let (_dir, _listener, at, place) = place();
         let _silent = UnixListener::bind(place.path()).expect("a socket");
-        assert!(matches!(call_on(&place, "n", at).await, Err(HandoverError::Silent)));
+        assert!(matches!(contact_predecessor(&place, "n", at).await, Err(HandoverError::TimedOut)));
     });
 }
 
@@ -265,10 +272,10 @@
         // Another's listener is not taken.
         let other = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let wrong = async { heard.recv().await.expect("a hello").welcome(&other, Bytes::new()).await };
-        let (error, _) = tokio::join!(call_on(&place, "n", at), wrong);
+        let (error, _) = tokio::join!(contact_predecessor(&place, "n", at), wrong);
         assert!(matches!(error, Err(HandoverError::NoListener { .. })));
-        let no = async { heard.recv().await.expect("a hello").turn_away(RejectReason::Busy).await };
-        let (error, ()) = tokio::join!(call_on(&place, "n", at), no);
+        let no = async { heard.recv().await.expect("a hello").reject(RejectReason::Busy).await };
+        let (error, ()) = tokio::join!(contact_predecessor(&place, "n", at), no);
         assert!(error.err().expect("no elder").is_busy());
         welcomed(&mut heard, &listener, Bytes::new(), &place).await;
     });
@@ -278,18 +285,21 @@
 fn the_last_to_sit_down_is_found_and_no_other_takes_its_seat_away() {
     run(Time::Stands, async {
         let (_dir, listener, at, place) = place();
-        assert!(call_on(&place, "n", at).await.expect("an answer").is_none(), "no file");
+        assert!(contact_predecessor(&place, "n", at).await.expect("an answer").is_none(), "no file");
         drop(UnixListener::bind(place.path()).expect("a socket"));
-        assert!(call_on(&place, "n", at).await.expect("an answer").is_none(), "left by a dead one");
+        assert!(
+            contact_predecessor(&place, "n", at).await.expect("an answer").is_none(),
+            "left by a dead one"
+        );
         let (first, _) = seat(&place);
         let (second, mut heard) = seat(&place);
-        first.up();
+        first.close();
         welcomed(&mut heard, &listener, Bytes::new(), &place).await;
         let mode = fs::symlink_metadata(place.path()).expect("a socket").mode();
         assert_eq!(mode & 0o777, 0o600);
-        second.up();
+        second.close();
         assert!(!place.path().exists());
-        assert!(call_on(&place, "n", at).await.expect("an answer").is_none());
+        assert!(contact_predecessor(&place, "n", at).await.expect("an answer").is_none());
     });
 }
 
@@ -298,9 +308,11 @@
     run(Time::Stands, async {
         let (dir, listener, at, _) = place();
         let long = dir.path().join("d".repeat(150));
-        let place = Place::new(&long, at);
-        let Err(error) = Seat::sit(&place, mpsc::channel(1).0) else { panic!("nowhere to sit") };
-        assert!(matches!(error, HandoverError::Place { .. }) && error.to_string().contains("$TMPDIR"));
+        let place = Rendezvous::new(&long, at);
+        let Err(error) = RendezvousListener::bind(&place, mpsc::channel(1).0) else {
+            panic!("nowhere to sit")
+        };
+        assert!(matches!(error, HandoverError::Rendezvous { .. }) && error.to_string().contains("$TMPDIR"));
         fs::create_dir(&long).expect("a directory");
         let (_seat, mut heard) = seat(&place);
         welcomed(&mut heard, &listener, Bytes::new(), &place).await;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -211,9 +211,11 @@
     /// See [`Log`].
     pub log: Log,
     /// See [`ServerOptions`].
-    pub sender_side: ServerOptions,
+    #[serde(rename = "sender_side")]
+    pub server: ServerOptions,
     /// See [`UpstreamOptions`].
-    pub next_hop: UpstreamOptions,
+    #[serde(rename = "next_hop")]
+    pub upstream: UpstreamOptions,
     /// See [`Metrics`].
     pub metrics: Metrics,
 }
