--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,6 +3,8 @@
 
 use curlewusher_core::*;
 
+pub mod golden;
+
 pub const SECOND: Micros = 1_000_000;
 
 pub fn class(effect: Idempotency) -> Class {
