--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -86,6 +86,16 @@
     }
 }
 
+/// Compares a text with what was recorded in `tests/golden`. With `CURLEWUSHER_RECORD=1` the file is written instead.
+pub fn matches_golden(name: &str, text: &str) {
+    let file = format!("tests/golden/{name}");
+    if std::env::var_os("CURLEWUSHER_RECORD").is_some_and(|record| record == "1") {
+        std::fs::write(&file, text).expect("a place for the golden file");
+    }
+    let golden = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
+    assert!(golden == text, "{file} says\n{golden}\nand the program\n{text}");
+}
+
 /// What a next hop got, and the connection to answer it on.
 pub struct Got {
     pub message: Message,
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -8,6 +8,7 @@
 mod links;
 mod moves;
 mod operation;
+mod outputs;
 mod random_lives;
 mod watch;
 
--- /dev/null
+++ b/crates/node/tests/outputs/mod.rs
@@ -0,0 +1,146 @@
+//! What the program writes for people and their tools, compared to the letter with golden files: `/metrics`, `check`,
+//! `--help` and the answers of the second address. Log lines are not among them.
+
+use std::fmt::Write as _;
+use std::net::{Shutdown, SocketAddr};
+use std::process::Command;
+
+use crate::common::*;
+
+/// Runs the program to its end, with these variables alone of its own.
+fn run(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_curlewusher"));
+    let own = ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "CONSOLE"].map(|name| format!("RELAY_{name}"));
+    own.iter().for_each(|name| _ = command.env_remove(name));
+    command.env_remove("CURLEWUSHER_OPERATOR").envs(variables.iter().copied());
+    let output = command.args(arguments).output().expect("the program starts");
+    assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
+    String::from_utf8(output.stdout).expect("text")
+}
+
+/// The samples of each family in the order of their labels, which the program leaves open; buckets stay as they come.
+fn in_order(metrics: &str) -> String {
+    let mut lines: Vec<&str> = metrics.lines().collect();
+    let labels = |line: &&str| {
+        let labels = line.split(['{', '}']).nth(1).unwrap_or_default();
+        labels.split(',').filter(|label| !label.starts_with("le=")).map(str::to_owned).collect::<Vec<_>>()
+    };
+    lines.chunk_by_mut(|one, next| one.starts_with('#') == next.starts_with('#')).for_each(|part| {
+        if !part[0].starts_with('#') {
+            part.sort_by_key(labels);
+        }
+    });
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn a_fresh_node_is_asked_for_its_metrics_then_every_series_is_as_recorded() {
+    let silent = Server::start();
+    let node = Node::start_with(&config(silent.address, &[]), "[metrics]\nanswer_bounds_ms = [5, 1500]\n");
+    // The saved list.
+    until_count(&node, "curlewusher_transport_map_changes_total", 1);
+    let answer = node.get("/metrics");
+    let kind = answer.header("content-type").expect("a content type");
+    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start, in_order(&answer.body));
+    matches_golden("metrics.txt", &text);
+}
+
+#[test]
+fn every_field_is_given_then_check_prints_each_value_as_recorded() {
+    let variables = [
+        ("RELAY_CONFIG", "tests/golden/platform.json"),
+        ("CURLEWUSHER_OPERATOR", "tests/golden/operator.toml"),
+    ];
+    matches_golden("check_full.txt", &run(&["check"], &variables));
+}
+
+#[test]
+fn only_variables_and_needed_fields_are_given_then_check_prints_each_value_as_recorded() {
+    let variables = [
+        ("RELAY_CONFIG", "tests/golden/platform_least.json"),
+        ("RELAY_NAME", "n9"),
+        ("RELAY_LISTEN", "127.0.0.1:8009"),
+        ("RELAY_DISCOVERY", "127.0.0.1:8509"),
+        ("RELAY_CONSOLE", "127.0.0.1:8709"),
+    ];
+    matches_golden("check_least.txt", &run(&["check"], &variables));
+}
+
+#[test]
+fn help_is_asked_for_then_the_text_is_as_recorded() {
+    let mut text = String::new();
+    for arguments in
+        [&["--help"][..], &["-h"], &["serve", "--help"], &["check", "--help"], &["completions", "--help"]]
+    {
+        let _ = writeln!(text, "$ curlewusher {}\n{}", arguments.join(" "), run(arguments, &[]));
+    }
+    matches_golden("help.txt", &text);
+}
+
+/// Calls at the second address, and all that is answered.
+struct Calls {
+    operators: SocketAddr,
+    text: String,
+}
+
+impl Calls {
+    fn stage(&mut self, name: &str) {
+        let _ = writeln!(self.text, "# {name}");
+    }
+
+    fn make(&mut self, lines: &[&str]) {
+        for line in lines {
+            let said = whole_answer(self.operators, line.as_bytes());
+            let _ = writeln!(self.text, "{} -> {said}", line.escape_debug());
+        }
+    }
+}
+
+/// All that comes back until the end of the connection.
+fn whole_answer(at: SocketAddr, line: &[u8]) -> String {
+    use std::io::{Read, Write};
+    let mut stream = write(at, "");
+    stream.write_all(line).expect("it reads");
+    stream.shutdown(Shutdown::Write).expect("it is open");
+    let mut said = Vec::new();
+    stream.read_to_end(&mut said).expect("an answer");
+    said.escape_ascii().to_string()
+}
+
+#[test]
+fn operators_call_in_every_phase_then_each_answer_is_as_recorded() {
+    let (hop, discovery) = (Server::start(), Server::start());
+    let node = Node::start(&operated(discovery.address, &[]));
+    let mut calls = Calls { operators: node.operators(), text: String::new() };
+    calls.stage("before the list");
+    calls.make(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
+    let watch = Watch::open(&discovery);
+    watch.line(&list(42, true, &[endpoint("s-1", hop.address, "in_service")]));
+    while node.get("/ready").status() != 200 {}
+    calls.stage("with the list");
+    calls.make(&[
+        "READY\n",
+        "ready\r\n",
+        " Ready",
+        "DRAIN\n",
+        "DRAIN\n",
+        "READY\n",
+        "UNDRAIN\n",
+        "UNDRAIN\n",
+    ]);
+    calls.make(&["DISABLE s-1\n", "DISABLE s-1\n", "ENABLE s-1\n", "ENABLE s-1\n"]);
+    calls.make(&["DISABLE s-9\n", "ENABLE s-9\n"]);
+    calls.stage("malformed");
+    calls.make(&["\n", " \t\n", "REBOOT\n", "READY now\n", "DRAIN s-1\n", "UNDRAIN s-1\n"]);
+    calls.make(&["DISABLE\n", "ENABLE\n", "DISABLE s-1 s-2\n", "ENABLE s-1 s-2\n", "\u{e9}\n"]);
+    calls.make(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
+    let client = write(node.address, &job("r1", "view", 8.0, ""));
+    hop.request().answer("202 Accepted");
+    node.signal("-TERM");
+    while whole_answer(calls.operators, b"READY\n").starts_with("+OK") {}
+    calls.stage("told to end");
+    calls.make(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
+    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
+    assert_eq!(answer(client).status(), 200);
+    matches_golden("second_address.txt", &calls.text);
+}
