--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -7,6 +7,7 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 
+use bytes::Bytes;
 use curlewusher_operation::frame::{Decoder, Frame};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
@@ -102,7 +103,7 @@
 
 /// The other process of a node, as the test plays it: it answers what is moved to it when the test says so.
 /// The descriptors that come to it are closed.
-struct Other {
+pub struct Other {
     stream: UnixStream,
     decoder: Decoder,
 }
@@ -113,13 +114,17 @@
         Other { stream, decoder: Decoder::default() }
     }
 
+    /// One that has come to the place where the processes of a node meet, and has said nothing yet.
+    pub fn comes(node: &Node) -> Other {
+        let place = format!("{}/curlewusher-127.0.0.1-0.sock", node.folder());
+        Other::of(UnixStream::connect(place).expect("it sits"))
+    }
+
     /// The younger one, which has taken over.
     fn takes_over(node: &Node) -> Other {
-        let place = format!("{}/curlewusher-127.0.0.1-0.sock", node.folder());
-        let mut younger = Other::of(UnixStream::connect(place).expect("it sits"));
+        let mut younger = Other::comes(node);
         younger.say(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
-        // The byte that carries the listener.
-        younger.stream.read_exact(&mut [0]).expect("a welcome");
+        younger.read_listener();
         assert!(matches!(younger.hears(), (_, Frame::Welcome(_))));
         younger.say(1, Frame::TakeOver);
         assert!(matches!(younger.hears(), (1, Frame::Yours(_))));
@@ -128,6 +133,11 @@
 
     /// The elder one of a node with that configuration, which it welcomes to this listener.
     fn is_followed(text: &str, listener: &TcpListener) -> (Other, Node) {
+        Other::welcomes(text, listener, "".into())
+    }
+
+    /// The same, which has learned this.
+    pub fn welcomes(text: &str, listener: &TcpListener, learned: Bytes) -> (Other, Node) {
         let file = Node::file(text);
         let folder = format!("{file}.d");
         let seat = UnixListener::bind(format!("{folder}/curlewusher-127.0.0.1-0.sock")).expect("a place");
@@ -135,12 +145,17 @@
         let mut elder = Other::of(seat.accept().expect("a hello").0);
         assert!(matches!(elder.hears(), (_, Frame::Hello { .. })));
         elder.say_with(listener, b"+");
-        elder.say(0, Frame::Welcome("".into()));
+        elder.say(0, Frame::Welcome(learned));
         (elder, Node::heard((child, file)))
     }
 
+    /// Reads the byte that carries the listener.
+    pub fn read_listener(&mut self) {
+        self.stream.read_exact(&mut [0]).expect("a welcome");
+    }
+
     /// Says these bytes, the first of which carries a descriptor.
-    fn say_with(&mut self, fd: &impl AsFd, bytes: &[u8]) {
+    pub fn say_with(&mut self, fd: &impl AsFd, bytes: &[u8]) {
         let fds = [fd.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -149,11 +164,11 @@
         assert_eq!(sent.expect("it reads"), bytes.len());
     }
 
-    fn say(&mut self, seq: u64, frame: Frame) {
+    pub fn say(&mut self, seq: u64, frame: Frame) {
         self.stream.write_all(&frame.encode(seq).expect("short")).expect("it reads");
     }
 
-    fn hears(&mut self) -> (u64, Frame) {
+    pub fn hears(&mut self) -> (u64, Frame) {
         loop {
             if let Some(said) = self.decoder.take().expect("a frame") {
                 return said;
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -10,6 +10,7 @@
 mod operation;
 mod outputs;
 mod random_lives;
+mod versions;
 mod watch;
 
 use std::io::{Read, Write};
--- /dev/null
+++ b/crates/node/tests/versions/mod.rs
@@ -0,0 +1,354 @@
+//! Two processes of one node that are of different versions. What the older one says was recorded from an earlier version
+//! in `tests/golden`: frames with their bytes in `link_*.txt`, and the long payloads in `older_*.json` with the times of
+//! that day. The real program must say the same, and must understand it as a successor.
+//!
+//! To record anew: `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-node --test node versions -- --test-threads=1`.
+
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use bytes::Bytes;
+use curlewusher_operation::call::{Call, Refusal};
+use curlewusher_operation::frame::Frame;
+
+use crate::common::*;
+use crate::moves::Other;
+
+/// Digits of a moment in microseconds since the Unix epoch.
+const TIME_DIGITS: usize = 16;
+/// A measured figure has more decimals than one that was given.
+const GIVEN_DECIMALS: usize = 3;
+/// Where the next hops `s-1` and `s-2` are in golden files.
+const RECORDED: [&str; 2] = ["10.0.0.1:80", "10.0.0.2:80"];
+const DONE: &str = r#"{"id":"moved","from":"s-2","state":"done","result":"x"}"#;
+
+/// A text with each run of digits and points replaced by what `number` makes of it.
+fn with_numbers(text: &str, mut number: impl FnMut(&str) -> String) -> String {
+    let is_part = |c: char| c.is_ascii_digit() || c == '.';
+    let parts = text.chars().collect::<Vec<_>>();
+    let parts = parts.chunk_by(|one, next| is_part(*one) == is_part(*next)).map(String::from_iter);
+    parts.map(|part| if part.starts_with(is_part) { number(&part) } else { part }).collect()
+}
+
+fn is_time(number: &str) -> bool {
+    number.len() == TIME_DIGITS && !number.contains('.')
+}
+
+/// A payload without what differs from run to run.
+fn steady(payload: &str) -> String {
+    let payload = with_numbers(payload, |number| match number.split_once('.') {
+        None if is_time(number) => "TIME".to_owned(),
+        Some((_, decimals)) if decimals.len() > GIVEN_DECIMALS => "MEASURED".to_owned(),
+        _ => number.to_owned(),
+    });
+    // Slots that were seen at work are counted now and then, so that one may or may not have been.
+    payload.replace("-MEASURED", "MEASURED").replace(r#""seen_slots":1.0"#, r#""seen_slots":0.0"#)
+}
+
+/// Compares a payload with the recorded one of that name.
+fn matches_payload(name: &str, payload: &str) {
+    let file = format!("tests/golden/{name}");
+    if std::env::var_os("CURLEWUSHER_RECORD").is_some_and(|record| record == "1") {
+        std::fs::write(&file, payload).expect("a place for the golden file");
+    }
+    let golden = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
+    assert_eq!(steady(payload), steady(&golden), "{file}");
+}
+
+/// Two next hops, and their places in golden files.
+struct Hops([Server; 2]);
+
+impl Hops {
+    fn start() -> Hops {
+        Hops([Server::start(), Server::start()])
+    }
+
+    fn known(&self) -> Vec<String> {
+        let named = self.0.iter().zip(["s-1", "s-2"]);
+        named.map(|(hop, name)| endpoint(name, hop.address, "in_service")).collect()
+    }
+
+    /// A payload of today as it is recorded.
+    fn recorded(&self, payload: &[u8]) -> String {
+        let text = String::from_utf8(payload.to_vec()).expect("text");
+        let places = self.0.iter().zip(RECORDED);
+        places.fold(text, |text, (hop, recorded)| text.replace(&hop.address.to_string(), recorded))
+    }
+
+    /// A recorded payload as though the job in it had been taken now.
+    fn replayed(&self, name: &str) -> String {
+        let read = |name| std::fs::read_to_string(format!("tests/golden/{name}")).expect("it was recorded");
+        let job = read("older_move.json");
+        let taken = job.split(r#""taken":"#).nth(1).and_then(|rest| rest[..TIME_DIGITS].parse::<u64>().ok());
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after it").as_micros() as u64;
+        let later = now - taken.expect("a time");
+        let text = with_numbers(&read(name), |number| match number.parse::<u64>() {
+            Ok(time) if is_time(number) => (time + later).to_string(),
+            _ => number.to_owned(),
+        });
+        let places = self.0.iter().zip(RECORDED);
+        places.fold(text, |text, (hop, recorded)| text.replace(recorded, &hop.address.to_string()))
+    }
+}
+
+/// A job that moves, as bytes: the length of the record, the record, and the request's body.
+fn with_body(record: &str) -> Bytes {
+    [&(record.len() as u32).to_be_bytes(), record.as_bytes(), b"body"].concat().into()
+}
+
+fn without_body(job: &[u8]) -> &[u8] {
+    let length = u32::from_be_bytes(job[..4].try_into().expect("four bytes")) as usize;
+    assert_eq!(&job[4 + length..], b"body");
+    &job[4..4 + length]
+}
+
+/// The link between both processes at the test's end, and all that is said on it.
+struct Talk<'a> {
+    other: Other,
+    names: [&'static str; 2],
+    hops: &'a Hops,
+    text: String,
+}
+
+impl<'a> Talk<'a> {
+    /// `names`: what the test plays, and what the program is.
+    fn of(other: Other, names: [&'static str; 2], hops: &'a Hops) -> Talk<'a> {
+        Talk { other, names, hops, text: String::new() }
+    }
+
+    /// Notes a frame: its bytes, or the header as far as it does not tell of a payload that differs, and what of that
+    /// stays the same.
+    fn note(&mut self, by: usize, seq: u64, frame: &Frame) {
+        let bytes = frame.encode(seq).expect("short");
+        let steady_header = bytes[..14].escape_ascii();
+        let line = match frame {
+            Frame::Welcome(_) | Frame::Yours(_) => format!("{steady_header} and what was learned"),
+            Frame::Move(_) => format!("{steady_header} and a job"),
+            Frame::Withdraw { .. } => {
+                format!("{steady_header} and {}", self.hops.recorded(&bytes[22..]))
+            }
+            _ => bytes.escape_ascii().to_string(),
+        };
+        self.text += &format!("{}: {line}\n", self.names[by]);
+    }
+
+    fn says(&mut self, seq: u64, frame: Frame) {
+        self.note(0, seq, &frame);
+        self.other.say(seq, frame);
+    }
+
+    /// A job with its client's socket.
+    fn moves(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
+        let frame = Frame::Move(job);
+        self.note(0, seq, &frame);
+        self.other.say_with(client, &frame.encode(seq).expect("short"));
+    }
+
+    fn hears(&mut self) -> (u64, Frame) {
+        let (seq, frame) = self.other.hears();
+        self.note(1, seq, &frame);
+        (seq, frame)
+    }
+
+    /// What is heard next, which must be this.
+    fn hears_that(&mut self, frame: Frame) -> u64 {
+        let (seq, heard) = self.hears();
+        assert_eq!(heard, frame);
+        seq
+    }
+}
+
+fn patient(discovery: SocketAddr, known: &[String]) -> String {
+    operated(discovery, known).replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+}
+
+/// A request to be told on a thread of its own, since it is answered after what the test says on the link.
+fn meanwhile<T: Send + 'static>(ask: impl FnOnce() -> T + Send + 'static) -> std::thread::JoinHandle<T> {
+    std::thread::spawn(ask)
+}
+
+/// A job with all that a request can have, which has failed at `s-1` and goes on at `s-2`, and an earlier one.
+fn serve_and_hold(node: &Node, operators: SocketAddr, hops: &Hops) -> TcpStream {
+    let yes = |line: &str| assert_eq!(call(operators, &format!("{line}\n")), "+OK");
+    yes("DISABLE s-1");
+    let client = write(node.address, &job("served", "view", 8.0, ""));
+    hops.0[1].request().answer("202 Accepted");
+    node.tell("served", "s-2", r#""state":"done","result":"x""#);
+    assert_eq!(answer(client).status(), 200);
+    yes("ENABLE s-1");
+    yes("DISABLE s-2");
+    let headers = "Idempotency-Key: k9\r\nContent-Type: text/plain\r\n";
+    let client = write(node.address, &job("moved", "view", 60.0, headers));
+    hops.0[0].request().answer("202 Accepted");
+    until_count(node, "curlewusher_delivery_attempts_accepted_total", 2);
+    yes("DISABLE s-1");
+    yes("ENABLE s-2");
+    node.tell("moved", "s-1", r#""state":"failed""#);
+    hops.0[1].request().answer("202 Accepted");
+    until_count(node, "curlewusher_delivery_attempts_accepted_total", 3);
+    node.tell("moved", "s-2", r#""state":"started""#);
+    node.tell("moved", "s-2", r#""state":"running","share":0.25"#);
+    client
+}
+
+#[test]
+fn a_newer_process_takes_over_and_gives_back_then_the_program_says_what_was_recorded() {
+    let hops = Hops::start();
+    let named = [("s-1", &hops.0[0]), ("s-2", &hops.0[1])];
+    let (node, _watch, _discovery) = Node::configured(&named, patient);
+    let (address, operators) = (node.address, node.operators());
+    let client = serve_and_hold(&node, operators, &hops);
+    let hello = |name: &str| Frame::Hello { node: name.into(), listen: "127.0.0.1:0".into() };
+
+    let mut stranger = Talk::of(Other::comes(&node), ["newer", "older"], &hops);
+    stranger.says(0, hello("another"));
+    stranger.hears();
+    let mut newer = Talk::of(Other::comes(&node), ["newer", "older"], &hops);
+    newer.text = stranger.text;
+    newer.says(0, hello("n0"));
+    newer.other.read_listener();
+    let (_, Frame::Welcome(learned)) = newer.hears() else { panic!("no welcome") };
+    matches_payload("older_welcome.json", &hops.recorded(&learned));
+
+    for (seq, id) in [(1, "moved"), (2, "new")] {
+        newer.says(seq, Frame::Claim(id.into()));
+        newer.hears_that(Frame::Claimed(id == "new"));
+    }
+    newer.says(3, Frame::Call(Call::Disable("s-9".into())));
+    newer.hears_that(Frame::Done(Ok(())));
+    newer.says(4, Frame::Call(Call::Enable("s-9".into())));
+    newer.hears_that(Frame::Done(Ok(())));
+    let asked = meanwhile(move || ask(address, &job("copy", "view", 8.0, "")).status());
+    let seq = newer.hears_that(Frame::Claim("copy".into()));
+    newer.says(seq, Frame::Claimed(false));
+    assert_eq!(asked.join().expect("an answer"), 409);
+    let word = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
+    let told = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{word}", word.len());
+    let asked = meanwhile(move || ask(address, &told).status());
+    let seq = newer.hears_that(Frame::Word(word.into()));
+    newer.says(seq, Frame::Heard(true));
+    assert_eq!(asked.join().expect("an answer"), 204);
+    for (call_of, said) in [(Call::Drain, Ok(())), (Call::Enable("s-2".into()), Err(Refusal::Ending))] {
+        let line = format!("{call_of}\n");
+        let asked = meanwhile(move || call(operators, &line));
+        let seq = newer.hears_that(Frame::Call(call_of));
+        newer.says(seq, Frame::Done(said.clone()));
+        assert_eq!(asked.join().expect("an answer").starts_with("+OK"), said.is_ok());
+    }
+
+    newer.says(5, Frame::TakeOver);
+    let (5, Frame::Yours(learned)) = newer.hears() else { panic!("not handed over") };
+    matches_payload("older_yours.json", &hops.recorded(&learned));
+    let (seq, Frame::Move(moved)) = newer.hears() else { panic!("no job moves") };
+    matches_payload("older_move.json", &hops.recorded(without_body(&moved)));
+    newer.says(seq, Frame::Moved(false));
+    newer.says(6, Frame::GiveBack);
+    newer.says(7, Frame::Call(Call::Undrain));
+    newer.hears_that(Frame::Done(Ok(())));
+    newer.says(8, Frame::Word(DONE.into()));
+    newer.hears_that(Frame::Heard(true));
+    matches_golden("link_newer_played.txt", &newer.text);
+    drop(newer);
+    // It serves on, alone.
+    let result = answer(client);
+    assert_eq!((result.status(), result.body.as_str()), (200, "x"));
+    while call(operators, "READY\n") != "+OK" {}
+    let client = write(address, &job("after", "view", 8.0, ""));
+    hops.0[1].request().answer("202 Accepted");
+    while node.callback(r#"{"id":"after","from":"s-2","state":"done","result":"y"}"#) == 503 {}
+    assert_eq!(answer(client).body, "y");
+}
+
+/// The program as successor of an older process that says what was recorded, with the recorded job in its hands.
+struct Followed<'a> {
+    older: Talk<'a>,
+    node: Node,
+    operators: SocketAddr,
+    /// Where the job's client waits for its answer.
+    client: TcpStream,
+    _discovery: (Server, Watch),
+}
+
+fn follow(hops: &Hops) -> Followed<'_> {
+    let discovery = Server::start();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let text = patient(discovery.address, &hops.known());
+    let welcome = hops.replayed("older_welcome.json");
+    let (other, node) = Other::welcomes(&text, &listener, welcome.into());
+    let operators = node.operators();
+    let mut older = Talk::of(other, ["older", "newer"], hops);
+    let watch = Watch::open(&discovery);
+    watch.line(&list(42, true, &hops.known()));
+    let seq = older.hears_that(Frame::TakeOver);
+    older.says(seq, Frame::Yours(hops.replayed("older_yours.json").into()));
+    let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let client = write(clients.local_addr().expect("bound"), "");
+    let (served, _) = clients.accept().expect("it has connected");
+    older.moves(1, with_body(&hops.replayed("older_move.json")), &served);
+    older.hears_that(Frame::Moved(true));
+    assert_eq!(node.address, listener.local_addr().expect("bound"));
+    Followed { older, node, operators, client, _discovery: (discovery, watch) }
+}
+
+#[test]
+fn older_process_recorded_hands_over_then_the_program_serves_with_what_it_had_learned() {
+    let hops = Hops::start();
+    let Followed { mut older, node, operators, client, .. } = follow(&hops);
+    // The drain and the next hop that is out are known from there.
+    assert!(call(operators, "READY\n").starts_with("-ERR drained"));
+    let undrain = meanwhile(move || call(operators, "UNDRAIN\n"));
+    let seq = older.hears_that(Frame::Call(Call::Undrain));
+    older.says(seq, Frame::Done(Ok(())));
+    assert_eq!(undrain.join().expect("an answer"), "+OK");
+    assert_eq!(call(operators, "READY\n"), "+OK");
+    for id in ["r1", "r2", "r3", "r4"] {
+        let client = write(node.address, &job(id, "view", 8.0, ""));
+        let seq = older.hears_that(Frame::Claim(id.into()));
+        older.says(seq, Frame::Claimed(true));
+        hops.0[1].request().answer("202 Accepted");
+        node.tell(id, "s-2", r#""state":"done","result":"y""#);
+        assert_eq!(answer(client).status(), 200);
+    }
+    older.says(2, Frame::Claim("moved".into()));
+    older.hears_that(Frame::Claimed(false));
+    older.says(3, Frame::Withdraw { to: hops.0[1].address, id: "w".into() });
+    let withdrawal = hops.0[1].request();
+    assert_eq!(withdrawal.message.start, "DELETE /jobs/w HTTP/1.1");
+    withdrawal.answer("200 OK");
+    matches_golden("link_older_played.txt", &older.text);
+    assert_eq!(node.callback(DONE), 204);
+    let result = answer(client);
+    assert_eq!((result.status(), result.body.as_str()), (200, "x"));
+    assert!(!hops.0.iter().any(Server::has_more), "a second attempt");
+}
+
+#[test]
+fn older_process_recorded_is_lost_after_its_job_came_then_the_program_answers_it() {
+    let hops = Hops::start();
+    let Followed { older, node, client, .. } = follow(&hops);
+    drop(older);
+    // Until the loss is seen a word may be asked for again.
+    while node.callback(DONE) == 503 {}
+    assert_eq!(answer(client).body, "x");
+}
+
+#[test]
+fn older_process_recorded_gets_the_node_back_then_the_job_comes_as_it_went() {
+    let hops = Hops::start();
+    let Followed { mut older, node, client, .. } = follow(&hops);
+    node.signal("-TERM");
+    older.hears_that(Frame::GiveBack);
+    let (seq, Frame::Move(job)) = older.hears() else { panic!("no job moves") };
+    let went = std::fs::read_to_string("tests/golden/older_move.json").expect("it was recorded");
+    assert_eq!(steady(&hops.recorded(without_body(&job))), steady(&went));
+    older.says(seq, Frame::Moved(false));
+    older.says(2, Frame::Word(DONE.into()));
+    let mut next = older.hears();
+    while matches!(next.1, Frame::Move(_)) {
+        older.says(next.0, Frame::Moved(false));
+        next = older.hears();
+    }
+    assert_eq!(next.1, Frame::Heard(true));
+    assert_eq!(answer(client).body, "x");
+    assert_eq!(node.end().status.code(), Some(0));
+}
