--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -13,6 +13,9 @@
 /// Nothing that these tests wait for takes nearly as long.
 pub const LONG: Duration = Duration::from_secs(20);
 
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_curlewusher");
+
 /// A request or an answer as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
@@ -358,6 +361,28 @@
 
     /// The program with that folder for its files, and that file of configuration.
     pub fn spawn_in(folder: &str, file: &str, descriptors: u32, operator: Option<&str>) -> Child {
+        Node::spawn_program(PROGRAM, folder, file, descriptors, operator)
+    }
+
+    /// The same with the program of the older version, which `CURLEWUSHER_OLDER_PROGRAM` names; else it is the same one.
+    pub fn spawn_older_in(folder: &str, file: &str) -> Child {
+        let program = std::env::var("CURLEWUSHER_OLDER_PROGRAM").unwrap_or_else(|_| PROGRAM.to_owned());
+        Node::spawn_program(&program, folder, file, 1024, None)
+    }
+
+    /// A node of the older version.
+    pub fn start_older(config: &str) -> Node {
+        let file = Node::file(config);
+        Node::heard((Node::spawn_older_in(&format!("{file}.d"), &file), file))
+    }
+
+    fn spawn_program(
+        program: &str,
+        folder: &str,
+        file: &str,
+        descriptors: u32,
+        operator: Option<&str>,
+    ) -> Child {
         // The shell lowers its own limit and then becomes the program.
         let mut command = Command::new("sh");
         if let Some(operator) = operator {
@@ -366,7 +391,7 @@
         }
         command
             .args(["-c", r#"ulimit -n "$0" && exec "$1""#, &descriptors.to_string()])
-            .arg(env!("CARGO_BIN_EXE_curlewusher"))
+            .arg(program)
             .env("RELAY_CONFIG", file)
             // Nodes of other tests, which have the same address to the letter, must not meet this one there.
             .env("TMPDIR", folder)
--- a/crates/node/tests/links/mod.rs
+++ b/crates/node/tests/links/mod.rs
@@ -357,7 +357,7 @@
 fn a_withdrawal_that_was_given_up_does_not_go_to_the_next_process() {
     let (hop, first, second) = (Server::start(), Server::start(), Server::start());
     let known = [endpoint("s-1", hop.address, "in_service")];
-    let older = Node::start(&operated(first.address, &known));
+    let older = Node::start_older(&operated(first.address, &known));
     let _operators = older.operators();
     let watch = Watch::open(&first);
     watch.line(&list(42, true, &known));
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -1,6 +1,11 @@
 //! Owns the hard cases of an upgrade, played with two or three processes of one node: ends in every order, call-backs and
 //! calls at either, and a place to meet that is of no use. It must never say which process answers a job that is held
 //! while both run: that is the node's own affair. Its client gets one right answer, its worker one delivery attempt.
+//!
+//! With `CURLEWUSHER_OLDER_PROGRAM` set to the path of a program of an earlier commit, the first process of each scene is
+//! that one, so that take-over, moves of jobs and the way back are played across versions by hand:
+//! `CURLEWUSHER_OLDER_PROGRAM=PATH cargo test -p curlewusher-node --test node upgrade`. The tests wait for log lines of
+//! the older one, which have to be as the newer one writes them.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -76,7 +81,7 @@
 
     fn first(&self) -> (Process, Watch) {
         let discovery = Server::start();
-        let node = Node::start(&patient(discovery.address, &self.known));
+        let node = Node::start_older(&patient(discovery.address, &self.known));
         let first = Process::of(node, discovery);
         let watch = self.list(&first);
         first.is_ready();
@@ -477,7 +482,7 @@
             let there = there.as_ref().and_then(|there| there.try_clone().ok()).expect("a handle");
             std::thread::spawn(move || _ = there.accept().and_then(|(mut s, _)| s.write_all(&[b'x'; 999])));
         }
-        let older = Process::of(Node::heard((Node::spawn_in(&folder, &file, 1024, None), file)), discovery);
+        let older = Process::of(Node::heard((Node::spawn_older_in(&folder, &file), file)), discovery);
         assert!(!older.node.follows(), "{what}");
         let lines = usize::from(matches!(what, "silent" | "noise"));
         assert_eq!(older.node.before.len(), lines, "{what}: {:?}", older.node.before);
