--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -13,6 +13,9 @@
 /// Nothing that these tests wait for takes nearly as long.
 pub const LONG: Duration = Duration::from_secs(20);
 
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_curlewusher");
+
 /// A request or an answer as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
@@ -86,6 +89,16 @@
     }
 }
 
+/// Compares a text with what was recorded in `tests/golden`. With `CURLEWUSHER_RECORD=1` the file is written instead.
+pub fn matches_golden(name: &str, text: &str) {
+    let file = format!("tests/golden/{name}");
+    if std::env::var_os("CURLEWUSHER_RECORD").is_some_and(|record| record == "1") {
+        std::fs::write(&file, text).expect("a place for the golden file");
+    }
+    let golden = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
+    assert!(golden == text, "{file} says\n{golden}\nand the program\n{text}");
+}
+
 /// What a next hop got, and the connection to answer it on.
 pub struct Got {
     pub message: Message,
@@ -348,6 +361,28 @@
 
     /// The program with that folder for its files, and that file of configuration.
     pub fn spawn_in(folder: &str, file: &str, descriptors: u32, operator: Option<&str>) -> Child {
+        Node::spawn_program(PROGRAM, folder, file, descriptors, operator)
+    }
+
+    /// The same with the program of the older version, which `CURLEWUSHER_OLDER_PROGRAM` names; else it is the same one.
+    pub fn spawn_older_in(folder: &str, file: &str) -> Child {
+        let program = std::env::var("CURLEWUSHER_OLDER_PROGRAM").unwrap_or_else(|_| PROGRAM.to_owned());
+        Node::spawn_program(&program, folder, file, 1024, None)
+    }
+
+    /// A node of the older version.
+    pub fn start_older(config: &str) -> Node {
+        let file = Node::file(config);
+        Node::heard((Node::spawn_older_in(&format!("{file}.d"), &file), file))
+    }
+
+    fn spawn_program(
+        program: &str,
+        folder: &str,
+        file: &str,
+        descriptors: u32,
+        operator: Option<&str>,
+    ) -> Child {
         // The shell lowers its own limit and then becomes the program.
         let mut command = Command::new("sh");
         if let Some(operator) = operator {
@@ -356,7 +391,7 @@
         }
         command
             .args(["-c", r#"ulimit -n "$0" && exec "$1""#, &descriptors.to_string()])
-            .arg(env!("CARGO_BIN_EXE_curlewusher"))
+            .arg(program)
             .env("RELAY_CONFIG", file)
             // Nodes of other tests, which have the same address to the letter, must not meet this one there.
             .env("TMPDIR", folder)
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -8,7 +8,9 @@
 mod links;
 mod moves;
 mod operation;
+mod outputs;
 mod random_lives;
+mod versions;
 mod watch;
 
 use std::io::{Read, Write};
