--- /dev/null
+++ b/crates/settings/tests/golden.rs
@@ -0,0 +1,193 @@
+//! The operator's file and the settings object, read: every value of full ones, and every mistake in its exact words.
+
+use curlewusher::{Class, Effect, KeyScope, KindId, Micros};
+use curlewusher_settings::operator::{FIELDS, Operator, Part};
+use curlewusher_settings::{Site, effective, read};
+use golden::golden;
+use serde_json::{Value, json};
+
+#[path = "../../files/tests/support/golden.rs"]
+mod golden;
+
+const FULL_FILE: &str = include_str!("golden/operator_full.toml");
+const FULL_OBJECT: &str = include_str!("golden/settings_full.json");
+const LEAST_OBJECT: &str = include_str!("golden/settings_least.json");
+
+fn operator_values(read: &Operator) -> String {
+    let (log, metrics) = (&read.log, &read.metrics);
+    let mut lines = vec![
+        format!("log.format: {}", json!(log.format)),
+        format!("log.level: {}", json!(log.level)),
+        format!("log.parts: {} entries", log.parts.len()),
+        format!("log.lines_per_s: {}", log.lines_per_s.get()),
+        format!("log.waiting_lines: {}", log.waiting_lines.get()),
+        format!("sender_side.idle_ms: {:?}", read.sender_side.idle_ms.millis()),
+        format!("sender_side.crowded_retry_ms: {:?}", read.sender_side.crowded_retry_ms.millis()),
+        format!("next_hop.reuse_ms: {:?}", read.next_hop.reuse_ms.millis()),
+        format!("next_hop.withdrawal_ms: {:?}", read.next_hop.withdrawal_ms.millis()),
+        format!("metrics.answer_bounds_ms: {:?}", metrics.answer_bounds_ms),
+    ];
+    lines.extend(Part::ALL.map(|(part, name)| format!("level of {name}: {}", json!(log.level_of(part)))));
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn an_operator_file_with_every_field_then_every_value_is_as_recorded() {
+    assert!(FIELDS.iter().all(|field| Operator::sets(FULL_FILE, field)), "the full file sets every field");
+    let read = Operator::parse(FULL_FILE).expect("a good file");
+    let defaults = Operator::default().values();
+    for ((field, value), (_, default)) in read.values().iter().zip(&defaults) {
+        assert_ne!(value, default, "{} has another value than its default", field.path);
+    }
+    golden!("operator_full.txt").assert_is(&operator_values(&read));
+    golden!("operator_default.txt").assert_is(&operator_values(&Operator::default()));
+    let shown = read.values().into_iter().map(|(field, value)| {
+        let when = if field.at_once { "at once" } else { "at the next start" };
+        format!("{} = {value} ({when})\n", field.path)
+    });
+    golden!("operator_shown.txt").assert_is(&shown.collect::<String>());
+}
+
+#[test]
+fn a_mistake_in_an_operator_file_then_its_words_are_as_recorded() {
+    golden!("operator_mistakes.txt").assert_answers(|text| match Operator::parse(text) {
+        Ok(_) => "accepted".to_owned(),
+        Err(problem) => problem,
+    });
+}
+
+fn effect_words(effect: &Effect) -> String {
+    match effect {
+        Effect::Safe => "safe".to_owned(),
+        Effect::Keyed { scope: KeyScope::All, window } => format!("keyed all {window}"),
+        Effect::Keyed { scope: KeyScope::Zone, window } => format!("keyed zone {window}"),
+        Effect::Keyed { scope: KeyScope::Cell, window } => format!("keyed cell {window}"),
+        Effect::Unsafe => "unsafe".to_owned(),
+    }
+}
+
+fn class_values(nth: usize, class: &Class) -> String {
+    let Class { effect, aim, stretch, worth, give_up, kind } = class;
+    let (effect, kind) = (effect_words(effect), kind.map(|KindId(number)| number));
+    format!(
+        "class {nth}: {effect}, aim {aim}, stretch {stretch}, worth {worth}, give up {give_up}, kind {kind:?}"
+    )
+}
+
+fn site_values(site: &Site) -> Vec<String> {
+    let decisions = &site.decisions;
+    let mut lines = vec![
+        format!("nodes: {}", decisions.nodes),
+        format!("rank: {}", decisions.rank),
+        format!("zone: {}", decisions.zone.0),
+    ];
+    lines.extend(decisions.classes.iter().enumerate().map(|(nth, class)| class_values(nth, class)));
+    lines.extend([
+        format!("tenant quotas: {:?}", decisions.tenant_quotas),
+        format!("over-quota worth: {}", decisions.over_quota_worth),
+        format!("list on request: {}", decisions.list_on_request),
+        format!("ask within: {}", decisions.ask_within),
+        format!("told within: {}", decisions.told_within),
+        format!("sizes told: {}", decisions.sizes_told),
+        format!("tells start: {}", decisions.tells_start),
+        format!("accepts within: {}", decisions.accepts_within),
+        format!("may cancel: {}", decisions.may_cancel),
+        format!("may duplicate: {}", decisions.may_duplicate),
+        format!("may tell: {}", decisions.may_tell),
+        format!("tell price: {}", decisions.tell_price),
+        format!("max attempts: {}", decisions.max_attempts),
+        format!("max advice: {}", decisions.max_advice),
+        format!("cross-zone price: {}", decisions.cross_zone_price),
+        format!("cold share: {}", decisions.cold_share),
+        format!("warm-up: {}", decisions.warm_up),
+        format!("overload factor: {}", decisions.overload_factor),
+        format!("fall window: {}", decisions.fall_window),
+        format!("names of classes: {:?}", site.classes),
+        format!("names of tenants: {:?}", site.tenants),
+        format!("names of zones: {:?}", site.zones),
+        format!("names of kinds: {:?}", site.kinds),
+        format!("connect timeout: {}", site.connect_timeout),
+        format!("keep-alive: {}", site.keepalive),
+        format!("max retry-after: {}", site.max_retry_after),
+    ]);
+    lines
+}
+
+fn values_of(object: &str) -> Vec<String> {
+    site_values(&read(object).expect("a good object"))
+}
+
+#[test]
+fn a_settings_object_with_every_field_or_none_that_may_lack_then_every_value_is_as_recorded() {
+    golden!("settings_full.txt").assert_is(&(values_of(FULL_OBJECT).join("\n") + "\n"));
+    golden!("settings_least.txt").assert_is(&(values_of(LEAST_OBJECT).join("\n") + "\n"));
+    let shown = |object: &str| {
+        let written = serde_json::from_str(object).expect("JSON");
+        serde_json::to_string_pretty(&effective(written).expect("a good object")).expect("JSON") + "\n"
+    };
+    golden!("settings_full_effective.json").assert_is(&shown(FULL_OBJECT));
+    golden!("settings_least_effective.json").assert_is(&shown(LEAST_OBJECT));
+}
+
+/// The full object after an edit: `/path/of/field = value`, or `/path/of/field removed`.
+fn edited(edit: &str) -> Value {
+    let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
+    if let Some(path) = edit.strip_suffix(" removed") {
+        let (parent, name) = path.rsplit_once('/').expect("a path");
+        let table = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("a table");
+        assert!(table.remove(name).is_some(), "{edit}");
+        return object;
+    }
+    let (path, value) = edit.split_once(" = ").expect("an edit");
+    let value = serde_json::from_str(value).expect("JSON");
+    let (parent, name) = path.rsplit_once('/').expect("a path");
+    match object.pointer_mut(parent).expect("a place") {
+        Value::Array(list) => list[name.parse::<usize>().expect("a place")] = value,
+        table => table[name] = value,
+    }
+    object
+}
+
+#[test]
+fn a_settings_object_with_one_field_changed_then_the_changed_values_or_the_words_are_as_recorded() {
+    let usual = values_of(FULL_OBJECT);
+    golden!("settings_edits.txt").assert_answers(|edit| {
+        let object = edited(edit);
+        match (read(&object.to_string()), effective(object.clone())) {
+            (Ok(site), Ok(_)) => {
+                let values = site_values(&site);
+                let changed: Vec<_> = values.into_iter().filter(|line| !usual.contains(line)).collect();
+                if changed.is_empty() { "no change".to_owned() } else { changed.join("; ") }
+            }
+            // Its form is right, so that it can be shown.
+            (Err(problem), Ok(_)) => problem,
+            (problem, Err(shown)) => {
+                let problem = problem.expect_err("its form is wrong");
+                let place = problem.rfind(" at line ").expect("a place");
+                assert_eq!(shown, format!("config: settings.{}", &problem[..place]));
+                problem
+            }
+        }
+    });
+}
+
+#[test]
+fn a_span_beyond_a_year_then_a_year_counts() {
+    const YEAR: Micros = 365 * 86_400 * 1_000_000;
+    let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
+    let spans = [
+        "/services/1/dedupWindowUs",
+        "/services/1/objectiveUs",
+        "/services/1/giveUpUs",
+        "/limits/maxRetryAfterUs",
+        "/limits/connectTimeoutUs",
+        "/limits/keepaliveUs",
+        "/rules/askWithinUs",
+        "/rules/warmUpUs",
+        "/rules/fallUs",
+    ];
+    spans.iter().for_each(|path| *object.pointer_mut(path).expect("a span") = json!(u64::MAX));
+    let values = values_of(&object.to_string()).join("\n");
+    // The longest wait that a client follows is also the longest that a refusal advises.
+    assert_eq!(values.matches(&YEAR.to_string()).count(), spans.len() + 1, "{values}");
+}
