--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -693,3 +693,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/golden_scenario.rs"]
+mod golden_scenario;
--- /dev/null
+++ b/crates/lab/tests/unit/golden_scenario.rs
@@ -0,0 +1,94 @@
+//! A scenario with every field, read: all its values by the names in the file, and what the parts are given of them.
+
+use super::Scenario;
+use crate::judge::Repeats;
+use golden::golden;
+
+#[path = "../../../files/tests/support/golden.rs"]
+mod golden;
+
+const FULL: &str = include_str!("../golden/scenario_full.toml");
+
+fn full() -> Scenario {
+    Scenario::parse(FULL).expect("a good scenario")
+}
+
+fn plan_lines(scenario: &Scenario) -> Vec<String> {
+    let wish = scenario.wish();
+    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", wish.seed, wish.length, wish.rate)];
+    lines.push(format!("sets {}, skew {}, hint spread {}", wish.sets, wish.skew, wish.hint_spread));
+    let tide = |tide: &super::Tide| {
+        format!("tide: from {}, until {}, factor {}", tide.from, tide.until, tide.factor)
+    };
+    lines.extend(wish.tides.iter().map(tide));
+    let class = |class: &super::Asking| {
+        format!("class: share {}, mean {}, slots {}", class.share, class.mean_s, class.slots)
+    };
+    lines.extend(wish.classes.iter().map(class));
+    lines
+}
+
+fn nature_lines(scenario: &Scenario) -> Vec<String> {
+    let nature = scenario.nature();
+    vec![
+        format!("cold share {}, warm-up {}", nature.cold_share, nature.warm_up),
+        format!("overload factor {}, fall window {}", nature.overload_factor, nature.fall_window),
+        format!("crowding {}, fetch {}, archive {}", nature.crowding, nature.fetch_s, nature.archive),
+        format!("deduplication window {}, progress {}", nature.dedup_window, nature.progress),
+    ]
+}
+
+fn machine_lines(scenario: &Scenario) -> Vec<String> {
+    let line = |(number, machine): (usize, &super::Machine)| {
+        let (kind_number, kind) = scenario.kind_of(number);
+        format!(
+            "worker {number}: kind {kind_number} {}, bay {}, cores {}, speed {}, slots {}, memory {}, queue {}, sets {}",
+            kind.name,
+            machine.bay,
+            machine.cores,
+            machine.speed,
+            machine.slots,
+            machine.memory,
+            machine.queue,
+            machine.sets
+        )
+    };
+    scenario.machines().iter().enumerate().map(line).collect()
+}
+
+fn rule_lines(scenario: &Scenario) -> Vec<String> {
+    let rules = scenario.rules();
+    let repeats = |repeats: &Repeats| match repeats {
+        Repeats::Safe => "repeats: safe".to_owned(),
+        Repeats::Keyed { window } => format!("repeats: keyed for {window}"),
+        Repeats::Unsafe => "repeats: unsafe".to_owned(),
+    };
+    let mut lines: Vec<String> = rules.classes.iter().map(repeats).collect();
+    lines.push(format!("slack {}, stop within {}", rules.slack, rules.stop_within));
+    lines.push(format!("drain grace {}, fall window {}", rules.drain_grace, rules.fall_window));
+    lines.push(format!("newer learns {}", rules.newer_learns));
+    lines
+}
+
+fn fault_lines(scenario: &Scenario) -> Vec<String> {
+    let targets = |fault| format!("fault for {:?}", scenario.targets(fault));
+    let mut lines: Vec<String> = scenario.faults.iter().map(targets).collect();
+    lines.push(format!("grown {:?}, second addresses {}", scenario.grown(), scenario.needs_consoles()));
+    lines
+}
+
+#[test]
+fn a_scenario_with_every_field_then_every_value_is_as_recorded() {
+    let values = serde_json::to_string_pretty(&full()).expect("JSON");
+    golden!("scenario_values.json").assert_is(&(values + "\n"));
+    let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a good scenario");
+    let values = serde_json::to_string_pretty(&least).expect("JSON");
+    golden!("scenario_least_values.json").assert_is(&(values + "\n"));
+}
+
+#[test]
+fn a_scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
+    let scenario = full();
+    let lines = [plan_lines, nature_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
+    golden!("scenario_parts.txt").assert_is(&(lines.concat().join("\n") + "\n"));
+}
