--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -7,12 +7,8 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 
-<<<<<<< HEAD
-use curlewusher_control::frame::{Decoder, Frame};
-=======
 use bytes::Bytes;
-use curlewusher_operation::frame::{Decoder, Frame};
->>>>>>> g2
+use curlewusher_control::frame::{Decoder, Frame};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
 use crate::common::*;
