--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -131,7 +131,7 @@
 }
 
 /// The line that answers a call.
-pub fn answer(said: &Result<CommandResult, CommandParseError>) -> String {
+pub fn format_response(said: &Result<CommandResult, CommandParseError>) -> String {
     match said {
         Ok(Ok(())) => "+OK\n".to_owned(),
         Ok(Err(refusal)) => format!("-ERR {refusal}\n"),
@@ -168,7 +168,7 @@
         for (line, error) in cases {
             let said = AdminCommand::parse(line).map(|_| Ok(()));
             assert_eq!(said, Err(error));
-            assert!(answer(&said).starts_with("-ERR "));
+            assert!(format_response(&said).starts_with("-ERR "));
         }
     }
 
@@ -180,7 +180,7 @@
             if let Ok(call) = &read {
                 prop_assert_eq!(&AdminCommand::parse(call.to_string().as_bytes()).expect("its own words"), call);
             }
-            let said = answer(&read.map(|_| Ok(())));
+            let said = format_response(&read.map(|_| Ok(())));
             prop_assert!(said.ends_with('\n') && said.matches('\n').count() == 1);
         }
     }
--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -79,10 +79,10 @@
     MigrationResult(bool),
     /// A next hop that has not yet heard of a withdrawal, which is the receiver's from now on; has no answer.
     CancelAttempt {
-        /// The next hop.
-        to: SocketAddr,
+        /// Address of the worker.
+        worker: SocketAddr,
         /// The job's id.
-        id: String,
+        job_id: String,
     },
 }
 
@@ -181,7 +181,7 @@
             // As an operator would write it: it is read again by the same rules.
             Frame::Command(call) => call.to_string().into(),
             Frame::CommandResult(verdict) => json(verdict),
-            Frame::CancelAttempt { to, id } => json(&(to, id)),
+            Frame::CancelAttempt { worker, job_id } => json(&(worker, job_id)),
         }
     }
 
@@ -199,7 +199,7 @@
             10 => Frame::ClaimResult(from_json(&payload)?),
             11 => Frame::Command(AdminCommand::parse(&payload).ok()?),
             12 => Frame::CommandResult(from_json(&payload)?),
-            13 => from_json(&payload).map(|(to, id)| Frame::CancelAttempt { to, id })?,
+            13 => from_json(&payload).map(|(worker, job_id)| Frame::CancelAttempt { worker, job_id })?,
             14 => Frame::MigrateJob(payload),
             15 => Frame::MigrationResult(from_json(&payload)?),
             _ => return None,
@@ -240,6 +240,15 @@
     sum.finalize()
 }
 
+/// A frame that came from the other process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedFrame {
+    /// Number of the request; a response carries that of the request it answers.
+    pub sequence: u64,
+    /// The message.
+    pub frame: Frame,
+}
+
 /// Reads frames from bytes that come in pieces of any size. After an error it gives the same error again:
 /// what follows has no known beginning.
 #[derive(Debug, Default)]
@@ -255,7 +264,7 @@
     }
 
     /// The next whole frame and its number; none where more must come first.
-    pub fn next_frame(&mut self) -> Result<Option<(u64, Frame)>, FrameError> {
+    pub fn next_frame(&mut self) -> Result<Option<ReceivedFrame>, FrameError> {
         let begin = self.held.len().min(MAGIC.len());
         if self.held[..begin] != MAGIC[..begin] {
             return Err(FrameError::NotAFrame);
@@ -283,7 +292,7 @@
         let frame = Frame::read(kind, Bytes::copy_from_slice(payload));
         let frame = frame.ok_or(FrameError::Malformed { kind })?;
         self.held.advance(HEADER + length);
-        Ok(Some((seq, frame)))
+        Ok(Some(ReceivedFrame { sequence: seq, frame }))
     }
 
     /// Nothing more comes; `Torn` where that is within a frame.
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -28,6 +28,15 @@
     called: BTreeSet<String>,
 }
 
+/// A worker that has been disabled or enabled by what the predecessor knew.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MaintenanceChange {
+    /// The worker's name in the endpoint list.
+    pub name: String,
+    /// Whether it is disabled now.
+    pub disabled: bool,
+}
+
 impl DisabledWorkers {
     /// The list names these; what it says of them changes no ban.
     pub fn record_listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
@@ -79,16 +88,16 @@
 
     /// Takes on what the older process of this node knows: its bans are the node's, but for those that calls have come
     /// for here since. Returns what changes: names, and whether each is out now.
-    pub fn merge_predecessor(&mut self, older: DisabledWorkers) -> Vec<(String, bool)> {
+    pub fn merge_predecessor(&mut self, older: DisabledWorkers) -> Vec<MaintenanceChange> {
         self.record_listed(older.listed.iter().map(String::as_str));
-        let changed: Vec<(String, bool)> = self
+        let changed: Vec<MaintenanceChange> = self
             .out
             .symmetric_difference(&older.out)
             .filter(|name| !self.called.contains(*name))
-            .map(|name| (name.clone(), older.out.contains(name)))
+            .map(|name| MaintenanceChange { name: name.clone(), disabled: older.out.contains(name) })
             .collect();
-        for (name, out) in &changed {
-            match out {
+        for MaintenanceChange { name, disabled } in &changed {
+            match disabled {
                 true => _ = self.out.insert(name.clone()),
                 false => _ = self.out.remove(name),
             }
--- a/crates/control/src/takeover.rs
+++ b/crates/control/src/takeover.rs
@@ -25,7 +25,7 @@
 
 /// What happens to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum TakeoverEvent {
     /// Another process asks to be the successor.
     Hello {
         /// Name of its node.
@@ -124,15 +124,15 @@
 
     /// What is to be done about an event. One that does not fit the role, as when two cross, asks for
     /// nothing.
-    pub fn handle(&mut self, event: Event) -> Vec<TakeoverCommand> {
+    pub fn handle(&mut self, event: TakeoverEvent) -> Vec<TakeoverCommand> {
         match event {
-            Event::Hello { node, listen } => self.hello(&node, &listen),
-            Event::EndpointsAvailable => self.map_there(),
-            Event::TakeoverRequested => self.take_over_asked(),
-            Event::TakeoverGranted => self.took_over(),
-            Event::HandedBack => self.given_back(),
-            Event::LinkLost => self.link_lost(),
-            Event::Terminate => self.terminate(),
+            TakeoverEvent::Hello { node, listen } => self.hello(&node, &listen),
+            TakeoverEvent::EndpointsAvailable => self.map_there(),
+            TakeoverEvent::TakeoverRequested => self.take_over_asked(),
+            TakeoverEvent::TakeoverGranted => self.took_over(),
+            TakeoverEvent::HandedBack => self.given_back(),
+            TakeoverEvent::LinkLost => self.link_lost(),
+            TakeoverEvent::Terminate => self.terminate(),
         }
     }
 
@@ -258,7 +258,7 @@
 
 /// Where a call-back goes. For one that the other process has passed on, `linked` is false: it is not sent
 /// back.
-pub fn route(held_here: bool, linked: bool) -> CallbackRoute {
+pub fn route_callback(held_here: bool, linked: bool) -> CallbackRoute {
     match (held_here, linked) {
         (true, _) => CallbackRoute::Local,
         (false, true) => CallbackRoute::Forward,
@@ -266,20 +266,29 @@
     }
 }
 
+/// Which of the two processes on a link this one is. It stays as it was when the link was made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkRole {
+    /// The process that started first.
+    Predecessor,
+    /// The process that connected to it.
+    Successor,
+}
+
 /// Ids of jobs that this process is about to take and claims at the other one first. An id is here from `ask`
 /// until `over`, which is when the job counts as held or is not taken after all. What is claimed by answers
 /// cannot be held twice, as long as a process's answers and claims arrive in the order in which it made them.
 #[derive(Clone, Debug)]
 pub struct JobClaims {
-    elder: bool,
+    role: LinkRole,
     /// Whether it was granted.
     mine: HashMap<String, bool>,
 }
 
 impl JobClaims {
-    /// `elder`: whether this process is the elder on this link.
-    pub fn new(elder: bool) -> JobClaims {
-        JobClaims { elder, mine: HashMap::new() }
+    /// No claims, for a process of that role on its link.
+    pub fn new(role: LinkRole) -> JobClaims {
+        JobClaims { role, mine: HashMap::new() }
     }
 
     /// A job of this id came here. Whether it is to be claimed: one that is being claimed already is a second
@@ -309,7 +318,7 @@
     pub fn allows_peer_claim(&self, id: &str, held_here: bool) -> bool {
         !held_here
             && match self.mine.get(id) {
-                Some(granted) => !granted && !self.elder,
+                Some(granted) => !granted && self.role == LinkRole::Successor,
                 None => true,
             }
     }
@@ -371,7 +380,7 @@
         fn start(&mut self) {
             let me = self.processes.len();
             let elder = self.seat.filter(|at| self.processes[*at].alive);
-            let hello = Event::Hello { node: "n".into(), listen: "l".into() };
+            let hello = TakeoverEvent::Hello { node: "n".into(), listen: "l".into() };
             let said = elder.map(|at| self.happens(at, hello));
             let welcomed =
                 elder.filter(|_| said.iter().flatten().any(|deed| *deed == TakeoverCommand::SendWelcome));
@@ -391,12 +400,12 @@
                 let end = |to| End { to, coming: VecDeque::new(), closed: false };
                 self.links.push([end(elder), end(me)]);
                 self.processes[elder].link = Some((self.links.len() - 1, 0));
-                self.processes[elder].claims = JobClaims::new(true);
+                self.processes[elder].claims = JobClaims::new(LinkRole::Predecessor);
                 (self.links.len() - 1, 1)
             });
             self.processes.push(Process {
                 succession,
-                claims: JobClaims::new(false),
+                claims: JobClaims::new(LinkRole::Successor),
                 link,
                 alive: true,
                 accepts: false,
@@ -407,7 +416,7 @@
             self.carry_out(me, &deeds);
         }
 
-        fn happens(&mut self, at: usize, event: Event) -> Vec<TakeoverCommand> {
+        fn happens(&mut self, at: usize, event: TakeoverEvent) -> Vec<TakeoverCommand> {
             let deeds = self.processes[at].succession.handle(event);
             self.carry_out(at, &deeds);
             deeds
@@ -488,7 +497,7 @@
 
         fn loses_link(&mut self, at: usize) {
             self.close(at);
-            self.happens(at, Event::LinkLost);
+            self.happens(at, TakeoverEvent::LinkLost);
             let process = &mut self.processes[at];
             let left: Vec<_> = IDS.into_iter().filter(|id| process.claims.mine.contains_key(*id)).collect();
             for id in left {
@@ -499,9 +508,9 @@
 
         fn hears(&mut self, at: usize, said: Said) {
             match said {
-                Said::TakeOver => _ = self.happens(at, Event::TakeoverRequested),
-                Said::Yours => _ = self.happens(at, Event::TakeoverGranted),
-                Said::GiveBack => _ = self.happens(at, Event::HandedBack),
+                Said::TakeOver => _ = self.happens(at, TakeoverEvent::TakeoverRequested),
+                Said::Yours => _ = self.happens(at, TakeoverEvent::TakeoverGranted),
+                Said::GiveBack => _ = self.happens(at, TakeoverEvent::HandedBack),
                 Said::Claim(id) => {
                     let process = &self.processes[at];
                     let free = process.claims.allows_peer_claim(id, process.held.contains_key(id));
@@ -542,8 +551,8 @@
                 return;
             }
             match what {
-                1 | 2 => _ = self.happens(at, Event::EndpointsAvailable),
-                3 => _ = self.happens(at, Event::Terminate),
+                1 | 2 => _ = self.happens(at, TakeoverEvent::EndpointsAvailable),
+                3 => _ = self.happens(at, TakeoverEvent::Terminate),
                 4 => self.kill(at),
                 5 => self.cut(at),
                 6..=8 => self.job(at, IDS[id]),
@@ -614,7 +623,7 @@
 
     #[test]
     fn strangers_and_third_ones_are_turned_away() {
-        let hello = |node: &str| Event::Hello { node: node.into(), listen: "l".into() };
+        let hello = |node: &str| TakeoverEvent::Hello { node: node.into(), listen: "l".into() };
         let (mut elder, _) = Takeover::without_predecessor("n", "l");
         assert_eq!(elder.handle(hello("m")), [TakeoverCommand::RejectHello(RejectReason::OtherNode)]);
         assert_eq!(
@@ -623,20 +632,21 @@
         );
         assert_eq!(elder.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::Busy)]);
         let (mut ending, _) = Takeover::without_predecessor("n", "l");
-        ending.handle(Event::Terminate);
+        ending.handle(TakeoverEvent::Terminate);
         assert_eq!(ending.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::ShuttingDown)]);
     }
 
     #[test]
     fn call_backs_go_where_their_job_is_and_never_back() {
-        assert_eq!(route(true, true), CallbackRoute::Local);
-        assert_eq!(route(false, true), CallbackRoute::Forward);
-        assert_eq!(route(false, false), CallbackRoute::Unknown);
+        assert_eq!(route_callback(true, true), CallbackRoute::Local);
+        assert_eq!(route_callback(false, true), CallbackRoute::Forward);
+        assert_eq!(route_callback(false, false), CallbackRoute::Unknown);
     }
 
     #[test]
     fn of_two_claims_at_once_the_elders_stands() {
-        let (mut elder, mut younger) = (JobClaims::new(true), JobClaims::new(false));
+        let (mut elder, mut younger) =
+            (JobClaims::new(LinkRole::Predecessor), JobClaims::new(LinkRole::Successor));
         let mut told = BTreeSet::new();
         for claims in [&mut elder, &mut younger] {
             assert!(claims.try_claim("a"));
--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -8,9 +8,10 @@
 
 use bytes::Bytes;
 use curlewusher_control::command::{
-    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES, answer,
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES,
+    format_response,
 };
-use curlewusher_control::frame::{Decoder, Frame, FrameError, RejectReason};
+use curlewusher_control::frame::{Decoder, Frame, FrameError, ReceivedFrame, RejectReason};
 use curlewusher_control::maintenance::DisabledWorkers;
 use curlewusher_control::phase::{Phase, PhaseEvent};
 use golden::assert_golden;
@@ -70,8 +71,10 @@
 fn frames() -> Vec<(String, Frame)> {
     let bytes = || Bytes::from_static(b"{\"bytes\":\x00\xff}");
     let (node, listen) = ("node-1".to_owned(), "0.0.0.0:7070".to_owned());
-    let withdraw =
-        |to: &str| Frame::CancelAttempt { to: to.parse().expect("an address"), id: "job-9".to_owned() };
+    let withdraw = |worker: &str| Frame::CancelAttempt {
+        worker: worker.parse().expect("an address"),
+        job_id: "job-9".to_owned(),
+    };
     let mut all = vec![
         ("hello".to_owned(), Frame::Hello { node, listen }),
         ("welcome".to_owned(), Frame::Welcome(bytes())),
@@ -112,7 +115,7 @@
         writeln!(found, "{name}: {}", hex(&encoded)).expect("a string");
         let mut decoder = Decoder::default();
         decoder.feed(&encoded);
-        assert_eq!(decoder.next_frame(), Ok(Some((seq, frame))), "{name}");
+        assert_eq!(decoder.next_frame(), Ok(Some(ReceivedFrame { sequence: seq, frame })), "{name}");
         assert_eq!(decoder.finish(), Ok(()), "{name}");
     }
     assert_golden("frames.txt", &found);
@@ -204,7 +207,7 @@
     ];
     let mut found = String::new();
     let mut write = |name: &str, said: &Result<CommandResult, CommandParseError>| {
-        let answer = answer(said);
+        let answer = format_response(said);
         writeln!(found, "{name} -> {}", answer.escape_debug()).expect("a string");
     };
     for line in lines {
--- a/crates/control/tests/unit/frame.rs
+++ b/crates/control/tests/unit/frame.rs
@@ -42,7 +42,7 @@
         Just(Frame::Command(AdminCommand::Undrain)),
         verdicts().prop_map(Frame::CommandResult),
         (any::<u16>(), ".{0,40}")
-            .prop_map(|(port, id)| Frame::CancelAttempt { to: ([10, 0, 0, 1], port).into(), id }),
+            .prop_map(|(port, job_id)| Frame::CancelAttempt { worker: ([10, 0, 0, 1], port).into(), job_id }),
     ]
 }
 
@@ -61,7 +61,7 @@
         let (mut decoder, mut came, mut rest) = (Decoder::default(), vec![], bytes);
         for piece in pieces.iter().cycle() {
             while let Some(frame) = decoder.next_frame().expect("sound") {
-                came.push(frame);
+                came.push((frame.sequence, frame.frame));
             }
             if rest.is_empty() {
                 break;
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use curlewusher_control::command::{
-    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, answer,
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, format_response,
 };
 use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -114,7 +114,7 @@
     };
     // An operator who has left needs no answer.
     let _ = timeout(WRITE_TIME, async {
-        stream.write_all(answer(&said).as_bytes()).await?;
+        stream.write_all(format_response(&said).as_bytes()).await?;
         stream.shutdown().await?;
         // What came after the line is read, as far as it is there: closing on it would reset the answer.
         let mut rest = [0; MAX_LINE_BYTES];
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, answer};
+use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, format_response};
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
@@ -33,7 +33,7 @@
         let Some(mut calls) = calls else { return std::future::pending().await };
         while let Some((call, verdict)) = calls.recv().await {
             let said = self.carry_out(&call).await;
-            info!(target: NODE, "curlewusher {}: {call}: {}", self.name, answer(&Ok(said.clone())).trim_end());
+            info!(target: NODE, "curlewusher {}: {call}: {}", self.name, format_response(&Ok(said.clone())).trim_end());
             // An operator who no longer waits may ask again.
             let _ = verdict.send(said);
         }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -436,8 +436,11 @@
                 let _ = estate.send(TransferableState { bans: self.bans.clone(), learned });
             }
             DispatchCommand::RestoreSnapshot(estate) => {
-                for (name, out) in self.bans.merge_predecessor(estate.bans) {
-                    self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
+                for change in self.bans.merge_predecessor(estate.bans) {
+                    self.tell(Event::MaintenanceChanged {
+                        worker: WorkerId::of_name(&change.name),
+                        disabled: change.disabled,
+                    });
                 }
                 if let Some(learned) = &estate.learned {
                     self.dispatcher.restore(self.clock.now(), learned);
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -19,8 +19,10 @@
 
 use bytes::{Buf, Bytes};
 use curlewusher_control::command::{AdminCommand, CommandResult};
-use curlewusher_control::frame::{Decoder, Frame, FrameError, MAX_SNAPSHOT_BYTES, RejectReason};
-use curlewusher_control::takeover::JobClaims;
+use curlewusher_control::frame::{
+    Decoder, Frame, FrameError, MAX_SNAPSHOT_BYTES, ReceivedFrame, RejectReason,
+};
+use curlewusher_control::takeover::{JobClaims, LinkRole};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, Shutdown, recvmsg, sendmsg, shutdown, sockopt::socket_acceptconn,
@@ -364,7 +366,7 @@
 /// The first frame that comes.
 async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
-        if let Some((_, frame)) = decoder.next_frame()? {
+        if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
             return Ok(frame);
         }
         if !read_piece(stream, decoder, &mut Fds::new()).await.map_err(HandoverError::Gone)? {
@@ -637,7 +639,11 @@
             written: Notify::new(),
             next: Cell::new(1),
             waiting: RefCell::default(),
-            claims: RefCell::new(JobClaims::new(elder)),
+            claims: RefCell::new(JobClaims::new(if elder {
+                LinkRole::Predecessor
+            } else {
+                LinkRole::Successor
+            })),
         }));
         spawn_local(link.clone().write());
         let reader = link.clone();
@@ -739,7 +745,7 @@
 
     /// Leaves a withdrawal to the other process.
     pub fn transfer_cancellation(&self, to: SocketAddr, id: &str) {
-        self.tell(&Frame::CancelAttempt { to, id: id.to_owned() });
+        self.tell(&Frame::CancelAttempt { worker: to, job_id: id.to_owned() });
     }
 
     /// Asks the elder for the new connections and what it has learned since. Where it does not say within 1 s
@@ -854,7 +860,7 @@
         // A descriptor comes with the first byte of its frame, so that they are in one order.
         let mut fds = Fds::new();
         loop {
-            while let Some((seq, frame)) = decoder.next_frame()? {
+            while let Some(ReceivedFrame { sequence: seq, frame }) = decoder.next_frame()? {
                 if !self.is_connected() && !frame.is_response() {
                     // It cannot be answered any more, and the other process goes by that.
                     continue;
@@ -917,7 +923,9 @@
                     }
                 });
             }
-            Frame::CancelAttempt { to, id } => self.pass(asked, PeerRequest::CancelAttempt { to, id }),
+            Frame::CancelAttempt { worker: to, job_id: id } => {
+                self.pass(asked, PeerRequest::CancelAttempt { to, id })
+            }
             Frame::HandBack => self.pass(asked, PeerRequest::HandBack),
             Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
                 return Err(HandoverError::UnexpectedFrame);
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{DescriptorShare, Event, Takeover, TakeoverCommand};
+use curlewusher_control::takeover::{DescriptorShare, Takeover, TakeoverCommand, TakeoverEvent};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
@@ -299,7 +299,7 @@
                 Some(hello) = hellos.recv() => self.here(Here::SuccessorHello(hello)).await,
                 () = &mut mapped, if waits => {
                     waits = false;
-                    self.succession.handle(Event::EndpointsAvailable)
+                    self.succession.handle(TakeoverEvent::EndpointsAvailable)
                 }
             };
             self.carry_out(deeds).await;
@@ -311,7 +311,7 @@
             Here::SuccessorHello(hello) => {
                 let (node, listen) = (hello.node.clone(), hello.listen.clone());
                 self.hello = Some(hello);
-                self.succession.handle(Event::Hello { node, listen })
+                self.succession.handle(TakeoverEvent::Hello { node, listen })
             }
             // The link is closed, which is heard by itself.
             Here::Took(None) => Vec::new(),
@@ -320,10 +320,10 @@
                     self.inherit(heritage.drained, heritage.estate).await;
                 }
                 self.learned = None;
-                self.succession.handle(Event::TakeoverGranted)
+                self.succession.handle(TakeoverEvent::TakeoverGranted)
             }
             Here::Terminate(done) => {
-                let deeds = self.succession.handle(Event::Terminate);
+                let deeds = self.succession.handle(TakeoverEvent::Terminate);
                 self.carry_out(deeds).await;
                 let _ = done.send(());
                 Vec::new()
@@ -356,11 +356,11 @@
             PeerRequest::CancelAttempt { to, id } => self.parts.next_hops.adopt_cancellation(to, id),
             PeerRequest::Takeover { heritage } => {
                 self.heir = Some(heritage);
-                return self.succession.handle(Event::TakeoverRequested);
+                return self.succession.handle(TakeoverEvent::TakeoverRequested);
             }
             PeerRequest::HandBack => {
                 self.parts.server.set_migrating(false);
-                return self.succession.handle(Event::HandedBack);
+                return self.succession.handle(TakeoverEvent::HandedBack);
             }
             PeerRequest::Lost => {
                 self.parts.operations.peer.mark_lost();
@@ -369,7 +369,7 @@
                     self.inherit(heritage.drained, heritage.estate).await;
                 }
                 info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.operations.name);
-                return self.succession.handle(Event::LinkLost);
+                return self.succession.handle(TakeoverEvent::LinkLost);
             }
         }
         Vec::new()
@@ -459,7 +459,7 @@
             }
             Err(problem) => {
                 warn!(target: NODE, "the successor is passed over: {problem}");
-                let deeds = self.succession.handle(Event::LinkLost);
+                let deeds = self.succession.handle(TakeoverEvent::LinkLost);
                 Box::pin(self.carry_out(deeds)).await;
             }
         }
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use curlewusher_control::takeover::{CallbackRoute, route};
+use curlewusher_control::takeover::{CallbackRoute, route_callback};
 use curlewusher_core::{ClassId, Idempotency, TenantId, stable_hash};
 use curlewusher_settings::Site;
 use curlewusher_settings::operator::ServerOptions as Tuning;
@@ -586,7 +586,7 @@
         }
         let holder = if asks { holds.await.unwrap_or(JobOwner::Local) } else { JobOwner::Local };
         let linked = link.as_ref().is_some_and(|link| link.is_connected());
-        let heard = match (holder, route(holder == JobOwner::Local, linked), link) {
+        let heard = match (holder, route_callback(holder == JobOwner::Local, linked), link) {
             (JobOwner::Migrating, ..) => false,
             (_, CallbackRoute::Forward, Some(link)) => match link.forward_callback(body.clone()).await {
                 ForwardResult::Handled => true,
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -171,7 +171,7 @@
     pub fn hears(&mut self) -> (u64, Frame) {
         loop {
             if let Some(said) = self.decoder.next_frame().expect("a frame") {
-                return said;
+                return (said.sequence, said.frame);
             }
             let mut piece = [0; 4096];
             let came = self.stream.read(&mut piece).expect("a frame");
