--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -1,4 +1,8 @@
-//! Owns which core workers operators have taken out, and which ids were ever listed. It must never judge a worker.
+//! Workers that operators have disabled for maintenance, and the names that discovery has ever listed.
+//!
+//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list says of it in between and however
+//! often the process of the node is replaced. Only a name that was listed once can be disabled or enabled, so that a
+//! mistyped name is rejected.
 
 use std::collections::BTreeSet;
 
@@ -6,29 +10,34 @@
 
 use crate::command::{CommandError, CommandResult};
 
-/// So many core workers can be out at once. One that has left the list is out until it is put back, so that there may be
-/// more of them than a list has.
+/// Most workers that can be disabled at once. A worker that has left the endpoint list stays disabled until it is enabled,
+/// so there may be more of them than the list has entries.
 pub const MAX_DISABLED_WORKERS: usize = 4096;
-/// So many ids are remembered as listed, and so many bytes of them: a site of a thousand that are all replaced ten
-/// times a day reaches it on the fourth day. A successor is told all of them in one frame: see `MAX_SNAPSHOT_BYTES`.
+/// Most names that are remembered as listed: a site of a thousand workers that are all replaced ten times a day reaches
+/// this on the fourth day.
 const MAX_LISTED_WORKERS: usize = 32_768;
+/// Most bytes of names that are remembered as listed. A successor gets all of them in one frame, together with the state
+/// snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
 const MAX_LISTED_BYTES: usize = 3 << 19;
 
-/// The core workers that are out, by their names in discovery's list.
+/// The disabled workers, by their names in the endpoint list. Its serialized form is what a successor receives; that is
+/// only to be given to [`merge_predecessor`](Self::merge_predecessor), since it lacks what the private fields count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisabledWorkers {
-    out: BTreeSet<String>,
-    listed: BTreeSet<String>,
-    /// Bytes of those.
+    #[serde(rename = "out")]
+    disabled: BTreeSet<String>,
+    #[serde(rename = "listed")]
+    ever_listed: BTreeSet<String>,
+    /// Bytes of the names in `ever_listed`.
     #[serde(skip)]
     listed_bytes: usize,
-    /// Those that calls came for at this process.
+    /// Names that this process itself has received a command for: the predecessor's state does not override these.
     #[serde(skip)]
-    called: BTreeSet<String>,
+    commanded_here: BTreeSet<String>,
 }
 
-/// A worker that has been disabled or enabled by what the predecessor knew.
+/// A worker that has been disabled or enabled by the state of the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceChange {
     /// The worker's name in the endpoint list.
@@ -38,112 +47,84 @@
 }
 
 impl DisabledWorkers {
-    /// The list names these; what it says of them changes no ban.
+    /// Remembers names of the endpoint list, up to the bounds on their number and bytes. It changes nothing about which
+    /// workers are disabled.
     pub fn record_listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
-            let room =
-                self.listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES;
-            if room && !self.listed.contains(name) {
-                self.listed.insert(name.to_owned());
+            if self.can_remember(name) && !self.ever_listed.contains(name) {
+                self.ever_listed.insert(name.to_owned());
                 self.listed_bytes += name.len();
             }
         }
     }
 
-    /// Nothing more to this one; done as well where it is out already.
+    fn can_remember(&self, name: &str) -> bool {
+        self.ever_listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES
+    }
+
+    /// Disables a worker; succeeds as well if it is disabled already. Fails if no list has ever named it, or if
+    /// [`MAX_DISABLED_WORKERS`] are disabled.
     pub fn disable(&mut self, name: &str) -> CommandResult {
-        self.known(name)?;
-        if !self.out.contains(name) && self.out.len() >= MAX_DISABLED_WORKERS {
+        self.require_ever_listed(name)?;
+        if !self.disabled.contains(name) && self.disabled.len() >= MAX_DISABLED_WORKERS {
             return Err(CommandError::TooManyDisabled(MAX_DISABLED_WORKERS));
         }
-        self.out.insert(name.to_owned());
-        self.called.insert(name.to_owned());
+        self.disabled.insert(name.to_owned());
+        self.commanded_here.insert(name.to_owned());
         Ok(())
     }
 
-    /// Back again, however often it was taken out; done as well where it is not out.
+    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled. Fails if no list has ever
+    /// named it.
     pub fn enable(&mut self, name: &str) -> CommandResult {
-        self.known(name)?;
-        self.out.remove(name);
-        self.called.insert(name.to_owned());
+        self.require_ever_listed(name)?;
+        self.disabled.remove(name);
+        self.commanded_here.insert(name.to_owned());
         Ok(())
     }
 
-    fn known(&self, name: &str) -> CommandResult {
-        match self.listed.contains(name) {
-            true => Ok(()),
-            false => Err(CommandError::UnknownWorker(name.to_owned())),
+    fn require_ever_listed(&self, name: &str) -> CommandResult {
+        if self.ever_listed.contains(name) {
+            Ok(())
+        } else {
+            Err(CommandError::UnknownWorker(name.to_owned()))
         }
     }
 
-    /// Whether it is out.
+    /// Whether a worker is disabled.
     pub fn is_disabled(&self, name: &str) -> bool {
-        self.out.contains(name)
+        self.disabled.contains(name)
     }
 
-    /// Those that are out.
+    /// Names of the disabled workers, in their order as strings.
     pub fn disabled(&self) -> impl Iterator<Item = &str> {
-        self.out.iter().map(String::as_str)
+        self.disabled.iter().map(String::as_str)
     }
 
-    /// Takes on what the older process of this node knows: its bans are the node's, but for those that calls have come
-    /// for here since. Returns what changes: names, and whether each is out now.
-    pub fn merge_predecessor(&mut self, older: DisabledWorkers) -> Vec<MaintenanceChange> {
-        self.record_listed(older.listed.iter().map(String::as_str));
-        let changed: Vec<MaintenanceChange> = self
-            .out
-            .symmetric_difference(&older.out)
-            .filter(|name| !self.called.contains(*name))
-            .map(|name| MaintenanceChange { name: name.clone(), disabled: older.out.contains(name) })
+    /// Takes over the state of the predecessor of this process: exactly its disabled workers are disabled, except where
+    /// this process has received a command for a worker itself. Returns the workers that this changes, ordered by name.
+    pub fn merge_predecessor(&mut self, predecessor: DisabledWorkers) -> Vec<MaintenanceChange> {
+        self.record_listed(predecessor.ever_listed.iter().map(String::as_str));
+        let changes: Vec<MaintenanceChange> = self
+            .disabled
+            .symmetric_difference(&predecessor.disabled)
+            .filter(|name| !self.commanded_here.contains(*name))
+            .map(|name| MaintenanceChange {
+                name: name.clone(),
+                disabled: predecessor.disabled.contains(name),
+            })
             .collect();
-        for MaintenanceChange { name, disabled } in &changed {
-            match disabled {
-                true => _ = self.out.insert(name.clone()),
-                false => _ = self.out.remove(name),
-            }
+        for change in &changes {
+            self.apply_change(change);
         }
-        changed
+        changes
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use std::collections::BTreeMap;
 
-    proptest! {
-        /// A ban holds from its call until the call back, whatever is listed in between and however often the node
-        /// changes its process; an id that no list has named gets a no.
-        #[test]
-        fn a_ban_holds_until_its_call_back(steps in prop::collection::vec((0u8..4, 0u8..6), 0..60)) {
-            let (mut bans, mut told) = (DisabledWorkers::default(), BTreeMap::new());
-            for (what, which) in steps {
-                let name = format!("s-{which}");
-                let listed = told.contains_key(&name);
-                match what {
-                    0 => {
-                        bans.record_listed([name.as_str()]);
-                        told.entry(name).or_insert(false);
-                    }
-                    1 => {
-                        prop_assert_eq!(bans.disable(&name).is_ok(), listed);
-                        told.entry(name).and_modify(|out| *out = true);
-                    }
-                    2 => {
-                        prop_assert_eq!(bans.enable(&name).is_ok(), listed);
-                        told.entry(name).and_modify(|out| *out = false);
-                    }
-                    _ => {
-                        let mut newer = DisabledWorkers::default();
-                        newer.merge_predecessor(bans);
-                        bans = newer;
-                    }
-                }
-                for (name, out) in &told {
-                    prop_assert_eq!(bans.is_disabled(name), *out);
-                }
-            }
+    fn apply_change(&mut self, change: &MaintenanceChange) {
+        if change.disabled {
+            self.disabled.insert(change.name.clone());
+        } else {
+            self.disabled.remove(&change.name);
         }
     }
 }
