--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -8,11 +8,12 @@
 use std::net::SocketAddr;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use serde::Serialize;
 use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::command::{AdminCommand, CommandResult};
+pub use crate::takeover::RejectReason;
 
 const MAGIC: &[u8; 4] = b"CWUS";
 /// Any change to the form of a frame or of a payload has a new version.
@@ -23,24 +24,6 @@
 /// No other payload is longer, in bytes: a request with its body is the longest that is sent.
 pub const MAX_PAYLOAD_BYTES: usize = 128 << 10;
 
-/// Why a process that asks to be the successor is turned away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum RejectReason {
-    /// There are two processes of the node already. Asking again later may do.
-    #[error("another process of this node is still coming or going; it is asked again")]
-    Busy,
-    /// The one that is asked is of another node.
-    #[error("the process there is of another node; give each node its own RELAY_LISTEN and RELAY_NAME")]
-    OtherNode,
-    /// The one that is asked has been told to end.
-    #[error("the process there is ending; the new one starts cold, nothing is to be done")]
-    #[serde(rename = "Ending")]
-    ShuttingDown,
-    /// What the newer one said could not be read.
-    #[error("the process there does not know this version; the new one starts cold, nothing is to be done")]
-    OtherVersion,
-}
-
 /// What one process says to the other. A request has the answer that is named with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -23,7 +23,7 @@
 /// The phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has no endpoint list yet; whether it accepts connections does not depend on this.
+    /// It has no endpoint list yet, or waits for its predecessor to hand over.
     Starting {
         /// An operator has drained the node.
         drained: bool,
