--- /dev/null
+++ b/crates/control/src/frame/payload.rs
@@ -0,0 +1,67 @@
+//! Payloads of frames: each kind's, as the table of [`crate::frame`] has them.
+
+use bytes::Bytes;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+use crate::command::AdminCommand;
+use crate::frame::kind::FrameKind;
+use crate::frame::message::Frame;
+
+impl Frame {
+    pub(super) fn encode_payload(&self) -> Bytes {
+        match self {
+            Frame::Hello { node, listen } => to_json(&(node, listen)),
+            Frame::Welcome(bytes)
+            | Frame::TakeoverGranted(bytes)
+            | Frame::Callback(bytes)
+            | Frame::MigrateJob(bytes) => bytes.clone(),
+            Frame::Rejected(reason) => to_json(reason),
+            Frame::TakeoverRequest | Frame::HandBack => Bytes::new(),
+            Frame::CallbackResult(result) | Frame::ClaimResult(result) | Frame::MigrationResult(result) => {
+                to_json(result)
+            }
+            Frame::ClaimJob(id) => Bytes::copy_from_slice(id.as_bytes()),
+            // As an operator would write it, since the same parser reads it.
+            Frame::Command(command) => command.to_string().into(),
+            Frame::CommandResult(result) => to_json(result),
+            Frame::CancelAttempt { worker, job_id } => to_json(&(worker, job_id)),
+        }
+    }
+
+    /// The frame of this kind and payload; `None` if the payload is not one of that kind.
+    pub(super) fn decode_payload(kind: FrameKind, payload: Bytes) -> Option<Frame> {
+        match kind {
+            FrameKind::Hello => from_json(&payload).map(|(node, listen)| Frame::Hello { node, listen }),
+            FrameKind::Welcome => Some(Frame::Welcome(payload)),
+            FrameKind::Rejected => from_json(&payload).map(Frame::Rejected),
+            FrameKind::TakeoverRequest => payload.is_empty().then_some(Frame::TakeoverRequest),
+            FrameKind::TakeoverGranted => Some(Frame::TakeoverGranted(payload)),
+            FrameKind::HandBack => payload.is_empty().then_some(Frame::HandBack),
+            FrameKind::Callback => Some(Frame::Callback(payload)),
+            FrameKind::CallbackResult => from_json(&payload).map(Frame::CallbackResult),
+            FrameKind::ClaimJob => from_utf8(&payload).map(Frame::ClaimJob),
+            FrameKind::ClaimResult => from_json(&payload).map(Frame::ClaimResult),
+            FrameKind::Command => AdminCommand::parse(&payload).ok().map(Frame::Command),
+            FrameKind::CommandResult => from_json(&payload).map(Frame::CommandResult),
+            FrameKind::CancelAttempt => {
+                from_json(&payload).map(|(worker, job_id)| Frame::CancelAttempt { worker, job_id })
+            }
+            FrameKind::MigrateJob => Some(Frame::MigrateJob(payload)),
+            FrameKind::MigrationResult => from_json(&payload).map(Frame::MigrationResult),
+        }
+    }
+}
+
+fn to_json<T: Serialize>(value: &T) -> Bytes {
+    // These types cannot fail to serialize; an empty payload would be `Malformed` at the other process.
+    serde_json::to_vec(value).unwrap_or_default().into()
+}
+
+fn from_json<T: DeserializeOwned>(payload: &[u8]) -> Option<T> {
+    serde_json::from_slice(payload).ok()
+}
+
+fn from_utf8(payload: &[u8]) -> Option<String> {
+    String::from_utf8(payload.to_vec()).ok()
+}
