--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -7,10 +7,12 @@
 use std::fmt::Write;
 
 use bytes::Bytes;
-use curlewusher_operation::bans::Bans;
-use curlewusher_operation::call::{Call, CallError, LONGEST_ID, LONGEST_LINE, Refusal, Verdict, answer};
-use curlewusher_operation::frame::{Decoder, Frame, FrameError, Why};
-use curlewusher_operation::phase::{Move, Phase};
+use curlewusher_control::command::{
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES, answer,
+};
+use curlewusher_control::frame::{Decoder, Frame, FrameError, RejectReason};
+use curlewusher_control::maintenance::DisabledWorkers;
+use curlewusher_control::phase::{Phase, PhaseEvent};
 use golden::assert_golden;
 
 /// Names of the phases in this test, in the order of [`Phase::ALL`].
@@ -25,42 +27,42 @@
     "ended",
 ];
 
-const MOVES: [(&str, Move); 7] = [
-    ("list there", Move::Listed),
-    ("drain", Move::Drain),
-    ("end of drain", Move::Undrain),
-    ("hand over", Move::HandOver),
-    ("take back", Move::TakeBack),
-    ("terminate", Move::Terminate),
-    ("all answered", Move::Answered),
+const MOVES: [(&str, PhaseEvent); 7] = [
+    ("list there", PhaseEvent::EndpointsAvailable),
+    ("drain", PhaseEvent::Drain),
+    ("end of drain", PhaseEvent::Undrain),
+    ("hand over", PhaseEvent::HandedOver),
+    ("take back", PhaseEvent::TookBack),
+    ("terminate", PhaseEvent::Terminate),
+    ("all answered", PhaseEvent::ShutdownCompleted),
 ];
 
-const WHYS: [(&str, Why); 4] = [
-    ("busy", Why::Busy),
-    ("other node", Why::OtherNode),
-    ("ending", Why::Ending),
-    ("other version", Why::OtherVersion),
+const WHYS: [(&str, RejectReason); 4] = [
+    ("busy", RejectReason::Busy),
+    ("other node", RejectReason::OtherNode),
+    ("ending", RejectReason::ShuttingDown),
+    ("other version", RejectReason::OtherVersion),
 ];
 
-fn calls() -> [(&'static str, Call); 5] {
+fn calls() -> [(&'static str, AdminCommand); 5] {
     [
-        ("ready", Call::Ready),
-        ("disable", Call::Disable("s-5be2a07c".to_owned())),
-        ("enable", Call::Enable("s-5be2a07c".to_owned())),
-        ("drain", Call::Drain),
-        ("end of drain", Call::Undrain),
+        ("ready", AdminCommand::Ready),
+        ("disable", AdminCommand::Disable("s-5be2a07c".to_owned())),
+        ("enable", AdminCommand::Enable("s-5be2a07c".to_owned())),
+        ("drain", AdminCommand::Drain),
+        ("end of drain", AdminCommand::Undrain),
     ]
 }
 
-fn refusals() -> Vec<(String, Refusal)> {
+fn refusals() -> Vec<(String, CommandError)> {
     let phases = PHASES.iter().zip(Phase::ALL);
-    let mut all: Vec<(String, Refusal)> =
-        phases.map(|(name, phase)| (format!("not ready: {name}"), Refusal::NotReady(phase))).collect();
+    let mut all: Vec<(String, CommandError)> =
+        phases.map(|(name, phase)| (format!("not ready: {name}"), CommandError::NotReady(phase))).collect();
     all.extend([
-        ("never listed".to_owned(), Refusal::NeverListed("s-\"ü\"".to_owned())),
-        ("too many out".to_owned(), Refusal::TooManyOut(4096)),
-        ("ending".to_owned(), Refusal::Ending),
-        ("not done".to_owned(), Refusal::NotDone),
+        ("never listed".to_owned(), CommandError::UnknownWorker("s-\"ü\"".to_owned())),
+        ("too many out".to_owned(), CommandError::TooManyDisabled(4096)),
+        ("ending".to_owned(), CommandError::ShuttingDown),
+        ("not done".to_owned(), CommandError::TimedOut),
     ]);
     all
 }
@@ -68,29 +70,30 @@
 fn frames() -> Vec<(String, Frame)> {
     let bytes = || Bytes::from_static(b"{\"bytes\":\x00\xff}");
     let (node, listen) = ("node-1".to_owned(), "0.0.0.0:7070".to_owned());
-    let withdraw = |to: &str| Frame::Withdraw { to: to.parse().expect("an address"), id: "job-9".to_owned() };
+    let withdraw =
+        |to: &str| Frame::CancelAttempt { to: to.parse().expect("an address"), id: "job-9".to_owned() };
     let mut all = vec![
         ("hello".to_owned(), Frame::Hello { node, listen }),
         ("welcome".to_owned(), Frame::Welcome(bytes())),
-        ("take over".to_owned(), Frame::TakeOver),
-        ("taken over".to_owned(), Frame::Yours(bytes())),
-        ("give back".to_owned(), Frame::GiveBack),
-        ("call-back".to_owned(), Frame::Word(bytes())),
-        ("call-back, empty".to_owned(), Frame::Word(Bytes::new())),
-        ("claim".to_owned(), Frame::Claim("job-ü".to_owned())),
-        ("job".to_owned(), Frame::Move(bytes())),
+        ("take over".to_owned(), Frame::TakeoverRequest),
+        ("taken over".to_owned(), Frame::TakeoverGranted(bytes())),
+        ("give back".to_owned(), Frame::HandBack),
+        ("call-back".to_owned(), Frame::Callback(bytes())),
+        ("call-back, empty".to_owned(), Frame::Callback(Bytes::new())),
+        ("claim".to_owned(), Frame::ClaimJob("job-ü".to_owned())),
+        ("job".to_owned(), Frame::MigrateJob(bytes())),
         ("withdrawal, IPv4".to_owned(), withdraw("10.0.0.1:8080")),
         ("withdrawal, IPv6".to_owned(), withdraw("[fd00::1]:8080")),
-        ("call done".to_owned(), Frame::Done(Ok(()))),
+        ("call done".to_owned(), Frame::CommandResult(Ok(()))),
     ];
     for yes in [true, false] {
-        all.push((format!("call-back heard: {yes}"), Frame::Heard(yes)));
-        all.push((format!("claimed: {yes}"), Frame::Claimed(yes)));
-        all.push((format!("job moved: {yes}"), Frame::Moved(yes)));
+        all.push((format!("call-back heard: {yes}"), Frame::CallbackResult(yes)));
+        all.push((format!("claimed: {yes}"), Frame::ClaimResult(yes)));
+        all.push((format!("job moved: {yes}"), Frame::MigrationResult(yes)));
     }
-    all.extend(WHYS.map(|(name, why)| (format!("turned away: {name}"), Frame::TurnedAway(why))));
-    all.extend(calls().map(|(name, call)| (format!("call: {name}"), Frame::Call(call))));
-    let refused = |(name, refusal)| (format!("call refused: {name}"), Frame::Done(Err(refusal)));
+    all.extend(WHYS.map(|(name, why)| (format!("turned away: {name}"), Frame::Rejected(why))));
+    all.extend(calls().map(|(name, call)| (format!("call: {name}"), Frame::Command(call))));
+    let refused = |(name, refusal)| (format!("call refused: {name}"), Frame::CommandResult(Err(refusal)));
     all.extend(refusals().into_iter().map(refused));
     all
 }
@@ -107,15 +110,15 @@
         writeln!(found, "{name}: {}", hex(&encoded)).expect("a string");
         let mut decoder = Decoder::default();
         decoder.feed(&encoded);
-        assert_eq!(decoder.take(), Ok(Some((seq, frame))), "{name}");
-        assert_eq!(decoder.end(), Ok(()), "{name}");
+        assert_eq!(decoder.next_frame(), Ok(Some((seq, frame))), "{name}");
+        assert_eq!(decoder.finish(), Ok(()), "{name}");
     }
     assert_golden("frames.txt", &found);
 }
 
 #[test]
 fn answers_between_processes_then_the_recorded_ones() {
-    let answers = frames().into_iter().filter(|(_, frame)| frame.is_answer());
+    let answers = frames().into_iter().filter(|(_, frame)| frame.is_response());
     let found: String = answers.map(|(name, _)| format!("{name}\n")).collect();
     assert_golden("link_answers.txt", &found);
 }
@@ -123,10 +126,10 @@
 #[test]
 fn processes_that_cannot_go_together_then_the_recorded_messages() {
     let errors = [
-        FrameError::Foreign,
+        FrameError::NotAFrame,
         FrameError::OtherVersion { theirs: 9, ours: 1 },
-        FrameError::Torn,
-        FrameError::BadSum,
+        FrameError::Truncated,
+        FrameError::ChecksumMismatch,
         FrameError::TooLong { length: 5_000_000 },
         FrameError::Malformed { kind: 200 },
     ];
@@ -137,18 +140,18 @@
 
 #[test]
 fn bans_written_then_the_recorded_bytes_which_read_the_same() {
-    let mut bans = Bans::default();
-    bans.listed(["s-2", "s-10", "s-\"ü\"", "s-1"]);
+    let mut bans = DisabledWorkers::default();
+    bans.record_listed(["s-2", "s-10", "s-\"ü\"", "s-1"]);
     for name in ["s-2", "s-\"ü\"", "s-1"] {
         assert_eq!(bans.disable(name), Ok(()));
     }
     assert_eq!(bans.enable("s-1"), Ok(()));
     let written = serde_json::to_string(&bans).expect("it can be written");
     assert_golden("bans.json", &format!("{written}\n"));
-    let read: Bans = serde_json::from_str(&written).expect("it can be read");
+    let read: DisabledWorkers = serde_json::from_str(&written).expect("it can be read");
     assert_eq!(serde_json::to_string(&read).expect("it can be written"), written);
     let unknown = written.replacen('{', "{\"unknown\":1,", 1);
-    let error = serde_json::from_str::<Bans>(&unknown).expect_err("an unknown field");
+    let error = serde_json::from_str::<DisabledWorkers>(&unknown).expect_err("an unknown field");
     assert!(error.to_string().starts_with("unknown field `unknown`"), "{error}");
 }
 
@@ -158,13 +161,13 @@
     for (name, phase) in PHASES.iter().zip(Phase::ALL) {
         let form = serde_json::to_string(&phase).expect("it can be written");
         assert_eq!(serde_json::from_str::<Phase>(&form).expect("it can be read"), phase);
-        writeln!(found, "{name}: {phase}; {form}; {}", phase.advice()).expect("a string");
-        let (clients, on) = (phase.wants_clients(), phase.sends_on());
-        let (ends, drained) = (phase.ends(), phase.drained());
+        writeln!(found, "{name}: {phase}; {form}; {}", phase.operator_advice()).expect("a string");
+        let (clients, on) = (phase.accepts_new_clients(), phase.redirects_clients());
+        let (ends, drained) = (phase.is_shutting_down(), phase.is_drained());
         writeln!(found, "  wants clients {clients}, sends on {on}, ends {ends}, drained {drained}")
             .expect("a string");
         for (label, by) in MOVES {
-            let at = phase.after(by).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
+            let at = phase.next(by).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
             writeln!(found, "  {label} -> {}", at.map_or("none", |at| PHASES[at])).expect("a string");
         }
     }
@@ -174,7 +177,7 @@
 #[test]
 fn lines_of_operators_and_refusals_then_the_recorded_answers() {
     let id = |length: usize| "x".repeat(length);
-    let longest = format!("ENABLE {}\r\n", id(LONGEST_LINE - 9));
+    let longest = format!("ENABLE {}\r\n", id(MAX_LINE_BYTES - 9));
     let lines: [&[u8]; 20] = [
         b"READY\n",
         b"drain\r\n",
@@ -195,35 +198,35 @@
         b"READY\nDRAIN\n",
         b"READY\r\r\n",
         longest.as_bytes(),
-        &[b'x'; LONGEST_LINE + 1],
+        &[b'x'; MAX_LINE_BYTES + 1],
     ];
     let mut found = String::new();
-    let mut write = |name: &str, said: &Result<Verdict, CallError>| {
+    let mut write = |name: &str, said: &Result<CommandResult, CommandParseError>| {
         let answer = answer(said);
         writeln!(found, "{name} -> {}", answer.escape_debug()).expect("a string");
     };
     for line in lines {
-        let call = Call::read(line);
+        let call = AdminCommand::parse(line);
         let shown = String::from_utf8_lossy(line).escape_debug().to_string();
         let shown = if shown.len() > 40 { format!("{} bytes", line.len()) } else { shown };
-        let meaning = call.as_ref().map_or("no call".to_owned(), Call::to_string);
+        let meaning = call.as_ref().map_or("no call".to_owned(), AdminCommand::to_string);
         write(&format!("{shown} ({meaning})"), &call.map(|_| Ok(())));
     }
-    for length in [LONGEST_ID, LONGEST_ID + 1] {
-        let call = Call::read(format!("DISABLE {}\n", id(length)).as_bytes());
+    for length in [MAX_WORKER_ID_BYTES, MAX_WORKER_ID_BYTES + 1] {
+        let call = AdminCommand::parse(format!("DISABLE {}\n", id(length)).as_bytes());
         write(&format!("id of {length} bytes"), &call.map(|_| Ok(())));
     }
     for (name, refusal) in refusals() {
         write(&name, &Ok(Err(refusal)));
     }
     let errors = [
-        CallError::Empty,
-        CallError::TooLong,
-        CallError::NoText,
-        CallError::Unknown,
-        CallError::NoId("DISABLE"),
-        CallError::TooMuch("ENABLE"),
-        CallError::LongId,
+        CommandParseError::Empty,
+        CommandParseError::TooLong,
+        CommandParseError::NotAscii,
+        CommandParseError::UnknownCommand,
+        CommandParseError::MissingWorkerId("DISABLE"),
+        CommandParseError::UnexpectedArgument("ENABLE"),
+        CommandParseError::WorkerIdTooLong,
     ];
     errors.into_iter().for_each(|error| write("mistake", &Err(error)));
     assert_golden("admin_answers.txt", &found);
--- a/crates/core/tests/decision_lock.rs
+++ b/crates/core/tests/decision_lock.rs
@@ -14,7 +14,7 @@
 
 use common::golden::assert_golden;
 use common::*;
-use curlewusher::*;
+use curlewusher_core::*;
 
 const MILLISECOND: Micros = 1_000;
 /// External events of one fleet, but for those while it ends.
@@ -67,7 +67,7 @@
     /// Which of them hear of changes to the list.
     watching: Vec<bool>,
     on_request: bool,
-    list: Vec<Listing>,
+    list: Vec<Endpoint>,
     free_at: Vec<Micros>,
     other_work: Micros,
     agenda: BTreeMap<(Micros, u64), Due>,
@@ -82,8 +82,8 @@
 impl Driver {
     fn new(fleet: &Fleet, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let list: Vec<Listing> = (0..fleet.workers)
-            .map(|id| Listing {
+        let list: Vec<Endpoint> = (0..fleet.workers)
+            .map(|id| Endpoint {
                 zone: ZoneId(id as u32 % 2),
                 kind: KindId(id as u32 / 2 % 3),
                 started: if id % 5 == 4 { 9 * SECOND } else { 0 },
@@ -97,7 +97,7 @@
             nodes: Vec::new(),
             ranks: Vec::new(),
             watching: Vec::new(),
-            on_request: fleet.settings.list_on_request,
+            on_request: fleet.settings.endpoints_on_request,
             free_at: vec![0; list.len()],
             list,
             other_work: fleet.other_work,
@@ -109,18 +109,18 @@
             actions: [0; 8],
             moved: 0,
         };
-        (0..fleet.driven).for_each(|i| driver.start(&fleet.settings, fleet.settings.rank + i, seed));
+        (0..fleet.driven).for_each(|i| driver.start(&fleet.settings, fleet.settings.node_index + i, seed));
         driver
     }
 
     /// Starts a process: it is woken, and reads the saved list in the same moment.
     fn start(&mut self, settings: &Settings, rank: u32, seed: u64) {
-        let settings = Settings { rank, ..settings.clone() };
+        let settings = Settings { node_index: rank, ..settings.clone() };
         self.nodes.push(Dispatcher::new(settings, seed + self.nodes.len() as u64).expect("good settings"));
         self.ranks.push(rank);
         self.watching.push(!self.on_request);
         let node = self.nodes.len() - 1;
-        self.tell(node, Event::Woken);
+        self.tell(node, Event::TimerExpired);
         self.tell_list(node, true);
     }
 
@@ -137,27 +137,27 @@
 
     fn tell_list(&mut self, node: usize, whole: bool) {
         let list = self.list.clone();
-        let gone = |l: &&Listing| !whole || l.life != Life::Gone;
-        let entries: Vec<Listing> = list.iter().filter(gone).cloned().collect();
-        self.tell(node, Event::Listed { entries: &entries, whole });
+        let gone = |l: &&Endpoint| !whole || l.status != WorkerStatus::Gone;
+        let entries: Vec<Endpoint> = list.iter().filter(gone).cloned().collect();
+        self.tell(node, Event::EndpointsChanged { endpoints: &entries, snapshot: whole });
     }
 
     fn carry_out(&mut self, node: usize, actions: Vec<Action>) {
         for action in actions {
             self.record(node, &action);
             match action {
-                Action::Send { job, worker, timeout, .. } => self.send(job, worker, timeout),
-                Action::Refuse { job, .. } | Action::Fail { job } => self.answered(job),
-                Action::Recall { job, attempt } => self.call_off(job, attempt, Outcome::NeverSent),
-                Action::Cancel { job, attempt } => self.call_off(job, attempt, Outcome::Cancelled),
-                Action::Tell { to, data } => {
+                Action::SendAttempt { job, worker, timeout, .. } => self.send(job, worker, timeout),
+                Action::Reject { job, .. } | Action::Fail { job } => self.answered(job),
+                Action::RevokeAttempt { job, attempt } => self.call_off(job, attempt, Outcome::NotSent),
+                Action::CancelAttempt { job, attempt } => self.call_off(job, attempt, Outcome::Cancelled),
+                Action::SendGossip { to, data } => {
                     let (at, from) = (self.now + self.rng.u64(1..4 * MILLISECOND), self.ranks[node]);
                     for to in (0..self.nodes.len()).filter(|i| self.ranks[*i] == to).collect::<Vec<_>>() {
                         self.plan(at, Due::Told { to, from, data: data.clone() });
                     }
                 }
-                Action::Wake { after } => self.plan(self.now + after, Due::Wake(node)),
-                Action::Watch => {
+                Action::SetTimer { after } => self.plan(self.now + after, Due::Wake(node)),
+                Action::WatchEndpoints => {
                     let at = self.now + self.rng.u64(5 * MILLISECOND..200 * MILLISECOND);
                     let answered = self.rng.u8(0..3) > 0;
                     self.plan(at, Due::ListCall { node, called: self.now, answered });
@@ -170,22 +170,22 @@
     fn record(&mut self, node: usize, action: &Action) {
         let none = u64::MAX;
         let (kind, fields): (usize, [u64; 4]) = match action {
-            Action::Send { job, worker, timeout, leave_by } => {
+            Action::SendAttempt { job, worker, timeout, send_by: leave_by } => {
                 (0, [job.0, worker.0, *timeout, leave_by.unwrap_or(none)])
             }
-            Action::Refuse { job, wait } => (1, [job.0, *wait, none, none]),
+            Action::Reject { job, retry_after: wait } => (1, [job.0, *wait, none, none]),
             Action::Fail { job } => (2, [job.0, none, none, none]),
-            Action::Recall { job, attempt } => (3, [job.0, u64::from(*attempt), none, none]),
-            Action::Cancel { job, attempt } => (4, [job.0, u64::from(*attempt), none, none]),
-            Action::Tell { to, data } => (5, [u64::from(*to), data.len() as u64, none, none]),
-            Action::Wake { after } => (6, [*after, none, none, none]),
-            Action::Watch => (7, [none; 4]),
+            Action::RevokeAttempt { job, attempt } => (3, [job.0, u64::from(*attempt), none, none]),
+            Action::CancelAttempt { job, attempt } => (4, [job.0, u64::from(*attempt), none, none]),
+            Action::SendGossip { to, data } => (5, [u64::from(*to), data.len() as u64, none, none]),
+            Action::SetTimer { after } => (6, [*after, none, none, none]),
+            Action::WatchEndpoints => (7, [none; 4]),
         };
         self.actions[kind] += 1;
         for number in [self.now, node as u64, kind as u64].into_iter().chain(fields) {
             self.hash.write(&number.to_le_bytes());
         }
-        if let Action::Tell { data, .. } = action {
+        if let Action::SendGossip { data, .. } = action {
             self.hash.write(data);
         }
     }
@@ -201,7 +201,8 @@
         let run = self.rng.u64(5 * MILLISECOND..220 * MILLISECOND);
         let most = self.now + timeout;
         let (sent, middle) = (self.now + self.rng.u64(1..20 * MILLISECOND), begin + run / 2);
-        let early = [Outcome::Full, Outcome::Unreachable, Outcome::NeverSent, Outcome::Lost, Outcome::Error];
+        let early =
+            [Outcome::Rejected, Outcome::Unreachable, Outcome::NotSent, Outcome::Lost, Outcome::Error];
         let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
         let draw = self.rng.usize(0..120);
         if let Some(outcome) = early.get(draw) {
@@ -252,26 +253,30 @@
 
     fn happens(&mut self, due: Due) {
         match due {
-            Due::Wake(node) => self.tell(node, Event::Woken),
-            Due::Told { to, from, data } => self.tell(to, Event::Told { from, data: &data }),
-            Due::ListCall { node, answered: false, .. } => self.tell(node, Event::ListFailed),
+            Due::Wake(node) => self.tell(node, Event::TimerExpired),
+            Due::Told { to, from, data } => self.tell(to, Event::GossipReceived { from, data: &data }),
+            Due::ListCall { node, answered: false, .. } => self.tell(node, Event::WatchFailed),
             Due::ListCall { node, called, answered: true } => {
                 self.watching[node] = true;
-                self.tell(node, Event::ListAnswered { took: self.now - called });
+                self.tell(node, Event::PollAnswered { duration: self.now - called });
                 self.tell_list(node, true);
-                self.tell(node, Event::ListStands);
+                self.tell(node, Event::EndpointsConfirmed);
             }
             Due::Accepted(job, attempt) => {
                 if let Some(node) = self.holder(job, attempt) {
                     self.jobs.entry(job).and_modify(|task| _ = task.out.insert(attempt, true));
-                    self.tell(node, Event::Accepted { job, attempt });
+                    self.tell(node, Event::AttemptAccepted { job, attempt });
                 }
             }
-            Due::Started(job, attempt) => self.tell_holder(job, attempt, Event::Started { job, attempt }),
+            Due::Started(job, attempt) => {
+                self.tell_holder(job, attempt, Event::AttemptStarted { job, attempt })
+            }
             Due::Progress(job, attempt) => {
-                self.tell_holder(job, attempt, Event::Progress { job, attempt, done: 0.5 });
+                self.tell_holder(job, attempt, Event::AttemptProgressed { job, attempt, done: 0.5 });
+            }
+            Due::Streaming(job, attempt) => {
+                self.tell_holder(job, attempt, Event::AttemptStreaming { job, attempt })
             }
-            Due::Streaming(job, attempt) => self.tell_holder(job, attempt, Event::Streaming { job, attempt }),
             Due::Ended(job, attempt, outcome) => {
                 let Some(node) = self.holder(job, attempt) else { return };
                 let settled = outcome == Outcome::Done;
@@ -279,7 +284,7 @@
                     task.out.remove(&attempt);
                     task.answered |= settled;
                 });
-                self.tell(node, Event::Ended { job, attempt, outcome, settled });
+                self.tell(node, Event::AttemptEnded { job, attempt, outcome, settled });
             }
         }
     }
@@ -305,27 +310,28 @@
             80 => {
                 let out = self.rng.u8(0..3) == 0;
                 let worker = WorkerId(self.rng.u64(0..=self.list.len() as u64));
-                (0..self.nodes.len()).for_each(|i| self.tell(i, Event::Maintenance { worker, out }));
+                (0..self.nodes.len())
+                    .for_each(|i| self.tell(i, Event::MaintenanceChanged { worker, disabled: out }));
             }
             81..84 => {
                 if let Some(job) = self.any_job() {
                     self.answered(job);
-                    self.tell(self.jobs[&job].node, Event::ClientGone { job });
+                    self.tell(self.jobs[&job].node, Event::ClientDisconnected { job });
                 }
             }
             84 => {
                 let data: Vec<u8> = (0..self.rng.usize(0..40)).map(|_| self.rng.u8(..)).collect();
                 let from = self.rng.u32(0..5);
-                self.tell(node, Event::Told { from, data: &data });
+                self.tell(node, Event::GossipReceived { from, data: &data });
             }
             85 => {
                 let (job, outcome) = (JobId(self.rng.u64(0..=self.jobs.len() as u64)), Outcome::Error);
                 // The end of an attempt that is not out, there or at all.
                 if self.holder(job, 0).is_none() {
-                    self.tell(node, Event::Ended { job, attempt: 0, outcome, settled: false });
+                    self.tell(node, Event::AttemptEnded { job, attempt: 0, outcome, settled: false });
                 }
             }
-            _ => self.tell(node, Event::Woken),
+            _ => self.tell(node, Event::TimerExpired),
         }
     }
 
@@ -335,13 +341,13 @@
             return;
         }
         let event = match self.rng.u8(0..12) {
-            0..8 => return self.tell(node, Event::ListStands),
-            8 => Event::ListSpoilt,
-            9 => Event::ListMoved,
-            _ => Event::Woken,
+            0..8 => return self.tell(node, Event::EndpointsConfirmed),
+            8 => Event::EndpointsUnreadable,
+            9 => Event::DiscoveryMoved,
+            _ => Event::TimerExpired,
         };
         self.tell(node, event);
-        self.tell(node, Event::ListFailed);
+        self.tell(node, Event::WatchFailed);
         self.watching[node] = !self.on_request;
     }
 
@@ -351,17 +357,17 @@
         // Less than the usual wait left: a client's retry.
         let left = if self.rng.u8(0..5) == 0 { self.rng.u64(SECOND / 10..5 * SECOND) } else { 5 * SECOND };
         let usual = offer(job.0, self.rng.usize(0..self.classes), work, self.now);
-        let offer = Offer {
+        let offer = JobSubmission {
             tenant: TenantId(self.rng.usize(0..3)),
             deadline: self.now + left,
-            hint: self.rng.bool().then_some(work),
+            cost_hint: self.rng.bool().then_some(work),
             slots: if self.rng.u8(0..8) == 0 { 2.0 } else { 1.0 },
             key: self.rng.bool().then(|| self.rng.u64(0..12)),
-            repeat: self.rng.u8(0..10) == 0,
+            is_retry: self.rng.u8(0..10) == 0,
             ..usual
         };
         self.jobs.insert(job, Task { node, attempts: 0, out: BTreeMap::new(), answered: false });
-        self.tell(node, Event::Offered(offer));
+        self.tell(node, Event::JobSubmitted(offer));
     }
 
     /// A worker drains, is gone, returns or restarts; all nodes hear of it, or one only.
@@ -369,10 +375,10 @@
         let at = self.rng.usize(0..self.list.len());
         let entry = &mut self.list[at];
         match self.rng.u8(0..10) {
-            0..2 => entry.life = Life::Draining,
-            2 => entry.life = Life::Gone,
+            0..2 => entry.status = WorkerStatus::Draining,
+            2 => entry.status = WorkerStatus::Gone,
             3 => entry.started = self.now,
-            _ => entry.life = Life::Ready,
+            _ => entry.status = WorkerStatus::Ready,
         }
         let (whole, all, one) = (self.rng.bool(), self.rng.bool(), self.rng.usize(0..self.nodes.len()));
         for node in
@@ -395,18 +401,18 @@
 
     /// What one process has learned goes to another, and then most open jobs of its own.
     fn hand_over(&mut self, from: usize, to: usize) {
-        let learned = self.nodes[from].learned();
+        let learned = self.nodes[from].snapshot();
         self.hash_json(&learned);
-        self.nodes[to].inherit(self.now, &learned);
+        self.nodes[to].restore(self.now, &learned);
         let own = self.jobs.iter().filter(|(_, task)| task.node == from && !task.answered);
         for job in own.map(|(id, _)| *id).collect::<Vec<_>>() {
             let may = self.rng.u8(0..4) > 0;
-            let Some(moved) = may.then(|| self.nodes[from].release(job)).flatten() else { continue };
+            let Some(moved) = may.then(|| self.nodes[from].release_job(job)).flatten() else { continue };
             self.hash_json(&moved);
             self.moved += 1;
             self.jobs.entry(job).and_modify(|task| task.node = to);
             let mut out = Vec::new();
-            assert!(self.nodes[to].adopt(self.now, job, &moved, &mut out));
+            assert!(self.nodes[to].adopt_job(self.now, job, &moved, &mut out));
             self.carry_out(to, out);
         }
     }
@@ -418,22 +424,22 @@
             self.pass(self.now + gap);
             self.external();
             if event == EVENTS / 2 {
-                self.start(&fleet.settings, fleet.settings.rank, seed);
+                self.start(&fleet.settings, fleet.settings.node_index, seed);
                 self.hand_over(0, self.nodes.len() - 1);
-                self.tell(0, Event::Retired(true));
+                self.tell(0, Event::SuccessorActive(true));
             } else if event == EVENTS / 10 * 9 {
-                self.tell(0, Event::Retired(false));
+                self.tell(0, Event::SuccessorActive(false));
                 self.hand_over(self.nodes.len() - 1, 0);
             }
         }
         let by = self.now + LAST;
-        (0..self.nodes.len()).for_each(|node| self.tell(node, Event::Ending { by }));
+        (0..self.nodes.len()).for_each(|node| self.tell(node, Event::ShutdownStarted { deadline: by }));
         while self.now < by {
             self.pass(self.now + fleet.gap * 2);
             self.external();
         }
         self.pass(by + SECOND);
-        (0..self.nodes.len()).for_each(|node| self.hash_json(&self.nodes[node].learned()));
+        (0..self.nodes.len()).for_each(|node| self.hash_json(&self.nodes[node].snapshot()));
     }
 
     fn line(&self, name: &str) -> String {
@@ -457,22 +463,25 @@
 /// accept, are large, and are parted into groups.
 fn many_nodes() -> Fleet {
     let mut settings = settings();
-    settings.classes[0].kind = Some(KindId(1));
-    settings.classes[1].effect = Effect::Keyed { scope: KeyScope::Zone, window: SECOND };
-    settings.classes.push(Class { worth: 0.2, ..class(Effect::Safe) });
-    (settings.nodes, settings.rank) = (24, 5);
-    (settings.list_on_request, settings.told_within) = (true, 6 * SECOND);
-    (settings.accepts_within, settings.may_duplicate, settings.sizes_told) = (100 * MILLISECOND, false, true);
-    (settings.may_tell, settings.tell_price) = (true, 1.0);
+    settings.classes[0].required_kind = Some(KindId(1));
+    settings.classes[1].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
+    settings.classes.push(Class { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
+    (settings.nodes, settings.node_index) = (24, 5);
+    (settings.endpoints_on_request, settings.notified_within) = (true, 6 * SECOND);
+    (settings.accept_timeout, settings.may_duplicate, settings.sizes_listed) =
+        (100 * MILLISECOND, false, true);
+    (settings.may_gossip, settings.gossip_price) = (true, 1.0);
     Fleet { name: "many nodes", settings, driven: 1, workers: 40, gap: 14_000, other_work: 40 * MILLISECOND }
 }
 
 /// Three nodes that tell each other their work at workers of two zones, which do not say when they start.
 fn gossip() -> Fleet {
     let mut settings = settings();
-    settings.classes[1].effect = Effect::Keyed { scope: KeyScope::All, window: 2 * SECOND };
-    (settings.nodes, settings.may_tell, settings.tell_price) = (3, true, 0.001);
-    (settings.tells_start, settings.cross_zone_price) = (false, 0.05);
+    settings.classes[1].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::All, window: 2 * SECOND };
+    (settings.nodes, settings.may_gossip, settings.gossip_price) = (3, true, 0.001);
+    (settings.reports_start, settings.cross_zone_price) = (false, 0.05);
     Fleet { name: "gossip", settings, driven: 3, workers: 9, gap: 14_000, other_work: 0 }
 }
 
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -5,7 +5,7 @@
 
 use common::golden::assert_golden;
 use common::*;
-use curlewusher::*;
+use curlewusher_core::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -13,10 +13,10 @@
 /// Job numbers from here on are those of the job that moves.
 const MOVING: u64 = 100;
 
-fn workers() -> Vec<Listing> {
+fn workers() -> Vec<Endpoint> {
     let cold = |id| if id == 3 { 9 * SECOND } else { 0 };
     (0..5)
-        .map(|id| Listing {
+        .map(|id| Endpoint {
             kind: KindId(id as u32 / 2 % 2),
             started: cold(id),
             zone: ZoneId(7),
@@ -30,7 +30,8 @@
     let mut node = Node::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
     for job in 0..24 {
         let (key, slots) = (Some(1000 + job % 7), if job % 5 == 0 { 2.0 } else { 1.0 });
-        let actions = node.tell(Event::Offered(Offer { key, slots, ..offer(job, 0, 0.05, node.now) }));
+        let actions =
+            node.tell(Event::JobSubmitted(JobSubmission { key, slots, ..offer(job, 0, 0.05, node.now) }));
         let worker = sent(&actions).expect("a free worker");
         node.pass(1_000);
         node.start(job, 0);
@@ -47,7 +48,7 @@
         }
     }
     for out in [true, false] {
-        node.tell(Event::Maintenance { worker: WorkerId(4), out });
+        node.tell(Event::MaintenanceChanged { worker: WorkerId(4), disabled: out });
         node.pass(SECOND / 2);
     }
     node
@@ -56,8 +57,8 @@
 /// The same with a job of two attempts that have ended and one that is half done.
 fn node_with_moving_job() -> Node {
     let mut node = taught_node();
-    let offered = Offer { key: Some(77), slots: 2.0, ..offer(MOVING, 0, 0.4, node.now) };
-    node.tell(Event::Offered(offered));
+    let offered = JobSubmission { key: Some(77), slots: 2.0, ..offer(MOVING, 0, 0.4, node.now) };
+    node.tell(Event::JobSubmitted(offered));
     for (attempt, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Error)] {
         node.pass(20_000);
         node.end(MOVING, attempt, outcome);
@@ -65,7 +66,7 @@
     node.pass(3_000);
     node.start(MOVING, 2);
     node.pass(100_000);
-    node.tell(Event::Progress { job: JobId(MOVING), attempt: 2, done: 0.5 });
+    node.tell(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, done: 0.5 });
     node
 }
 
@@ -135,7 +136,7 @@
 #[test]
 fn learned_state_written_then_the_recorded_bytes() {
     let node = node_with_moving_job();
-    assert_record("state_snapshot.json", &node.dispatcher.learned());
+    assert_record("state_snapshot.json", &node.dispatcher.snapshot());
 }
 
 #[test]
@@ -143,19 +144,19 @@
     let older = node_with_moving_job();
     let mut newer = Node::new(settings(), &workers());
     newer.now = older.now;
-    newer.dispatcher.inherit(newer.now, &older.dispatcher.learned());
-    assert_eq!(newer.dispatcher.learned(), older.dispatcher.learned());
+    newer.dispatcher.restore(newer.now, &older.dispatcher.snapshot());
+    assert_eq!(newer.dispatcher.snapshot(), older.dispatcher.snapshot());
 }
 
 #[test]
 fn job_released_then_the_recorded_bytes_and_adopted_the_same_again() {
     let mut older = node_with_moving_job();
-    let moved = older.dispatcher.release(JobId(MOVING)).expect("an open job");
+    let moved = older.dispatcher.release_job(JobId(MOVING)).expect("an open job");
     assert_record("migrated_job.json", &moved);
     let mut newer = Node::new(settings(), &workers());
     newer.now = older.now;
-    assert!(newer.dispatcher.adopt(newer.now, JobId(1), &moved, &mut Vec::new()));
-    assert_eq!(newer.dispatcher.release(JobId(1)), Some(moved));
+    assert!(newer.dispatcher.adopt_job(newer.now, JobId(1), &moved, &mut Vec::new()));
+    assert_eq!(newer.dispatcher.release_job(JobId(1)), Some(moved));
 }
 
 #[test]
@@ -163,12 +164,12 @@
     let outcomes = [
         Outcome::Done,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::Unreachable,
         Outcome::Lost,
         Outcome::Cancelled,
-        Outcome::NeverSent,
+        Outcome::NotSent,
     ];
     let written = serde_json::to_string(&outcomes).expect("it can be written");
     assert_golden("outcomes.json", &format!("{written}\n"));
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -8,8 +8,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use curlewusher_operation::call::{Call, Refusal};
-use curlewusher_operation::frame::Frame;
+use curlewusher_control::command::{AdminCommand, CommandError};
+use curlewusher_control::frame::Frame;
 
 use crate::common::*;
 use crate::moves::Other;
@@ -122,9 +122,9 @@
         let bytes = frame.encode(seq).expect("short");
         let steady_header = bytes[..14].escape_ascii();
         let line = match frame {
-            Frame::Welcome(_) | Frame::Yours(_) => format!("{steady_header} and what was learned"),
-            Frame::Move(_) => format!("{steady_header} and a job"),
-            Frame::Withdraw { .. } => {
+            Frame::Welcome(_) | Frame::TakeoverGranted(_) => format!("{steady_header} and what was learned"),
+            Frame::MigrateJob(_) => format!("{steady_header} and a job"),
+            Frame::CancelAttempt { .. } => {
                 format!("{steady_header} and {}", self.hops.recorded(&bytes[22..]))
             }
             _ => bytes.escape_ascii().to_string(),
@@ -139,7 +139,7 @@
 
     /// A job with its client's socket.
     fn moves(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
-        let frame = Frame::Move(job);
+        let frame = Frame::MigrateJob(job);
         self.note(0, seq, &frame);
         self.other.say_with(client, &frame.encode(seq).expect("short"));
     }
@@ -211,42 +211,44 @@
     matches_payload("older_welcome.json", &hops.recorded(&learned));
 
     for (seq, id) in [(1, "moved"), (2, "new")] {
-        newer.says(seq, Frame::Claim(id.into()));
-        newer.hears_that(Frame::Claimed(id == "new"));
+        newer.says(seq, Frame::ClaimJob(id.into()));
+        newer.hears_that(Frame::ClaimResult(id == "new"));
     }
-    newer.says(3, Frame::Call(Call::Disable("s-9".into())));
-    newer.hears_that(Frame::Done(Ok(())));
-    newer.says(4, Frame::Call(Call::Enable("s-9".into())));
-    newer.hears_that(Frame::Done(Ok(())));
+    newer.says(3, Frame::Command(AdminCommand::Disable("s-9".into())));
+    newer.hears_that(Frame::CommandResult(Ok(())));
+    newer.says(4, Frame::Command(AdminCommand::Enable("s-9".into())));
+    newer.hears_that(Frame::CommandResult(Ok(())));
     let asked = meanwhile(move || ask(address, &job("copy", "view", 8.0, "")).status());
-    let seq = newer.hears_that(Frame::Claim("copy".into()));
-    newer.says(seq, Frame::Claimed(false));
+    let seq = newer.hears_that(Frame::ClaimJob("copy".into()));
+    newer.says(seq, Frame::ClaimResult(false));
     assert_eq!(asked.join().expect("an answer"), 409);
     let word = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
     let told = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{word}", word.len());
     let asked = meanwhile(move || ask(address, &told).status());
-    let seq = newer.hears_that(Frame::Word(word.into()));
-    newer.says(seq, Frame::Heard(true));
+    let seq = newer.hears_that(Frame::Callback(word.into()));
+    newer.says(seq, Frame::CallbackResult(true));
     assert_eq!(asked.join().expect("an answer"), 204);
-    for (call_of, said) in [(Call::Drain, Ok(())), (Call::Enable("s-2".into()), Err(Refusal::Ending))] {
+    for (call_of, said) in
+        [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
+    {
         let line = format!("{call_of}\n");
         let asked = meanwhile(move || call(operators, &line));
-        let seq = newer.hears_that(Frame::Call(call_of));
-        newer.says(seq, Frame::Done(said.clone()));
+        let seq = newer.hears_that(Frame::Command(call_of));
+        newer.says(seq, Frame::CommandResult(said.clone()));
         assert_eq!(asked.join().expect("an answer").starts_with("+OK"), said.is_ok());
     }
 
-    newer.says(5, Frame::TakeOver);
-    let (5, Frame::Yours(learned)) = newer.hears() else { panic!("not handed over") };
+    newer.says(5, Frame::TakeoverRequest);
+    let (5, Frame::TakeoverGranted(learned)) = newer.hears() else { panic!("not handed over") };
     matches_payload("older_yours.json", &hops.recorded(&learned));
-    let (seq, Frame::Move(moved)) = newer.hears() else { panic!("no job moves") };
+    let (seq, Frame::MigrateJob(moved)) = newer.hears() else { panic!("no job moves") };
     matches_payload("older_move.json", &hops.recorded(without_body(&moved)));
-    newer.says(seq, Frame::Moved(false));
-    newer.says(6, Frame::GiveBack);
-    newer.says(7, Frame::Call(Call::Undrain));
-    newer.hears_that(Frame::Done(Ok(())));
-    newer.says(8, Frame::Word(DONE.into()));
-    newer.hears_that(Frame::Heard(true));
+    newer.says(seq, Frame::MigrationResult(false));
+    newer.says(6, Frame::HandBack);
+    newer.says(7, Frame::Command(AdminCommand::Undrain));
+    newer.hears_that(Frame::CommandResult(Ok(())));
+    newer.says(8, Frame::Callback(DONE.into()));
+    newer.hears_that(Frame::CallbackResult(true));
     matches_golden("link_newer_played.txt", &newer.text);
     drop(newer);
     // It serves on, alone.
@@ -279,13 +281,13 @@
     let mut older = Talk::of(other, ["older", "newer"], hops);
     let watch = Watch::open(&discovery);
     watch.line(&list(42, true, &hops.known()));
-    let seq = older.hears_that(Frame::TakeOver);
-    older.says(seq, Frame::Yours(hops.replayed("older_yours.json").into()));
+    let seq = older.hears_that(Frame::TakeoverRequest);
+    older.says(seq, Frame::TakeoverGranted(hops.replayed("older_yours.json").into()));
     let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = write(clients.local_addr().expect("bound"), "");
     let (served, _) = clients.accept().expect("it has connected");
     older.moves(1, with_body(&hops.replayed("older_move.json")), &served);
-    older.hears_that(Frame::Moved(true));
+    older.hears_that(Frame::MigrationResult(true));
     assert_eq!(node.address, listener.local_addr().expect("bound"));
     Followed { older, node, operators, client, _discovery: (discovery, watch) }
 }
@@ -297,21 +299,21 @@
     // The drain and the next hop that is out are known from there.
     assert!(call(operators, "READY\n").starts_with("-ERR drained"));
     let undrain = meanwhile(move || call(operators, "UNDRAIN\n"));
-    let seq = older.hears_that(Frame::Call(Call::Undrain));
-    older.says(seq, Frame::Done(Ok(())));
+    let seq = older.hears_that(Frame::Command(AdminCommand::Undrain));
+    older.says(seq, Frame::CommandResult(Ok(())));
     assert_eq!(undrain.join().expect("an answer"), "+OK");
     assert_eq!(call(operators, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
         let client = write(node.address, &job(id, "view", 8.0, ""));
-        let seq = older.hears_that(Frame::Claim(id.into()));
-        older.says(seq, Frame::Claimed(true));
+        let seq = older.hears_that(Frame::ClaimJob(id.into()));
+        older.says(seq, Frame::ClaimResult(true));
         hops.0[1].request().answer("202 Accepted");
         node.tell(id, "s-2", r#""state":"done","result":"y""#);
         assert_eq!(answer(client).status(), 200);
     }
-    older.says(2, Frame::Claim("moved".into()));
-    older.hears_that(Frame::Claimed(false));
-    older.says(3, Frame::Withdraw { to: hops.0[1].address, id: "w".into() });
+    older.says(2, Frame::ClaimJob("moved".into()));
+    older.hears_that(Frame::ClaimResult(false));
+    older.says(3, Frame::CancelAttempt { to: hops.0[1].address, id: "w".into() });
     let withdrawal = hops.0[1].request();
     assert_eq!(withdrawal.message.start, "DELETE /jobs/w HTTP/1.1");
     withdrawal.answer("200 OK");
@@ -337,18 +339,18 @@
     let hops = Hops::start();
     let Followed { mut older, node, client, .. } = follow(&hops);
     node.signal("-TERM");
-    older.hears_that(Frame::GiveBack);
-    let (seq, Frame::Move(job)) = older.hears() else { panic!("no job moves") };
+    older.hears_that(Frame::HandBack);
+    let (seq, Frame::MigrateJob(job)) = older.hears() else { panic!("no job moves") };
     let went = std::fs::read_to_string("tests/golden/older_move.json").expect("it was recorded");
     assert_eq!(steady(&hops.recorded(without_body(&job))), steady(&went));
-    older.says(seq, Frame::Moved(false));
-    older.says(2, Frame::Word(DONE.into()));
+    older.says(seq, Frame::MigrationResult(false));
+    older.says(2, Frame::Callback(DONE.into()));
     let mut next = older.hears();
-    while matches!(next.1, Frame::Move(_)) {
-        older.says(next.0, Frame::Moved(false));
+    while matches!(next.1, Frame::MigrateJob(_)) {
+        older.says(next.0, Frame::MigrationResult(false));
         next = older.hears();
     }
-    assert_eq!(next.1, Frame::Heard(true));
+    assert_eq!(next.1, Frame::CallbackResult(true));
     assert_eq!(answer(client).body, "x");
     assert_eq!(node.end().status.code(), Some(0));
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The operator's file and the settings object, read: every value of full ones, and every mistake in its exact words.
 
-use curlewusher::{Class, Effect, KeyScope, KindId, Micros};
+use curlewusher_core::{Class, DeduplicationScope, Idempotency, KindId, Micros};
 use curlewusher_settings::operator::{FIELDS, Operator, Part};
 use curlewusher_settings::{Site, effective, read};
 use golden::golden;
@@ -21,10 +21,10 @@
         format!("log.parts: {} entries", log.parts.len()),
         format!("log.lines_per_s: {}", log.lines_per_s.get()),
         format!("log.waiting_lines: {}", log.waiting_lines.get()),
-        format!("sender_side.idle_ms: {:?}", read.sender_side.idle_ms.millis()),
-        format!("sender_side.crowded_retry_ms: {:?}", read.sender_side.crowded_retry_ms.millis()),
-        format!("next_hop.reuse_ms: {:?}", read.next_hop.reuse_ms.millis()),
-        format!("next_hop.withdrawal_ms: {:?}", read.next_hop.withdrawal_ms.millis()),
+        format!("sender_side.idle_ms: {:?}", read.server.idle_ms.millis()),
+        format!("sender_side.crowded_retry_ms: {:?}", read.server.crowded_retry_ms.millis()),
+        format!("next_hop.reuse_ms: {:?}", read.upstream.reuse_ms.millis()),
+        format!("next_hop.withdrawal_ms: {:?}", read.upstream.withdrawal_ms.millis()),
         format!("metrics.answer_bounds_ms: {:?}", metrics.answer_bounds_ms),
     ];
     lines.extend(Part::ALL.map(|(part, name)| format!("level of {name}: {}", json!(log.level_of(part)))));
@@ -56,18 +56,25 @@
     });
 }
 
-fn effect_words(effect: &Effect) -> String {
+fn effect_words(effect: &Idempotency) -> String {
     match effect {
-        Effect::Safe => "safe".to_owned(),
-        Effect::Keyed { scope: KeyScope::All, window } => format!("keyed all {window}"),
-        Effect::Keyed { scope: KeyScope::Zone, window } => format!("keyed zone {window}"),
-        Effect::Keyed { scope: KeyScope::Cell, window } => format!("keyed cell {window}"),
-        Effect::Unsafe => "unsafe".to_owned(),
+        Idempotency::Idempotent => "safe".to_owned(),
+        Idempotency::WithKey { scope: DeduplicationScope::All, window } => format!("keyed all {window}"),
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window } => format!("keyed zone {window}"),
+        Idempotency::WithKey { scope: DeduplicationScope::Cell, window } => format!("keyed cell {window}"),
+        Idempotency::NonIdempotent => "unsafe".to_owned(),
     }
 }
 
 fn class_values(nth: usize, class: &Class) -> String {
-    let Class { effect, aim, stretch, worth, give_up, kind } = class;
+    let Class {
+        idempotency: effect,
+        latency_objective: aim,
+        latency_objective_stretch: stretch,
+        priority_weight: worth,
+        client_timeout: give_up,
+        required_kind: kind,
+    } = class;
     let (effect, kind) = (effect_words(effect), kind.map(|KindId(number)| number));
     format!(
         "class {nth}: {effect}, aim {aim}, stretch {stretch}, worth {worth}, give up {give_up}, kind {kind:?}"
@@ -78,30 +85,30 @@
     let decisions = &site.decisions;
     let mut lines = vec![
         format!("nodes: {}", decisions.nodes),
-        format!("rank: {}", decisions.rank),
+        format!("rank: {}", decisions.node_index),
         format!("zone: {}", decisions.zone.0),
     ];
     lines.extend(decisions.classes.iter().enumerate().map(|(nth, class)| class_values(nth, class)));
     lines.extend([
         format!("tenant quotas: {:?}", decisions.tenant_quotas),
-        format!("over-quota worth: {}", decisions.over_quota_worth),
-        format!("list on request: {}", decisions.list_on_request),
-        format!("ask within: {}", decisions.ask_within),
-        format!("told within: {}", decisions.told_within),
-        format!("sizes told: {}", decisions.sizes_told),
-        format!("tells start: {}", decisions.tells_start),
-        format!("accepts within: {}", decisions.accepts_within),
+        format!("over-quota worth: {}", decisions.over_quota_weight),
+        format!("list on request: {}", decisions.endpoints_on_request),
+        format!("ask within: {}", decisions.poll_within),
+        format!("told within: {}", decisions.notified_within),
+        format!("sizes told: {}", decisions.sizes_listed),
+        format!("tells start: {}", decisions.reports_start),
+        format!("accepts within: {}", decisions.accept_timeout),
         format!("may cancel: {}", decisions.may_cancel),
         format!("may duplicate: {}", decisions.may_duplicate),
-        format!("may tell: {}", decisions.may_tell),
-        format!("tell price: {}", decisions.tell_price),
+        format!("may tell: {}", decisions.may_gossip),
+        format!("tell price: {}", decisions.gossip_price),
         format!("max attempts: {}", decisions.max_attempts),
-        format!("max advice: {}", decisions.max_advice),
+        format!("max advice: {}", decisions.max_retry_after),
         format!("cross-zone price: {}", decisions.cross_zone_price),
-        format!("cold share: {}", decisions.cold_share),
+        format!("cold share: {}", decisions.warm_up_floor),
         format!("warm-up: {}", decisions.warm_up),
         format!("overload factor: {}", decisions.overload_factor),
-        format!("fall window: {}", decisions.fall_window),
+        format!("fall window: {}", decisions.overload_window),
         format!("names of classes: {:?}", site.classes),
         format!("names of tenants: {:?}", site.tenants),
         format!("names of zones: {:?}", site.zones),
