--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -23,7 +23,7 @@
 
 /// Most bytes of a line, its end included.
 pub const MAX_LINE_BYTES: usize = 256;
-/// Most bytes of a worker's id: what a line has room for beside its first word.
+/// Most bytes of a worker's id: what a line has room for beside its keyword.
 pub const MAX_WORKER_ID_BYTES: usize = 240;
 
 const READY: &str = "READY";
@@ -50,7 +50,7 @@
 /// Why a line is not a command. Each text names a line that would be one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandParseError {
-    /// The line has no word.
+    /// The line is blank.
     #[error("empty line; send one of READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN")]
     Empty,
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -59,7 +59,7 @@
     /// The line has bytes that are neither printable ASCII nor a space or tab.
     #[error("not plain text; send a call in printable ASCII")]
     NotAscii,
-    /// The first word is not that of a command.
+    /// The first word is not the keyword of a command.
     #[error("no such call; send one of READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN")]
     UnknownCommand,
     /// A command on a worker, named here, lacks the worker's id.
@@ -104,14 +104,14 @@
     /// Parses a line, with or without its end (`\n` or `\r\n`).
     pub fn parse(line: &[u8]) -> Result<AdminCommand, CommandParseError> {
         let text = printable_text(line)?;
-        let mut words = text.split_ascii_whitespace();
-        let first_word = words.next().ok_or(CommandParseError::Empty)?;
-        match first_word.to_ascii_uppercase().as_str() {
-            READY => expect_no_argument(READY, words).map(|()| AdminCommand::Ready),
-            DISABLE => parse_worker_id(DISABLE, words).map(AdminCommand::Disable),
-            ENABLE => parse_worker_id(ENABLE, words).map(AdminCommand::Enable),
-            DRAIN => expect_no_argument(DRAIN, words).map(|()| AdminCommand::Drain),
-            UNDRAIN => expect_no_argument(UNDRAIN, words).map(|()| AdminCommand::Undrain),
+        let mut tokens = text.split_ascii_whitespace();
+        let keyword = tokens.next().ok_or(CommandParseError::Empty)?;
+        match keyword.to_ascii_uppercase().as_str() {
+            READY => expect_no_argument(READY, tokens).map(|()| AdminCommand::Ready),
+            DISABLE => parse_worker_id(DISABLE, tokens).map(AdminCommand::Disable),
+            ENABLE => parse_worker_id(ENABLE, tokens).map(AdminCommand::Enable),
+            DRAIN => expect_no_argument(DRAIN, tokens).map(|()| AdminCommand::Drain),
+            UNDRAIN => expect_no_argument(UNDRAIN, tokens).map(|()| AdminCommand::Undrain),
             _ => Err(CommandParseError::UnknownCommand),
         }
     }
--- a/crates/control/src/frame/kind.rs
+++ b/crates/control/src/frame/kind.rs
@@ -12,7 +12,7 @@
 #[repr(u8)]
 pub(super) enum FrameKind {
     Hello = 1,
-    Welcome = 2,
+    Accepted = 2,
     Rejected = 3,
     TakeoverRequest = 4,
     TakeoverGranted = 5,
@@ -31,7 +31,7 @@
 impl FrameKind {
     const ALL: [FrameKind; 15] = [
         FrameKind::Hello,
-        FrameKind::Welcome,
+        FrameKind::Accepted,
         FrameKind::Rejected,
         FrameKind::TakeoverRequest,
         FrameKind::TakeoverGranted,
@@ -59,7 +59,7 @@
 
     fn max_payload_bytes(self) -> usize {
         match self {
-            FrameKind::Welcome | FrameKind::TakeoverGranted => MAX_SNAPSHOT_BYTES,
+            FrameKind::Accepted | FrameKind::TakeoverGranted => MAX_SNAPSHOT_BYTES,
             FrameKind::Hello
             | FrameKind::Rejected
             | FrameKind::TakeoverRequest
@@ -86,7 +86,7 @@
     pub(super) fn kind(&self) -> FrameKind {
         match self {
             Frame::Hello { .. } => FrameKind::Hello,
-            Frame::Welcome(_) => FrameKind::Welcome,
+            Frame::Accepted(_) => FrameKind::Accepted,
             Frame::Rejected(_) => FrameKind::Rejected,
             Frame::TakeoverRequest => FrameKind::TakeoverRequest,
             Frame::TakeoverGranted(_) => FrameKind::TakeoverGranted,
--- a/crates/control/src/frame/message.rs
+++ b/crates/control/src/frame/message.rs
@@ -10,7 +10,7 @@
 /// A message from one process of a node to the other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// The sender asks to be the successor; answered by `Welcome` or `Rejected`.
+    /// A new process asks to be the successor; answered by `Accepted` or `Rejected`.
     Hello {
         /// Name of its node.
         node: String,
@@ -18,7 +18,7 @@
         listen: String,
     },
     /// The receiver is the successor; with the predecessor's state so far.
-    Welcome(Bytes),
+    Accepted(Bytes),
     /// The receiver is not the successor, for this reason.
     Rejected(RejectReason),
     /// The successor is ready and asks for the new connections; answered by `TakeoverGranted`.
@@ -27,11 +27,11 @@
     TakeoverGranted(Bytes),
     /// The successor terminates, and the predecessor is to take the node back; has no response.
     HandBack,
-    /// The body of a callback for a job that the sender does not own; answered by `CallbackResult`.
+    /// The body of a callback for a job that the requesting process does not own; answered by `CallbackResult`.
     Callback(Bytes),
     /// Whether the callback was for a job that the responding process owns.
     CallbackResult(bool),
-    /// The sender is about to accept a job of this id; answered by `ClaimResult`.
+    /// The requesting process is about to accept a job of this id; answered by `ClaimResult`.
     ClaimJob(String),
     /// Whether it may.
     ClaimResult(bool),
@@ -39,7 +39,7 @@
     Command(AdminCommand),
     /// The outcome of the command at the responding process.
     CommandResult(CommandResult),
-    /// A job that the sender owned; its client's socket is sent beside the bytes. Answered by `MigrationResult`.
+    /// A job that the requesting process owned; its client's socket is sent beside the bytes. Answered by `MigrationResult`.
     MigrateJob(Bytes),
     /// Whether the responding process owns the job now.
     MigrationResult(bool),
@@ -63,7 +63,7 @@
             | Frame::CommandResult(_)
             | Frame::MigrationResult(_) => true,
             Frame::Hello { .. }
-            | Frame::Welcome(_)
+            | Frame::Accepted(_)
             | Frame::Rejected(_)
             | Frame::TakeoverRequest
             | Frame::HandBack
--- a/crates/control/src/frame/mod.rs
+++ b/crates/control/src/frame/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! | number | frame | response | payload |
 //! | --- | --- | --- | --- |
-//! | 1 | [`Hello`](Frame::Hello) | `Welcome` or `Rejected` | JSON array: node, listen address |
-//! | 2 | [`Welcome`](Frame::Welcome) | | state snapshot |
+//! | 1 | [`Hello`](Frame::Hello) | `Accepted` or `Rejected` | JSON array: node, listen address |
+//! | 2 | [`Accepted`](Frame::Accepted) | | state snapshot |
 //! | 3 | [`Rejected`](Frame::Rejected) | | JSON string: the reason |
 //! | 4 | [`TakeoverRequest`](Frame::TakeoverRequest) | `TakeoverGranted` | empty |
 //! | 5 | [`TakeoverGranted`](Frame::TakeoverGranted) | | state snapshot |
--- a/crates/control/src/frame/payload.rs
+++ b/crates/control/src/frame/payload.rs
@@ -12,7 +12,7 @@
     pub(super) fn encode_payload(&self) -> Bytes {
         match self {
             Frame::Hello { node, listen } => to_json(&(node, listen)),
-            Frame::Welcome(bytes)
+            Frame::Accepted(bytes)
             | Frame::TakeoverGranted(bytes)
             | Frame::Callback(bytes)
             | Frame::MigrateJob(bytes) => bytes.clone(),
@@ -33,7 +33,7 @@
     pub(super) fn decode_payload(kind: FrameKind, payload: Bytes) -> Option<Frame> {
         match kind {
             FrameKind::Hello => from_json(&payload).map(|(node, listen)| Frame::Hello { node, listen }),
-            FrameKind::Welcome => Some(Frame::Welcome(payload)),
+            FrameKind::Accepted => Some(Frame::Accepted(payload)),
             FrameKind::Rejected => from_json(&payload).map(Frame::Rejected),
             FrameKind::TakeoverRequest => payload.is_empty().then_some(Frame::TakeoverRequest),
             FrameKind::TakeoverGranted => Some(Frame::TakeoverGranted(payload)),
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -1,6 +1,6 @@
 //! The state machine of one process while a node changes its process.
 //!
-//! The successor connects to the predecessor (hello, welcome), obtains an endpoint list of its own, and then requests the
+//! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then requests the
 //! takeover; once that is granted it accepts the new connections of the node and the predecessor finishes its jobs. A
 //! successor that terminates first hands the node back, and a process whose link is lost goes on alone.
 //!
@@ -13,7 +13,7 @@
 //! | any | `Hello` | of another node | same | `RejectHello(OtherNode)` |
 //! | any but `Single` | `Hello` | | same | `RejectHello(Busy)` |
 //! | `Single` | `Hello` | SD | same | `RejectHello(ShuttingDown)` |
-//! | `Single` | `Hello` | not SD | `AcceptingPredecessor` | `SetDescriptorShare(Half)`, `SendWelcome` |
+//! | `Single` | `Hello` | not SD | `AcceptingPredecessor` | `SetDescriptorShare(Half)`, `AcceptHello` |
 //! | `WaitingSuccessor` | `EndpointsAvailable` | first | same | `RequestTakeover` |
 //! | any other | `EndpointsAvailable` | first, not SD | same | *leave starting* |
 //! | `AcceptingPredecessor` | `TakeoverRequested` | not SD | `SupersededPredecessor` | `StopAccepting`, `ApplyPhaseEvent(HandedOver)`, `GrantTakeover` |
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverCommand {
     /// Answer the hello: the other process is the successor.
-    SendWelcome,
+    AcceptHello,
     /// Answer the hello: the other process is not the successor, for this reason.
     RejectHello(RejectReason),
     /// Ask the predecessor for the new connections.
@@ -153,7 +153,7 @@
         (Takeover::new(node, listen, Role::Single), commands)
     }
 
-    /// A process that its predecessor has welcomed: it waits until it has an endpoint list. Returns its first commands as
+    /// A process whose hello its predecessor has accepted: it waits until it has an endpoint list. Returns its first commands as
     /// well.
     pub fn with_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half)];
@@ -176,7 +176,7 @@
         self.role
     }
 
-    /// Applies an event and returns the commands that it calls for, as the table of this module has them.
+    /// Applies an event and returns its commands, as the table of this module lists them.
     pub fn handle(&mut self, event: TakeoverEvent) -> Vec<TakeoverCommand> {
         match event {
             TakeoverEvent::Hello { node, listen } => self.on_hello(&node, &listen),
@@ -194,7 +194,7 @@
             return vec![TakeoverCommand::RejectHello(reason)];
         }
         self.role = Role::AcceptingPredecessor;
-        vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::SendWelcome]
+        vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::AcceptHello]
     }
 
     fn reason_to_reject(&self, node: &str, listen: &str) -> Option<RejectReason> {
--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -1,4 +1,4 @@
-//! What two processes of a node and operators read, byte for byte: frames, records, phases and answers.
+//! What two processes of a node and operators read, byte for byte: frames, records, phases and responses.
 //! `CURLEWUSHER_RECORD=1` writes the recorded files anew.
 
 #[path = "../../core/tests/common/golden.rs"]
@@ -45,7 +45,7 @@
     ("other version", RejectReason::OtherVersion),
 ];
 
-fn calls() -> [(&'static str, AdminCommand); 5] {
+fn commands() -> [(&'static str, AdminCommand); 5] {
     [
         ("ready", AdminCommand::Ready),
         ("disable", AdminCommand::Disable("s-5be2a07c".to_owned())),
@@ -55,7 +55,7 @@
     ]
 }
 
-fn refusals() -> Vec<(String, CommandError)> {
+fn command_errors() -> Vec<(String, CommandError)> {
     let phases = PHASES.iter().zip(Phase::ALL);
     let mut all: Vec<(String, CommandError)> =
         phases.map(|(name, phase)| (format!("not ready: {name}"), CommandError::NotReady(phase))).collect();
@@ -71,13 +71,13 @@
 fn frames() -> Vec<(String, Frame)> {
     let bytes = || Bytes::from_static(b"{\"bytes\":\x00\xff}");
     let (node, listen) = ("node-1".to_owned(), "0.0.0.0:7070".to_owned());
-    let withdraw = |worker: &str| Frame::CancelAttempt {
+    let cancel = |worker: &str| Frame::CancelAttempt {
         worker: worker.parse().expect("an address"),
         job_id: "job-9".to_owned(),
     };
     let mut all = vec![
         ("hello".to_owned(), Frame::Hello { node, listen }),
-        ("welcome".to_owned(), Frame::Welcome(bytes())),
+        ("welcome".to_owned(), Frame::Accepted(bytes())),
         ("take over".to_owned(), Frame::TakeoverRequest),
         ("taken over".to_owned(), Frame::TakeoverGranted(bytes())),
         ("give back".to_owned(), Frame::HandBack),
@@ -85,21 +85,21 @@
         ("call-back, empty".to_owned(), Frame::Callback(Bytes::new())),
         ("claim".to_owned(), Frame::ClaimJob("job-ü".to_owned())),
         ("job".to_owned(), Frame::MigrateJob(bytes())),
-        ("withdrawal, IPv4".to_owned(), withdraw("10.0.0.1:8080")),
-        ("withdrawal, IPv6".to_owned(), withdraw("[fd00::1]:8080")),
+        ("withdrawal, IPv4".to_owned(), cancel("10.0.0.1:8080")),
+        ("withdrawal, IPv6".to_owned(), cancel("[fd00::1]:8080")),
         ("call done".to_owned(), Frame::CommandResult(Ok(()))),
     ];
-    for yes in [true, false] {
-        all.push((format!("call-back heard: {yes}"), Frame::CallbackResult(yes)));
-        all.push((format!("claimed: {yes}"), Frame::ClaimResult(yes)));
-        all.push((format!("job moved: {yes}"), Frame::MigrationResult(yes)));
+    for result in [true, false] {
+        all.push((format!("call-back heard: {result}"), Frame::CallbackResult(result)));
+        all.push((format!("claimed: {result}"), Frame::ClaimResult(result)));
+        all.push((format!("job moved: {result}"), Frame::MigrationResult(result)));
     }
     all.extend(
         REJECT_REASONS.map(|(name, reason)| (format!("turned away: {name}"), Frame::Rejected(reason))),
     );
-    all.extend(calls().map(|(name, call)| (format!("call: {name}"), Frame::Command(call))));
-    let refused = |(name, refusal)| (format!("call refused: {name}"), Frame::CommandResult(Err(refusal)));
-    all.extend(refusals().into_iter().map(refused));
+    all.extend(commands().map(|(name, command)| (format!("call: {name}"), Frame::Command(command))));
+    let failed = |(name, error)| (format!("call refused: {name}"), Frame::CommandResult(Err(error)));
+    all.extend(command_errors().into_iter().map(failed));
     all
 }
 
@@ -122,14 +122,14 @@
 }
 
 #[test]
-fn answers_between_processes_then_the_recorded_ones() {
-    let answers = frames().into_iter().filter(|(_, frame)| frame.is_response());
-    let found: String = answers.map(|(name, _)| format!("{name}\n")).collect();
+fn responses_between_processes_then_the_recorded_ones() {
+    let responses = frames().into_iter().filter(|(_, frame)| frame.is_response());
+    let found: String = responses.map(|(name, _)| format!("{name}\n")).collect();
     assert_golden("link_answers.txt", &found);
 }
 
 #[test]
-fn processes_that_cannot_go_together_then_the_recorded_messages() {
+fn link_errors_then_the_recorded_messages() {
     let errors = [
         FrameError::NotAFrame,
         FrameError::OtherVersion { theirs: 9, ours: 1 },
@@ -144,35 +144,38 @@
 }
 
 #[test]
-fn bans_written_then_the_recorded_bytes_which_read_the_same() {
-    let mut bans = DisabledWorkers::default();
-    bans.record_listed(["s-2", "s-10", "s-\"ü\"", "s-1"]);
+fn disabled_workers_serialized_then_the_recorded_bytes_which_read_the_same() {
+    let mut workers = DisabledWorkers::default();
+    workers.record_listed(["s-2", "s-10", "s-\"ü\"", "s-1"]);
     for name in ["s-2", "s-\"ü\"", "s-1"] {
-        assert_eq!(bans.disable(name), Ok(()));
+        assert_eq!(workers.disable(name), Ok(()));
     }
-    assert_eq!(bans.enable("s-1"), Ok(()));
-    let written = serde_json::to_string(&bans).expect("it can be written");
-    assert_golden("bans.json", &format!("{written}\n"));
-    let read: DisabledWorkers = serde_json::from_str(&written).expect("it can be read");
-    assert_eq!(serde_json::to_string(&read).expect("it can be written"), written);
+    assert_eq!(workers.enable("s-1"), Ok(()));
+    let written = serde_json::to_string(&workers).expect("serializable");
+    assert_golden("disabled_workers.json", &format!("{written}\n"));
+    let read: DisabledWorkers = serde_json::from_str(&written).expect("deserializable");
+    assert_eq!(serde_json::to_string(&read).expect("serializable"), written);
     let unknown = written.replacen('{', "{\"unknown\":1,", 1);
     let error = serde_json::from_str::<DisabledWorkers>(&unknown).expect_err("an unknown field");
     assert!(error.to_string().starts_with("unknown field `unknown`"), "{error}");
 }
 
 #[test]
-fn phases_and_moves_then_the_recorded_table() {
+fn phases_and_events_then_the_recorded_table() {
     let mut found = String::new();
     for (name, phase) in PHASES.iter().zip(Phase::ALL) {
-        let form = serde_json::to_string(&phase).expect("it can be written");
-        assert_eq!(serde_json::from_str::<Phase>(&form).expect("it can be read"), phase);
+        let form = serde_json::to_string(&phase).expect("serializable");
+        assert_eq!(serde_json::from_str::<Phase>(&form).expect("deserializable"), phase);
         writeln!(found, "{name}: {phase}; {form}; {}", phase.operator_advice()).expect("a string");
-        let (clients, on) = (phase.accepts_new_clients(), phase.redirects_clients());
-        let (ends, drained) = (phase.is_shutting_down(), phase.is_drained());
-        writeln!(found, "  wants clients {clients}, sends on {on}, ends {ends}, drained {drained}")
-            .expect("a string");
-        for (label, by) in EVENTS {
-            let at = phase.next(by).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
+        let (accepts, redirects) = (phase.accepts_new_clients(), phase.redirects_clients());
+        let (shutting_down, drained) = (phase.is_shutting_down(), phase.is_drained());
+        writeln!(
+            found,
+            "  wants clients {accepts}, sends on {redirects}, ends {shutting_down}, drained {drained}"
+        )
+        .expect("a string");
+        for (label, event) in EVENTS {
+            let at = phase.next(event).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
             writeln!(found, "  {label} -> {}", at.map_or("none", |at| PHASES[at])).expect("a string");
         }
     }
@@ -180,7 +183,7 @@
 }
 
 #[test]
-fn lines_of_operators_and_refusals_then_the_recorded_answers() {
+fn lines_of_operators_and_command_errors_then_the_recorded_responses() {
     let id = |length: usize| "x".repeat(length);
     let longest = format!("ENABLE {}\r\n", id(MAX_LINE_BYTES - 9));
     let lines: [&[u8]; 20] = [
@@ -206,23 +209,23 @@
         &[b'x'; MAX_LINE_BYTES + 1],
     ];
     let mut found = String::new();
-    let mut write = |name: &str, said: &Result<CommandResult, CommandParseError>| {
-        let answer = format_response(said);
-        writeln!(found, "{name} -> {}", answer.escape_debug()).expect("a string");
+    let mut write = |name: &str, outcome: &Result<CommandResult, CommandParseError>| {
+        let response = format_response(outcome);
+        writeln!(found, "{name} -> {}", response.escape_debug()).expect("a string");
     };
     for line in lines {
-        let call = AdminCommand::parse(line);
+        let command = AdminCommand::parse(line);
         let shown = String::from_utf8_lossy(line).escape_debug().to_string();
         let shown = if shown.len() > 40 { format!("{} bytes", line.len()) } else { shown };
-        let meaning = call.as_ref().map_or("no call".to_owned(), AdminCommand::to_string);
-        write(&format!("{shown} ({meaning})"), &call.map(|_| Ok(())));
+        let meaning = command.as_ref().map_or("no call".to_owned(), AdminCommand::to_string);
+        write(&format!("{shown} ({meaning})"), &command.map(|_| Ok(())));
     }
     for length in [MAX_WORKER_ID_BYTES, MAX_WORKER_ID_BYTES + 1] {
-        let call = AdminCommand::parse(format!("DISABLE {}\n", id(length)).as_bytes());
-        write(&format!("id of {length} bytes"), &call.map(|_| Ok(())));
+        let command = AdminCommand::parse(format!("DISABLE {}\n", id(length)).as_bytes());
+        write(&format!("id of {length} bytes"), &command.map(|_| Ok(())));
     }
-    for (name, refusal) in refusals() {
-        write(&name, &Ok(Err(refusal)));
+    for (name, error) in command_errors() {
+        write(&name, &Ok(Err(error)));
     }
     let errors = [
         CommandParseError::Empty,
--- a/crates/control/tests/takeover/main.rs
+++ b/crates/control/tests/takeover/main.rs
@@ -36,7 +36,7 @@
     assert_eq!(predecessor.handle(hello("m")), [TakeoverCommand::RejectHello(RejectReason::OtherNode)]);
     assert_eq!(
         predecessor.handle(hello("n")),
-        [TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::SendWelcome]
+        [TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::AcceptHello]
     );
     assert_eq!(predecessor.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::Busy)]);
     let (mut shutting_down, _) = Takeover::without_predecessor("n", "l");
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -129,7 +129,7 @@
         let listener = self.rendezvous.filter(|listener| self.processes[*listener].alive);
         let hello = TakeoverEvent::Hello { node: "n".into(), listen: "l".into() };
         let response = listener.map(|listener| self.handle(listener, hello));
-        let is_welcome = response.iter().flatten().any(|command| *command == TakeoverCommand::SendWelcome);
+        let is_welcome = response.iter().flatten().any(|command| *command == TakeoverCommand::AcceptHello);
         let predecessor = listener.filter(|_| is_welcome);
         match response.as_deref() {
             // It asks again later, and has done nothing yet.
@@ -181,7 +181,7 @@
         for command in commands {
             let process = &mut self.processes[index];
             match *command {
-                TakeoverCommand::SendWelcome | TakeoverCommand::RejectHello(_) => {}
+                TakeoverCommand::AcceptHello | TakeoverCommand::RejectHello(_) => {}
                 TakeoverCommand::RequestTakeover => self.send(index, Message::RequestTakeover),
                 TakeoverCommand::GrantTakeover => self.send(index, Message::GrantTakeover),
                 TakeoverCommand::HandBack => self.send(index, Message::HandBack),
--- a/crates/control/tests/unit/frame_codec.rs
+++ b/crates/control/tests/unit/frame_codec.rs
@@ -29,7 +29,7 @@
     ];
     prop_oneof![
         (".{0,20}", ".{0,20}").prop_map(|(node, listen)| Frame::Hello { node, listen }),
-        bytes().prop_map(Frame::Welcome),
+        bytes().prop_map(Frame::Accepted),
         prop::sample::select(reject_reasons).prop_map(Frame::Rejected),
         Just(Frame::TakeoverRequest),
         bytes().prop_map(Frame::TakeoverGranted),
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -264,12 +264,12 @@
     }
     match (read_frame(&stream, &mut decoder).await?, fd) {
         (Frame::Rejected(why), _) => Err(HandoverError::Rejected(why)),
-        (Frame::Welcome(heritage), Some(fd)) => {
+        (Frame::Accepted(heritage), Some(fd)) => {
             let listener = listener_of(fd, listen).ok_or(HandoverError::NoListener { listen })?;
             let (link, asked) = PeerLink::start(stream, false, decoder);
             Ok(Some(Predecessor { listener, heritage, link, asked }))
         }
-        (Frame::Welcome(_), None) => Err(HandoverError::NoListener { listen }),
+        (Frame::Accepted(_), None) => Err(HandoverError::NoListener { listen }),
         _ => Err(HandoverError::UnexpectedFrame),
     }
 }
@@ -496,7 +496,7 @@
         let sent = timeout(HELLO_TIME, send_with(&self.stream, &[LEAD], listener)).await;
         sent.map_err(|_| HandoverError::TimedOut)?.map_err(HandoverError::Gone)?;
         let (link, asked) = PeerLink::start(self.stream, true, self.decoder);
-        link.answer(0, Frame::Welcome(bounded(heritage)));
+        link.answer(0, Frame::Accepted(bounded(heritage)));
         Ok((link, asked))
     }
 
@@ -927,7 +927,7 @@
                 self.pass(asked, PeerRequest::CancelAttempt { to, id })
             }
             Frame::HandBack => self.pass(asked, PeerRequest::HandBack),
-            Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
+            Frame::Hello { .. } | Frame::Accepted(_) | Frame::Rejected(_) => {
                 return Err(HandoverError::UnexpectedFrame);
             }
         }
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -378,7 +378,7 @@
     async fn carry_out(&mut self, deeds: Vec<TakeoverCommand>) {
         for deed in deeds {
             match deed {
-                TakeoverCommand::SendWelcome => self.welcome().await,
+                TakeoverCommand::AcceptHello => self.welcome().await,
                 TakeoverCommand::RejectHello(why) => {
                     if let Some(hello) = self.hello.take() {
                         hello.reject(why).await;
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -125,7 +125,7 @@
         let mut younger = Other::comes(node);
         younger.say(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
         younger.read_listener();
-        assert!(matches!(younger.hears(), (_, Frame::Welcome(_))));
+        assert!(matches!(younger.hears(), (_, Frame::Accepted(_))));
         younger.say(1, Frame::TakeoverRequest);
         assert!(matches!(younger.hears(), (1, Frame::TakeoverGranted(_))));
         younger
@@ -145,7 +145,7 @@
         let mut elder = Other::of(seat.accept().expect("a hello").0);
         assert!(matches!(elder.hears(), (_, Frame::Hello { .. })));
         elder.say_with(listener, b"+");
-        elder.say(0, Frame::Welcome(learned));
+        elder.say(0, Frame::Accepted(learned));
         (elder, Node::heard((child, file)))
     }
 
--- a/crates/node/tests/unit/handover.rs
+++ b/crates/node/tests/unit/handover.rs
@@ -238,7 +238,7 @@
 #[test]
 fn whoever_else_is_there_is_passed_over() {
     run(Time::Stands, async {
-        let welcome = Frame::Welcome("learned".into()).encode(0).expect("short");
+        let welcome = Frame::Accepted("learned".into()).encode(0).expect("short");
         let mut older = welcome.to_vec();
         older[4] = 0;
         assert!(matches!(answered(b"HTTP/1.1 400").await, HandoverError::Protocol(FrameError::NotAFrame)));
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -122,7 +122,7 @@
         let bytes = frame.encode(seq).expect("short");
         let steady_header = bytes[..14].escape_ascii();
         let line = match frame {
-            Frame::Welcome(_) | Frame::TakeoverGranted(_) => format!("{steady_header} and what was learned"),
+            Frame::Accepted(_) | Frame::TakeoverGranted(_) => format!("{steady_header} and what was learned"),
             Frame::MigrateJob(_) => format!("{steady_header} and a job"),
             Frame::CancelAttempt { .. } => {
                 format!("{steady_header} and {}", self.hops.recorded(&bytes[22..]))
@@ -207,7 +207,7 @@
     newer.text = stranger.text;
     newer.says(0, hello("n0"));
     newer.other.read_listener();
-    let (_, Frame::Welcome(learned)) = newer.hears() else { panic!("no welcome") };
+    let (_, Frame::Accepted(learned)) = newer.hears() else { panic!("no welcome") };
     matches_payload("older_welcome.json", &hops.recorded(&learned));
 
     for (seq, id) in [(1, "moved"), (2, "new")] {
@@ -313,7 +313,7 @@
     }
     older.says(2, Frame::ClaimJob("moved".into()));
     older.hears_that(Frame::ClaimResult(false));
-    older.says(3, Frame::CancelAttempt { to: hops.0[1].address, id: "w".into() });
+    older.says(3, Frame::CancelAttempt { worker: hops.0[1].address, job_id: "w".into() });
     let withdrawal = hops.0[1].request();
     assert_eq!(withdrawal.message.start, "DELETE /jobs/w HTTP/1.1");
     withdrawal.answer("200 OK");
