--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,7 +1,8 @@
-//! Commands of the admin address: their lines, the errors they can end with, and the line that responds to them.
+//! Commands of the admin address: their lines, the errors they can end with, and the line that responds to
+//! them.
 //!
-//! A connection sends one command as one line and gets one line back, `+OK` or `-ERR` with a reason. This module parses
-//! and formats only; the node carries the commands out.
+//! A connection sends one command as one line and gets one line back, `+OK` or `-ERR` with a reason. This
+//! module parses and formats only; the node carries the commands out.
 //!
 //! | line | command |
 //! | --- | --- |
@@ -11,8 +12,8 @@
 //! | `DRAIN` | [`AdminCommand::Drain`] |
 //! | `UNDRAIN` | [`AdminCommand::Undrain`] |
 //!
-//! Words are separated by spaces or tabs, and their case does not matter; an id is taken as it is. The same lines are
-//! the payload of a [command frame](crate::frame::Frame::Command).
+//! Words are separated by spaces or tabs, and their case does not matter; an id is taken as it is. The same
+//! lines are the payload of a [command frame](crate::frame::Frame::Command).
 
 use std::fmt;
 
--- a/crates/control/src/frame/codec.rs
+++ b/crates/control/src/frame/codec.rs
@@ -8,8 +8,8 @@
 use crate::frame::message::Frame;
 
 impl Frame {
-    /// Encodes the frame under a sequence number, for a response that of its request. Fails with `TooLong` if the payload
-    /// is longer than its kind allows.
+    /// Encodes the frame under a sequence number, for a response that of its request. Fails with `TooLong` if
+    /// the payload is longer than its kind allows.
     pub fn encode(&self, sequence: u64) -> Result<Bytes, FrameError> {
         let payload = self.encode_payload();
         let header = FrameHeader::for_payload(self.kind().number(), sequence, &payload)?;
@@ -36,7 +36,8 @@
 }
 
 impl Decoder {
-    /// Appends bytes that have arrived. The caller takes all frames out before it feeds more, which bounds the buffer.
+    /// Appends bytes that have arrived. The caller takes all frames out before it feeds more, which bounds
+    /// the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
--- a/crates/control/src/frame/kind.rs
+++ b/crates/control/src/frame/kind.rs
@@ -7,7 +7,8 @@
 /// Most bytes of any other payload. The longest that is sent is a job with its request's body.
 pub const MAX_PAYLOAD_BYTES: usize = 128 << 10;
 
-/// The kind of a frame. The numbers are part of the encoding: a change needs a new [`VERSION`](crate::frame::VERSION).
+/// The kind of a frame. The numbers are part of the encoding: a change needs a new
+/// [`VERSION`](crate::frame::VERSION).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum FrameKind {
--- a/crates/control/src/frame/message.rs
+++ b/crates/control/src/frame/message.rs
@@ -27,7 +27,8 @@
     TakeoverGranted(Bytes),
     /// The successor terminates, and the predecessor is to take the node back; has no response.
     HandBack,
-    /// The body of a callback for a job that the requesting process does not own; answered by `CallbackResult`.
+    /// The body of a callback for a job that the requesting process does not own; answered by
+    /// `CallbackResult`.
     Callback(Bytes),
     /// Whether the callback was for a job that the responding process owns.
     CallbackResult(bool),
@@ -39,11 +40,13 @@
     Command(AdminCommand),
     /// The outcome of the command at the responding process.
     CommandResult(CommandResult),
-    /// A job that the requesting process owned; its client's socket is sent beside the bytes. Answered by `MigrationResult`.
+    /// A job that the requesting process owned; its client's socket is sent beside the bytes. Answered by
+    /// `MigrationResult`.
     MigrateJob(Bytes),
     /// Whether the responding process owns the job now.
     MigrationResult(bool),
-    /// A worker has not acknowledged a cancellation yet, and the receiver is to repeat it from now on; has no response.
+    /// A worker has not acknowledged a cancellation yet, and the receiver is to repeat it from now on; has no
+    /// response.
     CancelAttempt {
         /// Address of the worker.
         worker: SocketAddr,
@@ -53,8 +56,8 @@
 }
 
 impl Frame {
-    /// Whether it answers a request that was sent over an established link. The responses to `Hello` do not: they come
-    /// before there is a link.
+    /// Whether it answers a request that was sent over an established link. The responses to `Hello` do not:
+    /// they come before there is a link.
     pub fn is_response(&self) -> bool {
         match self {
             Frame::TakeoverGranted(_)
--- a/crates/control/src/frame/mod.rs
+++ b/crates/control/src/frame/mod.rs
@@ -1,8 +1,8 @@
 //! Messages between two processes of one node, and how they are encoded on the link between them.
 //!
 //! A [`Frame`] is a request, a response or a notification. [`Frame::encode`] and [`Decoder`] put it behind a
-//! header with a version, a number and a checksum; neither performs I/O, and what the decoder holds is bounded
-//! whatever the other process sends.
+//! header with a version, a number and a checksum; neither performs I/O, and what the decoder holds is
+//! bounded whatever the other process sends.
 //!
 //! | number | frame | response | payload |
 //! | --- | --- | --- | --- |
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,6 @@
-//! How a node is controlled: operators' commands, the phases of a process, workers disabled for maintenance, and the
-//! takeover between two processes of one node. Decisions and encodings only, without I/O and without a clock.
+//! How a node is controlled: operators' commands, the phases of a process, workers disabled for maintenance,
+//! and the takeover between two processes of one node. Decisions and encodings only, without I/O and without
+//! a clock.
 //!
 //! - [`command`]: commands of the admin address and their responses;
 //! - [`maintenance`]: workers that operators have disabled;
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -1,8 +1,8 @@
 //! Workers that operators have disabled for maintenance, and the names that discovery has ever listed.
 //!
-//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list says of it in between and however
-//! often the process of the node is replaced. Only a name that was listed once can be disabled or enabled, so that a
-//! mistyped name is rejected.
+//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list says of it in between
+//! and however often the process of the node is replaced. Only a name that was listed once can be disabled or
+//! enabled, so that a mistyped name is rejected.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,19 @@
 
 use crate::command::{CommandError, CommandResult};
 
-/// Most workers that can be disabled at once. A worker that has left the endpoint list stays disabled until it is enabled,
-/// so there may be more of them than the list has entries.
+/// Most workers that can be disabled at once. A worker that has left the endpoint list stays disabled until
+/// it is enabled, so there may be more of them than the list has entries.
 pub const MAX_DISABLED_WORKERS: usize = 4096;
-/// Most names that are remembered as listed: a site of a thousand workers that are all replaced ten times a day reaches
-/// this on the fourth day.
+/// Most names that are remembered as listed: a site of a thousand workers that are all replaced ten times a
+/// day reaches this on the fourth day.
 const MAX_LISTED_WORKERS: usize = 32_768;
-/// Most bytes of names that are remembered as listed. A successor gets all of them in one frame, together with the state
-/// snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
+/// Most bytes of names that are remembered as listed. A successor gets all of them in one frame, together
+/// with the state snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
 const MAX_LISTED_BYTES: usize = 3 << 19;
 
-/// The disabled workers, by their names in the endpoint list. Its serialized form is what a successor receives; that is
-/// only to be given to [`merge_predecessor`](Self::merge_predecessor), since it lacks what the private fields count.
+/// The disabled workers, by their names in the endpoint list. Its serialized form is what a successor
+/// receives; that is only to be given to [`merge_predecessor`](Self::merge_predecessor), since it lacks what
+/// the private fields count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisabledWorkers {
@@ -32,7 +33,8 @@
     /// Bytes of the names in `ever_listed`.
     #[serde(skip)]
     listed_bytes: usize,
-    /// Names that this process itself has received a command for: the predecessor's state does not override these.
+    /// Names that this process itself has received a command for: the predecessor's state does not override
+    /// these.
     #[serde(skip)]
     commanded_here: BTreeSet<String>,
 }
@@ -47,8 +49,8 @@
 }
 
 impl DisabledWorkers {
-    /// Remembers names of the endpoint list, up to the bounds on their number and bytes. It changes nothing about which
-    /// workers are disabled.
+    /// Remembers names of the endpoint list, up to the bounds on their number and bytes. It changes nothing
+    /// about which workers are disabled.
     pub fn record_listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
             if self.can_remember(name) && !self.ever_listed.contains(name) {
@@ -62,8 +64,8 @@
         self.ever_listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES
     }
 
-    /// Disables a worker; succeeds as well if it is disabled already. Fails if no list has ever named it, or if
-    /// [`MAX_DISABLED_WORKERS`] are disabled.
+    /// Disables a worker; succeeds as well if it is disabled already. Fails if no list has ever named it, or
+    /// if [`MAX_DISABLED_WORKERS`] are disabled.
     pub fn disable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         if !self.disabled.contains(name) && self.disabled.len() >= MAX_DISABLED_WORKERS {
@@ -74,8 +76,8 @@
         Ok(())
     }
 
-    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled. Fails if no list has ever
-    /// named it.
+    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled. Fails if no
+    /// list has ever named it.
     pub fn enable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         self.disabled.remove(name);
@@ -101,8 +103,9 @@
         self.disabled.iter().map(String::as_str)
     }
 
-    /// Takes over the state of the predecessor of this process: exactly its disabled workers are disabled, except where
-    /// this process has received a command for a worker itself. Returns the workers that this changes, ordered by name.
+    /// Takes over the state of the predecessor of this process: exactly its disabled workers are disabled,
+    /// except where this process has received a command for a worker itself. Returns the workers that this
+    /// changes, ordered by name.
     pub fn merge_predecessor(&mut self, predecessor: DisabledWorkers) -> Vec<MaintenanceChange> {
         self.record_listed(predecessor.ever_listed.iter().map(String::as_str));
         let changes: Vec<MaintenanceChange> = self
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -1,20 +1,21 @@
 //! Phases of a process of a node, and the transitions between them.
 //!
-//! A process begins in `Starting` and ends in `Stopped`. `S`, `S+d`, `P` and `P+d` stand for `Starting` and `Superseded`
-//! without and with `drained`. A cell is the next phase; an empty one means that the event does not apply and the phase
-//! stays.
+//! A process begins in `Starting` and ends in `Stopped`. `St`, `St+d`, `Su` and `Su+d` stand for `Starting`
+//! and `Superseded` without and with `drained`. A cell is the next phase; an empty one means that the event
+//! does not apply and the phase stays.
 //!
-//! | event | `S` | `S+d` | `Ready` | `Drained` | `P` | `P+d` | `ShuttingDown` | `Stopped` |
+//! | event | `St` | `St+d` | `Ready` | `Drained` | `Su` | `Su+d` | `ShuttingDown` | `Stopped` |
 //! | --- | --- | --- | --- | --- | --- | --- | --- | --- |
 //! | `EndpointsAvailable` | `Ready` | `Drained` | | | | | | |
-//! | `Drain` | `S+d` | `S+d` | `Drained` | | `P+d` | `P+d` | | |
-//! | `Undrain` | | `S` | | `Ready` | | `P` | | |
-//! | `HandedOver` | `P` | `P+d` | `P` | `P+d` | `P` | `P+d` | | |
+//! | `Drain` | `St+d` | `St+d` | `Drained` | | `Su+d` | `Su+d` | | |
+//! | `Undrain` | | `St` | | `Ready` | | `Su` | | |
+//! | `HandedOver` | `Su` | `Su+d` | `Su` | `Su+d` | `Su` | `Su+d` | | |
 //! | `TookBack` | | | | | `Ready` | `Drained` | | |
 //! | `Terminate` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | | |
 //! | `ShutdownCompleted` | | | | | | | `Stopped` | |
 //!
-//! Invariants: the last of `Drain` and `Undrain` holds until the shutdown begins, and a shutdown is never undone.
+//! Invariants: the last of `Drain` and `Undrain` holds until the shutdown begins, and a shutdown is never
+//! undone.
 
 use std::fmt;
 
@@ -32,7 +33,8 @@
     Ready,
     /// An operator has drained the node: it serves what still comes, and redirects clients to other nodes.
     Drained,
-    /// Its successor serves: it finishes the jobs that it has accepted, and takes the node back if the successor ends.
+    /// Its successor serves: it finishes the jobs that it has accepted, and takes the node back if the
+    /// successor ends.
     #[serde(rename = "Retired")]
     Superseded {
         /// An operator has drained the node.
@@ -168,7 +170,8 @@
         if drained { Phase::Drained } else { Phase::Ready }
     }
 
-    /// Whether the node that this process belongs to wants new clients: what the load balancer in front is answered.
+    /// Whether the node that this process belongs to wants new clients: what the load balancer in front is
+    /// answered.
     pub fn accepts_new_clients(self) -> bool {
         match self {
             Phase::Ready | Phase::Superseded { drained: false } => true,
--- a/crates/control/src/takeover/callback_route.rs
+++ b/crates/control/src/takeover/callback_route.rs
@@ -11,8 +11,9 @@
     Unknown,
 }
 
-/// Routes a callback. `owned_here` says whether this process owns its job, `linked` whether there is another process to
-/// ask; `linked` is false for a callback that the other process has forwarded, so that it is not sent back.
+/// Routes a callback. `owned_here` says whether this process owns its job, `linked` whether there is another
+/// process to ask; `linked` is false for a callback that the other process has forwarded, so that it is not
+/// sent back.
 pub fn route_callback(owned_here: bool, linked: bool) -> CallbackRoute {
     match (owned_here, linked) {
         (true, _) => CallbackRoute::Local,
--- a/crates/control/src/takeover/job_claims.rs
+++ b/crates/control/src/takeover/job_claims.rs
@@ -1,6 +1,7 @@
 //! Claims on job ids, which keep a job from being accepted by both processes of a node.
 //!
-//! Before a process accepts a job it claims the job's id at the other process. The states of an id at one process:
+//! Before a process accepts a job it claims the job's id at the other process. The states of an id at one
+//! process:
 //!
 //! | state | `try_claim` | `confirm` | `release` | the other process claims the id |
 //! | --- | --- | --- | --- | --- |
@@ -8,9 +9,9 @@
 //! | [`Pending`](ClaimState::Pending) | returns false: a duplicate job | `Granted` | not claimed | allowed if this process is the successor |
 //! | [`Granted`](ClaimState::Granted) | returns false: a duplicate job | - | not claimed | not allowed |
 //!
-//! Whatever its state, an id whose job is owned here is not allowed to the other process. Where both claim one id at the
-//! same time, the predecessor's claim prevails. No id is granted to both, provided that the responses and claims of a
-//! process arrive in the order in which it made them.
+//! Whatever its state, an id whose job is owned here is not allowed to the other process. Where both claim
+//! one id at the same time, the predecessor's claim prevails. No id is granted to both, provided that the
+//! responses and claims of a process arrive in the order in which it made them.
 
 use std::collections::HashMap;
 
@@ -32,8 +33,8 @@
     Granted,
 }
 
-/// The job ids that this process has claimed on a link. An id is here from [`try_claim`](Self::try_claim) until
-/// [`release`](Self::release).
+/// The job ids that this process has claimed on a link. An id is here from [`try_claim`](Self::try_claim)
+/// until [`release`](Self::release).
 #[derive(Clone, Debug)]
 pub struct JobClaims {
     role: LinkRole,
@@ -46,7 +47,8 @@
         JobClaims { role, claims: HashMap::new() }
     }
 
-    /// Begins a claim for a job that has arrived here. False if the id is claimed already: the job is a duplicate.
+    /// Begins a claim for a job that has arrived here. False if the id is claimed already: the job is a
+    /// duplicate.
     pub fn try_claim(&mut self, id: &str) -> bool {
         if self.claims.contains_key(id) {
             return false;
@@ -67,7 +69,8 @@
         self.claims.remove(id);
     }
 
-    /// Whether the other process, which claims this id, may have it. `owned_here` says whether this process owns the job.
+    /// Whether the other process, which claims this id, may have it. `owned_here` says whether this process
+    /// owns the job.
     pub fn allows_peer_claim(&self, id: &str, owned_here: bool) -> bool {
         if owned_here {
             return false;
--- a/crates/control/src/takeover/mod.rs
+++ b/crates/control/src/takeover/mod.rs
@@ -1,5 +1,6 @@
-//! What each of two processes of one node owns while a new process takes over from an old one: new connections, file
-//! descriptors, jobs and callbacks. Decisions only: the node carries them out and connects the processes.
+//! What each of two processes of one node owns while a new process takes over from an old one: new
+//! connections, file descriptors, jobs and callbacks. Decisions only: the node carries them out and connects
+//! the processes.
 //!
 //! - [`Takeover`] is the state machine of one process;
 //! - [`JobClaims`] keeps a job id from being accepted by both processes;
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -1,12 +1,13 @@
 //! The state machine of one process while a node changes its process.
 //!
-//! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then requests the
-//! takeover; once that is granted it accepts the new connections of the node and the predecessor finishes its jobs. A
-//! successor that terminates first hands the node back, and a process whose link is lost goes on alone.
+//! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then
+//! requests the takeover; once that is granted it accepts the new connections of the node and the predecessor
+//! finishes its jobs. A successor that terminates first hands the node back, and a process whose link is lost
+//! goes on alone.
 //!
-//! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own, whether its
-//! phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as when two of them cross,
-//! changes no role and needs no command.
+//! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own,
+//! whether its phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as
+//! when two of them cross, changes no role and needs no command.
 //!
 //! | role | event | if | next role | commands |
 //! | --- | --- | --- | --- | --- |
@@ -101,7 +102,8 @@
     CloseLink,
     /// Accept new connections.
     StartAccepting,
-    /// Accept no more connections. The listener stays open: connections in its queue would be reset otherwise.
+    /// Accept no more connections. The listener stays open: connections in its queue would be reset
+    /// otherwise.
     StopAccepting,
     /// Apply this event to the phase of the process.
     ApplyPhaseEvent(PhaseEvent),
@@ -143,7 +145,8 @@
 }
 
 impl Takeover {
-    /// A process that found no other process of its node: it serves at once. Returns its first commands as well.
+    /// A process that found no other process of its node: it serves at once. Returns its first commands as
+    /// well.
     pub fn without_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![
             TakeoverCommand::SetDescriptorShare(DescriptorShare::All),
@@ -153,8 +156,8 @@
         (Takeover::new(node, listen, Role::Single), commands)
     }
 
-    /// A process whose hello its predecessor has accepted: it waits until it has an endpoint list. Returns its first commands as
-    /// well.
+    /// A process whose hello its predecessor has accepted: it waits until it has an endpoint list. Returns
+    /// its first commands as well.
     pub fn with_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half)];
         (Takeover::new(node, listen, Role::WaitingSuccessor), commands)
@@ -276,7 +279,8 @@
         match self.role {
             Role::AcceptingSuccessor => commands.push(TakeoverCommand::HandBack),
             Role::WaitingSuccessor => {
-                // The predecessor may be handing over at this moment: losing the link makes it take the node back.
+                // The predecessor may be handing over at this moment: losing the link makes it take the node
+                // back.
                 self.role = Role::Single;
                 commands.push(TakeoverCommand::CloseLink);
             }
--- a/crates/control/tests/bounds.rs
+++ b/crates/control/tests/bounds.rs
@@ -1,4 +1,5 @@
-//! Sizes that a site of a thousand workers with long names reaches, against the bounds of commands and frames.
+//! Sizes that a site of a thousand workers with long names reaches, against the bounds of commands and
+//! frames.
 
 use curlewusher_control::command::{AdminCommand, MAX_WORKER_ID_BYTES};
 use curlewusher_control::frame::MAX_SNAPSHOT_BYTES;
@@ -11,8 +12,8 @@
     (0..WORKERS).map(|n| format!("s-{generation:04}-{n:04}{}", "x".repeat(length - 11))).collect()
 }
 
-/// Lists that many generations of workers one after another, disables the last four, and returns the record that a
-/// successor receives.
+/// Lists that many generations of workers one after another, disables the last four, and returns the record
+/// that a successor receives.
 fn disable_last_four_generations(generations: usize, length: usize) -> Vec<u8> {
     let mut workers = DisabledWorkers::default();
     let fleets: Vec<_> = (0..generations).map(|generation| worker_names(generation, length)).collect();
--- a/crates/control/tests/maintenance.rs
+++ b/crates/control/tests/maintenance.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// A worker is disabled from its DISABLE until its ENABLE, whatever is listed in between and however often the
-    /// process of the node is replaced; a name that was never listed is rejected.
+    /// A worker is disabled from its DISABLE until its ENABLE, whatever is listed in between and however
+    /// often the process of the node is replaced; a name that was never listed is rejected.
     #[test]
     fn lists_and_successors_between_commands_then_a_worker_stays_as_last_commanded(
         steps in prop::collection::vec((0u8..4, 0u8..6), 0..60),
--- a/crates/control/tests/phases.rs
+++ b/crates/control/tests/phases.rs
@@ -16,8 +16,8 @@
 }
 
 proptest! {
-    /// The last of DRAIN and UNDRAIN holds, a shutdown is never undone, and only a node that is not drained and has an
-    /// endpoint list, here or at its successor, accepts new clients.
+    /// The last of DRAIN and UNDRAIN holds, a shutdown is never undone, and only a node that is not drained
+    /// and has an endpoint list, here or at its successor, accepts new clients.
     #[test]
     fn events_in_any_order_then_phases_keep_their_invariants(
         events in prop::collection::vec(phase_events(), 0..40),
--- a/crates/control/tests/takeover/main.rs
+++ b/crates/control/tests/takeover/main.rs
@@ -1,4 +1,5 @@
-//! Takeover between processes of one node: who accepts connections, uses descriptors, owns jobs and gets callbacks.
+//! Takeover between processes of one node: who accepts connections, uses descriptors, owns jobs and gets
+//! callbacks.
 
 mod network;
 
@@ -14,9 +15,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4000))]
 
-    /// Whatever happens in whatever order, with links that delay and are lost, processes that are killed and that
-    /// terminate: a process that can serve does or is about to, no id is owned twice by granted claims, all
-    /// processes together stay within the descriptors of one node, and phases keep to their table.
+    /// Whatever happens in whatever order, with links that delay and are lost, processes that are killed and
+    /// that terminate: a process that can serve does or is about to, no id is owned twice by granted claims,
+    /// all processes together stay within the descriptors of one node, and phases keep to their table.
     #[test]
     fn processes_start_end_and_lose_links_then_connections_jobs_and_descriptors_have_one_owner(
         steps in prop::collection::vec((0u8..16, 0..MAX_PROCESSES, 0..JOB_IDS.len()), 0..80),
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -1,5 +1,5 @@
-//! A model of the processes of one node and of the links between them. Links deliver in order, delay and get lost;
-//! processes terminate and are killed. The decisions of each process are those of the crate.
+//! A model of the processes of one node and of the links between them. Links deliver in order, delay and get
+//! lost; processes terminate and are killed. The decisions of each process are those of the crate.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/control/tests/unit/frame_codec.rs
+++ b/crates/control/tests/unit/frame_codec.rs
@@ -1,5 +1,5 @@
-//! Frames as the codec encodes and decodes them: whole, truncated, damaged and foreign. A module of the codec, since it
-//! looks at the decoder's buffer and computes checksums of its own.
+//! Frames as the codec encodes and decodes them: whole, truncated, damaged and foreign. A module of the
+//! codec, since it looks at the decoder's buffer and computes checksums of its own.
 
 use super::*;
 use crate::command::{AdminCommand, CommandError, CommandResult};
@@ -49,8 +49,8 @@
 }
 
 proptest! {
-    /// Frames are decoded as they were encoded, in whatever pieces the bytes arrive; cut short, they are `Truncated` and
-    /// nothing else.
+    /// Frames are decoded as they were encoded, in whatever pieces the bytes arrive; cut short, they are
+    /// `Truncated` and nothing else.
     #[test]
     fn bytes_in_pieces_of_any_size_then_the_same_frames_or_truncated(
         sent in prop::collection::vec((any::<u64>(), frames()), 0..6),
