--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -16,80 +16,80 @@
     pub(crate) fleet: Fleet,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Jobs with nothing out, in the order in which they are sent: see [`Dispatcher::hold`].
-    pub(crate) line: BTreeSet<(bool, Micros, JobId)>,
-    pub(crate) scratch: Vec<JobId>,
+    pub(crate) pending: BTreeSet<(bool, Micros, JobId)>,
+    pub(crate) open_jobs: Vec<JobId>,
     /// Workers looked at for the job in hand.
-    pub(crate) looked: Vec<usize>,
-    pub(crate) quotas: Vec<Bucket>,
+    pub(crate) candidates: Vec<usize>,
+    pub(crate) quotas: Vec<TokenBucket>,
     /// Longest wait that a job of each class came with: that of a first try.
-    pub(crate) spans: Vec<Micros>,
+    pub(crate) longest_waits: Vec<Micros>,
     /// Work within quotas that came, and that was given up, fading.
-    pub(crate) asked_for: Fading,
+    pub(crate) quota_work: DecayingSum,
     /// Work that came, repeats too.
-    pub(crate) came: Fading,
+    pub(crate) offered_work: DecayingSum,
     /// When the first job came.
-    pub(crate) first_came: Micros,
-    pub(crate) lost: Fading,
+    pub(crate) first_offered_at: Micros,
+    pub(crate) shed_work: DecayingSum,
     /// Share of the ready workers that have room, and the share that cheap work leaves to other work.
-    pub(crate) room: f64,
-    pub(crate) held_back: f64,
+    pub(crate) free_share: f64,
+    pub(crate) reserved_share: f64,
     /// Shortest wait for one slot.
-    pub(crate) least_wait: f64,
-    pub(crate) retries: f64,
-    pub(crate) copy_work: f64,
+    pub(crate) shortest_wait: f64,
+    pub(crate) retry_tokens: f64,
+    pub(crate) hedge_work: f64,
     /// Highest worth of a class.
-    pub(crate) top_worth: f64,
+    pub(crate) max_priority_weight: f64,
     /// All must be answered by then.
-    pub(crate) ends: Micros,
+    pub(crate) shutdown_at: Micros,
     /// Another process of this node has taken over.
-    pub(crate) retired: bool,
-    pub(crate) wake_at: Option<Micros>,
+    pub(crate) is_superseded: bool,
+    pub(crate) timer_at: Option<Micros>,
     /// Own work at some worker has changed since it was last told.
-    pub(crate) news: bool,
-    pub(crate) tell_at: Option<Micros>,
+    pub(crate) gossip_changed: bool,
+    pub(crate) gossip_at: Option<Micros>,
     pub(crate) discovery: DiscoveryClient,
 }
 
 /// What others told counts this long, s, and so many slots of it at most.
-const TOLD_LIFE: f64 = 1.5;
-const TOLD_SLOTS: u32 = 32;
+const PEER_BACKLOG_LIFETIME_S: f64 = 1.5;
+const MAX_PEER_SLOTS: u32 = 32;
 /// A start is believed after this long.
-const SETTLED: Micros = 30_000;
+const START_SETTLING_TIME: Micros = 30_000;
 /// Own backlogs are told no more often than this, and again after the other.
-const TELL_GAP: Micros = 2_000;
-const TELL_AGAIN: f64 = 0.5;
+const GOSSIP_INTERVAL_PER_NODE: Micros = 2_000;
+const GOSSIP_REFRESH_S: f64 = 0.5;
 /// Nothing is told where an entry told to all nodes costs more than this share of a job's worth.
-const TELL_MOST: f64 = 0.004;
+const MAX_GOSSIP_COST: f64 = 0.004;
 
 impl Dispatcher {
     /// A dispatcher that knows nothing but its settings. Give it [`Event::Woken`] first.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let store = |quota: &f64| Bucket::full(quota / f64::from(settings.nodes) * QUOTA_STORE);
+        let store = |quota: &f64| TokenBucket::full(quota / f64::from(settings.nodes) * QUOTA_BURST_S);
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             fleet: Fleet::new(&settings),
             jobs: BTreeMap::new(),
-            line: BTreeSet::new(),
-            scratch: Vec::new(),
-            looked: Vec::new(),
+            pending: BTreeSet::new(),
+            open_jobs: Vec::new(),
+            candidates: Vec::new(),
             quotas: settings.tenant_quotas.iter().map(store).collect(),
-            spans: vec![0; settings.classes.len()],
-            asked_for: Fading::default(),
-            came: Fading::default(),
-            first_came: Micros::MAX,
-            lost: Fading::default(),
-            room: 1.0,
-            held_back: 0.0,
-            least_wait: 0.0,
-            retries: RETRY_STORE,
-            copy_work: 0.0,
-            top_worth: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
-            ends: Micros::MAX,
-            retired: false,
-            wake_at: None,
-            news: false,
-            tell_at: None,
+            longest_waits: vec![0; settings.classes.len()],
+            quota_work: DecayingSum::default(),
+            offered_work: DecayingSum::default(),
+            first_offered_at: Micros::MAX,
+            shed_work: DecayingSum::default(),
+            free_share: 1.0,
+            reserved_share: 0.0,
+            shortest_wait: 0.0,
+            retry_tokens: MAX_RETRY_TOKENS,
+            hedge_work: 0.0,
+            max_priority_weight: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
+            shutdown_at: Micros::MAX,
+            is_superseded: false,
+            timer_at: None,
+            gossip_changed: false,
+            gossip_at: None,
             discovery: DiscoveryClient::new(&settings),
             settings,
         })
@@ -99,350 +99,365 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged { endpoints: entries, snapshot: whole } => {
-                self.listed(now, entries, whole);
-                self.recall(out);
+                self.apply_endpoints(now, entries, whole);
+                self.revoke_attempts(out);
             }
             Event::EndpointsConfirmed => self.discovery.stands(now),
             Event::PollAnswered { duration: took } => self.discovery.answered(took),
             Event::EndpointsUnreadable => self.discovery.spoilt(now),
             Event::DiscoveryMoved => self.discovery.moved(now),
             Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
-            Event::JobSubmitted(offer) => self.take(now, &offer, out),
-            Event::AttemptAccepted { job, attempt } => self.accepted(now, job, attempt),
+            Event::JobSubmitted(offer) => self.admit_job(now, &offer, out),
+            Event::AttemptAccepted { job, attempt } => self.record_acceptance(now, job, attempt),
             Event::AttemptStarted { job, attempt } => {
-                self.accepted(now, job, attempt);
-                self.started(now, job, attempt, out);
+                self.record_acceptance(now, job, attempt);
+                self.record_start(now, job, attempt, out);
             }
             Event::AttemptProgressed { job, attempt, done } => {
-                self.accepted(now, job, attempt);
-                self.progressed(now, job, attempt, done);
+                self.record_acceptance(now, job, attempt);
+                self.record_progress(now, job, attempt, done);
             }
             Event::AttemptStreaming { job, attempt } => {
-                self.started(now, job, attempt, out);
-                self.jobs.entry(job).and_modify(|j| j.bound = true);
+                self.record_start(now, job, attempt, out);
+                self.jobs.entry(job).and_modify(|j| j.is_streaming = true);
             }
             Event::AttemptEnded { job, attempt, outcome, settled } => {
-                let held_back = outcome == Outcome::NotSent && self.was_recalled(job, attempt);
-                if (self.attempt_ended(now, job, attempt, outcome) || settled)
-                    && !(held_back && !settled && self.back_in_line(now, job, out))
+                let held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
+                if (self.record_end(now, job, attempt, outcome) || settled)
+                    && !(held_back && !settled && self.requeue_unsent_job(now, job, out))
                 {
                     self.follow_up(now, job, settled, out);
                 }
             }
-            Event::ClientDisconnected { job } => self.client_gone(job, out),
-            Event::GossipReceived { from, data } => self.hear(now, from, data),
+            Event::ClientDisconnected { job } => self.disconnect_client(job, out),
+            Event::GossipReceived { from, data } => self.receive_gossip(now, from, data),
             Event::MaintenanceChanged { worker, disabled: true } => {
-                self.fleet.take_out(now, worker);
-                self.recall(out);
+                self.fleet.disable_worker(now, worker);
+                self.revoke_attempts(out);
             }
             Event::MaintenanceChanged { worker, disabled: false } => {
-                self.fleet.put_back(now, worker);
-                self.dispatch(now, out);
+                self.fleet.reenable_worker(now, worker);
+                self.dispatch_pending(now, out);
             }
-            Event::SuccessorActive(retired) => self.retired = retired,
+            Event::SuccessorActive(retired) => self.is_superseded = retired,
             Event::ShutdownStarted { deadline: by } => {
-                self.ends = by;
-                self.woken(now, out);
+                self.shutdown_at = by;
+                self.expire_timer(now, out);
             }
-            Event::TimerExpired => self.woken(now, out),
+            Event::TimerExpired => self.expire_timer(now, out),
         }
-        self.arm(now, out);
+        self.set_timer(now, out);
     }
 
     /// How long a keyed repeat may take to reach its worker. Where 202s tell, it is an attempt on sockets,
     /// whose connection may come up late: a worker that is reached after the window runs the repeat as well.
-    pub(crate) fn on_its_way(&self) -> Micros {
-        WINDOW_MARGIN.max(self.settings.accept_timeout)
+    pub(crate) fn transit_allowance(&self) -> Micros {
+        DEDUPLICATION_MARGIN.max(self.settings.accept_timeout)
     }
 
     /// Remembers a job for as long as something may still come of it.
-    pub(crate) fn keep(&mut self, job: Job) {
-        if !job.ended || job.live().next().is_some() {
+    pub(crate) fn store_job(&mut self, job: Job) {
+        if !job.is_answered || job.in_flight().next().is_some() {
             self.jobs.insert(job.id, job);
         }
     }
 
-    pub(crate) fn client_gone(&mut self, job: JobId, out: &mut Vec<Action>) {
+    pub(crate) fn disconnect_client(&mut self, job: JobId, out: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&job) else { return };
-        if !job.ended {
-            self.close(&mut job, out);
+        if !job.is_answered {
+            self.close_job(&mut job, out);
         }
-        self.keep(job);
+        self.store_job(job);
     }
 
     /// A worker's word on a job says as well that it has taken it on.
-    fn accepted(&mut self, now: Micros, job: JobId, attempt: u32) {
-        let Some(i) = self.worker_of(job, attempt) else { return };
-        if let Some(f) = self.fleet.workers[i].flight(job, attempt).filter(|f| !f.accepted) {
+    fn record_acceptance(&mut self, now: Micros, job: JobId, attempt: u32) {
+        let Some(i) = self.worker_index_of(job, attempt) else { return };
+        if let Some(f) = self.fleet.workers[i].attempt_mut(job, attempt).filter(|f| !f.accepted) {
             f.accepted = true;
-            self.fleet.workers[i].sign_of_life(now);
+            self.fleet.workers[i].record_contact(now);
         }
     }
 
-    pub(crate) fn worker_of(&self, job: JobId, attempt: u32) -> Option<usize> {
+    pub(crate) fn worker_index_of(&self, job: JobId, attempt: u32) -> Option<usize> {
         let a = self.jobs.get(&job)?.attempts.get(attempt as usize)?;
         self.fleet.find(a.worker)
     }
 
     /// Brings what is derived from a worker's records up to now: x, w and r of the formula rest on it.
-    pub(crate) fn survey(&mut self, now: Micros, i: usize) {
+    pub(crate) fn refresh_worker(&mut self, now: Micros, i: usize) {
         let w = &self.fleet.workers[i];
-        let warmth = self.warmth(now, w);
-        let speed = self.fleet.speed(w) * warmth;
+        let warmth = self.warm_up_fraction(now, w);
+        let speed = self.fleet.learned_speed(w) * warmth;
         let w = &mut self.fleet.workers[i];
-        (w.warmth, w.speed) = (warmth, speed);
+        (w.warm_up_fraction, w.current_speed) = (warmth, speed);
         let w = &self.fleet.workers[i];
-        let rate = w.sent.get(now, R_SPAN) / R_SPAN * f64::from(self.group_nodes());
-        let utilisation = (rate / (w.speed * self.fleet.slots(w))).min(R_MAX);
-        let wait = self.wait(now, w, 1.0);
+        let rate = w.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * f64::from(self.subset_nodes());
+        let utilisation = (rate / (w.current_speed * self.fleet.slots(w))).min(MAX_UTILISATION);
+        let wait = self.estimate_wait(now, w, 1.0);
         let w = &mut self.fleet.workers[i];
-        (w.utilisation, w.wait, w.surveyed) = (utilisation, wait, now);
+        (w.utilisation, w.wait, w.estimated_at) = (utilisation, wait, now);
     }
 
     /// What a node of many does not see of each worker, it reckons for the kind: r by its own part of the
     /// traffic, and in w the wait that its own jobs met beyond what it had foreseen.
-    pub(crate) fn survey_kinds(&mut self, now: Micros) {
-        let nodes = f64::from(self.group_nodes());
-        let sees = self.sees();
+    pub(crate) fn refresh_kinds(&mut self, now: Micros) {
+        let nodes = f64::from(self.subset_nodes());
+        let sees = self.observes_all_work();
         for k in &mut self.fleet.kinds {
-            let rate = k.sent.get(now, R_SPAN) / R_SPAN * nodes;
-            k.utilisation = if nodes == 1.0 { 0.0 } else { (rate / k.capacity.max(1e-9)).min(R_MAX) };
-            k.wait = if sees { 0.0 } else { k.late.get(now) };
+            let rate = k.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
+            k.utilisation =
+                if nodes == 1.0 { 0.0 } else { (rate / k.capacity.max(1e-9)).min(MAX_UTILISATION) };
+            k.wait = if sees { 0.0 } else { k.start_delay.get(now) };
         }
     }
 
     /// Whether all work at its workers is known to a node: its own alone, or told.
-    pub(crate) fn sees(&self) -> bool {
-        self.group_nodes() == 1 || self.tells()
+    pub(crate) fn observes_all_work(&self) -> bool {
+        self.subset_nodes() == 1 || self.is_gossip_enabled()
     }
 
     /// Whether nodes tell each other their work. With many of them a message is dear, costs all of them CPU,
     /// and must be so rare that what it says is past.
-    pub(crate) fn tells(&self) -> bool {
-        let messages = f64::from(self.group_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
-        self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= TELL_MOST
+    pub(crate) fn is_gossip_enabled(&self) -> bool {
+        let messages = f64::from(self.subset_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
+        self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= MAX_GOSSIP_COST
     }
 
     /// Nodes that share this node's own workers.
-    pub(crate) fn group_nodes(&self) -> u32 {
-        self.settings.nodes.div_ceil(self.fleet.groups as u32)
+    pub(crate) fn subset_nodes(&self) -> u32 {
+        self.settings.nodes.div_ceil(self.fleet.subset_count as u32)
     }
 
-    pub(crate) fn woken(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.wake_at = self.wake_at.filter(|at| *at > now);
+    pub(crate) fn expire_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.timer_at = self.timer_at.filter(|at| *at > now);
         if self.discovery.woken(now, &mut self.rng) {
             out.push(Action::WatchEndpoints);
         }
-        self.fleet.relearn_slots(now, f64::from(self.group_nodes()));
-        self.watch_workers(now);
-        let mut open = std::mem::take(&mut self.scratch);
-        open.extend(self.jobs.values().filter(|j| !j.ended && !j.bound).map(|j| j.id));
+        self.fleet.refresh_slots(now, f64::from(self.subset_nodes()));
+        self.observe_parallelism(now);
+        let mut open = std::mem::take(&mut self.open_jobs);
+        open.extend(self.jobs.values().filter(|j| !j.is_answered && !j.is_streaming).map(|j| j.id));
         for id in open.drain(..) {
-            self.look_again(now, id, out);
+            self.review_job(now, id, out);
         }
-        self.scratch = open;
-        self.dispatch(now, out);
-        if self.tell_at.is_some_and(|at| at <= now) {
-            self.tell_at = None;
-            self.tell(now, out);
+        self.open_jobs = open;
+        self.dispatch_pending(now, out);
+        if self.gossip_at.is_some_and(|at| at <= now) {
+            self.gossip_at = None;
+            self.send_gossip(now, out);
         }
     }
 
     /// Least share of its capacity that a worker has now: it gains no slower than evenly.
-    pub(crate) fn warmth(&self, now: Micros, w: &Worker) -> f64 {
-        if w.started == 0 || self.settings.warm_up == 0 {
+    pub(crate) fn warm_up_fraction(&self, now: Micros, w: &Worker) -> f64 {
+        if w.started_at == 0 || self.settings.warm_up == 0 {
             return 1.0;
         }
-        let age = since(w.started, now) / secs(self.settings.warm_up);
-        (self.settings.warm_up_floor + (1.0 - self.settings.warm_up_floor) * age).clamp(MIN_WARMTH, 1.0)
+        let age = since(w.started_at, now) / secs(self.settings.warm_up);
+        (self.settings.warm_up_floor + (1.0 - self.settings.warm_up_floor) * age)
+            .clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
     /// Work of a flight that is still to do: by its progress where that was told, else by its hint. A job
     /// near or past its estimate is taken to have a part of what it has done still to do: hints are rough,
     /// work is heavy-tailed, and the worker may have slowed.
-    pub(crate) fn remaining(&self, now: Micros, speed: f64, f: &Flight) -> f64 {
-        let Some(started) = f.started else { return f.work };
+    pub(crate) fn remaining_work(&self, now: Micros, speed: f64, f: &InFlightAttempt) -> f64 {
+        let Some(started) = f.started_at else { return f.work };
         let ran = since(started, now);
         match f.progress {
             Some((done, at)) if done > 0.0 => (since(started, at) / done - ran).max(0.0) * speed,
-            _ => (f.work * HINT_TRUST - ran * speed).max(OVERRUN * ran * speed),
+            _ => (f.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
         }
     }
 
     /// Seconds that an attempt which is out is likely to run on. Only a node that ends asks, so that others need not
     /// reckon it.
-    pub(crate) fn rest(&self, now: Micros, job: JobId, (attempt, worker): (u32, WorkerId)) -> Option<f64> {
-        let at = self.fleet.find(worker).filter(|_| self.ends < Micros::MAX)?;
-        let speed = self.fleet.workers[at].speed;
-        Some(self.remaining(now, speed, self.flight(job, attempt, worker)?) / speed)
+    pub(crate) fn remaining_run(
+        &self,
+        now: Micros,
+        job: JobId,
+        (attempt, worker): (u32, WorkerId),
+    ) -> Option<f64> {
+        let at = self.fleet.find(worker).filter(|_| self.shutdown_at < Micros::MAX)?;
+        let speed = self.fleet.workers[at].current_speed;
+        Some(self.remaining_work(now, speed, self.in_flight_attempt(job, attempt, worker)?) / speed)
     }
 
     /// w: seconds that the unended work at a worker, own and told, keeps a job waiting there. With one slot
     /// that is all of it over the speed; with several, until as many are free as the job takes.
-    pub(crate) fn wait(&self, now: Micros, w: &Worker, slots: f64) -> f64 {
-        let hidden = w.hidden(now);
-        if w.flights.is_empty() && w.told.is_empty() {
+    pub(crate) fn estimate_wait(&self, now: Micros, w: &Worker, slots: f64) -> f64 {
+        let hidden = w.unobserved_wait(now);
+        if w.in_flight.is_empty() && w.peer_backlogs.is_empty() {
             return hidden;
         }
-        let mut free = Slots::new(self.fleet.slots(w).max(slots));
-        for f in &w.flights {
-            free.put(self.remaining(now, w.speed, f) / w.speed, f.slots);
+        let mut free = SlotSchedule::new(self.fleet.slots(w).max(slots));
+        for f in &w.in_flight {
+            free.enqueue(self.remaining_work(now, w.current_speed, f) / w.current_speed, f.slots);
         }
         let (mut work, mut taken) = (0.0, 0.0);
-        for t in w.told.iter().filter(|t| since(t.at, now) < TOLD_LIFE) {
-            work += (t.work - since(t.at, now) * t.slots * w.speed).max(0.0);
+        for t in w.peer_backlogs.iter().filter(|t| since(t.at, now) < PEER_BACKLOG_LIFETIME_S) {
+            work += (t.work - since(t.at, now) * t.slots * w.current_speed).max(0.0);
             taken += t.slots;
         }
-        (0..(taken as u32).min(TOLD_SLOTS)).for_each(|_| _ = free.put(work / taken / w.speed, 1.0));
-        free.put(0.0, slots) + hidden
+        (0..(taken as u32).min(MAX_PEER_SLOTS))
+            .for_each(|_| _ = free.enqueue(work / taken / w.current_speed, 1.0));
+        free.enqueue(0.0, slots) + hidden
     }
 
     /// Learns parallelism. The notice of a start can overtake that of the end that made room for it: only jobs
     /// that have run for a while count as running at once, or it would be learned too high for good.
-    fn watch_workers(&mut self, now: Micros) {
-        for &i in &self.fleet.near {
+    fn observe_parallelism(&mut self, now: Micros) {
+        for &i in &self.fleet.subset {
             let w = &mut self.fleet.workers[i];
-            w.seen_slots = w.seen_slots.max(w.running(now.saturating_sub(SETTLED)));
+            w.max_concurrent_slots =
+                w.max_concurrent_slots.max(w.slots_running_since(now.saturating_sub(START_SETTLING_TIME)));
         }
     }
 
     /// The record of an attempt that is out.
-    pub(crate) fn flight(&self, job: JobId, attempt: u32, worker: WorkerId) -> Option<&Flight> {
+    pub(crate) fn in_flight_attempt(
+        &self,
+        job: JobId,
+        attempt: u32,
+        worker: WorkerId,
+    ) -> Option<&InFlightAttempt> {
         let w = &self.fleet.workers[self.fleet.find(worker)?];
-        w.flights.iter().find(|f| f.job == job && f.attempt == attempt)
+        w.in_flight.iter().find(|f| f.job == job && f.attempt == attempt)
     }
 
     /// Brings what is derived from the workers' records up to now, where it has aged.
-    pub(crate) fn survey_all(&mut self, now: Micros) {
+    pub(crate) fn refresh_estimates(&mut self, now: Micros) {
         let (mut ready, mut free) = (0.0, 0.0);
-        self.least_wait = f64::INFINITY;
-        self.fleet.cold = 0;
+        self.shortest_wait = f64::INFINITY;
+        self.fleet.warming_up = 0;
         self.fleet.kinds.iter_mut().for_each(|k| k.capacity = 0.0);
-        for n in 0..self.fleet.near.len() {
-            let i = self.fleet.near[n];
-            if now >= self.fleet.workers[i].surveyed.saturating_add(SURVEY_LIFE) {
-                self.survey(now, i);
+        for n in 0..self.fleet.subset.len() {
+            let i = self.fleet.subset[n];
+            if now >= self.fleet.workers[i].estimated_at.saturating_add(ESTIMATE_LIFETIME) {
+                self.refresh_worker(now, i);
             }
             let w = &self.fleet.workers[i];
-            self.fleet.kinds[w.kind_at].capacity += w.speed * self.fleet.slots(w);
+            self.fleet.kinds[w.kind_index].capacity += w.current_speed * self.fleet.slots(w);
             ready += 1.0;
-            free += f64::from(u8::from(w.wait < ROOM));
-            self.fleet.cold += usize::from(w.warmth < 1.0);
-            self.least_wait = self.least_wait.min(w.wait);
+            free += f64::from(u8::from(w.wait < FREE_WORKER_WAIT_S));
+            self.fleet.warming_up += usize::from(w.warm_up_fraction < 1.0);
+            self.shortest_wait = self.shortest_wait.min(w.wait);
         }
-        self.survey_kinds(now);
-        self.room = (free / f64::max(ready, 1.0)).min(self.fleet.prompt);
+        self.refresh_kinds(now);
+        self.free_share = (free / f64::max(ready, 1.0)).min(self.fleet.prompt_start_share);
     }
 
-    pub(crate) fn progressed(&mut self, now: Micros, job: JobId, attempt: u32, done: f64) {
-        let Some(i) = self.worker_of(job, attempt) else { return };
-        if let Some(f) = self.fleet.workers[i].flight(job, attempt) {
+    pub(crate) fn record_progress(&mut self, now: Micros, job: JobId, attempt: u32, done: f64) {
+        let Some(i) = self.worker_index_of(job, attempt) else { return };
+        if let Some(f) = self.fleet.workers[i].attempt_mut(job, attempt) {
             f.progress = Some((done.clamp(0.0, 1.0), now));
         }
-        self.fleet.workers[i].sign_of_life(now);
+        self.fleet.workers[i].record_contact(now);
     }
 
     /// Sets the next wake-up, if none comes early enough.
-    pub(crate) fn arm(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if self.news && self.tell_at.is_none() && self.tells() {
+    pub(crate) fn set_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if self.gossip_changed && self.gossip_at.is_none() && self.is_gossip_enabled() {
             // The more nodes there are, the more messages each must read.
-            self.tell_at = Some(now + TELL_GAP * Micros::from(self.group_nodes() - 1));
+            self.gossip_at = Some(now + GOSSIP_INTERVAL_PER_NODE * Micros::from(self.subset_nodes() - 1));
         }
-        let sweep = (!self.jobs.is_empty()).then_some(now + SWEEP);
-        let Some(next) = [sweep, self.tell_at, self.discovery.next()].into_iter().flatten().min() else {
+        let sweep = (!self.jobs.is_empty()).then_some(now + SWEEP_INTERVAL);
+        let Some(next) = [sweep, self.gossip_at, self.discovery.next()].into_iter().flatten().min() else {
             return;
         };
-        if self.wake_at.is_none_or(|at| at > next || at < now) {
+        if self.timer_at.is_none_or(|at| at > next || at < now) {
             let after = next.saturating_sub(now).max(1);
-            self.wake_at = Some(now + after);
+            self.timer_at = Some(now + after);
             out.push(Action::SetTimer { after });
         }
     }
 
     /// Books an attempt that is being sent.
-    pub(crate) fn record(&mut self, now: Micros, job: &mut Job, index: usize, run: f64, foreseen: f64) {
-        let span = secs(self.settings.overload_window) * COLD_STRETCH;
+    pub(crate) fn record_send(&mut self, now: Micros, job: &mut Job, index: usize, run: f64, foreseen: f64) {
+        let span = secs(self.settings.overload_window) * WINDOW_STRETCH;
         let w = &mut self.fleet.workers[index];
-        w.cold_sent.retain(|(at, _)| since(*at, now) < span);
-        if w.warmth < 1.0 {
-            w.cold_sent.push_back((now, job.load()));
+        w.warm_up_sends.retain(|(at, _)| since(*at, now) < span);
+        if w.warm_up_fraction < 1.0 {
+            w.warm_up_sends.push_back((now, job.load()));
         }
-        w.sent.add(now, job.load(), R_SPAN);
-        self.fleet.kinds[w.kind_at].sent.add(now, job.load(), R_SPAN);
-        (w.dirty, w.owed) = (true, None);
-        self.news = true;
-        job.key.into_iter().for_each(|key| w.heed_key(key));
-        w.flights.push(Flight {
+        w.sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
+        self.fleet.kinds[w.kind_index].sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
+        (w.gossip_pending, w.reenabled_at) = (true, None);
+        self.gossip_changed = true;
+        job.key.into_iter().for_each(|key| w.record_key(key));
+        w.in_flight.push(InFlightAttempt {
             job: job.id,
             attempt: job.attempts.len() as u32,
-            work: run * w.speed,
+            work: run * w.current_speed,
             slots: job.slots,
-            sent: now,
+            sent_at: now,
             accepted: false,
-            recalled: false,
-            foreseen,
+            revoked: false,
+            predicted_wait: foreseen,
             // Where starts are not told, a missing notice is no sign of silence.
-            started: (!self.settings.reports_start).then_some(now + micros(foreseen)),
+            started_at: (!self.settings.reports_start).then_some(now + micros(foreseen)),
             progress: None,
-            unhinted: job.unhinted.then_some((job.class, job.work)),
+            unhinted: job.is_unhinted.then_some((job.class, job.work)),
         });
-        job.attempts.push(Attempt { worker: w.id, zone: w.zone, cell: w.cell, sent: now, end: None });
+        job.attempts.push(Attempt { worker: w.id, zone: w.zone, cell: w.cell, sent_at: now, outcome: None });
     }
 
     /// Books the end of an attempt; false where it was known or never sent. A repeated end must not put a job
     /// in line twice: it would be sent twice.
-    fn attempt_ended(&mut self, now: Micros, job: JobId, attempt: u32, outcome: Outcome) -> bool {
+    fn record_end(&mut self, now: Micros, job: JobId, attempt: u32, outcome: Outcome) -> bool {
         let known = self.jobs.get_mut(&job).and_then(|j| j.attempts.get_mut(attempt as usize));
-        let Some(a) = known.filter(|a| a.end.is_none()) else { return false };
-        a.end = Some(outcome);
+        let Some(a) = known.filter(|a| a.outcome.is_none()) else { return false };
+        a.outcome = Some(outcome);
         if let Some(i) = self.fleet.find(a.worker)
-            && let Some(flight) = self.fleet.workers[i].land(job, attempt)
+            && let Some(flight) = self.fleet.workers[i].remove_attempt(job, attempt)
         {
-            self.news = true;
-            self.learn(now, i, &flight, outcome);
+            self.gossip_changed = true;
+            self.record_outcome(now, i, &flight, outcome);
         }
         true
     }
 
     /// Tells the other nodes of the group this node's own work at its workers where it changed.
-    pub(crate) fn tell(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.news = false;
+    pub(crate) fn send_gossip(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.gossip_changed = false;
         let mut data = Vec::new();
         let mut room = gossip::MOST_ENTRIES;
-        for n in 0..self.fleet.near.len() {
-            let i = self.fleet.near[n];
+        for n in 0..self.fleet.subset.len() {
+            let i = self.fleet.subset[n];
             let w = &self.fleet.workers[i];
-            let again = !w.flights.is_empty() && since(w.told_at, now) > TELL_AGAIN;
-            if (w.dirty || again) && room == 0 {
-                self.news = true;
-            } else if w.dirty || again {
-                let work = w.flights.iter().map(|f| self.remaining(now, w.speed, f) * f.slots).sum();
-                gossip::write(&mut data, w.id, work, w.flights.iter().map(|f| f.slots).sum());
+            let again = !w.in_flight.is_empty() && since(w.gossiped_at, now) > GOSSIP_REFRESH_S;
+            if (w.gossip_pending || again) && room == 0 {
+                self.gossip_changed = true;
+            } else if w.gossip_pending || again {
+                let work =
+                    w.in_flight.iter().map(|f| self.remaining_work(now, w.current_speed, f) * f.slots).sum();
+                gossip::write(&mut data, w.id, work, w.in_flight.iter().map(|f| f.slots).sum());
                 let w = &mut self.fleet.workers[i];
-                (w.dirty, w.told_at) = (false, now);
+                (w.gossip_pending, w.gossiped_at) = (false, now);
                 room -= 1;
             }
         }
         if !data.is_empty() {
-            let groups = self.fleet.groups as u32;
+            let groups = self.fleet.subset_count as u32;
             let peers = (self.settings.node_index % groups..self.settings.nodes).step_by(groups as usize);
             let peers = peers.filter(|to| *to != self.settings.node_index);
             out.extend(peers.map(|to| Action::SendGossip { to, data: data.clone() }));
         }
     }
 
-    pub(crate) fn hear(&mut self, now: Micros, from: u32, data: &[u8]) {
+    pub(crate) fn receive_gossip(&mut self, now: Micros, from: u32, data: &[u8]) {
         // Nonsense must not fill the memory: one record for each worker and node.
         if from >= self.settings.nodes {
             return;
         }
         for (worker, work, slots) in gossip::read(data) {
-            let near = self.fleet.near.iter().find(|i| gossip::short(self.fleet.workers[**i].id) == worker);
+            let near = self.fleet.subset.iter().find(|i| gossip::short(self.fleet.workers[**i].id) == worker);
             let Some(&i) = near else { continue };
-            let told = &mut self.fleet.workers[i].told;
-            told.retain(|t| t.from != from);
+            let told = &mut self.fleet.workers[i].peer_backlogs;
+            told.retain(|t| t.node != from);
             if slots > 0.0 {
-                told.push(Told { from, work, slots, at: now });
+                told.push(PeerBacklog { node: from, work, slots, at: now });
             }
         }
     }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -119,27 +119,31 @@
     pub fn snapshot(&self) -> StateSnapshot {
         let worker = |w: &Worker| WorkerSnapshot {
             id: w.id.0,
-            offset: w.offset,
-            lessons: w.lessons,
-            seen_slots: w.seen_slots,
-            started: w.started,
-            strikes: w.strikes,
-            avoid_until: w.avoid_until,
+            offset: w.log_speed_ratio,
+            lessons: w.speed_samples,
+            seen_slots: w.max_concurrent_slots,
+            started: w.started_at,
+            strikes: w.consecutive_failures,
+            avoid_until: w.ejected_until,
             unreachable: w.unreachable,
-            owed: w.owed,
-            keys: w.keys.iter().copied().collect(),
-            cold_sent: w.cold_sent.iter().copied().take(MOST_SENDS).collect(),
+            owed: w.reenabled_at,
+            keys: w.recent_keys.iter().copied().collect(),
+            cold_sent: w.warm_up_sends.iter().copied().take(MOST_SENDS).collect(),
+        };
+        let kind = |k: &MachineKind| KindSnapshot {
+            id: k.id.0,
+            ln_speed: k.speed.log_speed,
+            lessons: k.speed.samples,
         };
-        let kind = |k: &Kind| KindSnapshot { id: k.id.0, ln_speed: k.pace.ln_speed, lessons: k.pace.lessons };
         let fleet = &self.fleet;
         StateSnapshot {
             workers: fleet.workers.iter().take(MOST_WORKERS).map(worker).collect(),
             kinds: fleet.kinds.iter().map(kind).collect(),
-            all: (fleet.all.ln_speed, fleet.all.lessons),
+            all: (fleet.overall_speed.log_speed, fleet.overall_speed.samples),
             hint_error: fleet.hint_error,
-            usual_work: fleet.usual_work,
-            keys: fleet.last_keys().collect(),
-            first_came: self.first_came,
+            usual_work: fleet.mean_work,
+            keys: fleet.recent_keys().collect(),
+            first_came: self.first_offered_at,
         }
     }
 
@@ -147,22 +151,24 @@
     /// has taught itself it knows better.
     pub fn restore(&mut self, now: Micros, learned: &StateSnapshot) {
         for k in &learned.kinds {
-            let at = self.fleet.kind_at(KindId(k.id));
-            if let Some(ln_speed) = ln(k.ln_speed).filter(|_| self.fleet.kinds[at].pace.lessons == 0) {
-                self.fleet.kinds[at].pace = Pace { ln_speed, speed: ln_speed.exp(), lessons: k.lessons };
+            let at = self.fleet.kind_index(KindId(k.id));
+            if let Some(ln_speed) = ln(k.ln_speed).filter(|_| self.fleet.kinds[at].speed.samples == 0) {
+                self.fleet.kinds[at].speed =
+                    SpeedEstimate { log_speed: ln_speed, speed: ln_speed.exp(), samples: k.lessons };
             }
         }
-        if let Some(ln_speed) = ln(learned.all.0).filter(|_| self.fleet.all.lessons == 0) {
-            self.fleet.all = Pace { ln_speed, speed: ln_speed.exp(), lessons: learned.all.1 };
+        if let Some(ln_speed) = ln(learned.all.0).filter(|_| self.fleet.overall_speed.samples == 0) {
+            self.fleet.overall_speed =
+                SpeedEstimate { log_speed: ln_speed, speed: ln_speed.exp(), samples: learned.all.1 };
         }
         if let Some(error) = positive(learned.hint_error, MOST_LN) {
             self.fleet.hint_error = error;
         }
         if let Some(work) = positive(learned.usual_work, 1e4) {
-            self.fleet.usual_work = work;
+            self.fleet.mean_work = work;
         }
-        self.first_came = self.first_came.min(learned.first_came);
-        learned.keys.iter().for_each(|key| self.fleet.heed_key(Some(*key)));
+        self.first_offered_at = self.first_offered_at.min(learned.first_came);
+        learned.keys.iter().for_each(|key| self.fleet.record_key(Some(*key)));
         for l in learned.workers.iter().take(MOST_WORKERS) {
             if let Some(i) = self.fleet.find(WorkerId(l.id)) {
                 l.teach(now, &mut self.fleet.workers[i]);
@@ -174,25 +180,25 @@
 impl Dispatcher {
     /// Lets a job go that has no answer yet: nothing of it is known here any more, and nothing is called off.
     pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
-        let job = self.jobs.get(&job).filter(|j| !j.ended && !j.bound)?.id;
+        let job = self.jobs.get(&job).filter(|j| !j.is_answered && !j.is_streaming)?.id;
         let job = self.jobs.remove(&job)?;
-        self.line.retain(|place| place.2 != job.id);
+        self.pending.retain(|place| place.2 != job.id);
         let mut attempts = Vec::new();
         for (a, number) in job.attempts.iter().zip(0..) {
             let at = self.fleet.find(a.worker);
-            let flight = at.and_then(|i| self.fleet.workers[i].land(job.id, number));
+            let flight = at.and_then(|i| self.fleet.workers[i].remove_attempt(job.id, number));
             attempts.push(MigratedAttempt {
                 worker: a.worker.0,
                 zone: a.zone.0,
                 cell: a.cell.0,
-                sent: a.sent,
-                end: a.end,
+                sent: a.sent_at,
+                end: a.outcome,
                 flight: flight.map(|f| MigratedInFlight {
                     work: f.work,
                     slots: f.slots,
                     accepted: f.accepted,
-                    foreseen: f.foreseen,
-                    started: f.started,
+                    foreseen: f.predicted_wait,
+                    started: f.started_at,
                     progress: f.progress,
                 }),
             });
@@ -200,12 +206,12 @@
         Some(MigratedJob {
             class: job.class,
             over_quota: job.over_quota,
-            value: job.value,
-            first: job.first,
+            value: job.weight,
+            first: job.is_first_submission,
             work: job.work,
             slots: job.slots,
             key: job.key,
-            aim_at: job.aim_at,
+            aim_at: job.objective_at,
             deadline: job.deadline,
             attempts,
         })
@@ -236,67 +242,68 @@
         };
         let mut job = Job {
             over_quota: moved.over_quota,
-            value: moved.value,
-            first: moved.first,
+            weight: moved.value,
+            is_first_submission: moved.first,
             work: moved.work,
             slots: moved.slots,
-            aim_at: moved.aim_at,
+            objective_at: moved.aim_at,
             ..Job::new(&offer)
         };
         for (a, number) in moved.attempts.iter().zip(0..) {
             let worker = WorkerId(a.worker);
             let (zone, cell) = (ZoneId(a.zone), CellId(a.cell));
-            job.attempts.push(Attempt { worker, zone, cell, sent: a.sent, end: a.end });
+            job.attempts.push(Attempt { worker, zone, cell, sent_at: a.sent, outcome: a.end });
             if let (Some(f), Some(i), None) = (&a.flight, self.fleet.find(worker), a.end) {
                 let w = &mut self.fleet.workers[i];
-                job.key.into_iter().for_each(|key| w.heed_key(key));
-                w.flights.push(Flight {
+                job.key.into_iter().for_each(|key| w.record_key(key));
+                w.in_flight.push(InFlightAttempt {
                     job: id,
                     attempt: number,
                     work: positive(f.work, 1e4).unwrap_or(0.0),
                     slots: positive(f.slots, 64.0).unwrap_or(1.0),
-                    sent: a.sent.min(now),
+                    sent_at: a.sent.min(now),
                     accepted: f.accepted,
-                    recalled: false,
-                    foreseen: positive(f.foreseen, 1e4).unwrap_or(0.0),
-                    started: f.started.map(|at| at.min(now)),
+                    revoked: false,
+                    predicted_wait: positive(f.foreseen, 1e4).unwrap_or(0.0),
+                    started_at: f.started.map(|at| at.min(now)),
                     progress: f.progress.map(|(done, at)| (done.clamp(0.0, 1.0), at.min(now))),
                     unhinted: None,
                 });
-                (w.surveyed, w.dirty) = (0, true);
+                (w.estimated_at, w.gossip_pending) = (0, true);
             }
         }
-        let idle = job.live().next().is_none();
+        let idle = job.in_flight().next().is_none();
         match idle {
-            true => self.hold(job),
-            false => self.keep(job),
+            true => self.enqueue_job(job),
+            false => self.store_job(job),
         }
         if idle {
-            self.dispatch(now, out);
+            self.dispatch_pending(now, out);
         }
-        self.arm(now, out);
+        self.set_timer(now, out);
         true
     }
 }
 
 impl WorkerSnapshot {
     fn teach(&self, now: Micros, w: &mut Worker) {
-        if w.lessons == 0
+        if w.speed_samples == 0
             && let Some(offset) = ln(self.offset)
         {
-            (w.offset, w.factor, w.lessons) = (offset, offset.exp(), self.lessons);
-            w.seen_slots = w.seen_slots.max(positive(self.seen_slots, 64.0).unwrap_or(0.0));
+            (w.log_speed_ratio, w.speed_ratio, w.speed_samples) = (offset, offset.exp(), self.lessons);
+            w.max_concurrent_slots =
+                w.max_concurrent_slots.max(positive(self.seen_slots, 64.0).unwrap_or(0.0));
         }
-        w.started = w.started.max(self.started.min(now));
-        w.strikes = w.strikes.max(self.strikes.min(MOST_STRIKES));
+        w.started_at = w.started_at.max(self.started.min(now));
+        w.consecutive_failures = w.consecutive_failures.max(self.strikes.min(MOST_STRIKES));
         // A pause is seconds long; one that ends far ahead is nonsense.
-        w.avoid_until = w.avoid_until.max(self.avoid_until.min(now + micros(60.0)));
+        w.ejected_until = w.ejected_until.max(self.avoid_until.min(now + micros(60.0)));
         w.unreachable |= self.unreachable;
-        w.owed = w.owed.or(self.owed.map(|at| at.min(now)));
-        self.keys.iter().rev().take(KEYS_MOST).for_each(|key| w.heed_key(*key));
+        w.reenabled_at = w.reenabled_at.or(self.owed.map(|at| at.min(now)));
+        self.keys.iter().rev().take(MAX_WORKER_KEYS).for_each(|key| w.record_key(*key));
         let sent = self.cold_sent.iter().filter(|(at, work)| *at <= now && work.is_finite() && *work >= 0.0);
-        let own = std::mem::take(&mut w.cold_sent);
-        w.cold_sent = sent.take(MOST_SENDS).copied().chain(own).collect();
-        (w.surveyed, w.dirty) = (0, true);
+        let own = std::mem::take(&mut w.warm_up_sends);
+        w.warm_up_sends = sent.take(MOST_SENDS).copied().chain(own).collect();
+        (w.estimated_at, w.gossip_pending) = (0, true);
     }
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -11,12 +11,12 @@
 pub(crate) const MAX_ATTEMPTS: usize = 8;
 
 /// Fewest nodes and workers of a group.
-const GROUP_NODES: u32 = 8;
-const GROUP_WORKERS: usize = 8;
+const MIN_SUBSET_NODES: u32 = 8;
+const MIN_SUBSET_WORKERS: usize = 8;
 /// So many of this node's jobs tell which keys are wanted.
-const LAST_KEYS: usize = 40;
+const MAX_RECENT_KEYS: usize = 40;
 /// So many keys of a worker are remembered.
-pub(crate) const KEYS_MOST: usize = 16;
+pub(crate) const MAX_WORKER_KEYS: usize = 16;
 
 /// Many nodes with many workers part into groups, each of which does with few workers what a small deployment does:
 /// it knows them, and can afford to tell its nodes' work. Where nothing may be told, groups would only make each fetch
@@ -25,7 +25,7 @@
     if !settings.may_gossip {
         return 1;
     }
-    (settings.nodes / GROUP_NODES).max(1) as usize
+    (settings.nodes / MIN_SUBSET_NODES).max(1) as usize
 }
 
 /// A span in seconds.
@@ -45,12 +45,12 @@
 
 /// A sum whose parts fade with age.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingSum {
     value: f64,
     at: Micros,
 }
 
-impl Fading {
+impl DecayingSum {
     pub fn get(&self, now: Micros, tau: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
@@ -59,7 +59,7 @@
     }
 
     pub fn set(&mut self, now: Micros, value: f64) {
-        *self = Fading { value, at: now };
+        *self = DecayingSum { value, at: now };
     }
 
     pub fn add(&mut self, now: Micros, value: f64, tau: f64) {
@@ -69,13 +69,13 @@
 
 /// A figure averaged over the time that it stood at each value.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Average {
+pub(crate) struct TimeWeightedAverage {
     value: f64,
     last: f64,
     at: Micros,
 }
 
-impl Average {
+impl TimeWeightedAverage {
     /// It is `value` from now on. Returns the average up to now.
     pub fn set(&mut self, now: Micros, value: f64, tau: f64) -> f64 {
         let old = (-since(self.at, now) / tau).exp();
@@ -87,32 +87,33 @@
 
 /// The mean of what came lately, however seldom it comes.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Recent {
-    sum: Fading,
-    count: Fading,
+pub(crate) struct WindowedMean {
+    sum: DecayingSum,
+    count: DecayingSum,
 }
 
-impl Recent {
+impl WindowedMean {
     pub fn add(&mut self, now: Micros, value: f64) {
-        self.sum.add(now, value, KIND_SPAN);
-        self.count.add(now, 1.0, KIND_SPAN);
+        self.sum.add(now, value, START_DELAY_SPAN_S);
+        self.count.add(now, 1.0, START_DELAY_SPAN_S);
     }
 
     pub fn get(&self, now: Micros) -> f64 {
-        self.sum.get(now, KIND_SPAN) / (self.count.get(now, KIND_SPAN) + KIND_PRIOR)
+        self.sum.get(now, START_DELAY_SPAN_S)
+            / (self.count.get(now, START_DELAY_SPAN_S) + START_DELAY_PRIOR_COUNT)
     }
 }
 
 /// Tokens that come back at a rate, up to a store.
 #[derive(Clone, Copy)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     pub tokens: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn full(store: f64) -> Self {
-        Bucket { tokens: store, at: 0 }
+        TokenBucket { tokens: store, at: 0 }
     }
 
     pub fn refill(&mut self, now: Micros, rate: f64, store: f64) {
@@ -129,35 +130,35 @@
 }
 
 /// An attempt that is out at a worker.
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     pub job: JobId,
     pub attempt: u32,
     pub work: f64,
     pub slots: f64,
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// The worker has taken it on.
     pub accepted: bool,
     /// It was recalled, which is said once.
-    pub recalled: bool,
+    pub revoked: bool,
     /// Wait that was foreseen when it was sent.
-    pub foreseen: f64,
-    pub started: Option<Micros>,
+    pub predicted_wait: f64,
+    pub started_at: Option<Micros>,
     /// Share done at the last progress note, and when that came.
     pub progress: Option<(f64, Micros)>,
     /// Its class and the work that was reckoned for that, where the job came without a hint.
     pub unhinted: Option<(usize, f64)>,
 }
 
-impl Flight {
+impl InFlightAttempt {
     /// Whether it should have been taken on by now and is not.
-    pub fn unheard(&self, now: Micros, within: Micros) -> bool {
-        within > 0 && !self.accepted && now > self.sent + within
+    pub fn is_acceptance_overdue(&self, now: Micros, within: Micros) -> bool {
+        within > 0 && !self.accepted && now > self.sent_at + within
     }
 }
 
 /// What another node has told of its own work at a worker.
-pub(crate) struct Told {
-    pub from: u32,
+pub(crate) struct PeerBacklog {
+    pub node: u32,
     pub work: f64,
     pub slots: f64,
     pub at: Micros,
@@ -165,15 +166,15 @@
 
 /// How well a worker suits the job in hand, best first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub(crate) enum Rank {
+pub(crate) enum PlacementTier {
     /// A slot is about to be free, and the job would be in time.
-    Free,
+    Immediate,
     /// In time after a wait.
-    Busy,
+    Queued,
     /// Too late.
     Late,
     /// May not take it.
-    None,
+    Ineligible,
 }
 
 pub(crate) struct Worker {
@@ -181,49 +182,49 @@
     pub zone: ZoneId,
     pub kind: KindId,
     pub cell: CellId,
-    pub life: WorkerStatus,
+    pub status: WorkerStatus,
     /// One of this node's own: see [`Fleet::near`].
-    pub near: bool,
+    pub in_subset: bool,
     /// Last start as listed or inferred; 0: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Listed size in slots; 1 where it is not told.
-    pub size: f64,
+    pub listed_slots: f64,
     /// Place of its kind in [`Fleet::kinds`].
-    pub kind_at: usize,
+    pub kind_index: usize,
     /// Logarithm of its speed over its kind's, that factor itself, and how many jobs taught it.
-    pub offset: f64,
-    pub factor: f64,
-    pub lessons: u32,
+    pub log_speed_ratio: f64,
+    pub speed_ratio: f64,
+    pub speed_samples: u32,
     /// Most slots seen running at once.
-    pub seen_slots: f64,
+    pub max_concurrent_slots: f64,
     /// Hinted work sent, fading.
-    pub sent: Fading,
-    pub flights: Vec<Flight>,
+    pub sent_work: DecayingSum,
+    pub in_flight: Vec<InFlightAttempt>,
     /// Keys of the jobs sent there, the last one first.
-    pub keys: VecDeque<u64>,
+    pub recent_keys: VecDeque<u64>,
     /// Work sent while cold.
-    pub cold_sent: VecDeque<(Micros, f64)>,
+    pub warm_up_sends: VecDeque<(Micros, f64)>,
     /// Wait that start notices showed beyond the foreseen one, fading.
-    pub unseen: Fading,
-    pub told: Vec<Told>,
+    pub excess_wait: DecayingSum,
+    pub peer_backlogs: Vec<PeerBacklog>,
     /// Failures in a row, and until when they keep work away.
-    pub strikes: u32,
-    pub avoid_until: Micros,
+    pub consecutive_failures: u32,
+    pub ejected_until: Micros,
     pub unreachable: bool,
     /// When operators put it back, while nothing has been sent there since.
-    pub owed: Option<Micros>,
+    pub reenabled_at: Option<Micros>,
     /// Own backlog changed since the last message about it.
-    pub dirty: bool,
-    pub told_at: Micros,
+    pub gossip_pending: bool,
+    pub gossiped_at: Micros,
     /// When what follows was derived; 0: something happened since.
-    pub surveyed: Micros,
+    pub estimated_at: Micros,
     /// Derived at the last survey: least share of the capacity, present speed, utilisation, wait for one slot.
-    pub warmth: f64,
-    pub speed: f64,
+    pub warm_up_fraction: f64,
+    pub current_speed: f64,
     pub utilisation: f64,
     pub wait: f64,
     /// Derived for the job in hand.
-    pub rank: Rank,
+    pub tier: PlacementTier,
     pub cost: f64,
 }
 
@@ -234,44 +235,44 @@
             zone: entry.zone,
             kind: entry.kind,
             cell: entry.cell,
-            life: entry.status,
-            near: false,
-            started: entry.started,
-            size: 1.0,
-            kind_at,
-            offset: 0.0,
-            factor: 1.0,
-            lessons: 0,
-            seen_slots: 0.0,
-            sent: Fading::default(),
-            flights: Vec::new(),
-            keys: VecDeque::new(),
-            cold_sent: VecDeque::new(),
-            unseen: Fading::default(),
-            told: Vec::new(),
-            strikes: 0,
-            avoid_until: 0,
+            status: entry.status,
+            in_subset: false,
+            started_at: entry.started,
+            listed_slots: 1.0,
+            kind_index: kind_at,
+            log_speed_ratio: 0.0,
+            speed_ratio: 1.0,
+            speed_samples: 0,
+            max_concurrent_slots: 0.0,
+            sent_work: DecayingSum::default(),
+            in_flight: Vec::new(),
+            recent_keys: VecDeque::new(),
+            warm_up_sends: VecDeque::new(),
+            excess_wait: DecayingSum::default(),
+            peer_backlogs: Vec::new(),
+            consecutive_failures: 0,
+            ejected_until: 0,
             unreachable: false,
-            owed: None,
-            dirty: false,
-            told_at: 0,
-            surveyed: 0,
-            warmth: 1.0,
-            speed: 1.0,
+            reenabled_at: None,
+            gossip_pending: false,
+            gossiped_at: 0,
+            estimated_at: 0,
+            warm_up_fraction: 1.0,
+            current_speed: 1.0,
             utilisation: 0.0,
             wait: 0.0,
-            rank: Rank::None,
+            tier: PlacementTier::Ineligible,
             cost: 0.0,
         }
     }
 
     /// Slots of jobs that were running at that time and still are.
-    pub fn running(&self, then: Micros) -> f64 {
-        self.flights.iter().filter(|f| f.started.is_some_and(|at| at <= then)).map(|f| f.slots).sum()
+    pub fn slots_running_since(&self, then: Micros) -> f64 {
+        self.in_flight.iter().filter(|f| f.started_at.is_some_and(|at| at <= then)).map(|f| f.slots).sum()
     }
 
     /// Whether it discards repeats of what that attempt ran.
-    pub fn discards_repeats(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
+    pub fn deduplicates(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => first.zone == self.zone,
@@ -280,79 +281,79 @@
     }
 
     /// How far the longest waiting attempt is past its foreseen start, s: there is work that nobody told of.
-    pub fn overdue_start(&self, now: Micros) -> f64 {
-        let late = |f: &Flight| since(f.sent, now) - f.foreseen;
-        self.flights.iter().filter(|f| f.started.is_none()).map(late).fold(0.0, f64::max)
+    pub fn longest_start_delay(&self, now: Micros) -> f64 {
+        let late = |f: &InFlightAttempt| since(f.sent_at, now) - f.predicted_wait;
+        self.in_flight.iter().filter(|f| f.started_at.is_none()).map(late).fold(0.0, f64::max)
     }
 
     /// Wait at it that nobody told of: what late starts showed, as it fades. A wait is not over before it has been
     /// worked off, and a node of many may not send there again before that.
-    pub fn hidden(&self, now: Micros) -> f64 {
-        let left = self.unseen.value - since(self.unseen.at, now);
-        self.unseen.get(now, UNSEEN_SPAN).max(left).max(self.overdue_start(now))
+    pub fn unobserved_wait(&self, now: Micros) -> f64 {
+        let left = self.excess_wait.value - since(self.excess_wait.at, now);
+        self.excess_wait.get(now, EXCESS_WAIT_SPAN_S).max(left).max(self.longest_start_delay(now))
     }
 
     /// How many other keys were sent there since this one.
-    pub fn keys_since(&self, key: u64) -> Option<usize> {
-        self.keys.iter().position(|k| *k == key)
+    pub fn keys_sent_since(&self, key: u64) -> Option<usize> {
+        self.recent_keys.iter().position(|k| *k == key)
     }
 
     /// A job of that key goes there.
-    pub fn heed_key(&mut self, key: u64) {
-        self.keys.retain(|k| *k != key);
-        self.keys.push_front(key);
-        self.keys.truncate(KEYS_MOST);
+    pub fn record_key(&mut self, key: u64) {
+        self.recent_keys.retain(|k| *k != key);
+        self.recent_keys.push_front(key);
+        self.recent_keys.truncate(MAX_WORKER_KEYS);
     }
 
     /// A worker's claim to a key, the same at all nodes.
-    pub fn claim(&self, key: u64) -> u64 {
+    pub fn rendezvous_weight(&self, key: u64) -> u64 {
         let mixed = (self.id.0 ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xd6e8_feb8_6659_fd93);
         (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93)
     }
 
     /// Whether it has not taken on in time what was sent to it.
-    pub fn silent(&self, now: Micros, within: Micros) -> bool {
-        self.flights.iter().any(|f| f.unheard(now, within))
+    pub fn has_overdue_acceptance(&self, now: Micros, within: Micros) -> bool {
+        self.in_flight.iter().any(|f| f.is_acceptance_overdue(now, within))
     }
 
     /// Something came from it: it is within reach.
-    pub fn sign_of_life(&mut self, now: Micros) {
-        self.surveyed = 0;
+    pub fn record_contact(&mut self, now: Micros) {
+        self.estimated_at = 0;
         if self.unreachable {
             // Back after it could not be reached: it may be cold long before the list says so.
             self.unreachable = false;
-            self.started = self.started.max(now);
+            self.started_at = self.started_at.max(now);
         }
     }
 
     /// Operators put it back, having taken it out at `since`. They do that to restart it, and the list is late: unless
     /// that tells of a start since then, it is taken to start now.
-    pub fn put_back(&mut self, since: Micros, now: Micros) {
-        if self.started < since || self.started == 0 {
-            self.started = now;
+    pub fn reenable(&mut self, since: Micros, now: Micros) {
+        if self.started_at < since || self.started_at == 0 {
+            self.started_at = now;
         }
-        (self.strikes, self.avoid_until, self.unreachable) = (0, 0, false);
-        (self.owed, self.surveyed) = (Some(now), 0);
+        (self.consecutive_failures, self.ejected_until, self.unreachable) = (0, 0, false);
+        (self.reenabled_at, self.estimated_at) = (Some(now), 0);
     }
 
     /// Its attempts that it has not taken on: those may not have left yet. Each is named once.
-    fn recall(&mut self) -> impl Iterator<Item = (JobId, u32)> {
-        self.flights.iter_mut().filter(|f| !f.accepted && !f.recalled).map(|f| {
-            f.recalled = true;
+    fn revoke_unaccepted(&mut self) -> impl Iterator<Item = (JobId, u32)> {
+        self.in_flight.iter_mut().filter(|f| !f.accepted && !f.revoked).map(|f| {
+            f.revoked = true;
             (f.job, f.attempt)
         })
     }
 
     /// Takes an attempt off the worker.
-    pub fn land(&mut self, job: JobId, attempt: u32) -> Option<Flight> {
-        let at = self.flights.iter().position(|f| f.job == job && f.attempt == attempt)?;
-        self.dirty = true;
-        self.surveyed = 0;
-        Some(self.flights.remove(at))
+    pub fn remove_attempt(&mut self, job: JobId, attempt: u32) -> Option<InFlightAttempt> {
+        let at = self.in_flight.iter().position(|f| f.job == job && f.attempt == attempt)?;
+        self.gossip_pending = true;
+        self.estimated_at = 0;
+        Some(self.in_flight.remove(at))
     }
 
-    pub fn flight(&mut self, job: JobId, attempt: u32) -> Option<&mut Flight> {
-        self.flights.iter_mut().find(|f| f.job == job && f.attempt == attempt)
+    pub fn attempt_mut(&mut self, job: JobId, attempt: u32) -> Option<&mut InFlightAttempt> {
+        self.in_flight.iter_mut().find(|f| f.job == job && f.attempt == attempt)
     }
 }
 
@@ -362,14 +363,14 @@
     pub worker: WorkerId,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub sent: Micros,
-    pub end: Option<Outcome>,
+    pub sent_at: Micros,
+    pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
     /// When repeats of what it ran are no longer discarded.
-    pub fn repeats_until(&self, window: Micros) -> Micros {
-        self.sent.saturating_add(window)
+    pub fn deduplicated_until(&self, window: Micros) -> Micros {
+        self.sent_at.saturating_add(window)
     }
 }
 
@@ -378,24 +379,24 @@
     pub class: usize,
     pub over_quota: bool,
     /// Worth of a slot's work, as a part of the highest.
-    pub value: f64,
+    pub weight: f64,
     /// No retry of a client's.
-    pub first: bool,
+    pub is_first_submission: bool,
     pub work: f64,
     /// Its work is a guess by its class.
-    pub unhinted: bool,
+    pub is_unhinted: bool,
     pub slots: f64,
     /// What it concerns, and the least claim to that of the workers at home with it.
     pub key: Option<u64>,
-    pub home_claim: u64,
+    pub affinity_threshold: u64,
     /// An answer after this is taken to be late.
-    pub aim_at: Micros,
+    pub objective_at: Micros,
     pub deadline: Micros,
     pub attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
     /// The answer flows; nothing more is to be decided.
-    pub bound: bool,
+    pub is_streaming: bool,
     /// The final answer is out.
-    pub ended: bool,
+    pub is_answered: bool,
 }
 
 impl Job {
@@ -404,18 +405,18 @@
             id: offer.job,
             class: offer.class.0,
             over_quota: false,
-            value: 1.0,
-            first: true,
+            weight: 1.0,
+            is_first_submission: true,
             work: 0.0,
-            unhinted: false,
+            is_unhinted: false,
             slots: 1.0,
             key: offer.key,
-            home_claim: u64::MAX,
-            aim_at: 0,
+            affinity_threshold: u64::MAX,
+            objective_at: 0,
             deadline: offer.deadline,
             attempts: ArrayVec::new(),
-            bound: false,
-            ended: false,
+            is_streaming: false,
+            is_answered: false,
         }
     }
 
@@ -425,43 +426,43 @@
     }
 
     /// Numbers and workers of the attempts that are out.
-    pub fn live(&self) -> impl Iterator<Item = (u32, WorkerId)> {
-        self.attempts.iter().zip(0..).filter(|(a, _)| a.end.is_none()).map(|(a, i)| (i, a.worker))
+    pub fn in_flight(&self) -> impl Iterator<Item = (u32, WorkerId)> {
+        self.attempts.iter().zip(0..).filter(|(a, _)| a.outcome.is_none()).map(|(a, i)| (i, a.worker))
     }
 
     /// The first attempt that may have run.
-    pub fn may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| !a.end.is_some_and(Outcome::never_ran))
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 
     /// Attempts that were called off. What fails or cannot be reached is not crowded; what keeps a job waiting is.
-    pub fn called_off(&self) -> usize {
-        self.attempts.iter().filter(|a| a.end == Some(Outcome::Cancelled)).count()
+    pub fn cancelled_attempts(&self) -> usize {
+        self.attempts.iter().filter(|a| a.outcome == Some(Outcome::Cancelled)).count()
     }
 
     /// Whether a worker may still say how an earlier attempt there ended: one that was called off, or broke off. Its
     /// words name the job and no attempt, so that they would end the next one there, which runs on.
-    pub fn may_still_be_told_of(&self, worker: WorkerId) -> bool {
+    pub fn may_receive_stale_callback(&self, worker: WorkerId) -> bool {
         let open = |end| matches!(end, Some(Outcome::Cancelled | Outcome::Lost));
-        self.attempts.iter().any(|a| a.worker == worker && open(a.end))
+        self.attempts.iter().any(|a| a.worker == worker && open(a.outcome))
     }
 
-    pub fn tried(&self, worker: WorkerId) -> bool {
+    pub fn was_sent_to(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|a| a.worker == worker)
     }
 }
 
 /// The moments from now at which a worker's slots come free, its queue being served in order.
-pub(crate) struct Slots(ArrayVec<f64, 16>);
+pub(crate) struct SlotSchedule(ArrayVec<f64, 16>);
 
-impl Slots {
+impl SlotSchedule {
     pub fn new(count: f64) -> Self {
         let count = (count.round() as usize).clamp(1, 16);
-        Slots(std::iter::repeat_n(0.0, count).collect())
+        SlotSchedule(std::iter::repeat_n(0.0, count).collect())
     }
 
     /// Puts a job behind what is there and returns when it starts.
-    pub fn put(&mut self, span: f64, slots: f64) -> f64 {
+    pub fn enqueue(&mut self, span: f64, slots: f64) -> f64 {
         let mut start: f64 = 0.0;
         for _ in 0..(slots as usize).clamp(1, self.0.len()) {
             let Some(free) = self.0.iter_mut().min_by(|a, b| a.total_cmp(b)) else { break };
@@ -474,21 +475,21 @@
 
 /// What a group of workers runs at: middle logarithm of the speed that jobs showed.
 #[derive(Clone, Copy)]
-pub(crate) struct Pace {
-    pub ln_speed: f64,
+pub(crate) struct SpeedEstimate {
+    pub log_speed: f64,
     pub speed: f64,
-    pub lessons: u32,
+    pub samples: u32,
 }
 
-impl Pace {
-    pub const UNKNOWN: Pace = Pace { ln_speed: 0.0, speed: 1.0, lessons: 0 };
+impl SpeedEstimate {
+    pub const UNKNOWN: SpeedEstimate = SpeedEstimate { log_speed: 0.0, speed: 1.0, samples: 0 };
 
     /// One more job, which was off by `error`. Like a median, it is not drawn far by any one of them.
-    pub fn learn(&mut self, error: f64, usual: f64) {
-        self.lessons = self.lessons.saturating_add(1);
-        let most = if self.lessons > 1 { usual * LESSON_CLAMP } else { f64::INFINITY };
-        self.ln_speed += KIND_GAIN.max(1.0 / f64::from(self.lessons)) * error.clamp(-most, most);
-        self.speed = self.ln_speed.exp();
+    pub fn add_sample(&mut self, error: f64, usual: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let most = if self.samples > 1 { usual * MAX_SAMPLE_ERRORS } else { f64::INFINITY };
+        self.log_speed += SHARED_ESTIMATE_GAIN.max(1.0 / f64::from(self.samples)) * error.clamp(-most, most);
+        self.speed = self.log_speed.exp();
     }
 }
 
@@ -496,45 +497,53 @@
 /// Work is summed up by its mean, while speeds are learned as a middle of logarithms; taking one for the
 /// other lets cold workers be sent twice what they can do, as work has a long tail.
 #[derive(Clone, Copy)]
-struct Usual {
+struct WorkEstimate {
     mean: f64,
-    ln: f64,
-    lessons: u32,
+    log_mean: f64,
+    samples: u32,
 }
 
-impl Usual {
+impl WorkEstimate {
     /// Nothing was seen yet: what is wanted of the class tells the order of magnitude.
-    fn guessed(class: &Class) -> Self {
-        let mean = secs(class.latency_objective).clamp(UNHINTED_WORK, 10.0 * UNHINTED_WORK);
-        Usual { mean, ln: mean.ln(), lessons: 0 }
+    fn from_latency_objective(class: &Class) -> Self {
+        let mean = secs(class.latency_objective).clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
+        WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
     }
 
-    fn learn(&mut self, work: f64) {
-        self.lessons = self.lessons.saturating_add(1);
-        let gain = KIND_GAIN.max(1.0 / f64::from(self.lessons));
+    fn add_sample(&mut self, work: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let gain = SHARED_ESTIMATE_GAIN.max(1.0 / f64::from(self.samples));
         self.mean += gain * (work - self.mean);
-        self.ln += gain * (work.max(1e-6).ln() - self.ln);
+        self.log_mean += gain * (work.max(1e-6).ln() - self.log_mean);
     }
 }
 
 /// What is known of all workers of a kind, each of which a node of many seldom meets.
-pub(crate) struct Kind {
+pub(crate) struct MachineKind {
     pub id: KindId,
-    pub pace: Pace,
+    pub speed: SpeedEstimate,
     /// Wait that starts showed beyond the foreseen one.
-    pub late: Recent,
+    pub start_delay: WindowedMean,
     /// Hinted work sent, fading.
-    pub sent: Fading,
+    pub sent_work: DecayingSum,
     /// Derived: work that its ready workers can do in a second; share of that in use; wait to be reckoned with.
     pub capacity: f64,
     pub utilisation: f64,
     pub wait: f64,
 }
 
-impl Kind {
+impl MachineKind {
     fn new(id: KindId) -> Self {
-        let (late, sent) = (Recent::default(), Fading::default());
-        Kind { id, pace: Pace::UNKNOWN, late, sent, capacity: 0.0, utilisation: 0.0, wait: 0.0 }
+        let (late, sent) = (WindowedMean::default(), DecayingSum::default());
+        MachineKind {
+            id,
+            speed: SpeedEstimate::UNKNOWN,
+            start_delay: late,
+            sent_work: sent,
+            capacity: 0.0,
+            utilisation: 0.0,
+            wait: 0.0,
+        }
     }
 }
 
@@ -542,92 +551,94 @@
 pub(crate) struct Fleet {
     pub workers: Vec<Worker>,
     /// Those that operators have taken out, and when: kept beside the list, which may drop one and name it again.
-    pub out: BTreeMap<WorkerId, Micros>,
+    pub disabled: BTreeMap<WorkerId, Micros>,
     /// Those put back that the list does not name at present, and when.
-    back: BTreeMap<WorkerId, Micros>,
+    reenabled_unlisted: BTreeMap<WorkerId, Micros>,
     /// Attempts to recall, not yet said: they were on their way to a worker that takes nothing new any more.
-    pub recalls: Vec<(JobId, u32)>,
+    pub pending_revocations: Vec<(JobId, u32)>,
     /// Places of this node's own workers: those that its group of nodes shares.
-    pub near: Vec<usize>,
+    pub subset: Vec<usize>,
     /// How many of those are cold.
-    pub cold: usize,
+    pub warming_up: usize,
     /// Groups that nodes and workers are in, at most that many, and this node's number.
-    pub groups: usize,
-    most_groups: usize,
-    rank: usize,
-    pub kinds: Vec<Kind>,
+    pub subset_count: usize,
+    max_subsets: usize,
+    node_index: usize,
+    pub kinds: Vec<MachineKind>,
     /// What the fleet as a whole runs at, for kinds that nothing is known of.
-    pub all: Pace,
+    pub overall_speed: SpeedEstimate,
     pub median_slots: f64,
     /// Keys of the last jobs that came.
-    last_keys: VecDeque<u64>,
+    recent_keys: VecDeque<u64>,
     /// Own running jobs, averaged, and as last counted.
-    running: Average,
+    running_slots: TimeWeightedAverage,
     /// Jobs that run at once at a worker, by own running ones times the nodes.
-    shared_slots: f64,
+    extrapolated_slots: f64,
     /// The list tells sizes.
-    pub sizes_told: bool,
+    pub sizes_listed: bool,
     /// Mean distance (of logarithms) between what jobs run at and what was learned of their workers.
     pub hint_error: f64,
     /// Share of the attempts that start at once, lately.
-    pub prompt: f64,
+    pub prompt_start_share: f64,
     /// Mean hinted work of a job.
-    pub usual_work: f64,
+    pub mean_work: f64,
     /// And of the jobs of each class that came without a hint.
-    usual: Vec<Usual>,
+    unhinted_work: Vec<WorkEstimate>,
 }
 
 impl Fleet {
     pub fn new(settings: &Settings) -> Self {
         Fleet {
-            sizes_told: settings.sizes_listed,
-            near: Vec::new(),
-            cold: 0,
-            groups: 1,
-            most_groups: most_groups(settings),
-            rank: settings.node_index as usize,
+            sizes_listed: settings.sizes_listed,
+            subset: Vec::new(),
+            warming_up: 0,
+            subset_count: 1,
+            max_subsets: most_groups(settings),
+            node_index: settings.node_index as usize,
             workers: Vec::new(),
-            out: BTreeMap::new(),
-            back: BTreeMap::new(),
-            recalls: Vec::new(),
+            disabled: BTreeMap::new(),
+            reenabled_unlisted: BTreeMap::new(),
+            pending_revocations: Vec::new(),
             kinds: Vec::new(),
-            all: Pace::UNKNOWN,
+            overall_speed: SpeedEstimate::UNKNOWN,
             median_slots: 1.0,
-            last_keys: VecDeque::new(),
-            running: Average::default(),
-            shared_slots: 1.0,
+            recent_keys: VecDeque::new(),
+            running_slots: TimeWeightedAverage::default(),
+            extrapolated_slots: 1.0,
             hint_error: 0.5,
-            prompt: 1.0,
-            usual_work: UNHINTED_WORK,
-            usual: settings.classes.iter().map(Usual::guessed).collect(),
+            prompt_start_share: 1.0,
+            mean_work: DEFAULT_JOB_WORK_S,
+            unhinted_work: settings.classes.iter().map(WorkEstimate::from_latency_objective).collect(),
         }
     }
 
     /// The work of a job of that class that came without a hint.
-    pub fn unhinted_work(&self, class: usize) -> f64 {
-        self.usual.get(class).map_or(UNHINTED_WORK, |usual| usual.mean.clamp(1e-4, 1e4))
+    pub fn estimate_unhinted_work(&self, class: usize) -> f64 {
+        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |usual| usual.mean.clamp(1e-4, 1e4))
     }
 
     /// The logarithm of the speed that a job showed which ran for so many seconds.
-    pub fn lesson(&mut self, i: usize, flight: &Flight, run: f64) -> f64 {
-        let speed = self.speed(&self.workers[i]);
-        let learned = flight.unhinted.and_then(|(class, work)| Some((self.usual.get_mut(class)?, work)));
+    pub fn take_speed_sample(&mut self, i: usize, flight: &InFlightAttempt, run: f64) -> f64 {
+        let speed = self.learned_speed(&self.workers[i]);
+        let learned =
+            flight.unhinted.and_then(|(class, work)| Some((self.unhinted_work.get_mut(class)?, work)));
         let Some((usual, work)) = learned.filter(|_| flight.work > 0.0) else {
             return (flight.work / run).ln();
         };
         // What of the run was foreseen for a fetch is not work of the class.
         let own = run * work / flight.work;
-        usual.learn(own * speed);
-        usual.ln - own.ln()
+        usual.add_sample(own * speed);
+        usual.log_mean - own.ln()
     }
 
     /// The least claim to a key of the ready workers that are at home with it: as many as its part of the jobs asks
     /// for, and one more for each where the job waited in vain. All nodes with this list agree on their order.
-    pub fn home_claim(&self, key: Option<u64>, in_vain: usize) -> u64 {
+    pub fn affinity_threshold(&self, key: Option<u64>, in_vain: usize) -> u64 {
         let Some(key) = key else { return u64::MAX };
-        let wanted = self.key_share(key) * self.near.len() as f64 * HOMES_SPARE;
-        let homes = (wanted.ceil() as usize + in_vain).clamp(1, self.near.len().max(1));
-        let mut claims: Vec<u64> = self.near.iter().map(|i| self.workers[*i].claim(key)).collect();
+        let wanted = self.key_share(key) * self.subset.len() as f64 * HOME_SPARE_FACTOR;
+        let homes = (wanted.ceil() as usize + in_vain).clamp(1, self.subset.len().max(1));
+        let mut claims: Vec<u64> =
+            self.subset.iter().map(|i| self.workers[*i].rendezvous_weight(key)).collect();
         if claims.is_empty() {
             return u64::MAX;
         }
@@ -636,20 +647,21 @@
 
     /// A key's part of the jobs, by this node's last ones. One that came but once may be any.
     fn key_share(&self, key: u64) -> f64 {
-        let came = self.last_keys.iter().filter(|k| **k == key).count() as f64;
-        ((came - 1.0).max(0.0) + KEY_ONCE) / ((self.last_keys.len() as f64 - 1.0).max(0.0) + KEY_PRIOR)
+        let came = self.recent_keys.iter().filter(|k| **k == key).count() as f64;
+        ((came - 1.0).max(0.0) + SINGLE_KEY_COUNT)
+            / ((self.recent_keys.len() as f64 - 1.0).max(0.0) + KEY_PRIOR_COUNT)
     }
 
     /// Keys of the last jobs that came, the oldest first.
-    pub fn last_keys(&self) -> impl Iterator<Item = u64> {
-        self.last_keys.iter().copied()
+    pub fn recent_keys(&self) -> impl Iterator<Item = u64> {
+        self.recent_keys.iter().copied()
     }
 
     /// A job of that key has come.
-    pub fn heed_key(&mut self, key: Option<u64>) {
-        self.last_keys.extend(key);
-        if self.last_keys.len() > LAST_KEYS {
-            self.last_keys.pop_front();
+    pub fn record_key(&mut self, key: Option<u64>) {
+        self.recent_keys.extend(key);
+        if self.recent_keys.len() > MAX_RECENT_KEYS {
+            self.recent_keys.pop_front();
         }
     }
 
@@ -658,128 +670,131 @@
     }
 
     /// How late an attempt started tells of other nodes' work at the whole kind, and how full the fleet is.
-    pub fn heed(&mut self, now: Micros, i: usize, late: f64) {
-        self.prompt += PROMPT_GAIN * (f64::from(u8::from(late < LATE_START)) - self.prompt);
-        self.kinds[self.workers[i].kind_at].late.add(now, late);
+    pub fn record_start_delay(&mut self, now: Micros, i: usize, late: f64) {
+        self.prompt_start_share +=
+            PROMPT_START_GAIN * (f64::from(u8::from(late < LATE_START_S)) - self.prompt_start_share);
+        self.kinds[self.workers[i].kind_index].start_delay.add(now, late);
     }
 
     /// A worker is known by how far it stands off its kind, and a kind by all jobs that its workers served: a
     /// node of many sees too few jobs of each worker, and a kind may slow down as a whole.
-    pub fn learn_speed(&mut self, i: usize, lesson: f64) {
+    pub fn record_speed_sample(&mut self, i: usize, lesson: f64) {
         let usual = self.hint_error;
-        let error = lesson - self.speed(&self.workers[i]).ln();
+        let error = lesson - self.learned_speed(&self.workers[i]).ln();
         let w = &mut self.workers[i];
-        let kind = &mut self.kinds[w.kind_at].pace;
-        self.all.learn(lesson - self.all.ln_speed, usual);
-        kind.learn(if kind.lessons > 0 { error } else { lesson }, usual);
-        w.lessons = w.lessons.saturating_add(1);
-        w.offset += SPEED_GAIN.max(1.0 / (f64::from(w.lessons) + PRIOR_LESSONS)) * error;
-        w.factor = w.offset.exp();
-        self.hint_error += KIND_GAIN * (error.abs() - usual);
+        let kind = &mut self.kinds[w.kind_index].speed;
+        self.overall_speed.add_sample(lesson - self.overall_speed.log_speed, usual);
+        kind.add_sample(if kind.samples > 0 { error } else { lesson }, usual);
+        w.speed_samples = w.speed_samples.saturating_add(1);
+        w.log_speed_ratio +=
+            WORKER_SPEED_GAIN.max(1.0 / (f64::from(w.speed_samples) + KIND_PRIOR_SAMPLES)) * error;
+        w.speed_ratio = w.log_speed_ratio.exp();
+        self.hint_error += SHARED_ESTIMATE_GAIN * (error.abs() - usual);
     }
 
     /// Learned speed of a warm core: its kind's, as far as it is known, and how far it stands off that.
-    pub fn speed(&self, w: &Worker) -> f64 {
-        let pace = &self.kinds[w.kind_at].pace;
-        (if pace.lessons > 0 { pace.speed } else { self.all.speed }) * w.factor
+    pub fn learned_speed(&self, w: &Worker) -> f64 {
+        let pace = &self.kinds[w.kind_index].speed;
+        (if pace.samples > 0 { pace.speed } else { self.overall_speed.speed }) * w.speed_ratio
     }
 
     /// Parallelism: the listed size, or most slots seen running at once.
     pub fn slots(&self, w: &Worker) -> f64 {
-        w.size.max(self.proven_slots(w))
+        w.listed_slots.max(self.learned_slots(w))
     }
 
     /// Learned parallelism alone: most slots seen running at once, else the median of that.
-    pub fn proven_slots(&self, w: &Worker) -> f64 {
-        self.own_slots(w).max(self.shared_slots)
+    pub fn learned_slots(&self, w: &Worker) -> f64 {
+        self.observed_slots(w).max(self.extrapolated_slots)
     }
 
     /// What of that rests on own jobs seen running at once, and on nothing reckoned for other nodes.
-    pub fn own_slots(&self, w: &Worker) -> f64 {
-        (if w.lessons > 0 { w.seen_slots } else { self.median_slots }).max(1.0)
+    pub fn observed_slots(&self, w: &Worker) -> f64 {
+        (if w.speed_samples > 0 { w.max_concurrent_slots } else { self.median_slots }).max(1.0)
     }
 
     /// Takes over a list, or changes to it. A worker that has left is kept until its attempts have ended.
-    pub fn follow(&mut self, now: Micros, entries: &[Endpoint], whole: bool) {
+    pub fn apply_endpoints(&mut self, now: Micros, entries: &[Endpoint], whole: bool) {
         if whole {
-            self.workers.iter_mut().for_each(|w| w.life = WorkerStatus::Gone);
+            self.workers.iter_mut().for_each(|w| w.status = WorkerStatus::Gone);
         }
         for entry in entries {
-            let told = self.sizes_told && entry.size.is_finite();
+            let told = self.sizes_listed && entry.size.is_finite();
             let size = if told { entry.size.round().clamp(1.0, 16.0) } else { 1.0 };
             match self.workers.binary_search_by_key(&entry.worker, |w| w.id) {
                 Ok(i) => {
-                    let kind_at = self.kind_at(entry.kind);
+                    let kind_at = self.kind_index(entry.kind);
                     let w = &mut self.workers[i];
-                    (w.zone, w.kind, w.cell, w.life) = (entry.zone, entry.kind, entry.cell, entry.status);
-                    if entry.started.min(now) > w.started {
+                    (w.zone, w.kind, w.cell, w.status) = (entry.zone, entry.kind, entry.cell, entry.status);
+                    if entry.started.min(now) > w.started_at {
                         // What is on its way was meant for the process before, which was warm, perhaps elsewhere.
-                        self.recalls.extend(w.recall());
+                        self.pending_revocations.extend(w.revoke_unaccepted());
                     }
-                    w.started = w.started.max(entry.started.min(now));
-                    (w.kind_at, w.size) = (kind_at, size);
+                    w.started_at = w.started_at.max(entry.started.min(now));
+                    (w.kind_index, w.listed_slots) = (kind_at, size);
                 }
                 Err(i) => {
-                    let mut w = Worker::new(entry, self.kind_at(entry.kind));
-                    w.size = size;
-                    if let Some(back) = self.back.remove(&entry.worker) {
-                        w.put_back(back, back);
+                    let mut w = Worker::new(entry, self.kind_index(entry.kind));
+                    w.listed_slots = size;
+                    if let Some(back) = self.reenabled_unlisted.remove(&entry.worker) {
+                        w.reenable(back, back);
                     }
                     self.workers.insert(i, w);
                 }
             }
         }
-        self.workers.retain(|w| w.life != WorkerStatus::Gone || !w.flights.is_empty());
-        for w in self.workers.iter_mut().filter(|w| w.life != WorkerStatus::Ready) {
-            self.recalls.extend(w.recall());
+        self.workers.retain(|w| w.status != WorkerStatus::Gone || !w.in_flight.is_empty());
+        for w in self.workers.iter_mut().filter(|w| w.status != WorkerStatus::Ready) {
+            self.pending_revocations.extend(w.revoke_unaccepted());
         }
-        self.regroup();
+        self.rebuild_subset();
     }
 
     /// Nothing more goes there until it is put back.
-    pub fn take_out(&mut self, now: Micros, id: WorkerId) {
-        self.back.remove(&id);
-        self.out.entry(id).or_insert(now);
+    pub fn disable_worker(&mut self, now: Micros, id: WorkerId) {
+        self.reenabled_unlisted.remove(&id);
+        self.disabled.entry(id).or_insert(now);
         if let Some(i) = self.find(id) {
-            self.recalls.extend(self.workers[i].recall());
+            self.pending_revocations.extend(self.workers[i].revoke_unaccepted());
         }
-        self.regroup();
+        self.rebuild_subset();
     }
 
     /// It may be used again; what was held against it before counts no more.
-    pub fn put_back(&mut self, now: Micros, id: WorkerId) {
-        let Some(since) = self.out.remove(&id) else { return };
+    pub fn reenable_worker(&mut self, now: Micros, id: WorkerId) {
+        let Some(since) = self.disabled.remove(&id) else { return };
         match self.find(id) {
-            Some(i) => self.workers[i].put_back(since, now),
+            Some(i) => self.workers[i].reenable(since, now),
             // One for each id that was taken out: those are bounded.
-            None => _ = self.back.insert(id, now),
+            None => _ = self.reenabled_unlisted.insert(id, now),
         }
-        self.regroup();
+        self.rebuild_subset();
     }
 
     /// Deals the ready workers out to the groups, each zone's and kind's evenly. Nodes with the same list agree.
-    fn regroup(&mut self) {
-        self.near.clear();
+    fn rebuild_subset(&mut self) {
+        self.subset.clear();
         let takes = |i: &usize| {
-            self.workers[*i].life == WorkerStatus::Ready && !self.out.contains_key(&self.workers[*i].id)
+            self.workers[*i].status == WorkerStatus::Ready
+                && !self.disabled.contains_key(&self.workers[*i].id)
         };
-        self.near.extend((0..self.workers.len()).filter(takes));
+        self.subset.extend((0..self.workers.len()).filter(takes));
         let workers = &self.workers;
-        self.groups = self.most_groups.min(self.near.len() / GROUP_WORKERS).max(1);
-        self.near.sort_by_key(|i| (workers[*i].zone.0, workers[*i].kind.0, *i));
+        self.subset_count = self.max_subsets.min(self.subset.len() / MIN_SUBSET_WORKERS).max(1);
+        self.subset.sort_by_key(|i| (workers[*i].zone.0, workers[*i].kind.0, *i));
         let mut place = 0;
-        self.near.retain(|_| {
+        self.subset.retain(|_| {
             place += 1;
-            place % self.groups == self.rank % self.groups
+            place % self.subset_count == self.node_index % self.subset_count
         });
-        self.near.sort_unstable();
-        self.workers.iter_mut().for_each(|w| w.near = false);
-        self.near.iter().for_each(|i| self.workers[*i].near = true);
+        self.subset.sort_unstable();
+        self.workers.iter_mut().for_each(|w| w.in_subset = false);
+        self.subset.iter().for_each(|i| self.workers[*i].in_subset = true);
     }
 
-    pub fn kind_at(&mut self, kind: KindId) -> usize {
+    pub fn kind_index(&mut self, kind: KindId) -> usize {
         self.kinds.iter().position(|k| k.id == kind).unwrap_or_else(|| {
-            self.kinds.push(Kind::new(kind));
+            self.kinds.push(MachineKind::new(kind));
             self.kinds.len() - 1
         })
     }
@@ -787,12 +802,12 @@
     /// Most slots seen running at once at the middle one of this node's own workers that have taught anything; and
     /// those that all nodes' jobs take. A node of many seldom has two jobs at one worker: what it has running at all
     /// of them is an even part of what they run at once.
-    pub fn relearn_slots(&mut self, now: Micros, nodes: f64) {
-        let running = self.near.iter().map(|i| self.workers[*i].running(now)).sum();
-        let running = self.running.set(now, running, RUNNING_SPAN) * nodes;
-        self.shared_slots = (running / self.near.len().max(1) as f64).clamp(1.0, 16.0);
-        let taught = self.near.iter().map(|i| &self.workers[*i]).filter(|w| w.lessons > 0).take(64);
-        let mut slots: ArrayVec<f64, 64> = taught.map(|w| w.seen_slots.max(1.0)).collect();
+    pub fn refresh_slots(&mut self, now: Micros, nodes: f64) {
+        let running = self.subset.iter().map(|i| self.workers[*i].slots_running_since(now)).sum();
+        let running = self.running_slots.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
+        self.extrapolated_slots = (running / self.subset.len().max(1) as f64).clamp(1.0, 16.0);
+        let taught = self.subset.iter().map(|i| &self.workers[*i]).filter(|w| w.speed_samples > 0).take(64);
+        let mut slots: ArrayVec<f64, 64> = taught.map(|w| w.max_concurrent_slots.max(1.0)).collect();
         slots.sort_unstable_by(f64::total_cmp);
         self.median_slots = slots.get(slots.len() / 2).copied().unwrap_or(1.0);
     }
