--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -21,10 +21,10 @@
 pub struct AdminService {
     pub name: Rc<str>,
     pub lifecycle: Lifecycle,
-    pub order: mpsc::Sender<DispatchCommand>,
+    pub dispatch_commands: mpsc::Sender<DispatchCommand>,
     pub peer: Peer,
     /// A call for a drain or its end has come to this process, or to the other while both ran.
-    pub drain_called: Rc<Cell<bool>>,
+    pub drain_requested: Rc<Cell<bool>>,
 }
 
 impl AdminService {
@@ -56,7 +56,7 @@
     }
 
     /// A call that came to the other process of this node.
-    pub async fn follow(&self, call: &AdminCommand) -> CommandResult {
+    pub async fn apply_peer_command(&self, call: &AdminCommand) -> CommandResult {
         self.here(call, true).await
     }
 
@@ -68,7 +68,7 @@
                 let by = if *call == AdminCommand::Drain { PhaseEvent::Drain } else { PhaseEvent::Undrain };
                 // No move of the table: it is so already, or the process ends.
                 let _ = self.lifecycle.apply(by);
-                self.drain_called.set(true);
+                self.drain_requested.set(true);
                 return Ok(());
             }
             (AdminCommand::Disable(name) | AdminCommand::Enable(name), vouched) => {
@@ -79,7 +79,7 @@
                 }
             }
         };
-        self.order.send(order).await.map_err(|_| CommandError::TimedOut)?;
+        self.dispatch_commands.send(order).await.map_err(|_| CommandError::TimedOut)?;
         said.await.unwrap_or(Err(CommandError::TimedOut))
     }
 }
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -262,11 +262,11 @@
 
     async fn inherit(&self, drained: bool, estate: TransferableState) {
         let operations = &self.parts.operations;
-        if !operations.drain_called.get() {
+        if !operations.drain_requested.get() {
             let _ = operations.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
         // A dispatch task that has ended ends the program.
-        let _ = operations.order.send(DispatchCommand::RestoreSnapshot(Box::new(estate))).await;
+        let _ = operations.dispatch_commands.send(DispatchCommand::RestoreSnapshot(Box::new(estate))).await;
     }
 
     async fn run(
@@ -348,7 +348,7 @@
             }
             PeerRequest::Command { call, verdict } => {
                 let operations = self.parts.operations.clone();
-                spawn_local(async move { verdict.send(operations.follow(&call).await) });
+                spawn_local(async move { verdict.send(operations.apply_peer_command(&call).await) });
             }
             PeerRequest::MigrateJob { job, client, held, said } => {
                 spawn_local(self.parts.server.clone().adopt_job(job, client, held, said));
@@ -427,7 +427,7 @@
         }
         if matches!(by, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
             let _ = operations
-                .order
+                .dispatch_commands
                 .send(DispatchCommand::SetSuccessorActive(by == PhaseEvent::HandedOver))
                 .await;
         }
@@ -436,7 +436,7 @@
     async fn heritage(&self) -> Bytes {
         let (estate, bequeathed) = oneshot::channel();
         let operations = &self.parts.operations;
-        let asked = operations.order.send(DispatchCommand::TakeSnapshot(estate)).await.is_ok();
+        let asked = operations.dispatch_commands.send(DispatchCommand::TakeSnapshot(estate)).await.is_ok();
         let Some(estate) = bequeathed.await.ok().filter(|_| asked) else { return Bytes::new() };
         let heritage =
             StateTransfer { form: FORM, drained: operations.lifecycle.phase().is_drained(), estate };
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -185,9 +185,9 @@
     let operations = AdminService {
         name: name.as_str().into(),
         lifecycle: lifecycle.clone(),
-        order,
+        dispatch_commands: order,
         peer,
-        drain_called: Rc::default(),
+        drain_requested: Rc::default(),
     };
     let parts = TakeoverParts {
         listen,
