--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -398,14 +398,20 @@
 
 /// The task that watches discovery, whenever the dispatch task asks for it or [`WatchTiming`] has it so.
 pub struct EndpointWatcher {
-    pub discovery: SocketAddr,
-    pub names: EndpointResolver,
-    pub index: u64,
+    /// Where discovery is until the watcher is told another address.
+    pub address: SocketAddr,
+    /// Turns the names of a list into the numbers of the dispatcher.
+    pub resolver: EndpointResolver,
+    /// The version of the endpoint list that is known at the start; 0 for none.
+    pub known_index: u64,
+    /// The queue of the dispatch task.
     pub queue: DispatchQueue<RequestPayload>,
-    /// Says that a list has come.
-    pub there: watch::Sender<bool>,
-    pub counters: Metrics,
-    pub pace: WatchTiming,
+    /// Becomes true with the first list that is read.
+    pub list_received: watch::Sender<bool>,
+    /// The counters of this node.
+    pub metrics: Metrics,
+    /// When polls are made that the dispatch task did not request.
+    pub timing: WatchTiming,
 }
 
 impl EndpointWatcher {
@@ -413,11 +419,11 @@
     pub async fn run(mut self, mut asked: mpsc::Receiver<()>, mut moved: watch::Receiver<SocketAddr>) {
         let mut calls = Calls {
             // From the first moment of the process, where nobody asks.
-            due: self.pace.pushed.then(Instant::now),
-            pace: self.pace,
-            discovery: self.discovery,
+            due: self.timing.pushed.then(Instant::now),
+            pace: self.timing,
+            discovery: self.address,
             era: 0,
-            index: self.index,
+            index: self.known_index,
             live: None,
             under_way: Vec::new(),
             silent: false,
@@ -462,8 +468,8 @@
                         calls.index = list.index;
                     }
                     calls.bridged();
-                    self.there.send_replace(true);
-                    let hops = self.names.resolve(&list.endpoints);
+                    self.list_received.send_replace(true);
+                    let hops = self.resolver.resolve(&list.endpoints);
                     let (index, entries, whole) = (list.index, hops.len(), list.snapshot);
                     debug!(target: DISCOVERY, index, entries, whole, ?took, "list or change");
                     DispatchMessage::EndpointsChanged {
@@ -474,7 +480,7 @@
                     }
                 }
                 Err(broken) => {
-                    self.counters.add(Counter::ListFailures);
+                    self.metrics.add(Counter::ListFailures);
                     warn!(target: DISCOVERY, "transport map: {broken}");
                     let spoilt = era == calls.era && matches!(broken, WatchError::Spoilt(_));
                     if spoilt && self.queue.send(DispatchMessage::EndpointsUnreadable).await.is_err() {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -146,14 +146,14 @@
         DispatchTask::new(dispatcher, clock, next_hops.clone(), notices, orders, ask, counters.clone())
             .run(hops);
     let map = EndpointWatcher {
-        discovery,
-        names,
+        address: discovery,
+        resolver: names,
         // A saved list that names nobody is no list: of changes since its version alone a node would learn nobody.
-        index: if listed { known.index } else { 0 },
+        known_index: if listed { known.index } else { 0 },
         queue: queue.clone(),
-        there,
-        counters: counters.clone(),
-        pace: WatchTiming::new(&site.decisions),
+        list_received: there,
+        metrics: counters.clone(),
+        timing: WatchTiming::new(&site.decisions),
     };
     let ending = queue.clone();
     let server = Server::new(
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -776,8 +776,8 @@
             method: parts.method,
             // In the form that a server of its own is asked in, without a scheme and a host.
             path: path.into(),
-            id: parts.headers[X_REQUEST_ID].clone(),
-            key,
+            request_id: parts.headers[X_REQUEST_ID].clone(),
+            idempotency_key: key,
             content_type: parts.headers.get(CONTENT_TYPE).cloned(),
             body,
         };
@@ -867,7 +867,7 @@
         moved: moved.clone(),
         method: payload.method.to_string(),
         path: payload.path.to_string(),
-        key: text(&payload.key)?,
+        key: text(&payload.idempotency_key)?,
         content_type: text(&payload.content_type)?,
     };
     let record = serde_json::to_vec(&record).ok()?;
@@ -890,8 +890,8 @@
     let payload = RequestPayload {
         method: method.parse().ok()?,
         path: path.parse().ok()?,
-        id: HeaderValue::from_str(moved.id()).ok()?,
-        key: header(key)?,
+        request_id: HeaderValue::from_str(moved.id()).ok()?,
+        idempotency_key: header(key)?,
         content_type: header(content_type)?,
         body,
     };
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -48,8 +48,8 @@
 pub struct RequestPayload {
     pub method: Method,
     pub path: Uri,
-    pub id: HeaderValue,
-    pub key: Option<HeaderValue>,
+    pub request_id: HeaderValue,
+    pub idempotency_key: Option<HeaderValue>,
     pub content_type: Option<HeaderValue>,
     pub body: Bytes,
 }
@@ -60,9 +60,9 @@
             .method(self.method.clone())
             .uri(self.path.clone())
             .header(HOST, to.to_string())
-            .header(X_REQUEST_ID, self.id.clone())
+            .header(X_REQUEST_ID, self.request_id.clone())
             .header(X_DEADLINE, format!("{:.3}", wait.as_secs_f64()));
-        if let Some(key) = &self.key {
+        if let Some(key) = &self.idempotency_key {
             request = request.header(IDEMPOTENCY_KEY, key.clone());
         }
         if let Some(content_type) = &self.content_type {
