--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -313,7 +313,7 @@
     }
     older.says(2, Frame::ClaimJob("moved".into()));
     older.hears_that(Frame::ClaimResult(false));
-    older.says(3, Frame::CancelAttempt { to: hops.0[1].address, id: "w".into() });
+    older.says(3, Frame::CancelAttempt { worker: hops.0[1].address, job_id: "w".into() });
     let withdrawal = hops.0[1].request();
     assert_eq!(withdrawal.message.start, "DELETE /jobs/w HTTP/1.1");
     withdrawal.answer("200 OK");
