--- /dev/null
+++ b/crates/core/src/dispatcher/mod.rs
@@ -0,0 +1,113 @@
+//! Event handlers: each event of the embedder is booked in `state`, and handed to the decisions in `policy`
+//! that it calls for.
+
+mod gossip;
+mod timers;
+
+use crate::state::AttemptRef;
+use crate::{Action, Event, JobId, Micros, Outcome};
+
+pub use crate::state::Dispatcher;
+
+impl Dispatcher {
+    /// Takes an event in and appends the actions that are to be carried out.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointsChanged { endpoints, snapshot } => {
+                self.discovery.listed(now);
+                self.fleet.apply_endpoints(now, endpoints, snapshot);
+                self.revoke_attempts(actions);
+            }
+            Event::EndpointsConfirmed => self.discovery.stands(now),
+            Event::PollAnswered { duration } => self.discovery.answered(duration),
+            Event::EndpointsUnreadable => self.discovery.spoilt(now),
+            Event::DiscoveryMoved => self.discovery.moved(now),
+            Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
+            Event::JobSubmitted(submission) => self.admit_job(now, &submission, actions),
+            Event::AttemptAccepted { job, attempt } => self.record_acceptance(now, job, attempt),
+            Event::AttemptStarted { job, attempt } => {
+                self.record_acceptance(now, job, attempt);
+                self.handle_start(now, job, attempt, actions);
+            }
+            Event::AttemptProgressed { job, attempt, done } => {
+                self.record_acceptance(now, job, attempt);
+                self.record_progress(now, job, attempt, done);
+            }
+            Event::AttemptStreaming { job, attempt } => {
+                self.handle_start(now, job, attempt, actions);
+                self.jobs.entry(job).and_modify(|job| job.is_streaming = true);
+            }
+            Event::AttemptEnded { job, attempt, outcome, settled } => {
+                self.handle_end(now, AttemptEnd { job, attempt, outcome, settled }, actions);
+            }
+            Event::ClientDisconnected { job } => self.disconnect_client(job, actions),
+            Event::GossipReceived { from, data } => self.receive_gossip(now, from, data),
+            Event::MaintenanceChanged { worker, disabled: true } => {
+                self.fleet.disable_worker(now, worker);
+                self.revoke_attempts(actions);
+            }
+            Event::MaintenanceChanged { worker, disabled: false } => {
+                self.fleet.reenable_worker(now, worker);
+                self.dispatch_pending(now, actions);
+            }
+            Event::SuccessorActive(is_active) => self.lifecycle.is_superseded = is_active,
+            Event::ShutdownStarted { deadline } => {
+                self.lifecycle.shutdown_at = deadline;
+                self.handle_timer(now, actions);
+            }
+            Event::TimerExpired => self.handle_timer(now, actions),
+        }
+        self.set_timer(now, actions);
+    }
+
+    fn handle_start(&mut self, now: Micros, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
+        if self.record_start(now, job, attempt) {
+            self.cancel_other_attempts(job, attempt, actions);
+        }
+    }
+
+    fn handle_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
+        let AttemptEnd { job, attempt, outcome, settled } = end;
+        let was_held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
+        let is_news = self.record_outcome(job, attempt, outcome);
+        if is_news && let Some(ended) = self.remove_ended(job, attempt, outcome) {
+            self.assess_worker(now, &ended);
+        }
+        if !is_news && !settled {
+            return;
+        }
+        let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, job, actions);
+        if !is_requeued {
+            self.follow_up(now, job, settled, actions);
+        }
+    }
+
+    /// Revokes attempts whose worker takes nothing new any more.
+    fn revoke_attempts(&mut self, actions: &mut Vec<Action>) {
+        let pending = self.fleet.pending_revocations.drain(..);
+        actions.extend(pending.map(|(job, attempt)| Action::RevokeAttempt { job, attempt }));
+    }
+
+    /// Whether an attempt that is in flight was revoked.
+    fn is_revoked(&self, job: JobId, number: u32) -> bool {
+        let worker = self.worker_index_of(job, number).map(|index| self.fleet.workers[index].id);
+        let attempt = worker.and_then(|worker| self.in_flight_attempt(job, AttemptRef { number, worker }));
+        attempt.is_some_and(|attempt| attempt.revoked)
+    }
+
+    fn disconnect_client(&mut self, job: JobId, actions: &mut Vec<Action>) {
+        let Some(mut job) = self.jobs.remove(&job) else { return };
+        if !job.is_answered {
+            self.close_job(&mut job, actions);
+        }
+        self.store_job(job);
+    }
+}
+
+/// The fields of [`Event::AttemptEnded`].
+struct AttemptEnd {
+    job: JobId,
+    attempt: u32,
+    outcome: Outcome,
+    settled: bool,
+}
--- /dev/null
+++ b/crates/core/src/dispatcher/timers.rs
@@ -0,0 +1,50 @@
+//! The timer: one for all that is due at a time, set anew after each event.
+
+use crate::policy::SWEEP_INTERVAL;
+use crate::{Action, Dispatcher, Micros};
+
+/// Nodes gossip no more often than this, for each other node of the subset: all must read each message.
+const GOSSIP_INTERVAL_PER_NODE: Micros = 2_000;
+
+impl Dispatcher {
+    /// Does all that is due: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
+    pub(super) fn handle_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.timer.expires_at = self.timer.expires_at.filter(|at| *at > now);
+        if self.discovery.woken(now, &mut self.rng) {
+            actions.push(Action::WatchEndpoints);
+        }
+        self.fleet.refresh_slots(now, f64::from(self.subset_nodes()));
+        self.observe_slots(now);
+        self.sweep(now, actions);
+        self.dispatch_pending(now, actions);
+        if self.gossip.due_at.is_some_and(|at| at <= now) {
+            self.gossip.due_at = None;
+            self.send_gossip(now, actions);
+        }
+    }
+
+    fn sweep(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let mut open_jobs = std::mem::take(&mut self.buffers.open_jobs);
+        open_jobs.extend(self.jobs.values().filter(|job| job.is_open()).map(|job| job.id));
+        for id in open_jobs.drain(..) {
+            self.review_job(now, id, actions);
+        }
+        self.buffers.open_jobs = open_jobs;
+    }
+
+    /// Sets the timer, if it does not expire early enough.
+    pub(crate) fn set_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.gossip.has_changes && self.gossip.due_at.is_none() && self.is_gossip_enabled() {
+            let interval = GOSSIP_INTERVAL_PER_NODE * Micros::from(self.subset_nodes() - 1);
+            self.gossip.due_at = Some(now + interval);
+        }
+        let sweep_at = (!self.jobs.is_empty()).then_some(now + SWEEP_INTERVAL);
+        let due = [sweep_at, self.gossip.due_at, self.discovery.next()];
+        let Some(next) = due.into_iter().flatten().min() else { return };
+        if self.timer.expires_at.is_none_or(|at| at > next || at < now) {
+            let after = next.saturating_sub(now).max(1);
+            self.timer.expires_at = Some(now + after);
+            actions.push(Action::SetTimer { after });
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/policy/ejection.rs
@@ -0,0 +1,50 @@
+//! Outlier ejection: which workers are avoided, and for how long after failures.
+
+use crate::state::{Dispatcher, EndedAttempt, Job, Worker, to_micros};
+use crate::{Micros, Outcome};
+
+/// Mean time of a first ejection, in seconds; it doubles with each failure in a row.
+const BASE_EJECTION_S: f64 = 0.1;
+/// Most doublings.
+const MAX_EJECTION_DOUBLINGS: u32 = 6;
+
+impl Dispatcher {
+    /// Whether work keeps away from a worker: while it does not accept what it was sent, while it is ejected,
+    /// and then until an idempotent job has shown that it serves. A late start counts in w instead.
+    pub(super) fn is_avoided(&self, now: Micros, worker: &Worker, job: &Job) -> bool {
+        let may_probe = self.is_idempotent(job) && worker.in_flight.is_empty();
+        let on_trial = worker.consecutive_failures > 1 && !may_probe;
+        now < worker.ejected_until
+            || on_trial
+            || worker.has_overdue_acceptance(now, self.settings.accept_timeout)
+    }
+
+    /// Takes in what the end of an attempt says of its worker.
+    pub(crate) fn assess_worker(&mut self, now: Micros, ended: &EndedAttempt) {
+        let (index, attempt) = (ended.worker_index, &ended.attempt);
+        match ended.outcome {
+            Outcome::Done => self.record_success(now, index, attempt),
+            // A broken connection alone is no new start, and must not make a warm worker count as cold.
+            Outcome::Unreachable => {
+                self.fleet.workers[index].unreachable = true;
+                self.eject_worker(now, index);
+            }
+            Outcome::Error | Outcome::Rejected | Outcome::Lost => self.eject_worker(now, index),
+            Outcome::TimedOut if !attempt.has_started() => self.eject_worker(now, index),
+            Outcome::Cancelled if attempt.is_acceptance_overdue(now, self.settings.accept_timeout) => {
+                self.eject_worker(now, index);
+            }
+            Outcome::Cancelled if !attempt.has_started() => self.record_cancelled_wait(now, index, attempt),
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// Backoff with jitter, so that a dead worker costs few attempts and nodes do not return in step.
+    fn eject_worker(&mut self, now: Micros, index: usize) {
+        let jitter = 0.75 + 0.5 * self.rng.f64();
+        let worker = &mut self.fleet.workers[index];
+        let factor = f64::from(1u32 << worker.consecutive_failures.min(MAX_EJECTION_DOUBLINGS));
+        worker.ejected_until = now + to_micros(BASE_EJECTION_S * factor * jitter);
+        worker.consecutive_failures += 1;
+    }
+}
--- /dev/null
+++ b/crates/core/src/policy/hedging.rs
@@ -0,0 +1,40 @@
+//! Hedging: a second attempt of a job that does not start. The first of them to start is kept.
+
+use crate::state::{Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementTier};
+use crate::{Action, JobId, Micros};
+
+/// Where all work is known, only a silent worker starts a job late: this long after it should, in seconds.
+const SILENT_START_S: f64 = 1.0;
+
+impl Dispatcher {
+    /// Sends a job again that should have started, where another worker looks free: other nodes' work stands
+    /// before it, or its worker is silent.
+    pub(super) fn hedge_job(&mut self, now: Micros, job: &mut Job, actions: &mut Vec<Action>) {
+        let may_send = self.settings.may_cancel && !self.discovery.stale(now);
+        if !may_send || !self.budgets.allow_hedge(job) || !self.is_start_overdue(now, job) {
+            return;
+        }
+        self.refresh_estimates(now);
+        let Some(placement) = self.choose_worker(now, job) else { return };
+        let worker = self.fleet.workers[placement.worker_index].id;
+        if placement.rating.tier == PlacementTier::Immediate && !job.was_sent_to(worker) {
+            self.budgets.spend_hedge(job);
+            actions.push(self.send_attempt(now, job, &placement));
+        }
+    }
+
+    /// Whether none of a job's attempts has started, each later than predicted.
+    fn is_start_overdue(&self, now: Micros, job: &Job) -> bool {
+        let allowed_delay = if self.observes_all_work() { SILENT_START_S } else { LATE_START_S };
+        let is_overdue =
+            |attempt: &InFlightAttempt| !attempt.has_started() && attempt.start_delay(now) > allowed_delay;
+        job.in_flight().all(|attempt| self.in_flight_attempt(job.id, attempt).is_some_and(is_overdue))
+    }
+
+    /// An attempt has started: others of its job must not run as well.
+    pub(crate) fn cancel_other_attempts(&self, job: JobId, started: u32, actions: &mut Vec<Action>) {
+        let Some(known) = self.jobs.get(&job).filter(|_| self.settings.may_cancel) else { return };
+        let others = known.in_flight().filter(|attempt| attempt.number != started);
+        actions.extend(others.map(|attempt| Action::CancelAttempt { job, attempt: attempt.number }));
+    }
+}
--- /dev/null
+++ b/crates/core/src/policy/pending_queue.rs
@@ -0,0 +1,105 @@
+//! The pending queue: when a job goes out. While no worker is free, jobs wait here and not at a worker:
+//! there, small urgent jobs would be stuck behind large ones, and nothing could be taken back.
+
+use std::ops::Bound;
+
+use super::placement::{MAX_WORKER_QUEUE_S, ZONE_CROSSING_S};
+use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementTier, QueueKey, seconds_between, to_micros};
+use crate::{Action, Micros};
+
+/// A job that can still meet its objective goes out this long before it no longer can, in seconds.
+const LAST_START_MARGIN_S: f64 = 0.1;
+/// Queued jobs that may be skipped for want of a worker before the rest is left for later ...
+const MIN_SKIPPED_JOBS: usize = 8;
+/// ... or one for so many workers of the subset: in a large fleet a few that fit nowhere must not stop the
+/// others.
+const WORKERS_PER_SKIPPED_JOB: usize = 2;
+/// So many times the share of work within quotas that was shed is reserved, of the workers, for weighty jobs.
+const SHED_RESERVE_FACTOR: f64 = 3.0;
+/// Jobs of at least this weight are never held back for that.
+const RESERVE_EXEMPT_WEIGHT: f64 = 0.4;
+
+impl Dispatcher {
+    /// Puts a job that has no attempt in flight into the queue.
+    pub(crate) fn enqueue_job(&mut self, job: Job) {
+        let start_by = job.objective_at.saturating_sub(to_micros(self.reliable_run(&job)));
+        self.queue.insert(QueueKey { over_quota: job.over_quota, start_by, job: job.id });
+        self.jobs.insert(job.id, job);
+    }
+
+    /// Sends queued jobs while workers are free for them.
+    pub(crate) fn dispatch_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        // Rule 3: a node whose list may be out of date sends nothing by it. Jobs wait for the next.
+        if self.queue.is_empty() || self.discovery.stale(now) {
+            return;
+        }
+        self.refresh_estimates(now);
+        self.capacity.reserved_share = (SHED_RESERVE_FACTOR * self.demand.shed_share(now)).min(1.0);
+        let max_skipped = MIN_SKIPPED_JOBS.max(self.fleet.subset.len() / WORKERS_PER_SKIPPED_JOB);
+        let (mut skipped, mut last) = (0, None);
+        while skipped < max_skipped {
+            let after = last.map_or(Bound::Unbounded, Bound::Excluded);
+            let Some(&key) = self.queue.range((after, Bound::Unbounded)).next() else { return };
+            skipped += usize::from(!self.dispatch_job(now, key, actions));
+            last = Some(key);
+        }
+    }
+
+    /// Sends a queued job if a worker is free for it. False where it stays in the queue.
+    fn dispatch_job(&mut self, now: Micros, key: QueueKey, actions: &mut Vec<Action>) -> bool {
+        let is_held_back = |job| self.yields_capacity(job) || self.is_capacity_exhausted(now, job);
+        if self.jobs.get(&key.job).is_some_and(is_held_back) {
+            return false;
+        }
+        let Some(mut job) = self.jobs.remove(&key.job) else { return self.queue.remove(&key) };
+        let placement = self.choose_worker(now, &mut job);
+        let placement = placement.filter(|placement| self.is_timely(now, &job, placement));
+        if let Some(placement) = &placement {
+            self.queue.remove(&key);
+            actions.push(self.send_attempt(now, &mut job, placement));
+        }
+        self.store_job(job);
+        placement.is_some()
+    }
+
+    /// Whether a job goes out now: a slot is about to be free for it, or it is now or never. One that looks
+    /// late everywhere still goes when nothing else is queued: hints are rough.
+    fn is_timely(&self, now: Micros, job: &Job, placement: &PlacementEstimate) -> bool {
+        let spare = seconds_between(now, job.objective_at) - placement.reliable_run - placement.wait;
+        match placement.rating.tier {
+            PlacementTier::Immediate => true,
+            PlacementTier::Queued => !job.over_quota && spare < LAST_START_MARGIN_S,
+            PlacementTier::Late => placement.wait <= MAX_WORKER_QUEUE_S && self.queue.len() == 1,
+            PlacementTier::Ineligible => false,
+        }
+    }
+
+    /// Whether a job leaves the free capacity to those that may come: while work is being shed, and the more
+    /// readily the less its weight.
+    fn yields_capacity(&self, job: &Job) -> bool {
+        let reserved_share = self.capacity.reserved_share * (1.0 - job.weight / RESERVE_EXEMPT_WEIGHT);
+        self.capacity.free_share < reserved_share
+    }
+
+    /// Whether no worker could take the job now: in overload, rating all for each job costs too much CPU.
+    fn is_capacity_exhausted(&self, now: Micros, job: &Job) -> bool {
+        let spare = seconds_between(now, job.objective_at) - self.capacity.shortest_wait;
+        let is_due = spare > 0.0 && spare - self.reliable_run(job) < 2.0 * LAST_START_MARGIN_S;
+        let max_wait = MAX_WORKER_QUEUE_S + self.settings.cross_zone_price * ZONE_CROSSING_S;
+        self.capacity.shortest_wait > max_wait && (job.over_quota || !is_due)
+    }
+
+    /// Books an attempt at the worker that was chosen; the action sends it.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: Micros,
+        job: &mut Job,
+        placement: &PlacementEstimate,
+    ) -> Action {
+        let send_by = self.latest_send(job);
+        self.record_send(now, job, placement, self.warm_up_window());
+        self.refresh_worker(now, placement.worker_index);
+        let worker = self.fleet.workers[placement.worker_index].id;
+        Action::SendAttempt { job: job.id, worker, timeout: job.deadline - now, send_by }
+    }
+}
--- /dev/null
+++ b/crates/core/src/policy/retries.rs
@@ -0,0 +1,88 @@
+//! Retries: what may run again, and what follows an attempt that has ended or waits in vain.
+
+use crate::state::{Dispatcher, Job, PlacementTier, Worker};
+use crate::{Action, Idempotency, JobId, Micros, Outcome};
+
+/// A repeat with an idempotency key goes out at least this long before its window closes.
+pub(super) const DEDUPLICATION_MARGIN: Micros = 200_000;
+/// A job that can go elsewhere is placed anew once its start is this late, in seconds: reports are faster.
+const RELOCATION_DELAY_S: f64 = 0.15;
+
+impl Dispatcher {
+    /// Rule 2: whether a job may go to a worker without its effect happening twice.
+    pub(super) fn may_repeat(&self, now: Micros, worker: &Worker, job: &Job) -> bool {
+        let Some(first) = job.first_possible_run() else { return true };
+        match self.settings.classes[job.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::WithKey { scope, window } => {
+                // Where workers accept, attempts go over sockets, and a connection may come up late: a repeat
+                // that reaches its worker after the window runs again.
+                let transit = DEDUPLICATION_MARGIN.max(self.settings.accept_timeout);
+                worker.deduplicates(first, scope) && now + transit < first.deduplicated_until(window)
+            }
+        }
+    }
+
+    /// An attempt has ended, and what it taught is known: the job is over, tried again, or answered.
+    pub(crate) fn follow_up(&mut self, now: Micros, id: JobId, settled: bool, actions: &mut Vec<Action>) {
+        let Some(mut job) = self.jobs.remove(&id) else { return };
+        if settled && !job.is_answered {
+            self.close_job(&mut job, actions);
+        }
+        if !job.is_answered && job.is_idle() {
+            // Bounded retries: when much fails, trying again would only add to it.
+            let may_send = |worker| self.may_send(now, worker, &job);
+            if self.budgets.allow_retry() && self.fleet.workers.iter().any(may_send) {
+                self.budgets.spend_retry();
+                self.enqueue_job(job);
+                return self.dispatch_pending(now, actions);
+            }
+            self.reject_or_fail(&mut job, actions);
+        }
+        self.store_job(job);
+        self.dispatch_pending(now, actions);
+    }
+
+    /// An attempt to take back from a worker that does not accept it, where another may have the job. Where
+    /// none may, the job waits on: the worker may only be slow.
+    pub(super) fn find_unaccepted_attempt(&self, now: Micros, job: &Job) -> Option<u32> {
+        let attempt = job.in_flight().next().filter(|_| self.settings.may_cancel)?;
+        let in_flight = self.in_flight_attempt(job.id, attempt)?;
+        let is_overdue = in_flight.is_acceptance_overdue(now, self.settings.accept_timeout);
+        let may_take = |worker: &Worker| {
+            worker.id != attempt.worker && self.fleet.takes_work(worker) && self.may_repeat(now, worker, job)
+        };
+        (is_overdue && self.fleet.workers.iter().any(may_take)).then_some(attempt.number)
+    }
+
+    /// An attempt to cancel since the job would now cost less elsewhere: it has not started, and after a wait
+    /// that was not predicted as much again is to be expected. What other nodes send to a worker shows here
+    /// alone: many of them choose alike, and would queue at one while the next is free.
+    pub(super) fn find_attempt_to_relocate(&mut self, now: Micros, job: &mut Job) -> Option<u32> {
+        if !self.is_idempotent(job)
+            || !self.budgets.allow_retry()
+            || !self.settings.may_cancel
+            || self.settings.may_duplicate
+            || self.discovery.stale(now)
+        {
+            return None;
+        }
+        let attempt = job.in_flight().next()?;
+        let in_flight = self.in_flight_attempt(job.id, attempt)?;
+        let delay = in_flight.start_delay(now);
+        if in_flight.has_started() || !in_flight.accepted || delay < RELOCATION_DELAY_S {
+            return None;
+        }
+        self.refresh_estimates(now);
+        let index = attempt.number as usize;
+        job.attempts[index].outcome = Some(Outcome::Cancelled);
+        let found = self.choose_worker(now, job);
+        job.attempts[index].outcome = None;
+        let here = self.fleet.find(attempt.worker)?;
+        let there = found.filter(|found| found.rating.tier == PlacementTier::Immediate)?;
+        let run = self.estimate_placement(now, here, job).run;
+        let cost_here = Self::cost(run, delay, self.fleet.workers[here].utilisation);
+        (there.worker_index != here && there.rating.cost < cost_here).then_some(attempt.number)
+    }
+}
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -5,7 +5,10 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::interface::*;
-use crate::state::*;
+use crate::state::{
+    Attempt, InFlightAttempt, Job, MAX_ATTEMPTS, MAX_WORKER_KEYS, MachineKind, Progress, SpeedEstimate,
+    WarmUpSend, Worker, to_micros,
+};
 
 /// No more workers, keys and sends than these are taken on, whatever a record holds.
 const MOST_WORKERS: usize = 4096;
@@ -128,7 +131,7 @@
             unreachable: w.unreachable,
             owed: w.reenabled_at,
             keys: w.recent_keys.iter().copied().collect(),
-            cold_sent: w.warm_up_sends.iter().copied().take(MOST_SENDS).collect(),
+            cold_sent: w.warm_up_sends.iter().map(|send| (send.at, send.work)).take(MOST_SENDS).collect(),
         };
         let kind = |k: &MachineKind| KindSnapshot {
             id: k.id.0,
@@ -143,7 +146,7 @@
             hint_error: fleet.hint_error,
             usual_work: fleet.mean_work,
             keys: fleet.recent_keys().collect(),
-            first_came: self.first_offered_at,
+            first_came: self.demand.first_at,
         }
     }
 
@@ -167,7 +170,7 @@
         if let Some(work) = positive(learned.usual_work, 1e4) {
             self.fleet.mean_work = work;
         }
-        self.first_offered_at = self.first_offered_at.min(learned.first_came);
+        self.demand.first_at = self.demand.first_at.min(learned.first_came);
         learned.keys.iter().for_each(|key| self.fleet.record_key(Some(*key)));
         for l in learned.workers.iter().take(MOST_WORKERS) {
             if let Some(i) = self.fleet.find(WorkerId(l.id)) {
@@ -180,9 +183,9 @@
 impl Dispatcher {
     /// Lets a job go that has no answer yet: nothing of it is known here any more, and nothing is called off.
     pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
-        let job = self.jobs.get(&job).filter(|j| !j.is_answered && !j.is_streaming)?.id;
+        let job = self.jobs.get(&job).filter(|j| j.is_open())?.id;
         let job = self.jobs.remove(&job)?;
-        self.pending.retain(|place| place.2 != job.id);
+        self.queue.retain(|key| key.job != job.id);
         let mut attempts = Vec::new();
         for (a, number) in job.attempts.iter().zip(0..) {
             let at = self.fleet.find(a.worker);
@@ -199,7 +202,7 @@
                     accepted: f.accepted,
                     foreseen: f.predicted_wait,
                     started: f.started_at,
-                    progress: f.progress,
+                    progress: f.progress.map(|progress| (progress.share, progress.at)),
                 }),
             });
         }
@@ -266,13 +269,15 @@
                     revoked: false,
                     predicted_wait: positive(f.foreseen, 1e4).unwrap_or(0.0),
                     started_at: f.started.map(|at| at.min(now)),
-                    progress: f.progress.map(|(done, at)| (done.clamp(0.0, 1.0), at.min(now))),
+                    progress: f
+                        .progress
+                        .map(|(done, at)| Progress { share: done.clamp(0.0, 1.0), at: at.min(now) }),
                     unhinted: None,
                 });
                 (w.estimated_at, w.gossip_pending) = (0, true);
             }
         }
-        let idle = job.in_flight().next().is_none();
+        let idle = job.is_idle();
         match idle {
             true => self.enqueue_job(job),
             false => self.store_job(job),
@@ -297,13 +302,14 @@
         w.started_at = w.started_at.max(self.started.min(now));
         w.consecutive_failures = w.consecutive_failures.max(self.strikes.min(MOST_STRIKES));
         // A pause is seconds long; one that ends far ahead is nonsense.
-        w.ejected_until = w.ejected_until.max(self.avoid_until.min(now + micros(60.0)));
+        w.ejected_until = w.ejected_until.max(self.avoid_until.min(now + to_micros(60.0)));
         w.unreachable |= self.unreachable;
         w.reenabled_at = w.reenabled_at.or(self.owed.map(|at| at.min(now)));
         self.keys.iter().rev().take(MAX_WORKER_KEYS).for_each(|key| w.record_key(*key));
         let sent = self.cold_sent.iter().filter(|(at, work)| *at <= now && work.is_finite() && *work >= 0.0);
         let own = std::mem::take(&mut w.warm_up_sends);
-        w.warm_up_sends = sent.take(MOST_SENDS).copied().chain(own).collect();
+        w.warm_up_sends =
+            sent.take(MOST_SENDS).map(|(at, work)| WarmUpSend { at: *at, work: *work }).chain(own).collect();
         (w.estimated_at, w.gossip_pending) = (0, true);
     }
 }
--- /dev/null
+++ b/crates/core/src/state/affinity.rs
@@ -0,0 +1,73 @@
+//! Key affinity: which workers are likely to hold what a job's key stands for.
+//!
+//! The homes of a key are the workers with the highest rendezvous weights for it, so that nodes which
+//! exchange nothing agree on them and each worker holds few keys.
+
+use super::fleet::Fleet;
+use super::job::Job;
+use super::worker::Worker;
+
+/// Keys of the last jobs that the popularity of a key is reckoned by.
+const MAX_RECENT_KEYS: usize = 40;
+/// Homes of a key for each worker that its share of the jobs would fill.
+const HOME_SPARE_FACTOR: f64 = 1.5;
+/// A key that came once counts as so many jobs: it may be any.
+const SINGLE_KEY_COUNT: f64 = 0.4;
+/// Jobs of other keys that may have come, beside those that did.
+const KEY_PRIOR_COUNT: f64 = 10.0;
+/// Mean time to fetch what a key stands for, as a multiple of a mean job's time.
+const FETCH_WORK_RATIO: f64 = 1.5;
+/// Probability that a worker still holds the key that was just sent there.
+const RECENT_KEY_HIT_RATE: f64 = 0.9;
+/// After so many other keys that probability is 0.
+const RECENT_KEYS_RETAINED: f64 = 8.0;
+/// Probability that a home holds a key.
+const HOME_KEY_HIT_RATE: f64 = 0.8;
+
+impl Fleet {
+    /// The least rendezvous weight of a key's homes. There are as many as its share of the jobs asks for, and
+    /// one more for each attempt of the job that waited in vain. All nodes with the same list agree on their
+    /// order.
+    pub fn affinity_threshold(&self, key: Option<u64>, vain_attempts: usize) -> u64 {
+        let Some(key) = key else { return u64::MAX };
+        let wanted = self.key_share(key) * self.subset.len() as f64 * HOME_SPARE_FACTOR;
+        let homes = (wanted.ceil() as usize + vain_attempts).clamp(1, self.subset.len().max(1));
+        let weight = |index: &usize| self.workers[*index].rendezvous_weight(key);
+        let mut weights: Vec<u64> = self.subset.iter().map(weight).collect();
+        if weights.is_empty() {
+            return u64::MAX;
+        }
+        *weights.select_nth_unstable_by(homes - 1, |a, b| b.cmp(a)).1
+    }
+
+    /// A key's share of the jobs, by the last ones submitted here.
+    fn key_share(&self, key: u64) -> f64 {
+        let count = self.recent_keys.iter().filter(|recent| **recent == key).count() as f64;
+        let others = (self.recent_keys.len() as f64 - 1.0).max(0.0);
+        ((count - 1.0).max(0.0) + SINGLE_KEY_COUNT) / (others + KEY_PRIOR_COUNT)
+    }
+
+    /// Keys of the last jobs that were submitted, the oldest first.
+    pub fn recent_keys(&self) -> impl Iterator<Item = u64> {
+        self.recent_keys.iter().copied()
+    }
+
+    /// A job of that key was submitted.
+    pub fn record_key(&mut self, key: Option<u64>) {
+        self.recent_keys.extend(key);
+        if self.recent_keys.len() > MAX_RECENT_KEYS {
+            self.recent_keys.pop_front();
+        }
+    }
+
+    /// Seconds that a job is likely to spend at a worker on fetching what its key stands for.
+    pub fn estimate_fetch(&self, worker: &Worker, job: &Job) -> f64 {
+        let Some(key) = job.key else { return 0.0 };
+        let sent_hit_rate = worker.keys_sent_since(key).map_or(0.0, |others| {
+            RECENT_KEY_HIT_RATE * (1.0 - others as f64 / RECENT_KEYS_RETAINED).max(0.0)
+        });
+        let is_home = worker.rendezvous_weight(key) >= job.affinity_threshold;
+        let home_hit_rate = if is_home { HOME_KEY_HIT_RATE } else { 0.0 };
+        FETCH_WORK_RATIO * self.mean_work * (1.0 - sent_hit_rate) * (1.0 - home_hit_rate)
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/estimates.rs
@@ -0,0 +1,201 @@
+//! Estimates that are derived from the records: x, w and r of the cost x + w / (1 - r), for each worker and
+//! each kind.
+//!
+//! Those of a worker are kept with it and hold for [`ESTIMATE_LIFETIME`], unless something happens there.
+
+use arrayvec::ArrayVec;
+
+use super::time::{seconds_between, to_seconds};
+use super::{AttemptRef, Dispatcher, InFlightAttempt, Job, PlacementEstimate, Worker};
+use crate::{JobId, Micros, gossip};
+
+/// For so long the estimates of a worker hold, unless something happens there.
+const ESTIMATE_LIFETIME: Micros = 4_000;
+/// Highest utilisation that is reckoned with: beyond it 1 / (1 - r) would drown x.
+const MAX_UTILISATION: f64 = 0.9;
+/// Time constant over which the rate of work sent is averaged, in seconds.
+pub(super) const SEND_RATE_SPAN_S: f64 = 5.0;
+/// A running attempt is reckoned with this multiple of its hint ...
+const RUNNING_HINT_FACTOR: f64 = 1.1;
+/// ... and with no less left than this share of what it has done: hints are rough, and work has a long tail.
+const MIN_REMAINING_SHARE: f64 = 0.35;
+/// Share of a job's hint that is relied on: objectives grow with the true work, which may be less.
+pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
+/// A worker counts as at least this warm, whatever the settings say, so that speeds stay above zero.
+const MIN_WARM_UP_FRACTION: f64 = 0.01;
+/// A worker with no longer a wait than this counts as free, in seconds.
+const FREE_WORKER_WAIT_S: f64 = 0.025;
+/// For so long a peer's report counts, in seconds.
+const PEER_BACKLOG_LIFETIME_S: f64 = 1.5;
+/// Most slots of peers' work that are reckoned with at one worker.
+const MAX_PEER_SLOTS: u32 = 32;
+/// Nodes gossip only where an entry sent to all of them costs no more than this share of a job's worth.
+const MAX_GOSSIP_COST: f64 = 0.004;
+/// Capacity of [`SlotSchedule`].
+const MAX_SCHEDULED_SLOTS: usize = 16;
+
+/// The moments from now at which a worker's slots come free, its queue being served in order.
+struct SlotSchedule(ArrayVec<f64, MAX_SCHEDULED_SLOTS>);
+
+impl SlotSchedule {
+    /// So many free slots.
+    fn new(count: f64) -> Self {
+        let count = (count.round() as usize).clamp(1, MAX_SCHEDULED_SLOTS);
+        SlotSchedule(std::iter::repeat_n(0.0, count).collect())
+    }
+
+    /// Puts an attempt that runs for `run` seconds in `slots` slots behind what is there. Returns when it
+    /// starts.
+    fn enqueue(&mut self, run: f64, slots: f64) -> f64 {
+        let mut start: f64 = 0.0;
+        for _ in 0..(slots as usize).clamp(1, self.0.len()) {
+            let Some(free_at) = self.0.iter_mut().min_by(|a, b| a.total_cmp(b)) else { break };
+            start = start.max(*free_at);
+            *free_at = start + run;
+        }
+        start
+    }
+}
+
+impl Dispatcher {
+    /// Refreshes the estimates of the subset's workers that have aged, and all that is derived from them.
+    pub(crate) fn refresh_estimates(&mut self, now: Micros) {
+        let (mut ready_workers, mut free_workers) = (0.0, 0.0);
+        self.capacity.shortest_wait = f64::INFINITY;
+        self.fleet.warming_up = 0;
+        self.fleet.kinds.iter_mut().for_each(|kind| kind.capacity = 0.0);
+        for position in 0..self.fleet.subset.len() {
+            let index = self.fleet.subset[position];
+            if now >= self.fleet.workers[index].estimated_at.saturating_add(ESTIMATE_LIFETIME) {
+                self.refresh_worker(now, index);
+            }
+            let worker = &self.fleet.workers[index];
+            self.fleet.kinds[worker.kind_index].capacity += worker.current_speed * self.fleet.slots(worker);
+            ready_workers += 1.0;
+            free_workers += f64::from(u8::from(worker.wait < FREE_WORKER_WAIT_S));
+            self.fleet.warming_up += usize::from(worker.warm_up_fraction < 1.0);
+            self.capacity.shortest_wait = self.capacity.shortest_wait.min(worker.wait);
+        }
+        self.refresh_kinds(now);
+        let free_share = free_workers / f64::max(ready_workers, 1.0);
+        self.capacity.free_share = free_share.min(self.fleet.prompt_start_share);
+    }
+
+    /// Refreshes the estimates of one worker.
+    pub(crate) fn refresh_worker(&mut self, now: Micros, index: usize) {
+        let nodes = f64::from(self.subset_nodes());
+        let worker = &self.fleet.workers[index];
+        let warm_up_fraction = self.warm_up_fraction(now, worker);
+        let speed = self.fleet.learned_speed(worker) * warm_up_fraction;
+        let send_rate = worker.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
+        let utilisation = (send_rate / (speed * self.fleet.slots(worker))).min(MAX_UTILISATION);
+        let worker = &mut self.fleet.workers[index];
+        (worker.warm_up_fraction, worker.current_speed) = (warm_up_fraction, speed);
+        (worker.utilisation, worker.estimated_at) = (utilisation, now);
+        let wait = self.estimate_wait(now, &self.fleet.workers[index], 1.0);
+        self.fleet.workers[index].wait = wait;
+    }
+
+    /// Refreshes the estimates of kinds. What a node of many does not see of each worker it reckons for the
+    /// kind: r by its own part of the traffic, and in w the wait that its own jobs met beyond the predicted
+    /// one.
+    fn refresh_kinds(&mut self, now: Micros) {
+        let nodes = f64::from(self.subset_nodes());
+        let observes_all_work = self.observes_all_work();
+        for kind in &mut self.fleet.kinds {
+            let send_rate = kind.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
+            let utilisation = (send_rate / kind.capacity.max(1e-9)).min(MAX_UTILISATION);
+            kind.utilisation = if nodes == 1.0 { 0.0 } else { utilisation };
+            kind.wait = if observes_all_work { 0.0 } else { kind.start_delay.get(now) };
+        }
+    }
+
+    /// Least share of its capacity that a worker has now: it gains no slower than evenly.
+    pub(crate) fn warm_up_fraction(&self, now: Micros, worker: &Worker) -> f64 {
+        if worker.started_at == 0 || self.settings.warm_up == 0 {
+            return 1.0;
+        }
+        let floor = self.settings.warm_up_floor;
+        let age = seconds_between(worker.started_at, now) / to_seconds(self.settings.warm_up);
+        (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
+    }
+
+    /// w: seconds that the work at a worker, own and reported by peers, keeps a job of so many slots waiting
+    /// there.
+    pub(crate) fn estimate_wait(&self, now: Micros, worker: &Worker, slots: f64) -> f64 {
+        let unobserved_wait = worker.unobserved_wait(now);
+        if worker.in_flight.is_empty() && worker.peer_backlogs.is_empty() {
+            return unobserved_wait;
+        }
+        let speed = worker.current_speed;
+        let mut schedule = SlotSchedule::new(self.fleet.slots(worker).max(slots));
+        for attempt in &worker.in_flight {
+            schedule.enqueue(self.remaining_work(now, speed, attempt) / speed, attempt.slots);
+        }
+        let (mut peer_work, mut peer_slots) = (0.0, 0.0);
+        let is_recent = |age: f64| age < PEER_BACKLOG_LIFETIME_S;
+        for backlog in
+            worker.peer_backlogs.iter().filter(|backlog| is_recent(seconds_between(backlog.at, now)))
+        {
+            peer_work += (backlog.work - seconds_between(backlog.at, now) * backlog.slots * speed).max(0.0);
+            peer_slots += backlog.slots;
+        }
+        for _ in 0..(peer_slots as u32).min(MAX_PEER_SLOTS) {
+            schedule.enqueue(peer_work / peer_slots / speed, 1.0);
+        }
+        schedule.enqueue(0.0, slots) + unobserved_wait
+    }
+
+    /// Work of an attempt that is still to do, in seconds at speed 1: by its progress where that was
+    /// reported, else by its hint. One near or past its hint still has a part of what it has done to do.
+    pub(crate) fn remaining_work(&self, now: Micros, speed: f64, attempt: &InFlightAttempt) -> f64 {
+        let Some(started_at) = attempt.started_at else { return attempt.work };
+        let ran = seconds_between(started_at, now);
+        match attempt.progress {
+            Some(progress) if progress.share > 0.0 => {
+                (seconds_between(started_at, progress.at) / progress.share - ran).max(0.0) * speed
+            }
+            _ => (attempt.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
+        }
+    }
+
+    /// What a job would meet at a worker.
+    pub(crate) fn estimate_placement(
+        &self,
+        now: Micros,
+        worker_index: usize,
+        job: &Job,
+    ) -> PlacementEstimate {
+        let worker = &self.fleet.workers[worker_index];
+        let wait = if job.slots > 1.0 { self.estimate_wait(now, worker, job.slots) } else { worker.wait };
+        let (work, fetch) = (job.work / worker.current_speed, self.fleet.estimate_fetch(worker, job));
+        let (run, reliable_run) = (work + fetch, RELIABLE_HINT_SHARE * work + fetch);
+        PlacementEstimate { worker_index, rating: worker.rating, run, reliable_run, wait }
+    }
+
+    /// Usual seconds of a job's run, as far as its hint is relied on.
+    pub(crate) fn reliable_run(&self, job: &Job) -> f64 {
+        RELIABLE_HINT_SHARE * job.work / self.fleet.overall_speed.speed
+    }
+
+    /// Seconds that an attempt in flight is likely to run on. None where this node is not shutting down: no
+    /// other asks.
+    pub(crate) fn remaining_run(&self, now: Micros, job: JobId, attempt: AttemptRef) -> Option<f64> {
+        let is_shutting_down = self.lifecycle.shutdown_at < Micros::MAX;
+        let index = self.fleet.find(attempt.worker).filter(|_| is_shutting_down)?;
+        let speed = self.fleet.workers[index].current_speed;
+        Some(self.remaining_work(now, speed, self.in_flight_attempt(job, attempt)?) / speed)
+    }
+
+    /// Whether this node knows all work at its workers: its own alone, or gossiped.
+    pub(crate) fn observes_all_work(&self) -> bool {
+        self.subset_nodes() == 1 || self.is_gossip_enabled()
+    }
+
+    /// Whether nodes gossip their work. With many of them a message costs all of them CPU, and must be so
+    /// rare that what it says is past.
+    pub(crate) fn is_gossip_enabled(&self) -> bool {
+        let messages = f64::from(self.subset_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
+        self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= MAX_GOSSIP_COST
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/estimators.rs
@@ -0,0 +1,180 @@
+//! Estimators: small running figures, each with its arithmetic and the constants of that. None of them knows
+//! a worker or a job.
+//!
+//! The results must be the same on every machine: the order of the floating-point operations is part of the
+//! code.
+
+use super::time::{seconds_between, to_seconds};
+use crate::{Class, Micros};
+
+/// Work of a job without a hint before its class has taught anything, in seconds at speed 1. A class that has
+/// no sample yet starts from its latency objective, held between this and ten times this.
+pub(crate) const DEFAULT_JOB_WORK_S: f64 = 0.1;
+/// Least weight of one sample in estimates that many workers share. The first ones weigh more.
+pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
+/// One sample moves a speed by no more than this many times the usual error, so that outliers count little.
+const MAX_SAMPLE_ERRORS: f64 = 2.0;
+/// Span over which the start delays at a kind are averaged, in seconds.
+const START_DELAY_SPAN_S: f64 = 5.0;
+/// Starts without delay that stand beside those seen, so that a single delay counts little.
+const START_DELAY_PRIOR_COUNT: f64 = 0.5;
+
+/// A sum whose parts decay exponentially with their age.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct DecayingSum {
+    value: f64,
+    updated_at: Micros,
+}
+
+impl DecayingSum {
+    /// The sum now, with a time constant of `tau` seconds.
+    pub fn get(&self, now: Micros, tau: f64) -> f64 {
+        if self.value == 0.0 {
+            return 0.0;
+        }
+        self.value * (-seconds_between(self.updated_at, now) / tau).exp()
+    }
+
+    /// Replaces the sum.
+    pub fn set(&mut self, now: Micros, value: f64) {
+        *self = DecayingSum { value, updated_at: now };
+    }
+
+    /// Adds a part.
+    pub fn add(&mut self, now: Micros, value: f64, tau: f64) {
+        self.set(now, self.get(now, tau) + value);
+    }
+
+    /// What is left of the sum where it shrinks by 1 a second, as a wait does that is worked off. May be
+    /// negative.
+    pub fn worked_off(&self, now: Micros) -> f64 {
+        self.value - seconds_between(self.updated_at, now)
+    }
+}
+
+/// An exponential moving average of a quantity, weighted by the time for which it had each value.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct TimeWeightedAverage {
+    average: f64,
+    current: f64,
+    updated_at: Micros,
+}
+
+impl TimeWeightedAverage {
+    /// The quantity is `current` from now on. Returns the average up to now, with a time constant of `tau`
+    /// seconds.
+    pub fn set(&mut self, now: Micros, current: f64, tau: f64) -> f64 {
+        let old = (-seconds_between(self.updated_at, now) / tau).exp();
+        self.average = self.average * old + self.current * (1.0 - old);
+        (self.current, self.updated_at) = (current, now);
+        self.average
+    }
+}
+
+/// The mean of the samples of the last seconds, drawn towards 0 where they are few.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct WindowedMean {
+    sum: DecayingSum,
+    count: DecayingSum,
+}
+
+impl WindowedMean {
+    /// Adds a sample.
+    pub fn add(&mut self, now: Micros, value: f64) {
+        self.sum.add(now, value, START_DELAY_SPAN_S);
+        self.count.add(now, 1.0, START_DELAY_SPAN_S);
+    }
+
+    /// The mean now.
+    pub fn get(&self, now: Micros) -> f64 {
+        self.sum.get(now, START_DELAY_SPAN_S)
+            / (self.count.get(now, START_DELAY_SPAN_S) + START_DELAY_PRIOR_COUNT)
+    }
+}
+
+/// A token bucket: tokens come back at a rate, up to a burst.
+#[derive(Clone, Copy)]
+pub(crate) struct TokenBucket {
+    tokens: f64,
+    refilled_at: Micros,
+}
+
+impl TokenBucket {
+    /// A bucket with so many tokens in it.
+    pub fn with_tokens(tokens: f64) -> Self {
+        TokenBucket { tokens, refilled_at: 0 }
+    }
+
+    /// Adds the tokens of the time since the last refill: `rate` a second, up to `burst` in all.
+    pub fn refill(&mut self, now: Micros, rate: f64, burst: f64) {
+        self.tokens = (self.tokens + seconds_between(self.refilled_at, now) * rate).min(burst);
+        self.refilled_at = now;
+    }
+
+    /// Whether there is a whole token.
+    pub fn has_token(&self) -> bool {
+        self.tokens >= 1.0
+    }
+
+    /// Takes a token, if there is a whole one.
+    pub fn take(&mut self) {
+        if self.has_token() {
+            self.tokens -= 1.0;
+        }
+    }
+}
+
+/// The speed of a kind of machine, or of the whole fleet: the middle of the logarithms of the speeds that
+/// jobs showed.
+#[derive(Clone, Copy)]
+pub(crate) struct SpeedEstimate {
+    /// Natural logarithm of the speed.
+    pub log_speed: f64,
+    /// The speed itself.
+    pub speed: f64,
+    /// Number of jobs that taught it.
+    pub samples: u32,
+}
+
+impl SpeedEstimate {
+    /// Nothing is known: speed 1.
+    pub const UNKNOWN: SpeedEstimate = SpeedEstimate { log_speed: 0.0, speed: 1.0, samples: 0 };
+
+    /// Takes the error of one more job in; like a median, the estimate is not drawn far by any single one.
+    pub fn add_sample(&mut self, error: f64, usual_error: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let limit = if self.samples > 1 { usual_error * MAX_SAMPLE_ERRORS } else { f64::INFINITY };
+        self.log_speed +=
+            SHARED_ESTIMATE_GAIN.max(1.0 / f64::from(self.samples)) * error.clamp(-limit, limit);
+        self.speed = self.log_speed.exp();
+    }
+}
+
+/// The work of a class's jobs, in seconds at speed 1, for those that come without a hint.
+///
+/// Sums of work, as in warm-up budgets, need the mean; speeds are learned as a middle of logarithms. Work has
+/// a long tail, so that one taken for the other would send a cold worker twice what it can do.
+#[derive(Clone, Copy)]
+pub(crate) struct WorkEstimate {
+    /// Mean work.
+    pub mean: f64,
+    /// Mean natural logarithm of the work.
+    pub log_mean: f64,
+    samples: u32,
+}
+
+impl WorkEstimate {
+    /// The estimate before any sample: the latency objective tells the order of magnitude.
+    pub fn from_latency_objective(class: &Class) -> Self {
+        let mean = to_seconds(class.latency_objective).clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
+        WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
+    }
+
+    /// Takes the work of one more job in.
+    pub fn add_sample(&mut self, work: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let gain = SHARED_ESTIMATE_GAIN.max(1.0 / f64::from(self.samples));
+        self.mean += gain * (work - self.mean);
+        self.log_mean += gain * (work.max(1e-6).ln() - self.log_mean);
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/fleet.rs
@@ -0,0 +1,239 @@
+//! The workers of the endpoint list and what is known of them together: speeds, slots, start delays, usual
+//! work.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use arrayvec::ArrayVec;
+
+use super::estimators::{
+    DEFAULT_JOB_WORK_S, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
+    WorkEstimate,
+};
+use super::worker::{InFlightAttempt, UnhintedWork, Worker};
+use crate::{JobId, KindId, Micros, Settings, WorkerId};
+
+/// A start this late counts as delayed, in seconds; where other nodes' work is not known, it is the sign of
+/// that.
+pub(crate) const LATE_START_S: f64 = 0.02;
+/// Most slots that one worker counts as.
+pub(super) const MAX_SLOTS: f64 = 16.0;
+/// Least weight of one job in a worker's learned speed. The first ones weigh more.
+const WORKER_SPEED_GAIN: f64 = 0.08;
+/// Jobs that the speed of a worker's kind stands for, beside those that the worker itself has served.
+const KIND_PRIOR_SAMPLES: f64 = 3.0;
+/// Weight of one attempt in the share of those that start promptly.
+const PROMPT_START_GAIN: f64 = 0.1;
+/// Time constant of the average of running slots, in seconds.
+const RUNNING_SLOTS_SPAN_S: f64 = 10.0;
+/// Workers whose slots are looked at for the median of the fleet.
+const MAX_SLOT_SAMPLES: usize = 64;
+
+/// What is known of all workers of one kind, each of which a node of many seldom meets.
+pub(crate) struct MachineKind {
+    /// Which kind.
+    pub id: KindId,
+    /// Its speed.
+    pub speed: SpeedEstimate,
+    /// Seconds by which attempts started later than predicted.
+    pub start_delay: WindowedMean,
+    /// Hinted work sent.
+    pub sent_work: DecayingSum,
+    /// Estimate: work that its ready workers can do in a second.
+    pub capacity: f64,
+    /// Estimate: r, the share of that capacity that is used.
+    pub utilisation: f64,
+    /// Estimate: w, a wait that is not known of any one worker, in seconds.
+    pub wait: f64,
+}
+
+impl MachineKind {
+    fn new(id: KindId) -> Self {
+        MachineKind {
+            id,
+            speed: SpeedEstimate::UNKNOWN,
+            start_delay: WindowedMean::default(),
+            sent_work: DecayingSum::default(),
+            capacity: 0.0,
+            utilisation: 0.0,
+            wait: 0.0,
+        }
+    }
+}
+
+/// All workers that the endpoint list has named.
+pub(crate) struct Fleet {
+    /// Ordered by id. A worker that is gone stays until its attempts have ended.
+    pub workers: Vec<Worker>,
+    /// Workers that operators have disabled, and when: apart from the list, which may drop one and name it
+    /// again.
+    pub disabled: BTreeMap<WorkerId, Micros>,
+    /// Workers that were enabled again and that the list does not name at present, and when.
+    pub(super) reenabled_unlisted: BTreeMap<WorkerId, Micros>,
+    /// Attempts to revoke that no action has named yet: their worker takes nothing new any more.
+    pub pending_revocations: Vec<(JobId, u32)>,
+    /// Indices of the ready workers of this node's subset, in ascending order.
+    pub subset: Vec<usize>,
+    /// How many workers of the subset are warming up.
+    pub warming_up: usize,
+    /// Number of subsets that nodes and workers are parted into.
+    pub subset_count: usize,
+    /// Most subsets that the settings allow.
+    pub(super) max_subsets: usize,
+    /// This node's number.
+    pub(super) node_index: usize,
+    /// Kinds of machine in the order in which they were met.
+    pub kinds: Vec<MachineKind>,
+    /// The speed of the fleet as a whole, for kinds of which nothing is known.
+    pub overall_speed: SpeedEstimate,
+    /// Median of the most slots seen running at once at workers of the subset.
+    pub median_slots: f64,
+    /// Keys of the jobs that were submitted last, the oldest first.
+    pub(super) recent_keys: VecDeque<u64>,
+    /// This node's own running slots.
+    running_slots: TimeWeightedAverage,
+    /// Slots running at once at a worker, extrapolated from this node's own ones to all nodes.
+    extrapolated_slots: f64,
+    /// The endpoint list has sizes.
+    pub(super) sizes_listed: bool,
+    /// Mean distance (of logarithms) between the speeds that jobs showed and those learned of their workers.
+    pub hint_error: f64,
+    /// Share of the attempts that started promptly, lately.
+    pub prompt_start_share: f64,
+    /// Mean hinted work of a job, in seconds at speed 1.
+    pub mean_work: f64,
+    /// Work of the jobs of each class that came without a hint.
+    unhinted_work: Vec<WorkEstimate>,
+}
+
+impl Fleet {
+    /// A fleet without workers.
+    pub fn new(settings: &Settings) -> Self {
+        Fleet {
+            workers: Vec::new(),
+            disabled: BTreeMap::new(),
+            reenabled_unlisted: BTreeMap::new(),
+            pending_revocations: Vec::new(),
+            subset: Vec::new(),
+            warming_up: 0,
+            subset_count: 1,
+            max_subsets: super::subset::max_subsets(settings),
+            node_index: settings.node_index as usize,
+            kinds: Vec::new(),
+            overall_speed: SpeedEstimate::UNKNOWN,
+            median_slots: 1.0,
+            recent_keys: VecDeque::new(),
+            running_slots: TimeWeightedAverage::default(),
+            extrapolated_slots: 1.0,
+            sizes_listed: settings.sizes_listed,
+            hint_error: 0.5,
+            prompt_start_share: 1.0,
+            mean_work: DEFAULT_JOB_WORK_S,
+            unhinted_work: settings.classes.iter().map(WorkEstimate::from_latency_objective).collect(),
+        }
+    }
+
+    /// Index of a worker.
+    pub fn find(&self, id: WorkerId) -> Option<usize> {
+        self.workers.binary_search_by_key(&id, |worker| worker.id).ok()
+    }
+
+    /// Index of a kind, which is new where it is met for the first time.
+    pub fn kind_index(&mut self, id: KindId) -> usize {
+        self.kinds.iter().position(|kind| kind.id == id).unwrap_or_else(|| {
+            self.kinds.push(MachineKind::new(id));
+            self.kinds.len() - 1
+        })
+    }
+
+    /// The work of a job of that class that came without a hint, in seconds at speed 1.
+    pub fn estimate_unhinted_work(&self, class: usize) -> f64 {
+        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |work| work.mean.clamp(1e-4, 1e4))
+    }
+
+    /// Takes the work of a submitted job into the mean.
+    pub fn record_work(&mut self, work: f64) {
+        self.mean_work += SHARED_ESTIMATE_GAIN * (work - self.mean_work);
+    }
+
+    /// Takes a served attempt in that ran for `run` seconds. A worker is known by its speed over its kind's,
+    /// and a kind by all jobs that its workers served: a node of many sees too few jobs of each worker, and a
+    /// kind may slow down as a whole.
+    pub fn record_speed(&mut self, index: usize, attempt: &InFlightAttempt, run: f64) {
+        let log_speed = self.measure_log_speed(index, attempt, run);
+        let usual_error = self.hint_error;
+        let error = log_speed - self.learned_speed(&self.workers[index]).ln();
+        let worker = &mut self.workers[index];
+        let kind_speed = &mut self.kinds[worker.kind_index].speed;
+        self.overall_speed.add_sample(log_speed - self.overall_speed.log_speed, usual_error);
+        kind_speed.add_sample(if kind_speed.samples > 0 { error } else { log_speed }, usual_error);
+        worker.speed_samples = worker.speed_samples.saturating_add(1);
+        let gain = WORKER_SPEED_GAIN.max(1.0 / (f64::from(worker.speed_samples) + KIND_PRIOR_SAMPLES));
+        worker.log_speed_ratio += gain * error;
+        worker.speed_ratio = worker.log_speed_ratio.exp();
+        self.hint_error += SHARED_ESTIMATE_GAIN * (error.abs() - usual_error);
+    }
+
+    /// The natural logarithm of the speed that a served attempt showed. One without a hint teaches the work
+    /// of its class as well.
+    fn measure_log_speed(&mut self, index: usize, attempt: &InFlightAttempt, run: f64) -> f64 {
+        let worker_speed = self.learned_speed(&self.workers[index]);
+        let unhinted = attempt
+            .unhinted
+            .and_then(|UnhintedWork { class, work }| Some((self.unhinted_work.get_mut(class)?, work)));
+        let Some((class_work, work)) = unhinted.filter(|_| attempt.work > 0.0) else {
+            return (attempt.work / run).ln();
+        };
+        // The part of the run that was expected for a fetch is no work of the class.
+        let run_without_fetch = run * work / attempt.work;
+        class_work.add_sample(run_without_fetch * worker_speed);
+        class_work.log_mean - run_without_fetch.ln()
+    }
+
+    /// Takes in how late an attempt started, in seconds: that tells of other nodes' work at the worker's
+    /// whole kind, and how full the fleet is.
+    pub fn record_start_delay(&mut self, now: Micros, index: usize, delay: f64) {
+        let is_prompt = f64::from(u8::from(delay < LATE_START_S));
+        self.prompt_start_share += PROMPT_START_GAIN * (is_prompt - self.prompt_start_share);
+        self.kinds[self.workers[index].kind_index].start_delay.add(now, delay);
+    }
+
+    /// Learned speed of a worker that is warm: its kind's, or the fleet's where that is not known, times its
+    /// ratio.
+    pub fn learned_speed(&self, worker: &Worker) -> f64 {
+        let kind_speed = &self.kinds[worker.kind_index].speed;
+        let speed = if kind_speed.samples > 0 { kind_speed.speed } else { self.overall_speed.speed };
+        speed * worker.speed_ratio
+    }
+
+    /// A worker's slots: its listed size, or its learned slots where those are more.
+    pub fn slots(&self, worker: &Worker) -> f64 {
+        worker.listed_slots.max(self.learned_slots(worker))
+    }
+
+    /// A worker's slots by what was seen, whatever the list says.
+    pub fn learned_slots(&self, worker: &Worker) -> f64 {
+        self.observed_slots(worker).max(self.extrapolated_slots)
+    }
+
+    /// The part of that which rests on own jobs seen running at once, and on nothing extrapolated to other
+    /// nodes.
+    pub fn observed_slots(&self, worker: &Worker) -> f64 {
+        let slots = if worker.speed_samples > 0 { worker.max_concurrent_slots } else { self.median_slots };
+        slots.max(1.0)
+    }
+
+    /// Derives the median of the slots seen at the subset's workers that have taught anything, and the slots
+    /// that all `nodes` together use. A node of many seldom has two jobs at one worker: what it has running
+    /// at all of them is an even part of what they run at once.
+    pub fn refresh_slots(&mut self, now: Micros, nodes: f64) {
+        let running = self.subset.iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
+        let running = self.running_slots.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
+        self.extrapolated_slots = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
+        let taught = self.subset.iter().map(|index| &self.workers[*index]);
+        let taught = taught.filter(|worker| worker.speed_samples > 0).take(MAX_SLOT_SAMPLES);
+        let mut slots: ArrayVec<f64, MAX_SLOT_SAMPLES> =
+            taught.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
+        slots.sort_unstable_by(f64::total_cmp);
+        self.median_slots = slots.get(slots.len() / 2).copied().unwrap_or(1.0);
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/job.rs
@@ -0,0 +1,145 @@
+//! What is known of one job: what its submission said, and the attempts made for it.
+
+use arrayvec::ArrayVec;
+
+use crate::{CellId, JobId, JobSubmission, Micros, Outcome, WorkerId, ZoneId};
+
+/// Most attempts of one job; settings that allow more are cut to this.
+pub(crate) const MAX_ATTEMPTS: usize = 8;
+
+/// One attempt of a job, in flight or ended.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    /// Where it was sent.
+    pub worker: WorkerId,
+    /// The worker's zone when it was sent.
+    pub zone: ZoneId,
+    /// The worker's cell when it was sent.
+    pub cell: CellId,
+    /// When it was sent.
+    pub sent_at: Micros,
+    /// How it ended; none while it is in flight.
+    pub outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    /// When repeats of what it ran are no longer discarded, given the length of that window.
+    pub fn deduplicated_until(&self, window: Micros) -> Micros {
+        self.sent_at.saturating_add(window)
+    }
+
+    /// Whether the job may have run by it.
+    pub fn may_have_run(&self) -> bool {
+        !self.outcome.is_some_and(Outcome::never_ran)
+    }
+}
+
+/// Names an attempt of a known job.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptRef {
+    /// Its number among the job's attempts, from 0.
+    pub number: u32,
+    /// Where it was sent.
+    pub worker: WorkerId,
+}
+
+/// A job that this node has taken.
+pub(crate) struct Job {
+    /// Its number.
+    pub id: JobId,
+    /// Index of its class in the settings.
+    pub class: usize,
+    /// It is beyond this node's part of its tenant's quota.
+    pub over_quota: bool,
+    /// Priority weight of a slot's work, as a share of the highest.
+    pub weight: f64,
+    /// It is no retry of its client's.
+    pub is_first_submission: bool,
+    /// Hinted work, in seconds at speed 1.
+    pub work: f64,
+    /// Its work is an estimate by its class, since it came without a hint.
+    pub is_unhinted: bool,
+    /// Slots that it takes.
+    pub slots: f64,
+    /// Affinity key: what it concerns.
+    pub key: Option<u64>,
+    /// Least rendezvous weight of the workers that are homes of its key.
+    pub affinity_threshold: u64,
+    /// An answer after this misses its latency objective.
+    pub objective_at: Micros,
+    /// When its client stops waiting.
+    pub deadline: Micros,
+    /// Its attempts in the order of sends.
+    pub attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
+    /// Its answer has begun to flow; nothing more is to be decided.
+    pub is_streaming: bool,
+    /// Its final answer is out.
+    pub is_answered: bool,
+}
+
+impl Job {
+    /// A job as submitted, before admission has derived anything.
+    pub fn new(submission: &JobSubmission) -> Self {
+        Job {
+            id: submission.job,
+            class: submission.class.0,
+            over_quota: false,
+            weight: 1.0,
+            is_first_submission: true,
+            work: 0.0,
+            is_unhinted: false,
+            slots: 1.0,
+            key: submission.key,
+            affinity_threshold: u64::MAX,
+            objective_at: 0,
+            deadline: submission.deadline,
+            attempts: ArrayVec::new(),
+            is_streaming: false,
+            is_answered: false,
+        }
+    }
+
+    /// Work that it puts on a worker, in seconds at speed 1: all its slots for as long as it runs.
+    pub fn load(&self) -> f64 {
+        self.work * self.slots
+    }
+
+    /// Whether it still waits for an answer to begin.
+    pub fn is_open(&self) -> bool {
+        !self.is_answered && !self.is_streaming
+    }
+
+    /// Its attempts that are in flight.
+    pub fn in_flight(&self) -> impl Iterator<Item = AttemptRef> {
+        let open = self.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.outcome.is_none());
+        open.map(|(attempt, number)| AttemptRef { number, worker: attempt.worker })
+    }
+
+    /// Whether none of its attempts is in flight.
+    pub fn is_idle(&self) -> bool {
+        self.in_flight().next().is_none()
+    }
+
+    /// The first attempt that may have run.
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
+    }
+
+    /// Number of its attempts that were cancelled: those waited in vain, while one that failed or could not
+    /// connect says nothing of a queue.
+    pub fn cancelled_attempts(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Cancelled)).count()
+    }
+
+    /// Whether a worker may still report the end of an earlier attempt there, one that was cancelled or lost.
+    /// Its callback names the job and no attempt, so that it would end the next one there, which runs on.
+    pub fn may_receive_stale_callback(&self, worker: WorkerId) -> bool {
+        let open = |outcome| matches!(outcome, Some(Outcome::Cancelled | Outcome::Lost));
+        self.attempts.iter().any(|attempt| attempt.worker == worker && open(attempt.outcome))
+    }
+
+    /// Whether an attempt of it went to that worker.
+    pub fn was_sent_to(&self, worker: WorkerId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.worker == worker)
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/subset.rs
@@ -0,0 +1,118 @@
+//! Which workers a node uses: the endpoint list, what operators have disabled, and the subset of this node.
+//!
+//! Many nodes with many workers are parted into subsets, each of which does with few workers what a small
+//! deployment does: it knows them, and can afford to gossip its nodes' work. Nodes with the same list agree
+//! on the subsets.
+
+use super::fleet::{Fleet, MAX_SLOTS};
+use super::worker::Worker;
+use crate::{Endpoint, Micros, Settings, WorkerId, WorkerStatus};
+
+/// Fewest nodes of a subset.
+const MIN_SUBSET_NODES: u32 = 8;
+/// Fewest workers of a subset.
+const MIN_SUBSET_WORKERS: usize = 8;
+
+/// Most subsets that the nodes can be parted into. Without gossip there is one: several would only make each
+/// fetch what the others hold already.
+pub(super) fn max_subsets(settings: &Settings) -> usize {
+    if !settings.may_gossip {
+        return 1;
+    }
+    (settings.nodes / MIN_SUBSET_NODES).max(1) as usize
+}
+
+impl Fleet {
+    /// Takes over an endpoint list, or changes to it. A snapshot is whole: workers that it does not name are
+    /// gone.
+    pub fn apply_endpoints(&mut self, now: Micros, endpoints: &[Endpoint], snapshot: bool) {
+        if snapshot {
+            self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
+        }
+        for endpoint in endpoints {
+            match self.workers.binary_search_by_key(&endpoint.worker, |worker| worker.id) {
+                Ok(index) => self.update_worker(now, index, endpoint),
+                Err(index) => self.insert_worker(index, endpoint),
+            }
+        }
+        self.workers.retain(|worker| worker.status != WorkerStatus::Gone || !worker.in_flight.is_empty());
+        for worker in self.workers.iter_mut().filter(|worker| worker.status != WorkerStatus::Ready) {
+            self.pending_revocations.extend(worker.revoke_unaccepted());
+        }
+        self.rebuild_subset();
+    }
+
+    fn update_worker(&mut self, now: Micros, index: usize, endpoint: &Endpoint) {
+        let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
+        let started_at = endpoint.started.min(now);
+        let worker = &mut self.workers[index];
+        (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
+        worker.status = endpoint.status;
+        if started_at > worker.started_at {
+            // What is on its way was meant for the process before, which was warm, perhaps elsewhere.
+            self.pending_revocations.extend(worker.revoke_unaccepted());
+        }
+        worker.started_at = worker.started_at.max(started_at);
+        (worker.kind_index, worker.listed_slots) = (kind_index, listed_slots);
+    }
+
+    fn insert_worker(&mut self, index: usize, endpoint: &Endpoint) {
+        let mut worker = Worker::new(endpoint, self.kind_index(endpoint.kind));
+        worker.listed_slots = self.listed_slots(endpoint);
+        if let Some(reenabled_at) = self.reenabled_unlisted.remove(&endpoint.worker) {
+            worker.reenable(reenabled_at, reenabled_at);
+        }
+        self.workers.insert(index, worker);
+    }
+
+    /// The size of a worker in the list, in slots; 1 where the list has no sizes.
+    fn listed_slots(&self, endpoint: &Endpoint) -> f64 {
+        let is_listed = self.sizes_listed && endpoint.size.is_finite();
+        if is_listed { endpoint.size.round().clamp(1.0, MAX_SLOTS) } else { 1.0 }
+    }
+
+    /// Nothing more goes to the worker until it is enabled again.
+    pub fn disable_worker(&mut self, now: Micros, id: WorkerId) {
+        self.reenabled_unlisted.remove(&id);
+        self.disabled.entry(id).or_insert(now);
+        if let Some(index) = self.find(id) {
+            self.pending_revocations.extend(self.workers[index].revoke_unaccepted());
+        }
+        self.rebuild_subset();
+    }
+
+    /// The worker may be used again; its failures before count no more.
+    pub fn reenable_worker(&mut self, now: Micros, id: WorkerId) {
+        let Some(disabled_at) = self.disabled.remove(&id) else { return };
+        match self.find(id) {
+            Some(index) => self.workers[index].reenable(disabled_at, now),
+            // One for each id that was disabled: those are bounded.
+            None => _ = self.reenabled_unlisted.insert(id, now),
+        }
+        self.rebuild_subset();
+    }
+
+    /// Whether a worker takes new work: ready by the list, and not disabled by operators.
+    pub fn takes_work(&self, worker: &Worker) -> bool {
+        worker.status == WorkerStatus::Ready && !self.disabled.contains_key(&worker.id)
+    }
+
+    /// Deals the ready workers out to the subsets, each zone's and kind's evenly.
+    fn rebuild_subset(&mut self) {
+        let mut subset = std::mem::take(&mut self.subset);
+        subset.clear();
+        subset.extend((0..self.workers.len()).filter(|index| self.takes_work(&self.workers[*index])));
+        self.subset_count = self.max_subsets.min(subset.len() / MIN_SUBSET_WORKERS).max(1);
+        let workers = &self.workers;
+        subset.sort_by_key(|index| (workers[*index].zone.0, workers[*index].kind.0, *index));
+        let mut dealt = 0;
+        subset.retain(|_| {
+            dealt += 1;
+            dealt % self.subset_count == self.node_index % self.subset_count
+        });
+        subset.sort_unstable();
+        self.workers.iter_mut().for_each(|worker| worker.in_subset = false);
+        subset.iter().for_each(|index| self.workers[*index].in_subset = true);
+        self.subset = subset;
+    }
+}
