--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -16,8 +16,8 @@
 /// Most names that are remembered as listed: a site of a thousand workers that are all replaced ten times a
 /// day reaches this on the fourth day.
 const MAX_LISTED_WORKERS: usize = 32_768;
-/// Most bytes of names that are remembered as listed. A successor gets all of them in one frame, together
-/// with the state snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
+/// Most bytes of names that are remembered as listed, 1.5 MiB. A successor gets all of them in one frame,
+/// together with the state snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
 const MAX_LISTED_BYTES: usize = 3 << 19;
 
 /// The disabled workers, by their names in the endpoint list. Its serialized form is what a successor
