--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -129,8 +129,8 @@
         let listener = self.rendezvous.filter(|listener| self.processes[*listener].alive);
         let hello = TakeoverEvent::Hello { node: "n".into(), listen: "l".into() };
         let response = listener.map(|listener| self.handle(listener, hello));
-        let is_welcome = response.iter().flatten().any(|command| *command == TakeoverCommand::AcceptHello);
-        let predecessor = listener.filter(|_| is_welcome);
+        let is_accepted = response.iter().flatten().any(|command| *command == TakeoverCommand::AcceptHello);
+        let predecessor = listener.filter(|_| is_accepted);
         match response.as_deref() {
             // It asks again later, and has done nothing yet.
             Some([TakeoverCommand::RejectHello(RejectReason::Busy)]) => return,
