--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -51,8 +51,8 @@
         if job.is_idle() {
             return time_left < MIN_RUN_SHARE_LEFT * self.reliable_run(job);
         }
-        // Objectives grow with the true work, which may exceed the hint by as much as hints have been off. The
-        // fewer attempts start promptly, the less of that doubt is for the job: those behind it suffer.
+        // Objectives grow with the true work, which may exceed the hint by as much as hints have been off. If
+        // few attempts start promptly, less of that doubt is for the job: those behind it suffer.
         let max_error = (MAX_HINT_ERRORS * self.fleet.hint_error * self.fleet.prompt_start_share).exp();
         let stretch = self.settings.classes[job.class].latency_objective_stretch;
         let doubt = stretch * (max_error - RELIABLE_HINT_SHARE) - 1.0 / self.fleet.overall_speed.speed;
