--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -1,5 +1,4 @@
-//! Event handlers: each event of the embedder is booked in `state`, and handed to the decisions in `policy`
-//! that it calls for.
+//! Event handlers: each event updates the records in `state` and calls the decisions in `policy` that follow.
 
 mod gossip;
 mod timers;
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The timer: one for all that is due at a time, set anew after each event.
+//! The timer of a dispatcher: a single one for all periodic work, set again after each event.
 
 use crate::policy::SWEEP_INTERVAL;
 use crate::{Action, Dispatcher, Micros};
@@ -7,7 +7,7 @@
 const GOSSIP_INTERVAL_PER_NODE: Micros = 2_000;
 
 impl Dispatcher {
-    /// Does all that is due: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
+    /// Does the periodic work: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
     pub(super) fn handle_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.timer.expires_at = self.timer.expires_at.filter(|at| *at > now);
         if self.discovery.woken(now, &mut self.rng) {
@@ -32,7 +32,7 @@
         self.buffers.open_jobs = open_jobs;
     }
 
-    /// Sets the timer, if it does not expire early enough.
+    /// Sets the timer, unless it is set to expire early enough.
     pub(crate) fn set_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.gossip.has_changes && self.gossip.due_at.is_none() && self.is_gossip_enabled() {
             let interval = GOSSIP_INTERVAL_PER_NODE * Micros::from(self.subset_nodes() - 1);
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -18,7 +18,7 @@
         }
         let mut job = self.assess_job(now, submission);
         if now + ANSWER_MARGIN >= job.deadline || self.outlasts_shutdown(now, &job) {
-            // A client's last retry: its time would be up before the next sweep could answer it.
+            // Probably a client's last retry: its time would be up before the next sweep.
             return self.reject_or_fail(&mut job, actions);
         }
         self.budgets.earn(&job, self.fleet.prompt_start_share);
@@ -29,7 +29,7 @@
         self.dispatch_pending(now, actions);
     }
 
-    /// Derives a job's work, weight and latency objective from its submission, and uses up its tenant's
+    /// Derives a job's work, weight and latency objective from its submission, and charges its tenant's
     /// quota.
     fn assess_job(&mut self, now: Micros, submission: &JobSubmission) -> Job {
         let class_index = submission.class.0;
@@ -37,7 +37,7 @@
         let hint = submission.cost_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
         let estimate = self.fleet.estimate_unhinted_work(class_index);
         let work = hint.map_or(estimate, |hint| hint.clamp(1e-4, 1e4));
-        // A client's retry has less time left than a first submission: its objective counts from the first.
+        // A client's retry has less time left than a first submission: its objective counts from the latter.
         let time_left = submission.deadline.saturating_sub(now).min(class.client_timeout);
         let waited = self.admission.time_waited(class_index, time_left);
         let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -9,24 +9,26 @@
 pub(super) const ANSWER_MARGIN: Micros = 2 * SWEEP_INTERVAL;
 /// A queued job is given up when less than this share of its usual run is left to its objective.
 const MIN_RUN_SHARE_LEFT: f64 = 0.6;
-/// Hints are trusted to be off by no more than this many times their mean error (of the logarithm).
+/// Hints are assumed to be off by at most this many times their mean error (of the logarithm).
 const MAX_HINT_ERRORS: f64 = 5.0;
 
 impl Dispatcher {
-    /// Looks at an open job in a sweep: answers it, or tries to have it started elsewhere.
+    /// Reviews an open job in a sweep: answers it when its time is up, else tries to have it started
+    /// elsewhere.
     pub(crate) fn review_job(&mut self, now: Micros, id: JobId, actions: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&id) else { return };
         let answer_by = job.deadline.min(self.lifecycle.shutdown_at);
         if now + ANSWER_MARGIN >= answer_by || self.outlasts_shutdown(now, &job) {
             self.reject_or_fail(&mut job, actions);
         } else if self.is_beyond_objective(now, &job) {
-            // Overload: work that can no longer earn, queued here or at a worker, only delays work that can.
+            // Overload: work that can no longer be in time, queued here or at a worker, only delays work that
+            // can.
             self.demand.record_shed(now, &job);
             self.reject_or_fail(&mut job, actions);
         } else if !job.is_idle() {
             let unaccepted = self.find_unaccepted_attempt(now, &job);
-            let in_vain = unaccepted.or_else(|| self.find_attempt_to_relocate(now, &mut job));
-            actions.extend(in_vain.map(|attempt| Action::CancelAttempt { job: id, attempt }));
+            let to_cancel = unaccepted.or_else(|| self.find_attempt_to_relocate(now, &mut job));
+            actions.extend(to_cancel.map(|attempt| Action::CancelAttempt { job: id, attempt }));
             self.hedge_job(now, &mut job, actions);
         }
         self.store_job(job);
@@ -44,15 +46,16 @@
         }
     }
 
-    /// Whether a job can hardly meet its objective any more: a queued one by its usual run, one in flight
-    /// where it waits at a worker beyond the last start that could still be in time.
+    /// Whether a job is unlikely to meet its objective: a queued one by its usual run, one in flight where it
+    /// waits at a worker beyond the last start that could still be in time.
     fn is_beyond_objective(&self, now: Micros, job: &Job) -> bool {
         let time_left = seconds_between(now, job.objective_at);
         if job.is_idle() {
             return time_left < MIN_RUN_SHARE_LEFT * self.reliable_run(job);
         }
-        // Objectives grow with the true work, which may exceed the hint by as much as hints have been off. If
-        // few attempts start promptly, less of that doubt is for the job: those behind it suffer.
+        // Objectives grow with the true work, which may exceed the hint by as much as hints have been off.
+        // While few attempts start promptly, less of that doubt counts in favour of the job, since those
+        // behind it wait.
         let max_error = (MAX_HINT_ERRORS * self.fleet.hint_error * self.fleet.prompt_start_share).exp();
         let stretch = self.settings.classes[job.class].latency_objective_stretch;
         let doubt = stretch * (max_error - RELIABLE_HINT_SHARE) - 1.0 / self.fleet.overall_speed.speed;
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -5,12 +5,12 @@
 
 /// Mean time of a first ejection, in seconds; it doubles with each failure in a row.
 const BASE_EJECTION_S: f64 = 0.1;
-/// Most doublings.
+/// Most doublings of that time.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 
 impl Dispatcher {
-    /// Whether work keeps away from a worker: while it does not accept what it was sent, while it is ejected,
-    /// and then until an idempotent job has shown that it serves. A late start counts in w instead.
+    /// Whether a worker is avoided: while it does not accept what it was sent, while it is ejected, and then
+    /// until an idempotent job has been served there. A late start counts in w instead.
     pub(super) fn is_avoided(&self, now: Micros, worker: &Worker, job: &Job) -> bool {
         let may_probe = self.is_idempotent(job) && worker.in_flight.is_empty();
         let on_trial = worker.consecutive_failures > 1 && !may_probe;
@@ -19,12 +19,12 @@
             || worker.has_overdue_acceptance(now, self.settings.accept_timeout)
     }
 
-    /// Takes in what the end of an attempt says of its worker.
+    /// Updates a worker's health and estimates by the end of an attempt there.
     pub(crate) fn assess_worker(&mut self, now: Micros, ended: &EndedAttempt) {
         let (index, attempt) = (ended.worker_index, &ended.attempt);
         match ended.outcome {
             Outcome::Done => self.record_success(now, index, attempt),
-            // A broken connection alone is no new start, and must not make a warm worker count as cold.
+            // A broken connection alone does not show a restart, so a warm worker stays warm.
             Outcome::Unreachable => {
                 self.fleet.workers[index].unreachable = true;
                 self.eject_worker(now, index);
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Backoff with jitter, so that a dead worker costs few attempts and nodes do not return in step.
+    /// Ejects a worker, with exponential backoff so that a dead one costs few attempts, and with jitter so
+    /// that nodes do not return in step.
     fn eject_worker(&mut self, now: Micros, index: usize) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
         let worker = &mut self.fleet.workers[index];
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -1,4 +1,5 @@
-//! Hedging: a second attempt of a job that does not start. The first of them to start is kept.
+//! Hedging: a second attempt of a job that does not start. The first one to start runs, the others are
+//! cancelled.
 
 use crate::state::{Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementTier};
 use crate::{Action, JobId, Micros};
@@ -7,8 +8,8 @@
 const SILENT_START_S: f64 = 1.0;
 
 impl Dispatcher {
-    /// Sends a job again that should have started, where another worker looks free: other nodes' work stands
-    /// before it, or its worker is silent.
+    /// Sends a second attempt of a job that should have started, where another worker has a slot free: other
+    /// nodes' work may be queued before it, or its worker may be silent.
     pub(super) fn hedge_job(&mut self, now: Micros, job: &mut Job, actions: &mut Vec<Action>) {
         let may_send = self.settings.may_cancel && !self.discovery.stale(now);
         if !may_send || !self.budgets.allow_hedge(job) || !self.is_start_overdue(now, job) {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Whether none of a job's attempts has started, each later than predicted.
+    /// Whether no attempt of a job has started, and each is later than predicted.
     fn is_start_overdue(&self, now: Micros, job: &Job) -> bool {
         let allowed_delay = if self.observes_all_work() { SILENT_START_S } else { LATE_START_S };
         let is_overdue =
@@ -31,7 +32,7 @@
         job.in_flight().all(|attempt| self.in_flight_attempt(job.id, attempt).is_some_and(is_overdue))
     }
 
-    /// An attempt has started: others of its job must not run as well.
+    /// Cancels the other attempts of a job of which one has started.
     pub(crate) fn cancel_other_attempts(&self, job: JobId, started: u32, actions: &mut Vec<Action>) {
         let Some(known) = self.jobs.get(&job).filter(|_| self.settings.may_cancel) else { return };
         let others = known.in_flight().filter(|attempt| attempt.number != started);
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -7,16 +7,17 @@
 use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementTier, QueueKey, seconds_between, to_micros};
 use crate::{Action, Micros};
 
-/// A job that can still meet its objective goes out this long before it no longer can, in seconds.
+/// A job that can still meet its objective is sent at the latest this long before it no longer can, in
+/// seconds.
 const LAST_START_MARGIN_S: f64 = 0.1;
-/// Queued jobs that may be skipped for want of a worker before the rest is left for later ...
+/// Most queued jobs that are skipped in one pass because no worker takes them ...
 const MIN_SKIPPED_JOBS: usize = 8;
-/// ... or one for so many workers of the subset: in a large fleet a few that fit nowhere must not stop the
-/// others.
+/// ... or one for this many workers of the subset, where that is more: in a large fleet, a few jobs that fit
+/// nowhere must not block the rest.
 const WORKERS_PER_SKIPPED_JOB: usize = 2;
-/// So many times the share of work within quotas that was shed is reserved, of the workers, for weighty jobs.
+/// Share of the workers that is reserved for jobs of high weight, as a multiple of the shed share.
 const SHED_RESERVE_FACTOR: f64 = 3.0;
-/// Jobs of at least this weight are never held back for that.
+/// Jobs of at least this weight ignore that reserve.
 const RESERVE_EXEMPT_WEIGHT: f64 = 0.4;
 
 impl Dispatcher {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Sends a queued job if a worker is free for it. False where it stays in the queue.
+    /// Sends a queued job if a worker is free for it. Returns whether it has left the queue.
     fn dispatch_job(&mut self, now: Micros, key: QueueKey, actions: &mut Vec<Action>) -> bool {
         let is_held_back = |job| self.yields_capacity(job) || self.is_capacity_exhausted(now, job);
         if self.jobs.get(&key.job).is_some_and(is_held_back) {
@@ -62,8 +63,8 @@
         placement.is_some()
     }
 
-    /// Whether a job goes out now: a slot is about to be free for it, or it is now or never. One that looks
-    /// late everywhere still goes when nothing else is queued: hints are rough.
+    /// Whether a job is sent now: a slot is about to be free, or waiting longer would miss its objective. A
+    /// job that looks late everywhere is still sent when it is the only one queued, since hints are rough.
     fn is_timely(&self, now: Micros, job: &Job, placement: &PlacementEstimate) -> bool {
         let spare = seconds_between(now, job.objective_at) - placement.reliable_run - placement.wait;
         match placement.rating.tier {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Whether a job leaves the free capacity to those that may come: while work is being shed, and the more
-    /// readily the less its weight.
+    /// Whether a job leaves free capacity to others: while work is being shed, and the sooner the lower its
+    /// weight.
     fn yields_capacity(&self, job: &Job) -> bool {
         let reserved_share = self.capacity.reserved_share * (1.0 - job.weight / RESERVE_EXEMPT_WEIGHT);
         self.capacity.free_share < reserved_share
@@ -89,7 +90,7 @@
         self.capacity.shortest_wait > max_wait && (job.over_quota || !is_due)
     }
 
-    /// Books an attempt at the worker that was chosen; the action sends it.
+    /// Records an attempt at the chosen worker. Returns the action that sends it.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -15,14 +15,14 @@
 const REENABLED_PROBE_DELAY_S: f64 = 1.5;
 
 impl Dispatcher {
-    /// The cost of a worker, in seconds: x, the job's own run there, and the backlog w weighted by the
-    /// utilisation r, by which it delays later jobs.
+    /// The cost of a worker in seconds: x, the job's own run there, plus the wait w, which weighs the more
+    /// the higher the utilisation r, since the job delays those that come after it.
     pub(crate) fn cost(x: f64, w: f64, r: f64) -> f64 {
         x + w / (1.0 - r)
     }
 
     /// Chooses a worker of this node's subset or, when none of those may take the job, one of as many others.
-    /// No sooner: their work is not known, and in overload many nodes would flood the few that look best.
+    /// Not before: their load is not known, and in overload many nodes would flood the few that look best.
     pub(super) fn choose_worker(&mut self, now: Micros, job: &mut Job) -> Option<PlacementEstimate> {
         job.affinity_threshold = self.fleet.affinity_threshold(job.key, job.cancelled_attempts());
         let mut candidates = std::mem::take(&mut self.buffers.candidates);
@@ -75,7 +75,7 @@
             true => PlacementTier::Queued,
             false => PlacementTier::Late,
         };
-        // Enabled again by operators and not used since: without a try nobody learns that it serves.
+        // Enabled again by operators and not used since: only an attempt shows whether it serves.
         let is_probe = |reenabled_at| {
             tier == PlacementTier::Immediate
                 || seconds_between(reenabled_at, now) > REENABLED_PROBE_DELAY_S
@@ -85,7 +85,8 @@
             return PlacementRating { tier: PlacementTier::Immediate, cost: 0.0 };
         }
         let kind = &self.fleet.kinds[worker.kind_index];
-        // Budgets keep queues from cold workers: the waits at warm ones of the kind say nothing of them.
+        // Warm-up budgets keep queues from cold workers: waits at warm ones of the same kind do not apply to
+        // them.
         let kind_wait = if worker.warm_up_fraction < 1.0 { 0.0 } else { kind.wait };
         let (w, r) = (estimate.wait.max(kind_wait), worker.utilisation.max(kind.utilisation));
         let crossing = if is_local { 0.0 } else { crossing };
--- a/crates/core/src/policy/pre_send.rs
+++ b/crates/core/src/policy/pre_send.rs
@@ -1,13 +1,13 @@
-//! Pre-send checks: what becomes of an attempt between the decision to send it and its first byte, where that
-//! takes time. No worker is chosen here, and what may have left is not taken back.
+//! Pre-send checks: what happens to an attempt between the decision to send it and its first byte. No worker
+//! is chosen here, and an attempt of which a byte may have left is not taken back.
 
 use super::retries::DEDUPLICATION_MARGIN;
 use crate::state::{Dispatcher, Job};
 use crate::{Action, Idempotency, JobId, Micros};
 
 impl Dispatcher {
-    /// Queues a job again whose revoked attempt never left, if it is as it was submitted: that was no
-    /// failure, and costs no retry. False where it is not.
+    /// Queues a job again whose revoked attempt was never sent, if no other attempt may have run: that was no
+    /// failure and costs no retry. Returns whether it was queued.
     pub(crate) fn requeue_unsent_job(&mut self, now: Micros, id: JobId, actions: &mut Vec<Action>) -> bool {
         let is_as_submitted = |job: &Job| {
             !job.is_answered
@@ -25,9 +25,8 @@
         true
     }
 
-    /// Until when the next attempt of a job may leave: while this node may go by its endpoint list and, where
-    /// the job may have run, while its worker still discards repeats, however long the attempt waits for its
-    /// connection.
+    /// Latest time at which the next attempt of a job may leave: while this node may rely on its endpoint
+    /// list and, if the job may have run, while workers still discard repeats.
     pub(super) fn latest_send(&self, job: &Job) -> Option<Micros> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,11 +1,12 @@
-//! Retries: what may run again, and what follows an attempt that has ended or waits in vain.
+//! Retries: what may run again, and what follows an attempt that has ended or does not start.
 
 use crate::state::{Dispatcher, Job, PlacementTier, Worker};
 use crate::{Action, Idempotency, JobId, Micros, Outcome};
 
 /// A repeat with an idempotency key goes out at least this long before its window closes.
 pub(super) const DEDUPLICATION_MARGIN: Micros = 200_000;
-/// A job that can go elsewhere is placed anew once its start is this late, in seconds: reports are faster.
+/// A job whose start is this late, in seconds, may be placed elsewhere: reports of starts arrive sooner than
+/// that.
 const RELOCATION_DELAY_S: f64 = 0.15;
 
 impl Dispatcher {
@@ -16,22 +17,22 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::WithKey { scope, window } => {
-                // Where workers accept, attempts go over sockets, and a connection may come up late: a repeat
-                // that reaches its worker after the window runs again.
+                // Where workers report acceptance, attempts go over sockets and a connection may be late: a
+                // repeat that reaches its worker after the window would run again.
                 let transit = DEDUPLICATION_MARGIN.max(self.settings.accept_timeout);
                 worker.deduplicates(first, scope) && now + transit < first.deduplicated_until(window)
             }
         }
     }
 
-    /// An attempt has ended, and what it taught is known: the job is over, tried again, or answered.
+    /// Decides what follows the end of an attempt: the job is over, retried, or answered.
     pub(crate) fn follow_up(&mut self, now: Micros, id: JobId, settled: bool, actions: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&id) else { return };
         if settled && !job.is_answered {
             self.close_job(&mut job, actions);
         }
         if !job.is_answered && job.is_idle() {
-            // Bounded retries: when much fails, trying again would only add to it.
+            // Retries are bounded: when much fails, more attempts would only add to the load.
             let may_send = |worker| self.may_send(now, worker, &job);
             if self.budgets.allow_retry() && self.fleet.workers.iter().any(may_send) {
                 self.budgets.spend_retry();
@@ -44,8 +45,8 @@
         self.dispatch_pending(now, actions);
     }
 
-    /// An attempt to take back from a worker that does not accept it, where another may have the job. Where
-    /// none may, the job waits on: the worker may only be slow.
+    /// Finds an attempt to take back from a worker that does not accept it, if another worker may run the
+    /// job. If none may, the job waits on, since the worker may only be slow.
     pub(super) fn find_unaccepted_attempt(&self, now: Micros, job: &Job) -> Option<u32> {
         let attempt = job.in_flight().next().filter(|_| self.settings.may_cancel)?;
         let in_flight = self.in_flight_attempt(job.id, attempt)?;
@@ -56,9 +57,9 @@
         (is_overdue && self.fleet.workers.iter().any(may_take)).then_some(attempt.number)
     }
 
-    /// An attempt to cancel since the job would now cost less elsewhere: it has not started, and after a wait
-    /// that was not predicted as much again is to be expected. What other nodes send to a worker shows here
-    /// alone: many of them choose alike, and would queue at one while the next is free.
+    /// Finds an attempt to cancel because the job would now cost less elsewhere: it has not started, and the
+    /// unpredicted wait so far is taken as the wait still to come. Other nodes' work at a worker shows only
+    /// in such late starts.
     pub(super) fn find_attempt_to_relocate(&mut self, now: Micros, job: &mut Job) -> Option<u32> {
         if !self.is_idempotent(job)
             || !self.budgets.allow_retry()
--- a/crates/core/src/policy/rules.rs
+++ b/crates/core/src/policy/rules.rs
@@ -1,9 +1,9 @@
-//! The gate: every send and every final answer passes here, whatever else was decided.
+//! Hard rules: every send and every final answer is checked here, whatever the other modules decided.
 
 use crate::state::{Dispatcher, Job, Worker};
 use crate::{Action, DeduplicationScope, Idempotency, Micros};
 
-/// Time for which clients are asked to stay away after a rejection.
+/// Delay that a rejection advises to the client.
 const REJECT_RETRY_AFTER: Micros = 500_000;
 
 impl Dispatcher {
@@ -26,7 +26,7 @@
             && job.load() <= self.warm_up_budget(now, worker)
     }
 
-    /// Rule 2: a rejection says that a retry by the client does no harm.
+    /// Rule 2: a job is rejected only if a retry by its client does no harm.
     fn may_reject(&self, job: &Job) -> bool {
         let is_harmless = match self.settings.classes[job.class].idempotency {
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. } => true,
@@ -35,7 +35,7 @@
         job.is_open() && (is_harmless || job.first_possible_run().is_none())
     }
 
-    /// The final answer to a job that is not served.
+    /// Answers a job that will not be served.
     pub(super) fn reject_or_fail(&mut self, job: &mut Job, actions: &mut Vec<Action>) {
         actions.push(if self.may_reject(job) {
             let retry_after = REJECT_RETRY_AFTER.min(self.settings.max_retry_after);
@@ -46,7 +46,7 @@
         self.close_job(job, actions);
     }
 
-    /// A job needs no more answer: what is in flight for it only costs.
+    /// Marks a job as answered and cancels what is still in flight for it.
     pub(crate) fn close_job(&self, job: &mut Job, actions: &mut Vec<Action>) {
         job.is_answered = true;
         if self.settings.may_cancel {
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,8 +1,7 @@
 //! Slow start: how much work this node may send to a worker that is warming up.
 //!
-//! Such a worker falls over when all nodes together send too much within a window, so each keeps to its part
-//! of a budget. An even part would be too small for any job where nodes are many: they take turns by the
-//! clock instead.
+//! Such a worker fails when all nodes together send too much within a window, so they share a budget. An even
+//! part would be too small for any job where nodes are many; instead they take turns by the clock.
 
 use crate::Micros;
 use crate::state::{DEMAND_SPAN_S, Dispatcher, Worker, seconds_between, to_micros, to_seconds};
@@ -13,15 +12,15 @@
 const SINGLE_TURN_SHARE: f64 = 0.25;
 /// Share that each node uses by itself where several have a turn at once.
 const SHARED_TURN_SHARE: f64 = 0.33;
-/// No more than one in so many nodes have a turn at once.
+/// At most one in this many nodes has a turn at once.
 const MIN_NODES_PER_TURN: u32 = 3;
-/// A worker may draw so many times its even part of a node's work.
+/// A single worker may get this many times an even part of a node's work.
 const MAX_TRAFFIC_SKEW: f64 = 2.0;
-/// All workers that are warming up draw this share of a node's work where the warm ones are jammed.
+/// Share of a node's work that goes to workers that are warming up when the warm ones are saturated.
 const JAMMED_DRAW_SHARE: f64 = 0.1;
-/// A worker counts for no more than so many times the slots that this node itself has seen there.
+/// Most slots that a worker counts for, as a multiple of those that this node itself has seen there.
 const MAX_SLOT_EXTRAPOLATION: f64 = 1.5;
-/// The window is taken longer by this factor: what is sent does not arrive at once.
+/// Factor by which the window is taken longer: work does not arrive in the moment it is sent.
 const WINDOW_STRETCH: f64 = 1.25;
 
 impl Dispatcher {
@@ -30,8 +29,8 @@
         to_seconds(self.settings.overload_window) * WINDOW_STRETCH
     }
 
-    /// Rule 4: the work that this node may send to a worker now; infinite for a warm one. Rejected work
-    /// counts too.
+    /// Rule 4: work that this node may send to a worker now; infinite for a warm one. Rejected work counts
+    /// too.
     pub(super) fn warm_up_budget(&self, now: Micros, worker: &Worker) -> f64 {
         let warm_up_fraction = self.warm_up_fraction(now, worker);
         if warm_up_fraction >= 1.0 {
@@ -42,7 +41,7 @@
         let slot_budget = self.settings.overload_factor * speed * warm_up_fraction * window;
         let slots = self.fleet.learned_slots(worker);
         let share = self.budget_share(now, worker, slot_budget * slots);
-        // What is extrapolated to other nodes is right on average; a busy node's is too much for it alone.
+        // The extrapolated slots are right on average, but too many for a node that is busier than others.
         let reliable_slots = slots.min(MAX_SLOT_EXTRAPOLATION * self.fleet.observed_slots(worker));
         let is_recent = |at| seconds_between(at, now) < self.warm_up_window();
         let recent = worker.warm_up_sends.iter().filter(|send| is_recent(send.at));
@@ -52,10 +51,10 @@
     /// The share of a worker's whole budget that this node may use now.
     fn budget_share(&self, now: Micros, worker: &Worker, budget: f64) -> f64 {
         match (self.subset_nodes(), self.concurrent_turns(now, budget)) {
-            // Both processes of a node have one budget: what is left of it is the successor's.
+            // Both processes of a node share one budget: the rest of it is the successor's.
             _ if self.lifecycle.is_superseded => 0.0,
             (1, _) => SINGLE_NODE_SHARE,
-            // One job, once: operators have enabled it, and wait to see it used.
+            // Operators have enabled it and wait to see it used: any node may send one job.
             _ if worker.reenabled_at.is_some() => SINGLE_TURN_SHARE,
             (nodes, turns) if !worker.in_subset || !self.has_turn(now, worker, nodes, turns) => 0.0,
             (_, 1) => SINGLE_TURN_SHARE,
@@ -63,10 +62,9 @@
         }
     }
 
-    /// How many nodes have a turn at a worker at once: as many as are likely to use up their share of its
-    /// budget, by the work that this node sends to its workers in a window. Where warm workers are jammed,
-    /// whatever has a turn goes to those that are warming up: so few have one that these are not sent more
-    /// than they may take together.
+    /// Number of nodes that have a turn at a worker at once: as many as are likely to use up their share of
+    /// its budget, by the work that this node sends in a window. When warm workers are saturated, more work
+    /// goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Micros, budget: f64) -> u64 {
         let known_for = seconds_between(self.demand.first_at, now).min(DEMAND_SPAN_S);
         if known_for < self.warm_up_window() {
@@ -81,8 +79,8 @@
         (share / drawn.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
     }
 
-    /// The rotation: whether this node has one of the turns at a worker. A window meets two of them at most.
-    /// Each node goes by its own number of turns, which is right on average only.
+    /// The slow-start rotation: whether this node has one of the turns at a worker. A window overlaps at most
+    /// two turns. Nodes may differ in the number of turns that they compute; it is right on average.
     fn has_turn(&self, now: Micros, worker: &Worker, nodes: u32, turns: u64) -> bool {
         let round = now / to_micros(self.warm_up_window()).max(1);
         let position = u64::from(self.settings.node_index / self.fleet.subset_count as u32);
--- a/crates/core/src/state/affinity.rs
+++ b/crates/core/src/state/affinity.rs
@@ -7,13 +7,13 @@
 use super::job::Job;
 use super::worker::Worker;
 
-/// Keys of the last jobs that the popularity of a key is reckoned by.
+/// Number of recent jobs by which the share of a key is estimated.
 const MAX_RECENT_KEYS: usize = 40;
-/// Homes of a key for each worker that its share of the jobs would fill.
+/// Homes of a key for each worker that its share of the jobs would fill, so that some are spare.
 const HOME_SPARE_FACTOR: f64 = 1.5;
-/// A key that came once counts as so many jobs: it may be any.
+/// Count of a key that was seen once: it may never come again.
 const SINGLE_KEY_COUNT: f64 = 0.4;
-/// Jobs of other keys that may have come, beside those that did.
+/// Prior count of jobs of other keys, added to those seen.
 const KEY_PRIOR_COUNT: f64 = 10.0;
 /// Mean time to fetch what a key stands for, as a multiple of a mean job's time.
 const FETCH_WORK_RATIO: f64 = 1.5;
@@ -25,13 +25,13 @@
 const HOME_KEY_HIT_RATE: f64 = 0.8;
 
 impl Fleet {
-    /// The least rendezvous weight of a key's homes. There are as many as its share of the jobs asks for, and
-    /// one more for each attempt of the job that waited in vain. All nodes with the same list agree on their
-    /// order.
-    pub fn affinity_threshold(&self, key: Option<u64>, vain_attempts: usize) -> u64 {
+    /// The least rendezvous weight of a key's homes: the more homes, the larger its share of the jobs, and
+    /// one more for each cancelled attempt of the job, which waited at a home for nothing. All nodes with the
+    /// same list agree.
+    pub fn affinity_threshold(&self, key: Option<u64>, cancelled_attempts: usize) -> u64 {
         let Some(key) = key else { return u64::MAX };
         let wanted = self.key_share(key) * self.subset.len() as f64 * HOME_SPARE_FACTOR;
-        let homes = (wanted.ceil() as usize + vain_attempts).clamp(1, self.subset.len().max(1));
+        let homes = (wanted.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
         let weight = |index: &usize| self.workers[*index].rendezvous_weight(key);
         let mut weights: Vec<u64> = self.subset.iter().map(weight).collect();
         if weights.is_empty() {
@@ -40,19 +40,19 @@
         *weights.select_nth_unstable_by(homes - 1, |a, b| b.cmp(a)).1
     }
 
-    /// A key's share of the jobs, by the last ones submitted here.
+    /// Estimated share of a key in the jobs, by the recent ones.
     fn key_share(&self, key: u64) -> f64 {
         let count = self.recent_keys.iter().filter(|recent| **recent == key).count() as f64;
         let others = (self.recent_keys.len() as f64 - 1.0).max(0.0);
         ((count - 1.0).max(0.0) + SINGLE_KEY_COUNT) / (others + KEY_PRIOR_COUNT)
     }
 
-    /// Keys of the last jobs that were submitted, the oldest first.
+    /// Keys of the recent jobs, the oldest first.
     pub fn recent_keys(&self) -> impl Iterator<Item = u64> {
         self.recent_keys.iter().copied()
     }
 
-    /// A job of that key was submitted.
+    /// Records the key of a submitted job.
     pub fn record_key(&mut self, key: Option<u64>) {
         self.recent_keys.extend(key);
         if self.recent_keys.len() > MAX_RECENT_KEYS {
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! The records of attempts: what is booked when one is sent, starts, gets on and ends, and what that teaches.
+//! Records of attempts: what is updated when one is sent, starts, progresses and ends.
 
 use super::estimates::SEND_RATE_SPAN_S;
 use super::time::{seconds_between, to_micros};
@@ -8,8 +8,8 @@
 
 /// Shortest run that a speed is learned from, in seconds.
 const MIN_MEASURED_RUN_S: f64 = 1e-3;
-/// Only attempts that have run for this long count as running at once: the report of a start can overtake
-/// that of the end which made room for it, and slots would be learned too high for good.
+/// Time after which a start counts for the slots in use: the report of a start can overtake that of the end
+/// before it, and slots would be overestimated for good.
 const START_SETTLING_TIME: Micros = 30_000;
 
 /// An attempt that has ended.
@@ -23,7 +23,8 @@
 }
 
 impl Dispatcher {
-    /// Books an attempt that is being sent. Sends to a worker that is warming up count for `window` seconds.
+    /// Records an attempt that is being sent. Sends to a worker that is warming up are remembered for
+    /// `window` seconds.
     pub(crate) fn record_send(
         &mut self,
         now: Micros,
@@ -50,7 +51,7 @@
             accepted: false,
             revoked: false,
             predicted_wait: placement.wait,
-            // Where starts are not reported, the predicted one has to do.
+            // Workers that do not report starts are assumed to start as predicted.
             started_at: (!self.settings.reports_start).then_some(now + to_micros(placement.wait)),
             progress: None,
             unhinted: job.is_unhinted.then_some(UnhintedWork { class: job.class, work: job.work }),
@@ -59,7 +60,7 @@
         job.attempts.push(Attempt { worker, zone, cell, sent_at: now, outcome: None });
     }
 
-    /// A worker has accepted an attempt. Any other report on it says that as well.
+    /// Records that a worker has accepted an attempt. Any other report on it implies that.
     pub(crate) fn record_acceptance(&mut self, now: Micros, job: JobId, attempt: u32) {
         let Some(index) = self.worker_index_of(job, attempt) else { return };
         let worker = &mut self.fleet.workers[index];
@@ -69,7 +70,7 @@
         }
     }
 
-    /// An attempt has started. Returns whether that was not known before.
+    /// Records the start of an attempt. Returns whether it was not known before.
     pub(crate) fn record_start(&mut self, now: Micros, job: JobId, attempt: u32) -> bool {
         let Some(index) = self.worker_index_of(job, attempt) else { return false };
         let worker = &mut self.fleet.workers[index];
@@ -84,7 +85,7 @@
         true
     }
 
-    /// An attempt has got on: `share` of it is done.
+    /// Records progress: `share` of the attempt is done.
     pub(crate) fn record_progress(&mut self, now: Micros, job: JobId, attempt: u32, share: f64) {
         let Some(index) = self.worker_index_of(job, attempt) else { return };
         let worker = &mut self.fleet.workers[index];
@@ -94,7 +95,7 @@
         worker.record_contact(now);
     }
 
-    /// A worker has served an attempt. Only a warm worker is taught a speed by it.
+    /// Records a served attempt. Only a warm worker's speed is learned from it.
     pub(crate) fn record_success(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
         self.fleet.workers[index].record_contact(now);
         let is_warm = self.warm_up_fraction(now, &self.fleet.workers[index]) >= 1.0;
@@ -105,8 +106,8 @@
         }
     }
 
-    /// An attempt was cancelled before it started. What cancelled it was a start elsewhere, so that this
-    /// worker is as late as that shows.
+    /// Records an attempt that was cancelled before it started, because another one of its job did: this
+    /// worker is at least as late as that shows.
     pub(crate) fn record_cancelled_wait(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
         let delay = attempt.start_delay(now);
         self.fleet.record_start_delay(now, index, delay.max(LATE_START_S));
@@ -114,8 +115,8 @@
         excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_SPAN_S)));
     }
 
-    /// Books how an attempt ended. False where it had ended before or was never sent: a repeated report must
-    /// not put a job in the queue twice.
+    /// Records how an attempt ended. Returns false if its end was known or it was never sent: a repeated
+    /// report must not queue the job twice.
     pub(crate) fn record_outcome(&mut self, job: JobId, attempt: u32, outcome: Outcome) -> bool {
         let known = self.jobs.get_mut(&job).and_then(|job| job.attempts.get_mut(attempt as usize));
         let Some(attempt) = known.filter(|attempt| attempt.outcome.is_none()) else { return false };
@@ -136,7 +137,7 @@
         Some(EndedAttempt { worker_index, attempt, outcome })
     }
 
-    /// Learns how many slots each worker runs at once.
+    /// Updates how many slots each worker of the subset runs at once.
     pub(crate) fn observe_slots(&mut self, now: Micros) {
         for index in &self.fleet.subset {
             let worker = &mut self.fleet.workers[*index];
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -1,7 +1,6 @@
-//! Estimates that are derived from the records: x, w and r of the cost x + w / (1 - r), for each worker and
-//! each kind.
+//! Estimates derived from the records: x, w and r of the cost x + w / (1 - r), for each worker and each kind.
 //!
-//! Those of a worker are kept with it and hold for [`ESTIMATE_LIFETIME`], unless something happens there.
+//! Those of a worker are cached in its record for [`ESTIMATE_LIFETIME`], or until something happens there.
 
 use arrayvec::ArrayVec;
 
@@ -9,43 +8,42 @@
 use super::{AttemptRef, Dispatcher, InFlightAttempt, Job, PlacementEstimate, Worker};
 use crate::{JobId, Micros, gossip};
 
-/// For so long the estimates of a worker hold, unless something happens there.
+/// Time for which the estimates of a worker hold, unless something happens there.
 const ESTIMATE_LIFETIME: Micros = 4_000;
-/// Highest utilisation that is reckoned with: beyond it 1 / (1 - r) would drown x.
+/// Upper bound of r: beyond it, 1 / (1 - r) would outweigh x.
 const MAX_UTILISATION: f64 = 0.9;
 /// Time constant over which the rate of work sent is averaged, in seconds.
 pub(super) const SEND_RATE_SPAN_S: f64 = 5.0;
-/// A running attempt is reckoned with this multiple of its hint ...
+/// Total work of a running attempt, as a multiple of its hint: hints are rough ...
 const RUNNING_HINT_FACTOR: f64 = 1.1;
-/// ... and with no less left than this share of what it has done: hints are rough, and work has a long tail.
+/// ... and least work that it has left, as a share of what it has done: work has a long tail.
 const MIN_REMAINING_SHARE: f64 = 0.35;
-/// Share of a job's hint that is relied on: objectives grow with the true work, which may be less.
+/// Share of a job's hint that is relied on: latency objectives grow with the true work, which may be less.
 pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
 /// A worker counts as at least this warm, whatever the settings say, so that speeds stay above zero.
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 /// A worker with no longer a wait than this counts as free, in seconds.
 const FREE_WORKER_WAIT_S: f64 = 0.025;
-/// For so long a peer's report counts, in seconds.
+/// Time for which a peer's report counts, in seconds.
 const PEER_BACKLOG_LIFETIME_S: f64 = 1.5;
-/// Most slots of peers' work that are reckoned with at one worker.
+/// Most slots of peers' work that count at one worker.
 const MAX_PEER_SLOTS: u32 = 32;
-/// Nodes gossip only where an entry sent to all of them costs no more than this share of a job's worth.
+/// Highest cost of one gossip entry to all nodes, as a share of a job's worth.
 const MAX_GOSSIP_COST: f64 = 0.004;
 /// Capacity of [`SlotSchedule`].
 const MAX_SCHEDULED_SLOTS: usize = 16;
 
-/// The moments from now at which a worker's slots come free, its queue being served in order.
+/// Times from now, in seconds, at which a worker's slots come free if its queue is served in order.
 struct SlotSchedule(ArrayVec<f64, MAX_SCHEDULED_SLOTS>);
 
 impl SlotSchedule {
-    /// So many free slots.
+    /// A schedule of `count` free slots.
     fn new(count: f64) -> Self {
         let count = (count.round() as usize).clamp(1, MAX_SCHEDULED_SLOTS);
         SlotSchedule(std::iter::repeat_n(0.0, count).collect())
     }
 
-    /// Puts an attempt that runs for `run` seconds in `slots` slots behind what is there. Returns when it
-    /// starts.
+    /// Adds an attempt of `run` seconds in `slots` slots at the end of the queue. Returns when it starts.
     fn enqueue(&mut self, run: f64, slots: f64) -> f64 {
         let mut start: f64 = 0.0;
         for _ in 0..(slots as usize).clamp(1, self.0.len()) {
@@ -96,9 +94,8 @@
         self.fleet.workers[index].wait = wait;
     }
 
-    /// Refreshes the estimates of kinds. What a node of many does not see of each worker it reckons for the
-    /// kind: r by its own part of the traffic, and in w the wait that its own jobs met beyond the predicted
-    /// one.
+    /// Refreshes the estimates of kinds, for what a node of many cannot see of each worker: r by this node's
+    /// part of the traffic, and w by the waits beyond the predicted ones that its own jobs had.
     fn refresh_kinds(&mut self, now: Micros) {
         let nodes = f64::from(self.subset_nodes());
         let observes_all_work = self.observes_all_work();
@@ -110,7 +107,8 @@
         }
     }
 
-    /// Least share of its capacity that a worker has now: it gains no slower than evenly.
+    /// Lower bound of the share of its capacity that a worker has now, growing evenly with its age; 1 when
+    /// warm.
     pub(crate) fn warm_up_fraction(&self, now: Micros, worker: &Worker) -> f64 {
         if worker.started_at == 0 || self.settings.warm_up == 0 {
             return 1.0;
@@ -120,8 +118,8 @@
         (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// w: seconds that the work at a worker, own and reported by peers, keeps a job of so many slots waiting
-    /// there.
+    /// w: seconds that a job of that many slots waits at a worker, by this node's attempts there and peers'
+    /// reports.
     pub(crate) fn estimate_wait(&self, now: Micros, worker: &Worker, slots: f64) -> f64 {
         let unobserved_wait = worker.unobserved_wait(now);
         if worker.in_flight.is_empty() && worker.peer_backlogs.is_empty() {
@@ -146,8 +144,7 @@
         schedule.enqueue(0.0, slots) + unobserved_wait
     }
 
-    /// Work of an attempt that is still to do, in seconds at speed 1: by its progress where that was
-    /// reported, else by its hint. One near or past its hint still has a part of what it has done to do.
+    /// Work that an attempt has left, in seconds at speed 1: by its progress if reported, else by its hint.
     pub(crate) fn remaining_work(&self, now: Micros, speed: f64, attempt: &InFlightAttempt) -> f64 {
         let Some(started_at) = attempt.started_at else { return attempt.work };
         let ran = seconds_between(started_at, now);
@@ -173,13 +170,12 @@
         PlacementEstimate { worker_index, rating: worker.rating, run, reliable_run, wait }
     }
 
-    /// Usual seconds of a job's run, as far as its hint is relied on.
+    /// Seconds that a job runs at a typical worker, as far as its hint is relied on.
     pub(crate) fn reliable_run(&self, job: &Job) -> f64 {
         RELIABLE_HINT_SHARE * job.work / self.fleet.overall_speed.speed
     }
 
-    /// Seconds that an attempt in flight is likely to run on. None where this node is not shutting down: no
-    /// other asks.
+    /// Seconds that an attempt in flight is likely to run on; only known while this node shuts down.
     pub(crate) fn remaining_run(&self, now: Micros, job: JobId, attempt: AttemptRef) -> Option<f64> {
         let is_shutting_down = self.lifecycle.shutdown_at < Micros::MAX;
         let index = self.fleet.find(attempt.worker).filter(|_| is_shutting_down)?;
@@ -187,13 +183,13 @@
         Some(self.remaining_work(now, speed, self.in_flight_attempt(job, attempt)?) / speed)
     }
 
-    /// Whether this node knows all work at its workers: its own alone, or gossiped.
+    /// Whether this node knows all work at its workers: its own is all there is, or peers gossip theirs.
     pub(crate) fn observes_all_work(&self) -> bool {
         self.subset_nodes() == 1 || self.is_gossip_enabled()
     }
 
-    /// Whether nodes gossip their work. With many of them a message costs all of them CPU, and must be so
-    /// rare that what it says is past.
+    /// Whether nodes gossip their work. With many nodes, messages cost all of them CPU and have to be so rare
+    /// that they are out of date.
     pub(crate) fn is_gossip_enabled(&self) -> bool {
         let messages = f64::from(self.subset_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
         self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= MAX_GOSSIP_COST
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -7,8 +7,8 @@
 use super::time::{seconds_between, to_seconds};
 use crate::{Class, Micros};
 
-/// Work of a job without a hint before its class has taught anything, in seconds at speed 1. A class that has
-/// no sample yet starts from its latency objective, held between this and ten times this.
+/// Work of a job without a hint while its class has no samples, in seconds at speed 1. The class then starts
+/// from its latency objective, clamped to between this and ten times this.
 pub(crate) const DEFAULT_JOB_WORK_S: f64 = 0.1;
 /// Least weight of one sample in estimates that many workers share. The first ones weigh more.
 pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
@@ -45,7 +45,7 @@
         self.set(now, self.get(now, tau) + value);
     }
 
-    /// What is left of the sum where it shrinks by 1 a second, as a wait does that is worked off. May be
+    /// What is left of the sum if it shrinks by 1 a second, as a wait does while it is worked off. May be
     /// negative.
     pub fn worked_off(&self, now: Micros) -> f64 {
         self.value - seconds_between(self.updated_at, now)
@@ -132,7 +132,7 @@
     pub log_speed: f64,
     /// The speed itself.
     pub speed: f64,
-    /// Number of jobs that taught it.
+    /// Number of jobs seen.
     pub samples: u32,
 }
 
@@ -140,7 +140,7 @@
     /// Nothing is known: speed 1.
     pub const UNKNOWN: SpeedEstimate = SpeedEstimate { log_speed: 0.0, speed: 1.0, samples: 0 };
 
-    /// Takes the error of one more job in; like a median, the estimate is not drawn far by any single one.
+    /// Adds the error of one more job. Like a median, the estimate is moved little by any single one.
     pub fn add_sample(&mut self, error: f64, usual_error: f64) {
         self.samples = self.samples.saturating_add(1);
         let limit = if self.samples > 1 { usual_error * MAX_SAMPLE_ERRORS } else { f64::INFINITY };
@@ -152,8 +152,8 @@
 
 /// The work of a class's jobs, in seconds at speed 1, for those that come without a hint.
 ///
-/// Sums of work, as in warm-up budgets, need the mean; speeds are learned as a middle of logarithms. Work has
-/// a long tail, so that one taken for the other would send a cold worker twice what it can do.
+/// Warm-up budgets add work up and need its mean, while speeds are learned from logarithms. Work has a long
+/// tail: with one figure for both, a cold worker would be sent twice what it can do.
 #[derive(Clone, Copy)]
 pub(crate) struct WorkEstimate {
     /// Mean work.
@@ -164,13 +164,13 @@
 }
 
 impl WorkEstimate {
-    /// The estimate before any sample: the latency objective tells the order of magnitude.
+    /// The estimate without samples: the latency objective gives the order of magnitude.
     pub fn from_latency_objective(class: &Class) -> Self {
         let mean = to_seconds(class.latency_objective).clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
         WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
     }
 
-    /// Takes the work of one more job in.
+    /// Adds the work of one more job.
     pub fn add_sample(&mut self, work: f64) {
         self.samples = self.samples.saturating_add(1);
         let gain = SHARED_ESTIMATE_GAIN.max(1.0 / f64::from(self.samples));
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -12,20 +12,19 @@
 use super::worker::{InFlightAttempt, UnhintedWork, Worker};
 use crate::{JobId, KindId, Micros, Settings, WorkerId};
 
-/// A start this late counts as delayed, in seconds; where other nodes' work is not known, it is the sign of
-/// that.
+/// A start that is this late counts as delayed, in seconds.
 pub(crate) const LATE_START_S: f64 = 0.02;
 /// Most slots that one worker counts as.
 pub(super) const MAX_SLOTS: f64 = 16.0;
 /// Least weight of one job in a worker's learned speed. The first ones weigh more.
 const WORKER_SPEED_GAIN: f64 = 0.08;
-/// Jobs that the speed of a worker's kind stands for, beside those that the worker itself has served.
+/// Weight of a kind's speed in that of a new worker, in jobs.
 const KIND_PRIOR_SAMPLES: f64 = 3.0;
 /// Weight of one attempt in the share of those that start promptly.
 const PROMPT_START_GAIN: f64 = 0.1;
 /// Time constant of the average of running slots, in seconds.
 const RUNNING_SLOTS_SPAN_S: f64 = 10.0;
-/// Workers whose slots are looked at for the median of the fleet.
+/// Most workers that the median of slots is taken over.
 const MAX_SLOT_SAMPLES: usize = 64;
 
 /// What is known of all workers of one kind, each of which a node of many seldom meets.
@@ -64,12 +63,12 @@
 pub(crate) struct Fleet {
     /// Ordered by id. A worker that is gone stays until its attempts have ended.
     pub workers: Vec<Worker>,
-    /// Workers that operators have disabled, and when: apart from the list, which may drop one and name it
-    /// again.
+    /// Workers that operators have disabled, and when. Kept apart from the workers, since the list may drop
+    /// one and name it again.
     pub disabled: BTreeMap<WorkerId, Micros>,
     /// Workers that were enabled again and that the list does not name at present, and when.
     pub(super) reenabled_unlisted: BTreeMap<WorkerId, Micros>,
-    /// Attempts to revoke that no action has named yet: their worker takes nothing new any more.
+    /// Attempts to revoke, for which no action has been given yet: their worker takes no new work.
     pub pending_revocations: Vec<(JobId, u32)>,
     /// Indices of the ready workers of this node's subset, in ascending order.
     pub subset: Vec<usize>,
@@ -137,7 +136,7 @@
         self.workers.binary_search_by_key(&id, |worker| worker.id).ok()
     }
 
-    /// Index of a kind, which is new where it is met for the first time.
+    /// Index of a kind. One that was not seen before is added.
     pub fn kind_index(&mut self, id: KindId) -> usize {
         self.kinds.iter().position(|kind| kind.id == id).unwrap_or_else(|| {
             self.kinds.push(MachineKind::new(id));
@@ -150,14 +149,14 @@
         self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |work| work.mean.clamp(1e-4, 1e4))
     }
 
-    /// Takes the work of a submitted job into the mean.
+    /// Adds the work of a submitted job to the mean.
     pub fn record_work(&mut self, work: f64) {
         self.mean_work += SHARED_ESTIMATE_GAIN * (work - self.mean_work);
     }
 
-    /// Takes a served attempt in that ran for `run` seconds. A worker is known by its speed over its kind's,
-    /// and a kind by all jobs that its workers served: a node of many sees too few jobs of each worker, and a
-    /// kind may slow down as a whole.
+    /// Records the speed of an attempt that was served in `run` seconds. A worker is known by its speed
+    /// relative to its kind's, and a kind by all jobs that its workers served: a node of many sees few jobs
+    /// of each worker, and a kind may slow down as a whole.
     pub fn record_speed(&mut self, index: usize, attempt: &InFlightAttempt, run: f64) {
         let log_speed = self.measure_log_speed(index, attempt, run);
         let usual_error = self.hint_error;
@@ -173,8 +172,8 @@
         self.hint_error += SHARED_ESTIMATE_GAIN * (error.abs() - usual_error);
     }
 
-    /// The natural logarithm of the speed that a served attempt showed. One without a hint teaches the work
-    /// of its class as well.
+    /// Natural logarithm of the speed that a served attempt showed. One without a hint is also a sample of
+    /// its class's work.
     fn measure_log_speed(&mut self, index: usize, attempt: &InFlightAttempt, run: f64) -> f64 {
         let worker_speed = self.learned_speed(&self.workers[index]);
         let unhinted = attempt
@@ -183,14 +182,14 @@
         let Some((class_work, work)) = unhinted.filter(|_| attempt.work > 0.0) else {
             return (attempt.work / run).ln();
         };
-        // The part of the run that was expected for a fetch is no work of the class.
+        // The fetch, which is part of the run, is not part of the class's work.
         let run_without_fetch = run * work / attempt.work;
         class_work.add_sample(run_without_fetch * worker_speed);
         class_work.log_mean - run_without_fetch.ln()
     }
 
-    /// Takes in how late an attempt started, in seconds: that tells of other nodes' work at the worker's
-    /// whole kind, and how full the fleet is.
+    /// Records how late an attempt started, in seconds: a sign of other nodes' work at all workers of that
+    /// kind, and of how full the fleet is.
     pub fn record_start_delay(&mut self, now: Micros, index: usize, delay: f64) {
         let is_prompt = f64::from(u8::from(delay < LATE_START_S));
         self.prompt_start_share += PROMPT_START_GAIN * (is_prompt - self.prompt_start_share);
@@ -210,29 +209,28 @@
         worker.listed_slots.max(self.learned_slots(worker))
     }
 
-    /// A worker's slots by what was seen, whatever the list says.
+    /// A worker's slots as learned from running jobs, without the list.
     pub fn learned_slots(&self, worker: &Worker) -> f64 {
         self.observed_slots(worker).max(self.extrapolated_slots)
     }
 
-    /// The part of that which rests on own jobs seen running at once, and on nothing extrapolated to other
-    /// nodes.
+    /// A worker's slots by this node's own jobs that were seen running at once, without extrapolation.
     pub fn observed_slots(&self, worker: &Worker) -> f64 {
         let slots = if worker.speed_samples > 0 { worker.max_concurrent_slots } else { self.median_slots };
         slots.max(1.0)
     }
 
-    /// Derives the median of the slots seen at the subset's workers that have taught anything, and the slots
-    /// that all `nodes` together use. A node of many seldom has two jobs at one worker: what it has running
-    /// at all of them is an even part of what they run at once.
+    /// Refreshes the median of the slots seen at the subset's workers, and the slots that all `nodes`
+    /// together use. A node of many seldom has two jobs at one worker; what it has running at all workers is
+    /// an even part of what they run at once.
     pub fn refresh_slots(&mut self, now: Micros, nodes: f64) {
         let running = self.subset.iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
         let running = self.running_slots.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
         self.extrapolated_slots = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
-        let taught = self.subset.iter().map(|index| &self.workers[*index]);
-        let taught = taught.filter(|worker| worker.speed_samples > 0).take(MAX_SLOT_SAMPLES);
+        let sampled = self.subset.iter().map(|index| &self.workers[*index]);
+        let sampled = sampled.filter(|worker| worker.speed_samples > 0).take(MAX_SLOT_SAMPLES);
         let mut slots: ArrayVec<f64, MAX_SLOT_SAMPLES> =
-            taught.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
+            sampled.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
         slots.sort_unstable_by(f64::total_cmp);
         self.median_slots = slots.get(slots.len() / 2).copied().unwrap_or(1.0);
     }
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -57,7 +57,7 @@
     pub is_first_submission: bool,
     /// Hinted work, in seconds at speed 1.
     pub work: f64,
-    /// Its work is an estimate by its class, since it came without a hint.
+    /// It came without a hint: its work is an estimate for its class.
     pub is_unhinted: bool,
     /// Slots that it takes.
     pub slots: f64,
@@ -104,7 +104,7 @@
         self.work * self.slots
     }
 
-    /// Whether it still waits for an answer to begin.
+    /// Whether its answer has not begun.
     pub fn is_open(&self) -> bool {
         !self.is_answered && !self.is_streaming
     }
@@ -125,14 +125,14 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Number of its attempts that were cancelled: those waited in vain, while one that failed or could not
-    /// connect says nothing of a queue.
+    /// Number of its attempts that were cancelled: those waited at their worker, unlike ones that failed or
+    /// could not connect.
     pub fn cancelled_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Cancelled)).count()
     }
 
-    /// Whether a worker may still report the end of an earlier attempt there, one that was cancelled or lost.
-    /// Its callback names the job and no attempt, so that it would end the next one there, which runs on.
+    /// Whether a worker may still report the end of an earlier attempt that was cancelled or lost. Its
+    /// callback names the job but not the attempt, and would be taken for the end of a new attempt there.
     pub fn may_receive_stale_callback(&self, worker: WorkerId) -> bool {
         let open = |outcome| matches!(outcome, Some(Outcome::Cancelled | Outcome::Lost));
         self.attempts.iter().any(|attempt| attempt.worker == worker && open(attempt.outcome))
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -1,5 +1,4 @@
-//! Figures that admission, queueing, retries and hedging go by: the queue's order, demand, capacity and
-//! budgets.
+//! What admission, queueing, retries and hedging go by: queue order, quotas, demand, capacity and budgets.
 
 use super::estimators::{DecayingSum, TokenBucket};
 use super::job::Job;
@@ -7,9 +6,9 @@
 
 /// Time constant over which demand is summed up, in seconds.
 pub(crate) const DEMAND_SPAN_S: f64 = 10.0;
-/// Seconds of its quota that a tenant may be ahead of it.
+/// Burst of a tenant, in seconds of its quota.
 const QUOTA_BURST_S: f64 = 1.5;
-/// Jobs that a tenant may be ahead of its quota beside that: a small quota would be used up by chance.
+/// Jobs by which a tenant may exceed its quota in addition, since chance alone would use a small quota up.
 const QUOTA_BURST_JOBS: f64 = 4.0;
 /// Retries that each admitted job earns.
 const RETRIES_PER_JOB: f64 = 0.1;
@@ -20,8 +19,8 @@
 /// Most work that is saved up for hedged requests, in seconds at speed 1.
 const MAX_HEDGE_WORK_S: f64 = 5.0;
 
-/// Place of a job in the queue. Jobs beyond a quota come last, since their answers are worth little; among
-/// others, the one that must start soonest comes first.
+/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers are worth little; the
+/// others are ordered by the latest start that meets their objective.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
     /// The job is beyond its tenant's quota.
@@ -36,7 +35,8 @@
 pub(crate) struct Admission {
     /// For each tenant the jobs that this node may admit within its quota.
     quotas: Vec<TokenBucket>,
-    /// For each class the longest time to its deadline that a job came with: that of a first submission.
+    /// For each class, the longest time to its deadline that a job had when it was submitted: that of a first
+    /// submission.
     longest_time_left: Vec<Micros>,
     /// Highest priority weight of a class.
     pub max_priority_weight: f64,
@@ -53,15 +53,14 @@
         }
     }
 
-    /// How long a client has waited for a job of that class when it came, by the time that it had left.
+    /// Time that a client has waited already when it submits a job, by the time that the job has left.
     pub fn time_waited(&mut self, class: usize, time_left: Micros) -> Micros {
         let longest = &mut self.longest_time_left[class];
         *longest = time_left.max(*longest);
         *longest - time_left
     }
 
-    /// Whether a job is beyond this node's part of its tenant's quota. First submissions alone use the quota
-    /// up.
+    /// Whether a job is beyond this node's part of its tenant's quota. Only first submissions are charged.
     pub fn is_over_quota(&mut self, now: Micros, settings: &Settings, tenant: usize, is_first: bool) -> bool {
         let Some(bucket) = self.quotas.get_mut(tenant) else { return false };
         let rate = settings.tenant_quotas[tenant] / f64::from(settings.nodes);
@@ -103,7 +102,7 @@
         }
     }
 
-    /// A job was given up for want of capacity.
+    /// Records a job that was given up for lack of capacity.
     pub fn record_shed(&mut self, now: Micros, job: &Job) {
         if job.is_first_submission && !job.over_quota {
             self.shed.add(now, job.load(), DEMAND_SPAN_S);
@@ -125,7 +124,7 @@
 pub(crate) struct Capacity {
     /// Share of the workers that have a slot free or about to be.
     pub free_share: f64,
-    /// Share of the workers that jobs of little weight leave to others.
+    /// Share of the workers that is reserved for jobs of high weight.
     pub reserved_share: f64,
     /// Shortest wait for one slot at any worker, in seconds.
     pub shortest_wait: f64,
@@ -152,7 +151,7 @@
 }
 
 impl Budgets {
-    /// A job was admitted. The fewer attempts start promptly, the less it earns for hedged requests.
+    /// Credits the budgets for an admitted job, with the less hedged work the fewer attempts start promptly.
     pub fn earn(&mut self, job: &Job, prompt_start_share: f64) {
         self.retry_tokens = (self.retry_tokens + RETRIES_PER_JOB).min(MAX_RETRY_TOKENS);
         let earned = HEDGE_WORK_SHARE * prompt_start_share * job.load();
@@ -164,7 +163,7 @@
         self.retry_tokens >= 1.0
     }
 
-    /// A retry is made.
+    /// Charges a retry.
     pub fn spend_retry(&mut self) {
         self.retry_tokens -= 1.0;
     }
@@ -174,7 +173,7 @@
         self.hedge_work >= job.load()
     }
 
-    /// A hedged request of that job is made.
+    /// Charges a hedged request of that job.
     pub fn spend_hedge(&mut self, job: &Job) {
         self.hedge_work -= job.load();
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,8 +1,7 @@
 //! What a dispatcher knows: records, estimators and plain arithmetic. No decisions are made here.
 //!
-//! Modules depend one way: `policy` decides by what is here, `dispatcher` hands events to both, and nothing
-//! here knows either. [`Dispatcher`] is defined at this lowest level so that both can implement their methods
-//! on it.
+//! Modules depend one way: `dispatcher` on `policy` and `state`, `policy` on `state`, and `state` on neither.
+//! [`Dispatcher`] is defined at this lowest level so that the other two can implement their methods on it.
 //!
 //! | module | what it holds |
 //! | --- | --- |
@@ -13,7 +12,7 @@
 //! | `affinity` | which workers are likely to hold what a key stands for |
 //! | `load` | demand, capacity, budgets, and the queue of jobs that wait for a worker |
 //! | `estimates` | x, w and r of the cost, derived from the records |
-//! | `attempts` | the records of sends and of what attempts taught |
+//! | `attempts` | updates of the records when an attempt is sent, starts, progresses and ends |
 
 mod affinity;
 mod attempts;
@@ -88,7 +87,7 @@
     pub due_at: Option<Micros>,
 }
 
-/// Lists that are filled for one call and kept for their memory only.
+/// Scratch lists, kept between calls to save allocations.
 #[derive(Default)]
 pub(crate) struct Buffers {
     /// Open jobs of a sweep.
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -1,8 +1,7 @@
 //! Which workers a node uses: the endpoint list, what operators have disabled, and the subset of this node.
 //!
-//! Many nodes with many workers are parted into subsets, each of which does with few workers what a small
-//! deployment does: it knows them, and can afford to gossip its nodes' work. Nodes with the same list agree
-//! on the subsets.
+//! Many nodes with many workers are split into subsets, each of which works like a small deployment: its
+//! nodes know their workers' load, and can afford gossip. Nodes with the same list compute the same subsets.
 
 use super::fleet::{Fleet, MAX_SLOTS};
 use super::worker::Worker;
@@ -13,8 +12,8 @@
 /// Fewest workers of a subset.
 const MIN_SUBSET_WORKERS: usize = 8;
 
-/// Most subsets that the nodes can be parted into. Without gossip there is one: several would only make each
-/// fetch what the others hold already.
+/// Most subsets that the nodes can be split into; one without gossip, since each subset would fetch the keys
+/// that others hold already.
 pub(super) fn max_subsets(settings: &Settings) -> usize {
     if !settings.may_gossip {
         return 1;
@@ -49,7 +48,7 @@
         (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
         worker.status = endpoint.status;
         if started_at > worker.started_at {
-            // What is on its way was meant for the process before, which was warm, perhaps elsewhere.
+            // What has not been accepted was meant for the process before the restart.
             self.pending_revocations.extend(worker.revoke_unaccepted());
         }
         worker.started_at = worker.started_at.max(started_at);
@@ -71,7 +70,7 @@
         if is_listed { endpoint.size.round().clamp(1.0, MAX_SLOTS) } else { 1.0 }
     }
 
-    /// Nothing more goes to the worker until it is enabled again.
+    /// Disables a worker: nothing is sent to it until it is enabled again.
     pub fn disable_worker(&mut self, now: Micros, id: WorkerId) {
         self.reenabled_unlisted.remove(&id);
         self.disabled.entry(id).or_insert(now);
@@ -81,7 +80,7 @@
         self.rebuild_subset();
     }
 
-    /// The worker may be used again; its failures before count no more.
+    /// Enables a worker again, with its failures forgotten.
     pub fn reenable_worker(&mut self, now: Micros, id: WorkerId) {
         let Some(disabled_at) = self.disabled.remove(&id) else { return };
         match self.find(id) {
@@ -97,7 +96,7 @@
         worker.status == WorkerStatus::Ready && !self.disabled.contains_key(&worker.id)
     }
 
-    /// Deals the ready workers out to the subsets, each zone's and kind's evenly.
+    /// Assigns the ready workers to the subsets, each zone's and kind's evenly, and keeps this node's.
     fn rebuild_subset(&mut self) {
         let mut subset = std::mem::take(&mut self.subset);
         subset.clear();
@@ -105,10 +104,10 @@
         self.subset_count = self.max_subsets.min(subset.len() / MIN_SUBSET_WORKERS).max(1);
         let workers = &self.workers;
         subset.sort_by_key(|index| (workers[*index].zone.0, workers[*index].kind.0, *index));
-        let mut dealt = 0;
+        let mut position = 0;
         subset.retain(|_| {
-            dealt += 1;
-            dealt % self.subset_count == self.node_index % self.subset_count
+            position += 1;
+            position % self.subset_count == self.node_index % self.subset_count
         });
         subset.sort_unstable();
         self.workers.iter_mut().for_each(|worker| worker.in_subset = false);
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -1,5 +1,4 @@
-//! What is known of one worker: its line in the endpoint list, the attempts that are in flight there, and
-//! what those taught.
+//! One worker: its entry in the endpoint list, its attempts in flight, and what was learned from them.
 
 use std::collections::VecDeque;
 
@@ -163,7 +162,7 @@
     pub log_speed_ratio: f64,
     /// Its speed over its kind's.
     pub speed_ratio: f64,
-    /// Number of jobs that taught the ratio.
+    /// Number of jobs that the ratio was learned from.
     pub speed_samples: u32,
     /// Most slots seen running at once.
     pub max_concurrent_slots: f64,
@@ -264,19 +263,20 @@
         waiting.map(|attempt| attempt.start_delay(now)).fold(0.0, f64::max)
     }
 
-    /// Wait at it that no node reported, in seconds: what late starts showed, as it decays. A wait is not
-    /// over before it has been worked off, and a node of many may not send there again before that.
+    /// Seconds of waiting at it that no node has reported: the excess wait of late starts, as it decays, but
+    /// not less than what cannot have been worked off yet, since a node of many may not send there again
+    /// before that.
     pub fn unobserved_wait(&self, now: Micros) -> f64 {
         let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
         decayed.max(self.excess_wait.worked_off(now)).max(self.longest_start_delay(now))
     }
 
-    /// How many other keys were sent there since this one; none where this one is not remembered.
+    /// Number of other keys that were sent there since this one; none if this one is not remembered.
     pub fn keys_sent_since(&self, key: u64) -> Option<usize> {
         self.recent_keys.iter().position(|known| *known == key)
     }
 
-    /// Remembers that a job of that key goes there.
+    /// Records the key of a job that is sent there.
     pub fn record_key(&mut self, key: u64) {
         self.recent_keys.retain(|known| *known != key);
         self.recent_keys.push_front(key);
@@ -294,18 +294,18 @@
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
-    /// Something came from it: it can be reached.
+    /// Records a sign that it can be reached.
     pub fn record_contact(&mut self, now: Micros) {
         self.estimated_at = 0;
         if self.unreachable {
-            // It may have restarted, and be cold, long before the list shows that.
+            // It may have restarted and be cold, long before the list shows that.
             self.unreachable = false;
             self.started_at = self.started_at.max(now);
         }
     }
 
-    /// Operators enable it, having disabled it at `disabled_at`. They do that to restart it, and the list is
-    /// late: unless that shows a start since then, it is taken to start now.
+    /// Operators have enabled it, having disabled it at `disabled_at`. They usually restart it meanwhile and
+    /// the list is late: unless the list shows a start since then, it is assumed to start now.
     pub fn reenable(&mut self, disabled_at: Micros, now: Micros) {
         if self.started_at < disabled_at || self.started_at == 0 {
             self.started_at = now;
@@ -314,7 +314,7 @@
         (self.reenabled_at, self.estimated_at) = (Some(now), 0);
     }
 
-    /// Marks its attempts that it has not accepted as revoked, since they may not have left yet, and names
+    /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
     /// those that were not marked before.
     pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = (JobId, u32)> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
