--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -1,19 +1,20 @@
 //! The state machine of one process while a node changes its process.
 //!
-//! The successor connects to the predecessor (hello, welcome), obtains an endpoint list of its own, and then requests the
-//! takeover; once that is granted it accepts the new connections of the node and the predecessor finishes its jobs. A
-//! successor that terminates first hands the node back, and a process whose link is lost goes on alone.
+//! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then
+//! requests the takeover; once that is granted it accepts the new connections of the node and the predecessor
+//! finishes its jobs. A successor that terminates first hands the node back, and a process whose link is lost
+//! goes on alone.
 //!
-//! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own, whether its
-//! phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as when two of them cross,
-//! changes no role and needs no command.
+//! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own,
+//! whether its phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as
+//! when two of them cross, changes no role and needs no command.
 //!
 //! | role | event | if | next role | commands |
 //! | --- | --- | --- | --- | --- |
 //! | any | `Hello` | of another node | same | `RejectHello(OtherNode)` |
 //! | any but `Single` | `Hello` | | same | `RejectHello(Busy)` |
 //! | `Single` | `Hello` | SD | same | `RejectHello(ShuttingDown)` |
-//! | `Single` | `Hello` | not SD | `AcceptingPredecessor` | `SetDescriptorShare(Half)`, `SendWelcome` |
+//! | `Single` | `Hello` | not SD | `AcceptingPredecessor` | `SetDescriptorShare(Half)`, `AcceptHello` |
 //! | `WaitingSuccessor` | `EndpointsAvailable` | first | same | `RequestTakeover` |
 //! | any other | `EndpointsAvailable` | first, not SD | same | *leave starting* |
 //! | `AcceptingPredecessor` | `TakeoverRequested` | not SD | `SupersededPredecessor` | `StopAccepting`, `ApplyPhaseEvent(HandedOver)`, `GrantTakeover` |
@@ -88,7 +89,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverCommand {
     /// Answer the hello: the other process is the successor.
-    SendWelcome,
+    AcceptHello,
     /// Answer the hello: the other process is not the successor, for this reason.
     RejectHello(RejectReason),
     /// Ask the predecessor for the new connections.
@@ -101,7 +102,8 @@
     CloseLink,
     /// Accept new connections.
     StartAccepting,
-    /// Accept no more connections. The listener stays open: connections in its queue would be reset otherwise.
+    /// Accept no more connections. The listener stays open: connections in its queue would be reset
+    /// otherwise.
     StopAccepting,
     /// Apply this event to the phase of the process.
     ApplyPhaseEvent(PhaseEvent),
@@ -143,7 +145,8 @@
 }
 
 impl Takeover {
-    /// A process that found no other process of its node: it serves at once. Returns its first commands as well.
+    /// A process that found no other process of its node: it serves at once. Returns its first commands as
+    /// well.
     pub fn without_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![
             TakeoverCommand::SetDescriptorShare(DescriptorShare::All),
@@ -153,8 +156,8 @@
         (Takeover::new(node, listen, Role::Single), commands)
     }
 
-    /// A process that its predecessor has welcomed: it waits until it has an endpoint list. Returns its first commands as
-    /// well.
+    /// A process whose hello its predecessor has accepted: it waits until it has an endpoint list. Returns
+    /// its first commands as well.
     pub fn with_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half)];
         (Takeover::new(node, listen, Role::WaitingSuccessor), commands)
@@ -176,7 +179,7 @@
         self.role
     }
 
-    /// Applies an event and returns the commands that it calls for, as the table of this module has them.
+    /// Applies an event and returns its commands, as the table of this module lists them.
     pub fn handle(&mut self, event: TakeoverEvent) -> Vec<TakeoverCommand> {
         match event {
             TakeoverEvent::Hello { node, listen } => self.on_hello(&node, &listen),
@@ -194,7 +197,7 @@
             return vec![TakeoverCommand::RejectHello(reason)];
         }
         self.role = Role::AcceptingPredecessor;
-        vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::SendWelcome]
+        vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::AcceptHello]
     }
 
     fn reason_to_reject(&self, node: &str, listen: &str) -> Option<RejectReason> {
@@ -276,7 +279,8 @@
         match self.role {
             Role::AcceptingSuccessor => commands.push(TakeoverCommand::HandBack),
             Role::WaitingSuccessor => {
-                // The predecessor may be handing over at this moment: losing the link makes it take the node back.
+                // The predecessor may be handing over at this moment: losing the link makes it take the node
+                // back.
                 self.role = Role::Single;
                 commands.push(TakeoverCommand::CloseLink);
             }
