--- /dev/null
+++ b/crates/node/src/discovery/watcher.rs
@@ -0,0 +1,131 @@
+//! The task that watches discovery: it runs the [`PollSchedule`] and passes each list on to the dispatch task
+//! as soon as it is read, in the order in which lists are read.
+
+use std::net::SocketAddr;
+
+use tokio::sync::{mpsc, watch};
+use tracing::{debug, warn};
+
+use crate::discovery::endpoint_list::EndpointResolver;
+use crate::discovery::endpoint_watch::WatchError;
+use crate::discovery::poll_schedule::{ListUpdate, PollSchedule, ScheduleEvent, WatchFailure, WatchUpdate};
+use crate::discovery::watch_timing::WatchTiming;
+use crate::dispatch::{DispatchMessage, DispatchQueue};
+use crate::telemetry::logging::DISCOVERY;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::RequestPayload;
+
+/// Watches discovery whenever the dispatch task requests it or [`WatchTiming`] schedules it.
+pub struct EndpointWatcher {
+    /// Where discovery is until the watcher is told another address.
+    pub address: SocketAddr,
+    /// Turns the names of a list into the numbers of the dispatcher.
+    pub resolver: EndpointResolver,
+    /// The version of the endpoint list that is known at the start; 0 for none.
+    pub known_index: u64,
+    /// The queue of the dispatch task.
+    pub queue: DispatchQueue<RequestPayload>,
+    /// Becomes true with the first list that is read.
+    pub list_received: watch::Sender<bool>,
+    /// The counters of this node.
+    pub metrics: Metrics,
+    /// When polls are made that the dispatch task did not request.
+    pub timing: WatchTiming,
+}
+
+/// The dispatch task has ended, and nobody is left to watch for.
+struct DispatchStopped;
+
+/// What the watcher waits for.
+enum WatcherEvent {
+    AddressChanged(SocketAddr),
+    PollRequested,
+    Schedule(ScheduleEvent),
+}
+
+impl EndpointWatcher {
+    /// Runs until the dispatch task ends. It requests polls through `poll_requests`; `address` has the
+    /// address of discovery each time that it changes.
+    pub async fn run(
+        mut self,
+        mut poll_requests: mpsc::Receiver<()>,
+        mut address: watch::Receiver<SocketAddr>,
+    ) {
+        let mut schedule = PollSchedule::new(self.timing, self.address, self.known_index);
+        while let Ok(event) = next_event(&mut schedule, &mut poll_requests, &mut address).await {
+            if self.handle_event(&mut schedule, event).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    async fn handle_event(
+        &mut self,
+        schedule: &mut PollSchedule,
+        event: WatcherEvent,
+    ) -> Result<(), DispatchStopped> {
+        match event {
+            WatcherEvent::AddressChanged(address) => {
+                schedule.change_address(address);
+                self.notify(DispatchMessage::DiscoveryMoved).await
+            }
+            WatcherEvent::PollRequested => {
+                schedule.request_poll();
+                Ok(())
+            }
+            WatcherEvent::Schedule(event) => match schedule.apply_event(event) {
+                None => Ok(()),
+                Some(WatchUpdate::Confirmed) => self.notify(DispatchMessage::EndpointsConfirmed).await,
+                Some(WatchUpdate::List(update)) => self.pass_on_list(update).await,
+                Some(WatchUpdate::Failed(failure)) => self.handle_failure(schedule, failure).await,
+            },
+        }
+    }
+
+    async fn pass_on_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
+        let ListUpdate { list, is_current, poll_duration } = update;
+        self.list_received.send_replace(true);
+        let endpoints = self.resolver.resolve(&list.endpoints);
+        let (index, count, snapshot) = (list.index, endpoints.len(), list.snapshot);
+        debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list");
+        let confirmed = is_current;
+        self.notify(DispatchMessage::EndpointsChanged { endpoints, snapshot, confirmed, poll_duration }).await
+    }
+
+    async fn handle_failure(
+        &mut self,
+        schedule: &mut PollSchedule,
+        failure: WatchFailure,
+    ) -> Result<(), DispatchStopped> {
+        self.metrics.add(Counter::ListFailures);
+        warn!(target: DISCOVERY, "transport map: {}", failure.error);
+        if failure.is_current && matches!(failure.error, WatchError::Malformed(_)) {
+            self.notify(DispatchMessage::EndpointsUnreadable).await?;
+        }
+        if schedule.record_failure(&failure) {
+            self.notify(DispatchMessage::WatchFailed).await?;
+        }
+        Ok(())
+    }
+
+    async fn notify(&self, message: DispatchMessage<RequestPayload>) -> Result<(), DispatchStopped> {
+        self.queue.send(message).await.map_err(|_| DispatchStopped)
+    }
+}
+
+/// A change of address comes before a request, and a request before anything of discovery.
+async fn next_event(
+    schedule: &mut PollSchedule,
+    poll_requests: &mut mpsc::Receiver<()>,
+    address: &mut watch::Receiver<SocketAddr>,
+) -> Result<WatcherEvent, DispatchStopped> {
+    tokio::select! {
+        biased;
+        Ok(()) = address.changed() => Ok(WatcherEvent::AddressChanged(*address.borrow_and_update())),
+        request = poll_requests.recv() => match request {
+            Some(()) => Ok(WatcherEvent::PollRequested),
+            None => Err(DispatchStopped),
+        },
+        event = schedule.next_event() => Ok(WatcherEvent::Schedule(event)),
+    }
+}
