--- /dev/null
+++ b/crates/node/src/server/connection/filtered_stream.rs
@@ -0,0 +1,57 @@
+//! The stream that hyper reads and writes: reads go through the [`ReadFilter`], writes to the socket.
+
+use std::cell::RefCell;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+use super::ReadFilter;
+
+/// A connection's socket behind its read filter, which the connection's task inspects as well.
+pub struct FilteredStream(Rc<RefCell<ReadFilter>>);
+
+impl FilteredStream {
+    /// A stream that reads through that filter.
+    pub fn new(read_filter: Rc<RefCell<ReadFilter>>) -> FilteredStream {
+        FilteredStream(read_filter)
+    }
+}
+
+impl AsyncRead for FilteredStream {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        self.0.borrow_mut().poll_read(cx, out)
+    }
+}
+
+impl AsyncWrite for FilteredStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let mut filter = self.0.borrow_mut();
+        let written = Pin::new(&mut filter.stream).poll_write(cx, bytes);
+        filter.connection.track_write(written)
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let mut filter = self.0.borrow_mut();
+        let written = Pin::new(&mut filter.stream).poll_write_vectored(cx, slices);
+        filter.connection.track_write(written)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.borrow().stream.is_write_vectored()
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/crates/node/src/server/connection/mod.rs
@@ -0,0 +1,249 @@
+//! An accepted downstream connection: its state, its timeouts and whether it may be evicted.
+//!
+//! A [`Connection`] knows nothing of the requests that it carries and answers none. The task that serves the
+//! connection moves it through [`ConnectionState`]; the listener and the shutdown close it through the methods
+//! here, which set a flag and wake that task.
+//!
+//! | from | to | when |
+//! | --- | --- | --- |
+//! | (accepted) | New | the listener has accepted it |
+//! | New, Idle | Reading | bytes of a request have arrived ([`ReadFilter`]) |
+//! | Reading | Busy | the body of the request was read to its end |
+//! | Reading, Busy | Idle | the response to the request is made |
+//! | any | Lingering | HTTP on it has ended, and this process closes it ([`lingering_close`]) |
+
+mod filtered_stream;
+mod lingering_close;
+mod read_filter;
+
+use std::cell::{Cell, RefCell};
+use std::os::fd::OwnedFd;
+use std::rc::Weak;
+use std::task::{Poll, Waker};
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::sync::futures::Notified;
+use tokio::time::Instant;
+
+pub use filtered_stream::FilteredStream;
+pub use lingering_close::{discard_and_close, lingering_close};
+pub use read_filter::ReadFilter;
+
+/// Longest head of a request, in bytes; hyper's read buffer has the same bound.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// A request that has begun must be whole within this, and on a new connection one must have come. Good clients
+/// take up to 2 s to write one; a request that cannot be read must be answered or closed within 3 s.
+pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
+/// A peer that takes no byte of its response for this long is treated as gone.
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
+/// A new connection may be evicted after this: its first request may be on its way.
+const MIN_NEW_AGE_FOR_EVICTION: Duration = Duration::from_millis(50);
+/// An idle connection may be evicted this long after its last response.
+const MIN_IDLE_AGE_FOR_EVICTION: Duration = Duration::from_millis(200);
+/// A peer that has neither sent a byte of its request nor taken one of its response for this long has stalled.
+const STALLED_AFTER: Duration = Duration::from_millis(800);
+
+/// State of a connection, in the order in which connections are evicted when descriptors run low.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum ConnectionState {
+    /// This process has sent its last byte and discards what the peer still sends.
+    Lingering,
+    /// Nothing has arrived yet.
+    New,
+    /// A request has begun and is not read to its end.
+    Reading,
+    /// Between two requests.
+    Idle,
+    /// A request was read to its end and is not answered.
+    Busy,
+}
+
+/// An accepted connection, shared by the task that serves it and those that may close it.
+pub struct Connection {
+    state: Cell<ConnectionState>,
+    /// When it entered that state, or was last chosen for eviction.
+    state_since: Cell<Instant>,
+    /// When the request that is being read began; for the first request, when the connection was accepted.
+    request_started: Cell<Instant>,
+    /// When the request that is being read last got a byte.
+    last_progress: Cell<Instant>,
+    is_worker: Cell<bool>,
+    /// The request that is being read has timed out or is evicted.
+    read_expired: Cell<bool>,
+    is_last_request: Cell<bool>,
+    /// Wakes the serving task after `aborted` or `read_expired` was set; with neither set, the connection is to
+    /// close as soon as it carries no request.
+    close_requested: Notify,
+    /// The reader that waits for the request in progress to be answered.
+    read_waker: RefCell<Option<Waker>>,
+    /// What the connection is read through, while it is served.
+    read_filter: RefCell<Weak<RefCell<ReadFilter>>>,
+    /// Since when the peer has taken nothing of what is written to it.
+    write_blocked_since: Cell<Option<Instant>>,
+    /// The connection ends at once, with nothing more written: the other process of this node serves its client, or
+    /// the peer takes nothing.
+    aborted: Cell<bool>,
+}
+
+impl Connection {
+    /// A connection that was just accepted.
+    pub fn new() -> Connection {
+        Connection {
+            state: Cell::new(ConnectionState::New),
+            state_since: Cell::new(Instant::now()),
+            request_started: Cell::new(Instant::now()),
+            last_progress: Cell::new(Instant::now()),
+            is_worker: Cell::new(false),
+            read_expired: Cell::new(false),
+            is_last_request: Cell::new(false),
+            close_requested: Notify::new(),
+            read_waker: RefCell::default(),
+            read_filter: RefCell::default(),
+            write_blocked_since: Cell::default(),
+            aborted: Cell::new(false),
+        }
+    }
+
+    /// State of the connection.
+    pub fn state(&self) -> ConnectionState {
+        self.state.get()
+    }
+
+    /// When it entered its state, or was last chosen for eviction.
+    pub fn state_since(&self) -> Instant {
+        self.state_since.get()
+    }
+
+    /// Enters a state and wakes the reader that waits for that.
+    pub fn enter(&self, state: ConnectionState) {
+        let now = Instant::now();
+        if state == ConnectionState::Reading && self.state.get() != ConnectionState::New {
+            self.request_started.set(now);
+        }
+        self.state.set(state);
+        self.state_since.set(now);
+        self.last_progress.set(now);
+        if let Some(waker) = self.read_waker.take() {
+            waker.wake();
+        }
+    }
+
+    /// For how long the request that is being read has been under way.
+    pub fn request_age(&self) -> Duration {
+        self.request_started.get().elapsed()
+    }
+
+    /// Marks the peer as a worker, which sends callbacks. Its connection stays open while this node drains, because
+    /// the node waits for those callbacks.
+    pub fn mark_as_worker(&self) {
+        self.is_worker.set(true);
+    }
+
+    /// Whether the peer is a worker.
+    pub fn is_worker(&self) -> bool {
+        self.is_worker.get()
+    }
+
+    /// Closes the connection after the response to the current request.
+    pub fn mark_last_request(&self) {
+        self.is_last_request.set(true);
+    }
+
+    /// Whether the connection closes after the current request: where that one ends is known to hyper alone, or too
+    /// much has arrived behind it.
+    pub fn is_last_request(&self) -> bool {
+        self.is_last_request.get()
+    }
+
+    /// Completes once a close was requested since it last completed.
+    pub fn close_requested(&self) -> Notified<'_> {
+        self.close_requested.notified()
+    }
+
+    /// Whether the connection is to end at once, with nothing more written.
+    pub fn is_aborted(&self) -> bool {
+        self.aborted.get()
+    }
+
+    /// Whether the request that is being read has timed out or is evicted.
+    pub fn is_read_expired(&self) -> bool {
+        self.read_expired.get()
+    }
+
+    /// A duplicate of the connection's descriptor. None where bytes have arrived behind the request, which would be
+    /// lost, or where the descriptor cannot be duplicated.
+    pub fn duplicate_socket(&self) -> Option<OwnedFd> {
+        let read_filter = self.read_filter.borrow().upgrade()?;
+        let read_filter = read_filter.borrow();
+        if read_filter.has_buffered_bytes() || self.is_last_request.get() {
+            return None;
+        }
+        read_filter.duplicate_socket()
+    }
+
+    /// Requests a graceful close; between two requests that harms nobody.
+    pub fn close_gracefully(&self) {
+        self.read_expired.set(self.state.get() < ConnectionState::Idle);
+        self.close_requested.notify_one();
+    }
+
+    /// Requests an immediate end, with nothing more written.
+    pub fn abort(&self) {
+        self.aborted.set(true);
+        self.close_requested.notify_one();
+    }
+
+    /// Whether the peer has taken nothing of what is written to it for that long.
+    pub fn is_write_blocked_for(&self, duration: Duration) -> bool {
+        self.write_blocked_since.get().is_some_and(|since| since.elapsed() >= duration)
+    }
+
+    /// Closes the connection to free its descriptor.
+    pub fn evict(&self) {
+        // A graceful close would wait forever for a peer that reads nothing.
+        if self.is_write_blocked_for(STALLED_AFTER) {
+            self.abort();
+        } else {
+            self.close_gracefully();
+        }
+        // It is not chosen again right away.
+        self.state_since.set(Instant::now());
+    }
+
+    /// Records whether a write made progress, and passes its result through.
+    fn track_write<T>(&self, written: Poll<T>) -> Poll<T> {
+        let blocked_since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
+        self.write_blocked_since.set(written.is_pending().then_some(blocked_since));
+        written
+    }
+
+    /// Whether the time for its request, or between two requests, is up.
+    pub fn is_timed_out(&self, idle_timeout: Duration) -> bool {
+        match self.state.get() {
+            ConnectionState::New | ConnectionState::Reading => self.request_age() >= READ_TIMEOUT,
+            ConnectionState::Idle => self.state_since.get().elapsed() >= idle_timeout,
+            ConnectionState::Busy | ConnectionState::Lingering => false,
+        }
+    }
+
+    /// Whether its client can be sent elsewhere unharmed: it has sent no part of a request, for long enough that
+    /// none is likely to be on its way. One that is sending may finish.
+    pub fn is_redirectable(&self) -> bool {
+        matches!(self.state.get(), ConnectionState::New | ConnectionState::Idle)
+            && !self.is_worker.get()
+            && self.is_evictable()
+    }
+
+    /// Whether it may be evicted. A young connection may not: a request may have been sent that was not read yet.
+    pub fn is_evictable(&self) -> bool {
+        match self.state.get() {
+            ConnectionState::Lingering => true,
+            ConnectionState::New => self.state_since.get().elapsed() >= MIN_NEW_AGE_FOR_EVICTION,
+            // A request that makes progress is a slow client's; one that has stalled is abandoned.
+            ConnectionState::Reading => self.last_progress.get().elapsed() >= STALLED_AFTER,
+            ConnectionState::Idle => self.state_since.get().elapsed() >= MIN_IDLE_AGE_FOR_EVICTION,
+            ConnectionState::Busy => false,
+        }
+    }
+}
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -48,8 +48,8 @@
 use crate::lifecycle::Lifecycle;
 use crate::server::callback::Callback;
 use crate::server::connection::{
-    Connection, ConnectionState, FilteredStream, LONGEST_HEAD, READ_TIME, ReadFilter, WRITE_TIME, discard,
-    linger,
+    Connection, ConnectionState, FilteredStream, MAX_HEAD_BYTES, READ_TIMEOUT, ReadFilter, WRITE_TIMEOUT,
+    discard_and_close, lingering_close,
 };
 use crate::telemetry::logging::SERVER;
 use crate::telemetry::metrics::{Counter, Metrics};
@@ -291,10 +291,10 @@
                 let phase = self.shared.lifecycle.phase();
                 let sends_on = phase.redirects_clients() && !phase.is_shutting_down();
                 for connection in self.connections() {
-                    if connection.is_blocked(WRITE_TIME) {
-                        connection.drop_now();
-                    } else if connection.overdue(idle) || sends_on && connection.can_go_on() {
-                        connection.end();
+                    if connection.is_write_blocked_for(WRITE_TIMEOUT) {
+                        connection.abort();
+                    } else if connection.is_timed_out(idle) || sends_on && connection.is_redirectable() {
+                        connection.close_gracefully();
                     }
                 }
             }
@@ -376,24 +376,23 @@
     /// longest. It lingers first; one that lingers gives its place up now.
     fn make_way(&self) {
         let connections = self.connections();
-        let new =
-            connections.iter().filter(|connection| connection.state.get() == ConnectionState::New).count();
+        let new = connections.iter().filter(|connection| connection.state() == ConnectionState::New).count();
         // Among many that have brought nothing, one is about to be old enough.
         let waits = |connection: &Connection| {
-            connection.state.get() == ConnectionState::Idle && new > connections.len() / 4
+            connection.state() == ConnectionState::Idle && new > connections.len() / 4
         };
         let (lingering, others): (Vec<_>, Vec<_>) = connections
             .iter()
-            .filter(|connection| connection.can_yield() && !waits(connection))
-            .partition(|connection| connection.state.get() == ConnectionState::Lingering);
+            .filter(|connection| connection.is_evictable() && !waits(connection))
+            .partition(|connection| connection.state() == ConnectionState::Lingering);
         // One always lingers for the next call, or every other call would free nothing.
         let least = (lingering.len() < 2).then(|| {
             others.into_iter().min_by_key(|connection| {
-                (connection.next_hop.get(), connection.state.get(), connection.since.get())
+                (connection.is_worker(), connection.state(), connection.state_since())
             })
         });
-        let longest = lingering.into_iter().min_by_key(|connection| connection.since.get());
-        longest.into_iter().chain(least.flatten()).for_each(|connection| connection.make_way());
+        let longest = lingering.into_iter().min_by_key(|connection| connection.state_since());
+        longest.into_iter().chain(least.flatten()).for_each(|connection| connection.evict());
     }
 
     async fn serve(self, stream: TcpStream) {
@@ -404,7 +403,7 @@
             ReadFilter::new(stream, &connection, self.shared.counters.clone(), self.shared.over.clone());
         let closes = self.carry(&connection, &filter).await;
         if closes && let Ok(filter) = Rc::try_unwrap(filter) {
-            linger(filter.into_inner().into_stream(), &connection).await;
+            lingering_close(filter.into_inner().into_stream(), &connection).await;
         }
     }
 
@@ -413,8 +412,11 @@
         let http = http1::Builder::new()
             // Times are kept by `Connection`: a head's begins with its first byte.
             .header_read_timeout(None)
-            .max_buf_size(LONGEST_HEAD)
-            .serve_connection(TokioIo::new(FilteredStream(filter.clone())), TowerToHyperService::new(self));
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(
+                TokioIo::new(FilteredStream::new(filter.clone())),
+                TowerToHyperService::new(self),
+            );
         let mut http = pin!(http);
         loop {
             tokio::select! {
@@ -422,17 +424,17 @@
                 // How it ended makes no difference here: a job that it carried says so by its drop.
                 _ = http.as_mut() => return true,
                 // One that is cut ends by what the filter then says, when it is next polled.
-                () = connection.close.notified() => if connection.dropped.get() {
+                () = connection.close_requested() => if connection.is_aborted() {
                     return false;
-                } else if connection.state.get() == ConnectionState::Reading || filter.borrow().unread() {
+                } else if connection.state() == ConnectionState::Reading || filter.borrow().has_unread_input() {
                     // hyper, which knows nothing of half a head, would close over a request that has begun in
                     // this very moment. It is read to its end, and is the last.
-                    connection.last.set(true);
-                } else if !connection.cut.get() {
+                    connection.mark_last_request();
+                } else if !connection.is_read_expired() {
                     http.as_mut().graceful_shutdown();
                 },
                 // Last: one that is flooded uses its turn up.
-                () = poll_fn(|cx| filter.borrow_mut().poll_gone(cx)) => return false,
+                () = poll_fn(|cx| filter.borrow_mut().poll_disconnected(cx)) => return false,
             }
         }
     }
@@ -441,13 +443,13 @@
     /// end.
     fn send_on(&self) {
         for connection in self.connections() {
-            let free = match connection.state.get() {
-                ConnectionState::New => connection.can_yield(),
+            let free = match connection.state() {
+                ConnectionState::New => connection.is_evictable(),
                 ConnectionState::Idle => true,
                 ConnectionState::Reading | ConnectionState::Busy | ConnectionState::Lingering => false,
             };
-            if free && !connection.next_hop.get() {
-                connection.end();
+            if free && !connection.is_worker() {
+                connection.close_gracefully();
             }
         }
     }
@@ -469,18 +471,21 @@
     /// Closes all connections, those that still come among them, once what is being written on them is
     /// written.
     pub async fn close(&self) {
-        let lingers = |c: &Connection| c.state.get() == ConnectionState::Lingering;
+        let lingers = |c: &Connection| c.state() == ConnectionState::Lingering;
         // A request that is under way here, on a connection that was just accepted or behind its first half,
         // is told to come again once it is whole: closed without an answer it would be lost.
         let begins = |c: &Connection| {
-            matches!(c.state.get(), ConnectionState::New | ConnectionState::Reading) && !c.can_yield()
+            matches!(c.state(), ConnectionState::New | ConnectionState::Reading) && !c.is_evictable()
         };
         let closed = async {
             loop {
-                self.connections().iter().filter(|c| !lingers(c) && !begins(c)).for_each(|c| c.end());
+                self.connections()
+                    .iter()
+                    .filter(|c| !lingers(c) && !begins(c))
+                    .for_each(|c| c.close_gracefully());
                 // What waits at the listener is accepted meanwhile.
                 sleep(Duration::from_millis(5)).await;
-                let done = |c: &Rc<Connection>| lingers(c) && c.since.get().elapsed() >= LAST_LINGER;
+                let done = |c: &Rc<Connection>| lingers(c) && c.state_since().elapsed() >= LAST_LINGER;
                 if self.connections().iter().all(done) {
                     return;
                 }
@@ -533,8 +538,8 @@
         });
         if let Some(connection) = &self.connection {
             connection.enter(ConnectionState::Idle);
-            let sends_on = shared.lifecycle.phase().redirects_clients() && !connection.next_hop.get();
-            if sends_on || connection.last.get() || shared.over.get() {
+            let sends_on = shared.lifecycle.phase().redirects_clients() && !connection.is_worker();
+            if sends_on || connection.is_last_request() || shared.over.get() {
                 // The client is to go on elsewhere.
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
@@ -547,9 +552,8 @@
         if request.size_hint().lower() > LONGEST_BODY as u64 {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB".into()));
         }
-        let spent =
-            self.connection.as_ref().map_or(Duration::ZERO, |connection| connection.begun.get().elapsed());
-        let left = (READ_TIME - SAYING_SO).saturating_sub(spent);
+        let spent = self.connection.as_ref().map_or(Duration::ZERO, |connection| connection.request_age());
+        let left = (READ_TIMEOUT - SAYING_SO).saturating_sub(spent);
         match timeout(left, Limited::new(request, LONGEST_BODY).collect()).await {
             Ok(Ok(body)) => {
                 if let Some(connection) = &self.connection {
@@ -567,7 +571,7 @@
 
     async fn callback(&self, request: Request<Incoming>) -> Result<Reply, Malformed> {
         if let Some(connection) = &self.connection {
-            connection.next_hop.set(true);
+            connection.mark_as_worker();
         }
         let body = self.body(request.into_body()).await?;
         let (id, from, word) = Callback::read(&body).map_err(|e| bad(e.to_string()))?;
@@ -713,7 +717,7 @@
             // The node's end waits for the answer alone.
             drop(open);
             if matches!(written, Ok(Ok(()))) {
-                discard(stream).await;
+                discard_and_close(stream).await;
             }
         }
     }
@@ -815,12 +819,12 @@
                 answer = &mut answered => break answer.map_err(|_| ended())?,
                 () = self.time_to_move(pause) => {
                     pause = MOVE_AGAIN;
-                    let client = self.connection.as_ref().and_then(|connection| connection.copy());
+                    let client = self.connection.as_ref().and_then(|connection| connection.duplicate_socket());
                     if let Some(connection) = self.connection.as_ref()
                         && self.move_on(&job_handle, client).await
                     {
                         open.gone = None;
-                        connection.drop_now();
+                        connection.abort();
                         // Its connection is dropped now, and this with it.
                         std::future::pending::<()>().await;
                     }
