--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -46,7 +46,7 @@
         let slots = if submission.slots.is_finite() { submission.slots.clamp(1.0, 64.0) } else { 1.0 };
         let weight = class.priority_weight / self.admission.max_priority_weight / slots;
         let tenant = submission.tenant.0;
-        let over_quota = self.admission.is_over_quota(now, &self.settings, tenant, is_first_submission);
+        let over_quota = self.admission.charge_quota(now, &self.settings, tenant, is_first_submission);
         Job {
             over_quota,
             weight: if over_quota { weight * self.settings.over_quota_weight } else { weight },
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -143,3 +143,15 @@
         self.attempts.iter().any(|attempt| attempt.worker == worker)
     }
 }
+
+/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers are worth little; the
+/// others are ordered by the latest start that meets their objective.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueueKey {
+    /// The job is beyond its tenant's quota.
+    pub over_quota: bool,
+    /// Latest start with which its objective can be met.
+    pub start_by: Micros,
+    /// Which job.
+    pub job: JobId,
+}
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -1,77 +1,11 @@
-//! What admission, queueing, retries and hedging go by: queue order, quotas, demand, capacity and budgets.
+//! Load of this node: the demand of its clients, and the capacity of its workers.
 
-use super::estimators::{DecayingSum, TokenBucket};
+use super::estimators::DecayingSum;
 use super::job::Job;
-use crate::{JobId, Micros, Settings};
+use crate::Micros;
 
 /// Time constant over which demand is summed up, in seconds.
 pub(crate) const DEMAND_SPAN_S: f64 = 10.0;
-/// Burst of a tenant, in seconds of its quota.
-const QUOTA_BURST_S: f64 = 1.5;
-/// Jobs by which a tenant may exceed its quota in addition, since chance alone would use a small quota up.
-const QUOTA_BURST_JOBS: f64 = 4.0;
-/// Retries that each admitted job earns.
-const RETRIES_PER_JOB: f64 = 0.1;
-/// Most retries that are saved up.
-const MAX_RETRY_TOKENS: f64 = 10.0;
-/// Share of its work that each admitted job earns for hedged requests.
-const HEDGE_WORK_SHARE: f64 = 0.1;
-/// Most work that is saved up for hedged requests, in seconds at speed 1.
-const MAX_HEDGE_WORK_S: f64 = 5.0;
-
-/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers are worth little; the
-/// others are ordered by the latest start that meets their objective.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct QueueKey {
-    /// The job is beyond its tenant's quota.
-    pub over_quota: bool,
-    /// Latest start with which its objective can be met.
-    pub start_by: Micros,
-    /// Which job.
-    pub job: JobId,
-}
-
-/// What admission knows of tenants and classes.
-pub(crate) struct Admission {
-    /// For each tenant the jobs that this node may admit within its quota.
-    quotas: Vec<TokenBucket>,
-    /// For each class, the longest time to its deadline that a job had when it was submitted: that of a first
-    /// submission.
-    longest_time_left: Vec<Micros>,
-    /// Highest priority weight of a class.
-    pub max_priority_weight: f64,
-}
-
-impl Admission {
-    /// Full quotas.
-    pub fn new(settings: &Settings) -> Self {
-        let burst = |quota: &f64| TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST_S);
-        Admission {
-            quotas: settings.tenant_quotas.iter().map(burst).collect(),
-            longest_time_left: vec![0; settings.classes.len()],
-            max_priority_weight: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
-        }
-    }
-
-    /// Time that a client has waited already when it submits a job, by the time that the job has left.
-    pub fn time_waited(&mut self, class: usize, time_left: Micros) -> Micros {
-        let longest = &mut self.longest_time_left[class];
-        *longest = time_left.max(*longest);
-        *longest - time_left
-    }
-
-    /// Whether a job is beyond this node's part of its tenant's quota. Only first submissions are charged.
-    pub fn is_over_quota(&mut self, now: Micros, settings: &Settings, tenant: usize, is_first: bool) -> bool {
-        let Some(bucket) = self.quotas.get_mut(tenant) else { return false };
-        let rate = settings.tenant_quotas[tenant] / f64::from(settings.nodes);
-        bucket.refill(now, rate, rate * QUOTA_BURST_S + QUOTA_BURST_JOBS);
-        let has_token = bucket.has_token();
-        if is_first {
-            bucket.take();
-        }
-        !has_token
-    }
-}
 
 /// Work that was submitted and shed lately, in seconds at speed 1.
 pub(crate) struct Demand {
@@ -135,46 +69,3 @@
         Capacity { free_share: 1.0, reserved_share: 0.0, shortest_wait: 0.0 }
     }
 }
-
-/// Budgets that admitted jobs fill, so that retries and hedged requests stay a bounded share of all work.
-pub(crate) struct Budgets {
-    /// Retries that may be made.
-    retry_tokens: f64,
-    /// Work that hedged requests may put on workers, in seconds at speed 1.
-    hedge_work: f64,
-}
-
-impl Default for Budgets {
-    fn default() -> Self {
-        Budgets { retry_tokens: MAX_RETRY_TOKENS, hedge_work: 0.0 }
-    }
-}
-
-impl Budgets {
-    /// Credits the budgets for an admitted job, with the less hedged work the fewer attempts start promptly.
-    pub fn earn(&mut self, job: &Job, prompt_start_share: f64) {
-        self.retry_tokens = (self.retry_tokens + RETRIES_PER_JOB).min(MAX_RETRY_TOKENS);
-        let earned = HEDGE_WORK_SHARE * prompt_start_share * job.load();
-        self.hedge_work = (self.hedge_work + earned).min(MAX_HEDGE_WORK_S);
-    }
-
-    /// Whether a retry may be made.
-    pub fn allow_retry(&self) -> bool {
-        self.retry_tokens >= 1.0
-    }
-
-    /// Charges a retry.
-    pub fn spend_retry(&mut self) {
-        self.retry_tokens -= 1.0;
-    }
-
-    /// Whether a hedged request of that job may be made.
-    pub fn allow_hedge(&self, job: &Job) -> bool {
-        self.hedge_work >= job.load()
-    }
-
-    /// Charges a hedged request of that job.
-    pub fn spend_hedge(&mut self, job: &Job) {
-        self.hedge_work -= job.load();
-    }
-}
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -10,12 +10,14 @@
 //! | `worker`, `job`, `fleet` | the records of a worker, a job, and all workers together |
 //! | `subset` | which workers this node uses |
 //! | `affinity` | which workers are likely to hold what a key stands for |
-//! | `load` | demand, capacity, budgets, and the queue of jobs that wait for a worker |
+//! | `budgets` | tenants' quotas, and what retries and hedged requests may use |
+//! | `load` | the demand of clients, and the capacity of workers |
 //! | `estimates` | x, w and r of the cost, derived from the records |
 //! | `attempts` | updates of the records when an attempt is sent, starts, progresses and ends |
 
 mod affinity;
 mod attempts;
+mod budgets;
 mod estimates;
 mod estimators;
 mod fleet;
@@ -31,11 +33,12 @@
 use crate::{Idempotency, JobId, Micros, Settings, SettingsError};
 
 pub(crate) use attempts::EndedAttempt;
+pub(crate) use budgets::{Admission, Budgets};
 pub(crate) use estimates::RELIABLE_HINT_SHARE;
 pub(crate) use estimators::SpeedEstimate;
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
-pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS};
-pub(crate) use load::{Admission, Budgets, Capacity, DEMAND_SPAN_S, Demand, QueueKey};
+pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, QueueKey};
+pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
     InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, PlacementEstimate, PlacementRating, PlacementTier,
