--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -1,164 +1,125 @@
-//! Owns the second address, for operators alone: its listener, its callers, and the bounds on both, on a thread of its own,
-//! so that a call does not wait behind what the node's clients do. It must never carry a call out: it hands each to the
-//! node's task for calls, and answers what that says.
+//! The listener of the admin address. It has a thread and a runtime of its own, so that a command does not wait behind
+//! the node's clients. The number of connections is limited: an operator gets through however many others are stuck.
 
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewusher_control::command::{
-    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, answer,
-};
 use thiserror::Error;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 use tracing::{error, warn};
 
-use crate::lifecycle::{Lifecycle, Phase};
+use crate::admin::connection::{CommandHandler, PendingCommand};
+use crate::lifecycle::Lifecycle;
 use crate::telemetry::logging::NODE;
 
-/// So many callers at once. Where all places are taken the one that came first goes: those that finish their call are
-/// gone within milliseconds.
-pub const CALLERS: usize = 24;
-/// Descriptors that the second address takes: its callers, its listener and its thread's event queue.
-pub const SOCKETS: usize = CALLERS + 4;
-/// A line comes within this; whoever is slower has been forgotten by its sender.
-const LINE_TIME: Duration = Duration::from_secs(10);
-/// An operator waits 1 s for an answer: what is not done so early is said not to be.
-const DONE_WITHIN: Duration = Duration::from_millis(900);
-const WRITE_TIME: Duration = Duration::from_millis(500);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Calls that wait for the node's task.
-const CALLS_ROOM: usize = 64;
+/// Most connections at once. One more takes the place of the oldest: a command that is carried out takes
+/// milliseconds.
+const MAX_CONNECTIONS: usize = 24;
+/// Descriptors that the admin address needs: its connections, its listener, and its runtime's event queue.
+pub const MAX_ADMIN_DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
+/// Most commands that wait for [`AdminService`](crate::admin::service::AdminService).
+const MAX_PENDING_COMMANDS: usize = 64;
+/// Wait before accepting again after a failure, such as a lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A call on its way to the node's task, and where its verdict goes.
-pub type PendingCommand = (AdminCommand, oneshot::Sender<CommandResult>);
-
-/// Why there is no second address.
+/// Why the admin address cannot be used.
 #[derive(Debug, Error)]
-pub enum ConsoleError {
+pub enum AdminListenerError {
     /// The address cannot be listened on.
-    #[error("console: {at}: {cause}; give `console` an address of this machine that no other program has")]
-    Address { at: SocketAddr, cause: io::Error },
-    /// The system gives no thread for it.
+    #[error(
+        "console: {address}: {source}; give `console` an address of this machine that no other program has"
+    )]
+    Address {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system answered.
+        source: io::Error,
+    },
+    /// The system denies a thread.
     #[error("console: no thread: {0}; raise the limit on processes, or leave `console` out")]
-    Thread(io::Error),
+    Thread(#[source] io::Error),
 }
 
-/// Listens at the second address and answers calls until the program ends. Returns where, and what is to be done.
-pub fn open(
-    at: SocketAddr,
-    lifecycle: Lifecycle,
-) -> Result<(SocketAddr, mpsc::Receiver<PendingCommand>), ConsoleError> {
-    let address = |cause| ConsoleError::Address { at, cause };
-    let listener = std::net::TcpListener::bind(at).map_err(address)?;
-    listener.set_nonblocking(true).map_err(address)?;
-    let at = listener.local_addr().map_err(address)?;
-    let (hand, handed) = mpsc::channel(CALLS_ROOM);
-    // The runtime is made on its thread: where there is none it would be dropped here, within another, and panic.
-    let serve = move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        runtime.block_on(take_callers(listener, lifecycle, hand))
-    };
-    let serve = move || {
-        if let Err(e) = serve() {
-            // The channel is closed by this, which ends the program.
-            error!(target: NODE, "console: {at}: {e}");
-        }
-    };
-    std::thread::Builder::new().name("console".into()).spawn(serve).map_err(ConsoleError::Thread)?;
-    Ok((at, handed))
+/// The admin address, open until the program ends.
+pub struct AdminListener {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Commands that operators send; closed if the thread ends.
+    pub commands: mpsc::Receiver<PendingCommand>,
+}
+
+impl AdminListener {
+    /// Listens at this address, and starts the thread that serves it.
+    pub fn open(address: SocketAddr, lifecycle: Lifecycle) -> Result<AdminListener, AdminListenerError> {
+        let listener = bind(address).map_err(|source| AdminListenerError::Address { address, source })?;
+        let address =
+            listener.local_addr().map_err(|source| AdminListenerError::Address { address, source })?;
+        let (sender, commands) = mpsc::channel(MAX_PENDING_COMMANDS);
+        let handler = CommandHandler { lifecycle, commands: sender };
+        let serve = move || {
+            // Dropping the handler closes the channel of commands, which ends the program.
+            if let Err(problem) = serve_on_this_thread(listener, handler) {
+                error!(target: NODE, "console: {address}: {problem}");
+            }
+        };
+        std::thread::Builder::new()
+            .name("console".into())
+            .spawn(serve)
+            .map_err(AdminListenerError::Thread)?;
+        Ok(AdminListener { address, commands })
+    }
+}
+
+fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
+    let listener = std::net::TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    Ok(listener)
 }
 
-async fn take_callers(
-    listener: std::net::TcpListener,
-    lifecycle: Lifecycle,
-    hand: mpsc::Sender<PendingCommand>,
-) -> io::Result<()> {
+/// The runtime is built on the thread that uses it: where there is no thread it would have to be dropped within the
+/// node's own runtime, which panics.
+fn serve_on_this_thread(listener: std::net::TcpListener, handler: CommandHandler) -> io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(accept_connections(listener, handler))
+}
+
+async fn accept_connections(listener: std::net::TcpListener, handler: CommandHandler) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
-    let mut callers: VecDeque<AbortHandle> = VecDeque::new();
+    let mut connections = Connections::default();
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => {
-                callers.retain(|caller| !caller.is_finished());
-                if callers.len() >= CALLERS
-                    && let Some(first) = callers.pop_front()
-                {
-                    first.abort();
-                }
-                let caller = tokio::spawn(hear(stream, lifecycle.clone(), hand.clone()));
-                callers.push_back(caller.abort_handle());
-            }
-            Err(e) => {
-                warn!(target: NODE, "an operator's connection could not be accepted: {e}");
-                if let Some(first) = callers.pop_front() {
-                    first.abort();
-                }
-                sleep(ACCEPT_PAUSE).await;
+            Ok((stream, _)) => connections.serve(stream, handler.clone()),
+            Err(problem) => {
+                warn!(target: NODE, "an operator's connection could not be accepted: {problem}");
+                connections.abort_oldest();
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// One connection: one line, one answer.
-async fn hear(mut stream: TcpStream, lifecycle: Lifecycle, hand: mpsc::Sender<PendingCommand>) {
-    let _ = stream.set_nodelay(true);
-    let Ok(Some(line)) = timeout(LINE_TIME, read_line(&mut stream)).await else { return };
-    let said = match AdminCommand::parse(&line) {
-        Ok(call) => Ok(carry_out(call, &lifecycle, &hand).await),
-        Err(error) => Err(error),
-    };
-    // An operator who has left needs no answer.
-    let _ = timeout(WRITE_TIME, async {
-        stream.write_all(answer(&said).as_bytes()).await?;
-        stream.shutdown().await?;
-        // What came after the line is read, as far as it is there: closing on it would reset the answer.
-        let mut rest = [0; MAX_LINE_BYTES];
-        while matches!(said, Err(CommandParseError::TooLong | CommandParseError::NotAscii))
-            && stream.read(&mut rest).await? > 0
-        {}
-        Ok::<_, io::Error>(())
-    })
-    .await;
-}
+/// Open connections, the oldest first. Those that have ended may still be among them.
+#[derive(Default)]
+struct Connections(VecDeque<AbortHandle>);
 
-/// A line with its end, or as much of a longer one as shows that it is too long, or what came before the end of the
-/// connection; none where nothing did.
-async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
-    while line.len() <= MAX_LINE_BYTES {
-        let mut part = [0; MAX_LINE_BYTES];
-        let count = stream.read(&mut part).await.ok()?;
-        if count == 0 {
-            return (!line.is_empty()).then_some(line);
-        }
-        let end = part[..count].iter().position(|b| *b == b'\n');
-        line.extend_from_slice(&part[..end.map_or(count, |end| end + 1)]);
-        if end.is_some() {
-            break;
+impl Connections {
+    fn serve(&mut self, stream: TcpStream, handler: CommandHandler) {
+        self.0.retain(|connection| !connection.is_finished());
+        if self.0.len() >= MAX_CONNECTIONS {
+            self.abort_oldest();
         }
+        let connection = tokio::spawn(handler.serve_connection(stream));
+        self.0.push_back(connection.abort_handle());
     }
-    Some(line)
-}
 
-async fn carry_out(
-    call: AdminCommand,
-    lifecycle: &Lifecycle,
-    hand: &mpsc::Sender<PendingCommand>,
-) -> CommandResult {
-    if call == AdminCommand::Ready {
-        // Said without the node's task: it is asked most when that is busiest. A process whose successor serves is
-        // ready as well, for it would take the node back.
-        return match lifecycle.phase() {
-            Phase::Ready | Phase::Superseded { drained: false } => Ok(()),
-            phase => Err(CommandError::NotReady(phase)),
-        };
+    fn abort_oldest(&mut self) {
+        if let Some(oldest) = self.0.pop_front() {
+            oldest.abort();
+        }
     }
-    let (verdict, said) = oneshot::channel();
-    hand.try_send((call, verdict)).map_err(|_| CommandError::TimedOut)?;
-    timeout(DONE_WITHIN, said).await.ok().and_then(Result::ok).unwrap_or(Err(CommandError::TimedOut))
 }
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
-use crate::admin::AdminService;
+use crate::admin::service::AdminService;
 use crate::dispatch::{DispatchCommand, TransferableState};
 use crate::handover::{
     HandoverError, PeerLink, PeerRequest, Predecessor, Rendezvous, RendezvousListener, StartLock,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The node: curlewusher's decisions on real sockets. Owns the command line. It must never do the work of a part.
+//! The node: curlewusher's decisions on real sockets. This file is its command line and its exit codes.
 
 #![forbid(unsafe_code)]
 
@@ -10,7 +10,7 @@
 mod dispatch;
 mod handover;
 mod lifecycle;
-mod serve;
+mod runtime;
 mod server;
 mod telemetry;
 mod upstream;
@@ -19,7 +19,8 @@
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use serve::ServeError;
+
+use crate::runtime::error::ServeError;
 
 /// Takes jobs from clients, sends each to one of many unlike workers, and answers every one of them once.
 ///
@@ -49,23 +50,27 @@
     },
 }
 
+/// Exit code where another start with the same configuration would fail in the same way.
+const EXIT_PERMANENT_FAILURE: u8 = 2;
+/// Exit code where another start may succeed.
+const EXIT_FAILURE: u8 = 1;
+
 fn main() -> ExitCode {
-    let line = CommandLine::parse();
-    let sources = config::ConfigSources { operator: line.operator };
-    let done = match line.command.unwrap_or(Command::Serve) {
-        Command::Serve => serve::run(&sources),
+    let command_line = CommandLine::parse();
+    let sources = config::ConfigSources { operator: command_line.operator };
+    let result = match command_line.command.unwrap_or(Command::Serve) {
+        Command::Serve => runtime::run(&sources),
         Command::Check => check::run(&sources).map_err(ServeError::Config),
         Command::Completions { shell } => {
-            clap_complete::generate(
-                shell,
-                &mut CommandLine::command(),
-                "curlewusher",
-                &mut std::io::stdout(),
-            );
+            print_completions(shell);
             Ok(())
         }
     };
-    let Err(problem) = done else { return ExitCode::SUCCESS };
+    let Err(problem) = result else { return ExitCode::SUCCESS };
     eprintln!("curlewusher: {problem}");
-    ExitCode::from(if problem.stays() { 2 } else { 1 })
+    ExitCode::from(if problem.is_permanent() { EXIT_PERMANENT_FAILURE } else { EXIT_FAILURE })
+}
+
+fn print_completions(shell: clap_complete::Shell) {
+    clap_complete::generate(shell, &mut CommandLine::command(), "curlewusher", &mut std::io::stdout());
 }
--- /dev/null
+++ b/crates/node/src/runtime/startup.rs
@@ -0,0 +1,327 @@
+//! Builds the parts of the node in order, connects them, and spawns their tasks.
+//!
+//! 1. [`SharedState`]: what several parts are built from.
+//! 2. [`NodeParts`]: the parts themselves and the channels between them. Nothing runs yet, but for the thread of the
+//!    admin address, so that an address that cannot be used ends the program here.
+//! 3. The other process of this node, where there is one, is contacted. It passes on its listener for clients;
+//!    otherwise a listener is opened.
+//! 4. All tasks are spawned, and the log says where the node serves.
+
+use std::cell::Cell;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_settings::Site;
+use curlewusher_settings::operator::{Operator, ServerOptions, UpstreamOptions};
+use tokio::signal::unix::Signal;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+use tracing::info;
+
+use crate::admin::listener::AdminListener;
+use crate::admin::service::AdminService;
+use crate::config::Config;
+use crate::discovery::endpoint_list::EndpointResolver;
+use crate::discovery::{EndpointWatcher, WatchTiming};
+use crate::dispatch::{
+    self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
+};
+use crate::handover::Peer;
+use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
+use crate::lifecycle::Lifecycle;
+use crate::runtime::descriptor_budget::DescriptorBudget;
+use crate::runtime::error::ServeError;
+use crate::runtime::reload::ConfigReloader;
+use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
+use crate::runtime::supervision::{RunningNode, TaskHandles};
+use crate::server::{Server, ServerLimits};
+use crate::telemetry::logging::{Logging, NODE};
+use crate::telemetry::metrics::Metrics;
+use crate::upstream::{RequestPayload, UpstreamClient};
+
+/// Time in which a healthy worker answers a job on an open connection, with a wide margin.
+const ACCEPT_RESPONSE_TIMEOUT: Micros = 400_000;
+/// Discovery counts as having notified this node of a change this long after it had it and could be reached.
+const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Commands to the dispatch task that may wait; each takes microseconds.
+const MAX_PENDING_DISPATCH_COMMANDS: usize = 64;
+/// Version of the endpoint list with which the whole list is requested. A saved list without endpoints counts as
+/// none: with its version, discovery would send later changes only.
+const UNKNOWN_ENDPOINT_INDEX: u64 = 0;
+
+/// Builds the node and spawns its tasks. Returns none if SIGTERM comes while the other process is being contacted.
+pub async fn start_node(
+    config: Config,
+    logging: &Logging,
+    terminate: &mut Signal,
+) -> Result<Option<RunningNode>, ServeError> {
+    let parts = NodeParts::build(config, logging)?;
+    let handover = tokio::select! {
+        handover = parts.find_predecessor() => handover,
+        _ = terminate.recv() => return Ok(None),
+    };
+    let listener = parts.open_client_listener(&handover)?;
+    Ok(Some(parts.spawn(handover, listener)))
+}
+
+/// What several parts of the node are built from.
+struct SharedState {
+    clock: Clock,
+    lifecycle: Lifecycle,
+    metrics: Metrics,
+    /// The other process of this node, while there is one.
+    peer: Peer,
+    descriptors: DescriptorBudget,
+    dispatch_queue: DispatchQueue<RequestPayload>,
+    /// Options that a reload can change.
+    server_options: Rc<Cell<ServerOptions>>,
+    upstream_options: Rc<Cell<UpstreamOptions>>,
+}
+
+impl SharedState {
+    /// Returns the receiving end of the dispatch queue as well.
+    fn create(
+        metrics: Metrics,
+        descriptors: DescriptorBudget,
+        operator: &Operator,
+    ) -> (Self, mpsc::Receiver<DispatchMessage<RequestPayload>>) {
+        let (dispatch_queue, messages) = dispatch::queue(descriptors.max_connections());
+        let shared = SharedState {
+            clock: Clock::new(),
+            lifecycle: Lifecycle::new(),
+            metrics,
+            peer: Peer::default(),
+            descriptors,
+            dispatch_queue,
+            server_options: Rc::new(Cell::new(operator.server)),
+            upstream_options: Rc::new(Cell::new(operator.upstream)),
+        };
+        (shared, messages)
+    }
+
+    fn create_upstream(&self, site: &Site) -> UpstreamClient {
+        UpstreamClient::new(
+            self.dispatch_queue.clone(),
+            self.metrics.clone(),
+            Duration::from_micros(site.connect_timeout),
+            Duration::from_micros(site.keepalive),
+            self.upstream_options.clone(),
+            self.descriptors.upstream_connections(),
+        )
+    }
+
+    fn create_server(&self, site: &Site) -> Server {
+        let limits =
+            ServerLimits { room: self.descriptors.client_connections(), tuning: self.server_options.clone() };
+        Server::new(
+            self.dispatch_queue.clone(),
+            self.clock,
+            site,
+            self.lifecycle.clone(),
+            self.metrics.clone(),
+            self.peer.clone(),
+            limits,
+        )
+    }
+}
+
+/// The parts of the node, connected to each other, before any of their tasks runs.
+struct NodeParts {
+    name: String,
+    listen: SocketAddr,
+    final_answer_delay: Duration,
+    shared: SharedState,
+    server: Server,
+    upstream: UpstreamClient,
+    dispatch_task: DispatchTask<UpstreamClient>,
+    dispatch_commands: mpsc::Sender<DispatchCommand>,
+    /// The endpoint list in the configuration.
+    saved_endpoints: Vec<NamedEndpoint>,
+    discovery: DiscoveryParts,
+    admin_listener: Option<AdminListener>,
+}
+
+/// The watcher of the endpoint list and its channels.
+struct DiscoveryParts {
+    watcher: EndpointWatcher,
+    /// From the dispatch task to the watcher: poll now.
+    poll_requests: mpsc::Receiver<()>,
+    /// To the watcher: the address of discovery has changed.
+    address_sender: watch::Sender<SocketAddr>,
+    address_changes: watch::Receiver<SocketAddr>,
+    /// From the watcher to the takeover task: an endpoint list is there.
+    endpoints_available: watch::Receiver<bool>,
+}
+
+/// The listener for clients.
+struct ClientListener {
+    address: SocketAddr,
+    accepting: tokio::net::TcpListener,
+    /// A copy that a successor gets.
+    for_successor: TcpListener,
+}
+
+impl DiscoveryParts {
+    fn connect(watcher: EndpointWatcher, poll_requests: mpsc::Receiver<()>) -> Self {
+        let (address_sender, address_changes) = watch::channel(watcher.discovery);
+        let endpoints_available = watcher.there.subscribe();
+        DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available }
+    }
+}
+
+impl NodeParts {
+    fn build(config: Config, logging: &Logging) -> Result<Self, ServeError> {
+        let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
+        let metrics = create_metrics(&site, &operator, logging);
+        adapt_settings_to_sockets(&mut site);
+        let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
+        let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
+        let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
+        let upstream = shared.create_upstream(&site);
+
+        let mut resolver = EndpointResolver::new(&site);
+        let saved_endpoints = resolver.resolve(&known.endpoints);
+        let saved_index = if saved_endpoints.is_empty() { UNKNOWN_ENDPOINT_INDEX } else { known.index };
+        let (poll_sender, poll_requests) = mpsc::channel(1);
+        let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
+        let dispatch_task = DispatchTask::new(
+            dispatcher,
+            shared.clock,
+            upstream.clone(),
+            dispatch_messages,
+            received_commands,
+            poll_sender,
+            shared.metrics.clone(),
+        );
+        let watcher = EndpointWatcher {
+            discovery,
+            names: resolver,
+            index: saved_index,
+            queue: shared.dispatch_queue.clone(),
+            there: watch::Sender::new(false),
+            counters: shared.metrics.clone(),
+            pace: WatchTiming::new(&site.decisions),
+        };
+        let client_timeouts = site.decisions.classes.iter().map(|class| class.client_timeout);
+        Ok(NodeParts {
+            final_answer_delay: final_answer_delay(client_timeouts),
+            server: shared.create_server(&site),
+            admin_listener: console
+                .map(|at| AdminListener::open(at, shared.lifecycle.clone()))
+                .transpose()?,
+            discovery: DiscoveryParts::connect(watcher, poll_requests),
+            name,
+            listen,
+            shared,
+            upstream,
+            dispatch_task,
+            dispatch_commands,
+            saved_endpoints,
+        })
+    }
+
+    /// Contacts the other process of this node. Without an admin address no version is started beside another, so
+    /// there is none.
+    async fn find_predecessor(&self) -> StartupHandover {
+        let folder = self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
+        StartupHandover::look(folder, &self.name, self.listen).await
+    }
+
+    /// The listener that the other process passes on, or one of its own.
+    fn open_client_listener(&self, handover: &StartupHandover) -> Result<ClientListener, ServeError> {
+        let open = || -> io::Result<ClientListener> {
+            let may_be_shared = self.admin_listener.is_some();
+            let listener =
+                handover.listener().unwrap_or_else(|| self.server.listen(self.listen, may_be_shared))?;
+            Ok(ClientListener {
+                address: listener.local_addr()?,
+                for_successor: listener.try_clone()?,
+                accepting: tokio::net::TcpListener::from_std(listener)?,
+            })
+        };
+        open().map_err(|source| ServeError::ClientListener { listen: self.listen, source })
+    }
+
+    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
+        let admin = AdminService {
+            name: self.name.as_str().into(),
+            lifecycle: self.shared.lifecycle.clone(),
+            dispatch_commands: self.dispatch_commands,
+            peer: self.shared.peer,
+            drain_requested: Rc::default(),
+        };
+        let takeover_parts = TakeoverParts {
+            listen: self.listen,
+            listener: listener.for_successor,
+            server: self.server.clone(),
+            next_hops: self.upstream.clone(),
+            operations: admin.clone(),
+        };
+        let has_saved_endpoints = !self.saved_endpoints.is_empty();
+        let DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available } =
+            self.discovery;
+
+        let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
+        let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
+        let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
+        let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
+        let has_predecessor = handover.follows();
+        let (takeover_handle, takeover) =
+            TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
+        let takeover = spawn_local(takeover);
+        let admin_address = self.admin_listener.as_ref().map(|listener| listener.address);
+        log_addresses(&self.name, has_predecessor, listener.address, admin_address);
+
+        RunningNode {
+            metrics: self.shared.metrics.clone(),
+            tasks: TaskHandles { dispatch, takeover, endpoint_watcher, idle_connection_sweep },
+            reloader: ConfigReloader {
+                name: self.name.clone(),
+                metrics: self.shared.metrics,
+                server_options: self.shared.server_options,
+                upstream_options: self.shared.upstream_options,
+                discovery: address_sender,
+            },
+            shutdown: GracefulShutdown {
+                name: self.name,
+                final_answer_delay: self.final_answer_delay,
+                lifecycle: self.shared.lifecycle,
+                dispatch_queue: self.shared.dispatch_queue,
+                server: self.server,
+                upstream: self.upstream,
+                takeover: takeover_handle,
+                accept_task,
+            },
+            admin,
+            admin_commands: self.admin_listener.map(|listener| listener.commands),
+        }
+    }
+}
+
+fn create_metrics(site: &Site, operator: &Operator, logging: &Logging) -> Metrics {
+    let answer_bounds_s: Vec<f64> =
+        operator.metrics.answer_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
+    Metrics::new(&site.classes, &answer_bounds_s, logging.dropped())
+}
+
+/// Sets what decisions on real sockets need otherwise than in a simulator.
+fn adapt_settings_to_sockets(site: &mut Site) {
+    // Any rejection may carry Retry-After here; the simulator's clients would not get it.
+    site.decisions.max_retry_after = site.max_retry_after;
+    // A worker acknowledges an attempt with a 202 long before the job starts.
+    site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
+    site.decisions.notified_within = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+}
+
+/// Writes where clients and operators reach this process.
+fn log_addresses(name: &str, has_predecessor: bool, clients: SocketAddr, operators: Option<SocketAddr>) {
+    let serves = if has_predecessor { "is to serve on" } else { "serves on" };
+    info!(target: NODE, "curlewusher {name}: {serves} {clients}");
+    if let Some(address) = operators {
+        info!(target: NODE, "curlewusher {name}: operators are answered at {address}");
+    }
+}
