--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -8,9 +8,10 @@
 
 use bytes::Bytes;
 use curlewusher_control::command::{
-    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES, answer,
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES,
+    format_response,
 };
-use curlewusher_control::frame::{Decoder, Frame, FrameError, RejectReason};
+use curlewusher_control::frame::{Decoder, Frame, FrameError, ReceivedFrame, RejectReason};
 use curlewusher_control::maintenance::DisabledWorkers;
 use curlewusher_control::phase::{Phase, PhaseEvent};
 use golden::assert_golden;
@@ -27,7 +28,7 @@
     "ended",
 ];
 
-const MOVES: [(&str, PhaseEvent); 7] = [
+const EVENTS: [(&str, PhaseEvent); 7] = [
     ("list there", PhaseEvent::EndpointsAvailable),
     ("drain", PhaseEvent::Drain),
     ("end of drain", PhaseEvent::Undrain),
@@ -37,7 +38,7 @@
     ("all answered", PhaseEvent::ShutdownCompleted),
 ];
 
-const WHYS: [(&str, RejectReason); 4] = [
+const REJECT_REASONS: [(&str, RejectReason); 4] = [
     ("busy", RejectReason::Busy),
     ("other node", RejectReason::OtherNode),
     ("ending", RejectReason::ShuttingDown),
@@ -70,8 +71,10 @@
 fn frames() -> Vec<(String, Frame)> {
     let bytes = || Bytes::from_static(b"{\"bytes\":\x00\xff}");
     let (node, listen) = ("node-1".to_owned(), "0.0.0.0:7070".to_owned());
-    let withdraw =
-        |to: &str| Frame::CancelAttempt { to: to.parse().expect("an address"), id: "job-9".to_owned() };
+    let withdraw = |worker: &str| Frame::CancelAttempt {
+        worker: worker.parse().expect("an address"),
+        job_id: "job-9".to_owned(),
+    };
     let mut all = vec![
         ("hello".to_owned(), Frame::Hello { node, listen }),
         ("welcome".to_owned(), Frame::Welcome(bytes())),
@@ -91,7 +94,9 @@
         all.push((format!("claimed: {yes}"), Frame::ClaimResult(yes)));
         all.push((format!("job moved: {yes}"), Frame::MigrationResult(yes)));
     }
-    all.extend(WHYS.map(|(name, why)| (format!("turned away: {name}"), Frame::Rejected(why))));
+    all.extend(
+        REJECT_REASONS.map(|(name, reason)| (format!("turned away: {name}"), Frame::Rejected(reason))),
+    );
     all.extend(calls().map(|(name, call)| (format!("call: {name}"), Frame::Command(call))));
     let refused = |(name, refusal)| (format!("call refused: {name}"), Frame::CommandResult(Err(refusal)));
     all.extend(refusals().into_iter().map(refused));
@@ -110,7 +115,7 @@
         writeln!(found, "{name}: {}", hex(&encoded)).expect("a string");
         let mut decoder = Decoder::default();
         decoder.feed(&encoded);
-        assert_eq!(decoder.next_frame(), Ok(Some((seq, frame))), "{name}");
+        assert_eq!(decoder.next_frame(), Ok(Some(ReceivedFrame { sequence: seq, frame })), "{name}");
         assert_eq!(decoder.finish(), Ok(()), "{name}");
     }
     assert_golden("frames.txt", &found);
@@ -133,8 +138,8 @@
         FrameError::TooLong { length: 5_000_000 },
         FrameError::Malformed { kind: 200 },
     ];
-    let whys = WHYS.iter().map(|(_, why)| format!("{why}\n"));
-    let found: String = whys.chain(errors.iter().map(|error| format!("{error}\n"))).collect();
+    let reasons = REJECT_REASONS.iter().map(|(_, reason)| format!("{reason}\n"));
+    let found: String = reasons.chain(errors.iter().map(|error| format!("{error}\n"))).collect();
     assert_golden("link_errors.txt", &found);
 }
 
@@ -166,7 +171,7 @@
         let (ends, drained) = (phase.is_shutting_down(), phase.is_drained());
         writeln!(found, "  wants clients {clients}, sends on {on}, ends {ends}, drained {drained}")
             .expect("a string");
-        for (label, by) in MOVES {
+        for (label, by) in EVENTS {
             let at = phase.next(by).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
             writeln!(found, "  {label} -> {}", at.map_or("none", |at| PHASES[at])).expect("a string");
         }
@@ -202,7 +207,7 @@
     ];
     let mut found = String::new();
     let mut write = |name: &str, said: &Result<CommandResult, CommandParseError>| {
-        let answer = answer(said);
+        let answer = format_response(said);
         writeln!(found, "{name} -> {}", answer.escape_debug()).expect("a string");
     };
     for line in lines {
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewusher_control::command::{
-    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, answer,
+    AdminCommand, CommandError, CommandParseError, CommandResult, MAX_LINE_BYTES, format_response,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -78,7 +78,7 @@
     stream: &mut TcpStream,
     result: &Result<CommandResult, CommandParseError>,
 ) -> io::Result<()> {
-    stream.write_all(answer(result).as_bytes()).await?;
+    stream.write_all(format_response(result).as_bytes()).await?;
     stream.shutdown().await?;
     if matches!(result, Err(CommandParseError::TooLong | CommandParseError::NotAscii)) {
         discard_input(stream).await?;
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, answer};
+use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, format_response};
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
@@ -44,7 +44,7 @@
         let Some(mut commands) = commands else { return std::future::pending().await };
         while let Some(PendingCommand { command, result_sender }) = commands.recv().await {
             let result = self.carry_out(&command).await;
-            let response = answer(&Ok(result.clone()));
+            let response = format_response(&Ok(result.clone()));
             info!(target: NODE, "curlewusher {}: {command}: {}", self.name, response.trim_end());
             // An operator who no longer waits may send it again.
             let _ = result_sender.send(result);
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -167,8 +167,8 @@
 
 impl DiscoveryParts {
     fn connect(watcher: EndpointWatcher, poll_requests: mpsc::Receiver<()>) -> Self {
-        let (address_sender, address_changes) = watch::channel(watcher.discovery);
-        let endpoints_available = watcher.there.subscribe();
+        let (address_sender, address_changes) = watch::channel(watcher.address);
+        let endpoints_available = watcher.list_received.subscribe();
         DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available }
     }
 }
@@ -198,13 +198,13 @@
             shared.metrics.clone(),
         );
         let watcher = EndpointWatcher {
-            discovery,
-            names: resolver,
-            index: saved_index,
+            address: discovery,
+            resolver,
+            known_index: saved_index,
             queue: shared.dispatch_queue.clone(),
-            there: watch::Sender::new(false),
-            counters: shared.metrics.clone(),
-            pace: WatchTiming::new(&site.decisions),
+            list_received: watch::Sender::new(false),
+            metrics: shared.metrics.clone(),
+            timing: WatchTiming::new(&site.decisions),
         };
         let client_timeouts = site.decisions.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
