--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -7,14 +7,14 @@
 //! - [`endpoint_list`]: the messages of discovery and their translation into the dispatcher's numbers.
 //! - [`list_parser`]: finds the messages in the stream.
 //! - [`endpoint_watch`]: one poll and the watch that it opens.
-//! - [`poll_schedule`]: when to poll, and which watch counts.
-//! - [`watch_timing`]: the delays of that schedule.
-//! - [`watcher`]: the task that runs the schedule and reports to the dispatch task.
+//! - [`watch_state`]: the state machine: when to poll, and which polls and watches count.
+//! - [`watch_timing`]: the delays of its polls.
+//! - [`watcher`]: the task that waits for the events of that state and reports to the dispatch task.
 
 pub mod endpoint_list;
 mod endpoint_watch;
 mod list_parser;
-mod poll_schedule;
+mod watch_state;
 mod watch_timing;
 mod watcher;
 
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -1,4 +1,4 @@
-//! When discovery is polled, and which polls and watches count.
+//! The state machine of the endpoint watch: when discovery is polled, and which polls and watches count.
 //!
 //! Discovery serves polls one after another. So that a fleet does not poll it all at once, a node polls when
 //! the dispatch task requests it (which spreads the requests of the nodes) and, unrequested, only within the
@@ -7,7 +7,7 @@
 //! # States
 //!
 //! The address of discovery can change while watches and polls of the old address go on. Each of them has the
-//! [`AddressGeneration`] in which it was started. For the present generation the schedule is in one of these
+//! [`AddressGeneration`] in which it was started. For the present generation the watch is in one of these
 //! states:
 //!
 //! | state | held in | left by |
@@ -17,13 +17,14 @@
 //! | polling | `pending_polls` | a poll that opens a watch, or the failure of the last one |
 //! | watching | `open_watch` | the failure of the watch |
 //!
-//! Several polls may be pending, and a poll may be scheduled while another is pending or a watch is open. The
-//! first poll of the present generation that opens a watch cancels all others.
+//! Several polls may be pending, and a poll may be scheduled while another is pending or a watch of an
+//! earlier generation is open. The first poll of the present generation that opens a watch cancels all
+//! others.
 //!
 //! After a failure the next state is *scheduled* where lists are pushed or unrequested polls are left, else
 //! *idle*: then the caller notifies the dispatch task, once. A watch of an earlier generation stays open
 //! until one of the present generation replaces it, since it may still deliver changes. While it is open it
-//! keeps the dispatch task from requesting polls, so that the schedule never stays *idle* beside it.
+//! keeps the dispatch task from requesting polls, so that the state never stays *idle* beside it.
 
 use std::future::{Future, pending, poll_fn};
 use std::net::SocketAddr;
@@ -61,8 +62,8 @@
     watch: EndpointWatch,
 }
 
-/// What the schedule waits for; to be handed to [`PollSchedule::apply_event`].
-pub enum ScheduleEvent {
+/// What the watcher waits for; to be handed to [`WatchState::apply_event`].
+pub enum StateEvent {
     /// It is time for the scheduled poll.
     PollDue,
     /// A poll has opened a watch or failed.
@@ -89,7 +90,7 @@
     List(ListUpdate),
     /// The watch at the present address says that nothing has changed.
     Confirmed,
-    /// A watch or a poll has failed. The caller reports it and calls [`PollSchedule::record_failure`].
+    /// A watch or a poll has failed. The caller reports it and calls [`WatchState::record_failure`].
     Failed(WatchFailure),
 }
 
@@ -115,7 +116,7 @@
 
 /// The open watch, the polls in flight, and the time of the next poll. See the module's documentation for the
 /// states.
-pub struct PollSchedule {
+pub struct WatchState {
     timing: WatchTiming,
     address: SocketAddr,
     generation: AddressGeneration,
@@ -131,10 +132,10 @@
     consecutive_failures: u32,
 }
 
-impl PollSchedule {
-    /// A schedule that begins with a poll at once where lists are pushed, else idle.
+impl WatchState {
+    /// A state that begins with a poll at once where lists are pushed, else idle.
     pub fn new(timing: WatchTiming, address: SocketAddr, known_index: u64) -> Self {
-        PollSchedule {
+        WatchState {
             timing,
             address,
             generation: AddressGeneration::default(),
@@ -171,31 +172,31 @@
     }
 
     /// Waits for the next event. Cancel-safe.
-    pub async fn next_event(&mut self) -> ScheduleEvent {
+    pub async fn next_event(&mut self) -> StateEvent {
         tokio::select! {
             biased;
-            outcome = next_poll_outcome(&mut self.pending_polls) => ScheduleEvent::PollFinished(outcome),
-            () = sleep_until_or_forever(self.next_poll_at) => ScheduleEvent::PollDue,
-            outcome = next_watch_outcome(&mut self.open_watch) => ScheduleEvent::WatchAdvanced(outcome),
+            outcome = next_poll_outcome(&mut self.pending_polls) => StateEvent::PollFinished(outcome),
+            () = sleep_until_or_forever(self.next_poll_at) => StateEvent::PollDue,
+            outcome = next_watch_outcome(&mut self.open_watch) => StateEvent::WatchAdvanced(outcome),
         }
     }
 
     /// Changes the state for an event, and returns what has to be passed on.
-    pub fn apply_event(&mut self, event: ScheduleEvent) -> Option<WatchUpdate> {
+    pub fn apply_event(&mut self, event: StateEvent) -> Option<WatchUpdate> {
         match event {
-            ScheduleEvent::PollDue => {
+            StateEvent::PollDue => {
                 self.unrequested_polls_left = self.unrequested_polls_left.map(|left| left.saturating_sub(1));
                 self.start_poll();
                 None
             }
-            ScheduleEvent::PollFinished(PollOutcome { generation, result: Ok(opened) }) => {
+            StateEvent::PollFinished(PollOutcome { generation, result: Ok(opened) }) => {
                 self.accept_watch(generation, opened)
             }
-            ScheduleEvent::PollFinished(PollOutcome { generation, result: Err(error) }) => {
+            StateEvent::PollFinished(PollOutcome { generation, result: Err(error) }) => {
                 let is_current = generation == self.generation;
                 Some(WatchUpdate::Failed(WatchFailure { error, is_current, is_poll: true }))
             }
-            ScheduleEvent::WatchAdvanced(WatchOutcome { generation, result: Ok(event) }) => {
+            StateEvent::WatchAdvanced(WatchOutcome { generation, result: Ok(event) }) => {
                 self.consecutive_failures = 0;
                 match event {
                     WatchEvent::List(list) => Some(self.accept_list(generation, list, None)),
@@ -205,7 +206,7 @@
                     }
                 }
             }
-            ScheduleEvent::WatchAdvanced(WatchOutcome { generation, result: Err(error) }) => {
+            StateEvent::WatchAdvanced(WatchOutcome { generation, result: Err(error) }) => {
                 self.open_watch = None;
                 let is_current = generation == self.generation;
                 Some(WatchUpdate::Failed(WatchFailure { error, is_current, is_poll: false }))
@@ -214,7 +215,7 @@
     }
 
     /// Schedules the next poll after a failure. Returns whether the dispatch task has to be notified, which
-    /// then requests the next poll: the schedule was active before the failure and is idle now.
+    /// then requests the next poll: the state was active before the failure and is idle now.
     pub fn record_failure(&mut self, failure: &WatchFailure) -> bool {
         let was_active = failure.is_current || self.is_active();
         if failure.is_current {
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! The task that watches discovery: it runs the [`PollSchedule`] and passes each list on to the dispatch task
-//! as soon as it is read, in the order in which lists are read.
+//! The task that watches discovery. It waits for the events of the [`WatchState`] and passes each list on to
+//! the dispatch task as soon as it is read, in the order in which lists are read.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::discovery::endpoint_list::EndpointResolver;
 use crate::discovery::endpoint_watch::WatchError;
-use crate::discovery::poll_schedule::{ListUpdate, PollSchedule, ScheduleEvent, WatchFailure, WatchUpdate};
+use crate::discovery::watch_state::{ListUpdate, StateEvent, WatchFailure, WatchState, WatchUpdate};
 use crate::discovery::watch_timing::WatchTiming;
 use crate::dispatch::{DispatchMessage, DispatchQueue};
 use crate::telemetry::logging::DISCOVERY;
@@ -40,7 +40,7 @@
 enum WatcherEvent {
     AddressChanged(SocketAddr),
     PollRequested,
-    Schedule(ScheduleEvent),
+    State(StateEvent),
 }
 
 impl EndpointWatcher {
@@ -51,9 +51,9 @@
         mut poll_requests: mpsc::Receiver<()>,
         mut address: watch::Receiver<SocketAddr>,
     ) {
-        let mut schedule = PollSchedule::new(self.timing, self.address, self.known_index);
-        while let Ok(event) = next_event(&mut schedule, &mut poll_requests, &mut address).await {
-            if self.handle_event(&mut schedule, event).await.is_err() {
+        let mut state = WatchState::new(self.timing, self.address, self.known_index);
+        while let Ok(event) = next_event(&mut state, &mut poll_requests, &mut address).await {
+            if self.handle_event(&mut state, event).await.is_err() {
                 return;
             }
         }
@@ -61,23 +61,23 @@
 
     async fn handle_event(
         &mut self,
-        schedule: &mut PollSchedule,
+        state: &mut WatchState,
         event: WatcherEvent,
     ) -> Result<(), DispatchStopped> {
         match event {
             WatcherEvent::AddressChanged(address) => {
-                schedule.change_address(address);
+                state.change_address(address);
                 self.notify(DispatchMessage::DiscoveryMoved).await
             }
             WatcherEvent::PollRequested => {
-                schedule.request_poll();
+                state.request_poll();
                 Ok(())
             }
-            WatcherEvent::Schedule(event) => match schedule.apply_event(event) {
+            WatcherEvent::State(event) => match state.apply_event(event) {
                 None => Ok(()),
                 Some(WatchUpdate::Confirmed) => self.notify(DispatchMessage::EndpointsConfirmed).await,
                 Some(WatchUpdate::List(update)) => self.pass_on_list(update).await,
-                Some(WatchUpdate::Failed(failure)) => self.handle_failure(schedule, failure).await,
+                Some(WatchUpdate::Failed(failure)) => self.handle_failure(state, failure).await,
             },
         }
     }
@@ -94,7 +94,7 @@
 
     async fn handle_failure(
         &mut self,
-        schedule: &mut PollSchedule,
+        state: &mut WatchState,
         failure: WatchFailure,
     ) -> Result<(), DispatchStopped> {
         self.metrics.add(Counter::ListFailures);
@@ -102,7 +102,7 @@
         if failure.is_current && matches!(failure.error, WatchError::Malformed(_)) {
             self.notify(DispatchMessage::EndpointsUnreadable).await?;
         }
-        if schedule.record_failure(&failure) {
+        if state.record_failure(&failure) {
             self.notify(DispatchMessage::WatchFailed).await?;
         }
         Ok(())
@@ -115,7 +115,7 @@
 
 /// A change of address comes before a request, and a request before anything of discovery.
 async fn next_event(
-    schedule: &mut PollSchedule,
+    state: &mut WatchState,
     poll_requests: &mut mpsc::Receiver<()>,
     address: &mut watch::Receiver<SocketAddr>,
 ) -> Result<WatcherEvent, DispatchStopped> {
@@ -126,6 +126,6 @@
             Some(()) => Ok(WatcherEvent::PollRequested),
             None => Err(DispatchStopped),
         },
-        event = schedule.next_event() => Ok(WatcherEvent::Schedule(event)),
+        event = state.next_event() => Ok(WatcherEvent::State(event)),
     }
 }
