--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -64,7 +64,7 @@
         let serve = move || {
             // Dropping the handler closes the channel of commands, which ends the program.
             if let Err(problem) = serve_on_this_thread(listener, handler) {
-                error!(target: NODE, "console: {address}: {problem}");
+                error!(target: NODE, %address, %problem, "the admin address is not served");
             }
         };
         std::thread::Builder::new()
@@ -95,7 +95,7 @@
         match listener.accept().await {
             Ok((stream, _)) => connections.serve(stream, handler.clone()),
             Err(problem) => {
-                warn!(target: NODE, "an operator's connection could not be accepted: {problem}");
+                warn!(target: NODE, %problem, "an admin connection could not be accepted");
                 connections.abort_oldest();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -45,7 +45,7 @@
         while let Some(PendingCommand { command, result_sender }) = commands.recv().await {
             let result = self.carry_out(&command).await;
             let response = format_response(&Ok(result.clone()));
-            info!(target: NODE, "curlewusher {}: {command}: {}", self.name, response.trim_end());
+            info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command");
             // An operator who no longer waits may send it again.
             let _ = result_sender.send(result);
         }
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -1,5 +1,14 @@
-//! Owns the places that a side of the node has for its connections, which two processes of one node share while both run.
-//! It must never close a connection: who holds one makes way when asked to.
+//! The number of connections that one side of the node, clients' or upstream, may have open.
+//!
+//! Each connection holds a [`ConnectionPermit`] for as long as it has a descriptor. While two processes of one node
+//! run, each halves its budget, so that both together stay within the limit on descriptors. A budget never closes a
+//! connection by itself. It has a size, which counts the permits that exist, and a target size:
+//!
+//! | size and target | state | what happens |
+//! | --- | --- | --- |
+//! | equal | settled | permits are handed out and returned |
+//! | size above target | shrinking | free permits are removed at once, others as they are returned; where none is free, an eviction is requested |
+//! | size below target | growing | the missing permits are added at once |
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,79 +19,102 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Where a place is to be given up and none is free, another connection is asked to make way after this.
-const PAUSE: Duration = Duration::from_millis(10);
+/// The right to have one connection open; returned to its budget when dropped.
+pub type ConnectionPermit = OwnedSemaphorePermit;
 
-/// So many places, of which a part can be left to the other process.
+/// Longest wait for a permit to be returned before shrinking looks at the target again.
+const SHRINK_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A number of connection permits that can be halved. Clones share the permits.
 #[derive(Clone)]
 pub struct ConnectionBudget {
-    all: usize,
-    half: usize,
-    /// Those that are this process's to use, and those that should be.
-    kept: Rc<Cell<usize>>,
-    wanted: Rc<Cell<usize>>,
-    room: Arc<Semaphore>,
+    full_size: usize,
+    halved_size: usize,
+    /// Permits that exist, free or in use.
+    size: Rc<Cell<usize>>,
+    /// Permits that should exist.
+    target_size: Rc<Cell<usize>>,
+    /// Hands out the permits.
+    permits: Arc<Semaphore>,
 }
 
 impl ConnectionBudget {
-    /// `half`: those that are left to this process while another of its node runs.
-    pub fn new(all: usize, half: usize) -> ConnectionBudget {
-        let count = || Rc::new(Cell::new(all));
-        ConnectionBudget { all, half, kept: count(), wanted: count(), room: Arc::new(Semaphore::new(all)) }
+    /// A budget of `full_size` permits, or `halved_size` while another process of the node runs.
+    pub fn new(full_size: usize, halved_size: usize) -> ConnectionBudget {
+        ConnectionBudget {
+            full_size,
+            halved_size,
+            size: Rc::new(Cell::new(full_size)),
+            target_size: Rc::new(Cell::new(full_size)),
+            permits: Arc::new(Semaphore::new(full_size)),
+        }
     }
 
-    /// Places that nobody holds.
+    /// Permits that are not in use.
     pub fn free(&self) -> usize {
-        self.room.available_permits()
+        self.permits.available_permits()
     }
 
-    /// So many are to be used at present.
+    /// Connections that may be open at present. While the budget shrinks, more may still be.
     pub fn target(&self) -> usize {
-        self.wanted.get()
+        self.target_size.get()
     }
 
-    /// Waits for a place; it is free again once what comes back is dropped.
-    pub async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
-        self.room.clone().acquire_owned().await.ok()
+    /// Waits for a permit. Never returns none: the semaphore is not closed.
+    pub async fn acquire(&self) -> Option<ConnectionPermit> {
+        self.permits.clone().acquire_owned().await.ok()
     }
 
-    /// A place that is free now.
-    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
-        self.room.clone().try_acquire_owned().ok()
+    /// A permit that is free now.
+    pub fn try_acquire(&self) -> Option<ConnectionPermit> {
+        self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// Uses half of the places or all. Those in use are given up as they come free; `make_way` asks for one.
-    pub fn set_halved(&self, half: bool, make_way: impl Fn()) {
-        let wanted = if half { self.half } else { self.all };
-        self.wanted.set(wanted);
-        if wanted > self.kept.get() {
-            self.room.add_permits(wanted - self.kept.get());
-            self.kept.set(wanted);
+    /// Halves the budget, or makes it full again. Where it cannot shrink at once, `request_eviction` is called: it
+    /// has one connection end soon.
+    pub fn set_halved(&self, halved: bool, request_eviction: impl Fn()) {
+        self.target_size.set(if halved { self.halved_size } else { self.full_size });
+        self.grow_to_target();
+        self.remove_free_permits();
+        if self.is_above_target() {
+            request_eviction();
+            spawn_local(self.clone().shrink_to_target());
         }
-        while self.kept.get() > wanted {
-            match self.room.clone().try_acquire_owned() {
-                Ok(place) => self.give_up(place),
-                Err(_) => break,
-            }
+    }
+
+    fn is_above_target(&self) -> bool {
+        self.size.get() > self.target_size.get()
+    }
+
+    fn grow_to_target(&self) {
+        let missing = self.target_size.get().saturating_sub(self.size.get());
+        if missing > 0 {
+            self.permits.add_permits(missing);
+            self.size.set(self.target_size.get());
         }
-        if self.kept.get() > wanted {
-            make_way();
-            spawn_local(self.clone().shrink());
+    }
+
+    /// Removes free permits until the target is reached or none is free.
+    fn remove_free_permits(&self) {
+        while self.is_above_target() {
+            let Some(permit) = self.try_acquire() else { return };
+            self.remove(permit);
         }
     }
 
-    async fn shrink(self) {
-        while self.kept.get() > self.wanted.get() {
-            if let Ok(Some(place)) = timeout(PAUSE, self.acquire()).await
-                && self.kept.get() > self.wanted.get()
+    /// Removes permits as they are returned, until the target is reached. The target may change meanwhile.
+    async fn shrink_to_target(self) {
+        while self.is_above_target() {
+            if let Ok(Some(permit)) = timeout(SHRINK_CHECK_INTERVAL, self.acquire()).await
+                && self.is_above_target()
             {
-                self.give_up(place);
+                self.remove(permit);
             }
         }
     }
 
-    fn give_up(&self, place: OwnedSemaphorePermit) {
-        place.forget();
-        self.kept.set(self.kept.get() - 1);
+    fn remove(&self, permit: ConnectionPermit) {
+        permit.forget();
+        self.size.set(self.size.get() - 1);
     }
 }
--- a/crates/node/src/runtime/reload.rs
+++ b/crates/node/src/runtime/reload.rs
@@ -54,6 +54,6 @@
 
     fn reject(&self, problem: &ConfigError) {
         self.metrics.add(Counter::ReloadFailures);
-        error!(target: NODE, "curlewusher {}: {problem}; the old configuration stays", self.name);
+        error!(target: NODE, node = %self.name, %problem, "reload failed; the old configuration stays");
     }
 }
