--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, workers and a node to drive, for all tests.
+//! Shared fixtures: settings, endpoints, job submissions, and a dispatcher with a virtual clock.
 #![allow(dead_code)]
 
 use curlewusher_core::*;
@@ -7,9 +7,9 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         latency_objective: 200_000,
         latency_objective_stretch: 2.0,
         priority_weight: 1.0,
@@ -18,14 +18,14 @@
     }
 }
 
-/// Class 0 safe, 1 keyed within a cell, 2 unsafe.
+/// Class 0 is idempotent, class 1 idempotent with a key within a cell, class 2 not idempotent.
 pub fn settings() -> Settings {
-    let keyed = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: 5 * SECOND };
+    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: 5 * SECOND };
     Settings {
         nodes: 1,
         node_index: 0,
         zone: ZoneId(0),
-        classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
+        classes: vec![class(Idempotency::Idempotent), class(with_key), class(Idempotency::NonIdempotent)],
         tenant_quotas: Vec::new(),
         endpoints_on_request: false,
         poll_within: 10 * SECOND,
@@ -48,7 +48,12 @@
     }
 }
 
-pub fn listing(worker: u64) -> Endpoint {
+/// The settings of one node of several.
+pub fn node_settings(nodes: u32, node_index: u32) -> Settings {
+    Settings { nodes, node_index, ..settings() }
+}
+
+pub fn endpoint(worker: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
         zone: ZoneId(0),
@@ -60,7 +65,13 @@
     }
 }
 
-pub fn offer(job: u64, class: usize, work: f64, now: Micros) -> JobSubmission {
+/// Endpoints of workers 0 to `count - 1`, two in each cell.
+pub fn endpoints(count: u64) -> Vec<Endpoint> {
+    (0..count).map(endpoint).collect()
+}
+
+/// A job of so many seconds of work whose client waits for 5 s.
+pub fn submission(job: u64, class: usize, work: f64, now: Micros) -> JobSubmission {
     JobSubmission {
         job: JobId(job),
         class: ClassId(class),
@@ -73,84 +84,149 @@
     }
 }
 
-/// A dispatcher with its clock and what it last asked for.
-pub struct Node {
+/// A dispatcher with a virtual clock.
+pub struct TestNode {
     pub dispatcher: Dispatcher,
     pub now: Micros,
 }
 
-impl Node {
+impl TestNode {
+    /// A node that has just started and has no endpoint list yet.
+    pub fn starting(settings: Settings, seed: u64) -> Self {
+        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("good settings"), now: 10 * SECOND }
+    }
+
+    /// A node with an endpoint list.
     pub fn new(settings: Settings, workers: &[Endpoint]) -> Self {
-        let mut node =
-            Node { dispatcher: Dispatcher::new(settings, 7).expect("good settings"), now: 10 * SECOND };
-        node.tell(Event::TimerExpired);
+        let mut node = TestNode::starting(settings, 7);
+        node.handle(Event::TimerExpired);
         node.now += 1;
-        node.tell(Event::EndpointsChanged { endpoints: workers, snapshot: true });
+        node.list(workers);
+        node
+    }
+
+    /// A node with usual settings that knows the speeds of the first workers.
+    pub fn with_speeds(workers: &[Endpoint], speeds: &[f64]) -> Self {
+        let mut node = TestNode::new(settings(), workers);
+        for (index, speed) in speeds.iter().enumerate() {
+            node.teach_speed(workers, index, *speed, 100 * (index as u64 + 1));
+        }
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.dispatcher.handle(self.now, event, &mut out);
-        out
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.dispatcher.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// Lets time pass with a wake-up every 10 ms; returns what is asked for but for the wake-ups.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock with a timer expiry every 10 ms. Returns all actions but `SetTimer`.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let mut all = Vec::new();
         let end = self.now + span;
         while self.now < end {
             self.now += 10_000.min(end - self.now);
-            all.extend(self.tell(Event::TimerExpired));
+            all.extend(self.handle(Event::TimerExpired));
         }
-        all.retain(|a| !matches!(a, Action::SetTimer { .. }));
+        all.retain(|action| !matches!(action, Action::SetTimer { .. }));
         all
     }
 
-    pub fn offer(&mut self, job: u64, class: usize, work: f64) -> Vec<Action> {
-        self.tell(Event::JobSubmitted(offer(job, class, work, self.now)))
+    /// Delivers a whole endpoint list.
+    pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+        self.handle(Event::EndpointsChanged { endpoints, snapshot: true })
+    }
+
+    /// Delivers changes to the endpoint list.
+    pub fn list_changes(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+        self.handle(Event::EndpointsChanged { endpoints, snapshot: false })
+    }
+
+    /// An operator disables a worker, or enables it again.
+    pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
+        self.handle(Event::MaintenanceChanged { worker: WorkerId(worker), disabled })
+    }
+
+    pub fn submit_job(&mut self, submission: JobSubmission) -> Vec<Action> {
+        self.handle(Event::JobSubmitted(submission))
+    }
+
+    pub fn submit(&mut self, job: u64, class: usize, work: f64) -> Vec<Action> {
+        self.submit_job(submission(job, class, work, self.now))
+    }
+
+    /// Submits a job. Returns the worker that it is sent to at once.
+    pub fn place(&mut self, job: u64, class: usize, work: f64) -> Option<u64> {
+        sent_to(&self.submit(job, class, work))
+    }
+
+    pub fn place_with_key(&mut self, job: u64, class: usize, work: f64, key: u64) -> Option<u64> {
+        let key = Some(key);
+        sent_to(&self.submit_job(JobSubmission { key, ..submission(job, class, work, self.now) }))
+    }
+
+    pub fn place_for_tenant(&mut self, job: u64, class: usize, work: f64, tenant: usize) -> Option<u64> {
+        let tenant = TenantId(tenant);
+        sent_to(&self.submit_job(JobSubmission { tenant, ..submission(job, class, work, self.now) }))
+    }
+
+    pub fn accept(&mut self, job: u64, attempt: u32) -> Vec<Action> {
+        self.handle(Event::AttemptAccepted { job: JobId(job), attempt })
     }
 
     pub fn start(&mut self, job: u64, attempt: u32) -> Vec<Action> {
-        self.tell(Event::AttemptStarted { job: JobId(job), attempt })
+        self.handle(Event::AttemptStarted { job: JobId(job), attempt })
     }
 
     pub fn end(&mut self, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let settled = outcome == Outcome::Done;
-        self.tell(Event::AttemptEnded { job: JobId(job), attempt, outcome, settled })
+        self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, settled })
+    }
+
+    /// The first attempt of a job starts and is done after a time.
+    pub fn serve(&mut self, job: u64, duration: Micros) -> Vec<Action> {
+        self.start(job, 0);
+        self.now += duration;
+        self.end(job, 0, Outcome::Done)
     }
 
-    /// Teaches the speed of the only worker that may be chosen, with jobs numbered from `first`.
-    pub fn teach(&mut self, workers: &[Endpoint], which: usize, speed: f64, first: u64) {
+    /// Submits a job and serves it. Returns its worker.
+    pub fn run_job(&mut self, job: u64, class: usize, work: f64, duration: Micros) -> Option<u64> {
+        let worker = self.place(job, class, work);
+        self.serve(job, duration);
+        worker
+    }
+
+    /// Teaches the speed of a worker, by jobs numbered from `first_job` while all other workers drain.
+    pub fn teach_speed(&mut self, workers: &[Endpoint], index: usize, speed: f64, first_job: u64) {
         let mut drained = workers.to_vec();
-        drained
-            .iter_mut()
-            .filter(|w| w.worker != workers[which].worker)
-            .for_each(|w| w.status = WorkerStatus::Draining);
-        self.tell(Event::EndpointsChanged { endpoints: &drained, snapshot: true });
-        for job in first..first + 12 {
-            self.offer(job, 0, 0.1);
-            self.start(job, 0);
-            self.now += (0.1 / speed * 1e6) as Micros;
-            self.end(job, 0, Outcome::Done);
+        let others = drained.iter_mut().filter(|other| other.worker != workers[index].worker);
+        others.for_each(|other| other.status = WorkerStatus::Draining);
+        self.list(&drained);
+        for job in first_job..first_job + 12 {
+            self.run_job(job, 0, 0.1, (0.1 / speed * 1e6) as Micros);
         }
-        self.tell(Event::EndpointsChanged { endpoints: workers, snapshot: true });
-        self.pass(20 * SECOND);
+        self.list(workers);
+        self.advance(20 * SECOND);
     }
 }
 
-/// The worker that the actions send to, if they send.
-pub fn sent(actions: &[Action]) -> Option<u64> {
-    actions.iter().find_map(|a| match a {
+/// The worker of the first attempt that the actions send.
+pub fn sent_to(actions: &[Action]) -> Option<u64> {
+    actions.iter().find_map(|action| match action {
         Action::SendAttempt { worker, .. } => Some(worker.0),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn count_sends(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::SendAttempt { .. })).count()
+}
+
+pub fn has_rejection(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn has_failure(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/crates/core/tests/decision_lock.rs
+++ b/crates/core/tests/decision_lock.rs
@@ -88,7 +88,7 @@
                 kind: KindId(id as u32 / 2 % 3),
                 started: if id % 5 == 4 { 9 * SECOND } else { 0 },
                 size: f64::from(rng.u32(1..4)),
-                ..listing(id)
+                ..endpoint(id)
             })
             .collect();
         let mut driver = Driver {
@@ -356,7 +356,7 @@
         let work = 0.01 + self.rng.f64() * 0.2;
         // Less than the usual wait left: a client's retry.
         let left = if self.rng.u8(0..5) == 0 { self.rng.u64(SECOND / 10..5 * SECOND) } else { 5 * SECOND };
-        let usual = offer(job.0, self.rng.usize(0..self.classes), work, self.now);
+        let usual = submission(job.0, self.rng.usize(0..self.classes), work, self.now);
         let offer = JobSubmission {
             tenant: TenantId(self.rng.usize(0..3)),
             deadline: self.now + left,
--- /dev/null
+++ b/crates/core/tests/decisions/admission.rs
@@ -0,0 +1,77 @@
+//! Admission: quotas of tenants, and what is rejected while work is lost.
+
+use curlewusher_core::{Action, Outcome, Settings};
+
+use crate::common::{SECOND, TestNode, endpoints, settings, submission};
+
+fn settings_with_quotas(tenant_quotas: Vec<f64>) -> Settings {
+    Settings { tenant_quotas, ..settings() }
+}
+
+fn assert_first_sent(actions: &[Action], expected: u64) {
+    assert!(matches!(actions[0], Action::SendAttempt { job, .. } if job.0 == expected), "{actions:?}");
+}
+
+#[test]
+fn tenant_beyond_its_quota_then_its_jobs_go_last() {
+    // Tenant 0 has a quota of two jobs. The second arrives a few milliseconds old, as jobs do, and uses the quota
+    // up all the same: the third, the most urgent by itself, comes after the other tenant's.
+    let mut node = TestNode::new(settings_with_quotas(vec![1.4, 50.0]), &endpoints(1));
+    node.submit(9, 0, 0.5);
+    node.start(9, 0);
+    let mut aged = submission(1, 0, 3.0, node.now);
+    aged.deadline -= 3_000;
+    node.submit_job(aged);
+    node.submit(3, 0, 0.5);
+    node.place_for_tenant(2, 0, 2.0, 1);
+    node.now += 500_000;
+    assert_first_sent(&node.end(9, 0, Outcome::Done), 2);
+}
+
+#[test]
+fn small_share_of_a_quota_then_it_survives_a_chance_burst() {
+    // A tenth of a job a second for this node. Two at once are within chance: the second goes
+    // before the other tenant's, which is less urgent.
+    let settings = Settings { nodes: 10, ..settings_with_quotas(vec![1.0, 50.0]) };
+    let mut node = TestNode::new(settings, &endpoints(1));
+    node.now += 60 * SECOND;
+    node.submit(9, 0, 0.5);
+    node.start(9, 0);
+    node.place_for_tenant(2, 0, 2.0, 1);
+    node.submit(3, 0, 1.6);
+    node.now += 500_000;
+    assert_first_sent(&node.end(9, 0, Outcome::Done), 3);
+}
+
+/// Two workers of one slot: one has just become free, and much work of tenant 1, within its quota, was lost.
+/// Tenant 0 has no quota, and class 1 has a tenth of the others' weight.
+fn node_after_losses() -> TestNode {
+    let mut settings = settings_with_quotas(vec![0.0, 1000.0]);
+    settings.classes[1].priority_weight = 0.1;
+    let mut node = TestNode::new(settings, &endpoints(2));
+    for job in 0..22 {
+        node.place_for_tenant(job, 0, if job < 2 { 4.0 } else { 0.4 }, 1);
+    }
+    (0..2).for_each(|job| _ = node.start(job, 0));
+    let rejections =
+        node.advance(500_000).into_iter().filter(|action| matches!(action, Action::Reject { .. }));
+    assert!(rejections.count() > 10);
+    node.end(0, 0, Outcome::Done);
+    node
+}
+
+#[test]
+fn work_is_lost_then_jobs_beyond_quotas_leave_capacity_free() {
+    let mut spare = TestNode::new(settings_with_quotas(vec![0.0, 1000.0]), &endpoints(2));
+    assert!(spare.place(50, 0, 0.1).is_some(), "nothing is lost: it may use what is there");
+    let mut node = node_after_losses();
+    assert!(node.place(50, 0, 0.1).is_none());
+    assert!(node.place_for_tenant(51, 0, 0.1, 1).is_some());
+}
+
+#[test]
+fn work_is_lost_then_jobs_of_low_weight_leave_capacity_free() {
+    let mut node = node_after_losses();
+    assert!(node.place_for_tenant(50, 1, 0.1, 1).is_none(), "low weight");
+    assert!(node.place_for_tenant(51, 0, 0.1, 1).is_some(), "high weight");
+}
--- /dev/null
+++ b/crates/core/tests/decisions/deadlines.rs
@@ -0,0 +1,85 @@
+//! Deadlines and shutdown: every job is answered in time, also when its node ends.
+
+use curlewusher_core::{Action, Event, JobId, JobSubmission};
+
+use crate::common::{SECOND, TestNode, endpoints, has_failure, has_rejection, sent_to, settings, submission};
+
+#[test]
+fn objective_out_of_reach_then_the_job_is_rejected_early() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 4.0);
+    node.start(1, 0);
+    assert!(!has_rejection(&node.submit(2, 0, 0.05)));
+    let actions = node.advance(300_000);
+    assert!(has_rejection(&actions), "{actions:?}");
+}
+
+#[test]
+fn attempt_waits_past_any_start_in_time_then_it_is_cancelled() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    assert!(node.place(1, 0, 0.1).is_some());
+    let actions = node.advance(4 * SECOND);
+    assert!(has_rejection(&actions), "{actions:?}");
+    assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
+    // One that runs is left alone.
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.start(1, 0);
+    assert!(!has_rejection(&node.advance(4 * SECOND)));
+}
+
+#[test]
+fn deadline_near_then_every_job_is_answered() {
+    let mut node = TestNode::new(settings(), &endpoints(2));
+    node.submit(1, 0, 0.1);
+    node.submit(2, 2, 0.1);
+    node.start(1, 0);
+    let actions = node.advance(5 * SECOND - 10_000);
+    assert!(has_rejection(&actions) && has_failure(&actions), "{actions:?}");
+}
+
+#[test]
+fn no_time_left_on_arrival_then_the_job_is_answered_at_once() {
+    // A client's last retry can come with no time left: the next periodic sweep would be too late.
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    let deadline = node.now + 5_000;
+    let last = JobSubmission { deadline, is_retry: true, ..submission(1, 0, 0.1, node.now) };
+    assert!(has_rejection(&node.submit_job(last)));
+    assert!(node.advance(SECOND).is_empty());
+}
+
+fn rejects(actions: &[Action], job: u64) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { job: rejected, .. } if rejected.0 == job))
+}
+
+#[test]
+fn shutdown_starts_then_all_jobs_are_answered_before_its_deadline() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.list(&[]);
+    // Neither can be sent: one could still be served in time, one could not.
+    node.submit(1, 2, 0.5);
+    node.submit(2, 2, 4.0);
+    let deadline = node.now + 3 * SECOND;
+    let actions = node.handle(Event::ShutdownStarted { deadline });
+    assert!(rejects(&actions, 2) && !rejects(&actions, 1), "{actions:?}");
+    assert!(rejects(&node.submit(3, 2, 4.0), 3), "another node is its better chance");
+    node.list(&endpoints(1));
+    assert!(sent_to(&node.advance(20_000)).is_some());
+    // What may have run fails before the end, however long its client would wait.
+    assert!(has_failure(&node.advance(3 * SECOND - 40_000)));
+}
+
+#[test]
+fn shutdown_starts_then_long_idempotent_jobs_are_rejected_and_cancelled_at_once() {
+    let mut node = TestNode::new(settings(), &endpoints(3));
+    // Two long jobs, one of which must not run again, and a short one: all run.
+    for (job, class, work) in [(1, 0, 1.5), (2, 2, 1.5), (3, 0, 0.2)] {
+        assert!(node.place(job, class, work).is_some());
+        node.start(job, 0);
+    }
+    let actions = node.handle(Event::ShutdownStarted { deadline: node.now + SECOND });
+    let is_answer = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
+    let answers: Vec<_> = actions.iter().filter(is_answer).collect();
+    assert!(matches!(answers[..], [Action::Reject { job: JobId(1), .. }]), "{actions:?}");
+    assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }));
+}
--- /dev/null
+++ b/crates/core/tests/decisions/estimates.rs
@@ -0,0 +1,123 @@
+//! Estimates: what a node learns of speeds, slots and waits from the attempts that it observes.
+
+use curlewusher_core::{Class, Event, Idempotency, KindId, Micros, Outcome};
+
+use crate::common::{
+    SECOND, TestNode, class, endpoints, has_failure, has_rejection, node_settings, settings,
+};
+
+#[test]
+fn worker_without_samples_then_it_has_the_median_speed() {
+    let mut node = TestNode::with_speeds(&endpoints(4), &[0.5, 2.0, 1.0]);
+    // Occupy the fast one: the unknown one and the one of median speed tie, the slow one is out.
+    node.submit(1, 0, 1.0);
+    let second = node.place(2, 0, 1.0);
+    assert!(second == Some(2) || second == Some(3), "{second:?}");
+}
+
+#[test]
+fn worker_without_samples_then_it_has_the_speed_of_its_kind() {
+    let mut workers = endpoints(4);
+    workers[1].kind = KindId(1);
+    workers[3].kind = KindId(1);
+    let mut node = TestNode::with_speeds(&workers, &[0.5, 2.0]);
+    // Of those without samples, the one of the fast kind is the second choice.
+    node.submit(1, 0, 1.0);
+    assert_eq!(node.place(2, 0, 1.0), Some(3));
+}
+
+#[test]
+fn attempts_fail_early_then_the_speed_estimate_stays() {
+    let mut node = TestNode::with_speeds(&endpoints(2), &[1.0, 2.0]);
+    for job in 0..5 {
+        assert_eq!(node.place(job, 2, 0.5), Some(1));
+        node.start(job, 0);
+        node.now += 10_000;
+        assert!(has_failure(&node.end(job, 0, Outcome::Error)));
+        node.advance(10 * SECOND);
+        // It has to serve one idempotent job before it gets others.
+        node.run_job(50 + job, 0, 0.5, 250_000);
+        node.advance(10 * SECOND);
+    }
+    assert_eq!(node.place(90, 0, 1.0), Some(1));
+}
+
+#[test]
+fn starts_reported_before_the_previous_end_then_no_extra_slot_is_learned() {
+    // One slot: the next job's start is reported just before the end that freed the slot.
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(0, 0, 0.05);
+    node.start(0, 0);
+    for job in 1..20 {
+        node.submit(job, 0, 0.05);
+        node.advance(50_000);
+        node.start(job, 0);
+        node.now += 2_000;
+        node.handle(Event::TimerExpired);
+        node.end(job - 1, 0, Outcome::Done);
+    }
+    node.end(19, 0, Outcome::Done);
+    node.advance(SECOND);
+    // The slot takes one job, and the next is enqueued: two slots would take both.
+    assert!(node.place(50, 0, 0.2).is_some());
+    node.start(50, 0);
+    assert!(node.place(51, 0, 0.4).is_none());
+}
+
+#[test]
+fn fleet_slows_down_then_it_is_known_before_each_worker_is() {
+    let mut settings = settings();
+    settings.classes.push(Class { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
+    let mut node = TestNode::new(settings, &endpoints(20));
+    let mut run_round = |first: u64, work: f64, speed: f64, ends: bool| {
+        (first..first + 20).for_each(|job| _ = node.submit(job, 0, work));
+        (first..first + 20).for_each(|job| _ = node.start(job, 0));
+        node.now += (work / speed * 1e6) as Micros;
+        (first..first + 20).filter(|_| ends).for_each(|job| _ = node.end(job, 0, Outcome::Done));
+        node.advance(SECOND);
+    };
+    (0..8).for_each(|round| run_round(100 + 20 * round, 0.1, 1.0, true));
+    // Two jobs at each worker run four times longer: of ten samples they are few, of the fleet's last 40 all.
+    (0..2).for_each(|round| run_round(300 + 20 * round, 0.1, 0.25, true));
+    run_round(400, 8.0, 1e9, false);
+    // All are busy. At the speeds learned, a job of 0.5 s could wait for 0.07 s.
+    node.submit(1, 3, 0.5);
+    let actions = node.advance(40_000);
+    assert!(has_rejection(&actions), "{actions:?}");
+}
+
+#[test]
+fn long_wait_observed_then_the_worker_is_avoided_until_it_can_be_worked_off() {
+    let mut node = TestNode::new(node_settings(2, 0), &endpoints(2));
+    let first = node.place(1, 0, 0.05);
+    node.now += 4_400_000;
+    node.serve(1, 50_000);
+    // It counts for half of that wait, which takes 2.2 s to work off; the other worker is as good but for it.
+    node.now += 2_000_000;
+    for job in 2..12 {
+        assert_ne!(node.run_job(job, 0, 0.001, 1_000), first, "job {job}");
+    }
+}
+
+/// The workers of two jobs of one key at once, after 20 one after another, at one of so many nodes.
+fn workers_of_two_concurrent_jobs(nodes: u32) -> (Option<u64>, Option<u64>) {
+    let mut node = TestNode::new(node_settings(nodes, 0), &endpoints(10));
+    for job in 0..20 {
+        node.place_with_key(job, 0, 1.0, 1);
+        node.start(job, 0);
+        node.advance(SECOND);
+        node.end(job, 0, Outcome::Done);
+    }
+    let first = node.place_with_key(50, 0, 1.0, 1);
+    node.start(50, 0);
+    (first, node.place_with_key(51, 0, 1.0, 1))
+}
+
+#[test]
+fn few_jobs_of_one_of_many_nodes_then_workers_are_known_to_run_several_at_once() {
+    // 30 nodes and 10 workers. Always one own job running: like nodes have three at each worker, which run at once.
+    let (first, second) = workers_of_two_concurrent_jobs(30);
+    assert!(first.is_some() && second == first, "the worker has capacity: {first:?}, {second:?}");
+    let (first, second) = workers_of_two_concurrent_jobs(1);
+    assert!(second != first, "a lone node has observed one slot and no more: {first:?}, {second:?}");
+}
--- /dev/null
+++ b/crates/core/tests/decisions/gossip.rs
@@ -0,0 +1,88 @@
+//! Gossip and subsetting: what nodes report to each other, and how large fleets are parted into subsets.
+
+use std::collections::BTreeSet;
+
+use curlewusher_core::{Action, Event, KindId, Settings};
+
+use crate::common::{SECOND, TestNode, endpoints, node_settings, sent_to};
+
+fn gossiping(nodes: u32, node_index: u32) -> Settings {
+    Settings { may_gossip: true, ..node_settings(nodes, node_index) }
+}
+
+/// Whether the node uses each of 32 workers, the fleet being 32 nodes.
+fn used_workers(node_index: u32) -> [bool; 32] {
+    let mut node = TestNode::new(gossiping(32, node_index), &endpoints(32));
+    let mut used = [false; 32];
+    for job in 0..60 {
+        used[node.run_job(job, 0, 0.01, 10_000).expect("sent") as usize] = true;
+    }
+    used
+}
+
+#[test]
+fn many_gossiping_nodes_then_subsets_share_no_workers() {
+    // 32 nodes and 32 workers: four subsets of eight.
+    let [first, second, fifth] = [0, 1, 4].map(used_workers);
+    let count = first.iter().filter(|used| **used).count();
+    assert!((4..=8).contains(&count), "{first:?}");
+    assert!(first.iter().zip(&second).all(|(one, other)| !(one & other)), "another subset");
+    assert!(first.iter().zip(&fifth).any(|(one, other)| one & other), "the same subset");
+}
+
+/// The nodes that node 1 sends gossip to once it has a job.
+fn gossip_receivers(nodes: u32, gossip_price: f64) -> BTreeSet<u32> {
+    let settings = Settings { gossip_price, ..gossiping(nodes, 1) };
+    let mut node = TestNode::new(settings, &endpoints(nodes.into()));
+    node.submit(1, 0, 3.0);
+    let actions = node.advance(SECOND / 5).into_iter();
+    actions
+        .filter_map(|action| if let Action::SendGossip { to, .. } = action { Some(to) } else { None })
+        .collect()
+}
+
+#[test]
+fn gossip_is_cheap_then_it_goes_to_the_own_subset_only() {
+    assert_eq!(gossip_receivers(32, 0.01), [5, 9, 13, 17, 21, 25, 29].into());
+    assert!(gossip_receivers(32, 0.1).is_empty(), "expensive");
+}
+
+#[test]
+fn no_fitting_worker_in_the_subset_then_the_job_goes_to_another_subset() {
+    let mut settings = gossiping(32, 0);
+    settings.classes[0].required_kind = Some(KindId(1));
+    let mut workers = endpoints(32);
+    workers.iter_mut().for_each(|worker| worker.kind = KindId(u32::from(worker.worker.0 % 16 == 7)));
+    let mut node = TestNode::new(settings, &workers);
+    // Two workers of that kind in four subsets: most subsets have none.
+    let mut actions = node.submit(1, 0, 0.01);
+    actions.extend(node.advance(300_000));
+    assert!(matches!(sent_to(&actions), Some(7 | 23)), "{actions:?}");
+}
+
+#[test]
+fn gossip_received_then_the_busy_worker_is_avoided_until_it_is_outdated() {
+    let workers = endpoints(2);
+    let mut sender = TestNode::new(gossiping(2, 0), &workers[..1]);
+    sender.submit(1, 0, 3.0);
+    let actions = sender.advance(20_000);
+    let gossip = actions.iter().find_map(|action| match action {
+        Action::SendGossip { data, .. } => Some(data),
+        _ => None,
+    });
+    let data = gossip.unwrap_or_else(|| panic!("{actions:?}"));
+    assert!(data.len() <= 256);
+
+    let mut node = TestNode::new(gossiping(2, 0), &workers);
+    node.handle(Event::GossipReceived { from: 1, data });
+    for job in 0..8 {
+        assert_eq!(node.run_job(job, 0, 0.01, 10_000), Some(1));
+    }
+    node.advance(20 * SECOND);
+    let mut used = [false; 2];
+    for job in 20..60 {
+        used[node.run_job(job, 0, 0.01, 10_000).expect("sent") as usize] = true;
+        node.advance(10 * SECOND);
+    }
+    assert_eq!(used, [true; 2]);
+}
--- /dev/null
+++ b/crates/core/tests/decisions/interface.rs
@@ -0,0 +1,57 @@
+//! The dispatcher's interface: determinism, events that fit nothing, and checks of settings.
+
+use curlewusher_core::{Dispatcher, Event, JobId, JobSubmission, Outcome, Settings};
+
+use crate::common::{SECOND, TestNode, endpoints, has_failure, sent_to, settings, submission};
+
+#[test]
+fn late_or_unknown_events_then_they_are_ignored() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.end(1, 0, Outcome::Done);
+    for attempt in [0, 1, u32::MAX] {
+        assert_eq!(sent_to(&node.end(1, attempt, Outcome::Lost)), None);
+        assert_eq!(sent_to(&node.start(77, attempt)), None);
+        node.handle(Event::AttemptProgressed { job: JobId(1), attempt, done: f64::NAN });
+    }
+    node.handle(Event::ClientDisconnected { job: JobId(77) });
+    node.handle(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
+    assert!(has_failure(&node.submit(5, 9, 0.1)), "an unknown class");
+    for (job, hint, slots) in [(6, f64::NAN, f64::NAN), (7, -1.0, -3.0), (8, f64::INFINITY, 1e300)] {
+        node.submit_job(JobSubmission { slots, deadline: 0, ..submission(job, 0, hint, node.now) });
+    }
+    node.advance(SECOND);
+}
+
+#[test]
+fn same_events_then_the_same_actions() {
+    let run = || {
+        let mut node = TestNode::new(settings(), &endpoints(5));
+        let mut all = Vec::new();
+        for job in 0..50 {
+            all.extend(node.submit(job, (job % 3) as usize, 0.02));
+            all.extend(node.advance(15_000));
+            all.extend(node.end(job, 0, if job % 7 == 0 { Outcome::Lost } else { Outcome::Done }));
+        }
+        all
+    };
+    assert_eq!(run(), run());
+}
+
+#[test]
+fn invalid_settings_then_their_field_is_named() {
+    let invalid_field = |change: fn(&mut Settings)| {
+        let mut settings = settings();
+        change(&mut settings);
+        Dispatcher::new(settings, 1).err().map(|error| error.field)
+    };
+    assert_eq!(invalid_field(|settings| settings.classes.clear()), Some("classes"));
+    assert_eq!(invalid_field(|settings| settings.warm_up_floor = 1.5), Some("cold_share"));
+    assert_eq!(
+        invalid_field(|settings| settings.classes[0].latency_objective_stretch = -1.0),
+        Some("classes.stretch")
+    );
+    assert_eq!(invalid_field(|settings| settings.tenant_quotas = vec![f64::NAN]), Some("tenant_quotas"));
+    assert_eq!(invalid_field(|settings| settings.nodes = 0), Some("nodes"));
+    assert_eq!(invalid_field(|_| {}), None);
+}
--- /dev/null
+++ b/crates/core/tests/decisions/main.rs
@@ -0,0 +1,20 @@
+//! What a dispatcher decides, one behaviour a test; a module for each concern.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod affinity;
+mod deadlines;
+mod ejection;
+mod estimates;
+mod gossip;
+mod hedging;
+mod interface;
+mod migration;
+mod pending_queue;
+mod placement;
+mod poll_schedule;
+mod pre_send;
+mod retries;
+mod slow_start;
--- /dev/null
+++ b/crates/core/tests/decisions/migration.rs
@@ -0,0 +1,75 @@
+//! Takeover: a successor process restores the state snapshot and adopts the open jobs.
+
+use curlewusher_core::{Endpoint, Event, JobId, Outcome, Settings, StateSnapshot};
+
+use crate::common::{SECOND, TestNode, endpoints, has_failure, sent_to, settings};
+
+/// A node that knows worker 1 to be fast, and has spent the budget of worker 2, which has just started.
+fn predecessor(workers: &mut [Endpoint]) -> TestNode {
+    let mut node = TestNode::new(settings(), workers);
+    node.teach_speed(workers, 1, 4.0, 100);
+    workers[2].started = node.now;
+    node.list(workers);
+    // It spends the budget by jobs that end at once.
+    node.list(&workers[2..]);
+    let sent = (1..100).take_while(|job| {
+        let is_sent = node.place(*job, 2, 0.05).is_some();
+        node.end(*job, 0, Outcome::Done);
+        is_sent
+    });
+    assert!((2..99).contains(&sent.count()));
+    node.list(workers);
+    node
+}
+
+#[test]
+fn snapshot_restored_then_the_successor_knows_speeds_and_spent_budgets() {
+    let mut workers = endpoints(3);
+    let mut older = predecessor(&mut workers);
+    let snapshot = older.dispatcher.snapshot();
+
+    let successor = |snapshot: &StateSnapshot| {
+        let mut node = TestNode::new(settings(), &workers);
+        node.now = older.now;
+        node.dispatcher.restore(node.now, snapshot);
+        node
+    };
+    assert_eq!(successor(&snapshot).place(1, 0, 0.1), Some(1), "the fast one");
+    let mut node = successor(&snapshot);
+    node.list(&workers[2..]);
+    assert_eq!(node.place(1, 2, 0.05), None, "spent by the predecessor");
+    let mut node = successor(&StateSnapshot::default());
+    node.list(&workers[2..]);
+    assert_eq!(node.place(1, 2, 0.05), Some(2));
+
+    // The predecessor sends nothing more there while the successor is active.
+    older.handle(Event::SuccessorActive(true));
+    older.list(&workers[2..]);
+    assert_eq!(sent_to(&older.advance(2 * SECOND)), None);
+    assert_eq!(older.place(200, 2, 0.05), None);
+    older.handle(Event::SuccessorActive(false));
+    assert_eq!(sent_to(&older.advance(SECOND / 10)), Some(2));
+}
+
+#[test]
+fn job_migrated_then_it_keeps_its_attempts_and_their_rules() {
+    let settings = Settings { may_duplicate: false, ..settings() };
+    let mut older = TestNode::new(settings.clone(), &endpoints(2));
+    // One may have run and must not again; one runs; one is enqueued, both workers being busy.
+    let first = older.place(1, 2, 0.1).expect("a worker");
+    older.start(1, 0);
+    assert_ne!(older.place(2, 0, 0.1).expect("the other"), first);
+    assert_eq!(older.place(3, 0, 0.01), None);
+    let mut newer = TestNode::new(settings, &endpoints(2));
+    let mut actions = Vec::new();
+    for (job, new_id) in [(1, 11), (2, 12), (3, 13)] {
+        let migrated = older.dispatcher.release_job(JobId(job)).expect("an open job");
+        assert!(newer.dispatcher.adopt_job(newer.now, JobId(new_id), &migrated, &mut actions));
+    }
+    assert_eq!(sent_to(&actions), None, "the attempts in flight are known");
+    assert!(older.advance(6 * SECOND).is_empty(), "nothing is known of them any more");
+    assert_eq!(older.dispatcher.release_job(JobId(1)), None);
+    // The first one broke off: it may have run. The enqueued one goes where there is capacity now.
+    assert!(has_failure(&newer.end(11, 0, Outcome::Lost)));
+    assert_eq!(sent_to(&newer.end(12, 0, Outcome::Done)), Some(1 - first));
+}
--- /dev/null
+++ b/crates/core/tests/decisions/placement.rs
@@ -0,0 +1,63 @@
+//! Placement: a job goes to the worker with the lowest cost by speed, backlog, slots and zone.
+
+use curlewusher_core::{Endpoint, Outcome, Settings, ZoneId};
+
+use crate::common::{SECOND, TestNode, endpoint, endpoints, sent_to, settings};
+
+#[test]
+fn two_idle_workers_then_the_faster_is_chosen() {
+    let mut node = TestNode::with_speeds(&endpoints(2), &[1.0, 2.0]);
+    assert_eq!(node.place(1, 0, 1.0), Some(1));
+}
+
+#[test]
+fn backlog_at_the_faster_worker_then_the_cost_formula_decides() {
+    // Speed 1.25 and 0.02 of work ahead: x = 0.016, w = 0.016 and r near 0. Speed 1, idle: x = 0.02.
+    let mut node = TestNode::with_speeds(&endpoints(2), &[1.0, 1.25]);
+    assert_eq!(node.place(1, 0, 0.02), Some(1));
+    assert_eq!(node.place(2, 0, 0.02), Some(0));
+    // A job of 1 s: x = 0.8, w = 0.016 against x = 1, w = 0.02: the faster again.
+    assert_eq!(node.place(3, 0, 1.0), Some(1));
+}
+
+#[test]
+fn equal_costs_then_the_choice_is_random() {
+    let mut node = TestNode::new(settings(), &endpoints(4));
+    let mut chosen = [false; 4];
+    for job in 0..40 {
+        let worker = node.run_job(job, 0, 0.01, 10_000).expect("sent");
+        chosen[worker as usize] = true;
+        node.advance(20 * SECOND);
+    }
+    assert_eq!(chosen, [true; 4]);
+}
+
+#[test]
+fn size_listed_then_it_counts_as_slots() {
+    let workers = [Endpoint { size: 2.0, ..endpoint(0) }];
+    let mut node = TestNode::new(Settings { sizes_listed: true, ..settings() }, &workers);
+    for job in 1..3 {
+        assert!(node.place(job, 0, 0.5).is_some());
+        node.start(job, 0);
+    }
+    assert!(node.place(3, 0, 1.0).is_none());
+}
+
+#[test]
+fn short_wait_in_the_own_zone_then_no_job_crosses_zones() {
+    let workers = [endpoint(0), Endpoint { zone: ZoneId(1), ..endpoint(1) }];
+    let mut node = TestNode::new(Settings { cross_zone_price: 0.06, ..settings() }, &workers);
+    assert_eq!(node.place(1, 0, 0.08), Some(0));
+    assert_eq!(node.place(2, 0, 0.08), Some(0), "a wait of 0.08 s, and crossing costs 0.12 s");
+    assert_eq!(node.place(3, 0, 0.08), Some(1));
+}
+
+#[test]
+fn jobs_in_flight_at_the_only_worker_then_a_further_job_does_not_queue_there() {
+    // Other nodes' jobs may queue there as well, unobserved: 30 ms of wait is too much already.
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    assert!(node.place(1, 0, 0.03).is_some());
+    assert!(node.place(2, 0, 0.03).is_none());
+    node.start(1, 0);
+    assert!(sent_to(&node.end(1, 0, Outcome::Done)).is_some());
+}
--- /dev/null
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -0,0 +1,72 @@
+//! Poll schedule: when a node polls for its endpoint list.
+
+use std::collections::VecDeque;
+
+use curlewusher_core::{Action, Event, Micros, Settings};
+
+use crate::common::{SECOND, TestNode, endpoints, node_settings, settings};
+
+#[test]
+fn polls_fail_then_the_node_polls_again_with_backoff() {
+    let mut node = TestNode::new(Settings { endpoints_on_request: true, ..settings() }, &endpoints(1));
+    let mut polls = Vec::new();
+    node.handle(Event::WatchFailed);
+    for _ in 0..2_000 {
+        if node.advance(10_000).contains(&Action::WatchEndpoints) {
+            polls.push(node.now);
+            node.now += 1;
+            node.handle(Event::WatchFailed);
+        }
+    }
+    let gaps: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(polls.len() >= 3 && polls.len() < 12, "{gaps:?}");
+    assert!(gaps.iter().all(|gap| *gap < 10 * SECOND), "never silent beyond the limit: {gaps:?}");
+    assert!(gaps[1] > gaps[0]);
+}
+
+const STEP: Micros = 10_000;
+const POLL_TIMEOUT: Micros = 2 * SECOND;
+/// Time that discovery takes for each poll, also for one that has timed out.
+const SERVICE_TIME: Micros = 65_000;
+
+/// How long it takes until all nodes, which start together, have a list from a discovery that answers one poll after
+/// another.
+fn time_until_all_have_a_list(nodes: u32) -> Option<Micros> {
+    let start = |node_index| {
+        let settings = Settings { endpoints_on_request: true, ..node_settings(nodes, node_index) };
+        TestNode::starting(settings, u64::from(node_index))
+    };
+    let mut all: Vec<TestNode> = (0..nodes).map(start).collect();
+    let mut poll_begins: Vec<Option<Micros>> = vec![None; all.len()];
+    let (mut queue, mut free_at, mut without_list) = (VecDeque::new(), 0, nodes);
+    for now in (10 * SECOND..60 * SECOND).step_by(STEP as usize) {
+        for (index, node) in all.iter_mut().enumerate() {
+            node.now = now;
+            if poll_begins[index].is_some_and(|begin| now >= begin + POLL_TIMEOUT) {
+                poll_begins[index] = None;
+                node.handle(Event::WatchFailed);
+            } else if node.handle(Event::TimerExpired).contains(&Action::WatchEndpoints) {
+                poll_begins[index] = Some(now);
+                queue.push_back((index, now));
+            }
+        }
+        while let Some((index, begin)) = queue.pop_front_if(|_| free_at <= now) {
+            free_at = now + SERVICE_TIME;
+            if poll_begins[index].take_if(|current| *current == begin).is_some() {
+                all[index].list(&endpoints(1));
+                without_list -= 1;
+            }
+        }
+        if without_list == 0 {
+            return Some(now - 10 * SECOND);
+        }
+    }
+    None
+}
+
+#[test]
+fn nodes_start_together_and_polls_are_served_serially_then_all_get_a_list() {
+    let (many, few) = (time_until_all_have_a_list(100), time_until_all_have_a_list(3));
+    assert!(many.is_some_and(|span| span < 30 * SECOND), "{many:?}");
+    assert!(few.is_some_and(|span| span < SECOND / 2), "{few:?}");
+}
--- /dev/null
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -0,0 +1,61 @@
+//! Pre-send checks: until when an attempt may leave, and which attempts are revoked before they do.
+
+use curlewusher_core::{Action, Endpoint, Event, JobId, Micros, Outcome, WorkerId, WorkerStatus};
+
+use crate::common::{SECOND, TestNode, endpoint, endpoints, settings};
+
+/// Until when the attempt that the actions send may leave.
+#[track_caller]
+fn send_by(actions: &[Action]) -> Option<Micros> {
+    let sent = actions.iter().find_map(|action| match action {
+        Action::SendAttempt { send_by, .. } => Some(*send_by),
+        _ => None,
+    });
+    sent.unwrap_or_else(|| panic!("nothing is sent: {actions:?}"))
+}
+
+#[test]
+fn retry_with_a_key_then_it_leaves_within_its_window_and_all_else_at_any_time() {
+    for (class, may_have_run) in [(0, true), (1, true), (1, false), (2, false)] {
+        let mut node = TestNode::new(settings(), &endpoints(2));
+        let begin = node.now;
+        assert_eq!(send_by(&node.submit(1, class, 0.1)), None);
+        node.now += 100_000;
+        let outcome = if may_have_run { Outcome::Lost } else { Outcome::Rejected };
+        let retry_by = send_by(&node.end(1, 0, outcome));
+        // The window is counted from the first that may have run, and some of it is left for the way.
+        let window_end = (class == 1 && may_have_run).then_some(begin + 5 * SECOND);
+        assert_eq!(retry_by.is_some(), window_end.is_some(), "class {class}, may have run: {may_have_run}");
+        assert!(retry_by.zip(window_end).is_none_or(|(by, end)| by < end && by > node.now), "{retry_by:?}");
+    }
+}
+
+#[test]
+fn worker_takes_no_new_job_then_its_unaccepted_attempts_are_revoked_once() {
+    let workers = endpoints(1);
+    let listed = |status, started| [Endpoint { status, started, ..endpoint(0) }];
+    let (draining, gone) = (listed(WorkerStatus::Draining, 0), listed(WorkerStatus::Gone, 0));
+    let (restarted, unchanged) = (listed(WorkerStatus::Ready, 9 * SECOND), listed(WorkerStatus::Ready, 0));
+    let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, snapshot };
+    let disabled = |worker| Event::MaintenanceChanged { worker: WorkerId(worker), disabled: true };
+    for (is_revoked, event) in [
+        (true, list(&draining, false)),
+        (true, list(&gone, false)),
+        (true, list(&[], true)),
+        (true, list(&restarted, false)),
+        (true, disabled(0)),
+        (false, list(&unchanged, true)),
+        (false, disabled(1)),
+    ] {
+        let mut node = TestNode::new(settings(), &workers);
+        assert!([1, 2].iter().all(|job| node.place(*job, 2, 0.005) == Some(0)));
+        // An accepted attempt is the worker's to complete; the other is revoked, at the first event only.
+        node.accept(1, 0);
+        let revoke = [Action::RevokeAttempt { job: JobId(2), attempt: 0 }];
+        for expected in [&revoke[usize::from(!is_revoked)..], &[]] {
+            let mut actions = node.handle(event.clone());
+            actions.retain(|action| matches!(action, Action::RevokeAttempt { .. }));
+            assert_eq!(actions, expected, "{event:?}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/tests/decisions/retries.rs
@@ -0,0 +1,91 @@
+//! Retries: what may run again, and where.
+
+use curlewusher_core::{JobSubmission, Outcome, Settings};
+
+use crate::common::{
+    SECOND, TestNode, count_sends, endpoints, has_failure, has_rejection, sent_to, settings, submission,
+};
+
+#[test]
+fn not_idempotent_then_it_is_retried_only_if_it_never_ran() {
+    let mut node = TestNode::new(settings(), &endpoints(3));
+    let first = node.place(1, 2, 0.1);
+    let retried = node.end(1, 0, Outcome::Rejected);
+    assert!(sent_to(&retried).is_some() && sent_to(&retried) != first, "{retried:?}");
+    let actions = node.end(1, 1, Outcome::Lost);
+    assert!(has_failure(&actions) && sent_to(&actions).is_none() && !has_rejection(&actions), "{actions:?}");
+}
+
+#[test]
+fn end_reported_repeatedly_then_it_counts_once() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.end(1, 0, Outcome::Unreachable);
+    node.advance(20_000);
+    for _ in 0..5 {
+        assert_eq!(sent_to(&node.end(1, 0, Outcome::Unreachable)), None);
+    }
+    let actions = node.advance(200_000);
+    assert_eq!(count_sends(&actions), 1, "{actions:?}");
+}
+
+#[test]
+fn idempotent_with_a_key_then_it_is_retried_only_in_its_cell_and_window() {
+    // On sockets a retry whose connection comes up late must still reach its worker within the window.
+    let (slow, late) = (900_000, 4_300_000);
+    for (wait, accept_timeout, is_retried) in
+        [(0, 0, true), (5 * SECOND, 0, false), (late, 0, true), (late, slow, false), (0, slow, true)]
+    {
+        let mut settings = Settings { accept_timeout, ..settings() };
+        settings.classes[1].client_timeout = 60 * SECOND;
+        settings.classes[1].latency_objective = 40 * SECOND;
+        let mut node = TestNode::new(settings, &endpoints(6));
+        let deadline = node.now + 60 * SECOND;
+        let actions = node.submit_job(JobSubmission { deadline, ..submission(1, 1, 0.1, node.now) });
+        let first = sent_to(&actions).expect("sent");
+        node.start(1, 0);
+        node.now += wait;
+        let actions = node.end(1, 0, Outcome::Error);
+        match sent_to(&actions) {
+            Some(second) => assert!(is_retried && second / 2 == first / 2 && second != first),
+            None => assert!(!is_retried && has_failure(&actions)),
+        }
+    }
+}
+
+#[test]
+fn end_unknown_at_a_worker_then_the_job_does_not_return_there() {
+    // A late end names the job and no attempt: it would end the second one there, and a third would run beside that.
+    for outcome in [Outcome::Lost, Outcome::Cancelled] {
+        let mut node = TestNode::new(Settings { may_duplicate: false, ..settings() }, &endpoints(2));
+        let first = node.place(0, 0, 0.01).expect("a free worker");
+        let second = sent_to(&node.end(0, 0, outcome)).expect("the other");
+        assert_ne!(first, second, "{outcome:?}");
+        assert_eq!(sent_to(&node.end(0, 1, outcome)), None, "{outcome:?}");
+        assert_eq!(sent_to(&node.advance(4 * SECOND)), None, "{outcome:?}");
+    }
+}
+
+#[test]
+fn revoked_before_it_was_sent_then_no_retry_is_spent_and_the_job_waits_as_before() {
+    // Far more of them than a node has retries, one after the other: each goes on to the worker that is left, or
+    // waits where none is.
+    let workers = endpoints(2);
+    let mut node = TestNode::new(settings(), &workers);
+    for job in 0..60 {
+        node.list(&workers);
+        let first = node.place(job, 2, 0.01).expect("sent");
+        let other = (1 - first) as usize;
+        let left = if job % 2 == 0 { &workers[other..=other] } else { &[] };
+        node.list(left);
+        let mut actions = node.end(job, 0, Outcome::NotSent);
+        if left.is_empty() {
+            let is_open = sent_to(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions);
+            assert!(is_open, "job {job}: {actions:?}");
+            node.list(&workers[other..=other]);
+            actions = node.advance(20_000);
+        }
+        assert_eq!(sent_to(&actions), Some(1 - first), "job {job}");
+        node.end(job, 1, Outcome::Done);
+    }
+}
--- /dev/null
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -0,0 +1,218 @@
+//! Slow start: all nodes together stay within the budget of a worker that is warming up, and still use it.
+
+use curlewusher_core::{Action, Endpoint, JobSubmission, KindId, Micros, Outcome, Settings, WorkerStatus};
+
+use crate::common::{SECOND, TestNode, endpoint, endpoints, node_settings, sent_to, settings, submission};
+
+/// Work sent to a worker that is warming up, in thousandths of a second of work.
+struct Sent {
+    worker: u64,
+    at: Micros,
+    work: u64,
+}
+
+/// Speed 1, one slot, a fifth warm at first, three times its capacity within 1 s: 0.6 s of work, and more as it
+/// warms up.
+#[track_caller]
+fn assert_within_budget(sends: &[Sent]) {
+    for Sent { worker, at, .. } in sends {
+        let window = *at..at + SECOND;
+        let in_window = sends.iter().filter(|other| other.worker == *worker && window.contains(&other.at));
+        let sum = in_window.map(|other| other.work).sum::<u64>() as f64 / 1e3;
+        let warm_up_fraction = 0.2 + 0.8 * (at - 10 * SECOND) as f64 / 20e6;
+        assert!(sum <= 3.0 * warm_up_fraction, "{sum} s of work to worker {worker} from {at} on");
+    }
+}
+
+/// What nodes, each with a job of 50 ms every `interval`, send to the only worker, which has just started.
+fn sends_to_one_worker(nodes: u32, interval: Micros, span: Micros) -> Vec<Sent> {
+    let mut sends = Vec::new();
+    for node_index in 0..nodes {
+        let mut node = TestNode::new(node_settings(nodes, node_index), &endpoints(1));
+        node.list(&[Endpoint { started: node.now, ..endpoint(0) }]);
+        let end = node.now + span;
+        node.now += interval * u64::from(node_index) / u64::from(nodes);
+        for job in 0.. {
+            if node.now >= end {
+                break;
+            }
+            if let Some(worker) = node.place(job, 0, 0.05) {
+                sends.push(Sent { worker, at: node.now, work: 50 });
+            }
+            node.serve(job, 10_000);
+            node.now += interval - 10_000;
+        }
+    }
+    sends
+}
+
+#[test]
+fn one_worker_warms_up_then_all_nodes_together_keep_its_budget_and_use_it() {
+    // A hundred nodes with a job each 2 s: by the rotation alone one would send six jobs in 12 s.
+    let frequent = [1, 2, 9, 50].map(|nodes| (nodes, 10_000, 3 * SECOND, 300));
+    for (nodes, interval, span, least) in frequent.into_iter().chain([(100, 2 * SECOND, 12 * SECOND, 1_000)])
+    {
+        let sends = sends_to_one_worker(nodes, interval, span);
+        assert_within_budget(&sends);
+        let sum: u64 = sends.iter().map(|sent| sent.work).sum();
+        assert!(sum > least, "{sum} ms of work in {span} us from {nodes} nodes");
+    }
+}
+
+/// What 150 nodes send to six workers of a hundred that have just started, the only ones for one job in ten.
+fn sends_to_few_workers() -> Vec<Sent> {
+    let mut sends = Vec::new();
+    for node_index in 0..150 {
+        let mut settings = node_settings(150, node_index);
+        settings.classes[0].required_kind = Some(KindId(0));
+        settings.classes[1].required_kind = Some(KindId(1));
+        let listed = |worker| Endpoint { kind: KindId(u32::from(worker >= 6)), ..endpoint(worker) };
+        let mut workers: Vec<Endpoint> = (0..100).map(listed).collect();
+        let mut node = TestNode::new(settings, &workers);
+        workers[..6].iter_mut().for_each(|worker| worker.started = node.now);
+        node.list(&workers);
+        node.now += u64::from(node_index) * 600;
+        for job in 0..60 {
+            // Jobs that waited for the rotation are sent with the next one that comes.
+            let actions = node.submit(job, usize::from(job % 10 > 0), 0.02);
+            let attempts: Vec<(u64, u64)> = actions.iter().filter_map(sent_attempt).collect();
+            let few = attempts.iter().filter(|(_, worker)| *worker < 6);
+            sends.extend(few.map(|(_, worker)| Sent { worker: *worker, at: node.now, work: 20 }));
+            attempts.iter().for_each(|(job, _)| _ = node.start(*job, 0));
+            node.now += 20_000;
+            attempts.iter().for_each(|(job, _)| _ = node.end(*job, 0, Outcome::Done));
+            node.now += 80_000;
+        }
+    }
+    sends
+}
+
+/// Job and worker of an attempt that is sent.
+fn sent_attempt(action: &Action) -> Option<(u64, u64)> {
+    match action {
+        Action::SendAttempt { job, worker, .. } => Some((job.0, worker.0)),
+        _ => None,
+    }
+}
+
+#[test]
+fn few_of_many_workers_warm_up_then_the_nodes_do_not_send_there_all_that_they_could() {
+    // A tenth of the work of all would come to 0.5 s each second at each, and what has waited for the rotation to
+    // that at once.
+    let sends = sends_to_few_workers();
+    assert_within_budget(&sends);
+    assert!(sends.len() > 100, "they are used all the same: {} jobs", sends.len());
+}
+
+/// Work in seconds that one of fifty nodes sends within a second to a worker that has just started, while the node
+/// has a job at each of ten others.
+fn work_sent_by_a_busy_node(node_index: u32) -> f64 {
+    let mut workers = endpoints(11);
+    (workers[10].status, workers[10].kind) = (WorkerStatus::Draining, KindId(1));
+    let mut settings = node_settings(50, node_index);
+    settings.classes[0].required_kind = Some(KindId(1));
+    let mut node = TestNode::new(settings, &workers);
+    for job in 0..10 {
+        let deadline = node.now + 99 * SECOND;
+        node.submit_job(JobSubmission { deadline, ..submission(job, 2, 0.1, node.now) });
+        node.start(job, 0);
+    }
+    node.advance(10 * SECOND);
+    (workers[10].status, workers[10].started) = (WorkerStatus::Ready, node.now);
+    node.list(&workers);
+    let mut sum = 0.0;
+    for job in 10..30 {
+        if node.run_job(job, 0, 0.1, 0) == Some(10) {
+            sum += 0.1;
+        }
+        node.advance(50_000);
+    }
+    sum
+}
+
+#[test]
+fn slots_estimated_from_a_busy_node_then_they_do_not_raise_a_warming_workers_budget() {
+    // All nodes' jobs would be fifty at each worker. Yet the node has observed one slot at each, and one slot a fifth
+    // warm may be sent 0.6 s of work each second.
+    let most = (0..50).map(work_sent_by_a_busy_node).fold(0.0, f64::max);
+    assert!(most > 0.0 && most < 0.6, "{most} s of work by one node in a second");
+}
+
+/// The worker of a job of one of two nodes, after jobs that waited for long at warm workers.
+fn worker_after_long_waits(node_index: u32) -> Option<u64> {
+    let workers = [endpoint(0), Endpoint { started: 1, ..endpoint(1) }];
+    let warm_up = 1_000 * SECOND;
+    let settings = Settings { warm_up_floor: 0.4, warm_up, ..node_settings(2, node_index) };
+    let mut node = TestNode::new(settings, &workers);
+    for job in 0..3 {
+        node.submit(job, 0, 0.2);
+        node.now += SECOND;
+        node.serve(job, 200_000);
+    }
+    node.now += 2 * SECOND;
+    node.place(3, 0, 0.2)
+}
+
+#[test]
+fn waits_observed_at_warm_workers_then_they_do_not_count_at_a_warming_one_of_their_kind() {
+    // x = 0.2 and a wait of most of a second, or x = 0.5 at two fifths of the speed. One of two nodes has its turn.
+    let chosen = [0, 1].map(worker_after_long_waits);
+    assert!(chosen.contains(&Some(1)), "{chosen:?}");
+}
+
+/// Serves a first job whose first attempt ended by an outcome, or else a second job after it.
+fn node_after_interruption(outcome: Outcome) -> TestNode {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.end(1, 0, outcome);
+    node
+}
+
+#[test]
+fn worker_reachable_again_then_it_warms_up() {
+    let mut node = node_after_interruption(Outcome::Unreachable);
+    assert!(sent_to(&node.advance(200_000)).is_some(), "it is tried again after a pause");
+    node.start(1, 1);
+    node.now += 100_000;
+    node.end(1, 1, Outcome::Done);
+    node.advance(300_000);
+    assert!(node.place(3, 0, 2.0).is_none(), "a large job would overload it");
+}
+
+#[test]
+fn connection_broken_then_the_worker_does_not_warm_up() {
+    // Workers reset connections and serve on: taken to warm up, they would get no large job for long.
+    let mut node = node_after_interruption(Outcome::Lost);
+    node.advance(200_000);
+    assert!(node.run_job(2, 0, 0.1, 100_000).is_some(), "it is tried with another job after a pause");
+    node.advance(300_000);
+    assert!(node.place(3, 0, 2.0).is_some());
+}
+
+#[test]
+fn jobs_without_hints_of_long_tailed_work_then_the_budget_is_kept() {
+    // Nine in ten jobs of the class run for 50 ms, one for 2 s: 245 ms in the mean, 72 ms in the middle.
+    let unhinted = |job, now| JobSubmission { cost_hint: None, ..submission(job, 0, 0.0, now) };
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    for job in 0..200 {
+        node.submit_job(unhinted(job, node.now));
+        node.serve(job, if job % 10 == 9 { 2 * SECOND } else { 50_000 });
+    }
+    let draining = Endpoint { status: WorkerStatus::Draining, ..endpoint(0) };
+    node.list(&[draining, Endpoint { started: node.now, ..endpoint(1) }]);
+    let mut sends = 0;
+    for job in 1_000..1_040 {
+        let actions = node.submit_job(unhinted(job, node.now));
+        for action in actions.into_iter().chain(node.advance(10_000)) {
+            let Some((job, worker)) = sent_attempt(&action) else { continue };
+            assert_eq!(worker, 1);
+            sends += 1;
+            node.serve(job, 0);
+        }
+    }
+    // 0.4 s have passed: all of it lies within one window of a second, for which three times a fifth is
+    // allowed.
+    let allowed = 3.0 * (0.2 + 0.8 * 0.4 / 20.0) * 1.0;
+    assert!(sends >= 1, "it is used");
+    assert!(f64::from(sends) * 0.245 <= allowed, "{sends} jobs, {allowed} s allowed");
+}
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -86,7 +86,7 @@
 }
 
 struct One {
-    node: Node,
+    node: TestNode,
     line: Line,
     wake: Micros,
     /// What it knows of the drains, and since when it was told.
@@ -116,7 +116,7 @@
         notified_within: TOLD_WITHIN,
         ..settings()
     };
-    let node = Node { dispatcher: Dispatcher::new(s, seed).expect("good settings"), now };
+    let node = TestNode { dispatcher: Dispatcher::new(s, seed).expect("good settings"), now };
     One {
         node,
         line: Line::None,
@@ -131,7 +131,7 @@
 fn live(day: &Day, seed: u64) -> Found {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let begin = 10 * SECOND;
-    let workers: Vec<Endpoint> = (0..day.drains.len() as u64 + 4).map(listing).collect();
+    let workers: Vec<Endpoint> = (0..day.drains.len() as u64 + 4).map(endpoint).collect();
     let mut found = Found::default();
     let mut all: Vec<One> = (0..day.nodes).map(|rank| start(day, rank, begin, rng.u64(..))).collect();
     let mut queue: VecDeque<(usize, Micros)> = VecDeque::new();
@@ -170,7 +170,7 @@
             if answered.contains(&i)
                 && let Line::Calls { since } = one.line
             {
-                out.extend(one.node.tell(Event::PollAnswered { duration: now - since }));
+                out.extend(one.node.handle(Event::PollAnswered { duration: now - since }));
                 one.line = Line::Open { heard: now, next: now + BEATS, silent: false };
                 heard = true;
             }
@@ -178,14 +178,14 @@
                 Line::Calls { since } if now >= since + WAITS => {
                     one.line = Line::None;
                     found.failed += 1;
-                    out.extend(one.node.tell(Event::WatchFailed));
+                    out.extend(one.node.handle(Event::WatchFailed));
                 }
                 Line::Open { heard: last, next, silent } => {
                     let reset = now == day.reset / STEP * STEP || !day.up(now);
                     let silent = silent || now == day.silent / STEP * STEP;
                     if reset || silent && now >= last + SILENCE {
                         one.line = Line::None;
-                        out.extend(one.node.tell(Event::WatchFailed));
+                        out.extend(one.node.handle(Event::WatchFailed));
                     } else if silent {
                         one.line = Line::Open { heard: last, next, silent };
                     } else {
@@ -204,23 +204,23 @@
                     entries[n].status = WorkerStatus::Draining;
                     one.told[n].get_or_insert(now.max(*at));
                 }
-                out.extend(one.node.tell(Event::EndpointsChanged { endpoints: &entries, snapshot: true }));
-                out.extend(one.node.tell(Event::EndpointsConfirmed));
+                out.extend(one.node.handle(Event::EndpointsChanged { endpoints: &entries, snapshot: true }));
+                out.extend(one.node.handle(Event::EndpointsConfirmed));
             }
             if now >= one.wake {
                 one.wake = Micros::MAX;
-                out.extend(one.node.tell(Event::TimerExpired));
+                out.extend(one.node.handle(Event::TimerExpired));
                 if now == one.started {
                     // The saved list comes in the moment of the first wake-up.
                     out.extend(
-                        one.node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true }),
+                        one.node.handle(Event::EndpointsChanged { endpoints: &workers, snapshot: true }),
                     );
                 }
             }
             if (now / STEP + i as u64).is_multiple_of(20) {
                 number += 1;
                 one.jobs += 1;
-                out.extend(one.node.offer(number, 0, 0.02));
+                out.extend(one.node.submit(number, 0, 0.02));
             }
             let mut at = 0;
             while at < out.len() {
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -20,22 +20,25 @@
             kind: KindId(id as u32 / 2 % 2),
             started: cold(id),
             zone: ZoneId(7),
-            ..listing(id)
+            ..endpoint(id)
         })
         .collect()
 }
 
 /// A node whose workers have each something to tell: speeds, slots, keys, failures, a start, a return.
-fn taught_node() -> Node {
-    let mut node = Node::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
+fn taught_node() -> TestNode {
+    let mut node = TestNode::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
     for job in 0..24 {
         let (key, slots) = (Some(1000 + job % 7), if job % 5 == 0 { 2.0 } else { 1.0 });
-        let actions =
-            node.tell(Event::JobSubmitted(JobSubmission { key, slots, ..offer(job, 0, 0.05, node.now) }));
-        let worker = sent(&actions).expect("a free worker");
-        node.pass(1_000);
+        let actions = node.handle(Event::JobSubmitted(JobSubmission {
+            key,
+            slots,
+            ..submission(job, 0, 0.05, node.now)
+        }));
+        let worker = sent_to(&actions).expect("a free worker");
+        node.advance(1_000);
         node.start(job, 0);
-        node.pass(40_000 + 9_000 * worker);
+        node.advance(40_000 + 9_000 * worker);
         let outcome = match job {
             22 => Outcome::Unreachable,
             20 | 23 => Outcome::Error,
@@ -43,30 +46,30 @@
         };
         node.end(job, 0, outcome);
         if outcome != Outcome::Done {
-            node.pass(50_000);
+            node.advance(50_000);
             node.end(job, 1, Outcome::Done);
         }
     }
     for out in [true, false] {
-        node.tell(Event::MaintenanceChanged { worker: WorkerId(4), disabled: out });
-        node.pass(SECOND / 2);
+        node.handle(Event::MaintenanceChanged { worker: WorkerId(4), disabled: out });
+        node.advance(SECOND / 2);
     }
     node
 }
 
 /// The same with a job of two attempts that have ended and one that is half done.
-fn node_with_moving_job() -> Node {
+fn node_with_moving_job() -> TestNode {
     let mut node = taught_node();
-    let offered = JobSubmission { key: Some(77), slots: 2.0, ..offer(MOVING, 0, 0.4, node.now) };
-    node.tell(Event::JobSubmitted(offered));
+    let offered = JobSubmission { key: Some(77), slots: 2.0, ..submission(MOVING, 0, 0.4, node.now) };
+    node.handle(Event::JobSubmitted(offered));
     for (attempt, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Error)] {
-        node.pass(20_000);
+        node.advance(20_000);
         node.end(MOVING, attempt, outcome);
     }
-    node.pass(3_000);
+    node.advance(3_000);
     node.start(MOVING, 2);
-    node.pass(100_000);
-    node.tell(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, done: 0.5 });
+    node.advance(100_000);
+    node.handle(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, done: 0.5 });
     node
 }
 
@@ -142,7 +145,7 @@
 #[test]
 fn learned_state_inherited_then_told_the_same_again() {
     let older = node_with_moving_job();
-    let mut newer = Node::new(settings(), &workers());
+    let mut newer = TestNode::new(settings(), &workers());
     newer.now = older.now;
     newer.dispatcher.restore(newer.now, &older.dispatcher.snapshot());
     assert_eq!(newer.dispatcher.snapshot(), older.dispatcher.snapshot());
@@ -153,7 +156,7 @@
     let mut older = node_with_moving_job();
     let moved = older.dispatcher.release_job(JobId(MOVING)).expect("an open job");
     assert_record("migrated_job.json", &moved);
-    let mut newer = Node::new(settings(), &workers());
+    let mut newer = TestNode::new(settings(), &workers());
     newer.now = older.now;
     assert!(newer.dispatcher.adopt_job(newer.now, JobId(1), &moved, &mut Vec::new()));
     assert_eq!(newer.dispatcher.release_job(JobId(1)), Some(moved));
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -168,7 +168,7 @@
 /// A node under random events. Speeds are 1, so that the checker can bound capacity.
 struct World {
     rng: fastrand::Rng,
-    node: Node,
+    node: TestNode,
     checker: Checker,
     next_job: u64,
     /// Attempts out: job, number, start once told.
@@ -191,12 +191,12 @@
         s.max_attempts = rng.u32(1..12);
         s.tenant_quotas = if rng.bool() { vec![3.0] } else { Vec::new() };
         s.classes[0].required_kind = rng.bool().then_some(KindId(1));
-        let node = Node { dispatcher: Dispatcher::new(s.clone(), seed).expect("good"), now: 10 * SECOND };
+        let node = TestNode { dispatcher: Dispatcher::new(s.clone(), seed).expect("good"), now: 10 * SECOND };
         World { rng, node, checker: Checker::new(s), next_job: 0, out: Vec::new() }
     }
 
     fn tell(&mut self, event: Event) -> Result<(), String> {
-        for action in self.node.tell(event) {
+        for action in self.node.handle(event) {
             self.checker.check(self.node.now, &action)?;
             if let Action::SendAttempt { job, .. } = action {
                 self.out.push((job, self.checker.jobs[&job].tries.len() as u32 - 1, None));
@@ -210,7 +210,7 @@
         let mut entries = Vec::new();
         let most = if self.rng.bool() { 7 } else { 30 };
         for id in 0..self.rng.u64(0..most) {
-            let mut l = listing(id);
+            let mut l = endpoint(id);
             l.zone = ZoneId(id as u32 / 4);
             l.kind = KindId(self.rng.u32(0..2));
             let lives = if whole { 2 } else { 3 };
@@ -237,8 +237,12 @@
         match self.rng.u32(0..100) {
             0..2 => self.list()?,
             2..30 => {
-                let mut o =
-                    offer(self.next_job, self.rng.usize(0..3), 0.02 + self.rng.f64() * 0.3, self.node.now);
+                let mut o = submission(
+                    self.next_job,
+                    self.rng.usize(0..3),
+                    0.02 + self.rng.f64() * 0.3,
+                    self.node.now,
+                );
                 o.deadline = self.node.now + self.rng.u64(0..6 * SECOND);
                 o.slots = f64::from(self.rng.u32(1..3));
                 self.next_job += 1;
@@ -333,8 +337,8 @@
     let now = 10 * SECOND;
     let fresh = |class| {
         let mut c = Checker::new(settings());
-        (0..4).for_each(|id| _ = c.list.insert(WorkerId(id), listing(id)));
-        c.offered(&offer(1, class, 0.1, now));
+        (0..4).for_each(|id| _ = c.list.insert(WorkerId(id), endpoint(id)));
+        c.offered(&submission(1, class, 0.1, now));
         c
     };
     let leaves = |worker, leave_by| {
@@ -375,6 +379,6 @@
 
     let mut c = fresh(0);
     c.list.get_mut(&WorkerId(0)).unwrap().started = now - 1;
-    c.offered(&offer(1, 0, 2.0, now));
+    c.offered(&submission(1, 0, 2.0, now));
     says(c.check(now, &send(0)), "rule 4");
 }
