--- /dev/null
+++ b/crates/core/tests/rules/main.rs
@@ -0,0 +1,94 @@
+//! The four rules, held against every action of a node under random events.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod checker;
+mod environment;
+
+use checker::{Checker, Violation};
+use common::{SECOND, endpoints, settings, submission};
+use curlewusher_core::{Action, JobId, Micros, WorkerId, WorkerStatus};
+use environment::Environment;
+use proptest::prelude::any;
+use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
+
+#[test]
+fn random_events_then_no_action_violates_a_rule() {
+    let config = Config { cases: 48, failure_persistence: None, ..Config::default() };
+    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
+    let result = runner.run(&any::<u64>(), |seed| {
+        let mut environment = Environment::new(seed);
+        let mut run = || {
+            environment.change_endpoints()?;
+            (0..3_000).try_for_each(|_| environment.step())
+        };
+        run().map_err(|violation| TestCaseError::fail(format!("{violation:?}")))
+    });
+    result.unwrap();
+}
+
+const NOW: Micros = 10 * SECOND;
+const FAIL: Action = Action::Fail { job: JobId(1) };
+
+/// A checker with four workers and job 1.
+fn checker_with_job(class: usize) -> Checker {
+    let mut checker = Checker::new(settings());
+    checker.endpoints = endpoints(4).into_iter().map(|endpoint| (endpoint.worker, endpoint)).collect();
+    checker.record_submission(&submission(1, class, 0.1, NOW));
+    checker
+}
+
+fn send_by(worker: u64, send_by: Option<Micros>) -> Action {
+    Action::SendAttempt { job: JobId(1), worker: WorkerId(worker), timeout: SECOND, send_by }
+}
+
+fn send(worker: u64) -> Action {
+    send_by(worker, Some(NOW + SECOND))
+}
+
+#[test]
+fn second_or_late_answer_then_rule_1_is_violated() {
+    let mut checker = checker_with_job(0);
+    assert_eq!(checker.check(NOW, &FAIL), Ok(()));
+    assert_eq!(checker.check(NOW, &FAIL), Err(Violation::SecondOrLateAnswer));
+    assert_eq!(checker.check(NOW, &send(0)), Err(Violation::LateAttempt));
+    let (mut checker, late) = (checker_with_job(0), NOW + 6 * SECOND);
+    assert_eq!(checker.check_all_answered(late), Err(Violation::NoAnswer(JobId(1))));
+    assert_eq!(checker.check(late, &FAIL), Err(Violation::SecondOrLateAnswer));
+}
+
+#[test]
+fn job_that_may_have_run_is_retried_elsewhere_then_rule_2_is_violated() {
+    let mut checker = checker_with_job(2);
+    assert_eq!(checker.check(NOW, &send(0)), Ok(()));
+    assert_eq!(checker.check(NOW, &send(1)), Err(Violation::UnsafeRetry));
+    let reject = Action::Reject { job: JobId(1), retry_after: 0 };
+    assert_eq!(checker.check(NOW, &reject), Err(Violation::UnsafeRejection));
+    let mut checker = checker_with_job(1);
+    assert_eq!(checker.check(NOW, &send(0)), Ok(()));
+    assert_eq!(checker.check(NOW, &send(2)), Err(Violation::UnsafeRetry));
+    for late in [None, Some(NOW), Some(NOW + 5 * SECOND)] {
+        assert_eq!(checker.check(NOW, &send_by(1, late)), Err(Violation::UnsafeRetry));
+    }
+    assert_eq!(checker.check(NOW, &send(1)), Ok(()));
+}
+
+#[test]
+fn unavailable_worker_then_rule_3_is_violated() {
+    let mut checker = checker_with_job(0);
+    checker.endpoints.get_mut(&WorkerId(0)).unwrap().status = WorkerStatus::Draining;
+    checker.disabled.insert(WorkerId(1));
+    for worker in [0, 9, 1] {
+        assert_eq!(checker.check(NOW, &send(worker)), Err(Violation::UnavailableWorker));
+    }
+}
+
+#[test]
+fn large_job_to_a_warming_worker_then_rule_4_is_violated() {
+    let mut checker = checker_with_job(0);
+    checker.endpoints.get_mut(&WorkerId(0)).unwrap().started = NOW - 1;
+    checker.record_submission(&submission(1, 0, 2.0, NOW));
+    let checked = checker.check(NOW, &send(0));
+    assert!(matches!(checked, Err(Violation::WarmUpBudgetExceeded { .. })), "{checked:?}");
+}
