--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Shared fixtures: settings, endpoints, job submissions, and a dispatcher with a virtual clock.
 #![allow(dead_code)]
 
-use curlewusher_core::*;
+pub use curlewusher_core::*;
 
 pub mod golden;
 
--- /dev/null
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -0,0 +1,431 @@
+//! Drives the nodes of a fleet with drawn events, and carries out their actions in virtual time.
+
+use std::collections::BTreeMap;
+
+use crate::common::*;
+use crate::recorder::Recorder;
+
+pub const MILLISECOND: Micros = 1_000;
+/// External events of one fleet, but for those of its shutdown.
+const EVENTS: u64 = 3_000;
+const SHUTDOWN_TIMEOUT: Micros = 3 * SECOND;
+/// Load in the parts of a run, in percent of the usual.
+const LOADS: [u64; 5] = [60, 100, 220, 90, 150];
+
+pub struct Fleet {
+    /// Hold for all nodes but for their index.
+    pub settings: Settings,
+    /// Nodes that are driven, by index from that of the settings.
+    pub driven_nodes: u32,
+    pub workers: u64,
+    /// Mean time between events at usual load.
+    pub mean_gap: Micros,
+    /// Most time that other nodes' work takes of a worker before each attempt.
+    pub max_other_work: Micros,
+}
+
+enum Scheduled {
+    Timer { process: usize },
+    Gossip { to: usize, from: u32, data: Vec<u8> },
+    PollEnd { process: usize, begin: Micros, is_answered: bool },
+    Attempt { job: JobId, attempt: u32, step: AttemptStep },
+}
+
+enum AttemptStep {
+    Accepted,
+    Started,
+    Progressed,
+    Streaming,
+    Ended(Outcome),
+}
+
+struct Process {
+    node: TestNode,
+    node_index: u32,
+    is_watching: bool,
+}
+
+struct Job {
+    process: usize,
+    attempts: u32,
+    /// Attempts in flight, and whether each was accepted.
+    in_flight: BTreeMap<u32, bool>,
+    is_answered: bool,
+}
+
+pub struct Driver {
+    fleet: Fleet,
+    seed: u64,
+    rng: fastrand::Rng,
+    now: Micros,
+    processes: Vec<Process>,
+    endpoints: Vec<Endpoint>,
+    workers_free_at: Vec<Micros>,
+    /// By time, then in the order in which they were scheduled.
+    schedule: BTreeMap<(Micros, u64), Scheduled>,
+    scheduled: u64,
+    jobs: BTreeMap<JobId, Job>,
+    recorder: Recorder,
+}
+
+impl Driver {
+    /// Plays all events of a fleet. Returns what is recorded of its actions.
+    pub fn run(fleet: Fleet, seed: u64) -> Recorder {
+        let mut driver = Driver::new(fleet, seed);
+        driver.play_events();
+        driver.shut_down();
+        driver.recorder
+    }
+
+    fn new(fleet: Fleet, seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let endpoints: Vec<Endpoint> = (0..fleet.workers)
+            .map(|id| Endpoint {
+                zone: ZoneId(id as u32 % 2),
+                kind: KindId(id as u32 / 2 % 3),
+                started: if id % 5 == 4 { 9 * SECOND } else { 0 },
+                size: f64::from(rng.u32(1..4)),
+                ..endpoint(id)
+            })
+            .collect();
+        let mut driver = Driver {
+            workers_free_at: vec![0; endpoints.len()],
+            now: 10 * SECOND,
+            processes: Vec::new(),
+            schedule: BTreeMap::new(),
+            scheduled: 0,
+            jobs: BTreeMap::new(),
+            recorder: Recorder::default(),
+            fleet,
+            seed,
+            rng,
+            endpoints,
+        };
+        let first = driver.fleet.settings.node_index;
+        (first..first + driver.fleet.driven_nodes).for_each(|node_index| driver.start_process(node_index));
+        driver
+    }
+
+    fn play_events(&mut self) {
+        for event in 0..EVENTS {
+            let load = LOADS[(event * LOADS.len() as u64 / EVENTS) as usize];
+            let gap = self.rng.u64(1..2 * self.fleet.mean_gap) * 100 / load;
+            self.advance(self.now + gap);
+            self.play_external_event();
+            if event == EVENTS / 2 {
+                self.start_process(self.fleet.settings.node_index);
+                self.hand_over(0, self.processes.len() - 1);
+                self.handle(0, Event::SuccessorActive(true));
+            } else if event == EVENTS / 10 * 9 {
+                self.handle(0, Event::SuccessorActive(false));
+                self.hand_over(self.processes.len() - 1, 0);
+            }
+        }
+    }
+
+    fn shut_down(&mut self) {
+        let deadline = self.now + SHUTDOWN_TIMEOUT;
+        self.handle_at_all(Event::ShutdownStarted { deadline });
+        while self.now < deadline {
+            self.advance(self.now + self.fleet.mean_gap * 2);
+            self.play_external_event();
+        }
+        self.advance(deadline + SECOND);
+        for process in &self.processes {
+            self.recorder.record_json(&process.node.dispatcher.snapshot());
+        }
+    }
+
+    /// Starts a process: its timer expires, and it reads the saved list in the same moment.
+    fn start_process(&mut self, node_index: u32) {
+        let process = self.processes.len();
+        let settings = Settings { node_index, ..self.fleet.settings.clone() };
+        let node = TestNode::starting(settings, self.seed + process as u64);
+        let is_watching = !self.fleet.settings.endpoints_on_request;
+        self.processes.push(Process { node, node_index, is_watching });
+        self.handle(process, Event::TimerExpired);
+        self.deliver_list(process, true);
+    }
+
+    fn schedule(&mut self, at: Micros, event: Scheduled) {
+        self.scheduled += 1;
+        self.schedule.insert((at, self.scheduled), event);
+    }
+
+    fn schedule_step(&mut self, at: Micros, job: JobId, attempt: u32, step: AttemptStep) {
+        self.schedule(at, Scheduled::Attempt { job, attempt, step });
+    }
+
+    fn handle(&mut self, process: usize, event: Event) {
+        let node = &mut self.processes[process].node;
+        node.now = self.now;
+        let actions = node.handle(event);
+        self.carry_out(process, actions);
+    }
+
+    fn handle_at_all(&mut self, event: Event) {
+        (0..self.processes.len()).for_each(|process| self.handle(process, event.clone()));
+    }
+
+    fn deliver_list(&mut self, process: usize, snapshot: bool) {
+        let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Gone;
+        let endpoints: Vec<Endpoint> = self.endpoints.iter().filter(is_listed).cloned().collect();
+        self.handle(process, Event::EndpointsChanged { endpoints: &endpoints, snapshot });
+    }
+
+    fn carry_out(&mut self, process: usize, actions: Vec<Action>) {
+        for action in actions {
+            self.recorder.record(self.now, process, &action);
+            match action {
+                Action::SendAttempt { job, worker, timeout, .. } => self.send_attempt(job, worker, timeout),
+                Action::Reject { job, .. } | Action::Fail { job } => self.mark_answered(job),
+                Action::RevokeAttempt { job, attempt } => self.call_off(job, attempt, Outcome::NotSent),
+                Action::CancelAttempt { job, attempt } => self.call_off(job, attempt, Outcome::Cancelled),
+                Action::SendGossip { to, data } => self.send_gossip(process, to, &data),
+                Action::SetTimer { after } => self.schedule(self.now + after, Scheduled::Timer { process }),
+                Action::WatchEndpoints => {
+                    let at = self.now + self.rng.u64(5 * MILLISECOND..200 * MILLISECOND);
+                    let is_answered = self.rng.u8(0..3) > 0;
+                    self.schedule(at, Scheduled::PollEnd { process, begin: self.now, is_answered });
+                }
+            }
+        }
+    }
+
+    fn send_gossip(&mut self, process: usize, to_node: u32, data: &[u8]) {
+        let at = self.now + self.rng.u64(1..4 * MILLISECOND);
+        let from = self.processes[process].node_index;
+        for to in 0..self.processes.len() {
+            if self.processes[to].node_index == to_node {
+                self.schedule(at, Scheduled::Gossip { to, from, data: data.to_vec() });
+            }
+        }
+    }
+
+    /// An attempt waits for its worker, runs there for about its hint, and ends in any way.
+    fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: Micros) {
+        let state = self.jobs.get_mut(&job).expect("a submitted job");
+        let attempt = state.attempts;
+        state.attempts += 1;
+        state.in_flight.insert(attempt, false);
+        let worker = worker.0 as usize;
+        let other_work = self.rng.u64(0..=self.fleet.max_other_work);
+        let begin = self.now.max(self.workers_free_at[worker]) + other_work + MILLISECOND;
+        let end = begin + self.rng.u64(5 * MILLISECOND..220 * MILLISECOND);
+        let middle = begin + (end - begin) / 2;
+        let timeout_at = self.now + timeout;
+        let accepted_at = self.now + self.rng.u64(1..20 * MILLISECOND);
+        let early =
+            [Outcome::Rejected, Outcome::Unreachable, Outcome::NotSent, Outcome::Lost, Outcome::Error];
+        let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
+        let draw = self.rng.usize(0..120);
+        if let Some(outcome) = early.get(draw) {
+            let at = accepted_at.min(timeout_at);
+            return self.schedule_step(at, job, attempt, AttemptStep::Ended(*outcome));
+        }
+        self.workers_free_at[worker] = end;
+        // One in some stays silent until it times out.
+        let is_silent = draw >= 118;
+        if !is_silent {
+            self.schedule_step(accepted_at, job, attempt, AttemptStep::Accepted);
+            self.schedule_step(begin.max(accepted_at), job, attempt, AttemptStep::Started);
+        }
+        match self.rng.u8(0..10) {
+            0 => self.schedule_step(middle, job, attempt, AttemptStep::Progressed),
+            1 => self.schedule_step(middle, job, attempt, AttemptStep::Streaming),
+            _ => {}
+        }
+        let outcome = late.get(draw - early.len()).copied().unwrap_or(Outcome::Done);
+        let times_out = is_silent || end > timeout_at;
+        let (at, outcome) = if times_out { (timeout_at, Outcome::TimedOut) } else { (end, outcome) };
+        self.schedule_step(at, job, attempt, AttemptStep::Ended(outcome));
+    }
+
+    fn mark_answered(&mut self, job: JobId) {
+        self.jobs.entry(job).and_modify(|state| state.is_answered = true);
+    }
+
+    /// A revoked attempt ends if it is not accepted yet; a cancelled one ends soon, unless it ends before.
+    fn call_off(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
+        let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
+        if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
+            let at = self.now + self.rng.u64(0..2 * MILLISECOND);
+            self.schedule_step(at, job, attempt, AttemptStep::Ended(outcome));
+        }
+    }
+
+    /// Plays all that is scheduled until a time.
+    fn advance(&mut self, until: Micros) {
+        while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= until) {
+            let ((at, _), event) = entry.remove_entry();
+            self.now = self.now.max(at);
+            self.play_scheduled(event);
+        }
+        self.now = until;
+    }
+
+    fn play_scheduled(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Timer { process } => self.handle(process, Event::TimerExpired),
+            Scheduled::Gossip { to, from, data } => {
+                self.handle(to, Event::GossipReceived { from, data: &data });
+            }
+            Scheduled::PollEnd { process, is_answered: false, .. } => {
+                self.handle(process, Event::WatchFailed);
+            }
+            Scheduled::PollEnd { process, begin, is_answered: true } => {
+                self.processes[process].is_watching = true;
+                self.handle(process, Event::PollAnswered { duration: self.now - begin });
+                self.deliver_list(process, true);
+                self.handle(process, Event::EndpointsConfirmed);
+            }
+            Scheduled::Attempt { job, attempt, step } => self.play_step(job, attempt, step),
+        }
+    }
+
+    /// Reports a step of an attempt, if that is still in flight.
+    fn play_step(&mut self, job: JobId, attempt: u32, step: AttemptStep) {
+        let Some(state) = self.jobs.get_mut(&job).filter(|state| state.in_flight.contains_key(&attempt))
+        else {
+            return;
+        };
+        let event = match step {
+            AttemptStep::Accepted => {
+                state.in_flight.insert(attempt, true);
+                Event::AttemptAccepted { job, attempt }
+            }
+            AttemptStep::Started => Event::AttemptStarted { job, attempt },
+            AttemptStep::Progressed => Event::AttemptProgressed { job, attempt, done: 0.5 },
+            AttemptStep::Streaming => Event::AttemptStreaming { job, attempt },
+            AttemptStep::Ended(outcome) => {
+                let settled = outcome == Outcome::Done;
+                state.in_flight.remove(&attempt);
+                state.is_answered |= settled;
+                Event::AttemptEnded { job, attempt, outcome, settled }
+            }
+        };
+        let process = state.process;
+        self.handle(process, event);
+    }
+
+    fn play_external_event(&mut self) {
+        let process = self.rng.usize(0..self.processes.len());
+        match self.rng.u8(0..100) {
+            0..70 => self.submit_job(process),
+            70..76 => self.change_list(),
+            76..80 => self.play_watch_event(process),
+            80 => {
+                let disabled = self.rng.u8(0..3) == 0;
+                let worker = WorkerId(self.rng.u64(0..=self.endpoints.len() as u64));
+                self.handle_at_all(Event::MaintenanceChanged { worker, disabled });
+            }
+            81..84 => {
+                if let Some(job) = self.choose_open_job() {
+                    self.mark_answered(job);
+                    self.handle(self.jobs[&job].process, Event::ClientDisconnected { job });
+                }
+            }
+            84 => {
+                let data: Vec<u8> = (0..self.rng.usize(0..40)).map(|_| self.rng.u8(..)).collect();
+                let from = self.rng.u32(0..5);
+                self.handle(process, Event::GossipReceived { from, data: &data });
+            }
+            85 => self.end_unknown_attempt(process),
+            _ => self.handle(process, Event::TimerExpired),
+        }
+    }
+
+    /// The end of an attempt that is not in flight, there or at all.
+    fn end_unknown_attempt(&mut self, process: usize) {
+        let job = JobId(self.rng.u64(0..=self.jobs.len() as u64));
+        if !self.jobs.get(&job).is_some_and(|state| state.in_flight.contains_key(&0)) {
+            let (attempt, outcome, settled) = (0, Outcome::Error, false);
+            self.handle(process, Event::AttemptEnded { job, attempt, outcome, settled });
+        }
+    }
+
+    /// An open watch confirms the list, or fails.
+    fn play_watch_event(&mut self, process: usize) {
+        if !self.processes[process].is_watching {
+            return;
+        }
+        let event = match self.rng.u8(0..12) {
+            0..8 => return self.handle(process, Event::EndpointsConfirmed),
+            8 => Event::EndpointsUnreadable,
+            9 => Event::DiscoveryMoved,
+            _ => Event::TimerExpired,
+        };
+        self.handle(process, event);
+        self.handle(process, Event::WatchFailed);
+        self.processes[process].is_watching = !self.fleet.settings.endpoints_on_request;
+    }
+
+    fn submit_job(&mut self, process: usize) {
+        let job = JobId(self.jobs.len() as u64);
+        let work = 0.01 + self.rng.f64() * 0.2;
+        // Less than the usual time left: a client's retry.
+        let time_left =
+            if self.rng.u8(0..5) == 0 { self.rng.u64(SECOND / 10..5 * SECOND) } else { 5 * SECOND };
+        let usual = submission(job.0, self.rng.usize(0..self.fleet.settings.classes.len()), work, self.now);
+        let submission = JobSubmission {
+            tenant: TenantId(self.rng.usize(0..3)),
+            deadline: self.now + time_left,
+            cost_hint: self.rng.bool().then_some(work),
+            slots: if self.rng.u8(0..8) == 0 { 2.0 } else { 1.0 },
+            key: self.rng.bool().then(|| self.rng.u64(0..12)),
+            is_retry: self.rng.u8(0..10) == 0,
+            ..usual
+        };
+        self.jobs.insert(job, Job { process, attempts: 0, in_flight: BTreeMap::new(), is_answered: false });
+        self.handle(process, Event::JobSubmitted(submission));
+    }
+
+    /// A worker drains, is gone, returns or restarts; all watching processes are notified, or one only.
+    fn change_list(&mut self) {
+        let worker = self.rng.usize(0..self.endpoints.len());
+        let entry = &mut self.endpoints[worker];
+        match self.rng.u8(0..10) {
+            0..2 => entry.status = WorkerStatus::Draining,
+            2 => entry.status = WorkerStatus::Gone,
+            3 => entry.started = self.now,
+            _ => entry.status = WorkerStatus::Ready,
+        }
+        let (snapshot, to_all) = (self.rng.bool(), self.rng.bool());
+        let one = self.rng.usize(0..self.processes.len());
+        for process in 0..self.processes.len() {
+            if self.processes[process].is_watching && (to_all || process == one) {
+                self.deliver_list(process, snapshot);
+            }
+        }
+    }
+
+    /// One of the last jobs that have no answer.
+    fn choose_open_job(&mut self) -> Option<JobId> {
+        let latest = self.jobs.iter().rev().take(60);
+        let open: Vec<JobId> = latest.filter(|(_, state)| !state.is_answered).map(|(job, _)| *job).collect();
+        self.rng.choice(open)
+    }
+
+    /// Moves the state snapshot of one process to another, and then most of its open jobs.
+    fn hand_over(&mut self, from: usize, to: usize) {
+        let snapshot = self.processes[from].node.dispatcher.snapshot();
+        self.recorder.record_json(&snapshot);
+        self.processes[to].node.dispatcher.restore(self.now, &snapshot);
+        let open = self.jobs.iter().filter(|(_, state)| state.process == from && !state.is_answered);
+        for job in open.map(|(job, _)| *job).collect::<Vec<_>>() {
+            if self.rng.u8(0..4) > 0 {
+                self.migrate_job(job, from, to);
+            }
+        }
+    }
+
+    fn migrate_job(&mut self, job: JobId, from: usize, to: usize) {
+        let Some(migrated) = self.processes[from].node.dispatcher.release_job(job) else { return };
+        self.recorder.record_json(&migrated);
+        self.recorder.migrated_jobs += 1;
+        self.jobs.entry(job).and_modify(|state| state.process = to);
+        let mut actions = Vec::new();
+        assert!(self.processes[to].node.dispatcher.adopt_job(self.now, job, &migrated, &mut actions));
+        self.carry_out(to, actions);
+    }
+}
--- /dev/null
+++ b/crates/core/tests/decision_lock/main.rs
@@ -0,0 +1,68 @@
+//! Locks what dispatchers decide. Seeded fleets get every kind of event, with a second process of a node that takes
+//! over in mid-run and gives back later; every action is hashed with its node and time, and so is what moves between
+//! the processes. Counts and hashes are recorded in `tests/golden/decision_lock.txt`.
+//!
+//! The driver draws from its own generator only; a change of the driver needs a new recording:
+//! `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-core --test decision_lock`. The hash rests on `exp` and `ln` of
+//! the platform's mathematical library.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod driver;
+mod recorder;
+
+use common::golden::assert_golden;
+use common::*;
+use driver::{Driver, Fleet, MILLISECOND};
+
+/// One node with few workers and tenants, which may hedge.
+fn few_workers() -> Fleet {
+    let settings = Settings { tenant_quotas: vec![6.0, 20.0, 40.0], ..settings() };
+    Fleet { settings, driven_nodes: 1, workers: 5, mean_gap: 20_000, max_other_work: 0 }
+}
+
+/// A node of many that polls for its endpoint list, and cancels what would be better elsewhere. Its workers report
+/// when they accept, are large, and are parted into subsets.
+fn many_nodes() -> Fleet {
+    let mut settings = Settings {
+        endpoints_on_request: true,
+        notified_within: 6 * SECOND,
+        accept_timeout: 100 * MILLISECOND,
+        may_duplicate: false,
+        sizes_listed: true,
+        may_gossip: true,
+        gossip_price: 1.0,
+        ..node_settings(24, 5)
+    };
+    settings.classes[0].required_kind = Some(KindId(1));
+    settings.classes[1].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
+    settings.classes.push(Class { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
+    let max_other_work = 40 * MILLISECOND;
+    Fleet { settings, driven_nodes: 1, workers: 40, mean_gap: 14_000, max_other_work }
+}
+
+/// Three nodes that gossip about their work at workers of two zones, which do not report starts.
+fn gossip() -> Fleet {
+    let mut settings = Settings {
+        may_gossip: true,
+        gossip_price: 0.001,
+        reports_start: false,
+        cross_zone_price: 0.05,
+        ..node_settings(3, 0)
+    };
+    settings.classes[1].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::All, window: 2 * SECOND };
+    Fleet { settings, driven_nodes: 3, workers: 9, mean_gap: 14_000, max_other_work: 0 }
+}
+
+#[test]
+fn seeded_fleets_then_the_recorded_actions() {
+    let fleets = [("few workers", few_workers()), ("many nodes", many_nodes()), ("gossip", gossip())];
+    let summaries = fleets
+        .into_iter()
+        .zip(41..)
+        .map(|((name, fleet), seed)| format!("{name}: {}\n", Driver::run(fleet, seed)));
+    assert_golden("decision_lock.txt", &summaries.collect::<String>());
+}
--- a/crates/core/tests/decisions/admission.rs
+++ b/crates/core/tests/decisions/admission.rs
@@ -1,8 +1,6 @@
 //! Admission: quotas of tenants, and what is rejected while work is lost.
 
-use curlewusher_core::{Action, Outcome, Settings};
-
-use crate::common::{SECOND, TestNode, endpoints, settings, submission};
+use crate::common::*;
 
 fn settings_with_quotas(tenant_quotas: Vec<f64>) -> Settings {
     Settings { tenant_quotas, ..settings() }
--- a/crates/core/tests/decisions/affinity.rs
+++ b/crates/core/tests/decisions/affinity.rs
@@ -2,9 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewusher_core::WorkerStatus;
-
-use crate::common::{SECOND, TestNode, endpoints, node_settings, settings};
+use crate::common::*;
 
 #[test]
 fn key_sent_before_then_its_jobs_go_to_the_same_worker() {
--- a/crates/core/tests/decisions/deadlines.rs
+++ b/crates/core/tests/decisions/deadlines.rs
@@ -1,8 +1,6 @@
 //! Deadlines and shutdown: every job is answered in time, also when its node ends.
 
-use curlewusher_core::{Action, Event, JobId, JobSubmission};
-
-use crate::common::{SECOND, TestNode, endpoints, has_failure, has_rejection, sent_to, settings, submission};
+use crate::common::*;
 
 #[test]
 fn objective_out_of_reach_then_the_job_is_rejected_early() {
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -1,8 +1,6 @@
 //! Ejection and maintenance: no attempt goes to a worker that drains, is disabled, silent or unreachable.
 
-use curlewusher_core::{Action, JobId, Outcome, Settings, WorkerStatus};
-
-use crate::common::{SECOND, TestNode, endpoints, sent_to, settings};
+use crate::common::*;
 
 #[test]
 fn worker_drains_then_it_gets_no_job() {
--- a/crates/core/tests/decisions/estimates.rs
+++ b/crates/core/tests/decisions/estimates.rs
@@ -1,10 +1,6 @@
 //! Estimates: what a node learns of speeds, slots and waits from the attempts that it observes.
 
-use curlewusher_core::{Class, Event, Idempotency, KindId, Micros, Outcome};
-
-use crate::common::{
-    SECOND, TestNode, class, endpoints, has_failure, has_rejection, node_settings, settings,
-};
+use crate::common::*;
 
 #[test]
 fn worker_without_samples_then_it_has_the_median_speed() {
--- a/crates/core/tests/decisions/gossip.rs
+++ b/crates/core/tests/decisions/gossip.rs
@@ -2,9 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use curlewusher_core::{Action, Event, KindId, Settings};
-
-use crate::common::{SECOND, TestNode, endpoints, node_settings, sent_to};
+use crate::common::*;
 
 fn gossiping(nodes: u32, node_index: u32) -> Settings {
     Settings { may_gossip: true, ..node_settings(nodes, node_index) }
--- a/crates/core/tests/decisions/hedging.rs
+++ b/crates/core/tests/decisions/hedging.rs
@@ -1,8 +1,6 @@
 //! Hedging: a job that waits at its worker gets a second attempt, or moves, where it may run twice.
 
-use curlewusher_core::{Action, JobId, Outcome, Settings};
-
-use crate::common::{SECOND, TestNode, count_sends, endpoints, node_settings, sent_to, settings};
+use crate::common::*;
 
 /// Serves jobs 10 to 39, which pay for a hedged request.
 fn serve_thirty_jobs(node: &mut TestNode) {
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -1,8 +1,6 @@
 //! The dispatcher's interface: determinism, events that fit nothing, and checks of settings.
 
-use curlewusher_core::{Dispatcher, Event, JobId, JobSubmission, Outcome, Settings};
-
-use crate::common::{SECOND, TestNode, endpoints, has_failure, sent_to, settings, submission};
+use crate::common::*;
 
 #[test]
 fn late_or_unknown_events_then_they_are_ignored() {
--- a/crates/core/tests/decisions/migration.rs
+++ b/crates/core/tests/decisions/migration.rs
@@ -1,8 +1,6 @@
 //! Takeover: a successor process restores the state snapshot and adopts the open jobs.
 
-use curlewusher_core::{Endpoint, Event, JobId, Outcome, Settings, StateSnapshot};
-
-use crate::common::{SECOND, TestNode, endpoints, has_failure, sent_to, settings};
+use crate::common::*;
 
 /// A node that knows worker 1 to be fast, and has spent the budget of worker 2, which has just started.
 fn predecessor(workers: &mut [Endpoint]) -> TestNode {
--- a/crates/core/tests/decisions/pending_queue.rs
+++ b/crates/core/tests/decisions/pending_queue.rs
@@ -1,8 +1,6 @@
 //! Pending queue: jobs wait for capacity, and do not block those behind them.
 
-use curlewusher_core::{KindId, Outcome};
-
-use crate::common::{TestNode, endpoints, sent_to, settings};
+use crate::common::*;
 
 #[test]
 fn all_workers_busy_then_a_job_waits_until_one_is_free() {
--- a/crates/core/tests/decisions/placement.rs
+++ b/crates/core/tests/decisions/placement.rs
@@ -1,8 +1,6 @@
 //! Placement: a job goes to the worker with the lowest cost by speed, backlog, slots and zone.
 
-use curlewusher_core::{Endpoint, Outcome, Settings, ZoneId};
-
-use crate::common::{SECOND, TestNode, endpoint, endpoints, sent_to, settings};
+use crate::common::*;
 
 #[test]
 fn two_idle_workers_then_the_faster_is_chosen() {
--- a/crates/core/tests/decisions/poll_schedule.rs
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -2,9 +2,7 @@
 
 use std::collections::VecDeque;
 
-use curlewusher_core::{Action, Event, Micros, Settings};
-
-use crate::common::{SECOND, TestNode, endpoints, node_settings, settings};
+use crate::common::*;
 
 #[test]
 fn polls_fail_then_the_node_polls_again_with_backoff() {
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -1,8 +1,6 @@
 //! Pre-send checks: until when an attempt may leave, and which attempts are revoked before they do.
 
-use curlewusher_core::{Action, Endpoint, Event, JobId, Micros, Outcome, WorkerId, WorkerStatus};
-
-use crate::common::{SECOND, TestNode, endpoint, endpoints, settings};
+use crate::common::*;
 
 /// Until when the attempt that the actions send may leave.
 #[track_caller]
--- a/crates/core/tests/decisions/retries.rs
+++ b/crates/core/tests/decisions/retries.rs
@@ -1,10 +1,6 @@
 //! Retries: what may run again, and where.
 
-use curlewusher_core::{JobSubmission, Outcome, Settings};
-
-use crate::common::{
-    SECOND, TestNode, count_sends, endpoints, has_failure, has_rejection, sent_to, settings, submission,
-};
+use crate::common::*;
 
 #[test]
 fn not_idempotent_then_it_is_retried_only_if_it_never_ran() {
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -1,8 +1,6 @@
 //! Slow start: all nodes together stay within the budget of a worker that is warming up, and still use it.
 
-use curlewusher_core::{Action, Endpoint, JobSubmission, KindId, Micros, Outcome, Settings, WorkerStatus};
-
-use crate::common::{SECOND, TestNode, endpoint, endpoints, node_settings, sent_to, settings, submission};
+use crate::common::*;
 
 /// Work sent to a worker that is warming up, in thousandths of a second of work.
 struct Sent {
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -8,8 +8,7 @@
 
 use std::collections::VecDeque;
 
-use common::{SECOND, TestNode, endpoints, node_settings};
-use curlewusher_core::{Action, Endpoint, Event, Micros, Outcome, Settings, WorkerStatus};
+use common::*;
 
 const MILLISECOND: Micros = 1_000;
 const STEP: Micros = 10 * MILLISECOND;
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -5,7 +5,6 @@
 
 use common::golden::assert_golden;
 use common::*;
-use curlewusher_core::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -1,13 +1,8 @@
 //! A node under random but legal events. All speeds are 1, so that the checker can bound capacity; no service times
 //! are modelled beyond that.
 
-use curlewusher_core::{
-    Action, DeduplicationScope, Event, Idempotency, JobId, KindId, Micros, Outcome, Settings, WorkerId,
-    WorkerStatus, ZoneId,
-};
-
 use crate::checker::{Checked, Checker};
-use crate::common::{SECOND, TestNode, endpoint, settings, submission};
+use crate::common::*;
 
 const STEP: Micros = 5_000;
 
@@ -119,7 +114,7 @@
         submission.deadline = self.node.now + self.rng.u64(0..6 * SECOND);
         submission.slots = f64::from(self.rng.u32(1..3));
         self.submitted_jobs += 1;
-        self.checker.record_submission(&submission);
+        self.checker.record_submission(submission.clone());
         self.handle(Event::JobSubmitted(submission))
     }
 
@@ -145,7 +140,7 @@
         for in_flight in std::mem::take(&mut self.in_flight) {
             let InFlightAttempt { job, attempt, started_at } = in_flight;
             if let Some(outcome) = self.draw_outcome(in_flight) {
-                let state = self.checker.jobs.get_mut(&job).expect("a submitted job");
+                let state = self.checker.job(job)?;
                 state.attempts[attempt as usize].outcome = Some(outcome);
                 state.is_answered |= outcome == Outcome::Done;
                 let settled = state.is_answered;
@@ -164,8 +159,8 @@
     fn draw_outcome(&mut self, in_flight: InFlightAttempt) -> Option<Outcome> {
         let (now, job) = (self.node.now, &self.checker.jobs[&in_flight.job]);
         match (in_flight.started_at, self.rng.u32(0..1000)) {
-            (Some(at), _) if now >= at + (job.load * 1e6) as Micros => Some(Outcome::Done),
-            _ if now >= job.deadline => Some(Outcome::TimedOut),
+            (Some(at), _) if now >= at + (job.load() * 1e6) as Micros => Some(Outcome::Done),
+            _ if now >= job.deadline() => Some(Outcome::TimedOut),
             (_, 0..4) => Some(Outcome::Lost),
             (_, 4..8) => Some(Outcome::Error),
             (None, 8..20) => Some(Outcome::Rejected),
@@ -175,7 +170,7 @@
     }
 
     fn worker_of(&self, in_flight: &InFlightAttempt) -> WorkerId {
-        self.checker.jobs[&in_flight.job].attempts[in_flight.attempt as usize].worker.worker
+        self.checker.jobs[&in_flight.job].attempts[in_flight.attempt as usize].endpoint.worker
     }
 
     /// Records how many attempts run at the worker of one that has just started.
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -7,8 +7,7 @@
 mod environment;
 
 use checker::{Checker, Violation};
-use common::{SECOND, endpoints, settings, submission};
-use curlewusher_core::{Action, JobId, Micros, WorkerId, WorkerStatus};
+use common::*;
 use environment::Environment;
 use proptest::prelude::any;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -35,7 +34,7 @@
 fn checker_with_job(class: usize) -> Checker {
     let mut checker = Checker::new(settings());
     checker.endpoints = endpoints(4).into_iter().map(|endpoint| (endpoint.worker, endpoint)).collect();
-    checker.record_submission(&submission(1, class, 0.1, NOW));
+    checker.record_submission(submission(1, class, 0.1, NOW));
     checker
 }
 
@@ -88,7 +87,7 @@
 fn large_job_to_a_warming_worker_then_rule_4_is_violated() {
     let mut checker = checker_with_job(0);
     checker.endpoints.get_mut(&WorkerId(0)).unwrap().started = NOW - 1;
-    checker.record_submission(&submission(1, 0, 2.0, NOW));
+    checker.record_submission(submission(1, 0, 2.0, NOW));
     let checked = checker.check(NOW, &send(0));
     assert!(matches!(checked, Err(Violation::WarmUpBudgetExceeded { .. })), "{checked:?}");
 }
