--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -183,11 +183,21 @@
         self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, settled })
     }
 
+    pub fn end_after(&mut self, span: Micros, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.now += span;
+        self.end(job, attempt, outcome)
+    }
+
+    /// Submits a job whose first attempt starts at once.
+    pub fn start_job(&mut self, job: u64, class: usize, work: f64) {
+        self.submit(job, class, work);
+        self.start(job, 0);
+    }
+
     /// The first attempt of a job starts and is done after a time.
     pub fn serve(&mut self, job: u64, duration: Micros) -> Vec<Action> {
         self.start(job, 0);
-        self.now += duration;
-        self.end(job, 0, Outcome::Done)
+        self.end_after(duration, job, 0, Outcome::Done)
     }
 
     /// Submits a job and serves it. Returns its worker.
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -28,15 +28,7 @@
     Timer { process: usize },
     Gossip { to: usize, from: u32, data: Vec<u8> },
     PollEnd { process: usize, begin: Micros, is_answered: bool },
-    Attempt { job: JobId, attempt: u32, step: AttemptStep },
-}
-
-enum AttemptStep {
-    Accepted,
-    Started,
-    Progressed,
-    Streaming,
-    Ended(Outcome),
+    Attempt { job: JobId, attempt: u32, event: Event<'static> },
 }
 
 struct Process {
@@ -152,8 +144,13 @@
         self.schedule.insert((at, self.scheduled), event);
     }
 
-    fn schedule_step(&mut self, at: Micros, job: JobId, attempt: u32, step: AttemptStep) {
-        self.schedule(at, Scheduled::Attempt { job, attempt, step });
+    fn schedule_attempt_event(&mut self, at: Micros, job: JobId, attempt: u32, event: Event<'static>) {
+        self.schedule(at, Scheduled::Attempt { job, attempt, event });
+    }
+
+    fn schedule_end(&mut self, at: Micros, job: JobId, attempt: u32, outcome: Outcome) {
+        let settled = outcome == Outcome::Done;
+        self.schedule_attempt_event(at, job, attempt, Event::AttemptEnded { job, attempt, outcome, settled });
     }
 
     fn handle(&mut self, process: usize, event: Event) {
@@ -220,25 +217,34 @@
         let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
         let draw = self.rng.usize(0..120);
         if let Some(outcome) = early.get(draw) {
-            let at = accepted_at.min(timeout_at);
-            return self.schedule_step(at, job, attempt, AttemptStep::Ended(*outcome));
+            return self.schedule_end(accepted_at.min(timeout_at), job, attempt, *outcome);
         }
         self.workers_free_at[worker] = end;
         // One in some stays silent until it times out.
         let is_silent = draw >= 118;
         if !is_silent {
-            self.schedule_step(accepted_at, job, attempt, AttemptStep::Accepted);
-            self.schedule_step(begin.max(accepted_at), job, attempt, AttemptStep::Started);
+            self.schedule_attempt_event(accepted_at, job, attempt, Event::AttemptAccepted { job, attempt });
+            self.schedule_attempt_event(
+                begin.max(accepted_at),
+                job,
+                attempt,
+                Event::AttemptStarted { job, attempt },
+            );
         }
         match self.rng.u8(0..10) {
-            0 => self.schedule_step(middle, job, attempt, AttemptStep::Progressed),
-            1 => self.schedule_step(middle, job, attempt, AttemptStep::Streaming),
+            0 => self.schedule_attempt_event(
+                middle,
+                job,
+                attempt,
+                Event::AttemptProgressed { job, attempt, done: 0.5 },
+            ),
+            1 => self.schedule_attempt_event(middle, job, attempt, Event::AttemptStreaming { job, attempt }),
             _ => {}
         }
         let outcome = late.get(draw - early.len()).copied().unwrap_or(Outcome::Done);
         let times_out = is_silent || end > timeout_at;
         let (at, outcome) = if times_out { (timeout_at, Outcome::TimedOut) } else { (end, outcome) };
-        self.schedule_step(at, job, attempt, AttemptStep::Ended(outcome));
+        self.schedule_end(at, job, attempt, outcome);
     }
 
     fn mark_answered(&mut self, job: JobId) {
@@ -250,7 +256,7 @@
         let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
         if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
             let at = self.now + self.rng.u64(0..2 * MILLISECOND);
-            self.schedule_step(at, job, attempt, AttemptStep::Ended(outcome));
+            self.schedule_end(at, job, attempt, outcome);
         }
     }
 
@@ -279,31 +285,24 @@
                 self.deliver_list(process, true);
                 self.handle(process, Event::EndpointsConfirmed);
             }
-            Scheduled::Attempt { job, attempt, step } => self.play_step(job, attempt, step),
+            Scheduled::Attempt { job, attempt, event } => self.report_attempt_event(job, attempt, event),
         }
     }
 
-    /// Reports a step of an attempt, if that is still in flight.
-    fn play_step(&mut self, job: JobId, attempt: u32, step: AttemptStep) {
+    /// Reports an event of an attempt that is still in flight.
+    fn report_attempt_event(&mut self, job: JobId, attempt: u32, event: Event) {
         let Some(state) = self.jobs.get_mut(&job).filter(|state| state.in_flight.contains_key(&attempt))
         else {
             return;
         };
-        let event = match step {
-            AttemptStep::Accepted => {
-                state.in_flight.insert(attempt, true);
-                Event::AttemptAccepted { job, attempt }
-            }
-            AttemptStep::Started => Event::AttemptStarted { job, attempt },
-            AttemptStep::Progressed => Event::AttemptProgressed { job, attempt, done: 0.5 },
-            AttemptStep::Streaming => Event::AttemptStreaming { job, attempt },
-            AttemptStep::Ended(outcome) => {
-                let settled = outcome == Outcome::Done;
+        match event {
+            Event::AttemptAccepted { .. } => _ = state.in_flight.insert(attempt, true),
+            Event::AttemptEnded { settled, .. } => {
                 state.in_flight.remove(&attempt);
                 state.is_answered |= settled;
-                Event::AttemptEnded { job, attempt, outcome, settled }
             }
-        };
+            _ => {}
+        }
         let process = state.process;
         self.handle(process, event);
     }
--- a/crates/core/tests/decisions/admission.rs
+++ b/crates/core/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: quotas of tenants, and what is rejected while work is lost.
+//! Admission and the pending queue: jobs wait for capacity, by quotas and weights of what else waits or is lost.
 
 use crate::common::*;
 
@@ -15,15 +15,13 @@
     // Tenant 0 has a quota of two jobs. The second arrives a few milliseconds old, as jobs do, and uses the quota
     // up all the same: the third, the most urgent by itself, comes after the other tenant's.
     let mut node = TestNode::new(settings_with_quotas(vec![1.4, 50.0]), &endpoints(1));
-    node.submit(9, 0, 0.5);
-    node.start(9, 0);
+    node.start_job(9, 0, 0.5);
     let mut aged = submission(1, 0, 3.0, node.now);
     aged.deadline -= 3_000;
     node.submit_job(aged);
     node.submit(3, 0, 0.5);
     node.place_for_tenant(2, 0, 2.0, 1);
-    node.now += 500_000;
-    assert_first_sent(&node.end(9, 0, Outcome::Done), 2);
+    assert_first_sent(&node.end_after(500_000, 9, 0, Outcome::Done), 2);
 }
 
 #[test]
@@ -33,12 +31,10 @@
     let settings = Settings { nodes: 10, ..settings_with_quotas(vec![1.0, 50.0]) };
     let mut node = TestNode::new(settings, &endpoints(1));
     node.now += 60 * SECOND;
-    node.submit(9, 0, 0.5);
-    node.start(9, 0);
+    node.start_job(9, 0, 0.5);
     node.place_for_tenant(2, 0, 2.0, 1);
     node.submit(3, 0, 1.6);
-    node.now += 500_000;
-    assert_first_sent(&node.end(9, 0, Outcome::Done), 3);
+    assert_first_sent(&node.end_after(500_000, 9, 0, Outcome::Done), 3);
 }
 
 /// Two workers of one slot: one has just become free, and much work of tenant 1, within its quota, was lost.
@@ -73,3 +69,25 @@
     assert!(node.place_for_tenant(50, 1, 0.1, 1).is_none(), "low weight");
     assert!(node.place_for_tenant(51, 0, 0.1, 1).is_some(), "high weight");
 }
+
+#[test]
+fn all_workers_busy_then_a_job_waits_until_one_is_free() {
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    assert!(node.place(1, 0, 0.5).is_some());
+    node.start(1, 0);
+    assert!(node.place(2, 0, 1.0).is_none(), "enqueued while the worker is busy");
+    node.now += 500_000;
+    assert!(sent_to(&node.end(1, 0, Outcome::Done)).is_some(), "sent as the slot becomes free");
+}
+
+#[test]
+fn jobs_without_a_fitting_worker_then_those_behind_them_are_sent() {
+    let mut settings = settings();
+    settings.classes[0].required_kind = Some(KindId(9));
+    let last_class = settings.classes.len() - 1;
+    let mut node = TestNode::new(settings, &endpoints(32));
+    for job in 1..=10 {
+        assert_eq!(node.place(job, 0, 0.01), None, "no worker is of that kind");
+    }
+    assert!(node.place(11, last_class, 0.01).is_some());
+}
--- a/crates/core/tests/decisions/deadlines.rs
+++ b/crates/core/tests/decisions/deadlines.rs
@@ -5,8 +5,7 @@
 #[test]
 fn objective_out_of_reach_then_the_job_is_rejected_early() {
     let mut node = TestNode::new(settings(), &endpoints(1));
-    node.submit(1, 0, 4.0);
-    node.start(1, 0);
+    node.start_job(1, 0, 4.0);
     assert!(!has_rejection(&node.submit(2, 0, 0.05)));
     let actions = node.advance(300_000);
     assert!(has_rejection(&actions), "{actions:?}");
@@ -21,8 +20,7 @@
     assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
     // One that runs is left alone.
     let mut node = TestNode::new(settings(), &endpoints(1));
-    node.submit(1, 0, 0.1);
-    node.start(1, 0);
+    node.start_job(1, 0, 0.1);
     assert!(!has_rejection(&node.advance(4 * SECOND)));
 }
 
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -45,8 +45,7 @@
     for job in 0..8 {
         let worker = node.place(job, 2, 0.05);
         node.start(job, 0);
-        node.now += 50_000;
-        node.end(job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
+        node.end_after(50_000, job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
     }
     node.set_disabled(0, true);
     node.advance(SECOND);
--- a/crates/core/tests/decisions/estimates.rs
+++ b/crates/core/tests/decisions/estimates.rs
@@ -28,8 +28,7 @@
     for job in 0..5 {
         assert_eq!(node.place(job, 2, 0.5), Some(1));
         node.start(job, 0);
-        node.now += 10_000;
-        assert!(has_failure(&node.end(job, 0, Outcome::Error)));
+        assert!(has_failure(&node.end_after(10_000, job, 0, Outcome::Error)));
         node.advance(10 * SECOND);
         // It has to serve one idempotent job before it gets others.
         node.run_job(50 + job, 0, 0.5, 250_000);
@@ -42,8 +41,7 @@
 fn starts_reported_before_the_previous_end_then_no_extra_slot_is_learned() {
     // One slot: the next job's start is reported just before the end that freed the slot.
     let mut node = TestNode::new(settings(), &endpoints(1));
-    node.submit(0, 0, 0.05);
-    node.start(0, 0);
+    node.start_job(0, 0, 0.05);
     for job in 1..20 {
         node.submit(job, 0, 0.05);
         node.advance(50_000);
--- a/crates/core/tests/decisions/hedging.rs
+++ b/crates/core/tests/decisions/hedging.rs
@@ -51,8 +51,7 @@
 fn running_or_not_idempotent_then_no_job_is_hedged() {
     let mut node = TestNode::new(settings(), &endpoints(3));
     serve_thirty_jobs(&mut node);
-    node.submit(1, 0, 0.1);
-    node.start(1, 0);
+    node.start_job(1, 0, 0.1);
     node.submit(2, 2, 0.1);
     assert_eq!(sent_to(&node.advance(2 * SECOND)), None);
 }
@@ -62,8 +61,7 @@
     let mut node = TestNode::new(Settings { reports_start: false, ..settings() }, &endpoints(2));
     for job in 10..40 {
         node.submit(job, 0, 0.1);
-        node.now += 100_000;
-        node.end(job, 0, Outcome::Done);
+        node.end_after(100_000, job, 0, Outcome::Done);
     }
     node.submit(1, 0, 0.1);
     assert_eq!(sent_to(&node.advance(2 * SECOND)), None, "no hedged request");
--- a/crates/core/tests/decisions/main.rs
+++ b/crates/core/tests/decisions/main.rs
@@ -12,7 +12,6 @@
 mod hedging;
 mod interface;
 mod migration;
-mod pending_queue;
 mod placement;
 mod poll_schedule;
 mod pre_send;
--- a/crates/core/tests/decisions/retries.rs
+++ b/crates/core/tests/decisions/retries.rs
@@ -40,8 +40,7 @@
         let actions = node.submit_job(JobSubmission { deadline, ..submission(1, 1, 0.1, node.now) });
         let first = sent_to(&actions).expect("sent");
         node.start(1, 0);
-        node.now += wait;
-        let actions = node.end(1, 0, Outcome::Error);
+        let actions = node.end_after(wait, 1, 0, Outcome::Error);
         match sent_to(&actions) {
             Some(second) => assert!(is_retried && second / 2 == first / 2 && second != first),
             None => assert!(!is_retried && has_failure(&actions)),
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -30,10 +30,7 @@
         node.list(&[Endpoint { started: node.now, ..endpoint(0) }]);
         let end = node.now + span;
         node.now += interval * u64::from(node_index) / u64::from(nodes);
-        for job in 0.. {
-            if node.now >= end {
-                break;
-            }
+        for job in 0..(end - node.now).div_ceil(interval) {
             if let Some(worker) = node.place(job, 0, 0.05) {
                 sends.push(Sent { worker, at: node.now, work: 50 });
             }
@@ -158,21 +155,14 @@
     assert!(chosen.contains(&Some(1)), "{chosen:?}");
 }
 
-/// Serves a first job whose first attempt ended by an outcome, or else a second job after it.
-fn node_after_interruption(outcome: Outcome) -> TestNode {
-    let mut node = TestNode::new(settings(), &endpoints(1));
-    node.submit(1, 0, 0.1);
-    node.end(1, 0, outcome);
-    node
-}
-
 #[test]
 fn worker_reachable_again_then_it_warms_up() {
-    let mut node = node_after_interruption(Outcome::Unreachable);
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.end(1, 0, Outcome::Unreachable);
     assert!(sent_to(&node.advance(200_000)).is_some(), "it is tried again after a pause");
     node.start(1, 1);
-    node.now += 100_000;
-    node.end(1, 1, Outcome::Done);
+    node.end_after(100_000, 1, 1, Outcome::Done);
     node.advance(300_000);
     assert!(node.place(3, 0, 2.0).is_none(), "a large job would overload it");
 }
@@ -180,7 +170,9 @@
 #[test]
 fn connection_broken_then_the_worker_does_not_warm_up() {
     // Workers reset connections and serve on: taken to warm up, they would get no large job for long.
-    let mut node = node_after_interruption(Outcome::Lost);
+    let mut node = TestNode::new(settings(), &endpoints(1));
+    node.submit(1, 0, 0.1);
+    node.end(1, 0, Outcome::Lost);
     node.advance(200_000);
     assert!(node.run_job(2, 0, 0.1, 100_000).is_some(), "it is tried with another job after a pause");
     node.advance(300_000);
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -9,31 +9,24 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Job numbers from here on are those of the job that moves.
-const MOVING: u64 = 100;
+const MIGRATED_JOB: u64 = 100;
 
 fn workers() -> Vec<Endpoint> {
-    let cold = |id| if id == 3 { 9 * SECOND } else { 0 };
-    (0..5)
-        .map(|id| Endpoint {
-            kind: KindId(id as u32 / 2 % 2),
-            started: cold(id),
-            zone: ZoneId(7),
-            ..endpoint(id)
-        })
-        .collect()
+    let mut workers = endpoints(5);
+    for (index, worker) in workers.iter_mut().enumerate() {
+        (worker.zone, worker.kind) = (ZoneId(7), KindId(index as u32 / 2 % 2));
+    }
+    workers[3].started = 9 * SECOND;
+    workers
 }
 
-/// A node whose workers have each something to tell: speeds, slots, keys, failures, a start, a return.
-fn taught_node() -> TestNode {
+/// A node that has observed each worker: speeds, slots, keys, failures, a start, maintenance.
+fn node_with_observations() -> TestNode {
     let mut node = TestNode::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
     for job in 0..24 {
         let (key, slots) = (Some(1000 + job % 7), if job % 5 == 0 { 2.0 } else { 1.0 });
-        let actions = node.handle(Event::JobSubmitted(JobSubmission {
-            key,
-            slots,
-            ..submission(job, 0, 0.05, node.now)
-        }));
+        let submission = JobSubmission { key, slots, ..submission(job, 0, 0.05, node.now) };
+        let actions = node.submit_job(submission);
         let worker = sent_to(&actions).expect("a free worker");
         node.advance(1_000);
         node.start(job, 0);
@@ -49,51 +42,39 @@
             node.end(job, 1, Outcome::Done);
         }
     }
-    for out in [true, false] {
-        node.handle(Event::MaintenanceChanged { worker: WorkerId(4), disabled: out });
+    for disabled in [true, false] {
+        node.set_disabled(4, disabled);
         node.advance(SECOND / 2);
     }
     node
 }
 
 /// The same with a job of two attempts that have ended and one that is half done.
-fn node_with_moving_job() -> TestNode {
-    let mut node = taught_node();
-    let offered = JobSubmission { key: Some(77), slots: 2.0, ..submission(MOVING, 0, 0.4, node.now) };
-    node.handle(Event::JobSubmitted(offered));
+fn node_with_migrated_job() -> TestNode {
+    let mut node = node_with_observations();
+    let submission = submission(MIGRATED_JOB, 0, 0.4, node.now);
+    node.submit_job(JobSubmission { key: Some(77), slots: 2.0, ..submission });
     for (attempt, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Error)] {
         node.advance(20_000);
-        node.end(MOVING, attempt, outcome);
+        node.end(MIGRATED_JOB, attempt, outcome);
     }
     node.advance(3_000);
-    node.start(MOVING, 2);
+    node.start(MIGRATED_JOB, 2);
     node.advance(100_000);
-    node.handle(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, done: 0.5 });
+    node.handle(Event::AttemptProgressed { job: JobId(MIGRATED_JOB), attempt: 2, done: 0.5 });
     node
 }
 
-/// All objects in a value, each with a field put in that no record has.
-fn with_unknown_fields(value: &Value) -> Vec<Value> {
-    let inner = |make: &dyn Fn(Value) -> Value, value: &Value| -> Vec<Value> {
-        with_unknown_fields(value).into_iter().map(make).collect()
-    };
+/// JSON pointers of all objects in a value.
+fn object_pointers(value: &Value, pointer: String) -> Vec<String> {
+    let nested = |(name, value): (String, &Value)| object_pointers(value, format!("{pointer}/{name}"));
     match value {
         Value::Object(fields) => {
-            let put = |name: &str, value| {
-                let mut fields = fields.clone();
-                fields.insert(name.to_owned(), value);
-                Value::Object(fields)
-            };
-            let nested = fields.iter().flat_map(|(name, field)| inner(&|changed| put(name, changed), field));
-            std::iter::once(put("unknown", Value::from(1))).chain(nested).collect()
+            let nested = fields.iter().map(|(name, field)| (name.clone(), field)).flat_map(nested);
+            std::iter::once(pointer.clone()).chain(nested).collect()
         }
         Value::Array(items) => {
-            let put = |at: usize, value| {
-                let mut items = items.clone();
-                items[at] = value;
-                Value::Array(items)
-            };
-            items.iter().enumerate().flat_map(|(at, item)| inner(&|changed| put(at, changed), item)).collect()
+            items.iter().enumerate().map(|(index, item)| (index.to_string(), item)).flat_map(nested).collect()
         }
         _ => Vec::new(),
     }
@@ -118,7 +99,7 @@
     }
 }
 
-/// Holds a record against its file, and what is read of that against what was written. Of unknown fields none passes.
+/// Compares a record with its file, and what is read of that with what was written. No unknown field may pass.
 #[track_caller]
 fn assert_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, record: &T) {
     let written = serde_json::to_string(record).expect("it can be written");
@@ -127,23 +108,25 @@
     let value = serde_json::to_value(record).expect("it has a form");
     let again = serde_json::to_value(&read).expect("it has a form");
     assert!(same_but_for_rounding(&again, &value), "{again} was read from {value}");
-    let changed = with_unknown_fields(&value);
-    assert!(!changed.is_empty());
-    for changed in changed {
+    let pointers = object_pointers(&value, String::new());
+    assert!(!pointers.is_empty());
+    for pointer in pointers {
+        let mut changed = value.clone();
+        changed.pointer_mut(&pointer).expect("an object")["unknown"] = Value::from(1);
         let error = serde_json::from_value::<T>(changed.clone()).expect_err("an unknown field");
         assert!(error.to_string().starts_with("unknown field `unknown`"), "{error}: {changed}");
     }
 }
 
 #[test]
-fn learned_state_written_then_the_recorded_bytes() {
-    let node = node_with_moving_job();
+fn state_snapshot_written_then_the_recorded_bytes() {
+    let node = node_with_migrated_job();
     assert_record("state_snapshot.json", &node.dispatcher.snapshot());
 }
 
 #[test]
-fn learned_state_inherited_then_told_the_same_again() {
-    let older = node_with_moving_job();
+fn state_snapshot_restored_then_it_is_taken_the_same_again() {
+    let older = node_with_migrated_job();
     let mut newer = TestNode::new(settings(), &workers());
     newer.now = older.now;
     newer.dispatcher.restore(newer.now, &older.dispatcher.snapshot());
@@ -151,14 +134,14 @@
 }
 
 #[test]
-fn job_released_then_the_recorded_bytes_and_adopted_the_same_again() {
-    let mut older = node_with_moving_job();
-    let moved = older.dispatcher.release_job(JobId(MOVING)).expect("an open job");
-    assert_record("migrated_job.json", &moved);
+fn job_released_then_the_recorded_bytes_and_it_is_adopted_unchanged() {
+    let mut older = node_with_migrated_job();
+    let migrated = older.dispatcher.release_job(JobId(MIGRATED_JOB)).expect("an open job");
+    assert_record("migrated_job.json", &migrated);
     let mut newer = TestNode::new(settings(), &workers());
     newer.now = older.now;
-    assert!(newer.dispatcher.adopt_job(newer.now, JobId(1), &moved, &mut Vec::new()));
-    assert_eq!(newer.dispatcher.release_job(JobId(1)), Some(moved));
+    assert!(newer.dispatcher.adopt_job(newer.now, JobId(1), &migrated, &mut Vec::new()));
+    assert_eq!(newer.dispatcher.release_job(JobId(1)), Some(migrated));
 }
 
 #[test]
