--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -20,7 +20,7 @@
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
             } else if is_due {
-                let speed = worker.current_speed;
+                let speed = worker.estimates.speed;
                 let in_flight = worker.in_flight.iter();
                 let work = in_flight.map(|attempt| self.remaining_work(now, speed, attempt) * attempt.slots);
                 let slots = worker.in_flight.iter().map(|attempt| attempt.slots);
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -13,8 +13,8 @@
     /// until an idempotent job has been served there. A late start counts in w instead.
     pub(super) fn is_avoided(&self, now: Micros, worker: &Worker, job: &Job) -> bool {
         let may_probe = self.is_idempotent(job) && worker.in_flight.is_empty();
-        let on_trial = worker.consecutive_failures > 1 && !may_probe;
-        now < worker.ejected_until
+        let on_trial = worker.health.consecutive_failures > 1 && !may_probe;
+        now < worker.health.ejected_until
             || on_trial
             || worker.has_overdue_acceptance(now, self.settings.accept_timeout)
     }
@@ -26,7 +26,7 @@
             Outcome::Done => self.record_success(now, index, attempt),
             // A broken connection alone does not show a restart, so a warm worker stays warm.
             Outcome::Unreachable => {
-                self.fleet.workers[index].unreachable = true;
+                self.fleet.workers[index].health.unreachable = true;
                 self.eject_worker(now, index);
             }
             Outcome::Error | Outcome::Rejected | Outcome::Lost => self.eject_worker(now, index),
@@ -43,9 +43,9 @@
     /// that nodes do not return in step.
     fn eject_worker(&mut self, now: Micros, index: usize) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
-        let worker = &mut self.fleet.workers[index];
-        let factor = f64::from(1u32 << worker.consecutive_failures.min(MAX_EJECTION_DOUBLINGS));
-        worker.ejected_until = now + to_micros(BASE_EJECTION_S * factor * jitter);
-        worker.consecutive_failures += 1;
+        let health = &mut self.fleet.workers[index].health;
+        let factor = f64::from(1u32 << health.consecutive_failures.min(MAX_EJECTION_DOUBLINGS));
+        health.ejected_until = now + to_micros(BASE_EJECTION_S * factor * jitter);
+        health.consecutive_failures += 1;
     }
 }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -87,8 +87,8 @@
         let kind = &self.fleet.kinds[worker.kind_index];
         // Warm-up budgets keep queues from cold workers: waits at warm ones of the same kind do not apply to
         // them.
-        let kind_wait = if worker.warm_up_fraction < 1.0 { 0.0 } else { kind.wait };
-        let (w, r) = (estimate.wait.max(kind_wait), worker.utilisation.max(kind.utilisation));
+        let kind_wait = if worker.estimates.warm_up_fraction < 1.0 { 0.0 } else { kind.wait };
+        let (w, r) = (estimate.wait.max(kind_wait), worker.estimates.utilisation.max(kind.utilisation));
         let crossing = if is_local { 0.0 } else { crossing };
         PlacementRating { tier, cost: Self::cost(estimate.run, w, r) + crossing }
     }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -83,7 +83,7 @@
         let here = self.fleet.find(attempt.worker)?;
         let there = found.filter(|found| found.rating.tier == PlacementTier::Immediate)?;
         let run = self.estimate_placement(now, here, job).run;
-        let cost_here = Self::cost(run, delay, self.fleet.workers[here].utilisation);
+        let cost_here = Self::cost(run, delay, self.fleet.workers[here].estimates.utilisation);
         (there.worker_index != here && there.rating.cost < cost_here).then_some(attempt.number)
     }
 }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::state::{
     Attempt, InFlightAttempt, Job, MAX_ATTEMPTS, MAX_WORKER_KEYS, MachineKind, Progress, SpeedEstimate,
-    WarmUpSend, Worker, to_micros,
+    SpeedRatio, WarmUpSend, Worker, to_micros,
 };
 
 /// No more workers, keys and sends than these are taken on, whatever a record holds.
@@ -122,13 +122,13 @@
     pub fn snapshot(&self) -> StateSnapshot {
         let worker = |w: &Worker| WorkerSnapshot {
             id: w.id.0,
-            offset: w.log_speed_ratio,
-            lessons: w.speed_samples,
+            offset: w.speed_ratio.log_ratio,
+            lessons: w.speed_ratio.samples,
             seen_slots: w.max_concurrent_slots,
             started: w.started_at,
-            strikes: w.consecutive_failures,
-            avoid_until: w.ejected_until,
-            unreachable: w.unreachable,
+            strikes: w.health.consecutive_failures,
+            avoid_until: w.health.ejected_until,
+            unreachable: w.health.unreachable,
             owed: w.reenabled_at,
             keys: w.recent_keys.iter().copied().collect(),
             cold_sent: w.warm_up_sends.iter().map(|send| (send.at, send.work)).take(MOST_SENDS).collect(),
@@ -274,7 +274,8 @@
                         .map(|(done, at)| Progress { share: done.clamp(0.0, 1.0), at: at.min(now) }),
                     unhinted: None,
                 });
-                (w.estimated_at, w.gossip_pending) = (0, true);
+                w.gossip_pending = true;
+                w.invalidate_estimates();
             }
         }
         let idle = job.is_idle();
@@ -292,24 +293,25 @@
 
 impl WorkerSnapshot {
     fn teach(&self, now: Micros, w: &mut Worker) {
-        if w.speed_samples == 0
+        if w.speed_ratio.samples == 0
             && let Some(offset) = ln(self.offset)
         {
-            (w.log_speed_ratio, w.speed_ratio, w.speed_samples) = (offset, offset.exp(), self.lessons);
+            w.speed_ratio = SpeedRatio::learned(offset, self.lessons);
             w.max_concurrent_slots =
                 w.max_concurrent_slots.max(positive(self.seen_slots, 64.0).unwrap_or(0.0));
         }
         w.started_at = w.started_at.max(self.started.min(now));
-        w.consecutive_failures = w.consecutive_failures.max(self.strikes.min(MOST_STRIKES));
+        w.health.consecutive_failures = w.health.consecutive_failures.max(self.strikes.min(MOST_STRIKES));
         // A pause is seconds long; one that ends far ahead is nonsense.
-        w.ejected_until = w.ejected_until.max(self.avoid_until.min(now + to_micros(60.0)));
-        w.unreachable |= self.unreachable;
+        w.health.ejected_until = w.health.ejected_until.max(self.avoid_until.min(now + to_micros(60.0)));
+        w.health.unreachable |= self.unreachable;
         w.reenabled_at = w.reenabled_at.or(self.owed.map(|at| at.min(now)));
         self.keys.iter().rev().take(MAX_WORKER_KEYS).for_each(|key| w.record_key(*key));
         let sent = self.cold_sent.iter().filter(|(at, work)| *at <= now && work.is_finite() && *work >= 0.0);
         let own = std::mem::take(&mut w.warm_up_sends);
         w.warm_up_sends =
             sent.take(MOST_SENDS).map(|(at, work)| WarmUpSend { at: *at, work: *work }).chain(own).collect();
-        (w.estimated_at, w.gossip_pending) = (0, true);
+        w.gossip_pending = true;
+        w.invalidate_estimates();
     }
 }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -34,7 +34,7 @@
     ) {
         let worker = &mut self.fleet.workers[placement.worker_index];
         worker.warm_up_sends.retain(|send| seconds_between(send.at, now) < window);
-        if worker.warm_up_fraction < 1.0 {
+        if worker.estimates.warm_up_fraction < 1.0 {
             worker.warm_up_sends.push_back(WarmUpSend { at: now, work: job.load() });
         }
         worker.sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
@@ -45,7 +45,7 @@
         worker.in_flight.push(InFlightAttempt {
             job: job.id,
             attempt: job.attempts.len() as u32,
-            work: placement.run * worker.current_speed,
+            work: placement.run * worker.estimates.speed,
             slots: job.slots,
             sent_at: now,
             accepted: false,
@@ -99,7 +99,7 @@
     pub(crate) fn record_success(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
         self.fleet.workers[index].record_contact(now);
         let is_warm = self.warm_up_fraction(now, &self.fleet.workers[index]) >= 1.0;
-        self.fleet.workers[index].consecutive_failures /= 2;
+        self.fleet.workers[index].health.consecutive_failures /= 2;
         if is_warm {
             let run = seconds_between(attempt.started_at.unwrap_or(attempt.sent_at), now);
             self.fleet.record_speed(index, attempt, run.max(MIN_MEASURED_RUN_S));
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -5,7 +5,7 @@
 use arrayvec::ArrayVec;
 
 use super::time::{seconds_between, to_seconds};
-use super::{AttemptRef, Dispatcher, InFlightAttempt, Job, PlacementEstimate, Worker};
+use super::{AttemptRef, Dispatcher, InFlightAttempt, Job, PlacementEstimate, Worker, WorkerEstimates};
 use crate::{JobId, Micros, gossip};
 
 /// Time for which the estimates of a worker hold, unless something happens there.
@@ -64,15 +64,15 @@
         self.fleet.kinds.iter_mut().for_each(|kind| kind.capacity = 0.0);
         for position in 0..self.fleet.subset.len() {
             let index = self.fleet.subset[position];
-            if now >= self.fleet.workers[index].estimated_at.saturating_add(ESTIMATE_LIFETIME) {
+            if now >= self.fleet.workers[index].estimates.derived_at.saturating_add(ESTIMATE_LIFETIME) {
                 self.refresh_worker(now, index);
             }
             let worker = &self.fleet.workers[index];
-            self.fleet.kinds[worker.kind_index].capacity += worker.current_speed * self.fleet.slots(worker);
+            self.fleet.kinds[worker.kind_index].capacity += worker.estimates.speed * self.fleet.slots(worker);
             ready_workers += 1.0;
-            free_workers += f64::from(u8::from(worker.wait < FREE_WORKER_WAIT_S));
-            self.fleet.warming_up += usize::from(worker.warm_up_fraction < 1.0);
-            self.capacity.shortest_wait = self.capacity.shortest_wait.min(worker.wait);
+            free_workers += f64::from(u8::from(worker.estimates.wait < FREE_WORKER_WAIT_S));
+            self.fleet.warming_up += usize::from(worker.estimates.warm_up_fraction < 1.0);
+            self.capacity.shortest_wait = self.capacity.shortest_wait.min(worker.estimates.wait);
         }
         self.refresh_kinds(now);
         let free_share = free_workers / f64::max(ready_workers, 1.0);
@@ -87,11 +87,10 @@
         let speed = self.fleet.learned_speed(worker) * warm_up_fraction;
         let send_rate = worker.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
         let utilisation = (send_rate / (speed * self.fleet.slots(worker))).min(MAX_UTILISATION);
-        let worker = &mut self.fleet.workers[index];
-        (worker.warm_up_fraction, worker.current_speed) = (warm_up_fraction, speed);
-        (worker.utilisation, worker.estimated_at) = (utilisation, now);
+        let known = &mut self.fleet.workers[index].estimates;
+        *known = WorkerEstimates { derived_at: now, warm_up_fraction, speed, utilisation, wait: known.wait };
         let wait = self.estimate_wait(now, &self.fleet.workers[index], 1.0);
-        self.fleet.workers[index].wait = wait;
+        self.fleet.workers[index].estimates.wait = wait;
     }
 
     /// Refreshes the estimates of kinds, for what a node of many cannot see of each worker: r by this node's
@@ -125,7 +124,7 @@
         if worker.in_flight.is_empty() && worker.peer_backlogs.is_empty() {
             return unobserved_wait;
         }
-        let speed = worker.current_speed;
+        let speed = worker.estimates.speed;
         let mut schedule = SlotSchedule::new(self.fleet.slots(worker).max(slots));
         for attempt in &worker.in_flight {
             schedule.enqueue(self.remaining_work(now, speed, attempt) / speed, attempt.slots);
@@ -164,8 +163,9 @@
         job: &Job,
     ) -> PlacementEstimate {
         let worker = &self.fleet.workers[worker_index];
-        let wait = if job.slots > 1.0 { self.estimate_wait(now, worker, job.slots) } else { worker.wait };
-        let (work, fetch) = (job.work / worker.current_speed, self.fleet.estimate_fetch(worker, job));
+        let wait =
+            if job.slots > 1.0 { self.estimate_wait(now, worker, job.slots) } else { worker.estimates.wait };
+        let (work, fetch) = (job.work / worker.estimates.speed, self.fleet.estimate_fetch(worker, job));
         let (run, reliable_run) = (work + fetch, RELIABLE_HINT_SHARE * work + fetch);
         PlacementEstimate { worker_index, rating: worker.rating, run, reliable_run, wait }
     }
@@ -179,7 +179,7 @@
     pub(crate) fn remaining_run(&self, now: Micros, job: JobId, attempt: AttemptRef) -> Option<f64> {
         let is_shutting_down = self.lifecycle.shutdown_at < Micros::MAX;
         let index = self.fleet.find(attempt.worker).filter(|_| is_shutting_down)?;
-        let speed = self.fleet.workers[index].current_speed;
+        let speed = self.fleet.workers[index].estimates.speed;
         Some(self.remaining_work(now, speed, self.in_flight_attempt(job, attempt)?) / speed)
     }
 
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -14,6 +14,10 @@
 pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
 /// One sample moves a speed by no more than this many times the usual error, so that outliers count little.
 const MAX_SAMPLE_ERRORS: f64 = 2.0;
+/// Least weight of one job in a worker's learned speed. The first ones weigh more.
+const WORKER_SPEED_GAIN: f64 = 0.08;
+/// Weight of a kind's speed in that of a new worker, in jobs.
+const KIND_PRIOR_SAMPLES: f64 = 3.0;
 /// Span over which the start delays at a kind are averaged, in seconds.
 const START_DELAY_SPAN_S: f64 = 5.0;
 /// Starts without delay that stand beside those seen, so that a single delay counts little.
@@ -150,6 +154,35 @@
     }
 }
 
+/// The speed of a worker over that of its kind.
+#[derive(Clone, Copy)]
+pub(crate) struct SpeedRatio {
+    /// Natural logarithm of the ratio.
+    pub log_ratio: f64,
+    /// The ratio itself.
+    pub ratio: f64,
+    /// Number of jobs seen.
+    pub samples: u32,
+}
+
+impl SpeedRatio {
+    /// Nothing is known: the worker is as fast as its kind.
+    pub const UNKNOWN: SpeedRatio = SpeedRatio { log_ratio: 0.0, ratio: 1.0, samples: 0 };
+
+    /// A ratio that was learned from so many jobs.
+    pub fn learned(log_ratio: f64, samples: u32) -> Self {
+        SpeedRatio { log_ratio, ratio: log_ratio.exp(), samples }
+    }
+
+    /// Adds the error of one more job.
+    pub fn add_sample(&mut self, error: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let gain = WORKER_SPEED_GAIN.max(1.0 / (f64::from(self.samples) + KIND_PRIOR_SAMPLES));
+        self.log_ratio += gain * error;
+        self.ratio = self.log_ratio.exp();
+    }
+}
+
 /// The work of a class's jobs, in seconds at speed 1, for those that come without a hint.
 ///
 /// Warm-up budgets add work up and need its mean, while speeds are learned from logarithms. Work has a long
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -16,10 +16,6 @@
 pub(crate) const LATE_START_S: f64 = 0.02;
 /// Most slots that one worker counts as.
 pub(super) const MAX_SLOTS: f64 = 16.0;
-/// Least weight of one job in a worker's learned speed. The first ones weigh more.
-const WORKER_SPEED_GAIN: f64 = 0.08;
-/// Weight of a kind's speed in that of a new worker, in jobs.
-const KIND_PRIOR_SAMPLES: f64 = 3.0;
 /// Weight of one attempt in the share of those that start promptly.
 const PROMPT_START_GAIN: f64 = 0.1;
 /// Time constant of the average of running slots, in seconds.
@@ -165,10 +161,7 @@
         let kind_speed = &mut self.kinds[worker.kind_index].speed;
         self.overall_speed.add_sample(log_speed - self.overall_speed.log_speed, usual_error);
         kind_speed.add_sample(if kind_speed.samples > 0 { error } else { log_speed }, usual_error);
-        worker.speed_samples = worker.speed_samples.saturating_add(1);
-        let gain = WORKER_SPEED_GAIN.max(1.0 / (f64::from(worker.speed_samples) + KIND_PRIOR_SAMPLES));
-        worker.log_speed_ratio += gain * error;
-        worker.speed_ratio = worker.log_speed_ratio.exp();
+        worker.speed_ratio.add_sample(error);
         self.hint_error += SHARED_ESTIMATE_GAIN * (error.abs() - usual_error);
     }
 
@@ -201,7 +194,7 @@
     pub fn learned_speed(&self, worker: &Worker) -> f64 {
         let kind_speed = &self.kinds[worker.kind_index].speed;
         let speed = if kind_speed.samples > 0 { kind_speed.speed } else { self.overall_speed.speed };
-        speed * worker.speed_ratio
+        speed * worker.speed_ratio.ratio
     }
 
     /// A worker's slots: its listed size, or its learned slots where those are more.
@@ -216,7 +209,8 @@
 
     /// A worker's slots by this node's own jobs that were seen running at once, without extrapolation.
     pub fn observed_slots(&self, worker: &Worker) -> f64 {
-        let slots = if worker.speed_samples > 0 { worker.max_concurrent_slots } else { self.median_slots };
+        let slots =
+            if worker.speed_ratio.samples > 0 { worker.max_concurrent_slots } else { self.median_slots };
         slots.max(1.0)
     }
 
@@ -228,7 +222,7 @@
         let running = self.running_slots.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
         self.extrapolated_slots = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
         let sampled = self.subset.iter().map(|index| &self.workers[*index]);
-        let sampled = sampled.filter(|worker| worker.speed_samples > 0).take(MAX_SLOT_SAMPLES);
+        let sampled = sampled.filter(|worker| worker.speed_ratio.samples > 0).take(MAX_SLOT_SAMPLES);
         let mut slots: ArrayVec<f64, MAX_SLOT_SAMPLES> =
             sampled.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
         slots.sort_unstable_by(f64::total_cmp);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -35,14 +35,14 @@
 pub(crate) use attempts::EndedAttempt;
 pub(crate) use budgets::{Admission, Budgets};
 pub(crate) use estimates::RELIABLE_HINT_SHARE;
-pub(crate) use estimators::SpeedEstimate;
+pub(crate) use estimators::{SpeedEstimate, SpeedRatio};
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
 pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, QueueKey};
 pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
     InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, PlacementEstimate, PlacementRating, PlacementTier,
-    Progress, WarmUpSend, Worker,
+    Progress, WarmUpSend, Worker, WorkerEstimates,
 };
 
 /// The dispatcher of one node: give it events, carry out its actions.
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::estimators::DecayingSum;
+use super::estimators::{DecayingSum, SpeedRatio};
 use super::job::Attempt;
 use super::time::seconds_between;
 use crate::{CellId, DeduplicationScope, Endpoint, JobId, KindId, Micros, WorkerId, WorkerStatus, ZoneId};
@@ -138,6 +138,38 @@
     pub wait: f64,
 }
 
+/// What the failures of a worker say of it.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct WorkerHealth {
+    /// Failures in a row, halved by each success.
+    pub consecutive_failures: u32,
+    /// Ejected for its failures until then.
+    pub ejected_until: Micros,
+    /// The last attempt could not connect.
+    pub unreachable: bool,
+}
+
+/// Estimates that are derived from the record of a worker.
+#[derive(Clone, Copy)]
+pub(crate) struct WorkerEstimates {
+    /// When they were derived; 0: something has happened there since.
+    pub derived_at: Micros,
+    /// Least share of its capacity that it has, by its age; 1 when warm.
+    pub warm_up_fraction: f64,
+    /// Present speed of a slot.
+    pub speed: f64,
+    /// r: the share of its capacity that is used.
+    pub utilisation: f64,
+    /// w: the wait for one slot, in seconds.
+    pub wait: f64,
+}
+
+impl Default for WorkerEstimates {
+    fn default() -> Self {
+        WorkerEstimates { derived_at: 0, warm_up_fraction: 1.0, speed: 1.0, utilisation: 0.0, wait: 0.0 }
+    }
+}
+
 /// One worker.
 pub(crate) struct Worker {
     /// The same number at every node.
@@ -158,12 +190,8 @@
     pub listed_slots: f64,
     /// Index of its kind in [`Fleet::kinds`](super::Fleet::kinds).
     pub kind_index: usize,
-    /// Natural logarithm of its speed over its kind's.
-    pub log_speed_ratio: f64,
     /// Its speed over its kind's.
-    pub speed_ratio: f64,
-    /// Number of jobs that the ratio was learned from.
-    pub speed_samples: u32,
+    pub speed_ratio: SpeedRatio,
     /// Most slots seen running at once.
     pub max_concurrent_slots: f64,
     /// Hinted work sent there.
@@ -178,28 +206,16 @@
     pub excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
     pub peer_backlogs: Vec<PeerBacklog>,
-    /// Failures in a row, halved by each success.
-    pub consecutive_failures: u32,
-    /// Ejected for its failures until then.
-    pub ejected_until: Micros,
-    /// The last attempt could not connect.
-    pub unreachable: bool,
+    /// What its failures say of it.
+    pub health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
     pub reenabled_at: Option<Micros>,
     /// This node's work there has changed since it was last gossiped.
     pub gossip_pending: bool,
     /// When it was last gossiped.
     pub gossiped_at: Micros,
-    /// When the five estimates below were derived; 0: something has happened since.
-    pub estimated_at: Micros,
-    /// Estimate: least share of its capacity that it has, by its age; 1 when warm.
-    pub warm_up_fraction: f64,
-    /// Estimate: present speed of a slot.
-    pub current_speed: f64,
-    /// Estimate: r, the share of its capacity that is used.
-    pub utilisation: f64,
-    /// Estimate: w, the wait for one slot, in seconds.
-    pub wait: f64,
+    /// Estimates derived from all that.
+    pub estimates: WorkerEstimates,
     /// Its rating for the job that was placed last.
     pub rating: PlacementRating,
 }
@@ -217,9 +233,7 @@
             started_at: endpoint.started,
             listed_slots: 1.0,
             kind_index,
-            log_speed_ratio: 0.0,
-            speed_ratio: 1.0,
-            speed_samples: 0,
+            speed_ratio: SpeedRatio::UNKNOWN,
             max_concurrent_slots: 0.0,
             sent_work: DecayingSum::default(),
             in_flight: Vec::new(),
@@ -227,17 +241,11 @@
             warm_up_sends: VecDeque::new(),
             excess_wait: DecayingSum::default(),
             peer_backlogs: Vec::new(),
-            consecutive_failures: 0,
-            ejected_until: 0,
-            unreachable: false,
+            health: WorkerHealth::default(),
             reenabled_at: None,
             gossip_pending: false,
             gossiped_at: 0,
-            estimated_at: 0,
-            warm_up_fraction: 1.0,
-            current_speed: 1.0,
-            utilisation: 0.0,
-            wait: 0.0,
+            estimates: WorkerEstimates::default(),
             rating: PlacementRating::INELIGIBLE,
         }
     }
@@ -294,12 +302,17 @@
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
+    /// Something has happened there: its estimates have to be derived again before they are used.
+    pub fn invalidate_estimates(&mut self) {
+        self.estimates.derived_at = 0;
+    }
+
     /// Records a sign that it can be reached.
     pub fn record_contact(&mut self, now: Micros) {
-        self.estimated_at = 0;
-        if self.unreachable {
+        self.invalidate_estimates();
+        if self.health.unreachable {
             // It may have restarted and be cold, long before the list shows that.
-            self.unreachable = false;
+            self.health.unreachable = false;
             self.started_at = self.started_at.max(now);
         }
     }
@@ -310,8 +323,9 @@
         if self.started_at < disabled_at || self.started_at == 0 {
             self.started_at = now;
         }
-        (self.consecutive_failures, self.ejected_until, self.unreachable) = (0, 0, false);
-        (self.reenabled_at, self.estimated_at) = (Some(now), 0);
+        self.health = WorkerHealth::default();
+        self.reenabled_at = Some(now);
+        self.invalidate_estimates();
     }
 
     /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
@@ -327,7 +341,7 @@
     pub fn remove_attempt(&mut self, job: JobId, attempt: u32) -> Option<InFlightAttempt> {
         let index = self.in_flight.iter().position(|known| known.job == job && known.attempt == attempt)?;
         self.gossip_pending = true;
-        self.estimated_at = 0;
+        self.invalidate_estimates();
         Some(self.in_flight.remove(index))
     }
 
