--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -73,7 +73,7 @@
         let own_work = self.demand.submitted(now) / known_for * self.warm_up_window();
         let (nodes, share) = (self.subset_nodes(), SHARED_TURN_SHARE * budget);
         let mut drawn = own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset.len().max(1) as f64).min(1.0);
-        if JAMMED_DRAW_SHARE * own_work * f64::from(nodes) > share * self.fleet.warming_up as f64 {
+        if JAMMED_DRAW_SHARE * own_work * f64::from(nodes) > share * self.capacity.warming_up as f64 {
             drawn = drawn.max(JAMMED_DRAW_SHARE * own_work);
         }
         (share / drawn.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -60,7 +60,7 @@
     pub(crate) fn refresh_estimates(&mut self, now: Micros) {
         let (mut ready_workers, mut free_workers) = (0.0, 0.0);
         self.capacity.shortest_wait = f64::INFINITY;
-        self.fleet.warming_up = 0;
+        self.capacity.warming_up = 0;
         self.fleet.kinds.iter_mut().for_each(|kind| kind.capacity = 0.0);
         for position in 0..self.fleet.subset.len() {
             let index = self.fleet.subset[position];
@@ -71,7 +71,7 @@
             self.fleet.kinds[worker.kind_index].capacity += worker.estimates.speed * self.fleet.slots(worker);
             ready_workers += 1.0;
             free_workers += f64::from(u8::from(worker.estimates.wait < FREE_WORKER_WAIT_S));
-            self.fleet.warming_up += usize::from(worker.estimates.warm_up_fraction < 1.0);
+            self.capacity.warming_up += usize::from(worker.estimates.warm_up_fraction < 1.0);
             self.capacity.shortest_wait = self.capacity.shortest_wait.min(worker.estimates.wait);
         }
         self.refresh_kinds(now);
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -55,6 +55,22 @@
     }
 }
 
+/// Slots of the workers of a subset, taken together.
+struct SlotEstimates {
+    /// Slots that this node's own attempts have running, averaged.
+    running: TimeWeightedAverage,
+    /// Slots running at once at a worker, extrapolated from that to all nodes.
+    extrapolated: f64,
+    /// Median over the workers of the most slots seen running at once.
+    median: f64,
+}
+
+impl Default for SlotEstimates {
+    fn default() -> Self {
+        SlotEstimates { running: TimeWeightedAverage::default(), extrapolated: 1.0, median: 1.0 }
+    }
+}
+
 /// All workers that the endpoint list has named.
 pub(crate) struct Fleet {
     /// Ordered by id. A worker that is gone stays until its attempts have ended.
@@ -68,8 +84,6 @@
     pub pending_revocations: Vec<(JobId, u32)>,
     /// Indices of the ready workers of this node's subset, in ascending order.
     pub subset: Vec<usize>,
-    /// How many workers of the subset are warming up.
-    pub warming_up: usize,
     /// Number of subsets that nodes and workers are parted into.
     pub subset_count: usize,
     /// Most subsets that the settings allow.
@@ -80,14 +94,10 @@
     pub kinds: Vec<MachineKind>,
     /// The speed of the fleet as a whole, for kinds of which nothing is known.
     pub overall_speed: SpeedEstimate,
-    /// Median of the most slots seen running at once at workers of the subset.
-    pub median_slots: f64,
+    /// Slots of workers that have not shown theirs.
+    slots: SlotEstimates,
     /// Keys of the jobs that were submitted last, the oldest first.
     pub(super) recent_keys: VecDeque<u64>,
-    /// This node's own running slots.
-    running_slots: TimeWeightedAverage,
-    /// Slots running at once at a worker, extrapolated from this node's own ones to all nodes.
-    extrapolated_slots: f64,
     /// The endpoint list has sizes.
     pub(super) sizes_listed: bool,
     /// Mean distance (of logarithms) between the speeds that jobs showed and those learned of their workers.
@@ -109,16 +119,13 @@
             reenabled_unlisted: BTreeMap::new(),
             pending_revocations: Vec::new(),
             subset: Vec::new(),
-            warming_up: 0,
             subset_count: 1,
             max_subsets: super::subset::max_subsets(settings),
             node_index: settings.node_index as usize,
             kinds: Vec::new(),
             overall_speed: SpeedEstimate::UNKNOWN,
-            median_slots: 1.0,
+            slots: SlotEstimates::default(),
             recent_keys: VecDeque::new(),
-            running_slots: TimeWeightedAverage::default(),
-            extrapolated_slots: 1.0,
             sizes_listed: settings.sizes_listed,
             hint_error: 0.5,
             prompt_start_share: 1.0,
@@ -204,13 +211,13 @@
 
     /// A worker's slots as learned from running jobs, without the list.
     pub fn learned_slots(&self, worker: &Worker) -> f64 {
-        self.observed_slots(worker).max(self.extrapolated_slots)
+        self.observed_slots(worker).max(self.slots.extrapolated)
     }
 
     /// A worker's slots by this node's own jobs that were seen running at once, without extrapolation.
     pub fn observed_slots(&self, worker: &Worker) -> f64 {
         let slots =
-            if worker.speed_ratio.samples > 0 { worker.max_concurrent_slots } else { self.median_slots };
+            if worker.speed_ratio.samples > 0 { worker.max_concurrent_slots } else { self.slots.median };
         slots.max(1.0)
     }
 
@@ -219,13 +226,13 @@
     /// an even part of what they run at once.
     pub fn refresh_slots(&mut self, now: Micros, nodes: f64) {
         let running = self.subset.iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
-        let running = self.running_slots.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
-        self.extrapolated_slots = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
+        let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
+        self.slots.extrapolated = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
         let sampled = self.subset.iter().map(|index| &self.workers[*index]);
         let sampled = sampled.filter(|worker| worker.speed_ratio.samples > 0).take(MAX_SLOT_SAMPLES);
         let mut slots: ArrayVec<f64, MAX_SLOT_SAMPLES> =
             sampled.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
         slots.sort_unstable_by(f64::total_cmp);
-        self.median_slots = slots.get(slots.len() / 2).copied().unwrap_or(1.0);
+        self.slots.median = slots.get(slots.len() / 2).copied().unwrap_or(1.0);
     }
 }
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -62,10 +62,12 @@
     pub reserved_share: f64,
     /// Shortest wait for one slot at any worker, in seconds.
     pub shortest_wait: f64,
+    /// Number of workers that are warming up.
+    pub warming_up: usize,
 }
 
 impl Default for Capacity {
     fn default() -> Self {
-        Capacity { free_share: 1.0, reserved_share: 0.0, shortest_wait: 0.0 }
+        Capacity { free_share: 1.0, reserved_share: 0.0, shortest_wait: 0.0, warming_up: 0 }
     }
 }
