--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -64,7 +64,7 @@
 impl Dispatcher {
     /// A dispatcher that knows nothing but its settings. Give it [`Event::Woken`] first.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let store = |quota: &f64| Bucket::full(quota / f64::from(settings.nodes) * QUOTA_STORE);
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
@@ -113,7 +113,7 @@
                 self.accepted(now, job, attempt);
                 self.started(now, job, attempt, out);
             }
-            Event::AttemptProgressed { job, attempt, done } => {
+            Event::AttemptProgressed { job, attempt, fraction_done: done } => {
                 self.accepted(now, job, attempt);
                 self.progressed(now, job, attempt, done);
             }
@@ -139,7 +139,7 @@
                 self.fleet.put_back(now, worker);
                 self.dispatch(now, out);
             }
-            Event::SuccessorActive(retired) => self.retired = retired,
+            Event::SuccessorActive { active } => self.retired = active,
             Event::ShutdownStarted { deadline: by } => {
                 self.ends = by;
                 self.woken(now, out);
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -19,7 +19,7 @@
 
 impl WorkerId {
     /// The same number for a worker at every node.
-    pub fn of_name(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         WorkerId(stable_hash(name))
     }
 }
@@ -76,7 +76,7 @@
 
 /// A class of jobs.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct JobClass {
     /// What a repeat does.
     pub idempotency: Idempotency,
     /// An answer within `aim + stretch x work` is in time.
@@ -101,7 +101,7 @@
     /// This node's zone.
     pub zone: ZoneId,
     /// Job classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
     /// For each tenant the jobs a second, over all nodes, within its share. Empty: no tenants.
     pub tenant_quotas: Vec<f64>,
     /// Worth of a job beyond its tenant's quota, as a share of its class's.
@@ -109,10 +109,10 @@
     /// The list of workers comes only when asked for.
     pub endpoints_on_request: bool,
     /// Without a subscription, a node silent for this long counts as told.
-    pub poll_within: Micros,
+    pub max_poll_interval: Micros,
     /// Where the list comes only when asked for: what it says counts as told this long after it could have been
     /// had, whatever came of the calls. A node that cannot know sends nothing more by an older list. 0: never.
-    pub notified_within: Micros,
+    pub assumed_notified_after: Micros,
     /// The list tells how large workers are.
     pub sizes_listed: bool,
     /// Workers tell when a job starts.
@@ -122,7 +122,7 @@
     /// `Action::Cancel` is allowed.
     pub may_cancel: bool,
     /// A job may have two attempts out at once.
-    pub may_duplicate: bool,
+    pub may_hedge: bool,
     /// `Action::Tell` is allowed.
     pub may_gossip: bool,
     /// Price of one full message (256 bytes) to one node for each job, as a share of a job's worth.
@@ -162,10 +162,10 @@
 
 impl Settings {
     /// Names the first field that cannot be worked with.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let share = |v: f64| (0.0..=1.0).contains(&v);
         let finite = |v: f64| v.is_finite() && v >= 0.0;
-        let class = |f: fn(&Class) -> bool| self.classes.iter().all(f);
+        let class = |f: fn(&JobClass) -> bool| self.classes.iter().all(f);
         let rules = [
             (!self.classes.is_empty(), "classes", "is empty"),
             (
@@ -220,7 +220,7 @@
     /// Whether it takes work.
     pub status: WorkerStatus,
     /// When it last started; 0: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Its size, in slots, give or take; counts only where [`Settings::sizes_told`].
     pub size: f64,
 }
@@ -322,7 +322,7 @@
         /// Which attempt.
         attempt: u32,
         /// Share done.
-        done: f64,
+        fraction_done: f64,
     },
     /// The answer has begun to flow: the job is bound to this attempt and has no deadline any more.
     AttemptStreaming {
@@ -362,7 +362,10 @@
         disabled: bool,
     },
     /// Another process of this node has taken over, or is gone again: cold workers are that one's to fill meanwhile.
-    SuccessorActive(bool),
+    SuccessorActive {
+        /// Whether the other process is the active one.
+        active: bool,
+    },
     /// This node is to end: all that it has taken must be answered by then.
     ShutdownStarted {
         /// The moment.
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -297,7 +297,7 @@
         // Rule 3: nothing new to a worker that drains or is gone, or that operators have taken out.
         let takes = self.open_to_work(w) && s.classes[job.class].required_kind.is_none_or(|k| k == w.kind);
         let allowed = job.attempts.len() < (s.max_attempts as usize).min(MAX_ATTEMPTS)
-            && (s.may_duplicate || job.live().next().is_none());
+            && (s.may_hedge || job.live().next().is_none());
         let allowed = allowed && !job.may_still_be_told_of(w.id);
         open && takes && allowed && self.may_repeat(now, w, job) && job.load() <= self.cold_budget(now, w)
     }
@@ -601,7 +601,7 @@
         if !self.repeatable(job)
             || self.retries < 1.0
             || !self.settings.may_cancel
-            || self.settings.may_duplicate
+            || self.settings.may_hedge
             || self.discovery.stale(now)
         {
             return None;
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -72,8 +72,8 @@
         DiscoveryClient {
             nodes: Micros::from(settings.nodes),
             on_request: settings.endpoints_on_request,
-            ask_within: settings.poll_within,
-            told_within: settings.notified_within,
+            ask_within: settings.max_poll_interval,
+            told_within: settings.assumed_notified_after,
             call_time: None,
             ask_at: settings.endpoints_on_request.then_some(0),
             asked: 0,
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -236,7 +236,7 @@
             cell: entry.cell,
             life: entry.status,
             near: false,
-            started: entry.started,
+            started: entry.started_at,
             size: 1.0,
             kind_at,
             offset: 0.0,
@@ -504,7 +504,7 @@
 
 impl Usual {
     /// Nothing was seen yet: what is wanted of the class tells the order of magnitude.
-    fn guessed(class: &Class) -> Self {
+    fn guessed(class: &JobClass) -> Self {
         let mean = secs(class.latency_objective).clamp(UNHINTED_WORK, 10.0 * UNHINTED_WORK);
         Usual { mean, ln: mean.ln(), lessons: 0 }
     }
@@ -712,11 +712,11 @@
                     let kind_at = self.kind_at(entry.kind);
                     let w = &mut self.workers[i];
                     (w.zone, w.kind, w.cell, w.life) = (entry.zone, entry.kind, entry.cell, entry.status);
-                    if entry.started.min(now) > w.started {
+                    if entry.started_at.min(now) > w.started {
                         // What is on its way was meant for the process before, which was warm, perhaps elsewhere.
                         self.recalls.extend(w.recall());
                     }
-                    w.started = w.started.max(entry.started.min(now));
+                    w.started = w.started.max(entry.started_at.min(now));
                     (w.kind_at, w.size) = (kind_at, size);
                 }
                 Err(i) => {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
-    Class {
+pub fn class(effect: Idempotency) -> JobClass {
+    JobClass {
         idempotency: effect,
         latency_objective: 200_000,
         latency_objective_stretch: 2.0,
@@ -28,13 +28,13 @@
         classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
         tenant_quotas: Vec::new(),
         endpoints_on_request: false,
-        poll_within: 10 * SECOND,
-        notified_within: 0,
+        max_poll_interval: 10 * SECOND,
+        assumed_notified_after: 0,
         reports_start: true,
         sizes_listed: false,
         accept_timeout: 0,
         may_cancel: true,
-        may_duplicate: true,
+        may_hedge: true,
         may_gossip: false,
         gossip_price: 0.0,
         max_attempts: 4,
@@ -55,7 +55,7 @@
         kind: KindId(0),
         cell: CellId(worker as u32 / 2),
         status: WorkerStatus::Ready,
-        started: 0,
+        started_at: 0,
         size: 1.0,
     }
 }
--- a/crates/core/tests/decision_lock.rs
+++ b/crates/core/tests/decision_lock.rs
@@ -86,7 +86,7 @@
             .map(|id| Endpoint {
                 zone: ZoneId(id as u32 % 2),
                 kind: KindId(id as u32 / 2 % 3),
-                started: if id % 5 == 4 { 9 * SECOND } else { 0 },
+                started_at: if id % 5 == 4 { 9 * SECOND } else { 0 },
                 size: f64::from(rng.u32(1..4)),
                 ..listing(id)
             })
@@ -272,7 +272,7 @@
                 self.tell_holder(job, attempt, Event::AttemptStarted { job, attempt })
             }
             Due::Progress(job, attempt) => {
-                self.tell_holder(job, attempt, Event::AttemptProgressed { job, attempt, done: 0.5 });
+                self.tell_holder(job, attempt, Event::AttemptProgressed { job, attempt, fraction_done: 0.5 });
             }
             Due::Streaming(job, attempt) => {
                 self.tell_holder(job, attempt, Event::AttemptStreaming { job, attempt })
@@ -377,7 +377,7 @@
         match self.rng.u8(0..10) {
             0..2 => entry.status = WorkerStatus::Draining,
             2 => entry.status = WorkerStatus::Gone,
-            3 => entry.started = self.now,
+            3 => entry.started_at = self.now,
             _ => entry.status = WorkerStatus::Ready,
         }
         let (whole, all, one) = (self.rng.bool(), self.rng.bool(), self.rng.usize(0..self.nodes.len()));
@@ -426,9 +426,9 @@
             if event == EVENTS / 2 {
                 self.start(&fleet.settings, fleet.settings.node_index, seed);
                 self.hand_over(0, self.nodes.len() - 1);
-                self.tell(0, Event::SuccessorActive(true));
+                self.tell(0, Event::SuccessorActive { active: true });
             } else if event == EVENTS / 10 * 9 {
-                self.tell(0, Event::SuccessorActive(false));
+                self.tell(0, Event::SuccessorActive { active: false });
                 self.hand_over(self.nodes.len() - 1, 0);
             }
         }
@@ -466,11 +466,10 @@
     settings.classes[0].required_kind = Some(KindId(1));
     settings.classes[1].idempotency =
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
-    settings.classes.push(Class { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
+    settings.classes.push(JobClass { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
     (settings.nodes, settings.node_index) = (24, 5);
-    (settings.endpoints_on_request, settings.notified_within) = (true, 6 * SECOND);
-    (settings.accept_timeout, settings.may_duplicate, settings.sizes_listed) =
-        (100 * MILLISECOND, false, true);
+    (settings.endpoints_on_request, settings.assumed_notified_after) = (true, 6 * SECOND);
+    (settings.accept_timeout, settings.may_hedge, settings.sizes_listed) = (100 * MILLISECOND, false, true);
     (settings.may_gossip, settings.gossip_price) = (true, 1.0);
     Fleet { name: "many nodes", settings, driven: 1, workers: 40, gap: 14_000, other_work: 40 * MILLISECOND }
 }
--- a/crates/core/tests/decisions.rs
+++ b/crates/core/tests/decisions.rs
@@ -233,7 +233,7 @@
 #[test]
 fn what_a_worker_has_not_taken_on_is_recalled_once_it_takes_nothing_new() {
     let workers = fleet(1);
-    let listed = |life, started| [Endpoint { status: life, started, ..workers[0].clone() }];
+    let listed = |life, started| [Endpoint { status: life, started_at: started, ..workers[0].clone() }];
     let (drains, gone) = (listed(WorkerStatus::Draining, 0), listed(WorkerStatus::Gone, 0));
     let (anew, as_it_was) = (listed(WorkerStatus::Ready, 9 * SECOND), listed(WorkerStatus::Ready, 0));
     let list = |entries, whole| Event::EndpointsChanged { endpoints: entries, snapshot: whole };
@@ -292,7 +292,7 @@
     node.tell(out(true));
     // Whatever the list says meanwhile: gone, there again, started anew.
     let mut restarted = workers.clone();
-    restarted[0].started = node.now;
+    restarted[0].started_at = node.now;
     for (job, entries) in [&workers[1..], &workers[..], &restarted[..]].into_iter().enumerate() {
         node.tell(Event::EndpointsChanged { endpoints: entries, snapshot: true });
         assert_eq!(sent(&node.offer(job as u64, 0, 0.1)), Some(1));
@@ -334,7 +334,7 @@
         (s.nodes, s.node_index) = (nodes, rank);
         let mut workers = fleet(1);
         let mut node = Node::new(s, &workers);
-        workers[0].started = node.now;
+        workers[0].started_at = node.now;
         node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         let end = node.now + span;
         node.now += gap * u64::from(rank) / u64::from(nodes);
@@ -376,7 +376,7 @@
 fn a_job_does_not_go_back_to_a_worker_that_may_still_say_how_it_ended_there() {
     // Its word names the job and no attempt: it would end the second one there, and a third would run beside that.
     for outcome in [Outcome::Lost, Outcome::Cancelled] {
-        let mut node = Node::new(Settings { may_duplicate: false, ..settings() }, &fleet(2));
+        let mut node = Node::new(Settings { may_hedge: false, ..settings() }, &fleet(2));
         let first = sent(&node.offer(0, 0, 0.01)).expect("a free worker");
         let second = sent(&node.end(0, 0, outcome)).expect("the other");
         assert_ne!(first, second, "{outcome:?}");
@@ -395,7 +395,7 @@
         let listed = |w| Endpoint { kind: KindId(u32::from(w >= 6)), ..listing(w) };
         let mut workers: Vec<Endpoint> = (0..100).map(listed).collect();
         let mut node = Node::new(s, &workers);
-        workers[..6].iter_mut().for_each(|w| w.started = node.now);
+        workers[..6].iter_mut().for_each(|w| w.started_at = node.now);
         node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         node.now += u64::from(rank) * 600;
         for job in 0..60 {
@@ -449,7 +449,7 @@
             node.start(job, 0);
         }
         node.pass(10 * SECOND);
-        (workers[10].status, workers[10].started) = (WorkerStatus::Ready, node.now);
+        (workers[10].status, workers[10].started_at) = (WorkerStatus::Ready, node.now);
         node.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
         let mut sum = 0.0;
         for job in 10..30 {
@@ -470,7 +470,7 @@
     // x = 0.2 and a wait of most of a second, or x = 0.5 at two fifths of the speed. One of two nodes has its turn.
     let chosen = |rank| {
         let mut workers = fleet(2);
-        workers[1].started = 1;
+        workers[1].started_at = 1;
         let s = Settings {
             nodes: 2,
             node_index: rank,
@@ -592,7 +592,7 @@
 /// A node of so many that may have one attempt out of a job at a time, and has sent job 1 to the worker returned,
 /// which has taken it on.
 fn node_with_an_accepted_job(nodes: u32, class: usize) -> (Node, Option<u64>) {
-    let mut s = Settings { nodes, may_duplicate: false, ..settings() };
+    let mut s = Settings { nodes, may_hedge: false, ..settings() };
     s.classes.iter_mut().for_each(|c| c.latency_objective = 2 * SECOND);
     let mut node = Node::new(s, &fleet(12));
     let first = sent(
@@ -805,7 +805,7 @@
     for attempt in [0, 1, u32::MAX] {
         assert_eq!(sent(&node.end(1, attempt, Outcome::Lost)), None);
         assert_eq!(sent(&node.start(77, attempt)), None);
-        node.tell(Event::AttemptProgressed { job: JobId(1), attempt, done: f64::NAN });
+        node.tell(Event::AttemptProgressed { job: JobId(1), attempt, fraction_done: f64::NAN });
     }
     node.tell(Event::ClientDisconnected { job: JobId(77) });
     node.tell(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
@@ -1005,7 +1005,7 @@
 #[test]
 fn a_slow_fleet_is_known_before_each_worker_is() {
     let mut s = settings();
-    s.classes.push(Class { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
+    s.classes.push(JobClass { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
     let mut node = Node::new(s, &fleet(20));
     let mut round = |first: u64, work: f64, speed: f64, end: bool| {
         (first..first + 20).for_each(|job| _ = node.offer(job, 0, work));
@@ -1195,7 +1195,7 @@
     let mut workers = fleet(3);
     let mut elder = Node::new(settings(), &workers);
     elder.teach(&workers, 1, 4.0, 100);
-    workers[2].started = elder.now;
+    workers[2].started_at = elder.now;
     elder.tell(Event::EndpointsChanged { endpoints: &workers, snapshot: true });
     // It spends what a cold worker may get, by jobs that end at once.
     elder.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
@@ -1222,11 +1222,11 @@
     node.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     assert_eq!(sent(&node.offer(1, 2, 0.05)), Some(2));
     // And the elder sends nothing more there once it has handed over, until it has the node back.
-    elder.tell(Event::SuccessorActive(true));
+    elder.tell(Event::SuccessorActive { active: true });
     elder.tell(Event::EndpointsChanged { endpoints: &workers[2..], snapshot: true });
     assert_eq!(sent(&elder.pass(2 * SECOND)), None);
     assert_eq!(sent(&elder.offer(200, 2, 0.05)), None);
-    elder.tell(Event::SuccessorActive(false));
+    elder.tell(Event::SuccessorActive { active: false });
     assert_eq!(sent(&elder.pass(SECOND / 10)), Some(2));
 }
 
@@ -1234,7 +1234,7 @@
 fn a_job_that_moves_keeps_its_attempts_and_their_rules() {
     let workers = fleet(2);
     let mut s = settings();
-    s.may_duplicate = false;
+    s.may_hedge = false;
     let mut elder = Node::new(s.clone(), &workers);
     // One may have run and must not again; one runs; one waits in line, both workers being busy.
     let first = sent(&elder.offer(1, 2, 0.1)).expect("a worker");
@@ -1283,7 +1283,7 @@
         node.end(job, 0, Outcome::Done);
     }
     let warm = Endpoint { status: WorkerStatus::Draining, ..listing(0) };
-    let cold = Endpoint { started: node.now, ..listing(1) };
+    let cold = Endpoint { started_at: node.now, ..listing(1) };
     node.tell(Event::EndpointsChanged { endpoints: &[warm, cold], snapshot: true });
     let mut sends = 0;
     for job in 1_000..1_040 {
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -113,7 +113,7 @@
         nodes: day.nodes,
         node_index: rank,
         endpoints_on_request: true,
-        notified_within: TOLD_WITHIN,
+        assumed_notified_after: TOLD_WITHIN,
         ..settings()
     };
     let node = Node { dispatcher: Dispatcher::new(s, seed).expect("good settings"), now };
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -18,7 +18,7 @@
     (0..5)
         .map(|id| Endpoint {
             kind: KindId(id as u32 / 2 % 2),
-            started: cold(id),
+            started_at: cold(id),
             zone: ZoneId(7),
             ..listing(id)
         })
@@ -66,7 +66,7 @@
     node.pass(3_000);
     node.start(MOVING, 2);
     node.pass(100_000);
-    node.tell(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, done: 0.5 });
+    node.tell(Event::AttemptProgressed { job: JobId(MOVING), attempt: 2, fraction_done: 0.5 });
     node
 }
 
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -112,7 +112,7 @@
             return Err("rule 3: sent to a worker that operators have taken out".into());
         }
         if k.tries.len() >= s.max_attempts as usize
-            || (!s.may_duplicate && k.tries.iter().any(|t| t.outcome.is_none()))
+            || (!s.may_hedge && k.tries.iter().any(|t| t.outcome.is_none()))
         {
             return Err("limits: too many attempts".into());
         }
@@ -134,8 +134,8 @@
                 return Err("rule 2: tried again what may have run".into());
             }
         }
-        if entry.started > 0 && now < entry.started + s.warm_up {
-            let age = (now - entry.started) as f64 / s.warm_up as f64;
+        if entry.started_at > 0 && now < entry.started_at + s.warm_up {
+            let age = (now - entry.started_at) as f64 / s.warm_up as f64;
             let warmth = s.warm_up_floor + (1.0 - s.warm_up_floor) * age;
             let window = s.overload_window as f64 / 1e6;
             // One of many nodes may have its turn, but never the whole budget.
@@ -185,7 +185,7 @@
         s.nodes = if rng.bool() { rng.u32(1..4) } else { rng.u32(8..40) };
         s.node_index = rng.u32(0..s.nodes);
         s.may_cancel = rng.bool();
-        s.may_duplicate = rng.bool();
+        s.may_hedge = rng.bool();
         s.may_gossip = rng.bool();
         s.endpoints_on_request = rng.bool();
         s.max_attempts = rng.u32(1..12);
@@ -216,8 +216,8 @@
             let lives = if whole { 2 } else { 3 };
             l.status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone]
                 [self.rng.usize(0..lives).min(self.rng.usize(0..3))];
-            let before = self.checker.list.get(&l.worker).map_or(0, |b| b.started);
-            l.started = if self.rng.u8(0..4) == 0 { self.node.now } else { before };
+            let before = self.checker.list.get(&l.worker).map_or(0, |b| b.started_at);
+            l.started_at = if self.rng.u8(0..4) == 0 { self.node.now } else { before };
             entries.push(l);
         }
         if whole {
@@ -374,7 +374,7 @@
     says(c.check(now, &send(1)), "rule 3");
 
     let mut c = fresh(0);
-    c.list.get_mut(&WorkerId(0)).unwrap().started = now - 1;
+    c.list.get_mut(&WorkerId(0)).unwrap().started_at = now - 1;
     c.offered(&offer(1, 0, 2.0, now));
     says(c.check(now, &send(0)), "rule 4");
 }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -82,7 +82,7 @@
             name: e.name.as_str().into(),
             address: e.address,
             listing: Endpoint {
-                worker: WorkerId::of_name(&e.name),
+                worker: WorkerId::from_name(&e.name),
                 zone: ZoneId(Self::place(&mut self.zones, &e.zone)),
                 kind: KindId(Self::place(&mut self.kinds, &e.kind)),
                 cell: CellId(e.group),
@@ -91,7 +91,7 @@
                     Status::Terminating => WorkerStatus::Draining,
                     Status::Terminated => WorkerStatus::Gone,
                 },
-                started: e.since_ms.saturating_mul(1000),
+                started_at: e.since_ms.saturating_mul(1000),
                 size: e.weight,
             },
         };
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -422,7 +422,10 @@
             DispatchCommand::SetWorkerDisabled { name, out, verdict } => {
                 let said = if out { self.bans.disable(&name) } else { self.bans.enable(&name) };
                 if said.is_ok() {
-                    self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
+                    self.tell(Event::MaintenanceChanged {
+                        worker: WorkerId::from_name(&name),
+                        disabled: out,
+                    });
                 }
                 // An operator who no longer waits may ask again.
                 let _ = verdict.send(said);
@@ -437,13 +440,18 @@
             }
             DispatchCommand::RestoreSnapshot(estate) => {
                 for (name, out) in self.bans.merge_predecessor(estate.bans) {
-                    self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
+                    self.tell(Event::MaintenanceChanged {
+                        worker: WorkerId::from_name(&name),
+                        disabled: out,
+                    });
                 }
                 if let Some(learned) = &estate.learned {
                     self.dispatcher.restore(self.clock.now(), learned);
                 }
             }
-            DispatchCommand::SetSuccessorActive(retired) => self.tell(Event::SuccessorActive(retired)),
+            DispatchCommand::SetSuccessorActive(retired) => {
+                self.tell(Event::SuccessorActive { active: retired })
+            }
         }
     }
 
@@ -751,7 +759,7 @@
             }
             CallbackState::Running(share) => {
                 attempt.share = *share;
-                return self.tell(Event::AttemptProgressed { job, attempt: number, done: *share });
+                return self.tell(Event::AttemptProgressed { job, attempt: number, fraction_done: *share });
             }
             CallbackState::Done(_) => Outcome::Done,
             CallbackState::Failed => Outcome::Error,
@@ -825,8 +833,8 @@
         }
         for NamedEndpoint { name, address, listing } in hops {
             trace!(target: DISPATCH, %name, %address, ?listing, "listed");
-            let old = self.starts.insert(listing.worker, listing.started);
-            if listing.status == WorkerStatus::Gone || old.is_some_and(|old| old != listing.started) {
+            let old = self.starts.insert(listing.worker, listing.started_at);
+            if listing.status == WorkerStatus::Gone || old.is_some_and(|old| old != listing.started_at) {
                 // The connections that are left are those of a process that is no more.
                 self.transport.forget_endpoint(address);
             }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -113,7 +113,7 @@
     site.decisions.max_retry_after = site.max_retry_after;
     // On sockets a 202 tells that a next hop is there, long before the job starts.
     site.decisions.accept_timeout = site.connect_timeout + ACCEPTANCE;
-    site.decisions.notified_within = TOLD_WITHIN.as_micros() as Micros;
+    site.decisions.assumed_notified_after = TOLD_WITHIN.as_micros() as Micros;
     let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
 
     let longest =
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use curlewusher_core::{Class, DeduplicationScope, Idempotency, KindId, Micros, Settings, ZoneId};
+use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros, Settings, ZoneId};
 use serde::{Deserialize, Serialize};
 
 pub mod operator;
@@ -173,8 +173,8 @@
     let wire: Wire = serde_path_to_error::deserialize(source).map_err(|e| e.to_string())?;
     let info = &wire.family_info;
     let max_retry_after = wire.limits.max_retry_after_us.min(LONGEST);
-    let class = |(i, s): (usize, &Service)| -> Result<Class, String> {
-        Ok(Class {
+    let class = |(i, s): (usize, &Service)| -> Result<JobClass, String> {
+        Ok(JobClass {
             idempotency: effect(s)?,
             latency_objective: s.objective_us.min(LONGEST),
             latency_objective_stretch: s.aim_stretch.or(info.class_stretch.get(i).copied()).unwrap_or(0.0),
@@ -195,15 +195,15 @@
             "automatic" => false,
             _ => return Err("discovery is neither automatic nor subscribe".into()),
         },
-        poll_within: wire.rules.ask_within_us.clamp(LEAST_ASK, LONGEST),
-        notified_within: 0,
+        max_poll_interval: wire.rules.ask_within_us.clamp(LEAST_ASK, LONGEST),
+        assumed_notified_after: 0,
         // Sizes that change with the load, or are the same for all, tell nothing of slots.
         sizes_listed: matches!(wire.weights.as_str(), "nominal" | "rough"),
         reports_start: info.tells_start,
         // Only real connections tell.
         accept_timeout: 0,
         may_cancel: wire.limits.cancel,
-        may_duplicate: wire.limits.may_duplicate,
+        may_hedge: wire.limits.may_duplicate,
         may_gossip: wire.limits.may_tell,
         gossip_price: wire.prices.peer,
         max_attempts: wire.limits.send_cap,
@@ -214,7 +214,7 @@
         overload_factor: wire.rules.overload_factor,
         overload_window: wire.rules.fall_us.min(LONGEST),
     };
-    settings.check().map_err(|e| {
+    settings.validate().map_err(|e| {
         let (field, remedy) = written(e.field);
         format!("{field}: {} {}; {remedy}", e.field, e.problem)
     })?;
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The operator's file and the settings object, read: every value of full ones, and every mistake in its exact words.
 
-use curlewusher_core::{Class, DeduplicationScope, Idempotency, KindId, Micros};
+use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros};
 use curlewusher_settings::operator::{FIELDS, Operator, Part};
 use curlewusher_settings::{Site, effective, read};
 use golden::golden;
@@ -66,8 +66,8 @@
     }
 }
 
-fn class_values(nth: usize, class: &Class) -> String {
-    let Class {
+fn class_values(nth: usize, class: &JobClass) -> String {
+    let JobClass {
         idempotency: effect,
         latency_objective: aim,
         latency_objective_stretch: stretch,
@@ -93,13 +93,13 @@
         format!("tenant quotas: {:?}", decisions.tenant_quotas),
         format!("over-quota worth: {}", decisions.over_quota_weight),
         format!("list on request: {}", decisions.endpoints_on_request),
-        format!("ask within: {}", decisions.poll_within),
-        format!("told within: {}", decisions.notified_within),
+        format!("ask within: {}", decisions.max_poll_interval),
+        format!("told within: {}", decisions.assumed_notified_after),
         format!("sizes told: {}", decisions.sizes_listed),
         format!("tells start: {}", decisions.reports_start),
         format!("accepts within: {}", decisions.accept_timeout),
         format!("may cancel: {}", decisions.may_cancel),
-        format!("may duplicate: {}", decisions.may_duplicate),
+        format!("may duplicate: {}", decisions.may_hedge),
         format!("may tell: {}", decisions.may_gossip),
         format!("tell price: {}", decisions.gossip_price),
         format!("max attempts: {}", decisions.max_attempts),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -99,12 +99,12 @@
         other => return Err(format!("field lifecycle is malformed: {other}")),
     };
     let entry = Endpoint {
-        worker: WorkerId::of_name(name),
+        worker: WorkerId::from_name(name),
         zone: ZoneId(f.or("area", 0)?),
         kind: KindId(f.or("classOfHost", 0)?),
         cell: CellId(f.or("unitGroup", 0)?),
         status: life,
-        started: f.or("cameUpUs", 0)?,
+        started_at: f.or("cameUpUs", 0)?,
         size: f.or("scale", 1.0)?,
     };
     Ok((entry, name.to_owned()))
@@ -221,8 +221,10 @@
                 let (job, attempt) = instance.attempt(f)?;
                 match f.need("topic")? {
                     1u32 => instance.tell(now, Event::AttemptStarted { job, attempt }),
-                    2 => instance
-                        .tell(now, Event::AttemptProgressed { job, attempt, done: f.or("amount", 0.0)? }),
+                    2 => instance.tell(
+                        now,
+                        Event::AttemptProgressed { job, attempt, fraction_done: f.or("amount", 0.0)? },
+                    ),
                     _ => {}
                 }
             }
