--- /dev/null
+++ b/crates/core/src/interface/event.rs
@@ -0,0 +1,110 @@
+//! Events: what the embedder reports to the dispatcher.
+
+use super::{Endpoint, JobId, JobSubmission, Micros, Outcome, WorkerId};
+
+/// Something that has happened. Pass each to [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
+///
+/// Attempts of a job are numbered from 0, in the order of its
+/// [`Action::SendAttempt`](crate::Action::SendAttempt). Events about jobs and attempts that the dispatcher does
+/// not know (any more) are ignored.
+#[derive(Clone, Debug)]
+pub enum Event<'a> {
+    /// The endpoint list or changes to it arrived, from a poll, a watch or a push.
+    EndpointsChanged {
+        /// The entries.
+        endpoints: &'a [Endpoint],
+        /// These are all entries: a worker that is not among them is gone. Otherwise they are changes.
+        snapshot: bool,
+    },
+    /// The open watch confirmed that the known endpoint list is current, for instance by its heartbeat.
+    EndpointsConfirmed,
+    /// Discovery answered a poll.
+    PollAnswered {
+        /// Time from the request to the answer.
+        duration: Micros,
+    },
+    /// Discovery sent something that could not be parsed as an endpoint list.
+    EndpointsUnreadable,
+    /// The address of discovery was changed: from now on the endpoint list comes from another service.
+    DiscoveryMoved,
+    /// A poll failed, or the open watch ended.
+    WatchFailed,
+    /// A client submitted a job.
+    JobSubmitted(JobSubmission),
+    /// A worker has accepted an attempt, and has not necessarily started it.
+    AttemptAccepted {
+        /// Job of the attempt.
+        job: JobId,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// A worker has started to run an attempt.
+    AttemptStarted {
+        /// Job of the attempt.
+        job: JobId,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// A worker reported the progress of an attempt.
+    AttemptProgressed {
+        /// Job of the attempt.
+        job: JobId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// Completed fraction of its work, from 0 to 1.
+        fraction_done: f64,
+    },
+    /// The response has begun to stream to the client: the job is bound to this attempt, and its deadline no
+    /// longer applies.
+    AttemptStreaming {
+        /// Job of the attempt.
+        job: JobId,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// An attempt has ended.
+    AttemptEnded {
+        /// Job of the attempt.
+        job: JobId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// How it ended.
+        outcome: Outcome,
+        /// The client has its response: the job needs no further attempt.
+        settled: bool,
+    },
+    /// The client has disconnected: the job needs no response any more.
+    ClientDisconnected {
+        /// Its job.
+        job: JobId,
+    },
+    /// The gossip that another node sent by [`Action::SendGossip`](crate::Action::SendGossip) arrived.
+    GossipReceived {
+        /// Index of the sending node.
+        from: u32,
+        /// The message.
+        data: &'a [u8],
+    },
+    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says, or
+    /// enabled it again.
+    MaintenanceChanged {
+        /// Which worker.
+        worker: WorkerId,
+        /// Whether it is disabled; repeating the present state has no effect.
+        disabled: bool,
+    },
+    /// Another process of this node has taken over, or has exited again. While it is active, filling the workers
+    /// that are warming up is left to it.
+    SuccessorActive {
+        /// Whether the other process is the active one.
+        active: bool,
+    },
+    /// A graceful shutdown of this node has begun.
+    ShutdownStarted {
+        /// The moment by which all submitted jobs must be answered.
+        deadline: Micros,
+    },
+    /// The timer of [`Action::SetTimer`](crate::Action::SetTimer) expired. Send it once right after the start
+    /// too.
+    TimerExpired,
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,93 +1,104 @@
-//! Dispatcher decisions: which worker gets which job, and what to do when things fail.
+//! The decisions of a job dispatcher: which worker gets which job, and what to do when something fails.
 //!
 //! A [`Dispatcher`] decides for one node that pushes jobs to workers. It does no input or output and has no
-//! clock, no threads and no globals: its node hands it [`Event`]s with the time of each and carries out the
-//! [`Action`]s that come back. The same events give the same actions.
+//! clock, no threads and no global state: its embedder passes it [`Event`]s with the time of each and carries out the
+//! [`Action`]s that come back. The same settings, seed and events give the same actions.
 //!
-//! Every ordinary job goes to the ready worker with the lowest `x + w/(1-r)`: its run there, and the wait for
-//! the work already there weighted by the worker's utilisation. `docs/design.md` tells what was added and why.
+//! An ordinary job goes to the ready worker with the lowest `x + w / (1 - r)`: the job's run time there, plus the wait
+//! for the work that is already there, weighted by the worker's utilisation. `docs/design.md` describes what was added
+//! to this rule and why.
+//!
+//! # Quick start
+//!
+//! Create a dispatcher and start its timer:
 //!
 //! ```
-//! use curlewusher_core::*;
+//! use curlewusher_core::{
+//!     Action, CellId, ClassId, Dispatcher, Endpoint, Event, Idempotency, JobClass, JobId, JobSubmission, KindId,
+//!     Outcome, Settings, TenantId, WorkerId, WorkerStatus, ZoneId,
+//! };
 //!
+//! let class = JobClass {
+//!     idempotency: Idempotency::Idempotent,
+//!     latency_objective: 200_000,
+//!     latency_objective_stretch: 2.0,
+//!     priority_weight: 1.0,
+//!     client_timeout: 5_000_000,
+//!     required_kind: None,
+//! };
 //! let settings = Settings {
 //!     nodes: 1,
-//!     rank: 0,
+//!     node_index: 0,
 //!     zone: ZoneId(0),
-//!     classes: vec![Class {
-//!         effect: Effect::Safe,
-//!         aim: 200_000,
-//!         stretch: 2.0,
-//!         worth: 1.0,
-//!         give_up: 5_000_000,
-//!         kind: None,
-//!     }],
+//!     classes: vec![class],
 //!     tenant_quotas: vec![],
-//!     list_on_request: false,
-//!     ask_within: 10_000_000,
-//!     told_within: 0,
-//!     tells_start: true,
-//!     sizes_told: false,
-//!     accepts_within: 0,
+//!     over_quota_weight: 0.1,
+//!     endpoints_on_request: false,
+//!     max_poll_interval: 10_000_000,
+//!     assumed_notified_after: 0,
+//!     sizes_listed: false,
+//!     reports_start: true,
+//!     accept_timeout: 0,
 //!     may_cancel: true,
-//!     may_duplicate: true,
-//!     may_tell: false,
-//!     tell_price: 0.0,
+//!     may_hedge: true,
+//!     may_gossip: false,
+//!     gossip_price: 0.0,
 //!     max_attempts: 3,
-//!     max_advice: 0,
-//!     over_quota_worth: 0.1,
+//!     max_retry_after: 0,
 //!     cross_zone_price: 0.0,
-//!     cold_share: 0.2,
+//!     warm_up_floor: 0.2,
 //!     warm_up: 20_000_000,
 //!     overload_factor: 3.0,
-//!     fall_window: 1_000_000,
+//!     overload_window: 1_000_000,
 //! };
-//! let mut dispatcher = Dispatcher::new(settings, 42)?;
+//! let random_seed = 42;
+//! let mut dispatcher = Dispatcher::new(settings, random_seed)?;
 //! let mut actions = Vec::new();
+//! dispatcher.handle(1_000, Event::TimerExpired, &mut actions);
 //!
-//! // Right after the start, and whenever an `Action::Wake` comes due.
-//! dispatcher.handle(1_000, Event::Woken, &mut actions);
-//!
-//! // The list of workers, from wherever the node has it.
-//! let worker = Listing {
+//! // The endpoint list, from wherever the embedder has it.
+//! let endpoint = Endpoint {
 //!     worker: WorkerId(7),
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
 //!     cell: CellId(0),
-//!     life: Life::Ready,
-//!     started: 0,
+//!     status: WorkerStatus::Ready,
+//!     started_at: 0,
 //!     size: 1.0,
 //! };
-//! dispatcher.handle(2_000, Event::Listed { entries: &[worker], whole: true }, &mut actions);
+//! let endpoints = Event::EndpointsChanged { endpoints: &[endpoint], snapshot: true };
+//! dispatcher.handle(2_000, endpoints, &mut actions);
 //!
-//! // A job comes in; the node carries out what it is told to.
-//! let offer = Offer {
+//! // A client submits a job.
+//! let submission = JobSubmission {
 //!     job: JobId(1),
 //!     class: ClassId(0),
 //!     tenant: TenantId(0),
 //!     deadline: 5_003_000,
-//!     hint: Some(0.05),
+//!     cost_hint: Some(0.05),
 //!     slots: 1.0,
 //!     key: None,
-//!     repeat: false,
+//!     is_retry: false,
 //! };
-//! dispatcher.handle(3_000, Event::Offered(offer), &mut actions);
+//! dispatcher.handle(3_000, Event::JobSubmitted(submission), &mut actions);
+//!
+//! // The embedder carries out the actions in their order.
 //! let mut sent = Vec::new();
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { job, worker, timeout, .. } => sent.push((job, worker, timeout)),
-//!         Action::Wake { after } => println!("wake it in {after} microseconds"),
+//!         Action::SendAttempt { job, worker, timeout, .. } => sent.push((job, worker, timeout)),
+//!         Action::SetTimer { after } => println!("send Event::TimerExpired in {after} microseconds"),
 //!         other => println!("carry out {other:?}"),
 //!     }
 //! }
 //! assert_eq!(sent, [(JobId(1), WorkerId(7), 5_000_000)]);
 //!
-//! // What became of it.
+//! // It reports what becomes of each attempt.
 //! let (job, attempt) = (JobId(1), 0);
-//! dispatcher.handle(3_500, Event::Started { job, attempt }, &mut actions);
-//! let outcome = Outcome::Done;
-//! dispatcher.handle(60_000, Event::Ended { job, attempt, outcome, settled: true }, &mut actions);
-//! # Ok::<(), SettingsError>(())
+//! dispatcher.handle(3_500, Event::AttemptStarted { job, attempt }, &mut actions);
+//! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, settled: true };
+//! dispatcher.handle(60_000, ended, &mut actions);
+//! # Ok::<(), curlewusher_core::SettingsError>(())
 //! ```
 
 #![forbid(unsafe_code)]
@@ -102,5 +113,9 @@
 mod state;
 
 pub use dispatcher::Dispatcher;
-pub use interface::*;
+pub use interface::{
+    Action, CellId, ClassId, DeduplicationScope, Endpoint, Event, Idempotency, JobClass, JobId,
+    JobSubmission, KindId, Micros, Outcome, Settings, SettingsError, TenantId, WorkerId, WorkerStatus,
+    ZoneId, stable_hash,
+};
 pub use snapshot::{MigratedJob, StateSnapshot};
