--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::gossip;
 use crate::interface::*;
 use crate::policy::*;
-use crate::poll_schedule::DiscoveryClient;
+use crate::poll_schedule::PollSchedule;
 use crate::state::*;
 
 /// The dispatcher of one node: give it events, carry out its actions.
@@ -47,7 +47,7 @@
     /// Own work at some worker has changed since it was last told.
     pub(crate) news: bool,
     pub(crate) tell_at: Option<Micros>,
-    pub(crate) discovery: DiscoveryClient,
+    pub(crate) poll_schedule: PollSchedule,
 }
 
 /// What others told counts this long, s, and so many slots of it at most.
@@ -90,7 +90,7 @@
             wake_at: None,
             news: false,
             tell_at: None,
-            discovery: DiscoveryClient::new(&settings),
+            poll_schedule: PollSchedule::new(&settings),
             settings,
         })
     }
@@ -102,11 +102,11 @@
                 self.listed(now, entries, whole);
                 self.recall(out);
             }
-            Event::EndpointsConfirmed => self.discovery.stands(now),
-            Event::PollAnswered { duration: took } => self.discovery.answered(took),
-            Event::EndpointsUnreadable => self.discovery.spoilt(now),
-            Event::DiscoveryMoved => self.discovery.moved(now),
-            Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
+            Event::EndpointsConfirmed => self.poll_schedule.record_confirmation(now),
+            Event::PollAnswered { duration: took } => self.poll_schedule.record_poll_duration(took),
+            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
+            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
             Event::JobSubmitted(offer) => self.take(now, &offer, out),
             Event::AttemptAccepted { job, attempt } => self.accepted(now, job, attempt),
             Event::AttemptStarted { job, attempt } => {
@@ -230,7 +230,7 @@
 
     pub(crate) fn woken(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.wake_at = self.wake_at.filter(|at| *at > now);
-        if self.discovery.woken(now, &mut self.rng) {
+        if self.poll_schedule.start_due_poll(now, &mut self.rng) {
             out.push(Action::WatchEndpoints);
         }
         self.fleet.relearn_slots(now, f64::from(self.group_nodes()));
@@ -349,7 +349,8 @@
             self.tell_at = Some(now + TELL_GAP * Micros::from(self.group_nodes() - 1));
         }
         let sweep = (!self.jobs.is_empty()).then_some(now + SWEEP);
-        let Some(next) = [sweep, self.tell_at, self.discovery.next()].into_iter().flatten().min() else {
+        let Some(next) = [sweep, self.tell_at, self.poll_schedule.next_poll_at()].into_iter().flatten().min()
+        else {
             return;
         };
         if self.wake_at.is_none_or(|at| at > next || at < now) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -105,6 +105,7 @@
 #![warn(missing_docs)]
 
 mod dispatcher;
+mod endpoint_freshness;
 mod gossip;
 mod interface;
 mod policy;
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -475,7 +475,7 @@
     /// there, small urgent jobs would be stuck behind large ones, and nothing could be taken back.
     pub(crate) fn dispatch(&mut self, now: Micros, out: &mut Vec<Action>) {
         // Rule 3: a node that can no longer stand for its list sends nothing by it. Jobs wait for the next.
-        if self.line.is_empty() || self.discovery.stale(now) {
+        if self.line.is_empty() || self.poll_schedule.endpoints_are_stale(now) {
             return;
         }
         self.survey_all(now);
@@ -582,7 +582,7 @@
     /// A second copy for a job that is not started when it should be, where another worker looks free: other
     /// nodes' work stands before it, or the worker is silent. The first to start is kept: see `started`.
     fn hedge(&mut self, now: Micros, job: &mut Job, out: &mut Vec<Action>) {
-        let may = self.settings.may_cancel && !self.discovery.stale(now);
+        let may = self.settings.may_cancel && !self.poll_schedule.endpoints_are_stale(now);
         if !may || self.copy_work < job.load() || !self.stuck(now, job) {
             return;
         }
@@ -602,7 +602,7 @@
             || self.retries < 1.0
             || !self.settings.may_cancel
             || self.settings.may_hedge
-            || self.discovery.stale(now)
+            || self.poll_schedule.endpoints_are_stale(now)
         {
             return None;
         }
@@ -680,7 +680,7 @@
     // ---- the list ----------------------------------------------------------------------------------------
 
     pub(crate) fn listed(&mut self, now: Micros, entries: &[Endpoint], whole: bool) {
-        self.discovery.listed(now);
+        self.poll_schedule.record_endpoints(now);
         self.fleet.follow(now, entries, whole);
     }
 }
--- a/crates/core/src/policy/pre_send.rs
+++ b/crates/core/src/policy/pre_send.rs
@@ -42,7 +42,7 @@
     /// Until when the attempt booked last may leave: within the window of a keyed repeat, and while this node can stand
     /// for the list that it goes by.
     pub(crate) fn leave_by(&self, job: &Job) -> Option<Micros> {
-        self.window_ends(job).into_iter().chain(self.discovery.leave_by()).min()
+        self.window_ends(job).into_iter().chain(self.poll_schedule.send_by()).min()
     }
 
     /// A keyed repeat has to be with its worker while that discards it: however long it waits for its connection, it
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,215 +1,264 @@
-//! Owns when the list is asked for, and how long a node may stand for the one that it has. It must never look at
-//! a job or a worker: it knows calls, answers and times only.
+//! When a node polls discovery for the endpoint list, and what the result says of the list that it has.
 //!
-//! What it reckons with is told in `docs/design/announced-drains.md`.
+//! The schedule knows polls, answers and times only, no jobs and no workers. `docs/design/announced-drains.md` has
+//! the measurements behind it.
+//!
+//! | state | left by | next state, next poll |
+//! | --- | --- | --- |
+//! | starting | the first timer | waiting: at a random moment of the first spread |
+//! | waiting | that moment | polling; without any answer, again after half of `max_poll_interval` |
+//! | polling | a list | watching: no poll |
+//! | polling | a failure | waiting: one spread after the beginning of the failed poll, longer with each failure |
+//! | watching | the end of the watch | waiting: at a random moment of a spread |
+//!
+//! Discovery serves one poll after another and drops a poll that waits for longer than about 2 s. Nodes often lose
+//! their watches all at once, so their polls are spread evenly over the time that discovery needs for all of them:
+//! each node estimates that from the polls that were answered. When the polls of all nodes fit into that spread, a
+//! failed poll means that discovery was unavailable when the poll began; so the list was still current then. When they
+//! do not fit, a failure may only mean that discovery was overloaded, and says nothing about the list.
 
+use crate::endpoint_freshness::EndpointFreshness;
 use crate::interface::{Micros, Settings};
 
-/// Next call after a failed one: first wait, how often it is doubled, and so up to which span between the
-/// beginnings of two calls, where discovery has time for all nodes within that.
-const ASK_FIRST: Micros = 400_000;
-const ASK_DOUBLINGS: u32 = 3;
-const ASK_PERIOD: Micros = 3_000_000;
-/// What one call is taken to take of discovery's time as long as none has been answered, and the bounds of
-/// what answered ones teach.
-const CALL_TIME: Micros = 70_000;
-const CALL_TIME_LEAST: Micros = 5_000;
-const CALL_TIME_MOST: Micros = 250_000;
-/// An answer that took longer than was thought moves that by one part in so many: it may have waited.
-const CALL_TIME_PART: Micros = 8;
-/// Discovery lets a call wait so long, less a margin: so much of what all ask for at once may stand in line.
-const LINE: Micros = 1_800_000;
-/// Where it can be, calls are spread so far that none need wait at all, up to this.
-const EVEN: Micros = 5_000_000;
-/// After a failed call the span to the next grows by half, up to what discovery needs for all nodes and this
-/// part of that more.
-const SPARE_PART: Micros = 10;
-/// It grows no more often than this.
-const GROWN_MOST: u32 = 16;
-/// Jitter of a span, to both sides.
+/// Initial time between the beginnings of two polls after a failure; it doubles with each further failure.
+const INITIAL_BACKOFF: Micros = 400_000;
+/// Maximum number of doublings of [`INITIAL_BACKOFF`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// Maximum backoff, unless discovery needs longer for the polls of all nodes.
+const MAX_BACKOFF: Micros = 3_000_000;
+
+/// Time that discovery is assumed to spend on a poll while none has been answered.
+const DEFAULT_POLL_COST: Micros = 70_000;
+/// Bounds of the time that discovery is estimated to spend on a poll.
+const MIN_POLL_COST: Micros = 5_000;
+const MAX_POLL_COST: Micros = 250_000;
+/// A poll that took longer than estimated moves the estimate by this part (one in so many) of the difference only, as
+/// it may have waited in discovery's queue. A shorter one replaces the estimate.
+const POLL_COST_SMOOTHING: Micros = 8;
+
+/// Time that a poll may wait in discovery's queue, less a margin: simultaneous polls that together take
+/// no longer than this are all answered.
+const MAX_QUEUE_WAIT: Micros = 1_800_000;
+/// Up to this, polls are spread so far that none needs to wait in discovery's queue.
+const MAX_UNCONTENDED_SPREAD: Micros = 5_000_000;
+/// After failures the spread grows up to the time needed for all nodes and this part (one in so many) more.
+const SPREAD_RESERVE_PART: Micros = 10;
+/// Maximum number of times that the spread grows by half.
+const MAX_SPREAD_GROWTHS: u32 = 16;
+/// The time to the next poll varies at random by this part (one in so many), both ways.
 const JITTER_PART: Micros = 25;
-/// An open watch says something every 2 s. One that ended later than this after its last word was silent.
-const BEAT: Micros = 2_100_000;
-/// What a node that has just started missed before its first call is no more than what came within this.
-const AT_ONCE: Micros = 500_000;
-/// Work stops so long after what is not known would count as told: what was sent is under way by then.
-const STOP: Micros = 200_000;
-/// And nothing leaves later than this after that moment: 0.75 s is the rule.
-const LEAVE: Micros = 650_000;
-/// After a move of discovery what the new one has counts as told so much sooner.
-const MOVED_SOONER: Micros = 2_000_000;
-
-/// The one owner of "when was the list last sure", and of the next call for it.
-pub(crate) struct DiscoveryClient {
-    nodes: Micros,
-    /// Lists come only when asked for.
+
+/// An open watch sends a heartbeat every 2 s; if it ends later than this after the last one, it had been silent
+/// before.
+const MAX_HEARTBEAT_GAP: Micros = 2_100_000;
+/// A process that makes its first poll within this time of its start is assumed to have missed no change
+/// in between.
+const MAX_IMMEDIATE_START: Micros = 500_000;
+
+/// Value of [`PollSchedule::next_poll_at`] before the first timer.
+const NOT_STARTED: Micros = 0;
+
+/// The schedule of a node's polls, with the freshness of its endpoint list. Times are in microseconds.
+pub(crate) struct PollSchedule {
+    /// The list is sent on request only; otherwise there is nothing to schedule.
     on_request: bool,
-    /// See [`Settings::ask_within`] and [`Settings::told_within`].
-    ask_within: Micros,
-    told_within: Micros,
-    /// What a call takes of discovery's time; none as long as none was answered.
-    call_time: Option<Micros>,
-    /// The next call is due.
-    ask_at: Option<Micros>,
-    /// When the last one was made, and whether it is still out.
-    asked: Micros,
-    out: bool,
-    failures: u32,
-    /// The calls of all nodes are spread over this, as far as this node knows.
-    span: Micros,
-    /// The watch ended while it still spoke: what was unknown then began to be so in that moment.
-    in_touch: bool,
-    /// The watch ended by something that could not be read.
-    spoilt: bool,
-    /// The process did.
-    began: Micros,
-    /// Up to then nothing that this node does not know can have counted as told `told_within` ago.
-    sure_at: Option<Micros>,
+    /// See [`Settings::max_poll_interval`].
+    max_poll_interval: Micros,
+    load: DiscoveryLoad,
+    next_poll_at: Option<Micros>,
+    last_poll_at: Micros,
+    poll_in_flight: bool,
+    consecutive_failures: u32,
+    /// The time over which the polls of all nodes are spread, as far as this node knows.
+    spread: Micros,
+    /// The list was current when the watch was lost, or when the process made its first poll.
+    lost_watch_while_current: bool,
+    /// The watch was lost because this node could not parse what it sent.
+    list_unreadable: bool,
+    /// When this process started.
+    started_at: Micros,
+    freshness: EndpointFreshness,
 }
 
-impl DiscoveryClient {
+impl PollSchedule {
     pub(crate) fn new(settings: &Settings) -> Self {
-        DiscoveryClient {
-            nodes: Micros::from(settings.nodes),
+        PollSchedule {
             on_request: settings.endpoints_on_request,
-            ask_within: settings.max_poll_interval,
-            told_within: settings.assumed_notified_after,
-            call_time: None,
-            ask_at: settings.endpoints_on_request.then_some(0),
-            asked: 0,
-            out: false,
-            failures: 0,
-            span: 0,
-            in_touch: true,
-            spoilt: false,
-            began: 0,
-            sure_at: None,
+            max_poll_interval: settings.max_poll_interval,
+            load: DiscoveryLoad { nodes: Micros::from(settings.nodes), poll_cost: None },
+            next_poll_at: settings.endpoints_on_request.then_some(NOT_STARTED),
+            last_poll_at: 0,
+            poll_in_flight: false,
+            consecutive_failures: 0,
+            spread: 0,
+            lost_watch_while_current: true,
+            list_unreadable: false,
+            started_at: 0,
+            freshness: EndpointFreshness::new(settings),
         }
     }
 
-    /// When it wants to be woken.
-    pub(crate) fn next(&self) -> Option<Micros> {
-        self.ask_at
+    /// When [`PollSchedule::start_due_poll`] is to be called next.
+    pub(crate) fn next_poll_at(&self) -> Option<Micros> {
+        self.next_poll_at
     }
 
-    /// Whether the list is to be asked for now.
-    pub(crate) fn woken(&mut self, now: Micros, rng: &mut fastrand::Rng) -> bool {
-        self.sure_at.get_or_insert(now);
-        if self.ask_at == Some(0) {
-            // Just started, perhaps together with all others: it begins with the saved list.
-            (self.began, self.asked) = (now, now);
-            self.span = self.all().min(self.ask_within / 2);
-            self.ask_at = Some(now + rng.u64(0..=self.span));
+    /// Returns whether a poll is due, and records it as begun. The first call schedules the first poll.
+    pub(crate) fn start_due_poll(&mut self, now: Micros, rng: &mut fastrand::Rng) -> bool {
+        self.freshness.record_start(now);
+        if self.next_poll_at == Some(NOT_STARTED) {
+            self.schedule_first_poll(now, rng);
             return false;
         }
-        let due = self.ask_at.is_some_and(|at| at <= now);
-        if due {
-            // Should no answer come at all, ask again.
-            if self.asked == self.began {
-                self.in_touch = now < self.began + AT_ONCE;
-            }
-            (self.asked, self.out) = (now, true);
-            self.ask_at = Some(now + self.ask_within / 2);
+        let is_due = self.next_poll_at.is_some_and(|at| at <= now);
+        if is_due {
+            self.record_poll(now);
         }
-        due
+        is_due
     }
 
-    /// A list has come. One that comes in the moment of asking is the saved one, no answer.
-    pub(crate) fn listed(&mut self, now: Micros) {
-        if now > self.asked {
-            (self.ask_at, self.out, self.failures) = (None, false, 0);
+    /// An endpoint list arrived. One that arrives at the moment of a poll is the saved one and no answer.
+    pub(crate) fn record_endpoints(&mut self, now: Micros) {
+        if now > self.last_poll_at {
+            self.next_poll_at = None;
+            self.poll_in_flight = false;
+            self.consecutive_failures = 0;
         }
     }
 
-    /// What is known stands: a watch that is open says so.
-    pub(crate) fn stands(&mut self, now: Micros) {
-        self.sure_at = Some(now);
+    /// The open watch confirmed that the known list is current.
+    pub(crate) fn record_confirmation(&mut self, now: Micros) {
+        self.freshness.confirm(now);
     }
 
-    /// A call was answered after this long.
-    pub(crate) fn answered(&mut self, took: Micros) {
-        let took = took.clamp(CALL_TIME_LEAST, CALL_TIME_MOST);
-        let known = self.call_time.unwrap_or(took).min(took);
-        self.call_time = Some(known + (took - known) / CALL_TIME_PART);
+    /// A poll was answered after `duration`.
+    pub(crate) fn record_poll_duration(&mut self, duration: Micros) {
+        self.load.record_poll_duration(duration);
     }
 
-    /// Something came that could not be read: whatever it was, this node has been told.
-    pub(crate) fn spoilt(&mut self, now: Micros) {
-        let latest = now.saturating_sub(self.told_within);
-        (self.sure_at, self.spoilt) = (self.sure_at.map(|at| at.min(latest)), true);
+    /// Discovery sent something that could not be parsed.
+    pub(crate) fn record_unreadable_list(&mut self, now: Micros) {
+        self.freshness.record_unreadable(now);
+        self.list_unreadable = true;
     }
 
-    /// Discovery is elsewhere now.
-    pub(crate) fn moved(&mut self, now: Micros) {
-        let latest = now.saturating_sub(MOVED_SOONER);
-        self.sure_at = self.sure_at.map(|at| at.min(latest));
+    /// Discovery moved to another address.
+    pub(crate) fn record_discovery_move(&mut self, now: Micros) {
+        self.freshness.record_move(now);
     }
 
-    /// A call failed, or the watch has ended. Sets the next call: in a random turn of this node at first, since
-    /// others may have lost theirs in the same moment, then in even spans from that.
-    pub(crate) fn failed(&mut self, now: Micros, rng: &mut fastrand::Rng) {
+    /// A poll failed or the watch ended: schedules the next poll.
+    pub(crate) fn record_failure(&mut self, now: Micros, rng: &mut fastrand::Rng) {
         if !self.on_request {
             return;
         }
-        let least = ASK_FIRST / 2 + rng.u64(0..=ASK_FIRST / 2);
-        let line = self.line();
-        if std::mem::take(&mut self.out) {
-            if self.in_touch && self.fits() {
-                // It could not be reached when that call began, or it would have answered it.
-                self.sure_at = self.sure_at.map(|at| at.max(self.asked));
-            }
-            let short = (ASK_FIRST << self.failures.min(ASK_DOUBLINGS)).min(ASK_PERIOD);
-            let grown = (0..self.failures.min(GROWN_MOST))
-                .fold(line, |span, _| (span + span / 2).min(2 * self.all()));
-            let most = (self.all() + self.all() / SPARE_PART).max(ASK_PERIOD);
-            let span = short.max(grown).min(most);
-            self.span = span;
-            let jittered = span - span / JITTER_PART + rng.u64(0..=2 * span / JITTER_PART);
-            self.ask_at = Some((now + least).max(self.asked + jittered));
-            self.failures = self.failures.saturating_add(1);
+        let min_delay = INITIAL_BACKOFF / 2 + rng.u64(0..=INITIAL_BACKOFF / 2);
+        if std::mem::take(&mut self.poll_in_flight) {
+            self.record_failed_poll(now, min_delay, rng);
         } else {
-            self.span = line;
-            self.in_touch = self.sure_at.is_some_and(|at| now < at + BEAT);
-            if self.in_touch {
-                self.sure_at = Some(now);
-            }
-            // What was spoilt was spoilt for this node alone.
-            let turn = if std::mem::take(&mut self.spoilt) { 0 } else { rng.u64(0..=line) };
-            self.ask_at = Some(now + least + turn);
+            self.record_lost_watch(now, min_delay, rng);
         }
     }
 
-    /// Whether this node can no longer stand for its list: something may have counted as told for so long that
-    /// nothing may go by the list any more.
-    pub(crate) fn stale(&self, now: Micros) -> bool {
-        let bound = |at| at + self.told_within + STOP;
-        self.on_request && self.told_within > 0 && self.sure_at.is_some_and(|at| now >= bound(at))
+    /// Whether the endpoint list may be so old that nothing new may be sent by it.
+    pub(crate) fn endpoints_are_stale(&self, now: Micros) -> bool {
+        self.freshness.is_stale(now)
+    }
+
+    /// The moment before which an attempt decided on by the present endpoint list must be written.
+    pub(crate) fn send_by(&self) -> Option<Micros> {
+        self.freshness.send_by()
     }
 
-    /// Until when what goes by the list may leave; a new list may move that.
-    pub(crate) fn leave_by(&self) -> Option<Micros> {
-        let at = self.sure_at.filter(|_| self.on_request && self.told_within > 0)?;
-        Some(at + self.told_within + LEAVE)
+    /// All nodes may have started at once: each polls at a random moment and uses its saved list until then.
+    fn schedule_first_poll(&mut self, now: Micros, rng: &mut fastrand::Rng) {
+        self.started_at = now;
+        self.last_poll_at = now;
+        self.spread = self.load.time_for_all_nodes().min(self.max_poll_interval / 2);
+        self.next_poll_at = Some(now + rng.u64(0..=self.spread));
     }
 
-    /// What discovery needs to serve a call of each node.
-    fn all(&self) -> Micros {
-        self.nodes * self.call_time.unwrap_or(CALL_TIME)
+    fn record_poll(&mut self, now: Micros) {
+        let is_first_poll = self.last_poll_at == self.started_at;
+        if is_first_poll {
+            self.lost_watch_while_current = now < self.started_at + MAX_IMMEDIATE_START;
+        }
+        self.last_poll_at = now;
+        self.poll_in_flight = true;
+        // In case neither an answer nor a failure arrives.
+        self.next_poll_at = Some(now + self.max_poll_interval / 2);
+    }
+
+    fn record_failed_poll(&mut self, now: Micros, min_delay: Micros, rng: &mut fastrand::Rng) {
+        if self.lost_watch_while_current && self.all_polls_fit() {
+            // Discovery was unavailable when the poll began, or it would have answered.
+            self.freshness.extend_to(self.last_poll_at);
+        }
+        self.spread = self.spread_after_failure();
+        let jittered = self.spread - self.spread / JITTER_PART + rng.u64(0..=2 * self.spread / JITTER_PART);
+        self.next_poll_at = Some((now + min_delay).max(self.last_poll_at + jittered));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Whether discovery had time for the calls of all nodes, as they were spread, even where seven in ten of them
-    /// had just started, in half of `ask_within`: one that fails tells of its being away then, and else perhaps of
-    /// its being overbooked.
-    fn fits(&self) -> bool {
-        let all = self.all();
-        all <= LINE || self.span >= all && all <= self.ask_within / 2 + LINE * 10 / 7
+    /// Other nodes may have lost their watches at the same moment, so the next poll is at a random moment of the
+    /// spread. An unreadable list concerns this node alone.
+    fn record_lost_watch(&mut self, now: Micros, min_delay: Micros, rng: &mut fastrand::Rng) {
+        self.spread = self.initial_spread();
+        self.lost_watch_while_current = self.freshness.was_current_within(MAX_HEARTBEAT_GAP, now);
+        if self.lost_watch_while_current {
+            self.freshness.confirm(now);
+        }
+        let offset = if std::mem::take(&mut self.list_unreadable) { 0 } else { rng.u64(0..=self.spread) };
+        self.next_poll_at = Some(now + min_delay + offset);
+    }
+
+    /// The longer of the backoff of this node and the spread for all nodes, which grows by half with each failure.
+    fn spread_after_failure(&self) -> Micros {
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (INITIAL_BACKOFF << doublings).min(MAX_BACKOFF);
+        let all_nodes = self.load.time_for_all_nodes();
+        let growths = self.consecutive_failures.min(MAX_SPREAD_GROWTHS);
+        let grown =
+            (0..growths).fold(self.initial_spread(), |spread, _| (spread + spread / 2).min(2 * all_nodes));
+        let max_spread = (all_nodes + all_nodes / SPREAD_RESERVE_PART).max(MAX_BACKOFF);
+        backoff.max(grown).min(max_spread)
+    }
+
+    /// A spread in which discovery answers all nodes before it drops a poll. While no poll has been answered it is
+    /// limited to `max_poll_interval`.
+    fn initial_spread(&self) -> Micros {
+        let all_nodes = self.load.time_for_all_nodes();
+        let spread = (all_nodes + all_nodes * 3 / 10).min(all_nodes.max(MAX_UNCONTENDED_SPREAD));
+        if self.load.poll_cost.is_none() { spread.min(self.max_poll_interval) } else { spread }
+    }
+
+    /// Whether discovery had time for the polls of all nodes as they were spread, even if seven in ten nodes had
+    /// just started and spread theirs over half of `max_poll_interval`. If so, a failed poll means that discovery was
+    /// unavailable; if not, it may have been overloaded.
+    fn all_polls_fit(&self) -> bool {
+        let all_nodes = self.load.time_for_all_nodes();
+        let fits_after_start = all_nodes <= self.max_poll_interval / 2 + MAX_QUEUE_WAIT * 10 / 7;
+        all_nodes <= MAX_QUEUE_WAIT || self.spread >= all_nodes && fits_after_start
+    }
+}
+
+/// Estimate of the time that discovery needs to answer polls.
+struct DiscoveryLoad {
+    nodes: Micros,
+    /// Time that discovery spends on one poll; None while none has been answered.
+    poll_cost: Option<Micros>,
+}
+
+impl DiscoveryLoad {
+    /// Learns from an answered poll: a shorter one at once, a longer one by a part.
+    fn record_poll_duration(&mut self, duration: Micros) {
+        let duration = duration.clamp(MIN_POLL_COST, MAX_POLL_COST);
+        let estimate = self.poll_cost.unwrap_or(duration).min(duration);
+        self.poll_cost = Some(estimate + (duration - estimate) / POLL_COST_SMOOTHING);
     }
 
-    /// Within this all nodes may call, and each is answered before discovery gives it up. While nothing is known
-    /// of what a call takes, no longer than half of what the settings give.
-    fn line(&self) -> Micros {
-        let all = self.all();
-        let line = (all + all * 3 / 10).min(all.max(EVEN));
-        if self.call_time.is_none() { line.min(self.ask_within) } else { line }
+    /// Time that discovery needs for one poll of each node.
+    fn time_for_all_nodes(&self) -> Micros {
+        self.nodes * self.poll_cost.unwrap_or(DEFAULT_POLL_COST)
     }
 }
