--- a/crates/core/src/dispatcher.rs
+++ b/crates/core/src/dispatcher.rs
@@ -219,7 +219,8 @@
     /// Whether nodes tell each other their work. With many of them a message is dear, costs all of them CPU,
     /// and must be so rare that what it says is past.
     pub(crate) fn tells(&self) -> bool {
-        let messages = f64::from(self.group_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
+        let messages =
+            f64::from(self.group_nodes() - 1) * gossip::ENTRY_BYTES as f64 / gossip::MAX_MESSAGE_BYTES as f64;
         self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= TELL_MOST
     }
 
@@ -409,7 +410,7 @@
     pub(crate) fn tell(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.news = false;
         let mut data = Vec::new();
-        let mut room = gossip::MOST_ENTRIES;
+        let mut room = gossip::MAX_ENTRIES;
         for n in 0..self.fleet.near.len() {
             let i = self.fleet.near[n];
             let w = &self.fleet.workers[i];
@@ -418,7 +419,7 @@
                 self.news = true;
             } else if w.dirty || again {
                 let work = w.flights.iter().map(|f| self.remaining(now, w.speed, f) * f.slots).sum();
-                gossip::write(&mut data, w.id, work, w.flights.iter().map(|f| f.slots).sum());
+                gossip::append_entry(&mut data, w.id, work, w.flights.iter().map(|f| f.slots).sum());
                 let w = &mut self.fleet.workers[i];
                 (w.dirty, w.told_at) = (false, now);
                 room -= 1;
@@ -437,8 +438,12 @@
         if from >= self.settings.nodes {
             return;
         }
-        for (worker, work, slots) in gossip::read(data) {
-            let near = self.fleet.near.iter().find(|i| gossip::short(self.fleet.workers[**i].id) == worker);
+        for gossip::GossipEntry { worker, work, slots } in gossip::read_entries(data) {
+            let near = self
+                .fleet
+                .near
+                .iter()
+                .find(|i| gossip::short_worker_id(self.fleet.workers[**i].id) == worker);
             let Some(&i) = near else { continue };
             let told = &mut self.fleet.workers[i].told;
             told.retain(|t| t.from != from);
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,45 +1,61 @@
-//! The bytes in which nodes tell each other their own work at workers.
+//! The wire format of gossip: a node's reports of its own work in flight at workers, sent to the other nodes.
+//!
+//! A message is a sequence of entries of [`ENTRY_BYTES`] without header or padding:
+//!
+//! | offset | bytes | content |
+//! | --- | --- | --- |
+//! | 0 | 2 | [`short_worker_id`], little-endian |
+//! | 2 | 1 | remaining work: 64 x the square root of its seconds on a core of speed 1, rounded up, at most 255 |
+//! | 3 | 1 | slots in use, rounded down, at most 255 |
+//!
+//! An entry replaces what the sender reported earlier about that worker; 0 slots means that it has nothing in flight
+//! there. There is no version field: all nodes of a deployment use this format.
 
 use crate::interface::WorkerId;
 
-/// Bytes of one entry: the worker's number made short, work (64 times the root of its seconds), slots.
-pub(crate) const ENTRY: usize = 4;
-/// Bytes of a message at most, and the entries that fit.
-pub(crate) const MOST_BYTES: usize = 256;
-pub(crate) const MOST_ENTRIES: usize = MOST_BYTES / ENTRY;
+/// Size of an entry.
+pub(crate) const ENTRY_BYTES: usize = 4;
+/// Maximum size of a message.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
+/// Maximum number of entries in a message.
+pub(crate) const MAX_ENTRIES: usize = MAX_MESSAGE_BYTES / ENTRY_BYTES;
 
-/// A worker's number in two bytes. Among the few workers of a group they seldom meet.
-pub(crate) fn short(worker: WorkerId) -> u16 {
+/// Steps of the encoded work per square root of a second.
+const WORK_SCALE: f64 = 64.0;
+
+/// One decoded entry: the sender's work in flight at one worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct GossipEntry {
+    /// See [`short_worker_id`].
+    pub(crate) worker: u16,
+    /// Remaining work, in seconds on a core of speed 1.
+    pub(crate) work: f64,
+    /// Slots in use.
+    pub(crate) slots: f64,
+}
+
+/// A worker's number folded to 16 bits. Collisions are unlikely among the workers of one subset; a collision makes
+/// the estimate of one worker's load wrong.
+pub(crate) fn short_worker_id(worker: WorkerId) -> u16 {
     let id = worker.0;
     (id ^ id >> 16 ^ id >> 32 ^ id >> 48) as u16
 }
 
-/// Appends an entry.
-pub(crate) fn write(data: &mut Vec<u8>, worker: WorkerId, work: f64, slots: f64) {
-    data.extend(short(worker).to_le_bytes());
-    data.extend([(64.0 * work.sqrt()).ceil() as u8, slots as u8]);
+/// Appends an entry to a message. Values over the maximum are encoded as the maximum.
+pub(crate) fn append_entry(message: &mut Vec<u8>, worker: WorkerId, work: f64, slots: f64) {
+    message.extend(short_worker_id(worker).to_le_bytes());
+    message.extend([(WORK_SCALE * work.sqrt()).ceil() as u8, slots as u8]);
 }
 
-/// The entries of a message: worker, work in seconds, slots. What is not whole is passed over.
-pub(crate) fn read(data: &[u8]) -> impl Iterator<Item = (u16, f64, f64)> {
-    data.chunks_exact(ENTRY)
-        .map(|e| (u16::from_le_bytes([e[0], e[1]]), (f64::from(e[2]) / 64.0).powi(2), f64::from(e[3])))
+/// Decodes the entries of a message; an incomplete entry at its end is ignored.
+pub(crate) fn read_entries(message: &[u8]) -> impl Iterator<Item = GossipEntry> {
+    message.chunks_exact(ENTRY_BYTES).map(|entry| GossipEntry {
+        worker: u16::from_le_bytes([entry[0], entry[1]]),
+        work: (f64::from(entry[2]) / WORK_SCALE).powi(2),
+        slots: f64::from(entry[3]),
+    })
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_written_is_read() {
-        let mut data = Vec::new();
-        write(&mut data, WorkerId(0x1234_5678_9abc_def0), 1.25, 3.0);
-        write(&mut data, WorkerId(7), 1e9, 1e9);
-        data.push(9);
-        let entries: Vec<_> = read(&data).collect();
-        assert_eq!(
-            entries,
-            [(short(WorkerId(0x1234_5678_9abc_def0)), 1.265625, 3.0), (7, 15.875_244_140_625, 255.0)]
-        );
-    }
-}
+#[path = "../tests/unit/gossip.rs"]
+mod tests;
--- /dev/null
+++ b/crates/core/tests/unit/gossip.rs
@@ -0,0 +1,20 @@
+//! The wire format of gossip.
+
+use super::*;
+
+#[test]
+fn entries_written_then_decoded_rounded_and_capped() {
+    let long_id = WorkerId(0x1234_5678_9abc_def0);
+    let mut message = Vec::new();
+    append_entry(&mut message, long_id, 1.25, 3.0);
+    append_entry(&mut message, WorkerId(7), 1e9, 1e9);
+    message.push(9);
+    let entries: Vec<_> = read_entries(&message).collect();
+    assert_eq!(
+        entries,
+        [
+            GossipEntry { worker: short_worker_id(long_id), work: 1.265625, slots: 3.0 },
+            GossipEntry { worker: 7, work: 15.875_244_140_625, slots: 255.0 },
+        ]
+    );
+}
