--- /dev/null
+++ b/crates/simulator-adapter/src/fields.rs
@@ -0,0 +1,76 @@
+//! The fields of a line: `name=value` pairs, separated by single spaces.
+
+use std::str::FromStr;
+
+use crate::error::FieldError;
+
+/// Value of a field that stands for an empty sequence of bytes.
+const NO_BYTES: &str = "-";
+
+/// The fields of one line. Unknown fields are ignored.
+#[derive(Clone, Copy)]
+pub struct Fields<'a>(&'a str);
+
+impl<'a> Fields<'a> {
+    /// The fields in the part of a line after the message's name.
+    pub fn new(text: &'a str) -> Self {
+        Fields(text)
+    }
+
+    /// The value of a required field, parsed.
+    pub fn required<T: FromStr>(&self, field: &'static str) -> Result<T, FieldError> {
+        self.optional(field)?.ok_or(FieldError::Missing { field })
+    }
+
+    /// The value of a field, parsed, where the line has it.
+    pub fn optional<T: FromStr>(&self, field: &'static str) -> Result<Option<T>, FieldError> {
+        let parse = |value: &str| value.parse().map_err(|_| malformed(field, value));
+        self.find(field).map(parse).transpose()
+    }
+
+    /// The value of a field, parsed, or the default where the line does not have it.
+    pub fn value_or<T: FromStr>(&self, field: &'static str, default: T) -> Result<T, FieldError> {
+        Ok(self.optional(field)?.unwrap_or(default))
+    }
+
+    /// Whether a field is 1.
+    pub fn flag(&self, field: &'static str) -> Result<bool, FieldError> {
+        Ok(self.value_or(field, 0u8)? == 1)
+    }
+
+    /// The text of a required field.
+    pub fn text(&self, field: &'static str) -> Result<&'a str, FieldError> {
+        self.find(field).ok_or(FieldError::Missing { field })
+    }
+
+    /// The rest of the line from the value of a required field on, spaces included.
+    pub fn rest_of_line(&self, field: &'static str) -> Result<&'a str, FieldError> {
+        let start = self.0.find(&format!("{field}=")).ok_or(FieldError::Missing { field })?;
+        Ok(&self.0[start + field.len() + 1..])
+    }
+
+    /// The bytes of a required field, which are written as hexadecimal digits.
+    pub fn bytes(&self, field: &'static str) -> Result<Vec<u8>, FieldError> {
+        let digits = self.text(field)?;
+        if digits == NO_BYTES {
+            return Ok(Vec::new());
+        }
+        let byte_at = |start: usize| {
+            let pair = digits.get(start..start + 2)?;
+            u8::from_str_radix(pair, 16).ok()
+        };
+        (0..digits.len())
+            .step_by(2)
+            .map(|start| byte_at(start).ok_or(FieldError::NotHexadecimal { field }))
+            .collect()
+    }
+
+    fn find(&self, field: &str) -> Option<&'a str> {
+        self.0.split(' ').find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
+    }
+}
+
+/// The error of a value that a field cannot have.
+pub fn malformed(field: &'static str, value: &str) -> FieldError {
+    FieldError::Malformed { field, value: value.to_owned() }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/host.rs
@@ -0,0 +1,97 @@
+//! Hosts all simulated nodes: carries out the lines of a batch, and writes the actions that follow.
+
+use std::collections::BTreeMap;
+use std::fmt::{self, Write};
+
+use curlewusher_core::{Dispatcher, Micros};
+
+use crate::catalog::Catalogs;
+use crate::error::LineError;
+use crate::fields::Fields;
+use crate::instance::Instance;
+
+/// Whether a batch of lines goes on after a line.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Batch {
+    /// More lines follow.
+    Continues,
+    /// The line ended the batch: the simulator waits for the actions.
+    Ended,
+}
+
+/// All nodes of a simulation. They share only the catalogs, which the wire sends once for all.
+#[derive(Default)]
+pub struct Host {
+    now: Micros,
+    instances: BTreeMap<u64, Instance>,
+    /// The instance that the following messages are for.
+    selected: Option<u64>,
+    catalogs: Catalogs,
+}
+
+impl Host {
+    /// Carries out one line: a message's name and its fields.
+    pub fn handle_line(&mut self, line: &str) -> Result<Batch, LineError> {
+        let (message, fields) = line.split_once(' ').unwrap_or((line, ""));
+        let fields = Fields::new(fields);
+        match message {
+            "" => {}
+            "round" => self.begin_batch(fields)?,
+            "commit" => return Ok(Batch::Ended),
+            "on" => self.selected = Some(fields.required("i")?),
+            "catalog" => self.catalogs.open(fields)?,
+            "executor" => self.catalogs.append(fields)?,
+            "hello" => self.start_instance(message, fields)?,
+            "exit" => {
+                let number = self.selected_instance(message)?;
+                self.instances.remove(&number);
+            }
+            _ => self.forward(message, fields)?,
+        }
+        Ok(Batch::Continues)
+    }
+
+    /// Writes the actions of all instances since the last call, and the line that ends them.
+    pub fn write_actions(&mut self, out: &mut String) -> fmt::Result {
+        for (number, instance) in &mut self.instances {
+            if instance.has_actions() {
+                writeln!(out, "source i={number}")?;
+                instance.write_actions(out)?;
+            }
+        }
+        writeln!(out, "next")
+    }
+
+    fn begin_batch(&mut self, fields: Fields) -> Result<(), LineError> {
+        self.now = fields.required("simTimeUs")?;
+        self.selected = None;
+        Ok(())
+    }
+
+    /// Starts an instance, in place of an earlier one of the same number.
+    fn start_instance(&mut self, message: &str, fields: Fields) -> Result<(), LineError> {
+        let number = self.selected_instance(message)?;
+        let seed = fields.required("prng")?;
+        let text = fields.rest_of_line("bootInfo")?;
+        let site = curlewusher_settings::read(text).map_err(|error| LineError::Settings(error.into()))?;
+        let dispatcher =
+            Dispatcher::new(site.decisions, seed).map_err(|error| LineError::Settings(error.into()))?;
+        self.instances.insert(number, Instance::start(self.now, dispatcher));
+        Ok(())
+    }
+
+    /// Passes a message to the selected instance.
+    fn forward(&mut self, message: &str, fields: Fields) -> Result<(), LineError> {
+        let number = self.selected_instance(message)?;
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Err(LineError::InstanceNotRunning { message: message.to_owned(), instance: number });
+        };
+        instance
+            .handle_message(self.now, message, fields, &self.catalogs)
+            .map_err(|source| LineError::MessageField { message: message.to_owned(), source })
+    }
+
+    fn selected_instance(&self, message: &str) -> Result<u64, LineError> {
+        self.selected.ok_or_else(|| LineError::NoInstanceSelected { message: message.to_owned() })
+    }
+}
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_job_is_sent_and_served() {
+fn job_submitted_then_attempt_sent_and_its_end_accepted() {
     let output = run(&format!(
         "round simTimeUs=5\n{}commit\nround simTimeUs=1000\non i=3\n\
          new_request corr=rq_a type=0 dropDeadUs=900000 workUs=10000 coresNeeded=1 unknown=x\ncommit\n\
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn instances_share_nothing_and_start_anew() {
+fn instance_restarted_beside_another_then_each_sends_its_own_job() {
     let job = "new_request corr=rq_a type=0 dropDeadUs=900000 workUs=10000\n";
     let output = run(&format!(
         "round simTimeUs=5\n{}{}commit\nround simTimeUs=1000\non i=1\n{job}commit\n\
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn end_of_input_is_no_error() {
+fn input_empty_then_success_without_output() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn bad_lines_end_it_with_one_plain_line() {
+fn line_malformed_then_failure_with_one_line_on_stderr() {
     let hello = hello(1);
     let cases = [
         ("round\n".to_owned(), "line 1: field simTimeUs is missing"),
@@ -97,9 +97,9 @@
     ];
     for (input, problem) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{input}");
-        assert!(said.contains(problem) && said.lines().count() == 1, "{input} -> {said}");
+        assert!(stderr.contains(problem) && stderr.lines().count() == 1, "{input} -> {stderr}");
         assert!(!out(&output).contains("panic"));
     }
     let bad = hello.replace("\"coldShare\":0.2", "\"coldShare\":7");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn late_words_of_ended_jobs_pass() {
+fn messages_about_unknown_jobs_then_ignored() {
     let output = run(&format!(
         "round simTimeUs=5\n{}commit\nround simTimeUs=9\non i=1\n\
          attempt_end corr=rq_gone outcome=overdue executor=10.0.0.1:5000 copy=0 waitTimeUs=1\n\
