--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -439,10 +439,10 @@
                 let _ = estate.send(TransferableState { bans: self.bans.clone(), learned });
             }
             DispatchCommand::RestoreSnapshot(estate) => {
-                for (name, out) in self.bans.merge_predecessor(estate.bans) {
+                for change in self.bans.merge_predecessor(estate.bans) {
                     self.tell(Event::MaintenanceChanged {
-                        worker: WorkerId::from_name(&name),
-                        disabled: out,
+                        worker: WorkerId::from_name(&change.name),
+                        disabled: change.disabled,
                     });
                 }
                 if let Some(learned) = &estate.learned {
