--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -108,10 +108,12 @@
 mod endpoint_freshness;
 mod gossip;
 mod interface;
+mod migration;
 mod policy;
 mod poll_schedule;
 mod snapshot;
 mod state;
+mod untrusted;
 
 pub use dispatcher::Dispatcher;
 pub use interface::{
@@ -119,4 +121,5 @@
     JobSubmission, KindId, Micros, Outcome, Settings, SettingsError, TenantId, WorkerId, WorkerStatus,
     ZoneId, stable_hash,
 };
-pub use snapshot::{MigratedJob, StateSnapshot};
+pub use migration::MigratedJob;
+pub use snapshot::StateSnapshot;
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,315 +1,269 @@
-//! What one process of a node has learned, as a record that its successor takes on. It must never be trusted: a figure
-//! that cannot be is passed over, and nothing in it can put work on a worker that the list does not name.
+//! The state snapshot: what a process of a node has learned of the workers, as its successor restores it.
+//!
+//! A snapshot is not trusted. Every figure is checked and bounded when it is restored, and it only adds to workers that
+//! the successor's own endpoint list names. Estimates that the successor has already made itself are kept.
+//!
+//! The serialized names are those that processes of all versions exchange; a process rejects fields that it does not
+//! know. Times are microseconds since the Unix epoch, which both processes read.
 
 use serde::{Deserialize, Serialize};
 
-use crate::dispatcher::Dispatcher;
-use crate::interface::*;
-use crate::state::{
-    Attempt, InFlightAttempt, Job, MAX_ATTEMPTS, MAX_WORKER_KEYS, MachineKind, Progress, SpeedEstimate,
-    WarmUpSend, Worker, to_micros,
-};
+use crate::state::{MAX_WORKER_KEYS, MachineKind, SpeedEstimate, WarmUpSend, Worker, to_micros};
+use crate::untrusted::{bounded_hint_error, bounded_log_speed, bounded_seconds, bounded_slots};
+use crate::{Dispatcher, KindId, Micros, WorkerId};
 
-/// No more workers, keys and sends than these are taken on, whatever a record holds.
-const MOST_WORKERS: usize = 4096;
-const MOST_SENDS: usize = 1024;
-/// No logarithm of a speed is further from 0.
-const MOST_LN: f64 = 10.0;
-/// Failures in a row that are taken on.
-const MOST_STRIKES: u32 = 16;
+/// Maximum number of workers that a snapshot holds, and that are restored from one.
+const MAX_WORKERS: usize = 4096;
+/// Maximum number of warm-up sends of each worker that a snapshot holds, and that are restored from one.
+const MAX_WARM_UP_SENDS: usize = 1024;
+/// Maximum number of consecutive failures that are restored.
+const MAX_CONSECUTIVE_FAILURES: u32 = 16;
+/// Maximum remaining time of an ejection that is restored, in seconds. Ejections take seconds; one that ends much
+/// later is an error.
+const MAX_EJECTION_S: f64 = 60.0;
 
-/// What a dispatcher has learned. Times are microseconds since the Unix epoch, which both processes read.
+/// What a dispatcher has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateSnapshot {
     workers: Vec<WorkerSnapshot>,
     kinds: Vec<KindSnapshot>,
-    /// Middle logarithm of the fleet's speed, and how many jobs taught it.
-    all: (f64, u32),
+    /// Speed of the fleet as a whole.
+    #[serde(rename = "all")]
+    overall_speed: SpeedSnapshot,
+    /// Mean error of hints, of the natural logarithm.
     hint_error: f64,
-    usual_work: f64,
-    keys: Vec<u64>,
-    first_came: Micros,
+    /// Mean work of a job, in seconds on a core of speed 1.
+    #[serde(rename = "usual_work")]
+    mean_work: f64,
+    /// Keys of the last jobs.
+    #[serde(rename = "keys")]
+    recent_keys: Vec<u64>,
+    /// When the first job was submitted.
+    #[serde(rename = "first_came")]
+    first_submission_at: Micros,
 }
 
+/// What is known of one worker. Fields as in [`Worker`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WorkerSnapshot {
     id: u64,
-    offset: f64,
-    lessons: u32,
-    seen_slots: f64,
-    started: Micros,
-    strikes: u32,
-    avoid_until: Micros,
+    #[serde(rename = "offset")]
+    log_speed_ratio: f64,
+    #[serde(rename = "lessons")]
+    speed_samples: u32,
+    #[serde(rename = "seen_slots")]
+    max_concurrent_slots: f64,
+    #[serde(rename = "started")]
+    started_at: Micros,
+    #[serde(rename = "strikes")]
+    consecutive_failures: u32,
+    #[serde(rename = "avoid_until")]
+    ejected_until: Micros,
     unreachable: bool,
-    owed: Option<Micros>,
-    keys: Vec<u64>,
-    /// Work sent while cold, which its budget has been spent on.
-    cold_sent: Vec<(Micros, f64)>,
+    #[serde(rename = "owed")]
+    reenabled_at: Option<Micros>,
+    #[serde(rename = "keys")]
+    recent_keys: Vec<u64>,
+    #[serde(rename = "cold_sent")]
+    warm_up_sends: Vec<WarmUpSendSnapshot>,
 }
 
-/// A job that goes from one process of a node to another, with all that was tried for it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct MigratedJob {
-    class: usize,
-    over_quota: bool,
-    value: f64,
-    first: bool,
-    work: f64,
-    slots: f64,
-    key: Option<u64>,
-    aim_at: Micros,
-    deadline: Micros,
-    attempts: Vec<MigratedAttempt>,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct MigratedAttempt {
-    worker: u64,
-    zone: u32,
-    cell: u32,
-    sent: Micros,
-    end: Option<Outcome>,
-    flight: Option<MigratedInFlight>,
-}
-
-impl MigratedJob {
-    /// Its class.
-    pub fn class(&self) -> ClassId {
-        ClassId(self.class)
-    }
-
-    /// When its client stops waiting.
-    pub fn deadline(&self) -> Micros {
-        self.deadline
-    }
-}
-
-/// What is known of an attempt that is out.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct MigratedInFlight {
+/// Work that was sent to a worker while it was warming up, which counts against its budget.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(Micros, f64)", into = "(Micros, f64)")]
+struct WarmUpSendSnapshot {
+    at: Micros,
+    /// In seconds on a core of speed 1, all slots together.
     work: f64,
-    slots: f64,
-    accepted: bool,
-    foreseen: f64,
-    started: Option<Micros>,
-    progress: Option<(f64, Micros)>,
 }
 
+/// Speed of a kind of machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct KindSnapshot {
     id: u32,
-    ln_speed: f64,
-    lessons: u32,
-}
-
-/// A logarithm that can be one of a speed.
-fn ln(value: f64) -> Option<f64> {
-    value.is_finite().then(|| value.clamp(-MOST_LN, MOST_LN))
+    #[serde(rename = "ln_speed")]
+    log_speed: f64,
+    #[serde(rename = "lessons")]
+    samples: u32,
 }
 
-fn positive(value: f64, most: f64) -> Option<f64> {
-    (value.is_finite() && value > 0.0).then(|| value.min(most))
+/// A speed estimate.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, u32)", into = "(f64, u32)")]
+struct SpeedSnapshot {
+    /// Natural logarithm of the speed.
+    log_speed: f64,
+    /// Number of jobs that it was learned from.
+    samples: u32,
 }
 
 impl Dispatcher {
     /// What is known now, for a successor.
     pub fn snapshot(&self) -> StateSnapshot {
-        let worker = |w: &Worker| WorkerSnapshot {
-            id: w.id.0,
-            offset: w.log_speed_ratio,
-            lessons: w.speed_samples,
-            seen_slots: w.max_concurrent_slots,
-            started: w.started_at,
-            strikes: w.consecutive_failures,
-            avoid_until: w.ejected_until,
-            unreachable: w.unreachable,
-            owed: w.reenabled_at,
-            keys: w.recent_keys.iter().copied().collect(),
-            cold_sent: w.warm_up_sends.iter().map(|send| (send.at, send.work)).take(MOST_SENDS).collect(),
-        };
-        let kind = |k: &MachineKind| KindSnapshot {
-            id: k.id.0,
-            ln_speed: k.speed.log_speed,
-            lessons: k.speed.samples,
-        };
         let fleet = &self.fleet;
         StateSnapshot {
-            workers: fleet.workers.iter().take(MOST_WORKERS).map(worker).collect(),
-            kinds: fleet.kinds.iter().map(kind).collect(),
-            all: (fleet.overall_speed.log_speed, fleet.overall_speed.samples),
+            workers: fleet.workers.iter().take(MAX_WORKERS).map(WorkerSnapshot::from).collect(),
+            kinds: fleet.kinds.iter().map(KindSnapshot::from).collect(),
+            overall_speed: SpeedSnapshot::from(&fleet.overall_speed),
             hint_error: fleet.hint_error,
-            usual_work: fleet.mean_work,
-            keys: fleet.recent_keys().collect(),
-            first_came: self.demand.first_at,
+            mean_work: fleet.mean_work,
+            recent_keys: fleet.recent_keys().collect(),
+            first_submission_at: self.demand.first_at,
         }
     }
 
-    /// Takes on what the process before this one has learned of workers that this one's list names too. Of those that it
-    /// has taught itself it knows better.
-    pub fn restore(&mut self, now: Micros, learned: &StateSnapshot) {
-        for k in &learned.kinds {
-            let at = self.fleet.kind_index(KindId(k.id));
-            if let Some(ln_speed) = ln(k.ln_speed).filter(|_| self.fleet.kinds[at].speed.samples == 0) {
-                self.fleet.kinds[at].speed =
-                    SpeedEstimate { log_speed: ln_speed, speed: ln_speed.exp(), samples: k.lessons };
+    /// Adds what the predecessor has learned of workers that this process's endpoint list names too. Estimates for
+    /// which this process has samples of its own are kept.
+    pub fn restore(&mut self, now: Micros, snapshot: &StateSnapshot) {
+        self.restore_speeds(snapshot);
+        self.restore_fleet_estimates(snapshot);
+        for worker in snapshot.workers.iter().take(MAX_WORKERS) {
+            if let Some(index) = self.fleet.find(WorkerId(worker.id)) {
+                worker.restore_to(now, &mut self.fleet.workers[index]);
             }
         }
-        if let Some(ln_speed) = ln(learned.all.0).filter(|_| self.fleet.overall_speed.samples == 0) {
-            self.fleet.overall_speed =
-                SpeedEstimate { log_speed: ln_speed, speed: ln_speed.exp(), samples: learned.all.1 };
+    }
+
+    fn restore_speeds(&mut self, snapshot: &StateSnapshot) {
+        for kind in &snapshot.kinds {
+            let index = self.fleet.kind_index(KindId(kind.id));
+            kind.speed().restore_to(&mut self.fleet.kinds[index].speed);
         }
-        if let Some(error) = positive(learned.hint_error, MOST_LN) {
+        snapshot.overall_speed.restore_to(&mut self.fleet.overall_speed);
+    }
+
+    fn restore_fleet_estimates(&mut self, snapshot: &StateSnapshot) {
+        if let Some(error) = bounded_hint_error(snapshot.hint_error) {
             self.fleet.hint_error = error;
         }
-        if let Some(work) = positive(learned.usual_work, 1e4) {
+        if let Some(work) = bounded_seconds(snapshot.mean_work) {
             self.fleet.mean_work = work;
         }
-        self.demand.first_at = self.demand.first_at.min(learned.first_came);
-        learned.keys.iter().for_each(|key| self.fleet.record_key(Some(*key)));
-        for l in learned.workers.iter().take(MOST_WORKERS) {
-            if let Some(i) = self.fleet.find(WorkerId(l.id)) {
-                l.teach(now, &mut self.fleet.workers[i]);
-            }
+        self.demand.first_at = self.demand.first_at.min(snapshot.first_submission_at);
+        for key in &snapshot.recent_keys {
+            self.fleet.record_key(Some(*key));
         }
     }
 }
 
-impl Dispatcher {
-    /// Lets a job go that has no answer yet: nothing of it is known here any more, and nothing is called off.
-    pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
-        let job = self.jobs.get(&job).filter(|j| j.is_open())?.id;
-        let job = self.jobs.remove(&job)?;
-        self.queue.retain(|key| key.job != job.id);
-        let mut attempts = Vec::new();
-        for (a, number) in job.attempts.iter().zip(0..) {
-            let at = self.fleet.find(a.worker);
-            let flight = at.and_then(|i| self.fleet.workers[i].remove_attempt(job.id, number));
-            attempts.push(MigratedAttempt {
-                worker: a.worker.0,
-                zone: a.zone.0,
-                cell: a.cell.0,
-                sent: a.sent_at,
-                end: a.outcome,
-                flight: flight.map(|f| MigratedInFlight {
-                    work: f.work,
-                    slots: f.slots,
-                    accepted: f.accepted,
-                    foreseen: f.predicted_wait,
-                    started: f.started_at,
-                    progress: f.progress.map(|progress| (progress.share, progress.at)),
-                }),
-            });
+impl WorkerSnapshot {
+    fn restore_to(&self, now: Micros, worker: &mut Worker) {
+        self.restore_speed(worker);
+        self.restore_health(now, worker);
+        for key in self.recent_keys.iter().rev().take(MAX_WORKER_KEYS) {
+            worker.record_key(*key);
         }
-        Some(MigratedJob {
-            class: job.class,
-            over_quota: job.over_quota,
-            value: job.weight,
-            first: job.is_first_submission,
-            work: job.work,
-            slots: job.slots,
-            key: job.key,
-            aim_at: job.objective_at,
-            deadline: job.deadline,
-            attempts,
-        })
+        self.restore_warm_up_sends(now, worker);
+        (worker.estimated_at, worker.gossip_pending) = (0, true);
     }
 
-    /// Whether that can be a job here.
-    pub fn accepts_migrated_job(&self, moved: &MigratedJob) -> bool {
-        moved.class < self.settings.classes.len()
-            && [moved.work, moved.slots, moved.value].iter().all(|v| v.is_finite() && *v >= 0.0)
-            && moved.attempts.len() <= MAX_ATTEMPTS
+    fn restore_speed(&self, worker: &mut Worker) {
+        if worker.speed_samples > 0 {
+            return;
+        }
+        let Some(log_ratio) = bounded_log_speed(self.log_speed_ratio) else { return };
+        worker.log_speed_ratio = log_ratio;
+        worker.speed_ratio = log_ratio.exp();
+        worker.speed_samples = self.speed_samples;
+        let slots = bounded_slots(self.max_concurrent_slots).unwrap_or(0.0);
+        worker.max_concurrent_slots = worker.max_concurrent_slots.max(slots);
     }
 
-    /// Takes a job on that another process of this node let go, under a number of this one's. False where it
-    /// cannot be one.
-    pub fn adopt_job(&mut self, now: Micros, id: JobId, moved: &MigratedJob, out: &mut Vec<Action>) -> bool {
-        if !self.accepts_migrated_job(moved) || self.jobs.contains_key(&id) {
-            return false;
-        }
-        let offer = JobSubmission {
-            job: id,
-            class: ClassId(moved.class),
-            tenant: TenantId(0),
-            deadline: moved.deadline,
-            cost_hint: None,
-            slots: moved.slots,
-            key: moved.key,
-            is_retry: !moved.first,
-        };
-        let mut job = Job {
-            over_quota: moved.over_quota,
-            weight: moved.value,
-            is_first_submission: moved.first,
-            work: moved.work,
-            slots: moved.slots,
-            objective_at: moved.aim_at,
-            ..Job::new(&offer)
-        };
-        for (a, number) in moved.attempts.iter().zip(0..) {
-            let worker = WorkerId(a.worker);
-            let (zone, cell) = (ZoneId(a.zone), CellId(a.cell));
-            job.attempts.push(Attempt { worker, zone, cell, sent_at: a.sent, outcome: a.end });
-            if let (Some(f), Some(i), None) = (&a.flight, self.fleet.find(worker), a.end) {
-                let w = &mut self.fleet.workers[i];
-                job.key.into_iter().for_each(|key| w.record_key(key));
-                w.in_flight.push(InFlightAttempt {
-                    job: id,
-                    attempt: number,
-                    work: positive(f.work, 1e4).unwrap_or(0.0),
-                    slots: positive(f.slots, 64.0).unwrap_or(1.0),
-                    sent_at: a.sent.min(now),
-                    accepted: f.accepted,
-                    revoked: false,
-                    predicted_wait: positive(f.foreseen, 1e4).unwrap_or(0.0),
-                    started_at: f.started.map(|at| at.min(now)),
-                    progress: f
-                        .progress
-                        .map(|(done, at)| Progress { share: done.clamp(0.0, 1.0), at: at.min(now) }),
-                    unhinted: None,
-                });
-                (w.estimated_at, w.gossip_pending) = (0, true);
-            }
+    fn restore_health(&self, now: Micros, worker: &mut Worker) {
+        worker.started_at = worker.started_at.max(self.started_at.min(now));
+        let failures = self.consecutive_failures.min(MAX_CONSECUTIVE_FAILURES);
+        worker.consecutive_failures = worker.consecutive_failures.max(failures);
+        let latest_ejection_end = now + to_micros(MAX_EJECTION_S);
+        worker.ejected_until = worker.ejected_until.max(self.ejected_until.min(latest_ejection_end));
+        worker.unreachable |= self.unreachable;
+        worker.reenabled_at = worker.reenabled_at.or(self.reenabled_at.map(|at| at.min(now)));
+    }
+
+    /// The predecessor's sends come before this process's own, as they were sent.
+    fn restore_warm_up_sends(&self, now: Micros, worker: &mut Worker) {
+        let is_valid =
+            |send: &&WarmUpSendSnapshot| send.at <= now && send.work.is_finite() && send.work >= 0.0;
+        let restored = self.warm_up_sends.iter().filter(is_valid).take(MAX_WARM_UP_SENDS);
+        let restored = restored.map(|send| WarmUpSend { at: send.at, work: send.work });
+        let own = std::mem::take(&mut worker.warm_up_sends);
+        worker.warm_up_sends = restored.chain(own).collect();
+    }
+}
+
+impl From<&Worker> for WorkerSnapshot {
+    fn from(worker: &Worker) -> Self {
+        let warm_up_sends = worker.warm_up_sends.iter().take(MAX_WARM_UP_SENDS);
+        WorkerSnapshot {
+            id: worker.id.0,
+            log_speed_ratio: worker.log_speed_ratio,
+            speed_samples: worker.speed_samples,
+            max_concurrent_slots: worker.max_concurrent_slots,
+            started_at: worker.started_at,
+            consecutive_failures: worker.consecutive_failures,
+            ejected_until: worker.ejected_until,
+            unreachable: worker.unreachable,
+            reenabled_at: worker.reenabled_at,
+            recent_keys: worker.recent_keys.iter().copied().collect(),
+            warm_up_sends: warm_up_sends
+                .map(|send| WarmUpSendSnapshot { at: send.at, work: send.work })
+                .collect(),
         }
-        let idle = job.is_idle();
-        match idle {
-            true => self.enqueue_job(job),
-            false => self.store_job(job),
+    }
+}
+
+impl From<(Micros, f64)> for WarmUpSendSnapshot {
+    fn from((at, work): (Micros, f64)) -> Self {
+        WarmUpSendSnapshot { at, work }
+    }
+}
+
+impl From<WarmUpSendSnapshot> for (Micros, f64) {
+    fn from(send: WarmUpSendSnapshot) -> Self {
+        (send.at, send.work)
+    }
+}
+
+impl KindSnapshot {
+    fn speed(&self) -> SpeedSnapshot {
+        SpeedSnapshot { log_speed: self.log_speed, samples: self.samples }
+    }
+}
+
+impl From<&MachineKind> for KindSnapshot {
+    fn from(kind: &MachineKind) -> Self {
+        KindSnapshot { id: kind.id.0, log_speed: kind.speed.log_speed, samples: kind.speed.samples }
+    }
+}
+
+impl SpeedSnapshot {
+    /// Replaces an estimate that has no samples.
+    fn restore_to(&self, estimate: &mut SpeedEstimate) {
+        if estimate.samples > 0 {
+            return;
         }
-        if idle {
-            self.dispatch_pending(now, out);
+        if let Some(log_speed) = bounded_log_speed(self.log_speed) {
+            *estimate = SpeedEstimate { log_speed, speed: log_speed.exp(), samples: self.samples };
         }
-        self.set_timer(now, out);
-        true
     }
 }
 
-impl WorkerSnapshot {
-    fn teach(&self, now: Micros, w: &mut Worker) {
-        if w.speed_samples == 0
-            && let Some(offset) = ln(self.offset)
-        {
-            (w.log_speed_ratio, w.speed_ratio, w.speed_samples) = (offset, offset.exp(), self.lessons);
-            w.max_concurrent_slots =
-                w.max_concurrent_slots.max(positive(self.seen_slots, 64.0).unwrap_or(0.0));
-        }
-        w.started_at = w.started_at.max(self.started.min(now));
-        w.consecutive_failures = w.consecutive_failures.max(self.strikes.min(MOST_STRIKES));
-        // A pause is seconds long; one that ends far ahead is nonsense.
-        w.ejected_until = w.ejected_until.max(self.avoid_until.min(now + to_micros(60.0)));
-        w.unreachable |= self.unreachable;
-        w.reenabled_at = w.reenabled_at.or(self.owed.map(|at| at.min(now)));
-        self.keys.iter().rev().take(MAX_WORKER_KEYS).for_each(|key| w.record_key(*key));
-        let sent = self.cold_sent.iter().filter(|(at, work)| *at <= now && work.is_finite() && *work >= 0.0);
-        let own = std::mem::take(&mut w.warm_up_sends);
-        w.warm_up_sends =
-            sent.take(MOST_SENDS).map(|(at, work)| WarmUpSend { at: *at, work: *work }).chain(own).collect();
-        (w.estimated_at, w.gossip_pending) = (0, true);
+impl From<&SpeedEstimate> for SpeedSnapshot {
+    fn from(estimate: &SpeedEstimate) -> Self {
+        SpeedSnapshot { log_speed: estimate.log_speed, samples: estimate.samples }
+    }
+}
+
+impl From<(f64, u32)> for SpeedSnapshot {
+    fn from((log_speed, samples): (f64, u32)) -> Self {
+        SpeedSnapshot { log_speed, samples }
+    }
+}
+
+impl From<SpeedSnapshot> for (f64, u32) {
+    fn from(speed: SpeedSnapshot) -> Self {
+        (speed.log_speed, speed.samples)
     }
 }
