--- a/crates/core/src/endpoint_freshness.rs
+++ b/crates/core/src/endpoint_freshness.rs
@@ -11,7 +11,7 @@
 //! | from then on ([`EndpointFreshness::is_stale`]) | decides on no new attempts: jobs wait in the queue |
 //! | up to `assumed_notified_after` + 0.65 s ([`EndpointFreshness::send_by`]) | still writes attempts decided on earlier |
 
-use crate::interface::{Micros, Settings};
+use crate::{Micros, Settings};
 
 /// New attempts stop this long, in microseconds, after an unknown change would count as notified; the attempts
 /// decided on before are on their way by [`SEND_GRACE`].
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -8,10 +8,10 @@
 //! | 2 | 1 | remaining work: 64 x the square root of its seconds on a core of speed 1, rounded up, at most 255 |
 //! | 3 | 1 | slots in use, rounded down, at most 255 |
 //!
-//! An entry replaces what the sender reported earlier about that worker; 0 slots means that it has nothing in flight
+//! An entry replaces what the same node reported earlier about that worker; 0 slots means that it has nothing in flight
 //! there. There is no version field: all nodes of a deployment use this format.
 
-use crate::interface::WorkerId;
+use crate::WorkerId;
 
 /// Size of an entry.
 pub(crate) const ENTRY_BYTES: usize = 4;
@@ -23,7 +23,7 @@
 /// Steps of the encoded work per square root of a second.
 const WORK_SCALE: f64 = 64.0;
 
-/// One decoded entry: the sender's work in flight at one worker.
+/// One decoded entry: the reporting node's work in flight at one worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GossipEntry {
     /// See [`short_worker_id`].
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -108,7 +108,8 @@
 /// Settings that a dispatcher cannot work with: names one field and what is wrong with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Path of the field, as embedders know it.
+    /// Path of the field in a fixed vocabulary of error messages, which differs from the Rust names: embedders map it
+    /// to the name under which their operators know the field.
     pub field: &'static str,
     /// What is wrong with it.
     pub problem: &'static str,
@@ -123,7 +124,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks every field that has a restricted range; the error names the first one out of its range.
+    /// Checks every field that has a restricted range.
+    ///
+    /// # Errors
+    /// Where a field is out of its range; the error names the first one.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let all_classes = |holds: fn(&JobClass) -> bool| self.classes.iter().all(holds);
         require(!self.classes.is_empty(), "classes", "is empty")?;
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -18,7 +18,7 @@
 //! do not fit, a failure may only mean that discovery was overloaded, and says nothing about the list.
 
 use crate::endpoint_freshness::EndpointFreshness;
-use crate::interface::{Micros, Settings};
+use crate::{Micros, Settings};
 
 /// Initial time between the beginnings of two polls after a failure; it doubles with each further failure.
 const INITIAL_BACKOFF: Micros = 400_000;
