--- a/crates/core/src/migration.rs
+++ b/crates/core/src/migration.rs
@@ -77,7 +77,7 @@
 }
 
 impl MigratedJob {
-    /// Class of the job.
+    /// JobClass of the job.
     pub fn class(&self) -> ClassId {
         ClassId(self.class)
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,8 +1,7 @@
 //! What a dispatcher knows: records, estimators and plain arithmetic. No decisions are made here.
 //!
-//! Modules depend one way: `policy` decides by what is here, `dispatcher` hands events to both, and nothing
-//! here knows either. [`Dispatcher`] is defined at this lowest level so that both can implement their methods
-//! on it.
+//! Modules depend one way: `dispatcher` on `policy` and `state`, `policy` on `state`, and `state` on neither.
+//! [`Dispatcher`] is defined at this lowest level so that the other two can implement their methods on it.
 //!
 //! | module | what it holds |
 //! | --- | --- |
@@ -11,12 +10,14 @@
 //! | `worker`, `job`, `fleet` | the records of a worker, a job, and all workers together |
 //! | `subset` | which workers this node uses |
 //! | `affinity` | which workers are likely to hold what a key stands for |
-//! | `load` | demand, capacity, budgets, and the queue of jobs that wait for a worker |
+//! | `budgets` | tenants' quotas, and what retries and hedged requests may use |
+//! | `load` | the demand of clients, and the capacity of workers |
 //! | `estimates` | x, w and r of the cost, derived from the records |
-//! | `attempts` | the records of sends and of what attempts taught |
+//! | `attempts` | updates of the records when an attempt is sent, starts, progresses and ends |
 
 mod affinity;
 mod attempts;
+mod budgets;
 mod estimates;
 mod estimators;
 mod fleet;
@@ -32,11 +33,12 @@
 use crate::{Idempotency, JobId, Micros, Settings, SettingsError};
 
 pub(crate) use attempts::EndedAttempt;
+pub(crate) use budgets::{Admission, Budgets};
 pub(crate) use estimates::RELIABLE_HINT_SHARE;
 pub(crate) use estimators::SpeedEstimate;
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
-pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS};
-pub(crate) use load::{Admission, Budgets, Capacity, DEMAND_SPAN_S, Demand, QueueKey};
+pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, QueueKey};
+pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
     InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, PlacementEstimate, PlacementRating, PlacementTier,
@@ -88,7 +90,7 @@
     pub due_at: Option<Micros>,
 }
 
-/// Lists that are filled for one call and kept for their memory only.
+/// Scratch lists, kept between calls to save allocations.
 #[derive(Default)]
 pub(crate) struct Buffers {
     /// Open jobs of a sweep.
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
-use crate::admin::AdminService;
+use crate::admin::service::AdminService;
 use crate::dispatch::{DispatchCommand, TransferableState};
 use crate::handover::{
     HandoverError, PeerLink, PeerRequest, Predecessor, Rendezvous, RendezvousListener, StartLock,
@@ -378,7 +378,7 @@
     async fn carry_out(&mut self, deeds: Vec<TakeoverCommand>) {
         for deed in deeds {
             match deed {
-                TakeoverCommand::SendWelcome => self.welcome().await,
+                TakeoverCommand::AcceptHello => self.welcome().await,
                 TakeoverCommand::RejectHello(why) => {
                     if let Some(hello) = self.hello.take() {
                         hello.reject(why).await;
