--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -31,7 +31,7 @@
     /// Sends queued jobs while workers are free for them.
     pub(crate) fn dispatch_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
         // Rule 3: a node whose list may be out of date sends nothing by it. Jobs wait for the next.
-        if self.queue.is_empty() || self.discovery.stale(now) {
+        if self.queue.is_empty() || self.poll_schedule.endpoints_are_stale(now) {
             return;
         }
         self.refresh_estimates(now);
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -64,8 +64,8 @@
         if !self.is_idempotent(job)
             || !self.budgets.allow_retry()
             || !self.settings.may_cancel
-            || self.settings.may_duplicate
-            || self.discovery.stale(now)
+            || self.settings.may_hedge
+            || self.poll_schedule.endpoints_are_stale(now)
         {
             return None;
         }
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -191,7 +191,8 @@
     /// Whether nodes gossip their work. With many nodes, messages cost all of them CPU and have to be so rare
     /// that they are out of date.
     pub(crate) fn is_gossip_enabled(&self) -> bool {
-        let messages = f64::from(self.subset_nodes() - 1) * gossip::ENTRY as f64 / gossip::MOST_BYTES as f64;
+        let messages = f64::from(self.subset_nodes() - 1) * gossip::ENTRY_BYTES as f64
+            / gossip::MAX_MESSAGE_BYTES as f64;
         self.settings.may_gossip && messages > 0.0 && self.settings.gossip_price * messages <= MAX_GOSSIP_COST
     }
 }
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -5,7 +5,7 @@
 //! code.
 
 use super::time::{seconds_between, to_seconds};
-use crate::{Class, Micros};
+use crate::{JobClass, Micros};
 
 /// Work of a job without a hint while its class has no samples, in seconds at speed 1. The class then starts
 /// from its latency objective, clamped to between this and ten times this.
@@ -198,7 +198,7 @@
 
 impl WorkEstimate {
     /// The estimate without samples: the latency objective gives the order of magnitude.
-    pub fn from_latency_objective(class: &Class) -> Self {
+    pub fn from_latency_objective(class: &JobClass) -> Self {
         let mean = to_seconds(class.latency_objective).clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
         WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -29,7 +29,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::poll_schedule::DiscoveryClient;
+use crate::poll_schedule::PollSchedule;
 use crate::{Idempotency, JobId, Micros, Settings, SettingsError};
 
 pub(crate) use attempts::EndedAttempt;
@@ -62,7 +62,7 @@
     pub(crate) lifecycle: Lifecycle,
     pub(crate) timer: Timer,
     pub(crate) gossip: GossipState,
-    pub(crate) discovery: DiscoveryClient,
+    pub(crate) poll_schedule: PollSchedule,
     pub(crate) buffers: Buffers,
 }
 
@@ -106,7 +106,7 @@
     /// # Errors
     /// Where the settings contradict themselves; the error names the field.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             fleet: Fleet::new(&settings),
@@ -119,7 +119,7 @@
             lifecycle: Lifecycle { shutdown_at: Micros::MAX, is_superseded: false },
             timer: Timer::default(),
             gossip: GossipState::default(),
-            discovery: DiscoveryClient::new(&settings),
+            poll_schedule: PollSchedule::new(&settings),
             buffers: Buffers::default(),
             settings,
         })
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -43,7 +43,7 @@
 
     fn update_worker(&mut self, now: Micros, index: usize, endpoint: &Endpoint) {
         let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
-        let started_at = endpoint.started.min(now);
+        let started_at = endpoint.started_at.min(now);
         let worker = &mut self.workers[index];
         (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
         worker.status = endpoint.status;
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -230,7 +230,7 @@
             cell: endpoint.cell,
             status: endpoint.status,
             in_subset: false,
-            started_at: endpoint.started,
+            started_at: endpoint.started_at,
             listed_slots: 1.0,
             kind_index,
             speed_ratio: SpeedRatio::UNKNOWN,
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -314,7 +314,7 @@
     site.decisions.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.notified_within = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
