--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -74,7 +74,7 @@
 impl StartupHandover {
     /// Looks in that folder for another process of this node. Whatever goes wrong there is said in a line, and the process
     /// begins as though it were alone.
-    pub async fn look(folder: Option<PathBuf>, node: &str, listen: SocketAddr) -> StartupHandover {
+    pub async fn find_predecessor(folder: Option<PathBuf>, node: &str, listen: SocketAddr) -> StartupHandover {
         let Some(folder) = folder else { return StartupHandover::default() };
         let place = Rendezvous::new(&folder, listen);
         let since = Instant::now();
@@ -114,7 +114,7 @@
     }
 
     /// Whether another process of this node serves.
-    pub fn follows(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.elder.is_some()
     }
 }
@@ -125,8 +125,8 @@
     /// For clients; a successor gets a copy.
     pub listener: TcpListener,
     pub server: Server,
-    pub next_hops: UpstreamClient,
-    pub operations: AdminService,
+    pub upstream: UpstreamClient,
+    pub admin: AdminService,
 }
 
 /// What comes to the task from within this process.
@@ -171,12 +171,12 @@
     }
 
     /// Whether another process of this node goes on.
-    pub fn goes_on(&self) -> bool {
+    pub fn has_peer(&self) -> bool {
         self.operations.peer.link().is_some()
     }
 
     /// The last that is done: withdrawals that no next hop has heard go to the other process, and the seat is left.
-    pub async fn leave(&self, next_hops: &UpstreamClient) {
+    pub async fn finish(&self, next_hops: &UpstreamClient) {
         if let Some(link) = self.operations.peer.link() {
             next_hops
                 .unacknowledged_cancellations()
@@ -199,8 +199,8 @@
         listed: bool,
     ) -> (TakeoverHandle, impl Future<Output = ()>) {
         let StartupHandover { place, turn, elder, estranged } = beginning;
-        parts.operations.peer.set_may_have_unknown_peer(estranged);
-        let (node, listen) = (parts.operations.name.clone(), parts.listen.to_string());
+        parts.admin.peer.set_may_have_unknown_peer(estranged);
+        let (node, listen) = (parts.admin.name.clone(), parts.listen.to_string());
         let (succession, deeds) = match elder {
             Some(_) => Takeover::with_predecessor(&node, &listen),
             None => Takeover::without_predecessor(&node, &listen),
@@ -208,7 +208,7 @@
         let (hellos, heard) = mpsc::channel(1);
         let (here, happens) = mpsc::channel(16);
         let seat = Rc::default();
-        let operations = parts.operations.clone();
+        let operations = parts.admin.clone();
         let reach = TakeoverHandle { here: here.clone(), seat: Rc::clone(&seat), operations };
         let mut upgrade = TakeoverTask {
             parts,
@@ -256,12 +256,12 @@
     fn link(&mut self, link: Option<(PeerLink, mpsc::Receiver<PeerRequest>)>) {
         self.parts.server.set_migrating(false);
         let (link, asked) = link.unzip();
-        self.parts.operations.peer.set_link(link);
+        self.parts.admin.peer.set_link(link);
         self.asked = asked;
     }
 
     async fn inherit(&self, drained: bool, estate: TransferableState) {
-        let operations = &self.parts.operations;
+        let operations = &self.parts.admin;
         if !operations.drain_called.get() {
             let _ = operations.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
@@ -347,13 +347,13 @@
                 spawn_local(async move { free.send(!server.holds_job(id).await) });
             }
             PeerRequest::Command { call, verdict } => {
-                let operations = self.parts.operations.clone();
+                let operations = self.parts.admin.clone();
                 spawn_local(async move { verdict.send(operations.follow(&call).await) });
             }
             PeerRequest::MigrateJob { job, client, held, said } => {
                 spawn_local(self.parts.server.clone().adopt_job(job, client, held, said));
             }
-            PeerRequest::CancelAttempt { to, id } => self.parts.next_hops.adopt_cancellation(to, id),
+            PeerRequest::CancelAttempt { to, id } => self.parts.upstream.adopt_cancellation(to, id),
             PeerRequest::Takeover { heritage } => {
                 self.heir = Some(heritage);
                 return self.succession.handle(Event::TakeoverRequested);
@@ -363,12 +363,12 @@
                 return self.succession.handle(Event::HandedBack);
             }
             PeerRequest::Lost => {
-                self.parts.operations.peer.mark_lost();
+                self.parts.admin.peer.mark_lost();
                 self.link(None);
                 if let Some(heritage) = self.learned.take() {
                     self.inherit(heritage.drained, heritage.estate).await;
                 }
-                info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.operations.name);
+                info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
                 return self.succession.handle(Event::LinkLost);
             }
         }
@@ -385,7 +385,7 @@
                     }
                 }
                 TakeoverCommand::RequestTakeover => {
-                    if let Some(link) = self.parts.operations.peer.link() {
+                    if let Some(link) = self.parts.admin.peer.link() {
                         let here = self.here.clone();
                         spawn_local(async move {
                             here.send(Here::Took(link.request_takeover().await)).await.is_ok()
@@ -400,11 +400,11 @@
                     self.parts.server.set_migrating(true);
                 }
                 TakeoverCommand::HandBack => {
-                    _ = self.parts.operations.peer.link().map(|link| link.hand_back());
+                    _ = self.parts.admin.peer.link().map(|link| link.hand_back());
                     self.parts.server.set_migrating(true);
                 }
                 TakeoverCommand::CloseLink => {
-                    _ = self.parts.operations.peer.link().map(|link| link.close());
+                    _ = self.parts.admin.peer.link().map(|link| link.close());
                     self.link(None);
                 }
                 TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
@@ -412,7 +412,7 @@
                 TakeoverCommand::ApplyPhaseEvent(by) => self.go(by).await,
                 TakeoverCommand::SetDescriptorShare(share) => {
                     self.parts.server.set_descriptors_halved(share == DescriptorShare::Half);
-                    self.parts.next_hops.set_descriptors_halved(share == DescriptorShare::Half);
+                    self.parts.upstream.set_descriptors_halved(share == DescriptorShare::Half);
                 }
                 TakeoverCommand::ListenForSuccessor => self.sit(),
             }
@@ -420,7 +420,7 @@
     }
 
     async fn go(&mut self, by: PhaseEvent) {
-        let operations = &self.parts.operations;
+        let operations = &self.parts.admin;
         let Some(phase) = operations.lifecycle.apply(by) else { return };
         if by != PhaseEvent::EndpointsAvailable {
             info!(target: NODE, "curlewusher {}: {phase}", operations.name);
@@ -435,7 +435,7 @@
 
     async fn heritage(&self) -> Bytes {
         let (estate, bequeathed) = oneshot::channel();
-        let operations = &self.parts.operations;
+        let operations = &self.parts.admin;
         let asked = operations.order.send(DispatchCommand::TakeSnapshot(estate)).await.is_ok();
         let Some(estate) = bequeathed.await.ok().filter(|_| asked) else { return Bytes::new() };
         let heritage =
@@ -454,7 +454,7 @@
         let Some(hello) = self.hello.take() else { return };
         match hello.welcome(&self.parts.listener, heritage).await {
             Ok(link) => {
-                info!(target: NODE, "curlewusher {}: a successor has come", self.parts.operations.name);
+                info!(target: NODE, "curlewusher {}: a successor has come", self.parts.admin.name);
                 self.link(Some(link));
             }
             Err(problem) => {
@@ -470,7 +470,7 @@
         match RendezvousListener::bind(place, self.hellos.clone()) {
             Ok(seat) => *self.seat.borrow_mut() = Some(seat),
             Err(problem) => {
-                self.parts.operations.peer.set_may_have_unknown_peer(true);
+                self.parts.admin.peer.set_may_have_unknown_peer(true);
                 warn!(target: NODE, "no successor can find this process: {problem}");
             }
         }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -174,7 +174,7 @@
     // Where there is no second address nobody starts a version beside another.
     let folder = console.and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
     let beginning = tokio::select! {
-        beginning = StartupHandover::look(folder, &name, listen) => beginning,
+        beginning = StartupHandover::find_predecessor(folder, &name, listen) => beginning,
         _ = terminate.recv() => return Ok(()),
     };
     let listener = beginning.listener().unwrap_or_else(|| server.listen(listen, console.is_some()));
@@ -193,15 +193,15 @@
         listen,
         listener: for_successors,
         server: server.clone(),
-        next_hops: next_hops.clone(),
-        operations: operations.clone(),
+        upstream: next_hops.clone(),
+        admin: operations.clone(),
     };
 
     let dispatch = spawn_local(dispatch);
     let map = spawn_local(map.run(asked, moved));
     let sweep = spawn_local(next_hops.clone().sweep());
     let accept = spawn_local(server.clone().accept(listener));
-    let follows = beginning.follows();
+    let follows = beginning.has_predecessor();
     let (upgrade, upgrading) = TakeoverTask::start(beginning, parts, is_there, listed);
     let upgrading = spawn_local(upgrading);
     info!(target: NODE, "curlewusher {name}: {} {serves_on}", if follows { "is to serve on" } else { "serves on" });
@@ -244,9 +244,9 @@
             }
         };
         // What no next hop has heard by then the other process goes on with, where there is one.
-        let wait = if upgrade.goes_on() { PASSING_ON } else { LAST_WORDS };
+        let wait = if upgrade.has_peer() { PASSING_ON } else { LAST_WORDS };
         let _ = tokio::time::timeout(wait, rest).await;
-        upgrade.leave(&next_hops).await;
+        upgrade.finish(&next_hops).await;
         // What came meanwhile. The listener goes last: a connection that it has in its queue would be reset.
         server.close().await;
         accept.abort();
