--- /dev/null
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -0,0 +1,128 @@
+//! Reads and writes on the Unix socket between two processes, with the descriptors that frames carry.
+
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
+use std::mem::MaybeUninit;
+use std::os::fd::{AsFd, OwnedFd};
+use std::time::Duration;
+
+use bytes::{Buf, Bytes};
+use curlewusher_control::frame::{Decoder, Frame};
+use rustix::net::{
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
+    SendFlags, recvmsg, sendmsg,
+};
+use tokio::io::Interest;
+use tokio::net::UnixStream;
+use tokio::time::timeout;
+
+use crate::handover::error::HandoverError;
+
+/// A process that reads nothing for this long counts as gone.
+pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How many received descriptors may wait for the frames that they belong to; more are closed, so that the
+/// other process cannot use up this one's descriptors.
+const MAX_PENDING_DESCRIPTORS: usize = 16;
+/// Most bytes taken in by one read.
+const READ_CHUNK_BYTES: usize = 8 << 10;
+
+/// Received descriptors in the order of their frames.
+pub(super) type PendingDescriptors = VecDeque<OwnedFd>;
+
+/// One byte and the descriptor that came with it.
+pub(super) struct ByteWithDescriptor {
+    pub(super) byte: u8,
+    pub(super) descriptor: Option<OwnedFd>,
+}
+
+/// Receives one byte and the descriptor that it carries, if any.
+pub(super) async fn receive_byte_with_descriptor(stream: &UnixStream) -> io::Result<ByteWithDescriptor> {
+    let receive = || {
+        let mut byte = [0];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut buffers = [IoSliceMut::new(&mut byte)];
+        let received = recvmsg(stream, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        let descriptor = control.drain().find_map(|message| match message {
+            RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
+            _ => None,
+        });
+        if received.bytes == 0 {
+            return Err(ErrorKind::UnexpectedEof.into());
+        }
+        Ok(ByteWithDescriptor { byte: byte[0], descriptor })
+    };
+    stream.async_io(Interest::READABLE, receive).await
+}
+
+/// Sends a descriptor with the first of these bytes. Returns how many bytes were written, which may be fewer
+/// than all.
+pub(super) async fn send_with_descriptor(
+    stream: &UnixStream,
+    bytes: &[u8],
+    descriptor: impl AsFd,
+) -> io::Result<usize> {
+    let descriptors = [descriptor.as_fd()];
+    let send = || {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
+            return Err(ErrorKind::InvalidInput.into());
+        }
+        Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?)
+    };
+    stream.async_io(Interest::WRITABLE, send).await
+}
+
+/// Writes all bytes. Fails once the other process has read nothing for `WRITE_STALL_TIMEOUT`.
+pub(super) async fn write_all(stream: &UnixStream, mut bytes: Bytes) -> io::Result<()> {
+    while bytes.has_remaining() {
+        timeout(WRITE_STALL_TIMEOUT, stream.writable()).await??;
+        match stream.try_write(&bytes) {
+            Ok(written) => bytes.advance(written),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(())
+}
+
+/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`. False at the end of
+/// the stream.
+pub(super) async fn read_chunk(
+    stream: &UnixStream,
+    decoder: &mut Decoder,
+    descriptors: &mut PendingDescriptors,
+) -> io::Result<bool> {
+    let receive = || {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut buffers = [IoSliceMut::new(&mut chunk)];
+        let received = recvmsg(stream, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        decoder.feed(&chunk[..received.bytes]);
+        for message in control.drain() {
+            if let RecvAncillaryMessage::ScmRights(received) = message {
+                let free = MAX_PENDING_DESCRIPTORS.saturating_sub(descriptors.len());
+                descriptors.extend(received.take(free));
+            }
+        }
+        Ok(received.bytes > 0)
+    };
+    stream.async_io(Interest::READABLE, receive).await
+}
+
+/// Reads until the decoder has a whole frame. Descriptors that come before are closed.
+pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
+    loop {
+        if let Some((_, frame)) = decoder.next_frame()? {
+            return Ok(frame);
+        }
+        let mut unused_descriptors = PendingDescriptors::new();
+        let read = read_chunk(stream, decoder, &mut unused_descriptors).await;
+        if !read.map_err(HandoverError::Disconnected)? {
+            decoder.finish()?;
+            return Err(HandoverError::closed_by_peer());
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/handover/handshake.rs
@@ -0,0 +1,164 @@
+//! The handshake between two processes of one node: the newer one sends a hello, the older one accepts it,
+//! which passes the client listener's descriptor and a state snapshot, or rejects it.
+//!
+//! | newer process | older process |
+//! | --- | --- |
+//! | `Hello` | |
+//! | | one byte with the listener's descriptor, then `Welcome` with the snapshot: both are linked |
+//! | | or `Rejected` with the reason |
+
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::{AsFd, OwnedFd};
+use std::time::Duration;
+
+use bytes::Bytes;
+use curlewusher_control::frame::{Decoder, Frame, FrameError, RejectReason};
+use rustix::net::sockopt::socket_acceptconn;
+use tokio::net::UnixStream;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use crate::handover::descriptor_stream::{
+    ByteWithDescriptor, read_frame, receive_byte_with_descriptor, send_with_descriptor, write_all,
+};
+use crate::handover::error::HandoverError;
+use crate::handover::link::{LinkEnds, LinkRole, PeerLink, limit_snapshot};
+use crate::handover::rendezvous::Rendezvous;
+
+/// How long the newer process waits for the answer to its hello before it starts without a predecessor.
+const HELLO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long the older process waits for a hello, and for its own answer to be written.
+pub(super) const HELLO_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The byte that carries the listener's descriptor. No frame begins with it.
+const DESCRIPTOR_CARRIER: u8 = b'+';
+
+/// The older process, which has accepted this one as its successor.
+pub struct Predecessor {
+    /// Its listener for clients; from here on both processes hold a descriptor of it.
+    pub listener: TcpListener,
+    /// Its state snapshot; empty where it has none to transfer.
+    pub snapshot: Bytes,
+    /// The link to it, and its requests.
+    pub link: LinkEnds,
+}
+
+/// Sends a hello to the process at the rendezvous. None where no process listens there. Takes 1.5 s at most.
+pub async fn contact_predecessor(
+    rendezvous: &Rendezvous,
+    node: &str,
+    listen: SocketAddr,
+) -> Result<Option<Predecessor>, HandoverError> {
+    let contacted = timeout(HELLO_RESPONSE_TIMEOUT, send_hello(rendezvous, node, listen)).await;
+    contacted.unwrap_or(Err(HandoverError::TimedOut))
+}
+
+async fn send_hello(
+    rendezvous: &Rendezvous,
+    node: &str,
+    listen: SocketAddr,
+) -> Result<Option<Predecessor>, HandoverError> {
+    let Some(stream) = rendezvous.connect().await? else { return Ok(None) };
+    rendezvous.verify_same_user(&stream)?;
+    let hello = Frame::Hello { node: node.to_owned(), listen: listen.to_string() };
+    write_all(&stream, hello.encode(0)?).await.map_err(HandoverError::Disconnected)?;
+    receive_hello_response(stream, listen).await.map(Some)
+}
+
+async fn receive_hello_response(
+    stream: UnixStream,
+    listen: SocketAddr,
+) -> Result<Predecessor, HandoverError> {
+    let received = receive_byte_with_descriptor(&stream).await;
+    let ByteWithDescriptor { byte, descriptor } = received.map_err(HandoverError::Disconnected)?;
+    let mut decoder = Decoder::default();
+    if byte != DESCRIPTOR_CARRIER {
+        decoder.feed(&[byte]);
+    }
+    match (read_frame(&stream, &mut decoder).await?, descriptor) {
+        (Frame::Rejected(reason), _) => Err(HandoverError::Rejected(reason)),
+        (Frame::Welcome(snapshot), Some(descriptor)) => {
+            let listener = client_listener(descriptor, listen);
+            let listener = listener.ok_or(HandoverError::NoListener { listen })?;
+            let link = PeerLink::start(stream, LinkRole::Successor, decoder);
+            Ok(Predecessor { listener, snapshot, link })
+        }
+        (Frame::Welcome(_), None) => Err(HandoverError::NoListener { listen }),
+        _ => Err(HandoverError::UnexpectedFrame),
+    }
+}
+
+/// The received descriptor as a listener, if it is one and is bound to this node's client address.
+fn client_listener(descriptor: OwnedFd, listen: SocketAddr) -> Option<TcpListener> {
+    let is_listening = socket_acceptconn(&descriptor).unwrap_or(false);
+    let listener = TcpListener::from(descriptor);
+    let bound = listener.local_addr().ok().filter(|_| is_listening)?;
+    listener.set_nonblocking(true).ok()?;
+    let is_any_port = listen.port() == 0;
+    let is_expected = bound.ip() == listen.ip() && (is_any_port || bound.port() == listen.port());
+    is_expected.then_some(listener)
+}
+
+/// A process that asks to be this one's successor. Dropping it closes the connection without an answer.
+pub struct SuccessorHello {
+    /// Name of its node.
+    pub node: String,
+    /// Client address of its node.
+    pub listen: String,
+    stream: UnixStream,
+    decoder: Decoder,
+}
+
+impl SuccessorHello {
+    /// Reads the hello from a new connection. A process whose version of the protocol differs is rejected.
+    pub(super) async fn receive(
+        stream: UnixStream,
+        rendezvous: &Rendezvous,
+    ) -> Result<SuccessorHello, HandoverError> {
+        rendezvous.verify_same_user(&stream)?;
+        let mut decoder = Decoder::default();
+        match read_frame(&stream, &mut decoder).await {
+            Ok(Frame::Hello { node, listen }) => Ok(SuccessorHello { node, listen, stream, decoder }),
+            Ok(_) => Err(HandoverError::UnexpectedFrame),
+            Err(error) => {
+                if let HandoverError::Protocol(FrameError::OtherVersion { .. }) = error {
+                    send_rejection(&stream, RejectReason::OtherVersion).await;
+                }
+                Err(error)
+            }
+        }
+    }
+
+    /// Passes the hello on, or rejects it as busy where another one is pending.
+    pub(super) async fn enqueue_or_reject(self, hellos: &mpsc::Sender<SuccessorHello>) {
+        if let Err(error) = hellos.try_send(self) {
+            error.into_inner().reject(RejectReason::Busy).await;
+        }
+    }
+
+    /// Accepts it as the successor, which receives the client listener and the state snapshot. On an error it
+    /// counts as disconnected.
+    pub async fn accept(self, listener: impl AsFd, snapshot: Bytes) -> Result<LinkEnds, HandoverError> {
+        let send = send_with_descriptor(&self.stream, &[DESCRIPTOR_CARRIER], listener);
+        let sent = timeout(HELLO_TIMEOUT, send).await;
+        sent.map_err(|_| HandoverError::TimedOut)?.map_err(HandoverError::Disconnected)?;
+        let ends = PeerLink::start(self.stream, LinkRole::Predecessor, self.decoder);
+        ends.link.send_welcome(limit_snapshot(snapshot));
+        Ok(ends)
+    }
+
+    /// Rejects it.
+    pub async fn reject(self, reason: RejectReason) {
+        send_rejection(&self.stream, reason).await;
+    }
+}
+
+/// Where the rejection cannot be written, the closed connection has the same effect.
+async fn send_rejection(stream: &UnixStream, reason: RejectReason) {
+    if let Ok(frame) = Frame::Rejected(reason).encode(0) {
+        let _ = timeout(HELLO_TIMEOUT, write_all(stream, frame)).await;
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/handover/handshake.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/src/handover/link/reader.rs
@@ -0,0 +1,160 @@
+//! The task that reads a link's frames: responses complete their requests, and the other process's requests go
+//! to the takeover task.
+
+use std::io::ErrorKind;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use curlewusher_control::frame::{Decoder, Frame};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use tracing::{debug, warn};
+
+use super::outbound::limit_snapshot;
+use super::peer_request::PeerRequest;
+use super::state::LinkState;
+use crate::handover::descriptor_stream::{PendingDescriptors, read_chunk};
+use crate::handover::error::HandoverError;
+use crate::telemetry::logging::NODE;
+
+/// Reads and dispatches the frames of a link.
+pub(super) struct FrameReader {
+    state: Rc<LinkState>,
+    requests: mpsc::Sender<PeerRequest>,
+}
+
+impl FrameReader {
+    pub(super) fn new(state: Rc<LinkState>, requests: mpsc::Sender<PeerRequest>) -> FrameReader {
+        FrameReader { state, requests }
+    }
+
+    /// Reads until the link is lost, then closes it, ends the pending requests and reports the loss.
+    pub(super) async fn run(
+        self,
+        decoder: Decoder,
+        link_lost_permit: Option<mpsc::OwnedPermit<PeerRequest>>,
+    ) {
+        if let Err(error) = self.read_frames(decoder).await {
+            warn!(target: NODE, reason = %error, "link to the other process lost");
+        }
+        self.state.close();
+        self.state.abandon_pending_requests();
+        if let Some(permit) = link_lost_permit {
+            permit.send(PeerRequest::LinkLost);
+        }
+    }
+
+    async fn read_frames(&self, mut decoder: Decoder) -> Result<(), HandoverError> {
+        // A descriptor arrives with the first byte of its frame, so that both are in the same order.
+        let mut descriptors = PendingDescriptors::new();
+        loop {
+            while let Some((request_id, frame)) = decoder.next_frame()? {
+                if !self.state.is_connected() && !frame.is_response() {
+                    // It can no longer be answered, and the other process relies on that.
+                    continue;
+                }
+                self.handle_frame(request_id, frame, &mut descriptors)?;
+            }
+            match read_chunk(&self.state.stream, &mut decoder, &mut descriptors).await {
+                Ok(true) => {}
+                Ok(false) => return Ok(decoder.finish()?),
+                // The other process ended before it had read everything.
+                Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(()),
+                Err(error) => return Err(HandoverError::Disconnected(error)),
+            }
+        }
+    }
+
+    fn handle_frame(
+        &self,
+        request_id: u64,
+        frame: Frame,
+        descriptors: &mut PendingDescriptors,
+    ) -> Result<(), HandoverError> {
+        match frame {
+            Frame::TakeoverGranted(_)
+            | Frame::CallbackResult(_)
+            | Frame::ClaimResult(_)
+            | Frame::CommandResult(_)
+            | Frame::MigrationResult(_) => self.state.complete_request(request_id, frame),
+            Frame::Callback(body) => self.forward_request(
+                request_id,
+                |is_handled| PeerRequest::Callback { body, is_handled },
+                |_, is_handled| Frame::CallbackResult(is_handled),
+            ),
+            Frame::ClaimJob(job_id) => self.handle_claim(request_id, job_id),
+            Frame::Command(command) => self.forward_request(
+                request_id,
+                |result| PeerRequest::Command { command, result },
+                |_, result| Frame::CommandResult(result),
+            ),
+            Frame::TakeoverRequest => self.forward_request(
+                request_id,
+                |snapshot| PeerRequest::Takeover { snapshot },
+                |_, snapshot| Frame::TakeoverGranted(limit_snapshot(snapshot)),
+            ),
+            Frame::MigrateJob(job) => {
+                let client = descriptors.pop_front().ok_or(HandoverError::UnexpectedFrame)?;
+                self.handle_migration(request_id, job, client);
+            }
+            Frame::CancelAttempt { to, id } => {
+                self.pass_on(PeerRequest::CancelAttempt { worker_address: to, job_id: id });
+            }
+            Frame::HandBack => self.pass_on(PeerRequest::HandBack),
+            Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
+                return Err(HandoverError::UnexpectedFrame);
+            }
+        }
+        Ok(())
+    }
+
+    /// Refuses a claim of an id that this process is claiming itself; otherwise asks whether it holds the id.
+    fn handle_claim(&self, request_id: u64, job_id: String) {
+        if !self.state.claims.borrow().allows_peer_claim(&job_id, false) {
+            return self.state.send_response(request_id, &Frame::ClaimResult(false));
+        }
+        let claimed_id = job_id.clone();
+        // Checked again with the answer: this process may have claimed the id in the meantime.
+        let respond = move |state: &LinkState, is_unheld: bool| {
+            Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, !is_unheld))
+        };
+        self.forward_request(request_id, |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld }, respond);
+    }
+
+    fn handle_migration(&self, request_id: u64, job: Bytes, client: OwnedFd) {
+        let (is_adopted, adoption) = oneshot::channel();
+        let (written, response_written) = oneshot::channel();
+        self.pass_on(PeerRequest::MigrateJob { job, client, is_adopted, response_written });
+        let state = Rc::clone(&self.state);
+        spawn_local(async move {
+            if let Ok(is_adopted) = adoption.await {
+                let response = Frame::MigrationResult(is_adopted);
+                state.send_response_and_notify(request_id, &response, written);
+            }
+        });
+    }
+
+    /// Passes a request on, and sends the response made from its result once that is there.
+    fn forward_request<T: 'static>(
+        &self,
+        request_id: u64,
+        request: impl FnOnce(oneshot::Sender<T>) -> PeerRequest,
+        response: impl FnOnce(&LinkState, T) -> Frame + 'static,
+    ) {
+        let (result_sender, result) = oneshot::channel();
+        self.pass_on(request(result_sender));
+        let state = Rc::clone(&self.state);
+        spawn_local(async move {
+            if let Ok(result) = result.await {
+                state.send_response(request_id, &response(&state, result));
+            }
+        });
+    }
+
+    fn pass_on(&self, request: PeerRequest) {
+        if self.requests.try_send(request).is_err() {
+            debug!(target: NODE, "too many requests of the other process; one is dropped without a response");
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/handover/state_transfer.rs
@@ -0,0 +1,61 @@
+//! The record of state that a process transfers to its successor, as JSON in a frame of the handshake or of the
+//! takeover.
+
+use bytes::Bytes;
+use serde::{Deserialize, Serialize};
+use tracing::warn;
+
+use crate::dispatch::TransferableState;
+use crate::telemetry::logging::NODE;
+
+/// Version of the record's format; a record of another version is ignored.
+const FORMAT_VERSION: u32 = 1;
+
+/// A process's state for its successor. The names of its fields in JSON are those of format version 1.
+#[derive(Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct StateTransfer {
+    #[serde(rename = "form")]
+    format_version: u32,
+    /// Whether an operator has drained the node.
+    pub(super) drained: bool,
+    /// State of the dispatch task.
+    #[serde(rename = "estate")]
+    pub(super) state: TransferableState,
+}
+
+impl StateTransfer {
+    pub(super) fn new(drained: bool, state: TransferableState) -> StateTransfer {
+        StateTransfer { format_version: FORMAT_VERSION, drained, state }
+    }
+
+    /// Reads a record. None, with a log line that says why, where the process starts without it.
+    pub(super) fn decode(bytes: &Bytes) -> Option<StateTransfer> {
+        match serde_json::from_slice::<StateTransfer>(bytes) {
+            Ok(record) if record.format_version == FORMAT_VERSION => return Some(record),
+            Ok(record) => warn!(
+                target: NODE,
+                format_version = record.format_version,
+                expected = FORMAT_VERSION,
+                "the predecessor's state has another format version: starts cold"
+            ),
+            // The predecessor had nothing to transfer, and has logged why.
+            Err(_) if bytes.is_empty() => {}
+            Err(error) => {
+                warn!(target: NODE, reason = %error, "the predecessor's state cannot be read: starts cold");
+            }
+        }
+        None
+    }
+
+    /// Writes the record. Empty, with a log line, where it cannot be written.
+    pub(super) fn encode(&self) -> Bytes {
+        match serde_json::to_vec(self) {
+            Ok(bytes) => bytes.into(),
+            Err(error) => {
+                warn!(target: NODE, reason = %error, "state cannot be written: the successor starts cold");
+                Bytes::new()
+            }
+        }
+    }
+}
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -1,488 +1,458 @@
-//! Owns this process's part in an upgrade: it tells `operation::succession` what happens and carries out what that wants.
-//! It must never decide who owns what.
+//! The takeover task: passes events of this process and requests of the other one to the state machine
+//! `curlewusher_control::takeover::Takeover` and carries out its commands. Which process owns what is decided
+//! there, not here.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{DescriptorShare, Event, Takeover, TakeoverCommand};
-use serde::{Deserialize, Serialize};
+use curlewusher_control::takeover::{DescriptorShare, Event, RejectReason, Takeover, TakeoverCommand};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep, timeout};
+use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
 use crate::admin::AdminService;
 use crate::dispatch::{DispatchCommand, TransferableState};
-use crate::handover::{
-    HandoverError, PeerLink, PeerRequest, Predecessor, Rendezvous, RendezvousListener, StartLock,
-    SuccessorHello, contact_predecessor,
-};
+use crate::handover::handshake::{Predecessor, SuccessorHello};
+use crate::handover::link::{LinkEnds, PeerRequest};
+use crate::handover::rendezvous::{Rendezvous, StartLock};
+use crate::handover::rendezvous_listener::RendezvousListener;
+use crate::handover::startup::StartupHandover;
+use crate::handover::state_transfer::StateTransfer;
 use crate::lifecycle::PhaseEvent;
 use crate::server::Server;
 use crate::telemetry::logging::NODE;
 use crate::upstream::UpstreamClient;
 
-/// The form of what goes over; one of another form is passed over.
-const FORM: u32 = 1;
-/// Another start that is under way is waited for so long, and asked this often.
-const BUSY_MOST: Duration = Duration::from_secs(5);
-const BUSY_PAUSE: Duration = Duration::from_millis(50);
-/// A newer process that has a saved list goes by it where discovery is silent for so long: an upgrade has 6 s.
-const MAP_WAIT: Duration = Duration::from_millis(3000);
-/// At the end, what the other is to know is written within this.
-const LAST_FRAMES: Duration = Duration::from_millis(300);
-
-/// What goes over from process to process.
-#[derive(Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct StateTransfer {
-    form: u32,
-    drained: bool,
-    estate: TransferableState,
-}
-
-impl StateTransfer {
-    /// Reads it, or says in one line why the process starts cold.
-    fn read(bytes: &Bytes) -> Option<StateTransfer> {
-        match serde_json::from_slice::<StateTransfer>(bytes) {
-            Ok(heritage) if heritage.form == FORM => return Some(heritage),
-            Ok(other) => {
-                warn!(target: NODE, "what the older process learned has form {}, not {FORM}: starts cold", other.form)
-            }
-            // It had nothing to give, and has said why.
-            Err(_) if bytes.is_empty() => {}
-            Err(e) => warn!(target: NODE, "what the older process learned cannot be read: {e}: starts cold"),
-        }
-        None
-    }
-}
-
-/// How a process begins: where successors find it, and the process before it if there is one.
-#[derive(Default)]
-pub struct StartupHandover {
-    place: Option<Rendezvous>,
-    turn: Option<StartLock>,
-    elder: Option<Predecessor>,
-    /// Something kept it from asking whether another serves: one may, and is not known.
-    estranged: bool,
-}
-
-impl StartupHandover {
-    /// Looks in that folder for another process of this node. Whatever goes wrong there is said in a line, and the process
-    /// begins as though it were alone.
-    pub async fn find_predecessor(folder: Option<PathBuf>, node: &str, listen: SocketAddr) -> StartupHandover {
-        let Some(folder) = folder else { return StartupHandover::default() };
-        let place = Rendezvous::new(&folder, listen);
-        let since = Instant::now();
-        loop {
-            let asked = match place.turn().await {
-                Ok(turn) => contact_predecessor(&place, node, listen).await.map(|elder| (turn, elder)),
-                Err(problem @ HandoverError::Held { .. }) => Err(problem),
-                Err(problem) => {
-                    warn!(target: NODE, "curlewusher {node}: {problem}");
-                    // Where it can make no file it cannot sit either, which need not be said twice.
-                    return StartupHandover { estranged: true, ..StartupHandover::default() };
-                }
-            };
-            match asked {
-                Ok((turn, elder)) => {
-                    if elder.is_some() {
-                        info!(target: NODE, "curlewusher {node}: goes on for the process that serves");
-                    }
-                    return StartupHandover { place: Some(place), turn: Some(turn), elder, estranged: false };
-                }
-                Err(problem) if problem.is_busy() && since.elapsed() < BUSY_MOST => sleep(BUSY_PAUSE).await,
-                Err(problem) => {
-                    warn!(target: NODE, "curlewusher {node}: {problem}");
-                    return StartupHandover {
-                        place: Some(place),
-                        estranged: true,
-                        ..StartupHandover::default()
-                    };
-                }
-            }
-        }
-    }
-
-    /// The listener that the process before this one has passed on.
-    pub fn listener(&self) -> Option<std::io::Result<TcpListener>> {
-        self.elder.as_ref().map(|elder| elder.listener.try_clone())
-    }
+/// How long a successor with a saved endpoint list waits for discovery before it uses the saved one; an upgrade
+/// has 6 s in all.
+const ENDPOINTS_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long a process that is shutting down waits until its last frames are written.
+const LAST_FRAMES_TIMEOUT: Duration = Duration::from_millis(300);
+/// How many hellos wait for the task; a further one is rejected as busy.
+const HELLO_QUEUE_LENGTH: usize = 1;
+/// How many events of this process wait for the task; their senders wait for room.
+const LOCAL_EVENT_QUEUE_LENGTH: usize = 16;
 
-    /// Whether another process of this node serves.
-    pub fn has_predecessor(&self) -> bool {
-        self.elder.is_some()
-    }
-}
+type SharedListener = Rc<RefCell<Option<RendezvousListener>>>;
 
-/// The parts of the node that an upgrade concerns.
+/// The parts of the node that a takeover concerns.
 pub struct TakeoverParts {
+    /// Client address of the node.
     pub listen: SocketAddr,
-    /// For clients; a successor gets a copy.
+    /// The listener for clients; a successor receives a descriptor of it.
     pub listener: TcpListener,
+    /// Accepts clients' connections and holds jobs.
     pub server: Server,
+    /// Sends attempts and cancellations to workers.
     pub upstream: UpstreamClient,
+    /// Carries out operators' commands; has the phase, the peer and the queue of the dispatch task.
     pub admin: AdminService,
 }
 
-/// What comes to the task from within this process.
-enum Here {
+/// What happens within this process.
+enum LocalEvent {
+    /// A process asks to be the successor.
     SuccessorHello(SuccessorHello),
-    /// What the elder answered to being asked for the new connections.
-    Took(Option<Bytes>),
+    /// The predecessor's answer to the takeover request: its latest snapshot, or none where the link is closed.
+    TakeoverResponse(Option<Bytes>),
+    /// SIGTERM; notified once the commands for it are carried out.
     Terminate(oneshot::Sender<()>),
 }
 
-/// The task.
+/// What the task waits for.
+struct TakeoverInputs {
+    hellos: mpsc::Receiver<SuccessorHello>,
+    local_events: mpsc::Receiver<LocalEvent>,
+    /// True once discovery has delivered an endpoint list.
+    endpoints_available: watch::Receiver<bool>,
+    /// After this long the saved endpoint list is used. None where there is none.
+    saved_endpoints_delay: Option<Duration>,
+}
+
+/// The takeover task.
 pub struct TakeoverTask {
     parts: TakeoverParts,
-    succession: Takeover,
-    place: Option<Rendezvous>,
-    turn: Option<StartLock>,
-    seat: Rc<RefCell<Option<RendezvousListener>>>,
-    hellos: mpsc::Sender<SuccessorHello>,
-    here: mpsc::Sender<Here>,
-    asked: Option<mpsc::Receiver<PeerRequest>>,
-    /// Who asks to be welcomed, and who asks for the new connections, while that is being decided.
-    hello: Option<SuccessorHello>,
-    heir: Option<oneshot::Sender<Bytes>>,
-    /// What the elder had learned at the welcome, while nothing later has come.
-    learned: Option<StateTransfer>,
+    takeover: Takeover,
+    rendezvous: Option<Rendezvous>,
+    start_lock: Option<StartLock>,
+    rendezvous_listener: SharedListener,
+    hello_sender: mpsc::Sender<SuccessorHello>,
+    local_event_sender: mpsc::Sender<LocalEvent>,
+    peer_requests: Option<mpsc::Receiver<PeerRequest>>,
+    /// The hello that the state machine is deciding on.
+    pending_hello: Option<SuccessorHello>,
+    /// Where the snapshot for the successor goes once the takeover is granted.
+    takeover_response: Option<oneshot::Sender<Bytes>>,
+    /// The predecessor's state as of the handshake, until later state replaces it or the link is lost.
+    handshake_state: Option<StateTransfer>,
 }
 
-/// Where the rest of the program reaches the task.
+/// The other parts' handle to the task.
 pub struct TakeoverHandle {
-    here: mpsc::Sender<Here>,
-    seat: Rc<RefCell<Option<RendezvousListener>>>,
-    operations: AdminService,
+    local_events: mpsc::Sender<LocalEvent>,
+    rendezvous_listener: SharedListener,
+    admin: AdminService,
 }
 
 impl TakeoverHandle {
-    /// The process was told to end; returns once the other knows what it must.
+    /// Reports SIGTERM; returns once the commands for it are carried out.
     pub async fn terminate(&self) {
         let (done, is_done) = oneshot::channel();
-        if self.here.send(Here::Terminate(done)).await.is_ok() {
+        if self.local_events.send(LocalEvent::Terminate(done)).await.is_ok() {
             let _ = is_done.await;
         }
     }
 
-    /// Whether another process of this node goes on.
+    /// Whether another process of this node is linked to this one, and serves on after it.
     pub fn has_peer(&self) -> bool {
-        self.operations.peer.link().is_some()
+        self.admin.peer.link().is_some()
     }
 
-    /// The last that is done: withdrawals that no next hop has heard go to the other process, and the seat is left.
-    pub async fn finish(&self, next_hops: &UpstreamClient) {
-        if let Some(link) = self.operations.peer.link() {
-            next_hops
-                .unacknowledged_cancellations()
-                .iter()
-                .for_each(|(to, id)| link.transfer_cancellation(*to, id));
-            let _ = timeout(LAST_FRAMES, link.flushed()).await;
+    /// The last step of the shutdown: leaves cancellations that no worker has acknowledged to the other process,
+    /// and closes the rendezvous socket.
+    pub async fn finish(&self, upstream: &UpstreamClient) {
+        if let Some(link) = self.admin.peer.link() {
+            for (address, job_id) in upstream.unacknowledged_cancellations().iter() {
+                link.transfer_cancellation(*address, job_id);
+            }
+            let _ = timeout(LAST_FRAMES_TIMEOUT, link.flush()).await;
         }
-        if let Some(seat) = self.seat.take() {
-            seat.close();
+        if let Some(listener) = self.rendezvous_listener.take() {
+            listener.close();
         }
     }
 }
 
 impl TakeoverTask {
-    /// `listed`: there is a saved list to go by. Returns the task, which ends only if the program cannot go on.
+    /// Creates the task and its handle. The task's future ends only if the program cannot go on.
+    /// `has_saved_endpoints`: whether there is an endpoint list of an earlier run.
     pub fn start(
-        beginning: StartupHandover,
+        startup: StartupHandover,
         parts: TakeoverParts,
-        there: watch::Receiver<bool>,
-        listed: bool,
+        endpoints_available: watch::Receiver<bool>,
+        has_saved_endpoints: bool,
     ) -> (TakeoverHandle, impl Future<Output = ()>) {
-        let StartupHandover { place, turn, elder, estranged } = beginning;
-        parts.admin.peer.set_may_have_unknown_peer(estranged);
+        let StartupHandover { rendezvous, start_lock, predecessor, may_have_unknown_peer } = startup;
+        parts.admin.peer.set_may_have_unknown_peer(may_have_unknown_peer);
         let (node, listen) = (parts.admin.name.clone(), parts.listen.to_string());
-        let (succession, deeds) = match elder {
+        let (takeover, first_commands) = match predecessor {
             Some(_) => Takeover::with_predecessor(&node, &listen),
             None => Takeover::without_predecessor(&node, &listen),
         };
-        let (hellos, heard) = mpsc::channel(1);
-        let (here, happens) = mpsc::channel(16);
-        let seat = Rc::default();
-        let operations = parts.admin.clone();
-        let reach = TakeoverHandle { here: here.clone(), seat: Rc::clone(&seat), operations };
-        let mut upgrade = TakeoverTask {
-            parts,
-            succession,
-            place,
-            turn,
-            seat,
-            hellos,
-            here,
-            asked: None,
-            hello: None,
-            heir: None,
-            learned: None,
+        let (hello_sender, hellos) = mpsc::channel(HELLO_QUEUE_LENGTH);
+        let (local_event_sender, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_LENGTH);
+        let rendezvous_listener = SharedListener::default();
+        let handle = TakeoverHandle {
+            local_events: local_event_sender.clone(),
+            rendezvous_listener: Rc::clone(&rendezvous_listener),
+            admin: parts.admin.clone(),
         };
-        let wait = match (&elder, listed) {
+        let saved_endpoints_delay = match (&predecessor, has_saved_endpoints) {
             (None, true) => Some(Duration::ZERO),
-            (Some(_), true) => Some(MAP_WAIT),
+            (Some(_), true) => Some(ENDPOINTS_TIMEOUT),
             (_, false) => None,
         };
-        let run = async move {
-            if let Some(elder) = elder {
-                upgrade.join(elder).await;
-            }
-            upgrade.carry_out(deeds).await;
-            upgrade.run(heard, happens, there, wait).await;
+        let inputs = TakeoverInputs { hellos, local_events, endpoints_available, saved_endpoints_delay };
+        let task = TakeoverTask {
+            parts,
+            takeover,
+            rendezvous,
+            start_lock,
+            rendezvous_listener,
+            hello_sender,
+            local_event_sender,
+            peer_requests: None,
+            pending_hello: None,
+            takeover_response: None,
+            handshake_state: None,
         };
-        (reach, run)
+        (handle, task.run(predecessor, first_commands, inputs))
+    }
+
+    async fn run(
+        mut self,
+        predecessor: Option<Predecessor>,
+        first_commands: Vec<TakeoverCommand>,
+        inputs: TakeoverInputs,
+    ) {
+        if let Some(predecessor) = predecessor {
+            self.follow_predecessor(predecessor).await;
+        }
+        self.execute(first_commands).await;
+        self.handle_events(inputs).await;
+    }
+
+    async fn handle_events(&mut self, inputs: TakeoverInputs) {
+        let TakeoverInputs { mut hellos, mut local_events, endpoints_available, saved_endpoints_delay } =
+            inputs;
+        let endpoints_known = wait_for_endpoints(endpoints_available, saved_endpoints_delay);
+        tokio::pin!(endpoints_known);
+        let mut is_waiting_for_endpoints = true;
+        loop {
+            let commands = tokio::select! {
+                biased;
+                Some(event) = local_events.recv() => self.handle_local_event(event).await,
+                Some(request) = next_request(&mut self.peer_requests) => self.handle_peer_request(request).await,
+                Some(hello) = hellos.recv() => {
+                    self.handle_local_event(LocalEvent::SuccessorHello(hello)).await
+                }
+                () = &mut endpoints_known, if is_waiting_for_endpoints => {
+                    is_waiting_for_endpoints = false;
+                    self.takeover.handle(Event::EndpointsAvailable)
+                }
+            };
+            self.execute(commands).await;
+        }
     }
 
-    /// What the elder knows of operators' calls counts from the first moment, what it has learned from the last.
-    async fn join(&mut self, elder: Predecessor) {
-        self.link(Some((elder.link, elder.asked)));
-        if let Some(mut heritage) = StateTransfer::read(&elder.heritage) {
-            let learned = heritage.estate.learned.take();
-            self.inherit(
-                heritage.drained,
-                TransferableState { bans: heritage.estate.bans.clone(), learned: None },
-            )
-            .await;
-            heritage.estate.learned = learned;
-            self.learned = Some(heritage);
+    /// What operators have called for at the predecessor holds here at once; what it has learned is taken on
+    /// with the takeover, when it is most recent.
+    async fn follow_predecessor(&mut self, predecessor: Predecessor) {
+        self.set_link(Some(predecessor.link));
+        if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
+            let learned = transfer.state.learned.take();
+            let bans = transfer.state.bans.clone();
+            self.restore(transfer.drained, TransferableState { bans, learned: None }).await;
+            transfer.state.learned = learned;
+            self.handshake_state = Some(transfer);
         }
     }
 
-    fn link(&mut self, link: Option<(PeerLink, mpsc::Receiver<PeerRequest>)>) {
+    fn set_link(&mut self, ends: Option<LinkEnds>) {
         self.parts.server.set_migrating(false);
-        let (link, asked) = link.unzip();
+        let (link, requests) = ends.map(|ends| (ends.link, ends.requests)).unzip();
         self.parts.admin.peer.set_link(link);
-        self.asked = asked;
+        self.peer_requests = requests;
     }
 
-    async fn inherit(&self, drained: bool, estate: TransferableState) {
-        let operations = &self.parts.admin;
-        if !operations.drain_called.get() {
-            let _ = operations.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
+    async fn restore(&self, drained: bool, state: TransferableState) {
+        let admin = &self.parts.admin;
+        if !admin.drain_called.get() {
+            let _ = admin.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
-        // A dispatch task that has ended ends the program.
-        let _ = operations.order.send(DispatchCommand::RestoreSnapshot(Box::new(estate))).await;
+        self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(state))).await;
     }
 
-    async fn run(
-        mut self,
-        mut hellos: mpsc::Receiver<SuccessorHello>,
-        mut happens: mpsc::Receiver<Here>,
-        mut there: watch::Receiver<bool>,
-        wait: Option<Duration>,
-    ) {
-        let mapped = async {
-            let known = async {
-                match wait {
-                    Some(wait) => sleep(wait).await,
-                    None => std::future::pending().await,
-                }
-            };
-            tokio::select! {
-                biased;
-                there = there.wait_for(|there| *there) => drop(there),
-                () = known => {}
-            }
-        };
-        tokio::pin!(mapped);
-        let mut waits = true;
-        loop {
-            let deeds = tokio::select! {
-                biased;
-                Some(here) = happens.recv() => self.here(here).await,
-                Some(asked) = next(&mut self.asked) => self.asked(asked).await,
-                Some(hello) = hellos.recv() => self.here(Here::SuccessorHello(hello)).await,
-                () = &mut mapped, if waits => {
-                    waits = false;
-                    self.succession.handle(Event::EndpointsAvailable)
-                }
-            };
-            self.carry_out(deeds).await;
-        }
+    /// A dispatch task that has ended ends the program, so that a failure needs no handling here.
+    async fn send_to_dispatch(&self, command: DispatchCommand) {
+        let _ = self.parts.admin.order.send(command).await;
     }
 
-    async fn here(&mut self, here: Here) -> Vec<TakeoverCommand> {
-        match here {
-            Here::SuccessorHello(hello) => {
+    async fn handle_local_event(&mut self, event: LocalEvent) -> Vec<TakeoverCommand> {
+        match event {
+            LocalEvent::SuccessorHello(hello) => {
                 let (node, listen) = (hello.node.clone(), hello.listen.clone());
-                self.hello = Some(hello);
-                self.succession.handle(Event::Hello { node, listen })
+                self.pending_hello = Some(hello);
+                self.takeover.handle(Event::Hello { node, listen })
             }
-            // The link is closed, which is heard by itself.
-            Here::Took(None) => Vec::new(),
-            Here::Took(Some(bytes)) => {
-                if let Some(heritage) = StateTransfer::read(&bytes).or_else(|| self.learned.take()) {
-                    self.inherit(heritage.drained, heritage.estate).await;
+            // The link is closed, which `PeerRequest::LinkLost` reports.
+            LocalEvent::TakeoverResponse(None) => Vec::new(),
+            LocalEvent::TakeoverResponse(Some(snapshot)) => {
+                let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
+                if let Some(transfer) = transfer {
+                    self.restore(transfer.drained, transfer.state).await;
                 }
-                self.learned = None;
-                self.succession.handle(Event::TakeoverGranted)
+                self.handshake_state = None;
+                self.takeover.handle(Event::TakeoverGranted)
             }
-            Here::Terminate(done) => {
-                let deeds = self.succession.handle(Event::Terminate);
-                self.carry_out(deeds).await;
+            LocalEvent::Terminate(done) => {
+                let commands = self.takeover.handle(Event::Terminate);
+                self.execute(commands).await;
                 let _ = done.send(());
                 Vec::new()
             }
         }
     }
 
-    async fn asked(&mut self, asked: PeerRequest) -> Vec<TakeoverCommand> {
-        match asked {
-            PeerRequest::Callback { body, heard } => {
+    async fn handle_peer_request(&mut self, request: PeerRequest) -> Vec<TakeoverCommand> {
+        match request {
+            PeerRequest::Callback { body, is_handled } => self.handle_callback(body, is_handled),
+            PeerRequest::ClaimJob { job_id, is_unheld } => {
                 let server = self.parts.server.clone();
-                spawn_local(async move {
-                    // Unanswered, it is repeated.
-                    if let Some(owned) = server.handle_callback(body).await {
-                        let _ = heard.send(owned);
-                    }
-                });
+                spawn_local(async move { is_unheld.send(!server.holds_job(job_id).await) });
             }
-            PeerRequest::ClaimJob { id, free } => {
-                let server = self.parts.server.clone();
-                spawn_local(async move { free.send(!server.holds_job(id).await) });
+            PeerRequest::Command { command, result } => {
+                let admin = self.parts.admin.clone();
+                spawn_local(async move { result.send(admin.follow(&command).await) });
             }
-            PeerRequest::Command { call, verdict } => {
-                let operations = self.parts.admin.clone();
-                spawn_local(async move { verdict.send(operations.follow(&call).await) });
+            PeerRequest::MigrateJob { job, client, is_adopted, response_written } => {
+                let server = self.parts.server.clone();
+                spawn_local(server.adopt_job(job, client, is_adopted, response_written));
             }
-            PeerRequest::MigrateJob { job, client, held, said } => {
-                spawn_local(self.parts.server.clone().adopt_job(job, client, held, said));
+            PeerRequest::CancelAttempt { worker_address, job_id } => {
+                self.parts.upstream.adopt_cancellation(worker_address, job_id);
             }
-            PeerRequest::CancelAttempt { to, id } => self.parts.upstream.adopt_cancellation(to, id),
-            PeerRequest::Takeover { heritage } => {
-                self.heir = Some(heritage);
-                return self.succession.handle(Event::TakeoverRequested);
+            PeerRequest::Takeover { snapshot } => {
+                self.takeover_response = Some(snapshot);
+                return self.takeover.handle(Event::TakeoverRequested);
             }
             PeerRequest::HandBack => {
                 self.parts.server.set_migrating(false);
-                return self.succession.handle(Event::HandedBack);
-            }
-            PeerRequest::Lost => {
-                self.parts.admin.peer.mark_lost();
-                self.link(None);
-                if let Some(heritage) = self.learned.take() {
-                    self.inherit(heritage.drained, heritage.estate).await;
-                }
-                info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
-                return self.succession.handle(Event::LinkLost);
+                return self.takeover.handle(Event::HandedBack);
             }
+            PeerRequest::LinkLost => return self.handle_link_loss().await,
         }
         Vec::new()
     }
 
-    async fn carry_out(&mut self, deeds: Vec<TakeoverCommand>) {
-        for deed in deeds {
-            match deed {
-                TakeoverCommand::SendWelcome => self.welcome().await,
-                TakeoverCommand::RejectHello(why) => {
-                    if let Some(hello) = self.hello.take() {
-                        hello.reject(why).await;
-                    }
-                }
-                TakeoverCommand::RequestTakeover => {
-                    if let Some(link) = self.parts.admin.peer.link() {
-                        let here = self.here.clone();
-                        spawn_local(async move {
-                            here.send(Here::Took(link.request_takeover().await)).await.is_ok()
-                        });
-                    }
-                }
-                TakeoverCommand::GrantTakeover => {
-                    let heritage = self.heritage().await;
-                    if let Some(heir) = self.heir.take() {
-                        let _ = heir.send(heritage);
-                    }
-                    self.parts.server.set_migrating(true);
-                }
-                TakeoverCommand::HandBack => {
-                    _ = self.parts.admin.peer.link().map(|link| link.hand_back());
-                    self.parts.server.set_migrating(true);
-                }
-                TakeoverCommand::CloseLink => {
-                    _ = self.parts.admin.peer.link().map(|link| link.close());
-                    self.link(None);
-                }
-                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
-                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
-                TakeoverCommand::ApplyPhaseEvent(by) => self.go(by).await,
-                TakeoverCommand::SetDescriptorShare(share) => {
-                    self.parts.server.set_descriptors_halved(share == DescriptorShare::Half);
-                    self.parts.upstream.set_descriptors_halved(share == DescriptorShare::Half);
-                }
-                TakeoverCommand::ListenForSuccessor => self.sit(),
+    fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
+        let server = self.parts.server.clone();
+        spawn_local(async move {
+            // Without a response the worker repeats the callback.
+            if let Some(is_held) = server.handle_callback(body).await {
+                let _ = is_handled.send(is_held);
             }
-        }
+        });
     }
 
-    async fn go(&mut self, by: PhaseEvent) {
-        let operations = &self.parts.admin;
-        let Some(phase) = operations.lifecycle.apply(by) else { return };
-        if by != PhaseEvent::EndpointsAvailable {
-            info!(target: NODE, "curlewusher {}: {phase}", operations.name);
-        }
-        if matches!(by, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
-            let _ = operations
-                .order
-                .send(DispatchCommand::SetSuccessorActive(by == PhaseEvent::HandedOver))
-                .await;
+    async fn handle_link_loss(&mut self) -> Vec<TakeoverCommand> {
+        self.parts.admin.peer.mark_lost();
+        self.set_link(None);
+        if let Some(transfer) = self.handshake_state.take() {
+            self.restore(transfer.drained, transfer.state).await;
         }
+        info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
+        self.takeover.handle(Event::LinkLost)
     }
 
-    async fn heritage(&self) -> Bytes {
-        let (estate, bequeathed) = oneshot::channel();
-        let operations = &self.parts.admin;
-        let asked = operations.order.send(DispatchCommand::TakeSnapshot(estate)).await.is_ok();
-        let Some(estate) = bequeathed.await.ok().filter(|_| asked) else { return Bytes::new() };
-        let heritage =
-            StateTransfer { form: FORM, drained: operations.lifecycle.phase().is_drained(), estate };
-        match serde_json::to_vec(&heritage) {
-            Ok(bytes) => bytes.into(),
-            Err(e) => {
-                warn!(target: NODE, "what was learned cannot be written: {e}: the successor starts cold");
-                Bytes::new()
+    async fn execute(&mut self, commands: Vec<TakeoverCommand>) {
+        for command in commands {
+            match command {
+                TakeoverCommand::SendWelcome => self.accept_successor().await,
+                TakeoverCommand::RejectHello(reason) => self.reject_hello(reason).await,
+                TakeoverCommand::RequestTakeover => self.request_takeover(),
+                TakeoverCommand::GrantTakeover => self.grant_takeover().await,
+                TakeoverCommand::HandBack => self.hand_back(),
+                TakeoverCommand::CloseLink => self.close_link(),
+                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
+                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
+                TakeoverCommand::ApplyPhaseEvent(event) => self.apply_phase_event(event).await,
+                TakeoverCommand::SetDescriptorShare(share) => self.set_descriptor_share(share),
+                TakeoverCommand::ListenForSuccessor => self.listen_for_successor(),
             }
         }
     }
 
-    async fn welcome(&mut self) {
-        let heritage = self.heritage().await;
-        let Some(hello) = self.hello.take() else { return };
-        match hello.welcome(&self.parts.listener, heritage).await {
-            Ok(link) => {
+    async fn accept_successor(&mut self) {
+        let snapshot = self.take_snapshot().await;
+        let Some(hello) = self.pending_hello.take() else { return };
+        match hello.accept(&self.parts.listener, snapshot).await {
+            Ok(ends) => {
                 info!(target: NODE, "curlewusher {}: a successor has come", self.parts.admin.name);
-                self.link(Some(link));
+                self.set_link(Some(ends));
             }
-            Err(problem) => {
-                warn!(target: NODE, "the successor is passed over: {problem}");
-                let deeds = self.succession.handle(Event::LinkLost);
-                Box::pin(self.carry_out(deeds)).await;
+            Err(error) => {
+                warn!(target: NODE, reason = %error, "successor not accepted");
+                let commands = self.takeover.handle(Event::LinkLost);
+                Box::pin(self.execute(commands)).await;
             }
         }
     }
 
-    fn sit(&mut self) {
-        let Some(place) = &self.place else { return };
-        match RendezvousListener::bind(place, self.hellos.clone()) {
-            Ok(seat) => *self.seat.borrow_mut() = Some(seat),
-            Err(problem) => {
+    async fn reject_hello(&mut self, reason: RejectReason) {
+        if let Some(hello) = self.pending_hello.take() {
+            hello.reject(reason).await;
+        }
+    }
+
+    fn request_takeover(&self) {
+        let Some(link) = self.parts.admin.peer.link() else { return };
+        let events = self.local_event_sender.clone();
+        spawn_local(async move {
+            let response = link.request_takeover().await;
+            events.send(LocalEvent::TakeoverResponse(response)).await.is_ok()
+        });
+    }
+
+    async fn grant_takeover(&mut self) {
+        let snapshot = self.take_snapshot().await;
+        if let Some(response) = self.takeover_response.take() {
+            let _ = response.send(snapshot);
+        }
+        self.parts.server.set_migrating(true);
+    }
+
+    fn hand_back(&self) {
+        if let Some(link) = self.parts.admin.peer.link() {
+            link.hand_back();
+        }
+        self.parts.server.set_migrating(true);
+    }
+
+    fn close_link(&mut self) {
+        if let Some(link) = self.parts.admin.peer.link() {
+            link.close();
+        }
+        self.set_link(None);
+    }
+
+    async fn apply_phase_event(&self, event: PhaseEvent) {
+        let admin = &self.parts.admin;
+        let Some(phase) = admin.lifecycle.apply(event) else { return };
+        if event != PhaseEvent::EndpointsAvailable {
+            info!(target: NODE, "curlewusher {}: {phase}", admin.name);
+        }
+        if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
+            let is_successor_active = event == PhaseEvent::HandedOver;
+            self.send_to_dispatch(DispatchCommand::SetSuccessorActive(is_successor_active)).await;
+        }
+    }
+
+    fn set_descriptor_share(&self, share: DescriptorShare) {
+        let is_halved = share == DescriptorShare::Half;
+        self.parts.server.set_descriptors_halved(is_halved);
+        self.parts.upstream.set_descriptors_halved(is_halved);
+    }
+
+    fn listen_for_successor(&mut self) {
+        let Some(rendezvous) = &self.rendezvous else { return };
+        match RendezvousListener::bind(rendezvous, self.hello_sender.clone()) {
+            Ok(listener) => *self.rendezvous_listener.borrow_mut() = Some(listener),
+            Err(error) => {
                 self.parts.admin.peer.set_may_have_unknown_peer(true);
-                warn!(target: NODE, "no successor can find this process: {problem}");
+                warn!(target: NODE, "no successor can find this process: {error}");
             }
         }
-        // Whoever starts next finds this one now.
-        self.turn = None;
+        // The next start finds this process from here on.
+        self.start_lock = None;
+    }
+
+    /// The state for a successor, encoded; empty where the dispatch task has ended.
+    async fn take_snapshot(&self) -> Bytes {
+        let (state_sender, state) = oneshot::channel();
+        let admin = &self.parts.admin;
+        let is_sent = admin.order.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
+        let Some(state) = state.await.ok().filter(|_| is_sent) else { return Bytes::new() };
+        StateTransfer::new(admin.lifecycle.phase().is_drained(), state).encode()
+    }
+}
+
+/// Waits for discovery's endpoint list, or until the saved one is to be used.
+async fn wait_for_endpoints(
+    mut endpoints_available: watch::Receiver<bool>,
+    saved_endpoints_delay: Option<Duration>,
+) {
+    let use_saved = async {
+        match saved_endpoints_delay {
+            Some(delay) => sleep(delay).await,
+            None => std::future::pending().await,
+        }
+    };
+    tokio::select! {
+        biased;
+        available = endpoints_available.wait_for(|is_available| *is_available) => drop(available),
+        () = use_saved => {}
     }
 }
 
-/// What the other process asks next; never, where there is none.
-async fn next(asked: &mut Option<mpsc::Receiver<PeerRequest>>) -> Option<PeerRequest> {
-    match asked {
-        Some(asked) => asked.recv().await,
+/// The other process's next request; never returns where there is no link.
+async fn next_request(requests: &mut Option<mpsc::Receiver<PeerRequest>>) -> Option<PeerRequest> {
+    match requests {
+        Some(requests) => requests.recv().await,
         None => std::future::pending().await,
     }
 }
--- /dev/null
+++ b/crates/node/tests/unit/handover/handshake.rs
@@ -0,0 +1,79 @@
+//! The handshake over real sockets: what a successor receives, and what any other answer to its hello is.
+
+use curlewusher_control::frame::MAX_SNAPSHOT_BYTES;
+use tokio::net::UnixListener;
+
+use super::*;
+use crate::handover::link::PeerRequest;
+use crate::handover::test_support::{NodeFixture, Time, complete_handshake, listen_for_successor, run};
+
+#[test]
+fn predecessor_closes_listener_after_takeover_then_successor_accepts_queued_client() {
+    run(Time::Paused, async {
+        let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
+        let (_rendezvous_listener, mut hellos) = listen_for_successor(&rendezvous);
+        let snapshot = Bytes::from(vec![7; MAX_SNAPSHOT_BYTES]);
+        let (mut ends, predecessor) =
+            complete_handshake(&mut hellos, &listener, snapshot.clone(), &rendezvous).await;
+        assert_eq!(predecessor.snapshot, snapshot);
+        let queued_client = std::net::TcpStream::connect(listen).expect("in the queue");
+        drop(listener);
+        let grant = async {
+            let Some(PeerRequest::Takeover { snapshot }) = ends.requests.recv().await else {
+                panic!("no takeover request")
+            };
+            // Over the bound of a frame: the successor receives an empty one.
+            snapshot.send(vec![0; MAX_SNAPSHOT_BYTES + 1].into()).expect("it waits");
+        };
+        let (granted, ()) = tokio::join!(predecessor.link.link.request_takeover(), grant);
+        assert_eq!(granted, Some(Bytes::new()));
+        let listener = tokio::net::TcpListener::from_std(predecessor.listener).expect("a listener");
+        let (_, client) = listener.accept().await.expect("a client");
+        assert_eq!(client, queued_client.local_addr().expect("connected"));
+    });
+}
+
+/// The error of a hello that is answered with these bytes and the end of the connection.
+async fn error_after_response(response: &[u8]) -> HandoverError {
+    let NodeFixture { directory: _directory, listener: _listener, listen, rendezvous } = NodeFixture::new();
+    let socket = UnixListener::bind(rendezvous.path()).expect("a socket");
+    let respond = async {
+        let (stream, _) = socket.accept().await.expect("a connection");
+        read_frame(&stream, &mut Decoder::default()).await.expect("a hello");
+        write_all(&stream, Bytes::copy_from_slice(response)).await.expect("it reads");
+    };
+    tokio::join!(contact_predecessor(&rendezvous, "n", listen), respond).0.err().expect("no predecessor")
+}
+
+#[test]
+fn hello_response_is_no_acceptance_then_error_names_the_cause() {
+    run(Time::Paused, async {
+        let welcome = Frame::Welcome("learned".into()).encode(0).expect("short");
+        let mut other_version = welcome.to_vec();
+        other_version[4] = 0;
+        let error = error_after_response(b"HTTP/1.1 400").await;
+        assert!(matches!(error, HandoverError::Protocol(FrameError::NotAFrame)));
+        let error = error_after_response(&other_version).await;
+        assert!(
+            matches!(error, HandoverError::Protocol(FrameError::OtherVersion { theirs: 0, .. })),
+            "{error}"
+        );
+        let error = error_after_response(&welcome[..9]).await;
+        assert!(matches!(error, HandoverError::Protocol(FrameError::Truncated)));
+        assert!(matches!(error_after_response(&welcome).await, HandoverError::NoListener { .. }));
+        assert!(matches!(error_after_response(b"").await, HandoverError::Disconnected(_)));
+        let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("short");
+        assert!(error_after_response(&busy).await.is_busy());
+    });
+}
+
+#[test]
+fn hello_is_never_answered_then_contact_times_out() {
+    run(Time::Advancing, async {
+        let NodeFixture { directory: _directory, listener: _listener, listen, rendezvous } =
+            NodeFixture::new();
+        let _silent = UnixListener::bind(rendezvous.path()).expect("a socket");
+        let contacted = contact_predecessor(&rendezvous, "n", listen).await;
+        assert!(matches!(contacted, Err(HandoverError::TimedOut)));
+    });
+}
--- /dev/null
+++ b/crates/node/tests/unit/handover/link.rs
@@ -0,0 +1,156 @@
+//! Links between two ends in one process: responses, claims, loss, and an end that does not answer or read.
+
+use bytes::Bytes;
+use curlewusher_control::command::{AdminCommand, CommandError};
+use curlewusher_control::frame::Frame;
+
+use super::outbound::MAX_OUTBOUND_BYTES;
+use super::*;
+use crate::handover::descriptor_stream::{read_frame, write_all};
+use crate::handover::test_support::{LinkPair, Time, link_pair, run};
+
+/// Returns once the link is lost.
+async fn wait_until_lost(link: &PeerLink) {
+    // The sender is in the link itself.
+    let _ = link.state.connected.subscribe().wait_for(|is_connected| !is_connected).await;
+}
+
+/// Answers requests until new connections are handed back. False where another request comes.
+async fn answer_until_hand_back(requests: &mut mpsc::Receiver<PeerRequest>) -> bool {
+    while let Some(request) = requests.recv().await {
+        match request {
+            PeerRequest::Callback { body, is_handled } => _ = is_handled.send(body == "mine"),
+            PeerRequest::ClaimJob { job_id, is_unheld } => _ = is_unheld.send(job_id != "held"),
+            PeerRequest::Command { command, result } => {
+                assert_eq!(command, AdminCommand::Drain);
+                _ = result.send(Err(CommandError::ShuttingDown));
+            }
+            PeerRequest::HandBack => return true,
+            _ => return false,
+        }
+    }
+    false
+}
+
+#[test]
+fn several_requests_are_pending_then_each_gets_its_own_response() {
+    run(Time::Paused, async {
+        let LinkPair { mut predecessor, mut successor } = link_pair();
+        let link = &successor.link;
+        let ask = async {
+            let callbacks =
+                tokio::join!(link.forward_callback("mine".into()), link.forward_callback("not".into()));
+            assert_eq!(callbacks, (ForwardResult::Handled, ForwardResult::NotHeld));
+            let result = link.forward_command(&AdminCommand::Drain).await;
+            assert_eq!(result, Some(Err(CommandError::ShuttingDown)));
+            assert!(link.claim_job("held").await.is_none());
+            let claim = link.claim_job("new").await.expect("free");
+            assert!(link.claim_job("new").await.is_none(), "a second copy");
+            assert!(
+                predecessor.link.claim_job("new").await.is_none(),
+                "claimed there, and not held there yet"
+            );
+            drop(claim);
+            link.hand_back();
+        };
+        assert!(tokio::join!(ask, answer_until_hand_back(&mut predecessor.requests)).1);
+        predecessor.link.transfer_cancellation(([10, 0, 0, 1], 80).into(), "w");
+        predecessor.link.flush().await;
+        let Some(PeerRequest::CancelAttempt { worker_address, job_id }) = successor.requests.recv().await
+        else {
+            panic!("no cancellation")
+        };
+        assert!(worker_address.port() == 80 && job_id == "w");
+    });
+}
+
+#[test]
+fn both_processes_claim_one_id_then_only_the_predecessor_gets_it() {
+    run(Time::Paused, async {
+        let LinkPair { predecessor, mut successor } = link_pair();
+        let answer = async {
+            let Some(PeerRequest::ClaimJob { is_unheld, .. }) = successor.requests.recv().await else {
+                panic!("no claim")
+            };
+            is_unheld.send(true).expect("it waits");
+        };
+        let (first, second, ()) =
+            tokio::join!(predecessor.link.claim_job("a"), successor.link.claim_job("a"), answer);
+        assert!(first.is_some() && second.is_none());
+    });
+}
+
+#[test]
+fn claim_is_granted_then_peer_claim_in_the_same_read_is_refused() {
+    run(Time::Paused, async {
+        let (one, other) = UnixStream::pair().expect("a pair");
+        let mut successor = PeerLink::start(one, LinkRole::Successor, Decoder::default());
+        let predecessor = async {
+            read_frame(&other, &mut Decoder::default()).await.expect("its claim");
+            // Both come in one read: no task runs between them.
+            let [granted, claim] =
+                [Frame::ClaimResult(true).encode(1), Frame::ClaimJob("a".into()).encode(2)];
+            let both = [granted.expect("short"), claim.expect("short")].concat();
+            write_all(&other, both.into()).await.expect("it reads");
+            read_frame(&other, &mut Decoder::default()).await.expect("a response")
+        };
+        let unexpected = async {
+            let request = successor.requests.recv().await;
+            panic!("the link answers itself, lost: {}", matches!(request, Some(PeerRequest::LinkLost)))
+        };
+        let both = async { tokio::join!(successor.link.claim_job("a"), predecessor) };
+        let (claim, response) = tokio::select! { both = both => both, () = unexpected => unreachable!() };
+        assert!(claim.is_some() && response == Frame::ClaimResult(false));
+    });
+}
+
+#[test]
+fn link_is_closed_then_pending_requests_end_without_response() {
+    run(Time::Paused, async {
+        let LinkPair { mut predecessor, mut successor } = link_pair();
+        let close = async {
+            let Some(PeerRequest::Callback { .. }) = predecessor.requests.recv().await else {
+                panic!("no callback")
+            };
+            predecessor.link.close();
+        };
+        let link = &successor.link;
+        let (callback, claim, ()) =
+            tokio::join!(link.forward_callback("w".into()), link.claim_job("a"), close);
+        assert_eq!(callback, ForwardResult::NoAnswer);
+        assert!(claim.is_some() && !link.is_connected());
+        wait_until_lost(link).await;
+        assert_eq!(link.forward_command(&AdminCommand::Drain).await, None);
+        assert!(matches!(successor.requests.recv().await, Some(PeerRequest::LinkLost)));
+        assert!(successor.requests.recv().await.is_none());
+    });
+}
+
+#[test]
+fn peer_never_answers_then_requests_time_out_and_takeover_closes_the_link() {
+    run(Time::Advancing, async {
+        let LinkPair { predecessor: _predecessor, mut successor } = link_pair();
+        let link = &successor.link;
+        assert_eq!(link.forward_callback("w".into()).await, ForwardResult::NoAnswer);
+        assert!(link.claim_job("a").await.is_some() && link.is_connected());
+        assert_eq!(link.request_takeover().await, None);
+        // The predecessor may have handed over: only the loss of the link makes it take back.
+        assert!(!link.is_connected());
+        assert!(matches!(successor.requests.recv().await, Some(PeerRequest::LinkLost)));
+    });
+}
+
+#[test]
+fn peer_reads_nothing_then_link_is_closed_at_the_outbound_limit() {
+    run(Time::Advancing, async {
+        let (one, _reads_nothing) = UnixStream::pair().expect("a pair");
+        let LinkEnds { link, requests: _requests } =
+            PeerLink::start(one, LinkRole::Predecessor, Decoder::default());
+        let body = Bytes::from(vec![0; 100 << 10]);
+        for _ in 0..=MAX_OUTBOUND_BYTES / body.len() {
+            link.state.send_response(1, &Frame::Callback(body.clone()));
+        }
+        assert!(!link.is_connected());
+        link.flush().await;
+    });
+}
