--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -142,7 +142,7 @@
         let sent = timeout(HELLO_TIMEOUT, send).await;
         sent.map_err(|_| HandoverError::TimedOut)?.map_err(HandoverError::Disconnected)?;
         let ends = PeerLink::start(self.stream, LinkRole::Predecessor, self.decoder);
-        ends.link.send_welcome(limit_snapshot(snapshot));
+        ends.link.send_acceptance(limit_snapshot(snapshot));
         Ok(ends)
     }
 
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -121,7 +121,7 @@
     }
 
     /// Completes the handshake: the other process is the successor.
-    pub(in crate::handover) fn send_welcome(&self, snapshot: Bytes) {
+    pub(in crate::handover) fn send_acceptance(&self, snapshot: Bytes) {
         self.state.send_response(HANDSHAKE_REQUEST_ID, &Frame::Welcome(snapshot));
     }
 
--- a/crates/node/src/handover/startup.rs
+++ b/crates/node/src/handover/startup.rs
@@ -31,10 +31,10 @@
 
 /// The result of one search.
 enum SearchResult {
-    /// The search is over.
-    Found(StartLock, Option<Predecessor>),
-    /// The start lock file cannot be used, so neither can the rendezvous socket.
-    Unusable(HandoverError),
+    /// There is a predecessor that has accepted this process, or none.
+    Completed { start_lock: StartLock, predecessor: Option<Predecessor> },
+    /// The start lock's file cannot be used, so neither can the rendezvous socket.
+    LockUnusable(HandoverError),
     /// The other process does not answer, or rejects this one.
     Failed(HandoverError),
 }
@@ -52,7 +52,7 @@
         let search_start = Instant::now();
         loop {
             match search(&rendezvous, node, listen).await {
-                SearchResult::Found(start_lock, predecessor) => {
+                SearchResult::Completed { start_lock, predecessor } => {
                     if predecessor.is_some() {
                         info!(target: NODE, "curlewusher {node}: goes on for the process that serves");
                     }
@@ -63,7 +63,7 @@
                         may_have_unknown_peer: false,
                     };
                 }
-                SearchResult::Unusable(error) => {
+                SearchResult::LockUnusable(error) => {
                     warn!(target: NODE, "curlewusher {node}: {error}");
                     // Binding the socket would fail for the same reason, which is logged once.
                     return StartupHandover::without_predecessor(None);
@@ -101,10 +101,10 @@
     let start_lock = match rendezvous.lock_start().await {
         Ok(start_lock) => start_lock,
         Err(error @ HandoverError::LockTimedOut { .. }) => return SearchResult::Failed(error),
-        Err(error) => return SearchResult::Unusable(error),
+        Err(error) => return SearchResult::LockUnusable(error),
     };
     match contact_predecessor(rendezvous, node, listen).await {
-        Ok(predecessor) => SearchResult::Found(start_lock, predecessor),
+        Ok(predecessor) => SearchResult::Completed { start_lock, predecessor },
         Err(error) => SearchResult::Failed(error),
     }
 }
--- /dev/null
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -0,0 +1,128 @@
+//! How the takeover task carries out the commands of the state machine.
+
+use bytes::Bytes;
+use curlewusher_control::takeover::{DescriptorShare, Event, RejectReason, TakeoverCommand};
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tracing::{info, warn};
+
+use super::{LocalEvent, TakeoverTask};
+use crate::dispatch::DispatchCommand;
+use crate::handover::rendezvous_listener::RendezvousListener;
+use crate::handover::state_transfer::StateTransfer;
+use crate::lifecycle::PhaseEvent;
+use crate::telemetry::logging::NODE;
+
+impl TakeoverTask {
+    /// Carries out commands in their order.
+    pub(super) async fn execute(&mut self, commands: Vec<TakeoverCommand>) {
+        for command in commands {
+            match command {
+                TakeoverCommand::SendWelcome => self.accept_successor().await,
+                TakeoverCommand::RejectHello(reason) => self.reject_hello(reason).await,
+                TakeoverCommand::RequestTakeover => self.request_takeover(),
+                TakeoverCommand::GrantTakeover => self.grant_takeover().await,
+                TakeoverCommand::HandBack => self.hand_back(),
+                TakeoverCommand::CloseLink => self.close_link(),
+                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
+                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
+                TakeoverCommand::ApplyPhaseEvent(event) => self.apply_phase_event(event).await,
+                TakeoverCommand::SetDescriptorShare(share) => self.set_descriptor_share(share),
+                TakeoverCommand::ListenForSuccessor => self.listen_for_successor(),
+            }
+        }
+    }
+
+    async fn accept_successor(&mut self) {
+        let snapshot = self.take_snapshot().await;
+        let Some(hello) = self.pending_hello.take() else { return };
+        match hello.accept(&self.parts.listener, snapshot).await {
+            Ok(ends) => {
+                info!(target: NODE, "curlewusher {}: a successor has come", self.parts.admin.name);
+                self.set_link(Some(ends));
+            }
+            Err(error) => {
+                warn!(target: NODE, reason = %error, "successor not accepted");
+                let commands = self.takeover.handle(Event::LinkLost);
+                Box::pin(self.execute(commands)).await;
+            }
+        }
+    }
+
+    async fn reject_hello(&mut self, reason: RejectReason) {
+        if let Some(hello) = self.pending_hello.take() {
+            hello.reject(reason).await;
+        }
+    }
+
+    fn request_takeover(&self) {
+        let Some(link) = self.parts.admin.peer.link() else { return };
+        let events = self.local_event_sender.clone();
+        spawn_local(async move {
+            let response = link.request_takeover().await;
+            events.send(LocalEvent::TakeoverResponse(response)).await.is_ok()
+        });
+    }
+
+    async fn grant_takeover(&mut self) {
+        let snapshot = self.take_snapshot().await;
+        if let Some(response) = self.takeover_response.take() {
+            let _ = response.send(snapshot);
+        }
+        self.parts.server.set_migrating(true);
+    }
+
+    fn hand_back(&self) {
+        if let Some(link) = self.parts.admin.peer.link() {
+            link.hand_back();
+        }
+        self.parts.server.set_migrating(true);
+    }
+
+    fn close_link(&mut self) {
+        if let Some(link) = self.parts.admin.peer.link() {
+            link.close();
+        }
+        self.set_link(None);
+    }
+
+    async fn apply_phase_event(&self, event: PhaseEvent) {
+        let admin = &self.parts.admin;
+        let Some(phase) = admin.lifecycle.apply(event) else { return };
+        if event != PhaseEvent::EndpointsAvailable {
+            info!(target: NODE, "curlewusher {}: {phase}", admin.name);
+        }
+        if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
+            let is_successor_active = event == PhaseEvent::HandedOver;
+            self.send_to_dispatch(DispatchCommand::SetSuccessorActive(is_successor_active)).await;
+        }
+    }
+
+    fn set_descriptor_share(&self, share: DescriptorShare) {
+        let is_halved = share == DescriptorShare::Half;
+        self.parts.server.set_descriptors_halved(is_halved);
+        self.parts.upstream.set_descriptors_halved(is_halved);
+    }
+
+    fn listen_for_successor(&mut self) {
+        let Some(rendezvous) = &self.rendezvous else { return };
+        match RendezvousListener::bind(rendezvous, self.hello_sender.clone()) {
+            Ok(listener) => *self.rendezvous_listener.borrow_mut() = Some(listener),
+            Err(error) => {
+                self.parts.admin.peer.set_may_have_unknown_peer(true);
+                warn!(target: NODE, "no successor can find this process: {error}");
+            }
+        }
+        // The next start finds this process from here on.
+        self.start_lock = None;
+    }
+
+    /// The state for a successor, encoded; empty where the dispatch task has ended.
+    async fn take_snapshot(&self) -> Bytes {
+        let (state_sender, state) = oneshot::channel();
+        let admin = &self.parts.admin;
+        let is_sent = admin.order.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
+        let Some(state) = state.await.ok().filter(|_| is_sent) else { return Bytes::new() };
+        StateTransfer::new(admin.lifecycle.phase().is_drained(), state).encode()
+    }
+}
--- /dev/null
+++ b/crates/node/src/handover/takeover/events.rs
@@ -0,0 +1,95 @@
+//! What the takeover task does about events of this process and requests of the other one: it passes them to the
+//! state machine, or has another part answer them.
+
+use bytes::Bytes;
+use curlewusher_control::takeover::{Event, TakeoverCommand};
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tracing::info;
+
+use super::{LocalEvent, TakeoverTask};
+use crate::handover::link::PeerRequest;
+use crate::handover::state_transfer::StateTransfer;
+use crate::telemetry::logging::NODE;
+
+impl TakeoverTask {
+    /// Handles an event of this process; returns the commands that follow from it.
+    pub(super) async fn handle_local_event(&mut self, event: LocalEvent) -> Vec<TakeoverCommand> {
+        match event {
+            LocalEvent::SuccessorHello(hello) => {
+                let (node, listen) = (hello.node.clone(), hello.listen.clone());
+                self.pending_hello = Some(hello);
+                self.takeover.handle(Event::Hello { node, listen })
+            }
+            // The link is closed, which `PeerRequest::LinkLost` reports.
+            LocalEvent::TakeoverResponse(None) => Vec::new(),
+            LocalEvent::TakeoverResponse(Some(snapshot)) => {
+                let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
+                if let Some(transfer) = transfer {
+                    self.restore(transfer.drained, transfer.state).await;
+                }
+                self.handshake_state = None;
+                self.takeover.handle(Event::TakeoverGranted)
+            }
+            LocalEvent::Terminate(done) => {
+                let commands = self.takeover.handle(Event::Terminate);
+                self.execute(commands).await;
+                let _ = done.send(());
+                Vec::new()
+            }
+        }
+    }
+
+    /// Handles a request of the other process; returns the commands that follow from it. Requests whose answer
+    /// takes a while are answered by a task of their own.
+    pub(super) async fn handle_peer_request(&mut self, request: PeerRequest) -> Vec<TakeoverCommand> {
+        match request {
+            PeerRequest::Callback { body, is_handled } => self.handle_callback(body, is_handled),
+            PeerRequest::ClaimJob { job_id, is_unheld } => {
+                let server = self.parts.server.clone();
+                spawn_local(async move { is_unheld.send(!server.holds_job(job_id).await) });
+            }
+            PeerRequest::Command { command, result } => {
+                let admin = self.parts.admin.clone();
+                spawn_local(async move { result.send(admin.follow(&command).await) });
+            }
+            PeerRequest::MigrateJob { job, client, is_adopted, response_written } => {
+                let server = self.parts.server.clone();
+                spawn_local(server.adopt_job(job, client, is_adopted, response_written));
+            }
+            PeerRequest::CancelAttempt { worker_address, job_id } => {
+                self.parts.upstream.adopt_cancellation(worker_address, job_id);
+            }
+            PeerRequest::Takeover { snapshot } => {
+                self.takeover_response = Some(snapshot);
+                return self.takeover.handle(Event::TakeoverRequested);
+            }
+            PeerRequest::HandBack => {
+                self.parts.server.set_migrating(false);
+                return self.takeover.handle(Event::HandedBack);
+            }
+            PeerRequest::LinkLost => return self.handle_link_loss().await,
+        }
+        Vec::new()
+    }
+
+    fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
+        let server = self.parts.server.clone();
+        spawn_local(async move {
+            // Without a response the worker repeats the callback.
+            if let Some(is_held) = server.handle_callback(body).await {
+                let _ = is_handled.send(is_held);
+            }
+        });
+    }
+
+    async fn handle_link_loss(&mut self) -> Vec<TakeoverCommand> {
+        self.parts.admin.peer.mark_lost();
+        self.set_link(None);
+        if let Some(transfer) = self.handshake_state.take() {
+            self.restore(transfer.drained, transfer.state).await;
+        }
+        info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
+        self.takeover.handle(Event::LinkLost)
+    }
+}
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -1,6 +1,11 @@
 //! The takeover task: passes events of this process and requests of the other one to the state machine
 //! `curlewusher_control::takeover::Takeover` and carries out its commands. Which process owns what is decided
 //! there, not here.
+//!
+//! `events` and `commands` hold the task's functions for what comes in and what is carried out.
+
+mod commands;
+mod events;
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -8,11 +13,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{DescriptorShare, Event, RejectReason, Takeover, TakeoverCommand};
+use curlewusher_control::takeover::{Event, Takeover, TakeoverCommand};
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use tracing::{info, warn};
 
 use crate::admin::AdminService;
 use crate::dispatch::{DispatchCommand, TransferableState};
@@ -24,7 +27,6 @@
 use crate::handover::state_transfer::StateTransfer;
 use crate::lifecycle::PhaseEvent;
 use crate::server::Server;
-use crate::telemetry::logging::NODE;
 use crate::upstream::UpstreamClient;
 
 /// How long a successor with a saved endpoint list waits for discovery before it uses the saved one; an upgrade
@@ -37,6 +39,7 @@
 /// How many events of this process wait for the task; their senders wait for room.
 const LOCAL_EVENT_QUEUE_LENGTH: usize = 16;
 
+/// The rendezvous listener, which the task opens and the handle closes.
 type SharedListener = Rc<RefCell<Option<RendezvousListener>>>;
 
 /// The parts of the node that a takeover concerns.
@@ -186,6 +189,7 @@
         self.handle_events(inputs).await;
     }
 
+    /// Handles events and requests until the program ends. Events of this process come first.
     async fn handle_events(&mut self, inputs: TakeoverInputs) {
         let TakeoverInputs { mut hellos, mut local_events, endpoints_available, saved_endpoints_delay } =
             inputs;
@@ -209,19 +213,20 @@
         }
     }
 
-    /// What operators have called for at the predecessor holds here at once; what it has learned is taken on
-    /// with the takeover, when it is most recent.
+    /// Links to the predecessor and applies the drain and the disabled workers of its operators at once. Its
+    /// estimates are kept for the takeover, whose snapshot replaces them where it can be read.
     async fn follow_predecessor(&mut self, predecessor: Predecessor) {
         self.set_link(Some(predecessor.link));
         if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
             let learned = transfer.state.learned.take();
-            let bans = transfer.state.bans.clone();
-            self.restore(transfer.drained, TransferableState { bans, learned: None }).await;
+            let maintenance_only = TransferableState { bans: transfer.state.bans.clone(), learned: None };
+            self.restore(transfer.drained, maintenance_only).await;
             transfer.state.learned = learned;
             self.handshake_state = Some(transfer);
         }
     }
 
+    /// Replaces the link to the other process, or removes it. A migration of jobs ends with its link.
     fn set_link(&mut self, ends: Option<LinkEnds>) {
         self.parts.server.set_migrating(false);
         let (link, requests) = ends.map(|ends| (ends.link, ends.requests)).unzip();
@@ -229,6 +234,7 @@
         self.peer_requests = requests;
     }
 
+    /// Takes on the predecessor's state. A drain that was called for here has precedence over its phase.
     async fn restore(&self, drained: bool, state: TransferableState) {
         let admin = &self.parts.admin;
         if !admin.drain_called.get() {
@@ -241,194 +247,6 @@
     async fn send_to_dispatch(&self, command: DispatchCommand) {
         let _ = self.parts.admin.order.send(command).await;
     }
-
-    async fn handle_local_event(&mut self, event: LocalEvent) -> Vec<TakeoverCommand> {
-        match event {
-            LocalEvent::SuccessorHello(hello) => {
-                let (node, listen) = (hello.node.clone(), hello.listen.clone());
-                self.pending_hello = Some(hello);
-                self.takeover.handle(Event::Hello { node, listen })
-            }
-            // The link is closed, which `PeerRequest::LinkLost` reports.
-            LocalEvent::TakeoverResponse(None) => Vec::new(),
-            LocalEvent::TakeoverResponse(Some(snapshot)) => {
-                let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
-                if let Some(transfer) = transfer {
-                    self.restore(transfer.drained, transfer.state).await;
-                }
-                self.handshake_state = None;
-                self.takeover.handle(Event::TakeoverGranted)
-            }
-            LocalEvent::Terminate(done) => {
-                let commands = self.takeover.handle(Event::Terminate);
-                self.execute(commands).await;
-                let _ = done.send(());
-                Vec::new()
-            }
-        }
-    }
-
-    async fn handle_peer_request(&mut self, request: PeerRequest) -> Vec<TakeoverCommand> {
-        match request {
-            PeerRequest::Callback { body, is_handled } => self.handle_callback(body, is_handled),
-            PeerRequest::ClaimJob { job_id, is_unheld } => {
-                let server = self.parts.server.clone();
-                spawn_local(async move { is_unheld.send(!server.holds_job(job_id).await) });
-            }
-            PeerRequest::Command { command, result } => {
-                let admin = self.parts.admin.clone();
-                spawn_local(async move { result.send(admin.follow(&command).await) });
-            }
-            PeerRequest::MigrateJob { job, client, is_adopted, response_written } => {
-                let server = self.parts.server.clone();
-                spawn_local(server.adopt_job(job, client, is_adopted, response_written));
-            }
-            PeerRequest::CancelAttempt { worker_address, job_id } => {
-                self.parts.upstream.adopt_cancellation(worker_address, job_id);
-            }
-            PeerRequest::Takeover { snapshot } => {
-                self.takeover_response = Some(snapshot);
-                return self.takeover.handle(Event::TakeoverRequested);
-            }
-            PeerRequest::HandBack => {
-                self.parts.server.set_migrating(false);
-                return self.takeover.handle(Event::HandedBack);
-            }
-            PeerRequest::LinkLost => return self.handle_link_loss().await,
-        }
-        Vec::new()
-    }
-
-    fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
-        let server = self.parts.server.clone();
-        spawn_local(async move {
-            // Without a response the worker repeats the callback.
-            if let Some(is_held) = server.handle_callback(body).await {
-                let _ = is_handled.send(is_held);
-            }
-        });
-    }
-
-    async fn handle_link_loss(&mut self) -> Vec<TakeoverCommand> {
-        self.parts.admin.peer.mark_lost();
-        self.set_link(None);
-        if let Some(transfer) = self.handshake_state.take() {
-            self.restore(transfer.drained, transfer.state).await;
-        }
-        info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
-        self.takeover.handle(Event::LinkLost)
-    }
-
-    async fn execute(&mut self, commands: Vec<TakeoverCommand>) {
-        for command in commands {
-            match command {
-                TakeoverCommand::SendWelcome => self.accept_successor().await,
-                TakeoverCommand::RejectHello(reason) => self.reject_hello(reason).await,
-                TakeoverCommand::RequestTakeover => self.request_takeover(),
-                TakeoverCommand::GrantTakeover => self.grant_takeover().await,
-                TakeoverCommand::HandBack => self.hand_back(),
-                TakeoverCommand::CloseLink => self.close_link(),
-                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
-                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
-                TakeoverCommand::ApplyPhaseEvent(event) => self.apply_phase_event(event).await,
-                TakeoverCommand::SetDescriptorShare(share) => self.set_descriptor_share(share),
-                TakeoverCommand::ListenForSuccessor => self.listen_for_successor(),
-            }
-        }
-    }
-
-    async fn accept_successor(&mut self) {
-        let snapshot = self.take_snapshot().await;
-        let Some(hello) = self.pending_hello.take() else { return };
-        match hello.accept(&self.parts.listener, snapshot).await {
-            Ok(ends) => {
-                info!(target: NODE, "curlewusher {}: a successor has come", self.parts.admin.name);
-                self.set_link(Some(ends));
-            }
-            Err(error) => {
-                warn!(target: NODE, reason = %error, "successor not accepted");
-                let commands = self.takeover.handle(Event::LinkLost);
-                Box::pin(self.execute(commands)).await;
-            }
-        }
-    }
-
-    async fn reject_hello(&mut self, reason: RejectReason) {
-        if let Some(hello) = self.pending_hello.take() {
-            hello.reject(reason).await;
-        }
-    }
-
-    fn request_takeover(&self) {
-        let Some(link) = self.parts.admin.peer.link() else { return };
-        let events = self.local_event_sender.clone();
-        spawn_local(async move {
-            let response = link.request_takeover().await;
-            events.send(LocalEvent::TakeoverResponse(response)).await.is_ok()
-        });
-    }
-
-    async fn grant_takeover(&mut self) {
-        let snapshot = self.take_snapshot().await;
-        if let Some(response) = self.takeover_response.take() {
-            let _ = response.send(snapshot);
-        }
-        self.parts.server.set_migrating(true);
-    }
-
-    fn hand_back(&self) {
-        if let Some(link) = self.parts.admin.peer.link() {
-            link.hand_back();
-        }
-        self.parts.server.set_migrating(true);
-    }
-
-    fn close_link(&mut self) {
-        if let Some(link) = self.parts.admin.peer.link() {
-            link.close();
-        }
-        self.set_link(None);
-    }
-
-    async fn apply_phase_event(&self, event: PhaseEvent) {
-        let admin = &self.parts.admin;
-        let Some(phase) = admin.lifecycle.apply(event) else { return };
-        if event != PhaseEvent::EndpointsAvailable {
-            info!(target: NODE, "curlewusher {}: {phase}", admin.name);
-        }
-        if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
-            let is_successor_active = event == PhaseEvent::HandedOver;
-            self.send_to_dispatch(DispatchCommand::SetSuccessorActive(is_successor_active)).await;
-        }
-    }
-
-    fn set_descriptor_share(&self, share: DescriptorShare) {
-        let is_halved = share == DescriptorShare::Half;
-        self.parts.server.set_descriptors_halved(is_halved);
-        self.parts.upstream.set_descriptors_halved(is_halved);
-    }
-
-    fn listen_for_successor(&mut self) {
-        let Some(rendezvous) = &self.rendezvous else { return };
-        match RendezvousListener::bind(rendezvous, self.hello_sender.clone()) {
-            Ok(listener) => *self.rendezvous_listener.borrow_mut() = Some(listener),
-            Err(error) => {
-                self.parts.admin.peer.set_may_have_unknown_peer(true);
-                warn!(target: NODE, "no successor can find this process: {error}");
-            }
-        }
-        // The next start finds this process from here on.
-        self.start_lock = None;
-    }
-
-    /// The state for a successor, encoded; empty where the dispatch task has ended.
-    async fn take_snapshot(&self) -> Bytes {
-        let (state_sender, state) = oneshot::channel();
-        let admin = &self.parts.admin;
-        let is_sent = admin.order.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
-        let Some(state) = state.await.ok().filter(|_| is_sent) else { return Bytes::new() };
-        StateTransfer::new(admin.lifecycle.phase().is_drained(), state).encode()
-    }
 }
 
 /// Waits for discovery's endpoint list, or until the saved one is to be used.
--- a/crates/node/tests/unit/handover/handshake.rs
+++ b/crates/node/tests/unit/handover/handshake.rs
@@ -48,8 +48,8 @@
 #[test]
 fn hello_response_is_no_acceptance_then_error_names_the_cause() {
     run(Time::Paused, async {
-        let welcome = Frame::Welcome("learned".into()).encode(0).expect("short");
-        let mut other_version = welcome.to_vec();
+        let acceptance = Frame::Welcome("learned".into()).encode(0).expect("short");
+        let mut other_version = acceptance.to_vec();
         other_version[4] = 0;
         let error = error_after_response(b"HTTP/1.1 400").await;
         assert!(matches!(error, HandoverError::Protocol(FrameError::NotAFrame)));
@@ -58,9 +58,9 @@
             matches!(error, HandoverError::Protocol(FrameError::OtherVersion { theirs: 0, .. })),
             "{error}"
         );
-        let error = error_after_response(&welcome[..9]).await;
+        let error = error_after_response(&acceptance[..9]).await;
         assert!(matches!(error, HandoverError::Protocol(FrameError::Truncated)));
-        assert!(matches!(error_after_response(&welcome).await, HandoverError::NoListener { .. }));
+        assert!(matches!(error_after_response(&acceptance).await, HandoverError::NoListener { .. }));
         assert!(matches!(error_after_response(b"").await, HandoverError::Disconnected(_)));
         let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("short");
         assert!(error_after_response(&busy).await.is_busy());
