--- a/crates/node/src/handover/link/mod.rs
+++ b/crates/node/src/handover/link/mod.rs
@@ -79,8 +79,8 @@
         self.state.is_connected()
     }
 
-    /// Closes the link for both processes. Requests without a response stay so, except for responses that the
-    /// other process has written already: these are still read, since the other process relies on them.
+    /// Closes the link for both processes. Pending requests end without a response, unless the other process has
+    /// written it already: such responses are still read, since the other process relies on them.
     pub fn close(&self) {
         self.state.close();
     }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -25,6 +25,7 @@
 }
 
 impl FrameReader {
+    /// A reader that passes the other process's requests on to `requests`.
     pub(super) fn new(state: Rc<LinkState>, requests: mpsc::Sender<PeerRequest>) -> FrameReader {
         FrameReader { state, requests }
     }
@@ -122,6 +123,7 @@
         self.forward_request(request_id, |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld }, respond);
     }
 
+    /// Passes the job on, and notifies its receiver when the response is written.
     fn handle_migration(&self, request_id: u64, job: Bytes, client: OwnedFd) {
         let (is_adopted, adoption) = oneshot::channel();
         let (written, response_written) = oneshot::channel();
@@ -152,6 +154,7 @@
         });
     }
 
+    /// Passes a request on to the takeover task, which never delays the reader.
     fn pass_on(&self, request: PeerRequest) {
         if self.requests.try_send(request).is_err() {
             debug!(target: NODE, "too many requests of the other process; one is dropped without a response");
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -37,13 +37,17 @@
     pub(super) outbound_changed: Notify,
     /// Notified when every frame is written or the link is lost.
     pub(super) outbound_written: Notify,
+    /// Frames that wait to be written.
     pub(super) outbound: RefCell<OutboundQueue>,
+    /// False once the link is lost, and never true again.
     pub(super) connected: watch::Sender<bool>,
     next_request_id: Cell<u64>,
+    /// By request id.
     pending_requests: RefCell<HashMap<u64, PendingRequest>>,
 }
 
 impl LinkState {
+    /// The state of a new link.
     pub(super) fn new(stream: UnixStream, role: LinkRole) -> LinkState {
         LinkState {
             stream,
@@ -57,6 +61,7 @@
         }
     }
 
+    /// See [`super::PeerLink::is_connected`].
     pub(super) fn is_connected(&self) -> bool {
         *self.connected.borrow()
     }
