--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes};
-use curlewusher_control::frame::{Decoder, Frame};
+use curlewusher_control::frame::{Decoder, Frame, ReceivedFrame};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -115,7 +115,7 @@
 /// Reads until the decoder has a whole frame. Descriptors that come before are closed.
 pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
-        if let Some((_, frame)) = decoder.next_frame()? {
+        if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
             return Ok(frame);
         }
         let mut unused_descriptors = PendingDescriptors::new();
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -13,6 +13,7 @@
 
 use bytes::Bytes;
 use curlewusher_control::frame::{Decoder, Frame, FrameError, RejectReason};
+use curlewusher_control::takeover::LinkRole;
 use rustix::net::sockopt::socket_acceptconn;
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
@@ -22,7 +23,7 @@
     ByteWithDescriptor, read_frame, receive_byte_with_descriptor, send_with_descriptor, write_all,
 };
 use crate::handover::error::HandoverError;
-use crate::handover::link::{LinkEnds, LinkRole, PeerLink, limit_snapshot};
+use crate::handover::link::{LinkEnds, PeerLink, limit_snapshot};
 use crate::handover::rendezvous::Rendezvous;
 
 /// How long the newer process waits for the answer to its hello before it starts without a predecessor.
--- a/crates/node/src/handover/link/mod.rs
+++ b/crates/node/src/handover/link/mod.rs
@@ -22,6 +22,7 @@
 use std::rc::Rc;
 
 use curlewusher_control::frame::Decoder;
+use curlewusher_control::takeover::LinkRole;
 use rustix::process::Pid;
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
@@ -37,15 +38,6 @@
 /// How many requests of the other process may wait here; further ones are dropped without a response.
 const MAX_PENDING_PEER_REQUESTS: usize = 1024;
 
-/// What this process is to the other one on a link.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LinkRole {
-    /// It was there first.
-    Predecessor,
-    /// It sent the hello.
-    Successor,
-}
-
 /// This process's end of a link, and what arrives on it.
 pub struct LinkEnds {
     /// Sends requests to the other process.
--- a/crates/node/src/handover/link/peer_request.rs
+++ b/crates/node/src/handover/link/peer_request.rs
@@ -46,7 +46,7 @@
     /// The cancellation of an attempt, which this process takes over.
     CancelAttempt {
         /// Address of the worker that has not acknowledged it.
-        worker_address: SocketAddr,
+        worker: SocketAddr,
         /// The job's id.
         job_id: String,
     },
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use curlewusher_control::frame::{Decoder, Frame};
+use curlewusher_control::frame::{Decoder, Frame, ReceivedFrame};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tracing::{debug, warn};
@@ -50,7 +50,7 @@
         // A descriptor arrives with the first byte of its frame, so that both are in the same order.
         let mut descriptors = PendingDescriptors::new();
         loop {
-            while let Some((request_id, frame)) = decoder.next_frame()? {
+            while let Some(ReceivedFrame { sequence: request_id, frame }) = decoder.next_frame()? {
                 if !self.state.is_connected() && !frame.is_response() {
                     // It can no longer be answered, and the other process relies on that.
                     continue;
@@ -99,8 +99,8 @@
                 let client = descriptors.pop_front().ok_or(HandoverError::UnexpectedFrame)?;
                 self.handle_migration(request_id, job, client);
             }
-            Frame::CancelAttempt { to, id } => {
-                self.pass_on(PeerRequest::CancelAttempt { worker_address: to, job_id: id });
+            Frame::CancelAttempt { worker, job_id } => {
+                self.pass_on(PeerRequest::CancelAttempt { worker, job_id });
             }
             Frame::HandBack => self.pass_on(PeerRequest::HandBack),
             Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -51,17 +51,17 @@
     /// or another copy of the job is being claimed here. The claim also succeeds where the other process does
     /// not answer within 300 ms or is gone. The guard must be dropped only once the job is in the queue of
     /// whoever answers [`super::PeerRequest::ClaimJob`].
-    pub async fn claim_job(&self, id: &str) -> Option<JobClaimGuard> {
-        if !self.state.claims.borrow_mut().try_claim(id) {
+    pub async fn claim_job(&self, job_id: &str) -> Option<JobClaimGuard> {
+        if !self.state.claims.borrow_mut().try_claim(job_id) {
             return None;
         }
-        let claim = JobClaimGuard { state: Rc::clone(&self.state), job_id: id.into() };
+        let claim = JobClaimGuard { state: Rc::clone(&self.state), job_id: job_id.into() };
         let claimed_job = Some(Rc::clone(&claim.job_id));
-        let response = self.request(Frame::ClaimJob(id.to_owned()), claimed_job, CLAIM_TIMEOUT).await;
+        let response = self.request(Frame::ClaimJob(job_id.to_owned()), claimed_job, CLAIM_TIMEOUT).await;
         if matches!(response, Some(Frame::ClaimResult(false))) {
             return None;
         }
-        self.state.claims.borrow_mut().confirm(id);
+        self.state.claims.borrow_mut().confirm(job_id);
         Some(claim)
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// Leaves the cancellation of an attempt to the other process.
-    pub fn transfer_cancellation(&self, to: SocketAddr, id: &str) {
-        self.state.send_one_way(&Frame::CancelAttempt { to, id: id.to_owned() });
+    pub fn transfer_cancellation(&self, worker: SocketAddr, job_id: &str) {
+        self.state.send_one_way(&Frame::CancelAttempt { worker, job_id: job_id.to_owned() });
     }
 
     /// Asks the predecessor for new connections and its latest state snapshot. Where it does not answer within
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -7,13 +7,12 @@
 use std::rc::Rc;
 
 use curlewusher_control::frame::Frame;
-use curlewusher_control::takeover::JobClaims;
+use curlewusher_control::takeover::{JobClaims, LinkRole};
 use rustix::net::{Shutdown, shutdown};
 use tokio::net::UnixStream;
 use tokio::sync::{Notify, oneshot, watch};
 use tracing::warn;
 
-use super::LinkRole;
 use super::outbound::{OutboundFrame, OutboundQueue};
 use crate::telemetry::logging::NODE;
 
@@ -51,7 +50,7 @@
     pub(super) fn new(stream: UnixStream, role: LinkRole) -> LinkState {
         LinkState {
             stream,
-            claims: RefCell::new(JobClaims::new(role == LinkRole::Predecessor)),
+            claims: RefCell::new(JobClaims::new(role)),
             outbound_changed: Notify::new(),
             outbound_written: Notify::new(),
             outbound: RefCell::default(),
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -1,7 +1,7 @@
 //! How the takeover task carries out the commands of the state machine.
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{DescriptorShare, Event, RejectReason, TakeoverCommand};
+use curlewusher_control::takeover::{DescriptorShare, RejectReason, TakeoverCommand, TakeoverEvent};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tracing::{info, warn};
@@ -43,7 +43,7 @@
             }
             Err(error) => {
                 warn!(target: NODE, reason = %error, "successor not accepted");
-                let commands = self.takeover.handle(Event::LinkLost);
+                let commands = self.takeover.handle(TakeoverEvent::LinkLost);
                 Box::pin(self.execute(commands)).await;
             }
         }
@@ -121,7 +121,7 @@
     async fn take_snapshot(&self) -> Bytes {
         let (state_sender, state) = oneshot::channel();
         let admin = &self.parts.admin;
-        let is_sent = admin.order.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
+        let is_sent = admin.dispatch_commands.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
         let Some(state) = state.await.ok().filter(|_| is_sent) else { return Bytes::new() };
         StateTransfer::new(admin.lifecycle.phase().is_drained(), state).encode()
     }
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -2,7 +2,7 @@
 //! state machine, or has another part answer them.
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{Event, TakeoverCommand};
+use curlewusher_control::takeover::{TakeoverCommand, TakeoverEvent};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tracing::info;
@@ -19,7 +19,7 @@
             LocalEvent::SuccessorHello(hello) => {
                 let (node, listen) = (hello.node.clone(), hello.listen.clone());
                 self.pending_hello = Some(hello);
-                self.takeover.handle(Event::Hello { node, listen })
+                self.takeover.handle(TakeoverEvent::Hello { node, listen })
             }
             // The link is closed, which `PeerRequest::LinkLost` reports.
             LocalEvent::TakeoverResponse(None) => Vec::new(),
@@ -29,10 +29,10 @@
                     self.restore(transfer.drained, transfer.state).await;
                 }
                 self.handshake_state = None;
-                self.takeover.handle(Event::TakeoverGranted)
+                self.takeover.handle(TakeoverEvent::TakeoverGranted)
             }
             LocalEvent::Terminate(done) => {
-                let commands = self.takeover.handle(Event::Terminate);
+                let commands = self.takeover.handle(TakeoverEvent::Terminate);
                 self.execute(commands).await;
                 let _ = done.send(());
                 Vec::new()
@@ -51,22 +51,22 @@
             }
             PeerRequest::Command { command, result } => {
                 let admin = self.parts.admin.clone();
-                spawn_local(async move { result.send(admin.follow(&command).await) });
+                spawn_local(async move { result.send(admin.apply_peer_command(&command).await) });
             }
             PeerRequest::MigrateJob { job, client, is_adopted, response_written } => {
                 let server = self.parts.server.clone();
                 spawn_local(server.adopt_job(job, client, is_adopted, response_written));
             }
-            PeerRequest::CancelAttempt { worker_address, job_id } => {
-                self.parts.upstream.adopt_cancellation(worker_address, job_id);
+            PeerRequest::CancelAttempt { worker, job_id } => {
+                self.parts.upstream.adopt_cancellation(worker, job_id);
             }
             PeerRequest::Takeover { snapshot } => {
                 self.takeover_response = Some(snapshot);
-                return self.takeover.handle(Event::TakeoverRequested);
+                return self.takeover.handle(TakeoverEvent::TakeoverRequested);
             }
             PeerRequest::HandBack => {
                 self.parts.server.set_migrating(false);
-                return self.takeover.handle(Event::HandedBack);
+                return self.takeover.handle(TakeoverEvent::HandedBack);
             }
             PeerRequest::LinkLost => return self.handle_link_loss().await,
         }
@@ -90,6 +90,6 @@
             self.restore(transfer.drained, transfer.state).await;
         }
         info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
-        self.takeover.handle(Event::LinkLost)
+        self.takeover.handle(TakeoverEvent::LinkLost)
     }
 }
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{Event, Takeover, TakeoverCommand};
+use curlewusher_control::takeover::{Takeover, TakeoverCommand, TakeoverEvent};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, timeout};
 
@@ -206,7 +206,7 @@
                 }
                 () = &mut endpoints_known, if is_waiting_for_endpoints => {
                     is_waiting_for_endpoints = false;
-                    self.takeover.handle(Event::EndpointsAvailable)
+                    self.takeover.handle(TakeoverEvent::EndpointsAvailable)
                 }
             };
             self.execute(commands).await;
@@ -237,7 +237,7 @@
     /// Takes on the predecessor's state. A drain that was called for here has precedence over its phase.
     async fn restore(&self, drained: bool, state: TransferableState) {
         let admin = &self.parts.admin;
-        if !admin.drain_called.get() {
+        if !admin.drain_requested.get() {
             let _ = admin.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
         self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(state))).await;
@@ -245,7 +245,7 @@
 
     /// A dispatch task that has ended ends the program, so that a failure needs no handling here.
     async fn send_to_dispatch(&self, command: DispatchCommand) {
-        let _ = self.parts.admin.order.send(command).await;
+        let _ = self.parts.admin.dispatch_commands.send(command).await;
     }
 }
 
--- a/crates/node/tests/unit/handover/link.rs
+++ b/crates/node/tests/unit/handover/link.rs
@@ -56,11 +56,10 @@
         assert!(tokio::join!(ask, answer_until_hand_back(&mut predecessor.requests)).1);
         predecessor.link.transfer_cancellation(([10, 0, 0, 1], 80).into(), "w");
         predecessor.link.flush().await;
-        let Some(PeerRequest::CancelAttempt { worker_address, job_id }) = successor.requests.recv().await
-        else {
+        let Some(PeerRequest::CancelAttempt { worker, job_id }) = successor.requests.recv().await else {
             panic!("no cancellation")
         };
-        assert!(worker_address.port() == 80 && job_id == "w");
+        assert!(worker.port() == 80 && job_id == "w");
     });
 }
 
--- a/crates/node/tests/unit/handover/support.rs
+++ b/crates/node/tests/unit/handover/support.rs
@@ -5,6 +5,7 @@
 
 use bytes::Bytes;
 use curlewusher_control::frame::Decoder;
+use curlewusher_control::takeover::LinkRole;
 use tempfile::TempDir;
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
@@ -12,7 +13,7 @@
 use tokio::time::sleep;
 
 use crate::handover::handshake::{Predecessor, SuccessorHello, contact_predecessor};
-use crate::handover::link::{LinkEnds, LinkRole, PeerLink};
+use crate::handover::link::{LinkEnds, PeerLink};
 use crate::handover::rendezvous::Rendezvous;
 use crate::handover::rendezvous_listener::RendezvousListener;
 
