--- a/crates/control/src/frame/message.rs
+++ b/crates/control/src/frame/message.rs
@@ -10,7 +10,7 @@
 /// A message from one process of a node to the other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// The sender asks to be the successor; answered by `Welcome` or `Rejected`.
+    /// A new process asks to be the successor; answered by `Accepted` or `Rejected`.
     Hello {
         /// Name of its node.
         node: String,
@@ -18,7 +18,7 @@
         listen: String,
     },
     /// The receiver is the successor; with the predecessor's state so far.
-    Welcome(Bytes),
+    Accepted(Bytes),
     /// The receiver is not the successor, for this reason.
     Rejected(RejectReason),
     /// The successor is ready and asks for the new connections; answered by `TakeoverGranted`.
@@ -27,11 +27,12 @@
     TakeoverGranted(Bytes),
     /// The successor terminates, and the predecessor is to take the node back; has no response.
     HandBack,
-    /// The body of a callback for a job that the sender does not own; answered by `CallbackResult`.
+    /// The body of a callback for a job that the requesting process does not own; answered by
+    /// `CallbackResult`.
     Callback(Bytes),
     /// Whether the callback was for a job that the responding process owns.
     CallbackResult(bool),
-    /// The sender is about to accept a job of this id; answered by `ClaimResult`.
+    /// The requesting process is about to accept a job of this id; answered by `ClaimResult`.
     ClaimJob(String),
     /// Whether it may.
     ClaimResult(bool),
@@ -39,11 +40,13 @@
     Command(AdminCommand),
     /// The outcome of the command at the responding process.
     CommandResult(CommandResult),
-    /// A job that the sender owned; its client's socket is sent beside the bytes. Answered by `MigrationResult`.
+    /// A job that the requesting process owned; its client's socket is sent beside the bytes. Answered by
+    /// `MigrationResult`.
     MigrateJob(Bytes),
     /// Whether the responding process owns the job now.
     MigrationResult(bool),
-    /// A worker has not acknowledged a cancellation yet, and the receiver is to repeat it from now on; has no response.
+    /// A worker has not acknowledged a cancellation yet, and the receiver is to repeat it from now on; has no
+    /// response.
     CancelAttempt {
         /// Address of the worker.
         worker: SocketAddr,
@@ -53,8 +56,8 @@
 }
 
 impl Frame {
-    /// Whether it answers a request that was sent over an established link. The responses to `Hello` do not: they come
-    /// before there is a link.
+    /// Whether it answers a request that was sent over an established link. The responses to `Hello` do not:
+    /// they come before there is a link.
     pub fn is_response(&self) -> bool {
         match self {
             Frame::TakeoverGranted(_)
@@ -63,7 +66,7 @@
             | Frame::CommandResult(_)
             | Frame::MigrationResult(_) => true,
             Frame::Hello { .. }
-            | Frame::Welcome(_)
+            | Frame::Accepted(_)
             | Frame::Rejected(_)
             | Frame::TakeoverRequest
             | Frame::HandBack
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -18,7 +18,7 @@
         }
         let mut job = self.assess_job(now, submission);
         if now + ANSWER_MARGIN >= job.deadline || self.outlasts_shutdown(now, &job) {
-            // A client's last retry: its time would be up before the next sweep could answer it.
+            // Probably a client's last retry: its time would be up before the next sweep.
             return self.reject_or_fail(&mut job, actions);
         }
         self.budgets.earn(&job, self.fleet.prompt_start_share);
@@ -29,7 +29,7 @@
         self.dispatch_pending(now, actions);
     }
 
-    /// Derives a job's work, weight and latency objective from its submission, and uses up its tenant's
+    /// Derives a job's work, weight and latency objective from its submission, and charges its tenant's
     /// quota.
     fn assess_job(&mut self, now: Micros, submission: &JobSubmission) -> Job {
         let class_index = submission.class.0;
@@ -37,7 +37,7 @@
         let hint = submission.cost_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
         let estimate = self.fleet.estimate_unhinted_work(class_index);
         let work = hint.map_or(estimate, |hint| hint.clamp(1e-4, 1e4));
-        // A client's retry has less time left than a first submission: its objective counts from the first.
+        // A client's retry has less time left than a first submission: its objective counts from the latter.
         let time_left = submission.deadline.saturating_sub(now).min(class.client_timeout);
         let waited = self.admission.time_waited(class_index, time_left);
         let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
@@ -46,7 +46,7 @@
         let slots = if submission.slots.is_finite() { submission.slots.clamp(1.0, 64.0) } else { 1.0 };
         let weight = class.priority_weight / self.admission.max_priority_weight / slots;
         let tenant = submission.tenant.0;
-        let over_quota = self.admission.is_over_quota(now, &self.settings, tenant, is_first_submission);
+        let over_quota = self.admission.charge_quota(now, &self.settings, tenant, is_first_submission);
         Job {
             over_quota,
             weight: if over_quota { weight * self.settings.over_quota_weight } else { weight },
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -4,7 +4,7 @@
 //! | newer process | older process |
 //! | --- | --- |
 //! | `Hello` | |
-//! | | one byte with the listener's descriptor, then `Welcome` with the snapshot: both are linked |
+//! | | one byte with the listener's descriptor, then `Accepted` with the snapshot: both are linked |
 //! | | or `Rejected` with the reason |
 
 use std::net::{SocketAddr, TcpListener};
@@ -77,13 +77,13 @@
     }
     match (read_frame(&stream, &mut decoder).await?, descriptor) {
         (Frame::Rejected(reason), _) => Err(HandoverError::Rejected(reason)),
-        (Frame::Welcome(snapshot), Some(descriptor)) => {
+        (Frame::Accepted(snapshot), Some(descriptor)) => {
             let listener = client_listener(descriptor, listen);
             let listener = listener.ok_or(HandoverError::NoListener { listen })?;
             let link = PeerLink::start(stream, LinkRole::Successor, decoder);
             Ok(Predecessor { listener, snapshot, link })
         }
-        (Frame::Welcome(_), None) => Err(HandoverError::NoListener { listen }),
+        (Frame::Accepted(_), None) => Err(HandoverError::NoListener { listen }),
         _ => Err(HandoverError::UnexpectedFrame),
     }
 }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -103,7 +103,7 @@
                 self.pass_on(PeerRequest::CancelAttempt { worker, job_id });
             }
             Frame::HandBack => self.pass_on(PeerRequest::HandBack),
-            Frame::Hello { .. } | Frame::Welcome(_) | Frame::Rejected(_) => {
+            Frame::Hello { .. } | Frame::Accepted(_) | Frame::Rejected(_) => {
                 return Err(HandoverError::UnexpectedFrame);
             }
         }
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -122,7 +122,7 @@
 
     /// Completes the handshake: the other process is the successor.
     pub(in crate::handover) fn send_acceptance(&self, snapshot: Bytes) {
-        self.state.send_response(HANDSHAKE_REQUEST_ID, &Frame::Welcome(snapshot));
+        self.state.send_response(HANDSHAKE_REQUEST_ID, &Frame::Accepted(snapshot));
     }
 
     /// Sends a request and waits for its response. None where none comes in time or the link is lost.
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -18,7 +18,7 @@
     pub(super) async fn execute(&mut self, commands: Vec<TakeoverCommand>) {
         for command in commands {
             match command {
-                TakeoverCommand::SendWelcome => self.accept_successor().await,
+                TakeoverCommand::AcceptHello => self.accept_successor().await,
                 TakeoverCommand::RejectHello(reason) => self.reject_hello(reason).await,
                 TakeoverCommand::RequestTakeover => self.request_takeover(),
                 TakeoverCommand::GrantTakeover => self.grant_takeover().await,
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::admin::AdminService;
+use crate::admin::service::AdminService;
 use crate::dispatch::{DispatchCommand, TransferableState};
 use crate::handover::handshake::{Predecessor, SuccessorHello};
 use crate::handover::link::{LinkEnds, PeerRequest};
--- a/crates/node/tests/unit/handover/handshake.rs
+++ b/crates/node/tests/unit/handover/handshake.rs
@@ -48,7 +48,7 @@
 #[test]
 fn hello_response_is_no_acceptance_then_error_names_the_cause() {
     run(Time::Paused, async {
-        let acceptance = Frame::Welcome("learned".into()).encode(0).expect("short");
+        let acceptance = Frame::Accepted("learned".into()).encode(0).expect("short");
         let mut other_version = acceptance.to_vec();
         other_version[4] = 0;
         let error = error_after_response(b"HTTP/1.1 400").await;
