--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -154,11 +154,7 @@
             rendezvous_listener: Rc::clone(&rendezvous_listener),
             admin: parts.admin.clone(),
         };
-        let saved_endpoints_delay = match (&predecessor, has_saved_endpoints) {
-            (None, true) => Some(Duration::ZERO),
-            (Some(_), true) => Some(ENDPOINTS_TIMEOUT),
-            (_, false) => None,
-        };
+        let saved_endpoints_delay = saved_endpoints_delay(predecessor.is_some(), has_saved_endpoints);
         let inputs = TakeoverInputs { hellos, local_events, endpoints_available, saved_endpoints_delay };
         let task = TakeoverTask {
             parts,
@@ -249,6 +245,15 @@
     }
 }
 
+/// How long a process waits for discovery before it uses its saved endpoint list. None where it has none.
+fn saved_endpoints_delay(has_predecessor: bool, has_saved_endpoints: bool) -> Option<Duration> {
+    match (has_predecessor, has_saved_endpoints) {
+        (false, true) => Some(Duration::ZERO),
+        (true, true) => Some(ENDPOINTS_TIMEOUT),
+        (_, false) => None,
+    }
+}
+
 /// Waits for discovery's endpoint list, or until the saved one is to be used.
 async fn wait_for_endpoints(
     mut endpoints_available: watch::Receiver<bool>,
