--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -30,8 +30,8 @@
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
 };
-use crate::handover::Peer;
-use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
+use crate::handover::takeover::{TakeoverParts, TakeoverTask};
+use crate::handover::{Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
@@ -228,7 +228,7 @@
     /// there is none.
     async fn find_predecessor(&self) -> StartupHandover {
         let folder = self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
-        StartupHandover::look(folder, &self.name, self.listen).await
+        StartupHandover::find_predecessor(folder, &self.name, self.listen).await
     }
 
     /// The listener that the other process passes on, or one of its own.
@@ -258,8 +258,8 @@
             listen: self.listen,
             listener: listener.for_successor,
             server: self.server.clone(),
-            next_hops: self.upstream.clone(),
-            operations: admin.clone(),
+            upstream: self.upstream.clone(),
+            admin: admin.clone(),
         };
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
         let DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available } =
@@ -269,7 +269,7 @@
         let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.follows();
+        let has_predecessor = handover.has_predecessor();
         let (takeover_handle, takeover) =
             TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
         let takeover = spawn_local(takeover);
