--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -25,7 +25,7 @@
     /// What an operator has sent.
     pub command: AdminCommand,
     /// Where the result goes.
-    pub result_sender: oneshot::Sender<CommandResult>,
+    pub reply: oneshot::Sender<CommandResult>,
 }
 
 /// What each connection needs. `READY` is answered from the phase; all other commands go to the service.
@@ -34,7 +34,7 @@
     /// Phase of this process.
     pub lifecycle: Lifecycle,
     /// Queue of the service.
-    pub commands: mpsc::Sender<PendingCommand>,
+    pub command_queue: mpsc::Sender<PendingCommand>,
 }
 
 impl CommandHandler {
@@ -54,10 +54,8 @@
         if command == AdminCommand::Ready {
             return self.check_ready();
         }
-        let (result_sender, result) = oneshot::channel();
-        self.commands
-            .try_send(PendingCommand { command, result_sender })
-            .map_err(|_| CommandError::TimedOut)?;
+        let (reply, result) = oneshot::channel();
+        self.command_queue.try_send(PendingCommand { command, reply }).map_err(|_| CommandError::TimedOut)?;
         match timeout(COMMAND_TIMEOUT, result).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) | Err(_) => Err(CommandError::TimedOut),
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -59,8 +59,8 @@
         let listener = bind(address).map_err(|source| AdminListenerError::Address { address, source })?;
         let address =
             listener.local_addr().map_err(|source| AdminListenerError::Address { address, source })?;
-        let (sender, commands) = mpsc::channel(MAX_PENDING_COMMANDS);
-        let handler = CommandHandler { lifecycle, commands: sender };
+        let (command_queue, commands) = mpsc::channel(MAX_PENDING_COMMANDS);
+        let handler = CommandHandler { lifecycle, command_queue };
         let serve = move || {
             // Dropping the handler closes the channel of commands, which ends the program.
             if let Err(problem) = serve_on_this_thread(listener, handler) {
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -42,12 +42,12 @@
     /// Carries out commands for as long as the admin address lasts; without one it never returns.
     pub async fn serve(self, commands: Option<mpsc::Receiver<PendingCommand>>) {
         let Some(mut commands) = commands else { return std::future::pending().await };
-        while let Some(PendingCommand { command, result_sender }) = commands.recv().await {
+        while let Some(PendingCommand { command, reply }) = commands.recv().await {
             let result = self.carry_out(&command).await;
             let response = format_response(&Ok(result.clone()));
             info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command");
             // An operator who no longer waits may send it again.
-            let _ = result_sender.send(result);
+            let _ = reply.send(result);
         }
     }
 
@@ -98,14 +98,14 @@
         disabled: bool,
         origin: CommandOrigin,
     ) -> CommandResult {
-        let (result_sender, result) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         let name = worker.to_owned();
         let command = match origin {
             CommandOrigin::Operator => {
-                DispatchCommand::SetWorkerDisabled { name, out: disabled, verdict: result_sender }
+                DispatchCommand::SetWorkerDisabled { name, out: disabled, verdict: reply }
             }
             CommandOrigin::Peer => {
-                DispatchCommand::SetWorkerDisabledByPeer { name, out: disabled, verdict: result_sender }
+                DispatchCommand::SetWorkerDisabledByPeer { name, out: disabled, verdict: reply }
             }
         };
         self.dispatch_commands.send(command).await.map_err(|_| CommandError::TimedOut)?;
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -118,3 +118,7 @@
         self.size.set(self.size.get() - 1);
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/connection_budget.rs"]
+mod tests;
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -5,7 +5,7 @@
 //!    admin address, so that an address that cannot be used ends the program here.
 //! 3. The other process of this node, where there is one, is contacted. It passes on its listener for clients;
 //!    otherwise a listener is opened.
-//! 4. All tasks are spawned, and the log says where the node serves.
+//! 4. All tasks are spawned, and the log names the addresses where the node serves.
 
 use std::cell::Cell;
 use std::io;
@@ -151,7 +151,7 @@
     /// From the dispatch task to the watcher: poll now.
     poll_requests: mpsc::Receiver<()>,
     /// To the watcher: the address of discovery has changed.
-    address_sender: watch::Sender<SocketAddr>,
+    address_updates: watch::Sender<SocketAddr>,
     address_changes: watch::Receiver<SocketAddr>,
     /// From the watcher to the takeover task: an endpoint list is there.
     endpoints_available: watch::Receiver<bool>,
@@ -167,9 +167,9 @@
 
 impl DiscoveryParts {
     fn connect(watcher: EndpointWatcher, poll_requests: mpsc::Receiver<()>) -> Self {
-        let (address_sender, address_changes) = watch::channel(watcher.address);
+        let (address_updates, address_changes) = watch::channel(watcher.address);
         let endpoints_available = watcher.list_received.subscribe();
-        DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available }
+        DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available }
     }
 }
 
@@ -186,7 +186,7 @@
         let mut resolver = EndpointResolver::new(&site);
         let saved_endpoints = resolver.resolve(&known.endpoints);
         let saved_index = if saved_endpoints.is_empty() { UNKNOWN_ENDPOINT_INDEX } else { known.index };
-        let (poll_sender, poll_requests) = mpsc::channel(1);
+        let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
         let dispatch_task = DispatchTask::new(
             dispatcher,
@@ -194,7 +194,7 @@
             upstream.clone(),
             dispatch_messages,
             received_commands,
-            poll_sender,
+            poll_requester,
             shared.metrics.clone(),
         );
         let watcher = EndpointWatcher {
@@ -262,7 +262,7 @@
             operations: admin.clone(),
         };
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
-        let DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available } =
+        let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
             self.discovery;
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
@@ -284,7 +284,7 @@
                 metrics: self.shared.metrics,
                 server_options: self.shared.server_options,
                 upstream_options: self.shared.upstream_options,
-                discovery: address_sender,
+                discovery: address_updates,
             },
             shutdown: GracefulShutdown {
                 name: self.name,
