--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -25,7 +25,7 @@
 use crate::handover::Peer;
 use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
 use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, PhaseEvent};
-use crate::server::{Server, ServerLimits};
+use crate::server::{Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::UpstreamClient;
@@ -156,18 +156,16 @@
         pace: WatchTiming::new(&site.decisions),
     };
     let ending = queue.clone();
-    let server = Server::new(
+    let server = Server::new(ServerParts {
         queue,
         clock,
-        &site,
-        lifecycle.clone(),
-        counters.clone(),
-        peer.clone(),
-        ServerLimits {
-            room: ConnectionBudget::new(all - all / 3, half - half / 3),
-            tuning: server_options.clone(),
-        },
-    );
+        site: &site,
+        lifecycle: lifecycle.clone(),
+        metrics: counters.clone(),
+        peer: peer.clone(),
+        connection_budget: ConnectionBudget::new(all - all / 3, half - half / 3),
+        options: server_options.clone(),
+    });
     let opened = console.map(|at| listener::open(at, lifecycle.clone())).transpose();
     let (operators, calls) = opened?.unzip();
 
--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -1,4 +1,5 @@
-//! Owns the reading of next hops' call-backs. It must never know which job one is for.
+//! The body of a worker's callback: a JSON object that reports the progress or the end of a delivery attempt. Parsing
+//! does not look for the job that it reports on.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -7,33 +8,51 @@
 
 use crate::dispatch::CallbackState;
 
-/// Why a call-back cannot be used; the next hop's own log shows what it sent.
+/// Why a callback cannot be used; the worker's own log shows what it sent.
 #[derive(Debug, Error)]
 pub enum CallbackError {
+    /// The body is not JSON, or a field is missing, unknown in its value or of another type.
     #[error("the call cannot be read: {0}")]
-    Unreadable(serde_json::Error),
+    Unreadable(#[source] serde_json::Error),
+    /// State `running` comes with the share of the work that is done, from 0 to 1.
     #[error("field share is missing or no share")]
-    DescriptorShare,
+    InvalidShare,
+    /// State `done` comes with a result.
     #[error("field result is missing")]
-    NoResult,
+    MissingResult,
+    /// The result is a JSON string with an invalid escape.
     #[error("field result: {0}")]
-    Result(serde_json::Error),
+    InvalidResult(#[source] serde_json::Error),
 }
 
-/// What a next hop tells of a job.
+/// A worker's report on a job.
+pub struct Callback {
+    /// X-Request-Id of the job.
+    pub request_id: String,
+    /// Name of the worker, as in the endpoint list.
+    pub worker_name: String,
+    /// What the worker reports.
+    pub state: CallbackState,
+}
+
+/// The JSON form of a callback.
+///
+/// Error texts of serde name the type; they are part of the 400 answer, so `expecting` keeps them as they are.
 #[derive(Deserialize)]
-pub struct Callback<'a> {
+#[serde(expecting = "struct Callback")]
+struct CallbackBody<'a> {
     id: String,
     from: String,
-    state: State,
+    state: StateField,
     share: Option<f64>,
     #[serde(borrow)]
     result: Option<&'a RawValue>,
 }
 
+/// The states that a callback can name.
 #[derive(Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum State {
+#[serde(rename_all = "lowercase", expecting = "enum State")]
+enum StateField {
     Started,
     Running,
     Done,
@@ -42,32 +61,35 @@
     Lost,
 }
 
-impl Callback<'_> {
-    /// The job's id, the next hop's name, and what it says.
-    pub fn read(body: &Bytes) -> Result<(String, String, CallbackState), CallbackError> {
-        let call: Callback = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
-        let word = match call.state {
-            State::Started => CallbackState::Started,
-            State::Running => match call.share.filter(|share| (0.0..=1.0).contains(share)) {
-                Some(share) => CallbackState::Running(share),
-                None => return Err(CallbackError::DescriptorShare),
-            },
-            State::Done => CallbackState::Done(unquoted(body, call.result.ok_or(CallbackError::NoResult)?)?),
-            State::Failed => CallbackState::Failed,
-            State::Returned => CallbackState::Returned,
-            State::Lost => CallbackState::Lost,
+impl Callback {
+    /// Parses the body of a callback. A result without escapes shares the memory of the body.
+    pub fn parse(body: &Bytes) -> Result<Callback, CallbackError> {
+        let fields: CallbackBody = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
+        let state = match fields.state {
+            StateField::Started => CallbackState::Started,
+            StateField::Running => CallbackState::Running(parse_share(fields.share)?),
+            StateField::Done => CallbackState::Done(parse_result(body, fields.result)?),
+            StateField::Failed => CallbackState::Failed,
+            StateField::Returned => CallbackState::Returned,
+            StateField::Lost => CallbackState::Lost,
         };
-        Ok((call.id, call.from, word))
+        Ok(Callback { request_id: fields.id, worker_name: fields.from, state })
     }
 }
 
-/// The text of a result, as a part of the body that it came in where that has it without escapes.
-fn unquoted(body: &Bytes, result: &RawValue) -> Result<Bytes, CallbackError> {
-    let raw = result.get();
-    match raw.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
+/// The share of the work that is done, from 0 to 1.
+fn parse_share(share: Option<f64>) -> Result<f64, CallbackError> {
+    share.filter(|share| (0.0..=1.0).contains(share)).ok_or(CallbackError::InvalidShare)
+}
+
+/// The bytes that the client gets: the text of a JSON string, any other value as it stands.
+fn parse_result(body: &Bytes, result: Option<&RawValue>) -> Result<Bytes, CallbackError> {
+    let json = result.ok_or(CallbackError::MissingResult)?.get();
+    match json.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
         Some(text) if !text.contains('\\') => Ok(body.slice_ref(text.as_bytes())),
-        Some(_) => serde_json::from_str::<String>(raw).map(Bytes::from).map_err(CallbackError::Result),
-        // A result that is no text is passed on as it stands.
-        None => Ok(body.slice_ref(raw.as_bytes())),
+        Some(_) => {
+            serde_json::from_str::<String>(json).map(Bytes::from).map_err(CallbackError::InvalidResult)
+        }
+        None => Ok(body.slice_ref(json.as_bytes())),
     }
 }
--- /dev/null
+++ b/crates/node/src/server/callback_handler.rs
@@ -0,0 +1,114 @@
+//! Handles callbacks of workers: delivers them to the dispatch task, or forwards them to the other process of this node
+//! where that may hold the job.
+
+use bytes::Bytes;
+use curlewusher_control::takeover::{CallbackRoute, route};
+use hyper::body::Incoming;
+use hyper::{Request, StatusCode};
+use tokio::sync::oneshot;
+
+use super::Server;
+use super::callback::Callback;
+use super::error::RequestError;
+use super::request_body::read_body;
+use super::response::{self, HttpResponse};
+use super::service::ConnectionService;
+use super::state::ServerState;
+use crate::dispatch::{DispatchMessage, JobOwner};
+use crate::handover::{ForwardResult, PeerLink};
+
+impl Server {
+    /// Delivers a callback that the other process of this node has forwarded. Whether its job is open here; None while
+    /// that is about to change, and the callback is to be repeated.
+    pub async fn handle_callback(&self, body: Bytes) -> Option<bool> {
+        deliver_forwarded_callback(&self.state, &body).await
+    }
+}
+
+impl ConnectionService {
+    /// Serves a worker's callback. It is acknowledged only once whoever holds its job has it; until then the worker is
+    /// to repeat it.
+    pub(super) async fn handle_callback(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, RequestError> {
+        self.connection.mark_as_worker();
+        let body = read_body(request.into_body(), &self.connection).await?;
+        let callback = Callback::parse(&body)?;
+        if self.deliver_callback(callback, &body).await? {
+            Ok(response::with_status(StatusCode::NO_CONTENT, ""))
+        } else {
+            Ok(response::with_status(StatusCode::SERVICE_UNAVAILABLE, "not heard; say it again\n"))
+        }
+    }
+
+    /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process of this
+    /// node. Whether it was delivered, or no process holds its job.
+    async fn deliver_callback(&self, callback: Callback, body: &Bytes) -> Result<bool, RequestError> {
+        let peer = &self.state.peer;
+        let link = peer.link();
+        let may_have_unknown_peer = peer.may_have_unknown_peer();
+        let owner = if link.is_some() || may_have_unknown_peer {
+            let (owner_sender, owner) = oneshot::channel();
+            self.send_to_dispatch(callback, Some(owner_sender)).await?;
+            owner.await.unwrap_or(JobOwner::Local)
+        } else {
+            self.send_to_dispatch(callback, None).await?;
+            JobOwner::Local
+        };
+        let is_linked = link.as_ref().is_some_and(PeerLink::is_connected);
+        Ok(match (owner, route(owner == JobOwner::Local, is_linked), link) {
+            (JobOwner::Migrating, ..) => false,
+            (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
+                self.forward_callback(&link, body).await
+            }
+            // A process may hold it that this one cannot reach: the repeated callback may find it.
+            (JobOwner::Unknown, ..) => !may_have_unknown_peer,
+            (JobOwner::Local, ..) => true,
+        })
+    }
+
+    async fn send_to_dispatch(
+        &self,
+        callback: Callback,
+        owner_sender: Option<oneshot::Sender<JobOwner>>,
+    ) -> Result<(), RequestError> {
+        let message = dispatch_message(callback, owner_sender);
+        self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
+    }
+
+    /// Forwards a callback to the other process of this node. Whether it was delivered, or no process holds its job.
+    async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> bool {
+        match link.forward_callback(body.clone()).await {
+            ForwardResult::Handled => true,
+            // Its job may have migrated here since it was looked for here.
+            ForwardResult::NotHeld => deliver_forwarded_callback(&self.state, body).await.is_some(),
+            ForwardResult::NoAnswer => false,
+        }
+    }
+}
+
+/// Delivers a callback that the other process does not hold the job of. Whether its job is open here; None while that
+/// is about to change.
+async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<bool> {
+    let Ok(callback) = Callback::parse(body) else { return Some(false) };
+    let (owner_sender, owner) = oneshot::channel();
+    state.queue.send(dispatch_message(callback, Some(owner_sender))).await.ok()?;
+    match owner.await.ok()? {
+        JobOwner::Local => Some(true),
+        JobOwner::Unknown => Some(false),
+        JobOwner::Migrating => None,
+    }
+}
+
+fn dispatch_message<P>(
+    callback: Callback,
+    owner_sender: Option<oneshot::Sender<JobOwner>>,
+) -> DispatchMessage<P> {
+    DispatchMessage::Callback {
+        id: callback.request_id,
+        worker: callback.worker_name,
+        state: callback.state,
+        owner: owner_sender,
+    }
+}
--- /dev/null
+++ b/crates/node/src/server/job_handler.rs
@@ -0,0 +1,101 @@
+//! Handles a client's job: admits it, submits it to the dispatch task and waits for the response.
+
+use std::future::pending;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::Request;
+use hyper::body::Incoming;
+use tokio::sync::oneshot;
+
+use super::error::RequestError;
+use super::migration::{MIGRATION_RETRY_PAUSE, migrate_job};
+use super::open_job::OpenJob;
+use super::request::JobRequest;
+use super::request_body::read_body;
+use super::response::{self, HttpResponse};
+use super::service::ConnectionService;
+use crate::dispatch::{DispatchMessage, JobHandle, JobResponse};
+use crate::telemetry::metrics::Counter;
+
+impl ConnectionService {
+    /// Serves a job. Dropped before it is done, it cancels the job.
+    pub(super) async fn handle_job(&self, request: Request<Incoming>) -> Result<HttpResponse, RequestError> {
+        let state = &self.state;
+        let received_at = state.clock.now();
+        let (head, incoming) = request.into_parts();
+        let job_request = JobRequest::parse(head, &state.catalog, received_at)?;
+        let body = read_body(incoming, &self.connection).await;
+        // No await from here until the job counts as open: the shutdown closes the intake once it sees no open job.
+        let intake_closed = state.intake_closed.get();
+        if intake_closed || body.is_ok() && state.open_jobs.get() >= state.max_open_jobs() {
+            if !intake_closed {
+                state.metrics.add(Counter::Crowded);
+            }
+            return Ok(response::rejected(state.options.get().crowded_retry_ms.millis()));
+        }
+        let body = body?;
+        let open_job = OpenJob::new(state);
+        let job_response = self.dispatch_job(job_request, body, open_job).await?;
+        response::from_job_response(job_response)
+    }
+
+    /// Submits a job and waits for its response.
+    async fn dispatch_job(
+        &self,
+        job_request: JobRequest,
+        body: Bytes,
+        mut open_job: OpenJob,
+    ) -> Result<JobResponse, RequestError> {
+        let state = &self.state;
+        // While another process of this node runs, a job of one id must not be open at both.
+        let claim = match state.peer.link() {
+            Some(link) => {
+                let claim = link.claim_job(&job_request.request_id).await;
+                Some(claim.ok_or(RequestError::DuplicateJob)?)
+            }
+            None => None,
+        };
+        let job_handle = JobHandle::default();
+        let permit = state.queue.clone().reserve_owned().await.map_err(|_| RequestError::JobAbandoned)?;
+        open_job.arm_disconnect_message(permit, job_handle.clone());
+        let (response_sender, response_receiver) = oneshot::channel();
+        let submission = job_request.into_submission(body, job_handle.clone(), response_sender);
+        let submitted = state.queue.send(DispatchMessage::Submit(submission)).await;
+        submitted.map_err(|_| RequestError::JobAbandoned)?;
+        // From here on the dispatch task knows the id.
+        drop(claim);
+        self.await_response(&job_handle, response_receiver, &mut open_job).await
+    }
+
+    /// Waits for the response to a job. While open jobs are to migrate, it tries to migrate the job; once that has
+    /// succeeded this future is dropped with its connection.
+    async fn await_response(
+        &self,
+        job_handle: &JobHandle,
+        mut response_receiver: oneshot::Receiver<JobResponse>,
+        open_job: &mut OpenJob,
+    ) -> Result<JobResponse, RequestError> {
+        let mut pause = Duration::ZERO;
+        let job_response = loop {
+            tokio::select! {
+                biased;
+                received = &mut response_receiver => {
+                    break received.map_err(|_| RequestError::JobAbandoned)?;
+                }
+                () = self.state.migration_requested(pause) => {
+                    pause = MIGRATION_RETRY_PAUSE;
+                    let client = self.connection.duplicate_socket();
+                    if migrate_job(&self.state, job_handle, client).await {
+                        open_job.disarm_disconnect_message();
+                        self.connection.abort();
+                        // The task of the connection ends now, and drops this future.
+                        pending::<()>().await;
+                    }
+                }
+            }
+        };
+        open_job.disarm_disconnect_message();
+        Ok(job_response)
+    }
+}
--- /dev/null
+++ b/crates/node/src/server/listener.rs
@@ -0,0 +1,151 @@
+//! Accepts connections within the connection budget, closes those that have timed out, and evicts connections when the
+//! budget is exhausted.
+
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+use tracing::warn;
+
+use super::Server;
+use super::connection::{Connection, ConnectionState, WRITE_TIMEOUT};
+use super::service::ConnectionService;
+use super::state::ServerState;
+use crate::telemetry::logging::SERVER;
+use crate::telemetry::metrics::Counter;
+
+/// Length of the kernel's queue of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// How often connections are checked for timeouts.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after a failed accept, as when descriptors have run out; also how long a connection of the budget is waited
+/// for before connections are evicted again.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Connections of the budget that are kept free for the next clients.
+const SPARE_CONNECTIONS: usize = 4;
+/// With this many lingering connections, eviction closes only those: at least one is left for the next eviction.
+const ENOUGH_LINGERING_CONNECTIONS: usize = 2;
+
+impl Server {
+    /// Opens the listening socket. `shared`: another process of this node may listen at the address as well.
+    pub fn listen(&self, address: SocketAddr, shared: bool) -> io::Result<std::net::TcpListener> {
+        let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+        // A restart must not wait until the kernel has forgotten the old connections.
+        socket.set_reuseaddr(true)?;
+        if shared {
+            socket.set_reuseport(true)?;
+        }
+        socket.bind(address)?;
+        socket.listen(LISTEN_BACKLOG)?.into_std()
+    }
+
+    /// Accepts connections within the budget and closes those that have timed out. Does not return.
+    pub async fn accept(self, listener: TcpListener) {
+        tokio::join!(accept_connections(&self.state, listener), close_timed_out_connections(&self.state));
+    }
+}
+
+/// Closes connections that have timed out, and in a process that is superseded those whose clients can go elsewhere.
+async fn close_timed_out_connections(state: &ServerState) -> Infallible {
+    loop {
+        sleep(TIMEOUT_CHECK_INTERVAL).await;
+        let idle_timeout = state.options.get().idle_ms.millis();
+        // A node that shuts down keeps idle connections a little longer: clients use them until then.
+        let phase = state.lifecycle.phase();
+        let redirects = phase.redirects_clients() && !phase.is_shutting_down();
+        for connection in state.live_connections() {
+            if connection.is_write_blocked_for(WRITE_TIMEOUT) {
+                connection.abort();
+            } else if connection.is_timed_out(idle_timeout) || redirects && connection.is_redirectable() {
+                connection.close_gracefully();
+            }
+        }
+    }
+}
+
+/// Accepts connections while this process is the one that accepts.
+async fn accept_connections(state: &Rc<ServerState>, listener: TcpListener) -> Infallible {
+    let mut accepting = state.accepting.subscribe();
+    loop {
+        // It fails only without a sender, which the state owns.
+        let _ = accepting.wait_for(|accepting| *accepting).await;
+        let permit = acquire_connection(state).await;
+        let accepted = tokio::select! {
+            biased;
+            _ = accepting.changed() => continue,
+            accepted = listener.accept() => accepted,
+        };
+        match accepted {
+            Ok((stream, _)) => spawn_connection(state, stream, permit),
+            // Descriptors have run out, or a client has closed at once: the listener must survive both.
+            Err(error) => {
+                warn!(target: SERVER, %error, "a connection could not be accepted");
+                state.metrics.add(Counter::AcceptFailures);
+                evict_connections(state);
+                sleep(ACCEPT_RETRY_PAUSE).await;
+            }
+        }
+    }
+}
+
+/// Waits for a connection of the budget; it is free again once the permit is dropped.
+async fn acquire_connection(state: &ServerState) -> Option<OwnedSemaphorePermit> {
+    // All connections may be busy now and idle later: evicting once is not enough.
+    loop {
+        if state.connection_budget.free() <= SPARE_CONNECTIONS {
+            evict_connections(state);
+        }
+        if let Ok(permit) = timeout(ACCEPT_RETRY_PAUSE, state.connection_budget.acquire()).await {
+            return permit;
+        }
+    }
+}
+
+/// Serves a connection in a task of its own.
+fn spawn_connection(state: &Rc<ServerState>, stream: TcpStream, permit: Option<OwnedSemaphorePermit>) {
+    // It is registered here, not when its task first runs: a burst is accepted before that, and would exhaust the
+    // budget with connections that cannot be evicted.
+    let connection = Rc::new(Connection::new());
+    state.connections.borrow_mut().push(Rc::downgrade(&connection));
+    let service = ConnectionService::new(state.clone(), connection);
+    spawn_local(async move {
+        service.serve(stream).await;
+        drop(permit);
+    });
+}
+
+/// Evicts the connection that is missed least: a client's before a worker's, then in the order of [`ConnectionState`],
+/// then the one that has been longest in its state. It lingers first; of the lingering connections the oldest is closed
+/// as well.
+pub fn evict_connections(state: &ServerState) {
+    let connections = state.live_connections();
+    let new_connections =
+        connections.iter().filter(|connection| connection.state() == ConnectionState::New).count();
+    // Among many new connections one is about to be old enough for eviction: idle ones are spared until then.
+    let spares_idle = new_connections > connections.len() / 4;
+    let is_candidate = |connection: &Connection| {
+        connection.is_evictable() && !(spares_idle && connection.state() == ConnectionState::Idle)
+    };
+    let (lingering, others): (Vec<_>, Vec<_>) = connections
+        .iter()
+        .filter(|connection| is_candidate(connection))
+        .partition(|connection| connection.state() == ConnectionState::Lingering);
+    // One always lingers for the next eviction, or every other eviction would free nothing.
+    let least_missed = if lingering.len() < ENOUGH_LINGERING_CONNECTIONS {
+        others
+            .into_iter()
+            .min_by_key(|connection| (connection.is_worker(), connection.state(), connection.state_since()))
+    } else {
+        None
+    };
+    let oldest_lingering = lingering.into_iter().min_by_key(|connection| connection.state_since());
+    for connection in oldest_lingering.into_iter().chain(least_missed) {
+        connection.evict();
+    }
+}
--- /dev/null
+++ b/crates/node/src/server/response.rs
@@ -0,0 +1,97 @@
+//! Builders for the HTTP responses of this node.
+
+use std::io;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::header::{ALLOW, CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+use super::error::RequestError;
+use crate::dispatch::JobResponse;
+use crate::lifecycle::Phase;
+
+/// Media type of the metrics.
+const OPENMETRICS: HeaderValue =
+    HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
+
+/// A response with its whole body.
+pub type HttpResponse = Response<Full<Bytes>>;
+
+/// A response with that status and body.
+pub fn with_status(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
+}
+
+/// 503 with Retry-After, which is left out where there is no advice: 0 would mean 'at once'.
+pub fn rejected(retry_after: Duration) -> HttpResponse {
+    let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "deferred: come again later\n");
+    if !retry_after.is_zero()
+        && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
+    {
+        response.headers_mut().insert(RETRY_AFTER, seconds);
+    }
+    response
+}
+
+/// The response to a job; an error where its request should not have been sent.
+pub fn from_job_response(job_response: JobResponse) -> Result<HttpResponse, RequestError> {
+    match job_response {
+        JobResponse::Served(result) => Ok(with_status(StatusCode::OK, result)),
+        JobResponse::Rejected { retry_after } => Ok(rejected(retry_after)),
+        JobResponse::Failed => Ok(with_status(StatusCode::BAD_GATEWAY, "failed: it may have run\n")),
+        JobResponse::Duplicate => Err(RequestError::DuplicateJob),
+    }
+}
+
+/// The response to a request that is not served: its text in a line.
+pub fn from_error(error: &RequestError) -> HttpResponse {
+    with_status(error.status(), format!("{error}\n"))
+}
+
+/// Whether this node wants new clients, for the load balancer in front of it.
+pub fn readiness(phase: Phase) -> HttpResponse {
+    if phase.accepts_new_clients() {
+        with_status(StatusCode::OK, "ready\n")
+    } else {
+        with_status(StatusCode::SERVICE_UNAVAILABLE, format!("{phase}\n"))
+    }
+}
+
+/// All metrics in their text form.
+pub fn metrics(text: String) -> HttpResponse {
+    let mut response = with_status(StatusCode::OK, text);
+    response.headers_mut().insert(CONTENT_TYPE, OPENMETRICS);
+    response
+}
+
+/// 405 with the method that the path has.
+pub fn method_not_allowed(allowed: &'static str) -> HttpResponse {
+    let mut response = with_status(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
+    response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+    response
+}
+
+/// Has the client close the connection after this response.
+pub fn set_connection_close(response: &mut HttpResponse) {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// Writes the response to a request whose socket came from the other process of this node. It is the last one on that
+/// connection.
+pub async fn write_last_response(stream: &mut TcpStream, response: HttpResponse) -> io::Result<()> {
+    let (parts, body) = response.into_parts();
+    let Ok(body) = body.collect().await;
+    let body = body.to_bytes();
+    let mut head = format!("HTTP/1.1 {}\r\n", parts.status);
+    for (name, value) in &parts.headers {
+        head += &format!("{name}: {}\r\n", value.to_str().unwrap_or_default());
+    }
+    head += &format!("content-length: {}\r\nconnection: close\r\n\r\n", body.len());
+    stream.write_all(&[head.as_bytes(), &body].concat()).await
+}
--- /dev/null
+++ b/crates/node/src/server/service.rs
@@ -0,0 +1,177 @@
+//! Runs HTTP on one connection and routes its requests to their handlers.
+
+use std::cell::RefCell;
+use std::convert::Infallible;
+use std::future::{Future, poll_fn};
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::{Method, Request};
+use hyper_util::rt::TokioIo;
+use hyper_util::service::TowerToHyperService;
+use tokio::net::TcpStream;
+use tracing::debug;
+
+use super::connection::{
+    Connection, ConnectionState, FilteredStream, MAX_HEAD_BYTES, ReadFilter, lingering_close,
+};
+use super::error::RequestError;
+use super::request::is_job_path;
+use super::response::{self, HttpResponse};
+use super::state::ServerState;
+use crate::telemetry::logging::SERVER;
+use crate::telemetry::metrics::Counter;
+
+/// The server for one connection. Handlers of requests are in the modules of their concern.
+#[derive(Clone)]
+pub struct ConnectionService {
+    pub(super) state: Rc<ServerState>,
+    pub(super) connection: Rc<Connection>,
+}
+
+/// Who closes a connection on which HTTP has ended.
+#[derive(PartialEq, Eq)]
+enum CloseBy {
+    /// This process, with a lingering close.
+    LingeringClose,
+    /// Nobody any more: the peer has closed, the other process of this node has the connection, or the peer takes
+    /// nothing.
+    Drop,
+}
+
+impl ConnectionService {
+    /// The service for a connection that was just accepted.
+    pub fn new(state: Rc<ServerState>, connection: Rc<Connection>) -> ConnectionService {
+        ConnectionService { state, connection }
+    }
+
+    /// Serves a connection until it is closed.
+    pub async fn serve(self, stream: TcpStream) {
+        // Without it a response could wait for the peer's delayed acknowledgement.
+        let _ = stream.set_nodelay(true);
+        let connection = self.connection.clone();
+        let read_filter = ReadFilter::new(
+            stream,
+            &connection,
+            self.state.metrics.clone(),
+            self.state.intake_closed.clone(),
+        );
+        let close_by = self.run_http(&connection, &read_filter).await;
+        if close_by == CloseBy::LingeringClose
+            && let Ok(read_filter) = Rc::try_unwrap(read_filter)
+        {
+            lingering_close(read_filter.into_inner().into_stream(), &connection).await;
+        }
+    }
+
+    /// Has hyper serve the requests of the connection.
+    async fn run_http(self, connection: &Connection, read_filter: &Rc<RefCell<ReadFilter>>) -> CloseBy {
+        let stream = TokioIo::new(FilteredStream::new(read_filter.clone()));
+        let http = http1::Builder::new()
+            // Timeouts are kept by `Connection`: that of a head begins with its first byte.
+            .header_read_timeout(None)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(stream, TowerToHyperService::new(self));
+        let mut http = pin!(http);
+        loop {
+            tokio::select! {
+                biased;
+                // Whether it ended well makes no difference here: an open job reports its end by its drop.
+                _ = http.as_mut() => return CloseBy::LingeringClose,
+                () = connection.close_requested() => {
+                    if connection.is_aborted() {
+                        return CloseBy::Drop;
+                    }
+                    if connection.state() == ConnectionState::Reading
+                        || read_filter.borrow().has_unread_input()
+                    {
+                        // hyper, which does not see half a head, would close over a request that has just begun. It is
+                        // read to its end and is the last one.
+                        connection.mark_last_request();
+                    } else if !connection.is_read_expired() {
+                        // An expired connection ends by what the filter returns when it is next polled.
+                        http.as_mut().graceful_shutdown();
+                    }
+                },
+                // Last, because a peer that floods the connection uses up the task's budget here.
+                () = poll_fn(|cx| read_filter.borrow_mut().poll_disconnected(cx)) => return CloseBy::Drop,
+            }
+        }
+    }
+
+    /// Answers a request.
+    async fn respond(self, request: Request<Incoming>) -> HttpResponse {
+        let outcome = match Route::of(request.method(), request.uri().path()) {
+            Route::Job => self.handle_job(request).await,
+            Route::Callback => self.handle_callback(request).await,
+            Route::Readiness => Ok(response::readiness(self.state.lifecycle.phase())),
+            Route::Metrics => Ok(response::metrics(self.state.metrics.text())),
+            Route::MethodNotAllowed { allowed } => Ok(response::method_not_allowed(allowed)),
+            Route::NotFound => Err(RequestError::NotFound),
+        };
+        let mut response = outcome.unwrap_or_else(|error| self.reject_request(&error));
+        self.connection.enter(ConnectionState::Idle);
+        if self.closes_after_response() {
+            response::set_connection_close(&mut response);
+        }
+        response
+    }
+
+    /// The response to a request that is not served; its connection is closed to free its descriptor.
+    fn reject_request(&self, error: &RequestError) -> HttpResponse {
+        self.state.metrics.add(Counter::Rejected);
+        debug!(target: SERVER, status = error.status().as_u16(), reason = %error, "request rejected");
+        let mut response = response::from_error(error);
+        response::set_connection_close(&mut response);
+        response
+    }
+
+    /// Whether the connection closes after the response that is made now.
+    fn closes_after_response(&self) -> bool {
+        let redirects = self.state.lifecycle.phase().redirects_clients() && !self.connection.is_worker();
+        redirects || self.connection.is_last_request() || self.state.intake_closed.get()
+    }
+}
+
+impl tower::Service<Request<Incoming>> for ConnectionService {
+    type Response = HttpResponse;
+    type Error = Infallible;
+    type Future = Pin<Box<dyn Future<Output = Result<HttpResponse, Infallible>>>>;
+
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn call(&mut self, request: Request<Incoming>) -> Self::Future {
+        let respond = self.clone().respond(request);
+        Box::pin(async { Ok(respond.await) })
+    }
+}
+
+/// What a request asks for.
+enum Route {
+    Job,
+    Callback,
+    Readiness,
+    Metrics,
+    MethodNotAllowed { allowed: &'static str },
+    NotFound,
+}
+
+impl Route {
+    fn of(method: &Method, path: &str) -> Route {
+        const GET: &str = "GET";
+        const POST: &str = "POST";
+        let (route, allowed) = match path {
+            "/callback" => (Route::Callback, POST),
+            "/ready" => (Route::Readiness, GET),
+            "/metrics" => (Route::Metrics, GET),
+            _ if is_job_path(path) => (Route::Job, POST),
+            _ => return Route::NotFound,
+        };
+        if method.as_str() == allowed { route } else { Route::MethodNotAllowed { allowed } }
+    }
+}
--- /dev/null
+++ b/crates/node/src/server/shutdown.rs
@@ -0,0 +1,81 @@
+//! Ends the server: drains it until no job is open, then closes its connections.
+
+use std::time::Duration;
+
+use tokio::time::{sleep, timeout};
+
+use super::Server;
+use super::connection::{Connection, ConnectionState};
+
+/// Within this, last responses must be written and connections closed.
+pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long each connection lingers at least before the process ends.
+const MIN_FINAL_LINGER: Duration = Duration::from_millis(100);
+/// How often connections are looked through while they close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+impl Server {
+    /// Closes idle clients' connections and returns once no job is open. The intake is closed then: jobs that are read
+    /// from then on are rejected.
+    pub async fn drain(&self) {
+        loop {
+            let job_closed = self.state.job_closed.notified();
+            self.close_idle_clients();
+            if self.state.open_jobs.get() == 0 {
+                self.state.intake_closed.set(true);
+                return;
+            }
+            job_closed.await;
+        }
+    }
+
+    /// Closes clients' connections that carry no request. A request that has begun may come to its end.
+    fn close_idle_clients(&self) {
+        for connection in self.state.live_connections() {
+            let is_unused = match connection.state() {
+                ConnectionState::New => connection.is_evictable(),
+                ConnectionState::Idle => true,
+                ConnectionState::Reading | ConnectionState::Busy | ConnectionState::Lingering => false,
+            };
+            if is_unused && !connection.is_worker() {
+                connection.close_gracefully();
+            }
+        }
+    }
+
+    /// Closes all connections, those that are still accepted among them, once their responses are written.
+    pub async fn close(&self) {
+        let all_closed = async {
+            loop {
+                for connection in self.state.live_connections() {
+                    if !is_lingering(&connection) && !may_bring_request(&connection) {
+                        connection.close_gracefully();
+                    }
+                }
+                // Connections that wait at the listener are accepted meanwhile.
+                sleep(CLOSE_CHECK_INTERVAL).await;
+                if self.state.live_connections().iter().all(|connection| has_lingered(connection)) {
+                    return;
+                }
+            }
+        };
+        // A peer that reads nothing must not keep the process from ending.
+        let _ = timeout(CLOSE_TIMEOUT, all_closed).await;
+    }
+}
+
+fn is_lingering(connection: &Connection) -> bool {
+    connection.state() == ConnectionState::Lingering
+}
+
+/// Whether a request is or may be under way on a connection: it is rejected once it is whole, but would be lost if the
+/// connection closed without a response.
+fn may_bring_request(connection: &Connection) -> bool {
+    matches!(connection.state(), ConnectionState::New | ConnectionState::Reading)
+        && !connection.is_evictable()
+}
+
+/// Whether a connection has lingered long enough for the process to end.
+fn has_lingered(connection: &Connection) -> bool {
+    is_lingering(connection) && connection.state_since().elapsed() >= MIN_FINAL_LINGER
+}
