--- /dev/null
+++ b/crates/core/src/state/load.rs
@@ -0,0 +1,71 @@
+//! Load of this node: the demand of its clients, and the capacity of its workers.
+
+use super::estimators::DecayingSum;
+use super::job::Job;
+use crate::Micros;
+
+/// Time constant over which demand is summed up, in seconds.
+pub(crate) const DEMAND_SPAN_S: f64 = 10.0;
+
+/// Work that was submitted and shed lately, in seconds at speed 1.
+pub(crate) struct Demand {
+    /// All work that was admitted, retries of clients too.
+    submitted: DecayingSum,
+    /// Of that, first submissions within their quotas.
+    within_quota: DecayingSum,
+    /// Of that, what was shed.
+    shed: DecayingSum,
+    /// When the first job was admitted.
+    pub first_at: Micros,
+}
+
+impl Default for Demand {
+    fn default() -> Self {
+        let none = DecayingSum::default();
+        Demand { submitted: none, within_quota: none, shed: none, first_at: Micros::MAX }
+    }
+}
+
+impl Demand {
+    /// A job was admitted.
+    pub fn record_submitted(&mut self, now: Micros, job: &Job) {
+        self.first_at = self.first_at.min(now);
+        self.submitted.add(now, job.load(), DEMAND_SPAN_S);
+        if job.is_first_submission && !job.over_quota {
+            self.within_quota.add(now, job.load(), DEMAND_SPAN_S);
+        }
+    }
+
+    /// Records a job that was given up for lack of capacity.
+    pub fn record_shed(&mut self, now: Micros, job: &Job) {
+        if job.is_first_submission && !job.over_quota {
+            self.shed.add(now, job.load(), DEMAND_SPAN_S);
+        }
+    }
+
+    /// Work admitted lately.
+    pub fn submitted(&self, now: Micros) -> f64 {
+        self.submitted.get(now, DEMAND_SPAN_S)
+    }
+
+    /// Share of the work within quotas that was shed lately.
+    pub fn shed_share(&self, now: Micros) -> f64 {
+        self.shed.get(now, DEMAND_SPAN_S) / self.within_quota.get(now, DEMAND_SPAN_S).max(1e-9)
+    }
+}
+
+/// The capacity of the subset's workers, as estimated last.
+pub(crate) struct Capacity {
+    /// Share of the workers that have a slot free or about to be.
+    pub free_share: f64,
+    /// Share of the workers that is reserved for jobs of high weight.
+    pub reserved_share: f64,
+    /// Shortest wait for one slot at any worker, in seconds.
+    pub shortest_wait: f64,
+}
+
+impl Default for Capacity {
+    fn default() -> Self {
+        Capacity { free_share: 1.0, reserved_share: 0.0, shortest_wait: 0.0 }
+    }
+}
--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -26,7 +26,7 @@
 }
 
 /// A worker's report on a job.
-pub struct Callback {
+pub struct CallbackReport {
     /// X-Request-Id of the job.
     pub request_id: String,
     /// Name of the worker, as in the endpoint list.
@@ -35,15 +35,12 @@
     pub state: CallbackState,
 }
 
-/// The JSON form of a callback.
-///
-/// Error texts of serde name the type; they are part of the 400 answer, so `expecting` keeps them as they are.
+/// The JSON form of a callback. serde's errors name this type, and they are part of the 400 answer.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Callback")]
-struct CallbackBody<'a> {
+struct Callback<'a> {
     id: String,
     from: String,
-    state: StateField,
+    state: State,
     share: Option<f64>,
     #[serde(borrow)]
     result: Option<&'a RawValue>,
@@ -51,8 +48,8 @@
 
 /// The states that a callback can name.
 #[derive(Deserialize)]
-#[serde(rename_all = "lowercase", expecting = "enum State")]
-enum StateField {
+#[serde(rename_all = "lowercase")]
+enum State {
     Started,
     Running,
     Done,
@@ -61,19 +58,19 @@
     Lost,
 }
 
-impl Callback {
+impl CallbackReport {
     /// Parses the body of a callback. A result without escapes shares the memory of the body.
-    pub fn parse(body: &Bytes) -> Result<Callback, CallbackError> {
-        let fields: CallbackBody = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
+    pub fn parse(body: &Bytes) -> Result<CallbackReport, CallbackError> {
+        let fields: Callback = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
         let state = match fields.state {
-            StateField::Started => CallbackState::Started,
-            StateField::Running => CallbackState::Running(parse_share(fields.share)?),
-            StateField::Done => CallbackState::Done(parse_result(body, fields.result)?),
-            StateField::Failed => CallbackState::Failed,
-            StateField::Returned => CallbackState::Returned,
-            StateField::Lost => CallbackState::Lost,
+            State::Started => CallbackState::Started,
+            State::Running => CallbackState::Running(parse_share(fields.share)?),
+            State::Done => CallbackState::Done(parse_result(body, fields.result)?),
+            State::Failed => CallbackState::Failed,
+            State::Returned => CallbackState::Returned,
+            State::Lost => CallbackState::Lost,
         };
-        Ok(Callback { request_id: fields.id, worker_name: fields.from, state })
+        Ok(CallbackReport { request_id: fields.id, worker_name: fields.from, state })
     }
 }
 
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -2,13 +2,13 @@
 //! where that may hold the job.
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{CallbackRoute, route};
+use curlewusher_control::takeover::{CallbackRoute, route_callback};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use tokio::sync::oneshot;
 
 use super::Server;
-use super::callback::Callback;
+use super::callback::CallbackReport;
 use super::error::RequestError;
 use super::request_body::read_body;
 use super::response::{self, HttpResponse};
@@ -34,8 +34,8 @@
     ) -> Result<HttpResponse, RequestError> {
         self.connection.mark_as_worker();
         let body = read_body(request.into_body(), &self.connection).await?;
-        let callback = Callback::parse(&body)?;
-        if self.deliver_callback(callback, &body).await? {
+        let report = CallbackReport::parse(&body)?;
+        if self.deliver_callback(report, &body).await? {
             Ok(response::with_status(StatusCode::NO_CONTENT, ""))
         } else {
             Ok(response::with_status(StatusCode::SERVICE_UNAVAILABLE, "not heard; say it again\n"))
@@ -44,20 +44,20 @@
 
     /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process of this
     /// node. Whether it was delivered, or no process holds its job.
-    async fn deliver_callback(&self, callback: Callback, body: &Bytes) -> Result<bool, RequestError> {
+    async fn deliver_callback(&self, report: CallbackReport, body: &Bytes) -> Result<bool, RequestError> {
         let peer = &self.state.peer;
         let link = peer.link();
         let may_have_unknown_peer = peer.may_have_unknown_peer();
         let owner = if link.is_some() || may_have_unknown_peer {
             let (owner_sender, owner) = oneshot::channel();
-            self.send_to_dispatch(callback, Some(owner_sender)).await?;
+            self.send_to_dispatch(report, Some(owner_sender)).await?;
             owner.await.unwrap_or(JobOwner::Local)
         } else {
-            self.send_to_dispatch(callback, None).await?;
+            self.send_to_dispatch(report, None).await?;
             JobOwner::Local
         };
         let is_linked = link.as_ref().is_some_and(PeerLink::is_connected);
-        Ok(match (owner, route(owner == JobOwner::Local, is_linked), link) {
+        Ok(match (owner, route_callback(owner == JobOwner::Local, is_linked), link) {
             (JobOwner::Migrating, ..) => false,
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
@@ -70,10 +70,10 @@
 
     async fn send_to_dispatch(
         &self,
-        callback: Callback,
+        report: CallbackReport,
         owner_sender: Option<oneshot::Sender<JobOwner>>,
     ) -> Result<(), RequestError> {
-        let message = dispatch_message(callback, owner_sender);
+        let message = dispatch_message(report, owner_sender);
         self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
     }
 
@@ -91,9 +91,9 @@
 /// Delivers a callback that the other process does not hold the job of. Whether its job is open here; None while that
 /// is about to change.
 async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<bool> {
-    let Ok(callback) = Callback::parse(body) else { return Some(false) };
+    let Ok(report) = CallbackReport::parse(body) else { return Some(false) };
     let (owner_sender, owner) = oneshot::channel();
-    state.queue.send(dispatch_message(callback, Some(owner_sender))).await.ok()?;
+    state.queue.send(dispatch_message(report, Some(owner_sender))).await.ok()?;
     match owner.await.ok()? {
         JobOwner::Local => Some(true),
         JobOwner::Unknown => Some(false),
@@ -102,13 +102,13 @@
 }
 
 fn dispatch_message<P>(
-    callback: Callback,
+    report: CallbackReport,
     owner_sender: Option<oneshot::Sender<JobOwner>>,
 ) -> DispatchMessage<P> {
     DispatchMessage::Callback {
-        id: callback.request_id,
-        worker: callback.worker_name,
-        state: callback.state,
+        id: report.request_id,
+        worker: report.worker_name,
+        state: report.state,
         owner: owner_sender,
     }
 }
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -8,7 +8,6 @@
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use tracing::warn;
@@ -17,6 +16,7 @@
 use super::connection::{Connection, ConnectionState, WRITE_TIMEOUT};
 use super::service::ConnectionService;
 use super::state::ServerState;
+use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::SERVER;
 use crate::telemetry::metrics::Counter;
 
@@ -95,7 +95,7 @@
 }
 
 /// Waits for a connection of the budget; it is free again once the permit is dropped.
-async fn acquire_connection(state: &ServerState) -> Option<OwnedSemaphorePermit> {
+async fn acquire_connection(state: &ServerState) -> Option<ConnectionPermit> {
     // All connections may be busy now and idle later: evicting once is not enough.
     loop {
         if state.connection_budget.free() <= SPARE_CONNECTIONS {
@@ -108,7 +108,7 @@
 }
 
 /// Serves a connection in a task of its own.
-fn spawn_connection(state: &Rc<ServerState>, stream: TcpStream, permit: Option<OwnedSemaphorePermit>) {
+fn spawn_connection(state: &Rc<ServerState>, stream: TcpStream, permit: Option<ConnectionPermit>) {
     // It is registered here, not when its task first runs: a burst is accepted before that, and would exhaust the
     // budget with connections that cannot be evicted.
     let connection = Rc::new(Connection::new());
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -32,7 +32,7 @@
         migration: migration.clone(),
         method: payload.method.to_string(),
         path: payload.path.to_string(),
-        idempotency_key: header_to_text(payload.key.as_ref())?,
+        idempotency_key: header_to_text(payload.idempotency_key.as_ref())?,
         content_type: header_to_text(payload.content_type.as_ref())?,
     };
     let record = serde_json::to_vec(&record).ok()?;
@@ -54,8 +54,8 @@
     let payload = RequestPayload {
         method: record.method.parse().ok()?,
         path: record.path.parse().ok()?,
-        id: HeaderValue::from_str(record.migration.id()).ok()?,
-        key: text_to_header(record.idempotency_key)?,
+        request_id: HeaderValue::from_str(record.migration.id()).ok()?,
+        idempotency_key: text_to_header(record.idempotency_key)?,
         content_type: text_to_header(record.content_type)?,
         body: rest,
     };
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -177,8 +177,8 @@
         RequestPayload {
             method: self.method,
             path: self.path.into(),
-            id: self.request_id,
-            key: self.idempotency_key,
+            request_id: self.request_id,
+            idempotency_key: self.idempotency_key,
             content_type: self.content_type,
             body,
         }
