--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -38,7 +38,7 @@
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
-use crate::server::{Server, ServerLimits};
+use crate::server::{Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient};
@@ -115,17 +115,16 @@
     }
 
     fn create_server(&self, site: &Site) -> Server {
-        let limits =
-            ServerLimits { room: self.descriptors.client_connections(), tuning: self.server_options.clone() };
-        Server::new(
-            self.dispatch_queue.clone(),
-            self.clock,
+        Server::new(ServerParts {
+            queue: self.dispatch_queue.clone(),
+            clock: self.clock,
             site,
-            self.lifecycle.clone(),
-            self.metrics.clone(),
-            self.peer.clone(),
-            limits,
-        )
+            lifecycle: self.lifecycle.clone(),
+            metrics: self.metrics.clone(),
+            peer: self.peer.clone(),
+            connection_budget: self.descriptors.client_connections(),
+            options: self.server_options.clone(),
+        })
     }
 }
 
