--- /dev/null
+++ b/crates/node/src/upstream/attempt.rs
@@ -0,0 +1,170 @@
+//! One attempt of a job at one worker: send it, report what became of it, and cancel it where it may have
+//! arrived and is not wanted any more.
+//!
+//! | outcome of the exchange | cancelled at the worker | reported as |
+//! | --- | --- | --- |
+//! | 202 | if the dispatch task asks for it | `AttemptAccepted`, and `AttemptCancelled` once cancelled |
+//! | 503 or 504 with `X-Not-Run: 1` | no | ended: rejected |
+//! | any other 4xx or 5xx | no | ended: error |
+//! | any other status | yes | ended: error |
+//! | malformed response | yes | ended: lost |
+//! | refused, unreachable | no | ended: unreachable |
+//! | connection lost, timed out | no | ended: lost |
+//! | send permit invalid | no | ended: not sent |
+//! | cancelled by the dispatch task | if a byte was written | `AttemptCancelled` |
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_core::Outcome;
+use hyper::StatusCode;
+use tokio::time::Instant;
+
+use crate::dispatch::{AttemptId, AttemptRequest, DispatchMessage, DispatchQueue};
+use crate::upstream::cancel_signal::CancelSignal;
+use crate::upstream::cancellation::{AttemptConnection, CancellationTarget, Canceller};
+use crate::upstream::exchange::{Exchange, ExchangeOutcome};
+use crate::upstream::in_flight::InFlightCounter;
+use crate::upstream::payload::RequestPayload;
+use crate::upstream::pool::ConnectionPool;
+
+/// How long the response is waited for after the end of an attempt, to keep its connection.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2000);
+
+/// Makes attempts and reports on them to the dispatch task.
+pub struct AttemptRunner {
+    /// The queue of the dispatch task.
+    pub queue: DispatchQueue<RequestPayload>,
+    /// The connections to workers.
+    pub pool: Rc<ConnectionPool>,
+    /// Cancels jobs at workers.
+    pub canceller: Canceller,
+    /// Attempts and cancellations in flight.
+    pub in_flight: InFlightCounter,
+}
+
+/// An attempt whose request was handed to the transport.
+struct Attempt {
+    id: AttemptId,
+    request_id: Rc<str>,
+    address: SocketAddr,
+    deadline: Instant,
+}
+
+impl AttemptRunner {
+    /// Makes an attempt.
+    pub async fn run(&self, request: AttemptRequest<RequestPayload>) {
+        let _in_flight = self.in_flight.enter();
+        let AttemptRequest { key: id, id: request_id, to: address, payload, wait, give_up, send_permit } =
+            request;
+        let attempt = Attempt { id, request_id, address, deadline: Instant::now() + wait };
+        let mut cancel = CancelSignal::from(give_up);
+        let outcome = match payload.to_request(address, wait) {
+            Ok(request) => {
+                let exchange = Exchange {
+                    address,
+                    request,
+                    send_permit: &send_permit,
+                    cancel: &mut cancel,
+                    response_timeout: wait + LATE_RESPONSE_TIMEOUT,
+                };
+                exchange.run(&self.pool).await
+            }
+            Err(_) => ExchangeOutcome::Unreachable,
+        };
+        self.conclude(&attempt, outcome, cancel).await;
+    }
+
+    /// Takes over an attempt that a worker has accepted from another process of this node: waits whether it
+    /// is to be cancelled.
+    pub async fn resume(&self, request: AttemptRequest<RequestPayload>) {
+        let AttemptRequest { key: id, id: request_id, to: address, wait, give_up, .. } = request;
+        if give_up.await.is_ok() {
+            let _in_flight = self.in_flight.enter();
+            let attempt = Attempt { id, request_id, address, deadline: Instant::now() + wait };
+            self.cancel_and_report(&attempt, AttemptConnection::Other).await;
+        }
+    }
+
+    /// Goes on with a cancellation that another process of this node could not complete.
+    pub async fn adopt_cancellation(&self, target: CancellationTarget) {
+        let _in_flight = self.in_flight.enter();
+        self.canceller.adopt(target).await;
+    }
+
+    async fn conclude(&self, attempt: &Attempt, outcome: ExchangeOutcome, cancel: CancelSignal) {
+        let outcome = match outcome {
+            ExchangeOutcome::Response { status: StatusCode::ACCEPTED, .. } => {
+                return self.follow_accepted(attempt, cancel).await;
+            }
+            ExchangeOutcome::Response {
+                status: StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT,
+                not_run: true,
+            } => Outcome::Rejected,
+            ExchangeOutcome::Response { status, .. } => {
+                // No worker responds like this to a job, but it may have accepted it nevertheless.
+                if !status.is_client_error() && !status.is_server_error() {
+                    self.cancel(attempt, AttemptConnection::Other).await;
+                }
+                Outcome::Error
+            }
+            ExchangeOutcome::MalformedResponse => {
+                self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
+                Outcome::Lost
+            }
+            ExchangeOutcome::Refused | ExchangeOutcome::Unreachable => {
+                self.discard_connections(attempt);
+                Outcome::Unreachable
+            }
+            ExchangeOutcome::ConnectionLost | ExchangeOutcome::TimedOut { .. } => {
+                self.discard_connections(attempt);
+                Outcome::Lost
+            }
+            ExchangeOutcome::PermitInvalid => Outcome::NotSent,
+            ExchangeOutcome::Cancelled { request_written } => {
+                return self.conclude_cancelled(attempt, request_written).await;
+            }
+        };
+        self.report(DispatchMessage::AttemptEnded(attempt.id, outcome)).await;
+    }
+
+    /// Reports that the worker has accepted the job, and waits whether it is to be cancelled.
+    async fn follow_accepted(&self, attempt: &Attempt, cancel: CancelSignal) {
+        self.report(DispatchMessage::AttemptAccepted(attempt.id)).await;
+        if cancel.received_before_close().await {
+            self.cancel_and_report(attempt, AttemptConnection::Other).await;
+        }
+    }
+
+    async fn conclude_cancelled(&self, attempt: &Attempt, request_written: bool) {
+        // Where nothing was written the worker is not to blame: the client has disconnected.
+        if request_written {
+            self.discard_connections(attempt);
+            self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
+        }
+        self.report(DispatchMessage::AttemptCancelled(attempt.id)).await;
+    }
+
+    async fn cancel_and_report(&self, attempt: &Attempt, connection: AttemptConnection) {
+        self.cancel(attempt, connection).await;
+        self.report(DispatchMessage::AttemptCancelled(attempt.id)).await;
+    }
+
+    async fn cancel(&self, attempt: &Attempt, connection: AttemptConnection) {
+        let target =
+            CancellationTarget { address: attempt.address, request_id: attempt.request_id.to_string() };
+        self.canceller.cancel_before(attempt.deadline, target, connection).await;
+    }
+
+    /// Other connections to a worker that has died or stopped responding would only cost the next attempt its
+    /// time.
+    fn discard_connections(&self, attempt: &Attempt) {
+        self.pool.discard_connections(attempt.address);
+    }
+
+    async fn report(&self, message: DispatchMessage<RequestPayload>) {
+        // The dispatch task ends last; without it nobody is left to report to.
+        let _ = self.queue.send(message).await;
+    }
+}
--- /dev/null
+++ b/crates/node/src/upstream/cancellation.rs
@@ -0,0 +1,177 @@
+//! Cancels jobs at workers: a `DELETE`, repeated until the worker has acknowledged it.
+//!
+//! A worker that has not acknowledged a cancellation goes on with the job, and another attempt beside it
+//! would run the job twice. So the dispatch task learns that an attempt is cancelled only once that is
+//! acknowledged, or once the attempt has no time left. A process that shuts down hands the cancellations over
+//! that are not acknowledged yet.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use curlewusher_settings::operator::UpstreamOptions;
+use http_body_util::Full;
+use hyper::Request;
+use hyper::header::HOST;
+use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tracing::debug;
+
+use crate::telemetry::logging::UPSTREAM;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::cancel_signal::CancelSignal;
+use crate::upstream::exchange::{Exchange, ExchangeOutcome};
+use crate::upstream::payload::UpstreamRequest;
+use crate::upstream::pool::ConnectionPool;
+use crate::upstream::send_permit::SendPermit;
+
+/// The first pause before a cancellation that was not acknowledged is sent again, doubled each time up to
+/// [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// How long a cancellation of another process of this node is repeated. The worker may be gone for good, and
+/// no job of this process bounds it.
+const ADOPTED_CANCELLATION_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A job to be cancelled at a worker.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CancellationTarget {
+    /// The worker.
+    pub address: SocketAddr,
+    /// The client's id of the job.
+    pub request_id: String,
+}
+
+/// What became of the connection on which the attempt to be cancelled was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptConnection {
+    /// It was closed before a response, which cancels the attempt as well where the worker sees it. A network
+    /// that is cut does not carry the closing. A connection that is established or refused after that shows
+    /// that the network carries it: then a worker that still does not respond hangs, with the closing and the
+    /// cancellation in its queue.
+    ClosedBeforeResponse,
+    /// It brought a response, or nothing is known of it.
+    Other,
+}
+
+/// Cancels jobs at workers.
+pub struct Canceller {
+    pool: Rc<ConnectionPool>,
+    metrics: Metrics,
+    options: Rc<Cell<UpstreamOptions>>,
+    /// Cancellations that are under way and not acknowledged.
+    unacknowledged: RefCell<Vec<CancellationTarget>>,
+}
+
+impl Canceller {
+    /// A canceller that sends over the connections of `pool`.
+    pub fn new(pool: Rc<ConnectionPool>, metrics: Metrics, options: Rc<Cell<UpstreamOptions>>) -> Self {
+        Canceller { pool, metrics, options, unacknowledged: RefCell::default() }
+    }
+
+    /// The cancellations that no worker has acknowledged yet.
+    pub fn unacknowledged(&self) -> Vec<CancellationTarget> {
+        self.unacknowledged.borrow().clone()
+    }
+
+    /// Cancels a job that the worker may have, until that is acknowledged or `deadline` has passed. It is
+    /// sent once also where the deadline has passed already.
+    pub async fn cancel_before(
+        &self,
+        deadline: Instant,
+        target: CancellationTarget,
+        connection: AttemptConnection,
+    ) {
+        let deadline = deadline.max(Instant::now() + self.response_timeout());
+        if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection)).await.is_err() {
+            let CancellationTarget { address, request_id } = target;
+            debug!(target: UPSTREAM, %request_id, %address, "cancellation not acknowledged before the deadline");
+        }
+    }
+
+    /// Goes on with a cancellation that another process of this node could not complete.
+    pub async fn adopt(&self, target: CancellationTarget) {
+        let cancellation = self.cancel_until_acknowledged(&target, AttemptConnection::Other);
+        // Nothing else can be done for it after that.
+        let _ = timeout(ADOPTED_CANCELLATION_TIMEOUT, cancellation).await;
+    }
+
+    /// Returns once the worker has acknowledged that the job is cancelled.
+    async fn cancel_until_acknowledged(&self, target: &CancellationTarget, connection: AttemptConnection) {
+        let CancellationTarget { address, request_id } = target;
+        // A cancellation may be sent at any time.
+        let send_permit = Rc::<SendPermit>::default();
+        let _unacknowledged = UnacknowledgedGuard::new(&self.unacknowledged, target);
+        let mut delay = INITIAL_RETRY_DELAY;
+        loop {
+            if is_acknowledged(&self.send(target, &send_permit).await, connection) {
+                return;
+            }
+            self.metrics.add(Counter::WithdrawalsUnheard);
+            debug!(target: UPSTREAM, %request_id, %address, "cancellation not acknowledged");
+            sleep(delay).await;
+            delay = (2 * delay).min(MAX_RETRY_DELAY);
+        }
+    }
+
+    async fn send(&self, target: &CancellationTarget, send_permit: &Rc<SendPermit>) -> ExchangeOutcome {
+        let response_timeout = self.response_timeout();
+        let Ok(request) = target.to_request() else { return ExchangeOutcome::Unreachable };
+        let cancel = &mut CancelSignal::never();
+        let exchange = Exchange { address: target.address, request, send_permit, cancel, response_timeout };
+        exchange.run(&self.pool).await
+    }
+
+    fn response_timeout(&self) -> Duration {
+        self.options.get().withdrawal_ms.millis()
+    }
+}
+
+impl CancellationTarget {
+    fn to_request(&self) -> Result<UpstreamRequest, hyper::http::Error> {
+        Request::delete(format!("/jobs/{}", self.request_id))
+            .header(HOST, self.address.to_string())
+            .body(Full::new(Bytes::new()))
+    }
+}
+
+/// Whether the worker does not run the job any more, or cannot be made to stop it by further cancellations.
+fn is_acknowledged(outcome: &ExchangeOutcome, connection: AttemptConnection) -> bool {
+    let closed = connection == AttemptConnection::ClosedBeforeResponse;
+    match outcome {
+        ExchangeOutcome::Response { .. } => true,
+        // By itself a refusal says nothing of a job that was accepted: a worker that holds as many
+        // connections as it may refuses others. But it came over a network that carries the closing as well.
+        ExchangeOutcome::Refused => closed,
+        ExchangeOutcome::TimedOut { on_new_connection } => closed && *on_new_connection,
+        ExchangeOutcome::Unreachable
+        | ExchangeOutcome::PermitInvalid
+        | ExchangeOutcome::ConnectionLost
+        | ExchangeOutcome::MalformedResponse
+        | ExchangeOutcome::Cancelled { .. } => false,
+    }
+}
+
+/// Lists a cancellation as not acknowledged. Dropping it removes the entry, also where the cancellation was
+/// abandoned at its deadline: one that this process has abandoned is not handed over to another.
+struct UnacknowledgedGuard<'a> {
+    list: &'a RefCell<Vec<CancellationTarget>>,
+    target: &'a CancellationTarget,
+}
+
+impl<'a> UnacknowledgedGuard<'a> {
+    fn new(list: &'a RefCell<Vec<CancellationTarget>>, target: &'a CancellationTarget) -> Self {
+        list.borrow_mut().push(target.clone());
+        UnacknowledgedGuard { list, target }
+    }
+}
+
+impl Drop for UnacknowledgedGuard<'_> {
+    fn drop(&mut self) {
+        let mut list = self.list.borrow_mut();
+        if let Some(index) = list.iter().position(|other| other == self.target) {
+            list.swap_remove(index);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/upstream/exchange.rs
@@ -0,0 +1,190 @@
+//! One request to a worker and its response, over a pooled connection.
+//!
+//! A request is sent once. Only where its connection closed before a byte of it was written is it sent on
+//! another connection. Where it may have arrived without a response, the outcome says so, and the caller
+//! decides what that means.
+
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hyper::body::Incoming;
+use hyper::header::HeaderName;
+use hyper::{Response, StatusCode};
+use tokio::time::timeout;
+
+use crate::upstream::cancel_signal::CancelSignal;
+use crate::upstream::payload::UpstreamRequest;
+use crate::upstream::pool::ConnectionPool;
+use crate::upstream::pool::connection::{ConnectError, Connection, RequestError};
+use crate::upstream::send_permit::SendPermit;
+
+/// In a rejection: `1` where the worker has not run the job and never will.
+const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
+
+/// How long a response is waited for after the attempt was cancelled. It may be under way, and with it the
+/// connection can be kept.
+const RESPONSE_GRACE_AFTER_CANCEL: Duration = Duration::from_millis(20);
+
+/// A request to be sent.
+pub struct Exchange<'a> {
+    /// The worker.
+    pub address: SocketAddr,
+    /// The request.
+    pub request: UpstreamRequest,
+    /// Checked once there is a connection, which is kept where the permit is no longer valid, and once more
+    /// by the socket before the first byte.
+    pub send_permit: &'a Rc<SendPermit>,
+    /// Ends the exchange early.
+    pub cancel: &'a mut CancelSignal,
+    /// How long the response is waited for once there is a connection.
+    pub response_timeout: Duration,
+}
+
+/// How an exchange ended.
+pub enum ExchangeOutcome {
+    /// A response, whose connection goes back to the pool.
+    Response {
+        /// Its status.
+        status: StatusCode,
+        /// Whether it says that the job was not run.
+        not_run: bool,
+    },
+    /// The worker refused the connection.
+    Refused,
+    /// There was no connection, and nothing was sent.
+    Unreachable,
+    /// The send permit became invalid before a byte was written.
+    PermitInvalid,
+    /// The connection broke without a response; the request may have arrived.
+    ConnectionLost,
+    /// What came is no HTTP response; the connection was closed.
+    MalformedResponse,
+    /// No response in time; the connection was closed.
+    TimedOut {
+        /// Whether the connection was dialled for this request.
+        on_new_connection: bool,
+    },
+    /// Cancelled before a response; the connection was closed if there was one.
+    Cancelled {
+        /// Whether a byte of the request was written, so that it may have arrived.
+        request_written: bool,
+    },
+}
+
+/// How a request on one connection ended.
+enum SendOutcome {
+    Response(Response<Incoming>),
+    Failed(RequestError),
+    TimedOut,
+    Cancelled,
+}
+
+impl Exchange<'_> {
+    /// Sends the request and waits for its response.
+    pub async fn run(mut self, pool: &Rc<ConnectionPool>) -> ExchangeOutcome {
+        loop {
+            if let Some(outcome) = self.try_once(pool).await {
+                return outcome;
+            }
+        }
+    }
+
+    /// `None` where a reused connection had closed and nothing was written, so that the request may be sent on another.
+    async fn try_once(&mut self, pool: &Rc<ConnectionPool>) -> Option<ExchangeOutcome> {
+        let mut connection = match self.obtain_connection(pool).await {
+            Ok(connection) => connection,
+            Err(outcome) => return Some(outcome),
+        };
+        let is_new = !connection.is_reused();
+        let traffic = connection.traffic();
+        match self.send(&mut connection).await {
+            SendOutcome::Response(response) => {
+                Some(keep_connection(pool, self.address, connection, response))
+            }
+            SendOutcome::TimedOut => {
+                connection.close().await;
+                Some(ExchangeOutcome::TimedOut { on_new_connection: is_new })
+            }
+            SendOutcome::Cancelled => {
+                connection.close().await;
+                Some(ExchangeOutcome::Cancelled { request_written: traffic.request_written() })
+            }
+            SendOutcome::Failed(error) => {
+                connection.close().await;
+                if error.is_malformed_response(&traffic) {
+                    pool.record_malformed_response(self.address, &error.to_string());
+                }
+                self.classify_failure(&error, is_new)
+            }
+        }
+    }
+
+    async fn obtain_connection(&mut self, pool: &ConnectionPool) -> Result<Connection, ExchangeOutcome> {
+        tokio::select! {
+            biased;
+            () = self.cancel.received() => Err(ExchangeOutcome::Cancelled { request_written: false }),
+            // Ends a dial that is under way, which frees its connection budget.
+            () = self.send_permit.invalidated() => Err(ExchangeOutcome::PermitInvalid),
+            connection = pool.obtain(self.address) => connection.map_err(|error| match error {
+                ConnectError::Refused(_) => ExchangeOutcome::Refused,
+                ConnectError::Unreachable(_) => ExchangeOutcome::Unreachable,
+            }),
+        }
+    }
+
+    async fn send(&mut self, connection: &mut Connection) -> SendOutcome {
+        let traffic = connection.traffic();
+        let response = connection.send(self.request.clone(), self.send_permit.clone());
+        let mut response = pin!(timeout(self.response_timeout, response));
+        let result = tokio::select! {
+            biased;
+            () = self.cancel.received() => {
+                // What has not been written by now never is.
+                if !traffic.request_written() {
+                    return SendOutcome::Cancelled;
+                }
+                match timeout(RESPONSE_GRACE_AFTER_CANCEL, response.as_mut()).await {
+                    Ok(result) => result,
+                    Err(_) => return SendOutcome::Cancelled,
+                }
+            }
+            result = response.as_mut() => result,
+        };
+        match result {
+            Ok(Ok(response)) => SendOutcome::Response(response),
+            Ok(Err(error)) => SendOutcome::Failed(error),
+            Err(_) => SendOutcome::TimedOut,
+        }
+    }
+
+    fn classify_failure(&self, error: &RequestError, on_new_connection: bool) -> Option<ExchangeOutcome> {
+        match error {
+            RequestError::NothingWritten(_) if self.cancel.is_received() => {
+                Some(ExchangeOutcome::Cancelled { request_written: false })
+            }
+            RequestError::NothingWritten(_) if !self.send_permit.is_valid() => {
+                Some(ExchangeOutcome::PermitInvalid)
+            }
+            RequestError::NothingWritten(_) if on_new_connection => Some(ExchangeOutcome::Unreachable),
+            RequestError::NothingWritten(_) => None,
+            RequestError::ConnectionLost(_) => Some(ExchangeOutcome::ConnectionLost),
+            RequestError::MalformedResponse(_) => Some(ExchangeOutcome::MalformedResponse),
+        }
+    }
+}
+
+/// Reads the rest of the response in a task of its own, which returns the connection to the pool.
+fn keep_connection(
+    pool: &Rc<ConnectionPool>,
+    address: SocketAddr,
+    connection: Connection,
+    response: Response<Incoming>,
+) -> ExchangeOutcome {
+    let status = response.status();
+    let not_run = response.headers().get(X_NOT_RUN).is_some_and(|value| value == "1");
+    let pool = pool.clone();
+    tokio::task::spawn_local(async move { pool.recycle(address, connection, response).await });
+    ExchangeOutcome::Response { status, not_run }
+}
--- /dev/null
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -0,0 +1,247 @@
+//! The pool of connections to workers: dials them, keeps those that are idle, and bounds their number.
+//!
+//! A connection goes through these states:
+//!
+//! | state | held by | left by |
+//! | --- | --- | --- |
+//! | dialled | [`ConnectionPool::obtain`] | success: in use; failure: closed |
+//! | in use | the caller | [`ConnectionPool::recycle`]: idle, if its response has ended well and its worker's connections were not discarded; else closed |
+//! | idle | [`IdleConnections`] | `obtain`: reserved; expiry, discarding, or need of its budget: closed |
+//! | reserved | [`ReservedConnection`], up to the end of [`COOL_DOWN`] | in use; idle again, if the caller does not wait any longer |
+//!
+//! The pool knows nothing of jobs.
+
+pub mod connection;
+mod epoch;
+mod idle;
+mod socket;
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_settings::operator::UpstreamOptions;
+use http_body_util::{BodyExt, Limited};
+use hyper::Response;
+use hyper::body::Incoming;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+use tracing::{debug, trace};
+
+use crate::connection_budget::ConnectionBudget;
+use crate::telemetry::logging::UPSTREAM;
+use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
+use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::idle::IdleConnections;
+
+/// Upper bound of the body of a worker's response, in bytes. Longer ones count as malformed.
+const MAX_RESPONSE_BODY_BYTES: usize = 64 << 10;
+/// How long the rest of a response is waited for, to keep its connection.
+const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How often idle connections are checked for expiry.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The bounds of a pool.
+pub struct PoolConfig {
+    /// How long a connection may take to be established.
+    pub connect_timeout: Duration,
+    /// After this time without a request workers close a connection.
+    pub keepalive: Duration,
+    /// The operator's options, which may change.
+    pub options: Rc<Cell<UpstreamOptions>>,
+    /// How many connections there may be.
+    pub budget: ConnectionBudget,
+}
+
+/// The connections to all workers.
+pub struct ConnectionPool {
+    metrics: Metrics,
+    config: PoolConfig,
+    idle: RefCell<HashMap<SocketAddr, IdleConnections>>,
+}
+
+impl ConnectionPool {
+    /// An empty pool.
+    pub fn new(metrics: Metrics, config: PoolConfig) -> Self {
+        ConnectionPool { metrics, config, idle: RefCell::default() }
+    }
+
+    /// A connection is used again only this soon after its last use.
+    ///
+    /// Workers may close or reset one that was idle for far less than they announce. A request that is
+    /// written to it then may or may not have arrived, which costs more than any number of new connections.
+    /// Half of the announced time is well before their closing.
+    fn max_idle(&self) -> Duration {
+        self.config.options.get().reuse_ms.millis().min(self.config.keepalive / 2)
+    }
+
+    /// Uses half of the connection budget or all of it.
+    pub fn set_budget_halved(&self, half: bool) {
+        self.config.budget.set_halved(half, || drop(self.take_any_idle()));
+    }
+
+    /// Closes the idle connections to a worker, and those in use once they have carried their request.
+    pub fn discard_connections(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
+    }
+
+    /// Closes expired connections, for ever: the worker closes them too, and a request that is written to one
+    /// in that moment would be lost.
+    pub async fn sweep_idle_connections(&self) {
+        loop {
+            sleep(SWEEP_INTERVAL).await;
+            let (now, max_idle) = (Instant::now(), self.max_idle());
+            self.idle.borrow_mut().retain(|_, idle| {
+                idle.close_expired(now, max_idle);
+                // The epoch goes on while a connection of it is in use.
+                !idle.is_unused()
+            });
+        }
+    }
+
+    /// A connection for one request: an idle one that has cooled down, or a new one. Cancel-safe: an idle
+    /// connection that was reserved is idle again.
+    pub async fn obtain(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
+        while let Some(connection) = self.take_idle(address) {
+            // Nobody else takes it meanwhile; whoever finds none idle dials.
+            let reserved = ReservedConnection { pool: self, address, connection: Some(connection) };
+            let Some(connection) = reserved.cool_down().await else { continue };
+            // The worker's connections may have been discarded meanwhile.
+            if self.is_current(address, &connection) && connection.is_usable(Instant::now(), self.max_idle())
+            {
+                return Ok(connection);
+            }
+        }
+        self.dial(address).await
+    }
+
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        self.idle.borrow_mut().get_mut(&address)?.take(Instant::now(), self.max_idle())
+    }
+
+    /// Whether a connection is of the present epoch of its worker's address.
+    fn is_current(&self, address: SocketAddr, connection: &Connection) -> bool {
+        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_epoch_of(connection))
+    }
+
+    /// Puts a connection back on which nothing was written since it was taken. Where the budget is used up
+    /// somebody may wait for its part of it, and it is closed.
+    fn put_back(&self, address: SocketAddr, connection: Connection) {
+        if self.config.budget.free() == 0 {
+            return;
+        }
+        let mut idle = self.idle.borrow_mut();
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+            idle.put_back(connection);
+        }
+    }
+
+    async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
+        self.metrics.add(Counter::Connects);
+        trace!(target: UPSTREAM, %address, "connecting");
+        let epoch = self.idle.borrow_mut().entry(address).or_default().epoch();
+        let dialled = timeout(self.config.connect_timeout, self.dial_within_budget(address, epoch)).await;
+        let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+        dialled.map_err(|error| {
+            self.metrics.add(Counter::ConnectsFailed);
+            debug!(target: UPSTREAM, %address, %error, "connection not established");
+            ConnectError::from(error)
+        })
+    }
+
+    async fn dial_within_budget(&self, address: SocketAddr, epoch: Epoch) -> io::Result<Connection> {
+        let permit = self.acquire_budget().await.ok_or(ErrorKind::Other)?;
+        Connection::dial(address, epoch, permit, self.metrics.clone()).await
+    }
+
+    /// Waits for the budget of one more connection. Where all is used, an idle connection is closed.
+    async fn acquire_budget(&self) -> Option<OwnedSemaphorePermit> {
+        if self.config.budget.free() == 0 {
+            drop(self.take_any_idle());
+        }
+        self.config.budget.acquire().await
+    }
+
+    /// Takes the oldest idle connection of some worker.
+    fn take_any_idle(&self) -> Option<Connection> {
+        self.idle.borrow_mut().values_mut().find(|idle| !idle.is_empty())?.take_oldest()
+    }
+
+    /// Reads a response to its end and keeps the connection for another request; closes it where that is not
+    /// possible.
+    pub async fn recycle(
+        &self,
+        address: SocketAddr,
+        mut connection: Connection,
+        response: Response<Incoming>,
+    ) {
+        if let Err(error) = read_to_end(response).await {
+            self.record_malformed_response(address, &error.to_string());
+            return connection.close().await;
+        }
+        if !matches!(timeout(RESPONSE_END_TIMEOUT, connection.ready()).await, Ok(Ok(()))) {
+            return;
+        }
+        let mut idle = self.idle.borrow_mut();
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+            connection.mark_idle();
+            idle.push(connection);
+        }
+    }
+
+    /// Counts a response that was none, or not whole.
+    pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
+        self.metrics.add(Counter::SpoiltAnswers);
+        debug!(target: UPSTREAM, %address, reason, "malformed response");
+    }
+}
+
+/// Why the rest of a response could not be read.
+#[derive(Debug, thiserror::Error)]
+enum ResponseEndError {
+    /// It is malformed or longer than [`MAX_RESPONSE_BODY_BYTES`].
+    #[error(transparent)]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    /// It took longer than [`RESPONSE_END_TIMEOUT`].
+    #[error("it does not end")]
+    TimedOut,
+}
+
+async fn read_to_end(response: Response<Incoming>) -> Result<(), ResponseEndError> {
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY_BYTES).collect();
+    match timeout(RESPONSE_END_TIMEOUT, body).await {
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(error)) => Err(ResponseEndError::Body(error)),
+        Err(_) => Err(ResponseEndError::TimedOut),
+    }
+}
+
+/// An idle connection that was taken for a request and waits for the end of its pause. Dropping it earlier,
+/// because the request is cancelled, leaves the connection to other requests.
+struct ReservedConnection<'a> {
+    pool: &'a ConnectionPool,
+    address: SocketAddr,
+    /// `None` once it was handed out.
+    connection: Option<Connection>,
+}
+
+impl ReservedConnection<'_> {
+    /// Waits for the end of the pause and hands the connection out.
+    async fn cool_down(mut self) -> Option<Connection> {
+        let idle_since = self.connection.as_ref()?.idle_since();
+        sleep_until(idle_since + COOL_DOWN).await;
+        self.connection.take()
+    }
+}
+
+impl Drop for ReservedConnection<'_> {
+    fn drop(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            self.pool.put_back(self.address, connection);
+        }
+    }
+}
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -1,6 +1,8 @@
-//! Owns the word on whether the first byte of a delivery attempt may still leave: who takes it back says so here,
-//! and who is about to write looks here in that same moment. It must never decide that, and never be asked of an
-//! attempt whose bytes have begun to leave.
+//! Whether the first byte of an attempt may still be sent.
+//!
+//! The party that withdraws the permit and the socket that is about to write look at the same value, in one
+//! thread, so that a permit is never withdrawn too late. It says nothing of an attempt whose first byte has
+//! been sent.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -9,74 +11,84 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Something that comes true once, and wakes those who wait for it.
+/// A flag that is raised once and wakes those who wait for that, in the order in which they began to wait.
 #[derive(Default)]
 pub struct CancelFlag {
     raised: Cell<bool>,
-    told: Notify,
+    waiters: Notify,
 }
 
 impl CancelFlag {
-    /// May be said again.
+    /// Raises the flag. Does nothing where it is raised.
     pub fn raise(&self) {
         if !self.raised.replace(true) {
-            self.told.notify_waiters();
+            self.waiters.notify_waiters();
         }
     }
 
+    /// Whether it is raised.
     pub fn is_raised(&self) -> bool {
         self.raised.get()
     }
 
-    /// Returns once it is true.
+    /// Returns once it is raised.
     pub async fn wait(&self) {
         loop {
-            // It hears what is said from here on, polled or not: nothing is lost between the look and the wait.
-            let told = self.told.notified();
+            // It is woken by each `notify_waiters` from here on, polled or not, so that none is missed
+            // between the check and the wait.
+            let notified = self.waiters.notified();
             if self.is_raised() {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 }
 
-/// Whether the first byte of one delivery attempt may still leave. The dispatch task makes it, and alone revokes it;
-/// the client's going is said by the job's sender side, past the queue, where it might stand behind a crowd.
+/// Whether the first byte of one attempt may still be sent. It ends by the first of three:
+///
+/// - the dispatch task, which alone creates and revokes permits, revokes it;
+/// - the client disconnects: the job's server task raises that flag directly, since in the queue of the dispatch task it
+///   might wait behind others;
+/// - a deadline passes.
 #[derive(Default)]
 pub struct SendPermit {
     revoked: CancelFlag,
     client_gone: Rc<CancelFlag>,
-    leave_by: Option<Instant>,
+    deadline: Option<Instant>,
 }
 
 impl SendPermit {
-    /// For an attempt of a job whose client has gone once `client_gone` says so. From `leave_by` on it holds no more.
-    pub fn new(client_gone: Rc<CancelFlag>, leave_by: Option<Instant>) -> Rc<SendPermit> {
-        Rc::new(SendPermit { revoked: CancelFlag::default(), client_gone, leave_by })
+    /// A permit that ends with `client_gone`, and at `deadline` if there is one.
+    pub fn new(client_gone: Rc<CancelFlag>, deadline: Option<Instant>) -> Rc<SendPermit> {
+        Rc::new(SendPermit { revoked: CancelFlag::default(), client_gone, deadline })
     }
 
+    /// Ends the permit.
     pub fn revoke(&self) {
         self.revoked.raise();
     }
 
+    /// Whether the first byte may be sent now.
     pub fn is_valid(&self) -> bool {
-        let over = || self.leave_by.is_some_and(|by| Instant::now() >= by);
-        !self.revoked.is_raised() && !self.client_gone.is_raised() && !over()
+        let is_expired = || self.deadline.is_some_and(|deadline| Instant::now() >= deadline);
+        !self.revoked.is_raised() && !self.client_gone.is_raised() && !is_expired()
     }
 
-    /// Returns once it holds no more.
-    pub async fn revoked(&self) {
+    /// Returns once the permit is not valid any more.
+    pub async fn invalidated(&self) {
         tokio::select! {
             biased;
             () = self.revoked.wait() => {}
             () = self.client_gone.wait() => {}
-            () = async {
-                match self.leave_by {
-                    Some(by) => sleep_until(by).await,
-                    None => pending().await,
-                }
-            } => {}
+            () = self.expired() => {}
+        }
+    }
+
+    async fn expired(&self) {
+        match self.deadline {
+            Some(deadline) => sleep_until(deadline).await,
+            None => pending().await,
         }
     }
 }
--- a/crates/node/tests/unit/send_permit.rs
+++ b/crates/node/tests/unit/send_permit.rs
@@ -22,11 +22,11 @@
             end(&send_permit, &client_gone);
             assert_eq!(send_permit.is_valid(), which == 2, "it ends in that moment");
         };
-        let (woken, ()) = tokio::join!(timeout(LONG, send_permit.revoked()), ends);
+        let (woken, ()) = tokio::join!(timeout(LONG, send_permit.invalidated()), ends);
         assert!(woken.is_ok() && !send_permit.is_valid(), "{which}");
         // Who waits only now has nothing to wait for.
-        assert!(timeout(LONG, send_permit.revoked()).await.is_ok(), "{which}");
+        assert!(timeout(LONG, send_permit.invalidated()).await.is_ok(), "{which}");
     }
     let lasting = SendPermit::default();
-    assert!(timeout(LONG, lasting.revoked()).await.is_err() && lasting.is_valid());
+    assert!(timeout(LONG, lasting.invalidated()).await.is_err() && lasting.is_valid());
 }
