--- a/crates/control/src/frame/mod.rs
+++ b/crates/control/src/frame/mod.rs
@@ -1,13 +1,13 @@
 //! Messages between two processes of one node, and how they are encoded on the link between them.
 //!
 //! A [`Frame`] is a request, a response or a notification. [`Frame::encode`] and [`Decoder`] put it behind a
-//! header with a version, a number and a checksum; neither performs I/O, and what the decoder holds is bounded
-//! whatever the other process sends.
+//! header with a version, a number and a checksum; neither performs I/O, and what the decoder holds is
+//! bounded whatever the other process sends.
 //!
 //! | number | frame | response | payload |
 //! | --- | --- | --- | --- |
-//! | 1 | [`Hello`](Frame::Hello) | `Welcome` or `Rejected` | JSON array: node, listen address |
-//! | 2 | [`Welcome`](Frame::Welcome) | | state snapshot |
+//! | 1 | [`Hello`](Frame::Hello) | `Accepted` or `Rejected` | JSON array: node, listen address |
+//! | 2 | [`Accepted`](Frame::Accepted) | | state snapshot |
 //! | 3 | [`Rejected`](Frame::Rejected) | | JSON string: the reason |
 //! | 4 | [`TakeoverRequest`](Frame::TakeoverRequest) | `TakeoverGranted` | empty |
 //! | 5 | [`TakeoverGranted`](Frame::TakeoverGranted) | | state snapshot |
