--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::io::Write as _;
 
-use curlewusher_settings::operator::Operator;
+use curlewusher_settings::operator::OperatorFile;
 use serde_json::Value;
 
 use crate::config::{Config, ConfigError, ConfigSources, VARIABLES};
@@ -67,10 +67,10 @@
     let file = sources.operator()?;
     let _ = writeln!(out, "# what the operator says");
     let (path, text) = file.as_ref().map_or(("", ""), |(path, text)| (path.as_str(), text.as_str()));
-    let operator = Operator::parse(text)
+    let operator = OperatorFile::parse(text)
         .map_err(|e| ConfigError::Operator { path: path.to_owned(), cause: e.to_string() })?;
     for (field, value) in operator.values() {
-        let source = if Operator::sets(text, field) { path } else { "default" };
+        let source = if OperatorFile::sets(text, field) { path } else { "default" };
         let _ = writeln!(out, "{} = {value}  # {source}", field.path);
     }
     Ok(())
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use curlewusher_settings::operator::Operator;
+use curlewusher_settings::operator::OperatorFile;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -88,7 +88,7 @@
     pub limits: Limits,
     pub known: EndpointListMessage,
     pub site: curlewusher_settings::Site,
-    pub operator: Operator,
+    pub operator: OperatorFile,
 }
 
 /// The variables that stand before what a field of the file says.
@@ -146,9 +146,9 @@
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let operator = match sources.operator()? {
-            None => Operator::default(),
+            None => OperatorFile::default(),
             Some((path, text)) => {
-                let read = Operator::parse(&text);
+                let read = OperatorFile::parse(&text);
                 read.map_err(|e| ConfigError::Operator { path, cause: e.to_string() })?
             }
         };
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -16,7 +16,7 @@
 
 use curlewusher_core::{Dispatcher, Micros};
 use curlewusher_settings::Site;
-use curlewusher_settings::operator::{Operator, ServerOptions, UpstreamOptions};
+use curlewusher_settings::operator::{OperatorFile, ServerOptions, UpstreamOptions};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -87,7 +87,7 @@
     fn create(
         metrics: Metrics,
         descriptors: DescriptorBudget,
-        operator: &Operator,
+        operator: &OperatorFile,
     ) -> (Self, mpsc::Receiver<DispatchMessage<RequestPayload>>) {
         let (dispatch_queue, messages) = dispatch::queue(descriptors.max_connections());
         let shared = SharedState {
@@ -301,9 +301,9 @@
     }
 }
 
-fn create_metrics(site: &Site, operator: &Operator, logging: &Logging) -> Metrics {
+fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
-        operator.metrics.answer_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
+        operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
     Metrics::new(&site.classes, &answer_bounds_s, logging.dropped())
 }
 
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -32,7 +32,7 @@
             if !intake_closed {
                 state.metrics.add(Counter::Crowded);
             }
-            return Ok(response::rejected(state.options.get().crowded_retry_ms.millis()));
+            return Ok(response::rejected(state.options.get().overload_retry_ms.millis()));
         }
         let body = body?;
         let open_job = OpenJob::new(state);
--- a/crates/node/src/telemetry/logging.rs
+++ b/crates/node/src/telemetry/logging.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-use curlewusher_settings::operator::{Log, LogFormat, LogLevel, Part};
+use curlewusher_settings::operator::{LogFormat, LogLevel, LogOptions, LogTarget};
 use tracing::level_filters::LevelFilter;
 use tracing::subscriber::Interest;
 use tracing::{Event, Metadata, Subscriber};
@@ -15,14 +15,14 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt};
 
-/// Targets of the parts that write lines; see [`Part::ALL`].
+/// Targets of the parts that write lines; see [`LogTarget::ALL`].
 pub const NODE: &str = "node";
 pub const DISPATCH: &str = "dispatch";
 pub const SERVER: &str = "sender_side";
 pub const UPSTREAM: &str = "next_hop";
 pub const DISCOVERY: &str = "transport_map";
 
-const PARTS: usize = Part::ALL.len();
+const PARTS: usize = LogTarget::ALL.len();
 
 /// Lets a part write so many lines at once, and as many again in each second.
 struct Bucket {
@@ -54,7 +54,7 @@
 }
 
 impl Gate {
-    fn new(log: &Log) -> Self {
+    fn new(log: &LogOptions) -> Self {
         let lines = log.lines_per_s.get() as f64;
         let gate = Gate {
             levels: Default::default(),
@@ -66,8 +66,8 @@
         gate
     }
 
-    fn apply(&self, log: &Log) {
-        for (level, (part, _)) in self.levels.iter().zip(Part::ALL) {
+    fn apply(&self, log: &LogOptions) {
+        for (level, (part, _)) in self.levels.iter().zip(LogTarget::ALL) {
             level.store(rank(log.level_of(part)), Ordering::Relaxed);
         }
         self.lines_per_s.store(log.lines_per_s.get(), Ordering::Relaxed);
@@ -75,7 +75,7 @@
 
     /// Lines of other crates have no part and do not pass.
     fn part(target: &str) -> Option<usize> {
-        Part::ALL.iter().position(|(_, name)| *name == target)
+        LogTarget::ALL.iter().position(|(_, name)| *name == target)
     }
 
     fn admits(&self, part: usize, now: Instant) -> bool {
@@ -127,10 +127,10 @@
 
 impl Logging {
     /// Begins to write to standard error. To be called once.
-    pub fn start(log: &Log) -> Result<Self, String> {
+    pub fn start(log: &LogOptions) -> Result<Self, String> {
         let (out, writer) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(log.waiting_lines.get() as usize)
+            .buffered_lines_limit(log.max_queued_lines.get() as usize)
             .thread_name("log")
             .finish(std::io::stderr());
         let gate = Arc::new(Gate::new(log));
@@ -147,7 +147,7 @@
     }
 
     /// Takes up the fields that count at once.
-    pub fn apply(&self, log: &Log) {
+    pub fn apply(&self, log: &LogOptions) {
         self.gate.apply(log);
         tracing::callsite::rebuild_interest_cache();
     }
@@ -178,7 +178,10 @@
 
     #[test]
     fn a_flood_of_one_part_is_bounded_counted_and_leaves_the_others_alone() {
-        let log = Log { lines_per_s: curlewusher_settings::operator::Whole::new(10), ..Log::default() };
+        let log = LogOptions {
+            lines_per_s: curlewusher_settings::operator::BoundedInteger::new(10),
+            ..LogOptions::default()
+        };
         let gate = Gate::new(&log);
         let start = Instant::now();
         let passed = |part, at| (0..100).filter(|_| gate.admits(part, at)).count();
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -124,7 +124,7 @@
     }
 
     fn response_timeout(&self) -> Duration {
-        self.options.get().withdrawal_ms.millis()
+        self.options.get().cancellation_timeout_ms.millis()
     }
 }
 
--- /dev/null
+++ b/crates/settings/src/operator/bounded_integer.rs
@@ -0,0 +1,65 @@
+//! An integer whose type holds its bounds, so that a value out of bounds is an error where the file is read.
+
+use std::fmt;
+use std::time::Duration;
+
+use serde::de::{self, Deserializer, Visitor};
+use serde::{Deserialize, Serialize};
+
+/// A whole number from `MIN` to `MAX`, both allowed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(transparent)]
+pub struct BoundedInteger<const MIN: u64, const MAX: u64>(u64);
+
+impl<const MIN: u64, const MAX: u64> BoundedInteger<MIN, MAX> {
+    /// Wraps a value.
+    ///
+    /// # Panics
+    ///
+    /// If the value is out of bounds; in a constant this is a compile error.
+    pub const fn new(value: u64) -> Self {
+        assert!(MIN <= value && value <= MAX);
+        BoundedInteger(value)
+    }
+
+    /// The value.
+    pub fn get(self) -> u64 {
+        self.0
+    }
+
+    /// The value as a duration, for a field in milliseconds.
+    pub fn millis(self) -> Duration {
+        Duration::from_millis(self.0)
+    }
+}
+
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for BoundedInteger<MIN, MAX> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_u64(BoundedIntegerVisitor)
+    }
+}
+
+struct BoundedIntegerVisitor<const MIN: u64, const MAX: u64>;
+
+impl<const MIN: u64, const MAX: u64> Visitor<'_> for BoundedIntegerVisitor<MIN, MAX> {
+    type Value = BoundedInteger<MIN, MAX>;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "a whole number from {MIN} to {MAX}")
+    }
+
+    fn visit_u64<E: de::Error>(self, value: u64) -> Result<Self::Value, E> {
+        if !(MIN..=MAX).contains(&value) {
+            return Err(E::invalid_value(de::Unexpected::Unsigned(value), &self));
+        }
+        Ok(BoundedInteger(value))
+    }
+
+    /// TOML integers are signed.
+    fn visit_i64<E: de::Error>(self, value: i64) -> Result<Self::Value, E> {
+        match u64::try_from(value) {
+            Ok(value) => self.visit_u64(value),
+            Err(_) => Err(E::invalid_value(de::Unexpected::Signed(value), &self)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/settings/src/operator/options.rs
@@ -0,0 +1,180 @@
+//! The sections of the operator's file: their fields, bounds and defaults.
+//!
+//! The name of a field ends in its unit where it has one. Where a Rust name differs from the name in the file, the
+//! latter stands in `serde(rename)`; how error messages call a section of another type stands in `serde(expecting)`.
+
+use std::collections::BTreeMap;
+
+use serde::de::{self, Deserializer};
+use serde::{Deserialize, Serialize};
+
+use super::bounded_integer::BoundedInteger;
+
+/// Form of a log line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum LogFormat {
+    /// For people: time, level, target, message and fields.
+    Text,
+    /// For machines: one JSON object a line.
+    Json,
+}
+
+/// Level of a log line, or the least severe level that is written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum LogLevel {
+    /// Nothing is written.
+    Off,
+    /// The node cannot do a part of its work.
+    Error,
+    /// An operator may have to act.
+    Warn,
+    /// Phases, reloads, discovery.
+    Info,
+    /// Each job, with its id.
+    Debug,
+    /// Each callback and connection as well.
+    Trace,
+}
+
+/// The component of the node that a log line comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(expecting = "enum Part", rename_all = "snake_case")]
+pub enum LogTarget {
+    /// Startup, phases, reloads, shutdown.
+    Node,
+    /// Jobs and their attempts.
+    Dispatch,
+    /// Client connections, requests and callbacks.
+    #[serde(rename = "sender_side")]
+    Server,
+    /// Connections to workers.
+    #[serde(rename = "next_hop")]
+    Upstream,
+    /// The endpoint watch.
+    #[serde(rename = "transport_map")]
+    Discovery,
+}
+
+impl LogTarget {
+    /// All targets with the names that the file and the log lines give them.
+    pub const ALL: [(LogTarget, &str); 5] = [
+        (LogTarget::Node, "node"),
+        (LogTarget::Dispatch, "dispatch"),
+        (LogTarget::Server, "sender_side"),
+        (LogTarget::Upstream, "next_hop"),
+        (LogTarget::Discovery, "transport_map"),
+    ];
+}
+
+/// The log on standard error.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(expecting = "struct Log", deny_unknown_fields, default)]
+pub struct LogOptions {
+    /// Form of a line.
+    pub format: LogFormat,
+    /// Level of all targets that `target_levels` does not name.
+    pub level: LogLevel,
+    /// Levels of single targets.
+    #[serde(rename = "parts")]
+    pub target_levels: BTreeMap<LogTarget, LogLevel>,
+    /// Rate limit of each target.
+    pub lines_per_s: BoundedInteger<1, 100_000>,
+    /// Capacity of the queue in front of standard error, in lines.
+    #[serde(rename = "waiting_lines")]
+    pub max_queued_lines: BoundedInteger<16, 65_536>,
+}
+
+impl Default for LogOptions {
+    fn default() -> Self {
+        LogOptions {
+            format: LogFormat::Text,
+            level: LogLevel::Info,
+            target_levels: BTreeMap::new(),
+            lines_per_s: BoundedInteger::new(200),
+            max_queued_lines: BoundedInteger::new(1024),
+        }
+    }
+}
+
+impl LogOptions {
+    /// The level of a target.
+    pub fn level_of(&self, target: LogTarget) -> LogLevel {
+        self.target_levels.get(&target).copied().unwrap_or(self.level)
+    }
+}
+
+/// The server for clients and callbacks.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct ServerOptions {
+    /// A connection without a request for this long is closed.
+    #[serde(rename = "idle_ms")]
+    pub idle_timeout_ms: BoundedInteger<1_000, 3_600_000>,
+    /// `Retry-After` of a request that is rejected because the node has no capacity for another job.
+    #[serde(rename = "crowded_retry_ms")]
+    pub overload_retry_ms: BoundedInteger<10, 60_000>,
+}
+
+impl Default for ServerOptions {
+    fn default() -> Self {
+        ServerOptions {
+            idle_timeout_ms: BoundedInteger::new(60_000),
+            overload_retry_ms: BoundedInteger::new(500),
+        }
+    }
+}
+
+/// The connections to workers.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct UpstreamOptions {
+    /// A connection that was idle for longer is not reused.
+    #[serde(rename = "reuse_ms")]
+    pub max_reuse_idle_ms: BoundedInteger<0, 600_000>,
+    /// A cancellation that a worker does not acknowledge within this is sent again, until the job's deadline.
+    #[serde(rename = "withdrawal_ms")]
+    pub cancellation_timeout_ms: BoundedInteger<50, 10_000>,
+}
+
+impl Default for UpstreamOptions {
+    fn default() -> Self {
+        UpstreamOptions {
+            max_reuse_idle_ms: BoundedInteger::new(300),
+            cancellation_timeout_ms: BoundedInteger::new(400),
+        }
+    }
+}
+
+/// The metrics on `/metrics`.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(expecting = "struct Metrics", deny_unknown_fields, default)]
+pub struct MetricsOptions {
+    /// Upper bounds of the buckets of the response time histograms, rising.
+    #[serde(rename = "answer_bounds_ms", deserialize_with = "deserialize_bucket_bounds")]
+    pub response_time_bounds_ms: Vec<u64>,
+}
+
+impl Default for MetricsOptions {
+    fn default() -> Self {
+        MetricsOptions {
+            response_time_bounds_ms: vec![5, 25, 100, 250, 500, 1000, 2000, 3000, 5000, 8000, 15_000, 25_000],
+        }
+    }
+}
+
+/// Bounds the number of time series that one histogram adds.
+const MAX_HISTOGRAM_BUCKETS: usize = 32;
+
+fn deserialize_bucket_bounds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u64>, D::Error> {
+    let bounds: Vec<u64> = Vec::deserialize(deserializer)?;
+    let count_is_allowed = (1..=MAX_HISTOGRAM_BUCKETS).contains(&bounds.len());
+    let is_rising = bounds.is_sorted_by(|lower, upper| lower < upper);
+    if !count_is_allowed || bounds[0] == 0 || !is_rising {
+        return Err(de::Error::custom(format_args!(
+            "expected 1 to {MAX_HISTOGRAM_BUCKETS} rising whole numbers above 0"
+        )));
+    }
+    Ok(bounds)
+}
--- /dev/null
+++ b/crates/settings/src/operator/reference.rs
@@ -0,0 +1,106 @@
+//! The reference of the operator's file: what each field means, and the table that `docs/operator-file.md` shows.
+
+use super::OperatorFile;
+
+/// When a changed field of the file counts in a running node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TakesEffect {
+    /// On SIGHUP.
+    OnReload,
+    /// At the next start of the node.
+    AtNextStart,
+}
+
+/// A field as the reference page shows it.
+pub struct Field {
+    /// Its table and name, separated by a dot.
+    pub path: &'static str,
+    /// Its unit or shape, and its bounds.
+    pub shape: &'static str,
+    /// When a change of it counts.
+    pub takes_effect: TakesEffect,
+    /// What it does.
+    pub meaning: &'static str,
+}
+
+/// Every field, in the order of the file.
+pub const FIELDS: &[Field] = &[
+    Field {
+        path: "log.format",
+        shape: "`text` or `json`",
+        takes_effect: TakesEffect::AtNextStart,
+        meaning: "form of a line on standard error",
+    },
+    Field {
+        path: "log.level",
+        shape: "`off`, `error`, `warn`, `info`, `debug`, `trace`",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "from which level on lines are written",
+    },
+    Field {
+        path: "log.parts",
+        shape: "table of part and level; parts are `node`, `dispatch`, `sender_side`, `next_hop`, `transport_map`",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "levels that differ from `log.level`",
+    },
+    Field {
+        path: "log.lines_per_s",
+        shape: "lines a second, 1 to 100000",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "most lines of one part; more are dropped and counted",
+    },
+    Field {
+        path: "log.waiting_lines",
+        shape: "lines, 16 to 65536",
+        takes_effect: TakesEffect::AtNextStart,
+        meaning: "most lines that wait for a slow standard error; more are dropped and counted",
+    },
+    Field {
+        path: "sender_side.idle_ms",
+        shape: "ms, 1000 to 3600000",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "a client's connection that is idle for this long is closed",
+    },
+    Field {
+        path: "sender_side.crowded_retry_ms",
+        shape: "ms, 10 to 60000",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "`Retry-After` while all places for jobs are taken",
+    },
+    Field {
+        path: "next_hop.reuse_ms",
+        shape: "ms, 0 to 600000",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "a connection to a worker that was idle for longer carries no job; never over half of the platform's `keepaliveUs`",
+    },
+    Field {
+        path: "next_hop.withdrawal_ms",
+        shape: "ms, 50 to 10000",
+        takes_effect: TakesEffect::OnReload,
+        meaning: "a withdrawal that a worker does not answer within this is made again, until it is heard or the job's time is up",
+    },
+    Field {
+        path: "metrics.answer_bounds_ms",
+        shape: "ms, 1 to 32 rising numbers",
+        takes_effect: TakesEffect::AtNextStart,
+        meaning: "upper bounds of the histogram `curlewusher_answer_seconds`",
+    },
+];
+
+/// Head of the table of the reference page.
+const REFERENCE_TABLE_HEAD: &str =
+    "| field | shape | default | on SIGHUP | meaning |\n| --- | --- | --- | --- | --- |\n";
+
+/// The table of the reference page with every field and its default, in Markdown.
+pub fn reference_table() -> String {
+    let mut table = REFERENCE_TABLE_HEAD.to_owned();
+    for (field, default) in OperatorFile::default().values() {
+        let Field { path, shape, takes_effect, meaning } = field;
+        let on_reload = match takes_effect {
+            TakesEffect::OnReload => "at once",
+            TakesEffect::AtNextStart => "next start",
+        };
+        table += &format!("| `{path}` | {shape} | `{default}` | {on_reload} | {meaning} |\n");
+    }
+    table
+}
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The operator's file and the settings object, read: every value of full ones, and every mistake in its exact words.
 
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros};
-use curlewusher_settings::operator::{FIELDS, Operator, Part};
+use curlewusher_settings::operator::{FIELDS, LogTarget, OperatorFile, TakesEffect};
 use curlewusher_settings::{Site, effective, read};
 use golden::golden;
 use serde_json::{Value, json};
@@ -13,36 +13,40 @@
 const FULL_OBJECT: &str = include_str!("golden/settings_full.json");
 const LEAST_OBJECT: &str = include_str!("golden/settings_least.json");
 
-fn operator_values(read: &Operator) -> String {
+fn operator_values(read: &OperatorFile) -> String {
     let (log, metrics) = (&read.log, &read.metrics);
     let mut lines = vec![
         format!("log.format: {}", json!(log.format)),
         format!("log.level: {}", json!(log.level)),
-        format!("log.parts: {} entries", log.parts.len()),
+        format!("log.parts: {} entries", log.target_levels.len()),
         format!("log.lines_per_s: {}", log.lines_per_s.get()),
-        format!("log.waiting_lines: {}", log.waiting_lines.get()),
-        format!("sender_side.idle_ms: {:?}", read.server.idle_ms.millis()),
-        format!("sender_side.crowded_retry_ms: {:?}", read.server.crowded_retry_ms.millis()),
-        format!("next_hop.reuse_ms: {:?}", read.upstream.reuse_ms.millis()),
-        format!("next_hop.withdrawal_ms: {:?}", read.upstream.withdrawal_ms.millis()),
-        format!("metrics.answer_bounds_ms: {:?}", metrics.answer_bounds_ms),
+        format!("log.waiting_lines: {}", log.max_queued_lines.get()),
+        format!("sender_side.idle_ms: {:?}", read.server.idle_timeout_ms.millis()),
+        format!("sender_side.crowded_retry_ms: {:?}", read.server.overload_retry_ms.millis()),
+        format!("next_hop.reuse_ms: {:?}", read.upstream.max_reuse_idle_ms.millis()),
+        format!("next_hop.withdrawal_ms: {:?}", read.upstream.cancellation_timeout_ms.millis()),
+        format!("metrics.answer_bounds_ms: {:?}", metrics.response_time_bounds_ms),
     ];
-    lines.extend(Part::ALL.map(|(part, name)| format!("level of {name}: {}", json!(log.level_of(part)))));
+    lines
+        .extend(LogTarget::ALL.map(|(part, name)| format!("level of {name}: {}", json!(log.level_of(part)))));
     lines.join("\n") + "\n"
 }
 
 #[test]
 fn an_operator_file_with_every_field_then_every_value_is_as_recorded() {
-    assert!(FIELDS.iter().all(|field| Operator::sets(FULL_FILE, field)), "the full file sets every field");
-    let read = Operator::parse(FULL_FILE).expect("a good file");
-    let defaults = Operator::default().values();
+    assert!(
+        FIELDS.iter().all(|field| OperatorFile::sets(FULL_FILE, field)),
+        "the full file sets every field"
+    );
+    let read = OperatorFile::parse(FULL_FILE).expect("a good file");
+    let defaults = OperatorFile::default().values();
     for ((field, value), (_, default)) in read.values().iter().zip(&defaults) {
         assert_ne!(value, default, "{} has another value than its default", field.path);
     }
     golden!("operator_full.txt").assert_is(&operator_values(&read));
-    golden!("operator_default.txt").assert_is(&operator_values(&Operator::default()));
+    golden!("operator_default.txt").assert_is(&operator_values(&OperatorFile::default()));
     let shown = read.values().into_iter().map(|(field, value)| {
-        let when = if field.at_once { "at once" } else { "at the next start" };
+        let when = if field.takes_effect == TakesEffect::OnReload { "at once" } else { "at the next start" };
         format!("{} = {value} ({when})\n", field.path)
     });
     golden!("operator_shown.txt").assert_is(&shown.collect::<String>());
@@ -50,9 +54,9 @@
 
 #[test]
 fn a_mistake_in_an_operator_file_then_its_words_are_as_recorded() {
-    golden!("operator_mistakes.txt").assert_answers(|text| match Operator::parse(text) {
+    golden!("operator_mistakes.txt").assert_answers(|text| match OperatorFile::parse(text) {
         Ok(_) => "accepted".to_owned(),
-        Err(problem) => problem,
+        Err(problem) => problem.to_string(),
     });
 }
 
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -345,7 +345,8 @@
 impl Scenario {
     /// Reads a scenario; the error names line, field and remedy.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let scenario: Scenario = curlewusher_toml_diagnostics::parse(text)?;
+        let scenario: Scenario =
+            curlewusher_toml_diagnostics::parse(text).map_err(|error| error.to_string())?;
         let bad = scenario.check().err();
         bad.map_or(Ok(scenario), |Mistake { table, nth, field, words }| {
             let line = curlewusher_toml_diagnostics::line_of(text, table, nth, field);
