--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -24,7 +24,8 @@
     let (path, text) = sources.platform()?;
     let mut written: Value = serde_json::from_str(&text).map_err(|e| ConfigError::Shape(e.to_string()))?;
     let settings = written["settings"].take();
-    let effective = curlewusher_settings::effective(settings.clone()).map_err(ConfigError::Settings)?;
+    let effective =
+        curlewusher_settings::effective(settings.clone()).map_err(ConfigError::EffectiveSettings)?;
     let _ = writeln!(out, "# what the platform tells");
     for (field, variable) in VARIABLES {
         match sources.variable(variable) {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -34,7 +34,10 @@
     Address { field: &'static str, text: String },
     /// The settings cannot be worked with.
     #[error("config: settings.{0}")]
-    Settings(String),
+    Settings(#[source] curlewusher_settings::ReadError),
+    /// The values in effect cannot be shown.
+    #[error("config: settings.{0}")]
+    EffectiveSettings(#[source] curlewusher_settings::EffectiveValuesError),
     /// Too few descriptors.
     #[error("config: limits.sockets: under {LEAST_SOCKETS} a node cannot serve; allow it that many")]
     Sockets,
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -91,7 +91,7 @@
 impl EndpointResolver {
     /// A resolver that knows the names of these settings.
     pub fn new(site: &Site) -> Self {
-        EndpointResolver { zones: site.zones.clone(), kinds: site.kinds.clone() }
+        EndpointResolver { zones: site.zone_names.clone(), kinds: site.kind_names.clone() }
     }
 
     /// The endpoints in the dispatcher's terms, in the order of the message.
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -177,7 +177,7 @@
         let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
-        let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
+        let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
         let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
@@ -203,9 +203,9 @@
             queue: shared.dispatch_queue.clone(),
             list_received: watch::Sender::new(false),
             metrics: shared.metrics.clone(),
-            timing: WatchTiming::new(&site.decisions),
+            timing: WatchTiming::new(&site.dispatcher),
         };
-        let client_timeouts = site.decisions.classes.iter().map(|class| class.client_timeout);
+        let client_timeouts = site.dispatcher.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
@@ -304,16 +304,16 @@
 fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
         operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
-    Metrics::new(&site.classes, &answer_bounds_s, logging.dropped())
+    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped())
 }
 
 /// Sets what decisions on real sockets need otherwise than in a simulator.
 fn adapt_settings_to_sockets(site: &mut Site) {
     // Any rejection may carry Retry-After here; the simulator's clients would not get it.
-    site.decisions.max_retry_after = site.max_retry_after;
+    site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
-    site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
+    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -54,12 +54,12 @@
 impl JobCatalog {
     /// The classes and tenants of the configuration.
     pub fn new(site: &Site) -> JobCatalog {
-        let classes = site.classes.iter().zip(&site.decisions.classes);
+        let classes = site.class_names.iter().zip(&site.dispatcher.classes);
         let classes = classes.map(|(name, class)| JobClass {
             name: name.clone(),
             requires_idempotency_key: matches!(class.idempotency, Idempotency::WithKey { .. }),
         });
-        JobCatalog { classes: classes.collect(), tenants: site.tenants.clone() }
+        JobCatalog { classes: classes.collect(), tenants: site.tenant_names.clone() }
     }
 
     fn class(&self, name: &str) -> Result<ClassId, RequestError> {
--- /dev/null
+++ b/crates/settings/src/error.rs
@@ -0,0 +1,67 @@
+//! Why a settings object cannot be used. Each message names the field under the name that the platform gives it.
+
+use curlewusher_core::SettingsError;
+use thiserror::Error;
+
+/// A settings object whose form is wrong: a field is missing or has another type. Names the path of the field.
+pub type FormError = serde_path_to_error::Error<serde_json::Error>;
+
+/// Why a settings object cannot be used.
+#[derive(Debug, Error)]
+pub enum ReadError {
+    /// A field is missing or has another type.
+    #[error("{0}")]
+    Form(#[source] FormError),
+    /// `discovery` has an unknown value.
+    #[error("discovery is neither automatic nor subscribe")]
+    UnknownDiscoveryMode,
+    /// `keyScope` of a service has an unknown value.
+    #[error("services.keyScope is none of all, zone, cell")]
+    UnknownKeyScope,
+    /// `idempotency` of a service has an unknown value.
+    #[error("services.idempotency is none of safe, keyed, unsafe")]
+    UnknownIdempotency,
+    /// A value is out of its bounds.
+    #[error("{field}: {} {}; {remedy}", source.field, source.problem)]
+    OutOfBounds {
+        /// Name of the field in the settings object.
+        field: &'static str,
+        /// What would be right.
+        remedy: &'static str,
+        /// The dispatcher's name of the field, and what is wrong.
+        source: SettingsError,
+    },
+}
+
+/// Why the values in effect cannot be shown.
+#[derive(Debug, Error)]
+pub enum EffectiveValuesError {
+    /// A field is missing or has another type.
+    #[error("config: settings.{0}")]
+    Form(#[source] FormError),
+    /// The values have no JSON form.
+    #[error("config: settings: {0}")]
+    Serialization(#[source] serde_json::Error),
+}
+
+impl ReadError {
+    /// Reports settings that the dispatcher rejects, in the platform's terms.
+    pub(crate) fn from_dispatcher(source: SettingsError) -> Self {
+        let (field, remedy) = match source.field {
+            "classes" => ("services", "name one class of requests at least"),
+            "classes.stretch" => ("services.aimStretch", "give 0 or more, or familyInfo.classStretch so"),
+            "classes.worth" => ("services.worth", "give 0 or more"),
+            "classes.give_up" => ("services.giveUpUs", "give the client's wait in microseconds"),
+            "over_quota_worth" => ("overShareWorth", "give a number from 0 to 1"),
+            "nodes" => ("balancers", "give the number of nodes, this one included"),
+            "max_attempts" => ("limits.sendCap", "give 1 or more"),
+            "tenant_quotas" => ("customers.quotaPerS", "give 0 or more"),
+            "cross_zone_price" => ("prices.crossZone", "give 0 or more"),
+            "tell_price" => ("prices.peer", "give 0 or more"),
+            "cold_share" => ("rules.coldShare", "give a number from 0 to 1"),
+            "overload_factor" => ("rules.overloadFactor", "give 0 or more"),
+            other => (other, "give what the platform's page says of it"),
+        };
+        ReadError::OutOfBounds { field, remedy, source }
+    }
+}
--- /dev/null
+++ b/crates/settings/src/object.rs
@@ -0,0 +1,147 @@
+//! The settings object in the form that the platform writes.
+//!
+//! Fields have the terms of this project; where the platform has another name, that stands in `serde(rename)`. The
+//! names of the types `Service`, `Customer`, `Limits`, `Prices`, `Rules` and `FamilyInfo`, and the order of their
+//! fields, show in error messages. Unknown fields are accepted: the platform may add some.
+
+use curlewusher_core::Micros;
+use serde::{Deserialize, Serialize};
+
+/// Time in which a connection must be up where the settings do not say, or say 0, with which nothing could be sent.
+pub(crate) const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
+/// Idle time for which workers keep a connection open where the settings do not say.
+const DEFAULT_KEEPALIVE: Micros = 1_000_000;
+
+#[derive(Deserialize, Serialize)]
+#[serde(rename_all = "camelCase", expecting = "struct Wire")]
+pub(crate) struct SettingsObject {
+    #[serde(rename = "balancers")]
+    pub(crate) nodes: u32,
+    #[serde(default, rename = "rank")]
+    pub(crate) node_index: u32,
+    pub(crate) zone: u32,
+    #[serde(rename = "discovery")]
+    pub(crate) discovery_mode: String,
+    pub(crate) services: Vec<Service>,
+    #[serde(default = "default_weight", rename = "overShareWorth")]
+    pub(crate) over_quota_weight: f64,
+    #[serde(default)]
+    pub(crate) customers: Vec<Customer>,
+    pub(crate) limits: Limits,
+    #[serde(default)]
+    pub(crate) prices: Prices,
+    pub(crate) rules: Rules,
+    /// What the sizes of workers in the endpoint list mean.
+    #[serde(default, rename = "weights")]
+    pub(crate) size_meaning: String,
+    #[serde(default)]
+    pub(crate) family_info: FamilyInfo,
+    #[serde(default, rename = "localities")]
+    pub(crate) zone_names: Vec<String>,
+    #[serde(default, rename = "kinds")]
+    pub(crate) kind_names: Vec<String>,
+}
+
+/// A job class.
+#[derive(Deserialize, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Service {
+    #[serde(default)]
+    pub(crate) name: String,
+    pub(crate) idempotency: String,
+    #[serde(default)]
+    pub(crate) key_scope: String,
+    #[serde(default, rename = "dedupWindowUs")]
+    pub(crate) deduplication_window_us: Micros,
+    #[serde(rename = "objectiveUs")]
+    pub(crate) latency_objective_us: Micros,
+    #[serde(default, rename = "aimStretch")]
+    pub(crate) latency_objective_stretch: Option<f64>,
+    #[serde(rename = "giveUpUs")]
+    pub(crate) client_timeout_us: Micros,
+    #[serde(default = "default_weight", rename = "worth")]
+    pub(crate) priority_weight: f64,
+}
+
+/// A tenant.
+#[derive(Deserialize, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Customer {
+    #[serde(default)]
+    pub(crate) name: String,
+    #[serde(rename = "quotaPerS")]
+    pub(crate) quota_per_s: f64,
+}
+
+/// What the platform allows.
+#[derive(Deserialize, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Limits {
+    #[serde(rename = "cancel")]
+    pub(crate) may_cancel: bool,
+    #[serde(rename = "mayDuplicate")]
+    pub(crate) may_hedge: bool,
+    #[serde(rename = "mayTell")]
+    pub(crate) may_gossip: bool,
+    #[serde(rename = "sendCap")]
+    pub(crate) max_attempts: u32,
+    #[serde(default, rename = "retryAfter")]
+    pub(crate) clients_follow_retry_after: bool,
+    #[serde(default)]
+    pub(crate) max_retry_after_us: Micros,
+    #[serde(default = "default_connect_timeout")]
+    pub(crate) connect_timeout_us: Micros,
+    #[serde(default = "default_keepalive")]
+    pub(crate) keepalive_us: Micros,
+}
+
+/// What a message costs.
+#[derive(Deserialize, Serialize, Default)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Prices {
+    #[serde(default)]
+    pub(crate) cross_zone: f64,
+    #[serde(default, rename = "peer")]
+    pub(crate) gossip: f64,
+}
+
+/// How workers and discovery behave.
+#[derive(Deserialize, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Rules {
+    #[serde(rename = "askWithinUs")]
+    pub(crate) max_poll_interval_us: Micros,
+    #[serde(rename = "coldShare")]
+    pub(crate) warm_up_floor: f64,
+    pub(crate) warm_up_us: Micros,
+    pub(crate) overload_factor: f64,
+    #[serde(rename = "fallUs")]
+    pub(crate) overload_window_us: Micros,
+}
+
+/// What only some families of sites say of their classes, by the index of the class.
+#[derive(Deserialize, Serialize, Default)]
+#[serde(rename_all = "camelCase")]
+pub(crate) struct FamilyInfo {
+    /// Kind of machine that a class requires; negative for any.
+    #[serde(default, rename = "classKind")]
+    pub(crate) class_kinds: Vec<i64>,
+    /// Stretch of the latency objective of a class that does not say it itself.
+    #[serde(default, rename = "classStretch")]
+    pub(crate) class_stretches: Vec<f64>,
+    /// Whether workers report that they have started a job.
+    #[serde(default, rename = "tellsStart")]
+    pub(crate) reports_start: bool,
+}
+
+fn default_weight() -> f64 {
+    1.0
+}
+
+fn default_connect_timeout() -> Micros {
+    DEFAULT_CONNECT_TIMEOUT
+}
+
+fn default_keepalive() -> Micros {
+    DEFAULT_KEEPALIVE
+}
--- /dev/null
+++ b/crates/settings/src/site.rs
@@ -0,0 +1,133 @@
+//! The settings of a site in the terms of this project, made from the object that the platform writes.
+
+use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros, Settings, ZoneId};
+
+use crate::error::ReadError;
+use crate::object::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, SettingsObject};
+
+/// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a point in
+/// time is computed from it.
+const MAX_TIME_SPAN: Micros = 365 * 86_400 * 1_000_000;
+/// Lower bound of the poll interval that the platform gives, so that discovery is not polled too often.
+const MIN_POLL_INTERVAL: Micros = 100_000;
+
+/// The settings of a site.
+#[derive(Clone, Debug)]
+pub struct Site {
+    /// Settings of the dispatcher.
+    pub dispatcher: Settings,
+    /// Names of the job classes, by index.
+    pub class_names: Vec<String>,
+    /// Names of the tenants, by index.
+    pub tenant_names: Vec<String>,
+    /// Names of the zones, by index.
+    pub zone_names: Vec<String>,
+    /// Names of the kinds of machine, by index.
+    pub kind_names: Vec<String>,
+    /// A connection that is not up after this long counts as refused.
+    pub connect_timeout: Micros,
+    /// Workers close a connection that was idle for this long.
+    pub keepalive: Micros,
+    /// The longest `Retry-After` that a client follows.
+    pub max_retry_after: Micros,
+}
+
+impl TryFrom<SettingsObject> for Site {
+    type Error = ReadError;
+
+    fn try_from(object: SettingsObject) -> Result<Self, ReadError> {
+        let dispatcher = dispatcher_settings(&object)?;
+        dispatcher.validate().map_err(ReadError::from_dispatcher)?;
+        let connect_timeout = match object.limits.connect_timeout_us {
+            0 => DEFAULT_CONNECT_TIMEOUT,
+            given => given.min(MAX_TIME_SPAN),
+        };
+        Ok(Site {
+            dispatcher,
+            class_names: object.services.into_iter().map(|service| service.name).collect(),
+            tenant_names: object.customers.into_iter().map(|customer| customer.name).collect(),
+            zone_names: object.zone_names,
+            kind_names: object.kind_names,
+            connect_timeout,
+            keepalive: object.limits.keepalive_us.min(MAX_TIME_SPAN),
+            max_retry_after: object.limits.max_retry_after_us.min(MAX_TIME_SPAN),
+        })
+    }
+}
+
+/// Settings of the dispatcher, not yet validated.
+fn dispatcher_settings(object: &SettingsObject) -> Result<Settings, ReadError> {
+    let SettingsObject { limits, prices, rules, family_info, .. } = object;
+    let services = object.services.iter().enumerate();
+    let max_retry_after =
+        if limits.clients_follow_retry_after { limits.max_retry_after_us.min(MAX_TIME_SPAN) } else { 0 };
+    Ok(Settings {
+        nodes: object.nodes,
+        node_index: object.node_index,
+        zone: ZoneId(object.zone),
+        classes: services
+            .map(|(index, service)| job_class(index, service, family_info))
+            .collect::<Result<_, _>>()?,
+        tenant_quotas: object.customers.iter().map(|Customer { quota_per_s, .. }| *quota_per_s).collect(),
+        over_quota_weight: object.over_quota_weight,
+        endpoints_on_request: endpoints_on_request(&object.discovery_mode)?,
+        max_poll_interval: rules.max_poll_interval_us.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
+        // The node sets it: only real connections acknowledge.
+        assumed_notified_after: 0,
+        // A size that changes with the load, or is the same for all workers, says nothing about slots.
+        sizes_listed: matches!(object.size_meaning.as_str(), "nominal" | "rough"),
+        reports_start: family_info.reports_start,
+        // The node sets it: only real connections time out.
+        accept_timeout: 0,
+        may_cancel: limits.may_cancel,
+        may_hedge: limits.may_hedge,
+        may_gossip: limits.may_gossip,
+        gossip_price: prices.gossip,
+        max_attempts: limits.max_attempts,
+        max_retry_after,
+        cross_zone_price: prices.cross_zone,
+        warm_up_floor: rules.warm_up_floor,
+        warm_up: rules.warm_up_us.min(MAX_TIME_SPAN),
+        overload_factor: rules.overload_factor,
+        overload_window: rules.overload_window_us.min(MAX_TIME_SPAN),
+    })
+}
+
+fn job_class(index: usize, service: &Service, family_info: &FamilyInfo) -> Result<JobClass, ReadError> {
+    let family_stretch = family_info.class_stretches.get(index).copied();
+    let family_kind = family_info.class_kinds.get(index);
+    Ok(JobClass {
+        idempotency: idempotency(service)?,
+        latency_objective: service.latency_objective_us.min(MAX_TIME_SPAN),
+        latency_objective_stretch: service.latency_objective_stretch.or(family_stretch).unwrap_or(0.0),
+        client_timeout: service.client_timeout_us.min(MAX_TIME_SPAN),
+        priority_weight: service.priority_weight,
+        required_kind: family_kind.and_then(|kind| u32::try_from(*kind).ok()).map(KindId),
+    })
+}
+
+/// The scope is checked for every service, also where it has no meaning.
+fn idempotency(service: &Service) -> Result<Idempotency, ReadError> {
+    let scope = match service.key_scope.as_str() {
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        "all" | "" => DeduplicationScope::All,
+        _ => return Err(ReadError::UnknownKeyScope),
+    };
+    let window = service.deduplication_window_us.min(MAX_TIME_SPAN);
+    match service.idempotency.as_str() {
+        "safe" => Ok(Idempotency::Idempotent),
+        "keyed" => Ok(Idempotency::WithKey { scope, window }),
+        "unsafe" => Ok(Idempotency::NonIdempotent),
+        _ => Err(ReadError::UnknownIdempotency),
+    }
+}
+
+/// Whether the endpoint list comes only on request.
+fn endpoints_on_request(discovery_mode: &str) -> Result<bool, ReadError> {
+    match discovery_mode {
+        "subscribe" => Ok(true),
+        "automatic" => Ok(false),
+        _ => Err(ReadError::UnknownDiscoveryMode),
+    }
+}
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -86,7 +86,7 @@
 }
 
 fn site_values(site: &Site) -> Vec<String> {
-    let decisions = &site.decisions;
+    let decisions = &site.dispatcher;
     let mut lines = vec![
         format!("nodes: {}", decisions.nodes),
         format!("rank: {}", decisions.node_index),
@@ -113,10 +113,10 @@
         format!("warm-up: {}", decisions.warm_up),
         format!("overload factor: {}", decisions.overload_factor),
         format!("fall window: {}", decisions.overload_window),
-        format!("names of classes: {:?}", site.classes),
-        format!("names of tenants: {:?}", site.tenants),
-        format!("names of zones: {:?}", site.zones),
-        format!("names of kinds: {:?}", site.kinds),
+        format!("names of classes: {:?}", site.class_names),
+        format!("names of tenants: {:?}", site.tenant_names),
+        format!("names of zones: {:?}", site.zone_names),
+        format!("names of kinds: {:?}", site.kind_names),
         format!("connect timeout: {}", site.connect_timeout),
         format!("keep-alive: {}", site.keepalive),
         format!("max retry-after: {}", site.max_retry_after),
@@ -171,11 +171,11 @@
                 if changed.is_empty() { "no change".to_owned() } else { changed.join("; ") }
             }
             // Its form is right, so that it can be shown.
-            (Err(problem), Ok(_)) => problem,
+            (Err(problem), Ok(_)) => problem.to_string(),
             (problem, Err(shown)) => {
-                let problem = problem.expect_err("its form is wrong");
+                let problem = problem.expect_err("its form is wrong").to_string();
                 let place = problem.rfind(" at line ").expect("a place");
-                assert_eq!(shown, format!("config: settings.{}", &problem[..place]));
+                assert_eq!(shown.to_string(), format!("config: settings.{}", &problem[..place]));
                 problem
             }
         }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -75,7 +75,7 @@
         let text = fields.rest_of_line("bootInfo")?;
         let site = curlewusher_settings::read(text).map_err(|error| LineError::Settings(error.into()))?;
         let dispatcher =
-            Dispatcher::new(site.decisions, seed).map_err(|error| LineError::Settings(error.into()))?;
+            Dispatcher::new(site.dispatcher, seed).map_err(|error| LineError::Settings(error.into()))?;
         self.instances.insert(number, Instance::start(self.now, dispatcher));
         Ok(())
     }
