--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -17,8 +17,6 @@
 mod read_filter;
 
 use std::cell::{Cell, RefCell};
-use std::os::fd::OwnedFd;
-use std::rc::Weak;
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
@@ -35,7 +33,7 @@
 /// A request that has begun must be whole within this, and on a new connection one must have come. Good clients
 /// take up to 2 s to write one; a request that cannot be read must be answered or closed within 3 s.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
-/// A peer that takes no byte of its response for this long is treated as gone.
+/// A peer that takes no byte of its response for this long is treated as disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// A new connection may be evicted after this: its first request may be on its way.
 const MIN_NEW_AGE_FOR_EVICTION: Duration = Duration::from_millis(50);
@@ -77,8 +75,6 @@
     close_requested: Notify,
     /// The reader that waits for the request in progress to be answered.
     read_waker: RefCell<Option<Waker>>,
-    /// What the connection is read through, while it is served.
-    read_filter: RefCell<Weak<RefCell<ReadFilter>>>,
     /// Since when the peer has taken nothing of what is written to it.
     write_blocked_since: Cell<Option<Instant>>,
     /// The connection ends at once, with nothing more written: the other process of this node serves its client, or
@@ -99,7 +95,6 @@
             is_last_request: Cell::new(false),
             close_requested: Notify::new(),
             read_waker: RefCell::default(),
-            read_filter: RefCell::default(),
             write_blocked_since: Cell::default(),
             aborted: Cell::new(false),
         }
@@ -171,17 +166,6 @@
         self.read_expired.get()
     }
 
-    /// A duplicate of the connection's descriptor. None where bytes have arrived behind the request, which would be
-    /// lost, or where the descriptor cannot be duplicated.
-    pub fn duplicate_socket(&self) -> Option<OwnedFd> {
-        let read_filter = self.read_filter.borrow().upgrade()?;
-        let read_filter = read_filter.borrow();
-        if read_filter.has_buffered_bytes() || self.is_last_request.get() {
-            return None;
-        }
-        read_filter.duplicate_socket()
-    }
-
     /// Requests a graceful close; between two requests that harms nobody.
     pub fn close_gracefully(&self) {
         self.read_expired.set(self.state.get() < ConnectionState::Idle);
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -5,7 +5,7 @@
 //! applies the read timeout, and keeps reading while a request is being answered, so that a peer that has closed
 //! is noticed.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
 use std::os::fd::{AsFd, OwnedFd};
@@ -45,23 +45,15 @@
 }
 
 impl ReadFilter {
-    /// A filter for a connection that was just accepted, which refers to it from then on.
+    /// A filter for a connection that was just accepted.
     pub fn new(
         stream: TcpStream,
-        connection: &Rc<Connection>,
+        connection: Rc<Connection>,
         metrics: Metrics,
         intake_closed: Rc<Cell<bool>>,
-    ) -> Rc<RefCell<ReadFilter>> {
-        let read_filter = Rc::new(RefCell::new(ReadFilter {
-            stream,
-            connection: connection.clone(),
-            buffered: BytesMut::new(),
-            forwardable_bytes: 0,
-            metrics,
-            intake_closed,
-        }));
-        *connection.read_filter.borrow_mut() = Rc::downgrade(&read_filter);
-        read_filter
+    ) -> ReadFilter {
+        let buffered = BytesMut::new();
+        ReadFilter { stream, connection, buffered, forwardable_bytes: 0, metrics, intake_closed }
     }
 
     /// The socket, once hyper is done with it; buffered bytes are dropped.
@@ -69,13 +61,12 @@
         self.stream
     }
 
-    /// Whether bytes were read from the socket and not passed on.
-    pub(super) fn has_buffered_bytes(&self) -> bool {
-        !self.buffered.is_empty()
-    }
-
-    /// A duplicate of the socket's descriptor.
-    pub(super) fn duplicate_socket(&self) -> Option<OwnedFd> {
+    /// A duplicate of the socket's descriptor. None where bytes have arrived behind the request, which would be lost, or
+    /// where the descriptor cannot be duplicated.
+    pub fn duplicate_socket(&self) -> Option<OwnedFd> {
+        if !self.buffered.is_empty() || self.connection.is_last_request() {
+            return None;
+        }
         self.stream.as_fd().try_clone_to_owned().ok()
     }
 
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -85,7 +85,7 @@
                 }
                 () = self.state.migration_requested(pause) => {
                     pause = MIGRATION_RETRY_PAUSE;
-                    let client = self.connection.duplicate_socket();
+                    let client = self.duplicate_socket();
                     if migrate_job(&self.state, job_handle, client).await {
                         open_job.disarm_disconnect_message();
                         self.connection.abort();
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -14,7 +14,7 @@
 
 use super::Server;
 use super::connection::{Connection, ConnectionState, WRITE_TIMEOUT};
-use super::service::ConnectionService;
+use super::service::serve_connection;
 use super::state::ServerState;
 use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::SERVER;
@@ -113,9 +113,9 @@
     // budget with connections that cannot be evicted.
     let connection = Rc::new(Connection::new());
     state.connections.borrow_mut().push(Rc::downgrade(&connection));
-    let service = ConnectionService::new(state.clone(), connection);
+    let state = state.clone();
     spawn_local(async move {
-        service.serve(stream).await;
+        serve_connection(state, connection, stream).await;
         drop(permit);
     });
 }
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -80,14 +80,14 @@
 }
 
 impl Server {
-    /// Takes over a job that the other process of this node migrates here, and answers its client. `held` reports to the
-    /// other process whether the job is held here; `said` completes once it has read that.
+    /// Takes over a job that the other process of this node migrates here, and answers its client. `accepted` reports
+    /// to the other process whether this one holds the job; `acceptance_read` completes once it has read that.
     pub async fn adopt_job(
         self,
         job: Bytes,
         client: OwnedFd,
-        held: oneshot::Sender<bool>,
-        said: oneshot::Receiver<()>,
+        accepted: oneshot::Sender<bool>,
+        acceptance_read: oneshot::Receiver<()>,
     ) {
         let stream = into_tcp_stream(client);
         // Without a yes the job stays where it was.
@@ -97,10 +97,12 @@
             self.state.connection_budget.try_acquire(),
             self.state.intake_closed.get(),
         ) else {
-            let _ = held.send(false);
+            let _ = accepted.send(false);
+            return;
+        };
+        let Some(mut job) = self.confirm_adoption(migration, payload, accepted, acceptance_read).await else {
             return;
         };
-        let Some(mut job) = self.confirm_adoption(migration, payload, held, said).await else { return };
         let Some(received) = self.await_adopted_response(&mut job, &mut stream).await else { return };
         job.open_job.disarm_disconnect_message();
         let Ok(job_response) = received else { return };
@@ -120,8 +122,8 @@
         &self,
         migration: JobMigration,
         payload: RequestPayload,
-        held: oneshot::Sender<bool>,
-        said: oneshot::Receiver<()>,
+        accepted: oneshot::Sender<bool>,
+        acceptance_read: oneshot::Receiver<()>,
     ) -> Option<AdoptedJob> {
         let queue = &self.state.queue;
         let mut open_job = OpenJob::new(&self.state);
@@ -133,11 +135,11 @@
             payload,
             job_handle: job_handle.clone(),
             answer: response_sender,
-            held,
+            held: accepted,
         };
         queue.send(DispatchMessage::ReceiveMigration(incoming)).await.ok()?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let is_confirmed = said.await.is_ok();
+        let is_confirmed = acceptance_read.await.is_ok();
         let confirmed = DispatchMessage::MigrationConfirmed(job_handle.clone(), is_confirmed);
         if queue.send(confirmed).await.is_err() || !is_confirmed {
             open_job.disarm_disconnect_message();
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -28,7 +28,8 @@
     response
 }
 
-/// 503 with Retry-After, which is left out where there is no advice: 0 would mean 'at once'.
+/// 503 with Retry-After. A duration of 0 means that there is no advice, and the header is omitted: it would ask for a retry
+/// at once.
 pub fn rejected(retry_after: Duration) -> HttpResponse {
     let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "deferred: come again later\n");
     if !retry_after.is_zero()
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -3,8 +3,9 @@
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
+use std::os::fd::OwnedFd;
 use std::pin::{Pin, pin};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::task::{Context, Poll};
 
 use hyper::body::Incoming;
@@ -30,6 +31,8 @@
 pub struct ConnectionService {
     pub(super) state: Rc<ServerState>,
     pub(super) connection: Rc<Connection>,
+    /// What hyper reads the connection through.
+    read_filter: Weak<RefCell<ReadFilter>>,
 }
 
 /// Who closes a connection on which HTTP has ended.
@@ -42,31 +45,24 @@
     Drop,
 }
 
-impl ConnectionService {
-    /// The service for a connection that was just accepted.
-    pub fn new(state: Rc<ServerState>, connection: Rc<Connection>) -> ConnectionService {
-        ConnectionService { state, connection }
-    }
-
-    /// Serves a connection until it is closed.
-    pub async fn serve(self, stream: TcpStream) {
-        // Without it a response could wait for the peer's delayed acknowledgement.
-        let _ = stream.set_nodelay(true);
-        let connection = self.connection.clone();
-        let read_filter = ReadFilter::new(
-            stream,
-            &connection,
-            self.state.metrics.clone(),
-            self.state.intake_closed.clone(),
-        );
-        let close_by = self.run_http(&connection, &read_filter).await;
-        if close_by == CloseBy::LingeringClose
-            && let Ok(read_filter) = Rc::try_unwrap(read_filter)
-        {
-            lingering_close(read_filter.into_inner().into_stream(), &connection).await;
-        }
+/// Serves an accepted connection until it is closed.
+pub async fn serve_connection(state: Rc<ServerState>, connection: Rc<Connection>, stream: TcpStream) {
+    // Without it a response could wait for the peer's delayed acknowledgement.
+    let _ = stream.set_nodelay(true);
+    let read_filter =
+        ReadFilter::new(stream, connection.clone(), state.metrics.clone(), state.intake_closed.clone());
+    let read_filter = Rc::new(RefCell::new(read_filter));
+    let service =
+        ConnectionService { state, connection: connection.clone(), read_filter: Rc::downgrade(&read_filter) };
+    let close_by = service.run_http(&connection, &read_filter).await;
+    if close_by == CloseBy::LingeringClose
+        && let Ok(read_filter) = Rc::try_unwrap(read_filter)
+    {
+        lingering_close(read_filter.into_inner().into_stream(), &connection).await;
     }
+}
 
+impl ConnectionService {
     /// Has hyper serve the requests of the connection.
     async fn run_http(self, connection: &Connection, read_filter: &Rc<RefCell<ReadFilter>>) -> CloseBy {
         let stream = TokioIo::new(FilteredStream::new(read_filter.clone()));
@@ -129,6 +125,11 @@
         response
     }
 
+    /// A duplicate of the connection's descriptor, for the migration of its job.
+    pub(super) fn duplicate_socket(&self) -> Option<OwnedFd> {
+        self.read_filter.upgrade()?.borrow().duplicate_socket()
+    }
+
     /// Whether the connection closes after the response that is made now.
     fn closes_after_response(&self) -> bool {
         let redirects = self.state.lifecycle.phase().redirects_clients() && !self.connection.is_worker();
--- a/crates/node/src/server/state.rs
+++ b/crates/node/src/server/state.rs
@@ -40,13 +40,21 @@
 
 /// State of the server, shared by its connections.
 pub struct ServerState {
+    /// Queue of the dispatch task.
     pub queue: DispatchQueue<RequestPayload>,
+    /// Clock of the node.
     pub clock: Clock,
+    /// Classes and tenants that requests can name.
     pub catalog: JobCatalog,
+    /// Phase of the process.
     pub lifecycle: Lifecycle,
+    /// Metrics of the node.
     pub metrics: Metrics,
+    /// The operator's settings.
     pub options: Rc<Cell<ServerOptions>>,
+    /// How many connections may be open.
     pub connection_budget: ConnectionBudget,
+    /// The other process of this node, while there is one.
     pub peer: Peer,
     /// Accepted connections; those that have ended are removed by [`ServerState::live_connections`].
     pub connections: RefCell<Vec<Weak<Connection>>>,
