--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -1,5 +1,5 @@
-//! The body of a worker's callback: a JSON object that reports the progress or the end of a delivery attempt. Parsing
-//! does not look for the job that it reports on.
+//! The body of a worker's callback: a JSON object that reports the progress or the end of a delivery attempt.
+//! Parsing does not look for the job that it reports on.
 
 use bytes::Bytes;
 use serde::Deserialize;
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -1,5 +1,5 @@
-//! Handles callbacks of workers: delivers them to the dispatch task, or forwards them to the other process of this node
-//! where that may hold the job.
+//! Handles callbacks of workers: delivers them to the dispatch task, or forwards them to the other process of
+//! this node where that may hold the job.
 
 use bytes::Bytes;
 use curlewusher_control::takeover::{CallbackRoute, route_callback};
@@ -18,16 +18,16 @@
 use crate::handover::{ForwardResult, PeerLink};
 
 impl Server {
-    /// Delivers a callback that the other process of this node has forwarded. Whether its job is open here; None while
-    /// that is about to change, and the callback is to be repeated.
+    /// Delivers a callback that the other process of this node has forwarded. Whether its job is open here;
+    /// None while that is about to change, and the callback is to be repeated.
     pub async fn handle_callback(&self, body: Bytes) -> Option<bool> {
         deliver_forwarded_callback(&self.state, &body).await
     }
 }
 
 impl ConnectionService {
-    /// Serves a worker's callback. It is acknowledged only once whoever holds its job has it; until then the worker is
-    /// to repeat it.
+    /// Serves a worker's callback. It is acknowledged only once whoever holds its job has it; until then the
+    /// worker is to repeat it.
     pub(super) async fn handle_callback(
         &self,
         request: Request<Incoming>,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process of this
-    /// node. Whether it was delivered, or no process holds its job.
+    /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process
+    /// of this node. Whether it was delivered, or no process holds its job.
     async fn deliver_callback(&self, report: CallbackReport, body: &Bytes) -> Result<bool, RequestError> {
         let peer = &self.state.peer;
         let link = peer.link();
@@ -77,7 +77,8 @@
         self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
     }
 
-    /// Forwards a callback to the other process of this node. Whether it was delivered, or no process holds its job.
+    /// Forwards a callback to the other process of this node. Whether it was delivered, or no process holds
+    /// its job.
     async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> bool {
         match link.forward_callback(body.clone()).await {
             ForwardResult::Handled => true,
@@ -88,8 +89,8 @@
     }
 }
 
-/// Delivers a callback that the other process does not hold the job of. Whether its job is open here; None while that
-/// is about to change.
+/// Delivers a callback that the other process does not hold the job of. Whether its job is open here; None
+/// while that is about to change.
 async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<bool> {
     let Ok(report) = CallbackReport::parse(body) else { return Some(false) };
     let (owner_sender, owner) = oneshot::channel();
--- a/crates/node/src/server/connection/lingering_close.rs
+++ b/crates/node/src/server/connection/lingering_close.rs
@@ -1,6 +1,6 @@
-//! The lingering close of a connection: its write side is shut down, and what the peer still sends is read and
-//! discarded for a bounded time. To close a socket over unread bytes resets the connection, and the reset can destroy
-//! a response that the peer has not read yet.
+//! The lingering close of a connection: its write side is shut down, and what the peer still sends is read
+//! and discarded for a bounded time. To close a socket over unread bytes resets the connection, and the reset
+//! can destroy a response that the peer has not read yet.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
 
 /// Shuts the write side down, and discards what the peer sends until it closes or a bound is reached.
 pub async fn discard_and_close(mut stream: TcpStream) {
-    // Where hyper came to a good end it has done this already. A connection that is reset yields no more bytes.
+    // Where hyper came to a good end it has done this already. A connection that is reset yields no more
+    // bytes.
     let _ = stream.shutdown().await;
     let discard = async {
         let mut remaining_bytes = MAX_LINGER_BYTES;
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -1,8 +1,8 @@
 //! An accepted downstream connection: its state, its timeouts and whether it may be evicted.
 //!
 //! A [`Connection`] knows nothing of the requests that it carries and answers none. The task that serves the
-//! connection moves it through [`ConnectionState`]; the listener and the shutdown close it through the methods
-//! here, which set a flag and wake that task.
+//! connection moves it through [`ConnectionState`]; the listener and the shutdown close it through the
+//! methods here, which set a flag and wake that task.
 //!
 //! | from | to | when |
 //! | --- | --- | --- |
@@ -30,8 +30,8 @@
 
 /// Longest head of a request, in bytes; hyper's read buffer has the same bound.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A request that has begun must be whole within this, and on a new connection one must have come. Good clients
-/// take up to 2 s to write one; a request that cannot be read must be answered or closed within 3 s.
+/// A request that has begun must be whole within this, and on a new connection one must have come. Good
+/// clients take up to 2 s to write one; a request that cannot be read must be answered or closed within 3 s.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
 /// A peer that takes no byte of its response for this long is treated as disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
@@ -39,7 +39,8 @@
 const MIN_NEW_AGE_FOR_EVICTION: Duration = Duration::from_millis(50);
 /// An idle connection may be evicted this long after its last response.
 const MIN_IDLE_AGE_FOR_EVICTION: Duration = Duration::from_millis(200);
-/// A peer that has neither sent a byte of its request nor taken one of its response for this long has stalled.
+/// A peer that has neither sent a byte of its request nor taken one of its response for this long has
+/// stalled.
 const STALLED_AFTER: Duration = Duration::from_millis(800);
 
 /// State of a connection, in the order in which connections are evicted when descriptors run low.
@@ -70,15 +71,15 @@
     /// The request that is being read has timed out or is evicted.
     read_expired: Cell<bool>,
     is_last_request: Cell<bool>,
-    /// Wakes the serving task after `aborted` or `read_expired` was set; with neither set, the connection is to
-    /// close as soon as it carries no request.
+    /// Wakes the serving task after `aborted` or `read_expired` was set; with neither set, the connection is
+    /// to close as soon as it carries no request.
     close_requested: Notify,
     /// The reader that waits for the request in progress to be answered.
     read_waker: RefCell<Option<Waker>>,
     /// Since when the peer has taken nothing of what is written to it.
     write_blocked_since: Cell<Option<Instant>>,
-    /// The connection ends at once, with nothing more written: the other process of this node serves its client, or
-    /// the peer takes nothing.
+    /// The connection ends at once, with nothing more written: the other process of this node serves its
+    /// client, or the peer takes nothing.
     aborted: Cell<bool>,
 }
 
@@ -129,8 +130,8 @@
         self.request_started.get().elapsed()
     }
 
-    /// Marks the peer as a worker, which sends callbacks. Its connection stays open while this node drains, because
-    /// the node waits for those callbacks.
+    /// Marks the peer as a worker, which sends callbacks. Its connection stays open while this node drains,
+    /// because the node waits for those callbacks.
     pub fn mark_as_worker(&self) {
         self.is_worker.set(true);
     }
@@ -145,8 +146,8 @@
         self.is_last_request.set(true);
     }
 
-    /// Whether the connection closes after the current request: where that one ends is known to hyper alone, or too
-    /// much has arrived behind it.
+    /// Whether the connection closes after the current request: where that one ends is known to hyper alone,
+    /// or too much has arrived behind it.
     pub fn is_last_request(&self) -> bool {
         self.is_last_request.get()
     }
@@ -211,15 +212,16 @@
         }
     }
 
-    /// Whether its client can be sent elsewhere unharmed: it has sent no part of a request, for long enough that
-    /// none is likely to be on its way. One that is sending may finish.
+    /// Whether its client can be sent elsewhere unharmed: it has sent no part of a request, for long enough
+    /// that none is likely to be on its way. One that is sending may finish.
     pub fn is_redirectable(&self) -> bool {
         matches!(self.state.get(), ConnectionState::New | ConnectionState::Idle)
             && !self.is_worker.get()
             && self.is_evictable()
     }
 
-    /// Whether it may be evicted. A young connection may not: a request may have been sent that was not read yet.
+    /// Whether it may be evicted. A young connection may not: a request may have been sent that was not read
+    /// yet.
     pub fn is_evictable(&self) -> bool {
         match self.state.get() {
             ConnectionState::Lingering => true,
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -1,9 +1,9 @@
 //! Inspects what arrives on a connection before hyper parses it.
 //!
-//! Each head is checked here first: of a request that carries both Content-Length and Transfer-Encoding hyper drops
-//! the length, by which another server may see a second request in the body (request smuggling). The filter also
-//! applies the read timeout, and keeps reading while a request is being answered, so that a peer that has closed
-//! is noticed.
+//! Each head is checked here first: of a request that carries both Content-Length and Transfer-Encoding hyper
+//! drops the length, by which another server may see a second request in the body (request smuggling). The
+//! filter also applies the read timeout, and keeps reading while a request is being answered, so that a peer
+//! that has closed is noticed.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -39,8 +39,8 @@
     /// How many bytes may be passed on: a head that was inspected, and its body.
     forwardable_bytes: u64,
     metrics: Metrics,
-    /// Set once this node takes no job any more: half a request is then closed without a response, so that its
-    /// client may send it elsewhere.
+    /// Set once this node takes no job any more: half a request is then closed without a response, so that
+    /// its client may send it elsewhere.
     intake_closed: Rc<Cell<bool>>,
 }
 
@@ -61,8 +61,8 @@
         self.stream
     }
 
-    /// A duplicate of the socket's descriptor. None where bytes have arrived behind the request, which would be lost, or
-    /// where the descriptor cannot be duplicated.
+    /// A duplicate of the socket's descriptor. None where bytes have arrived behind the request, which would
+    /// be lost, or where the descriptor cannot be duplicated.
     pub fn duplicate_socket(&self) -> Option<OwnedFd> {
         if !self.buffered.is_empty() || self.connection.is_last_request() {
             return None;
@@ -78,8 +78,8 @@
             .is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Reads on while a request is being answered: the end of the stream lies behind all that was sent before it.
-    /// Ready once the peer has closed.
+    /// Reads on while a request is being answered: the end of the stream lies behind all that was sent before
+    /// it. Ready once the peer has closed.
     pub fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.connection.state() == ConnectionState::Busy {
             let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
@@ -111,7 +111,8 @@
             // hyper expects that only the socket can wake what is pending here.
             self.connection.read_waker.replace(Some(cx.waker().clone()));
             if self.connection.state() == ConnectionState::Busy {
-                // What follows is inspected once this request is answered; `poll_disconnected` reads until then.
+                // What follows is inspected once this request is answered; `poll_disconnected` reads until
+                // then.
                 return Poll::Pending;
             }
             if self.forwardable_bytes == 0 && !self.buffered.is_empty() {
@@ -123,8 +124,8 @@
                     continue;
                 }
             }
-            // What has arrived is read first, however late that is: it may be the end of a request, which would be
-            // lost. Its length is bounded.
+            // What has arrived is read first, however late that is: it may be the end of a request, which
+            // would be lost. Its length is bounded.
             if self.connection.read_expired.replace(false) && !self.has_unread_input() {
                 self.metrics.add(Counter::Cut);
                 if self.forwardable_bytes > 0 || self.buffered.is_empty() || self.intake_closed.get() {
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -6,7 +6,8 @@
 
 use super::callback::CallbackError;
 
-/// Why a request is not served. The text is the body of the answer, so that whoever sent the request can mend it.
+/// Why a request is not served. The text is the body of the answer, so that whoever sent the request can mend
+/// it.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// A header that the request needs.
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -26,7 +26,8 @@
         let (head, incoming) = request.into_parts();
         let job_request = JobRequest::parse(head, &state.catalog, received_at)?;
         let body = read_body(incoming, &self.connection).await;
-        // No await from here until the job counts as open: the shutdown closes the intake once it sees no open job.
+        // No await from here until the job counts as open: the shutdown closes the intake once it sees no
+        // open job.
         let intake_closed = state.intake_closed.get();
         if intake_closed || body.is_ok() && state.open_jobs.get() >= state.max_open_jobs() {
             if !intake_closed {
@@ -68,8 +69,8 @@
         self.await_response(&job_handle, response_receiver, &mut open_job).await
     }
 
-    /// Waits for the response to a job. While open jobs are to migrate, it tries to migrate the job; once that has
-    /// succeeded this future is dropped with its connection.
+    /// Waits for the response to a job. While open jobs are to migrate, it tries to migrate the job; once
+    /// that has succeeded this future is dropped with its connection.
     async fn await_response(
         &self,
         job_handle: &JobHandle,
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts connections within the connection budget, closes those that have timed out, and evicts connections when the
-//! budget is exhausted.
+//! Accepts connections within the connection budget, closes those that have timed out, and evicts connections
+//! when the budget is exhausted.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,12 +24,13 @@
 const LISTEN_BACKLOG: u32 = 1024;
 /// How often connections are checked for timeouts.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a failed accept, as when descriptors have run out; also how long a connection of the budget is waited
-/// for before connections are evicted again.
+/// Pause after a failed accept, as when descriptors have run out; also how long a connection of the budget is
+/// waited for before connections are evicted again.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 /// Connections of the budget that are kept free for the next clients.
 const SPARE_CONNECTIONS: usize = 4;
-/// With this many lingering connections, eviction closes only those: at least one is left for the next eviction.
+/// With this many lingering connections, eviction closes only those: at least one is left for the next
+/// eviction.
 const ENOUGH_LINGERING_CONNECTIONS: usize = 2;
 
 impl Server {
@@ -51,7 +52,8 @@
     }
 }
 
-/// Closes connections that have timed out, and in a process that is superseded those whose clients can go elsewhere.
+/// Closes connections that have timed out, and in a process that is superseded those whose clients can go
+/// elsewhere.
 async fn close_timed_out_connections(state: &ServerState) -> Infallible {
     loop {
         sleep(TIMEOUT_CHECK_INTERVAL).await;
@@ -109,8 +111,8 @@
 
 /// Serves a connection in a task of its own.
 fn spawn_connection(state: &Rc<ServerState>, stream: TcpStream, permit: Option<ConnectionPermit>) {
-    // It is registered here, not when its task first runs: a burst is accepted before that, and would exhaust the
-    // budget with connections that cannot be evicted.
+    // It is registered here, not when its task first runs: a burst is accepted before that, and would exhaust
+    // the budget with connections that cannot be evicted.
     let connection = Rc::new(Connection::new());
     state.connections.borrow_mut().push(Rc::downgrade(&connection));
     let state = state.clone();
@@ -120,9 +122,9 @@
     });
 }
 
-/// Evicts the connection that is missed least: a client's before a worker's, then in the order of [`ConnectionState`],
-/// then the one that has been longest in its state. It lingers first; of the lingering connections the oldest is closed
-/// as well.
+/// Evicts the connection that is missed least: a client's before a worker's, then in the order of
+/// [`ConnectionState`], then the one that has been longest in its state. It lingers first; of the lingering
+/// connections the oldest is closed as well.
 pub fn evict_connections(state: &ServerState) {
     let connections = state.live_connections();
     let new_connections =
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -31,8 +31,8 @@
 /// Bytes read at once from a client that waits for its response.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// Migrates a job to the other process of this node, with a duplicate of its client's socket. Whether the other process
-/// holds it now.
+/// Migrates a job to the other process of this node, with a duplicate of its client's socket. Whether the
+/// other process holds it now.
 pub async fn migrate_job(state: &ServerState, job_handle: &JobHandle, client: Option<OwnedFd>) -> bool {
     let (Some(link), Some(client)) = (state.peer.link(), client) else { return false };
     // Dropped with this future when the client closes meanwhile.
@@ -65,7 +65,8 @@
         let finished = DispatchMessage::MigrationFinished(self.job_handle.clone(), is_held);
         self.queue.send(finished).await.ok()?;
         if !is_held && self.client_disconnected.try_recv() == Err(TryRecvError::Closed) {
-            // The dispatch task ignores this message while a job migrates; the other process would see it by itself.
+            // The dispatch task ignores this message while a job migrates; the other process would see it by
+            // itself.
             self.queue.send(DispatchMessage::ClientDisconnected(self.job_handle)).await.ok()?;
         }
         Some(is_held)
@@ -80,8 +81,9 @@
 }
 
 impl Server {
-    /// Takes over a job that the other process of this node migrates here, and answers its client. `accepted` reports
-    /// to the other process whether this one holds the job; `acceptance_read` completes once it has read that.
+    /// Takes over a job that the other process of this node migrates here, and answers its client. `accepted`
+    /// reports to the other process whether this one holds the job; `acceptance_read` completes once it has
+    /// read that.
     pub async fn adopt_job(
         self,
         job: Bytes,
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Submits a migrated job to the dispatch task and waits until both processes agree on where it is. None where it
-    /// stays at the other process, or the dispatch task has ended.
+    /// Submits a migrated job to the dispatch task and waits until both processes agree on where it is. None
+    /// where it stays at the other process, or the dispatch task has ended.
     async fn confirm_adoption(
         &self,
         migration: JobMigration,
@@ -148,8 +150,8 @@
         Some(AdoptedJob { response_receiver, job_handle, open_job })
     }
 
-    /// Waits for the response to a job that has migrated here. None once its client has closed, or it has migrated
-    /// back.
+    /// Waits for the response to a job that has migrated here. None once its client has closed, or it has
+    /// migrated back.
     async fn await_adopted_response(
         &self,
         job: &mut AdoptedJob,
@@ -181,8 +183,8 @@
     TcpStream::from_std(stream)
 }
 
-/// Returns once the client has closed. The end of the stream lies behind all that the client sends meanwhile, which is
-/// discarded.
+/// Returns once the client has closed. The end of the stream lies behind all that the client sends meanwhile,
+/// which is discarded.
 async fn wait_for_disconnect(stream: &mut TcpStream) {
     while stream.read(&mut [0; READ_CHUNK_BYTES]).await.is_ok_and(|read| read > 0) {}
 }
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -1,5 +1,5 @@
-//! The form in which a job goes from one process of a node to the other: the length of the record in four bytes,
-//! big-endian; the record in JSON; the body of the request.
+//! The form in which a job goes from one process of a node to the other: the length of the record in four
+//! bytes, big-endian; the record in JSON; the body of the request.
 //!
 //! The other process may run another version, so the form must not change.
 
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -1,8 +1,9 @@
-//! The client-facing HTTP server: jobs of clients, callbacks of workers, readiness for the load balancer, metrics.
+//! The client-facing HTTP server: jobs of clients, callbacks of workers, readiness for the load balancer,
+//! metrics.
 //!
-//! The server parses, admits and answers requests. What becomes of a job is decided by the dispatch task alone, and no
-//! job is answered before that task has answered it. Requests that are malformed, that exceed the server's capacity or
-//! that arrive after the intake was closed never reach that task.
+//! The server parses, admits and answers requests. What becomes of a job is decided by the dispatch task
+//! alone, and no job is answered before that task has answered it. Requests that are malformed, that exceed
+//! the server's capacity or that arrive after the intake was closed never reach that task.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/node/src/server/open_job.rs
+++ b/crates/node/src/server/open_job.rs
@@ -8,8 +8,8 @@
 use crate::dispatch::{DispatchMessage, JobHandle};
 use crate::upstream::RequestPayload;
 
-/// Counts a job as open until it is dropped. Dropped with a disconnect message armed, as when hyper drops the request
-/// of a client that has closed, it sends that message to the dispatch task.
+/// Counts a job as open until it is dropped. Dropped with a disconnect message armed, as when hyper drops the
+/// request of a client that has closed, it sends that message to the dispatch task.
 pub struct OpenJob {
     disconnect_message: Option<DisconnectMessage>,
     state: Rc<ServerState>,
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -67,8 +67,8 @@
         index.map(ClassId).ok_or_else(|| RequestError::UnknownClass(name.to_owned()))
     }
 
-    /// The tenant whose quota a job counts against: by name, or by its index in the configuration. Where there are
-    /// tenants the header is mandatory, since a job of no tenant would count against no quota.
+    /// The tenant whose quota a job counts against: by name, or by its index in the configuration. Where
+    /// there are tenants the header is mandatory, since a job of no tenant would count against no quota.
     fn tenant(&self, name: Option<&str>) -> Result<TenantId, RequestError> {
         if self.tenants.is_empty() {
             return Ok(TenantId(0));
@@ -260,8 +260,8 @@
     Ok(path.clone())
 }
 
-/// Hash of the last segment of a job's path, by which jobs that concern the same thing go to the same worker. None
-/// where the path has no segment behind [`JOBS_PATH`].
+/// Hash of the last segment of a job's path, by which jobs that concern the same thing go to the same worker.
+/// None where the path has no segment behind [`JOBS_PATH`].
 fn affinity_key(path: &str) -> Option<u64> {
     let key = path.strip_prefix(JOBS_PATH)?.rsplit('/').next()?;
     (!key.is_empty()).then(|| stable_hash(key))
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -28,8 +28,8 @@
     response
 }
 
-/// 503 with Retry-After. A duration of 0 means that there is no advice, and the header is omitted: it would ask for a retry
-/// at once.
+/// 503 with Retry-After. A duration of 0 means that there is no advice, and the header is omitted: it would
+/// ask for a retry at once.
 pub fn rejected(retry_after: Duration) -> HttpResponse {
     let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "deferred: come again later\n");
     if !retry_after.is_zero()
@@ -83,8 +83,8 @@
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Writes the response to a request whose socket came from the other process of this node. It is the last one on that
-/// connection.
+/// Writes the response to a request whose socket came from the other process of this node. It is the last one
+/// on that connection.
 pub async fn write_last_response(stream: &mut TcpStream, response: HttpResponse) -> io::Result<()> {
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await;
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -40,8 +40,8 @@
 enum CloseBy {
     /// This process, with a lingering close.
     LingeringClose,
-    /// Nobody any more: the peer has closed, the other process of this node has the connection, or the peer takes
-    /// nothing.
+    /// Nobody any more: the peer has closed, the other process of this node has the connection, or the peer
+    /// takes nothing.
     Drop,
 }
 
@@ -84,8 +84,8 @@
                     if connection.state() == ConnectionState::Reading
                         || read_filter.borrow().has_unread_input()
                     {
-                        // hyper, which does not see half a head, would close over a request that has just begun. It is
-                        // read to its end and is the last one.
+                        // hyper, which does not see half a head, would close over a request that has just
+                        // begun. It is read to its end and is the last one.
                         connection.mark_last_request();
                     } else if !connection.is_read_expired() {
                         // An expired connection ends by what the filter returns when it is next polled.
--- a/crates/node/src/server/shutdown.rs
+++ b/crates/node/src/server/shutdown.rs
@@ -15,8 +15,8 @@
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Closes idle clients' connections and returns once no job is open. The intake is closed then: jobs that are read
-    /// from then on are rejected.
+    /// Closes idle clients' connections and returns once no job is open. The intake is closed then: jobs that
+    /// are read from then on are rejected.
     pub async fn drain(&self) {
         loop {
             let job_closed = self.state.job_closed.notified();
@@ -68,8 +68,8 @@
     connection.state() == ConnectionState::Lingering
 }
 
-/// Whether a request is or may be under way on a connection: it is rejected once it is whole, but would be lost if the
-/// connection closed without a response.
+/// Whether a request is or may be under way on a connection: it is rejected once it is whole, but would be
+/// lost if the connection closed without a response.
 fn may_bring_request(connection: &Connection) -> bool {
     matches!(connection.state(), ConnectionState::New | ConnectionState::Reading)
         && !connection.is_evictable()
