--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -13,24 +13,24 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged { endpoints, snapshot } => {
-                self.discovery.listed(now);
+                self.poll_schedule.record_endpoints(now);
                 self.fleet.apply_endpoints(now, endpoints, snapshot);
                 self.revoke_attempts(actions);
             }
-            Event::EndpointsConfirmed => self.discovery.stands(now),
-            Event::PollAnswered { duration } => self.discovery.answered(duration),
-            Event::EndpointsUnreadable => self.discovery.spoilt(now),
-            Event::DiscoveryMoved => self.discovery.moved(now),
-            Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
+            Event::EndpointsConfirmed => self.poll_schedule.record_confirmation(now),
+            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
+            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
+            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
             Event::JobSubmitted(submission) => self.admit_job(now, &submission, actions),
             Event::AttemptAccepted { job, attempt } => self.record_acceptance(now, job, attempt),
             Event::AttemptStarted { job, attempt } => {
                 self.record_acceptance(now, job, attempt);
                 self.handle_start(now, job, attempt, actions);
             }
-            Event::AttemptProgressed { job, attempt, done } => {
+            Event::AttemptProgressed { job, attempt, fraction_done } => {
                 self.record_acceptance(now, job, attempt);
-                self.record_progress(now, job, attempt, done);
+                self.record_progress(now, job, attempt, fraction_done);
             }
             Event::AttemptStreaming { job, attempt } => {
                 self.handle_start(now, job, attempt, actions);
@@ -49,7 +49,7 @@
                 self.fleet.reenable_worker(now, worker);
                 self.dispatch_pending(now, actions);
             }
-            Event::SuccessorActive(is_active) => self.lifecycle.is_superseded = is_active,
+            Event::SuccessorActive { active } => self.lifecycle.is_superseded = active,
             Event::ShutdownStarted { deadline } => {
                 self.lifecycle.shutdown_at = deadline;
                 self.handle_timer(now, actions);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -29,20 +29,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::poll_schedule::DiscoveryClient;
+use crate::poll_schedule::PollSchedule;
 use crate::{Idempotency, JobId, Micros, Settings, SettingsError};
 
 pub(crate) use attempts::EndedAttempt;
 pub(crate) use budgets::{Admission, Budgets};
 pub(crate) use estimates::RELIABLE_HINT_SHARE;
-pub(crate) use estimators::SpeedEstimate;
+pub(crate) use estimators::{SpeedEstimate, SpeedRatio};
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
 pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, QueueKey};
 pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
     InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, PlacementEstimate, PlacementRating, PlacementTier,
-    Progress, WarmUpSend, Worker,
+    Progress, WarmUpSend, Worker, WorkerEstimates,
 };
 
 /// The dispatcher of one node: give it events, carry out its actions.
@@ -62,7 +62,7 @@
     pub(crate) lifecycle: Lifecycle,
     pub(crate) timer: Timer,
     pub(crate) gossip: GossipState,
-    pub(crate) discovery: DiscoveryClient,
+    pub(crate) poll_schedule: PollSchedule,
     pub(crate) buffers: Buffers,
 }
 
@@ -106,7 +106,7 @@
     /// # Errors
     /// Where the settings contradict themselves; the error names the field.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             fleet: Fleet::new(&settings),
@@ -119,7 +119,7 @@
             lifecycle: Lifecycle { shutdown_at: Micros::MAX, is_superseded: false },
             timer: Timer::default(),
             gossip: GossipState::default(),
-            discovery: DiscoveryClient::new(&settings),
+            poll_schedule: PollSchedule::new(&settings),
             buffers: Buffers::default(),
             settings,
         })
