--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -8,6 +8,7 @@
 use tracing::info;
 
 use super::{LocalEvent, TakeoverTask};
+use crate::dispatch::JobOwner;
 use crate::handover::link::PeerRequest;
 use crate::handover::state_transfer::StateTransfer;
 use crate::telemetry::logging::NODE;
@@ -76,10 +77,12 @@
     fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
         let server = self.parts.server.clone();
         spawn_local(async move {
-            // Without a response the worker repeats the callback.
-            if let Some(is_held) = server.handle_callback(body).await {
-                let _ = is_handled.send(is_held);
-            }
+            let _ = match server.handle_forwarded_callback(body).await {
+                Some(JobOwner::Local) => is_handled.send(true),
+                Some(JobOwner::Unknown) => is_handled.send(false),
+                // Without a response the worker repeats the callback.
+                Some(JobOwner::Migrating) | None => Ok(()),
+            };
         });
     }
 
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -18,9 +18,9 @@
 use crate::handover::{ForwardResult, PeerLink};
 
 impl Server {
-    /// Delivers a callback that the other process of this node has forwarded. Whether its job is open here;
-    /// None while that is about to change, and the callback is to be repeated.
-    pub async fn handle_callback(&self, body: Bytes) -> Option<bool> {
+    /// Delivers a callback that the other process of this node has forwarded. The owner of its job; None once
+    /// the dispatch task has ended.
+    pub async fn handle_forwarded_callback(&self, body: Bytes) -> Option<JobOwner> {
         deliver_forwarded_callback(&self.state, &body).await
     }
 }
@@ -83,25 +83,25 @@
         match link.forward_callback(body.clone()).await {
             ForwardResult::Handled => true,
             // Its job may have migrated here since it was looked for here.
-            ForwardResult::NotHeld => deliver_forwarded_callback(&self.state, body).await.is_some(),
+            ForwardResult::NotHeld => match deliver_forwarded_callback(&self.state, body).await {
+                Some(JobOwner::Local | JobOwner::Unknown) => true,
+                Some(JobOwner::Migrating) | None => false,
+            },
             ForwardResult::NoAnswer => false,
         }
     }
 }
 
-/// Delivers a callback that the other process does not hold the job of. Whether its job is open here; None
-/// while that is about to change.
-async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<bool> {
-    let Ok(report) = CallbackReport::parse(body) else { return Some(false) };
+/// Delivers a callback whose job the other process does not hold. The owner of its job; None once the
+/// dispatch task has ended.
+async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<JobOwner> {
+    let Ok(report) = CallbackReport::parse(body) else { return Some(JobOwner::Unknown) };
     let (owner_sender, owner) = oneshot::channel();
     state.queue.send(dispatch_message(report, Some(owner_sender))).await.ok()?;
-    match owner.await.ok()? {
-        JobOwner::Local => Some(true),
-        JobOwner::Unknown => Some(false),
-        JobOwner::Migrating => None,
-    }
+    owner.await.ok()
 }
 
+/// The message for the dispatch task; `owner_sender` is there where the owner of the job is asked for.
 fn dispatch_message<P>(
     report: CallbackReport,
     owner_sender: Option<oneshot::Sender<JobOwner>>,
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -81,15 +81,15 @@
 }
 
 impl Server {
-    /// Takes over a job that the other process of this node migrates here, and answers its client. `accepted`
-    /// reports to the other process whether this one holds the job; `acceptance_read` completes once it has
-    /// read that.
+    /// Takes over a job that the other process of this node migrates here, and answers its client.
+    /// `is_adopted` reports to the other process whether this one holds the job; `response_written` completes
+    /// once the link has written that report.
     pub async fn adopt_job(
         self,
         job: Bytes,
         client: OwnedFd,
-        accepted: oneshot::Sender<bool>,
-        acceptance_read: oneshot::Receiver<()>,
+        is_adopted: oneshot::Sender<bool>,
+        response_written: oneshot::Receiver<()>,
     ) {
         let stream = into_tcp_stream(client);
         // Without a yes the job stays where it was.
@@ -99,10 +99,11 @@
             self.state.connection_budget.try_acquire(),
             self.state.intake_closed.get(),
         ) else {
-            let _ = accepted.send(false);
+            let _ = is_adopted.send(false);
             return;
         };
-        let Some(mut job) = self.confirm_adoption(migration, payload, accepted, acceptance_read).await else {
+        let Some(mut job) = self.confirm_adoption(migration, payload, is_adopted, response_written).await
+        else {
             return;
         };
         let Some(received) = self.await_adopted_response(&mut job, &mut stream).await else { return };
@@ -124,8 +125,8 @@
         &self,
         migration: JobMigration,
         payload: RequestPayload,
-        accepted: oneshot::Sender<bool>,
-        acceptance_read: oneshot::Receiver<()>,
+        is_adopted: oneshot::Sender<bool>,
+        response_written: oneshot::Receiver<()>,
     ) -> Option<AdoptedJob> {
         let queue = &self.state.queue;
         let mut open_job = OpenJob::new(&self.state);
@@ -137,11 +138,11 @@
             payload,
             job_handle: job_handle.clone(),
             answer: response_sender,
-            held: accepted,
+            held: is_adopted,
         };
         queue.send(DispatchMessage::ReceiveMigration(incoming)).await.ok()?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let is_confirmed = acceptance_read.await.is_ok();
+        let is_confirmed = response_written.await.is_ok();
         let confirmed = DispatchMessage::MigrationConfirmed(job_handle.clone(), is_confirmed);
         if queue.send(confirmed).await.is_err() || !is_confirmed {
             open_job.disarm_disconnect_message();
