--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Sends a message to each other node of this node's subset.
     fn send_to_peers(&self, data: &[u8], actions: &mut Vec<Action>) {
         let (own_index, subset_count) = (self.settings.node_index, self.fleet.subset_count as u32);
         let members = (own_index % subset_count..self.settings.nodes).step_by(subset_count as usize);
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -59,20 +59,22 @@
         self.set_timer(now, actions);
     }
 
+    /// An attempt has started to run, or to answer.
     fn handle_start(&mut self, now: Micros, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
         if self.record_start(now, job, attempt) {
             self.cancel_other_attempts(job, attempt, actions);
         }
     }
 
+    /// An attempt has ended, by what its worker or its connection reported.
     fn handle_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { job, attempt, outcome, settled } = end;
         let was_held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
-        let is_news = self.record_outcome(job, attempt, outcome);
-        if is_news && let Some(ended) = self.remove_ended(job, attempt, outcome) {
+        let is_first_report = self.record_outcome(job, attempt, outcome);
+        if is_first_report && let Some(ended) = self.remove_ended(job, attempt, outcome) {
             self.assess_worker(now, &ended);
         }
-        if !is_news && !settled {
+        if !is_first_report && !settled {
             return;
         }
         let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, job, actions);
@@ -84,7 +86,7 @@
     /// Revokes attempts whose worker takes nothing new any more.
     fn revoke_attempts(&mut self, actions: &mut Vec<Action>) {
         let pending = self.fleet.pending_revocations.drain(..);
-        actions.extend(pending.map(|(job, attempt)| Action::RevokeAttempt { job, attempt }));
+        actions.extend(pending.map(|id| Action::RevokeAttempt { job: id.job, attempt: id.number }));
     }
 
     /// Whether an attempt that is in flight was revoked.
@@ -94,6 +96,7 @@
         attempt.is_some_and(|attempt| attempt.revoked)
     }
 
+    /// The client of a job has gone: no answer is needed any more.
     fn disconnect_client(&mut self, job: JobId, actions: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&job) else { return };
         if !job.is_answered {
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Reviews all open jobs.
     fn sweep(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut open_jobs = std::mem::take(&mut self.buffers.open_jobs);
         open_jobs.extend(self.jobs.values().filter(|job| job.is_open()).map(|job| job.id));
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -64,16 +64,18 @@
         candidates.iter().filter(is_tied).nth(nth).map(|index| self.estimate_placement(now, *index, job))
     }
 
+    /// Rates a worker for a job, whether or not the job may be sent there.
     fn rate_worker(&self, now: Micros, index: usize, job: &Job) -> PlacementRating {
         let worker = &self.fleet.workers[index];
         let estimate = self.estimate_placement(now, index, job);
         let crossing = self.settings.cross_zone_price * ZONE_CROSSING_S;
         let is_local = worker.zone == self.settings.zone;
         let max_wait = if is_local { MAX_WORKER_QUEUE_S + crossing } else { MAX_WORKER_QUEUE_S };
-        let tier = match estimate.reliable_run + estimate.wait <= seconds_between(now, job.objective_at) {
-            true if estimate.wait <= max_wait => PlacementTier::Immediate,
-            true => PlacementTier::Queued,
-            false => PlacementTier::Late,
+        let meets_objective = estimate.reliable_run + estimate.wait <= seconds_between(now, job.objective_at);
+        let tier = match (meets_objective, estimate.wait <= max_wait) {
+            (true, true) => PlacementTier::Immediate,
+            (true, false) => PlacementTier::Queued,
+            (false, _) => PlacementTier::Late,
         };
         // Enabled again by operators and not used since: only an attempt shows whether it serves.
         let is_probe = |reenabled_at| {
@@ -94,6 +96,7 @@
     }
 }
 
+/// Whether a rating is about as good as the best one, or better.
 fn is_near_tie(rating: PlacementRating, best: PlacementRating) -> bool {
     rating.tier == best.tier && rating.cost <= best.cost * (1.0 + NEAR_TIE_RATIO) + NEAR_TIE_S
 }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -9,8 +9,9 @@
     DEFAULT_JOB_WORK_S, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
     WorkEstimate,
 };
+use super::job::AttemptId;
 use super::worker::{InFlightAttempt, UnhintedWork, Worker};
-use crate::{JobId, KindId, Micros, Settings, WorkerId};
+use crate::{KindId, Micros, Settings, WorkerId};
 
 /// A start that is this late counts as delayed, in seconds.
 pub(crate) const LATE_START_S: f64 = 0.02;
@@ -81,7 +82,7 @@
     /// Workers that were enabled again and that the list does not name at present, and when.
     pub(super) reenabled_unlisted: BTreeMap<WorkerId, Micros>,
     /// Attempts to revoke, for which no action has been given yet: their worker takes no new work.
-    pub pending_revocations: Vec<(JobId, u32)>,
+    pub pending_revocations: Vec<AttemptId>,
     /// Indices of the ready workers of this node's subset, in ascending order.
     pub subset: Vec<usize>,
     /// Number of subsets that nodes and workers are parted into.
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -34,6 +34,15 @@
     }
 }
 
+/// Names an attempt of any job.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptId {
+    /// Its job.
+    pub job: JobId,
+    /// Its number among the job's attempts, from 0.
+    pub number: u32,
+}
+
 /// Names an attempt of a known job.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptRef {
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -27,7 +27,7 @@
 }
 
 impl Demand {
-    /// A job was admitted.
+    /// Records an admitted job.
     pub fn record_submitted(&mut self, now: Micros, job: &Job) {
         self.first_at = self.first_at.min(now);
         self.submitted.add(now, job.load(), DEMAND_SPAN_S);
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -41,6 +41,7 @@
         self.rebuild_subset();
     }
 
+    /// Takes over the new entry of a known worker.
     fn update_worker(&mut self, now: Micros, index: usize, endpoint: &Endpoint) {
         let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
         let started_at = endpoint.started_at.min(now);
@@ -55,6 +56,7 @@
         (worker.kind_index, worker.listed_slots) = (kind_index, listed_slots);
     }
 
+    /// Adds a worker at its place in the order of ids.
     fn insert_worker(&mut self, index: usize, endpoint: &Endpoint) {
         let mut worker = Worker::new(endpoint, self.kind_index(endpoint.kind));
         worker.listed_slots = self.listed_slots(endpoint);
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::estimators::{DecayingSum, SpeedRatio};
-use super::job::Attempt;
+use super::job::{Attempt, AttemptId};
 use super::time::seconds_between;
 use crate::{CellId, DeduplicationScope, Endpoint, JobId, KindId, Micros, WorkerId, WorkerStatus, ZoneId};
 
@@ -330,10 +330,10 @@
 
     /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
     /// those that were not marked before.
-    pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = (JobId, u32)> {
+    pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
-            (attempt.job, attempt.attempt)
+            AttemptId { job: attempt.job, number: attempt.attempt }
         })
     }
 
