--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -61,8 +61,12 @@
 
     /// An attempt has started to run, or to answer.
     fn handle_start(&mut self, now: Micros, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
-        if self.record_start(now, job, attempt) {
-            self.cancel_other_attempts(job, attempt, actions);
+        if !self.record_start(now, job, attempt) {
+            return;
+        }
+        // The first attempt to start is kept: a hedged request must not run as well.
+        if let Some(job) = self.jobs.get(&job) {
+            self.cancel_in_flight(job, Some(attempt), actions);
         }
     }
 
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -2,7 +2,7 @@
 //! cancelled.
 
 use crate::state::{Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementTier};
-use crate::{Action, JobId, Micros};
+use crate::{Action, Micros};
 
 /// Where all work is known, only a silent worker starts a job late: this long after it should, in seconds.
 const SILENT_START_S: f64 = 1.0;
@@ -31,11 +31,4 @@
             |attempt: &InFlightAttempt| !attempt.has_started() && attempt.start_delay(now) > allowed_delay;
         job.in_flight().all(|attempt| self.in_flight_attempt(job.id, attempt).is_some_and(is_overdue))
     }
-
-    /// Cancels the other attempts of a job of which one has started.
-    pub(crate) fn cancel_other_attempts(&self, job: JobId, started: u32, actions: &mut Vec<Action>) {
-        let Some(known) = self.jobs.get(&job).filter(|_| self.settings.may_cancel) else { return };
-        let others = known.in_flight().filter(|attempt| attempt.number != started);
-        actions.extend(others.map(|attempt| Action::CancelAttempt { job, attempt: attempt.number }));
-    }
 }
--- a/crates/core/src/policy/rules.rs
+++ b/crates/core/src/policy/rules.rs
@@ -49,9 +49,6 @@
     /// Marks a job as answered and cancels what is still in flight for it.
     pub(crate) fn close_job(&self, job: &mut Job, actions: &mut Vec<Action>) {
         job.is_answered = true;
-        if self.settings.may_cancel {
-            let in_flight = job.in_flight();
-            actions.extend(in_flight.map(|at| Action::CancelAttempt { job: job.id, attempt: at.number }));
-        }
+        self.cancel_in_flight(job, None, actions);
     }
 }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -4,7 +4,7 @@
 use super::time::{seconds_between, to_micros};
 use super::worker::{EXCESS_WAIT_SPAN_S, Progress, UnhintedWork, WarmUpSend};
 use super::{Attempt, Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementEstimate};
-use crate::{JobId, Micros, Outcome};
+use crate::{Action, JobId, Micros, Outcome};
 
 /// Shortest run that a speed is learned from, in seconds.
 const MIN_MEASURED_RUN_S: f64 = 1e-3;
@@ -137,6 +137,15 @@
         Some(EndedAttempt { worker_index, attempt, outcome })
     }
 
+    /// Cancels the attempts of a job that are in flight, but for the one that is to run on.
+    pub(crate) fn cancel_in_flight(&self, job: &Job, except: Option<u32>, actions: &mut Vec<Action>) {
+        if !self.settings.may_cancel {
+            return;
+        }
+        let cancelled = job.in_flight().filter(|attempt| Some(attempt.number) != except);
+        actions.extend(cancelled.map(|at| Action::CancelAttempt { job: job.id, attempt: at.number }));
+    }
+
     /// Updates how many slots each worker of the subset runs at once.
     pub(crate) fn observe_slots(&mut self, now: Micros) {
         for index in &self.fleet.subset {
