--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -79,7 +79,7 @@
         self.server.drain().await;
         self.server.close().await;
         self.finish_cancellations().await;
-        self.takeover.leave(&self.upstream).await;
+        self.takeover.finish(&self.upstream).await;
         self.close_late_connections().await;
         self.lifecycle.apply(PhaseEvent::ShutdownCompleted);
     }
@@ -93,7 +93,7 @@
     /// Waits until workers have acknowledged all cancellations, within a time limit.
     async fn finish_cancellations(&self) {
         let limit =
-            if self.takeover.goes_on() { CANCELLATION_TIMEOUT_WITH_PEER } else { CANCELLATION_TIMEOUT };
+            if self.takeover.has_peer() { CANCELLATION_TIMEOUT_WITH_PEER } else { CANCELLATION_TIMEOUT };
         let idle = async {
             while !self.upstream.is_idle() {
                 sleep(CANCELLATION_CHECK_INTERVAL).await;
