--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: what a submitted job may claim, and whether it is taken at all.
 
 use super::deadlines::ANSWER_MARGIN;
-use crate::state::{Dispatcher, Job, RELIABLE_HINT_SHARE, to_micros};
+use crate::state::{Dispatcher, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work, to_micros};
 use crate::{Action, JobSubmission, Micros};
 
 /// A job that has waited no longer than this, on its way here, is a first submission.
@@ -36,14 +36,15 @@
         let class = &self.settings.classes[class_index];
         let hint = submission.cost_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
         let estimate = self.fleet.estimate_unhinted_work(class_index);
-        let work = hint.map_or(estimate, |hint| hint.clamp(1e-4, 1e4));
+        let work = hint.map_or(estimate, clamp_job_work);
         // A client's retry has less time left than a first submission: its objective counts from the latter.
         let time_left = submission.deadline.saturating_sub(now).min(class.client_timeout);
         let waited = self.admission.time_waited(class_index, time_left);
         let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
         let stretch = to_micros(class.latency_objective_stretch * work * RELIABLE_HINT_SHARE);
         let objective_at = (now + class.latency_objective + stretch).saturating_sub(waited);
-        let slots = if submission.slots.is_finite() { submission.slots.clamp(1.0, 64.0) } else { 1.0 };
+        let slots =
+            if submission.slots.is_finite() { submission.slots.clamp(1.0, MAX_JOB_SLOTS) } else { 1.0 };
         let weight = class.priority_weight / self.admission.max_priority_weight / slots;
         let tenant = submission.tenant.0;
         let over_quota = self.admission.charge_quota(now, &self.settings, tenant, is_first_submission);
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -9,7 +9,7 @@
     DEFAULT_JOB_WORK_S, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
     WorkEstimate,
 };
-use super::job::AttemptId;
+use super::job::{AttemptId, clamp_job_work};
 use super::worker::{InFlightAttempt, UnhintedWork, Worker};
 use crate::{KindId, Micros, Settings, WorkerId};
 
@@ -150,7 +150,7 @@
 
     /// The work of a job of that class that came without a hint, in seconds at speed 1.
     pub fn estimate_unhinted_work(&self, class: usize) -> f64 {
-        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |work| work.mean.clamp(1e-4, 1e4))
+        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |work| clamp_job_work(work.mean))
     }
 
     /// Adds the work of a submitted job to the mean.
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) use estimates::RELIABLE_HINT_SHARE;
 pub(crate) use estimators::{SpeedEstimate, SpeedRatio};
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
-pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, QueueKey};
+pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, MAX_JOB_SLOTS, QueueKey, clamp_job_work};
 pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
