--- a/crates/core/src/state/affinity.rs
+++ b/crates/core/src/state/affinity.rs
@@ -1,6 +1,6 @@
 //! Key affinity: which workers are likely to hold what a job's key stands for.
 //!
-//! The homes of a key are the workers with the highest rendezvous weights for it, so that nodes which
+//! The owners of a key are the workers with the highest rendezvous weights for it, so that nodes which
 //! exchange nothing agree on them and each worker holds few keys.
 
 use super::fleet::Fleet;
@@ -9,8 +9,8 @@
 
 /// Number of recent jobs by which the share of a key is estimated.
 const MAX_RECENT_KEYS: usize = 40;
-/// Homes of a key for each worker that its share of the jobs would fill, so that some are spare.
-const HOME_SPARE_FACTOR: f64 = 1.5;
+/// Owners of a key for each worker that its share of the jobs would fill, so that some are spare.
+const SPARE_OWNER_FACTOR: f64 = 1.5;
 /// Count of a key that was seen once: it may never come again.
 const SINGLE_KEY_COUNT: f64 = 0.4;
 /// Prior count of jobs of other keys, added to those seen.
@@ -21,23 +21,23 @@
 const RECENT_KEY_HIT_RATE: f64 = 0.9;
 /// After so many other keys that probability is 0.
 const RECENT_KEYS_RETAINED: f64 = 8.0;
-/// Probability that a home holds a key.
-const HOME_KEY_HIT_RATE: f64 = 0.8;
+/// Probability that an owner holds its key.
+const OWNER_HIT_RATE: f64 = 0.8;
 
 impl Fleet {
-    /// The least rendezvous weight of a key's homes: the more homes, the larger its share of the jobs, and
-    /// one more for each cancelled attempt of the job, which waited at a home for nothing. All nodes with the
-    /// same list agree.
+    /// The least rendezvous weight of a key's owners: the more owners, the larger its share of the jobs, and
+    /// one more for each cancelled attempt of the job, which waited at an owner for nothing. All nodes with
+    /// the same list agree.
     pub fn affinity_threshold(&self, key: Option<u64>, cancelled_attempts: usize) -> u64 {
         let Some(key) = key else { return u64::MAX };
-        let wanted = self.key_share(key) * self.subset.len() as f64 * HOME_SPARE_FACTOR;
-        let homes = (wanted.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
+        let wanted = self.key_share(key) * self.subset.len() as f64 * SPARE_OWNER_FACTOR;
+        let owners = (wanted.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
         let weight = |index: &usize| self.workers[*index].rendezvous_weight(key);
         let mut weights: Vec<u64> = self.subset.iter().map(weight).collect();
         if weights.is_empty() {
             return u64::MAX;
         }
-        *weights.select_nth_unstable_by(homes - 1, |a, b| b.cmp(a)).1
+        *weights.select_nth_unstable_by(owners - 1, |a, b| b.cmp(a)).1
     }
 
     /// Estimated share of a key in the jobs, by the recent ones.
@@ -66,8 +66,8 @@
         let sent_hit_rate = worker.keys_sent_since(key).map_or(0.0, |others| {
             RECENT_KEY_HIT_RATE * (1.0 - others as f64 / RECENT_KEYS_RETAINED).max(0.0)
         });
-        let is_home = worker.rendezvous_weight(key) >= job.affinity_threshold;
-        let home_hit_rate = if is_home { HOME_KEY_HIT_RATE } else { 0.0 };
-        FETCH_WORK_RATIO * self.mean_work * (1.0 - sent_hit_rate) * (1.0 - home_hit_rate)
+        let is_owner = worker.rendezvous_weight(key) >= job.affinity_threshold;
+        let owner_hit_rate = if is_owner { OWNER_HIT_RATE } else { 0.0 };
+        FETCH_WORK_RATIO * self.mean_work * (1.0 - sent_hit_rate) * (1.0 - owner_hit_rate)
     }
 }
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -46,8 +46,8 @@
         *longest - time_left
     }
 
-    /// Charges a job to its tenant's quota, if it is a first submission. Returns whether the job is beyond this
-    /// node's part of the quota.
+    /// Charges a job to its tenant's quota, if it is a first submission. Returns whether the job is beyond
+    /// this node's part of the quota.
     pub fn charge_quota(&mut self, now: Micros, settings: &Settings, tenant: usize, is_first: bool) -> bool {
         let Some(bucket) = self.quotas.get_mut(tenant) else { return false };
         let rate = settings.tenant_quotas[tenant] / f64::from(settings.nodes);
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -20,7 +20,7 @@
 const MIN_REMAINING_SHARE: f64 = 0.35;
 /// Share of a job's hint that is relied on: latency objectives grow with the true work, which may be less.
 pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
-/// A worker counts as at least this warm, whatever the settings say, so that speeds stay above zero.
+/// Lower bound of the warm-up fraction, whatever the settings are, so that speeds stay above zero.
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 /// A worker with no longer a wait than this counts as free, in seconds.
 const FREE_WORKER_WAIT_S: f64 = 0.025;
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -1,4 +1,4 @@
-//! What is known of one job: what its submission said, and the attempts made for it.
+//! One job: what its submission contained, and the attempts made for it.
 
 use arrayvec::ArrayVec;
 
@@ -83,7 +83,7 @@
     pub slots: f64,
     /// Affinity key: what it concerns.
     pub key: Option<u64>,
-    /// Least rendezvous weight of the workers that are homes of its key.
+    /// Least rendezvous weight of the owners of its key.
     pub affinity_threshold: u64,
     /// An answer after this misses its latency objective.
     pub objective_at: Micros,
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -138,7 +138,7 @@
     pub wait: f64,
 }
 
-/// What the failures of a worker say of it.
+/// Health of a worker, by its recent failures.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkerHealth {
     /// Failures in a row, halved by each success.
@@ -206,7 +206,7 @@
     pub excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
     pub peer_backlogs: Vec<PeerBacklog>,
-    /// What its failures say of it.
+    /// Its health.
     pub health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
     pub reenabled_at: Option<Micros>,
