--- a/crates/core/src/migration.rs
+++ b/crates/core/src/migration.rs
@@ -18,7 +18,7 @@
     Action, CellId, ClassId, Dispatcher, JobId, JobSubmission, Micros, Outcome, TenantId, WorkerId, ZoneId,
 };
 
-/// A job that moves to another process of the node. Fields as in [`Job`].
+/// A job that moves to another process of the node. Fields as in the record of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MigratedJob {
