--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -1,5 +1,6 @@
 //! Why the node could not start or had to stop, and whether a restart can help.
 
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 
@@ -8,7 +9,6 @@
 
 use crate::admin::listener::AdminListenerError;
 use crate::config::ConfigError;
-use crate::runtime::supervision::SupervisedTask;
 
 /// Why the node does not serve, or no longer serves. Each text names the cause and what an operator can do.
 #[derive(Debug, Error)]
@@ -64,3 +64,37 @@
         }
     }
 }
+
+/// A task that runs for as long as the node does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SupervisedTask {
+    /// Carries out operators' commands; without it nobody could end a drain.
+    Admin,
+    /// Reads the configuration again; without it nobody could reconfigure the node.
+    Reload,
+    /// Owns the jobs and the decisions.
+    Dispatch,
+    /// Shares the node with another process.
+    Takeover,
+    /// Watches the endpoint list.
+    EndpointWatcher,
+    /// Closes idle connections to workers.
+    IdleConnectionSweep,
+}
+
+impl fmt::Display for SupervisedTask {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            SupervisedTask::Admin => "the second address",
+            SupervisedTask::Reload => "the delivery of SIGHUP",
+            SupervisedTask::Dispatch => "the dispatch task",
+            SupervisedTask::Takeover => "the upgrade task",
+            SupervisedTask::EndpointWatcher => "the transport map",
+            SupervisedTask::IdleConnectionSweep => "the sweep of idle connections",
+        })
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/serve_error.rs"]
+mod tests;
--- a/crates/node/src/runtime/supervision.rs
+++ b/crates/node/src/runtime/supervision.rs
@@ -1,51 +1,19 @@
 //! Runs a node that has been started, until its shutdown is complete. A node that has lost one of its tasks would
 //! keep its address and answer nothing, so the end of any of them ends the program with an error.
 
-use std::fmt;
-
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
 use crate::admin::connection::PendingCommand;
 use crate::admin::service::AdminService;
 use crate::config::ConfigSources;
-use crate::runtime::error::ServeError;
+use crate::runtime::error::{ServeError, SupervisedTask};
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::GracefulShutdown;
 use crate::runtime::signals::Signals;
 use crate::telemetry::logging::Logging;
 use crate::telemetry::metrics::Metrics;
 
-/// A task that runs for as long as the node does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SupervisedTask {
-    /// Carries out operators' commands; without it nobody could end a drain.
-    Admin,
-    /// Reads the configuration again; without it nobody could reconfigure the node.
-    Reload,
-    /// Owns the jobs and the decisions.
-    Dispatch,
-    /// Shares the node with another process.
-    Takeover,
-    /// Watches the endpoint list.
-    EndpointWatcher,
-    /// Closes idle connections to workers.
-    IdleConnectionSweep,
-}
-
-impl fmt::Display for SupervisedTask {
-    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        formatter.write_str(match self {
-            SupervisedTask::Admin => "the second address",
-            SupervisedTask::Reload => "the delivery of SIGHUP",
-            SupervisedTask::Dispatch => "the dispatch task",
-            SupervisedTask::Takeover => "the upgrade task",
-            SupervisedTask::EndpointWatcher => "the transport map",
-            SupervisedTask::IdleConnectionSweep => "the sweep of idle connections",
-        })
-    }
-}
-
 /// The spawned tasks whose end ends the program.
 pub struct TaskHandles {
     /// See [`SupervisedTask::Dispatch`].
