--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -11,7 +11,7 @@
     pub(super) fn send_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.gossip.has_changes = false;
         let mut data = Vec::new();
-        let mut free_entries = gossip::MOST_ENTRIES;
+        let mut free_entries = gossip::MAX_ENTRIES;
         for position in 0..self.fleet.subset.len() {
             let index = self.fleet.subset[position];
             let worker = &self.fleet.workers[index];
@@ -20,11 +20,11 @@
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
             } else if is_due {
-                let speed = worker.current_speed;
+                let speed = worker.estimates.speed;
                 let in_flight = worker.in_flight.iter();
                 let work = in_flight.map(|attempt| self.remaining_work(now, speed, attempt) * attempt.slots);
                 let slots = worker.in_flight.iter().map(|attempt| attempt.slots);
-                gossip::write(&mut data, worker.id, work.sum(), slots.sum());
+                gossip::append_entry(&mut data, worker.id, work.sum(), slots.sum());
                 let worker = &mut self.fleet.workers[index];
                 (worker.gossip_pending, worker.gossiped_at) = (false, now);
                 free_entries -= 1;
@@ -48,8 +48,9 @@
         if node >= self.settings.nodes {
             return;
         }
-        for (worker_hash, work, slots) in gossip::read(data) {
-            let has_hash = |index: &&usize| gossip::short(self.fleet.workers[**index].id) == worker_hash;
+        for gossip::GossipEntry { worker: worker_hash, work, slots } in gossip::read_entries(data) {
+            let has_hash =
+                |index: &&usize| gossip::short_worker_id(self.fleet.workers[**index].id) == worker_hash;
             let Some(&index) = self.fleet.subset.iter().find(has_hash) else { continue };
             let backlogs = &mut self.fleet.workers[index].peer_backlogs;
             backlogs.retain(|backlog| backlog.node != node);
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -10,7 +10,7 @@
     /// Does the periodic work: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
     pub(super) fn handle_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.timer.expires_at = self.timer.expires_at.filter(|at| *at > now);
-        if self.discovery.woken(now, &mut self.rng) {
+        if self.poll_schedule.start_due_poll(now, &mut self.rng) {
             actions.push(Action::WatchEndpoints);
         }
         self.fleet.refresh_slots(now, f64::from(self.subset_nodes()));
@@ -39,7 +39,7 @@
             self.gossip.due_at = Some(now + interval);
         }
         let sweep_at = (!self.jobs.is_empty()).then_some(now + SWEEP_INTERVAL);
-        let due = [sweep_at, self.gossip.due_at, self.discovery.next()];
+        let due = [sweep_at, self.gossip.due_at, self.poll_schedule.next_poll_at()];
         let Some(next) = due.into_iter().flatten().min() else { return };
         if self.timer.expires_at.is_none_or(|at| at > next || at < now) {
             let after = next.saturating_sub(now).max(1);
--- a/crates/core/src/policy/rules.rs
+++ b/crates/core/src/policy/rules.rs
@@ -16,7 +16,7 @@
         let is_suitable =
             self.fleet.takes_work(worker) && required_kind.is_none_or(|kind| kind == worker.kind);
         let may_attempt = job.attempts.len() < self.max_attempts()
-            && (self.settings.may_duplicate || job.is_idle())
+            && (self.settings.may_hedge || job.is_idle())
             && !job.may_receive_stale_callback(worker.id);
         is_open
             && is_suitable
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -101,12 +101,12 @@
 
     fn resolve_record(&mut self, record: &EndpointRecord) -> NamedEndpoint {
         let listing = Endpoint {
-            worker: WorkerId::of_name(&record.name),
+            worker: WorkerId::from_name(&record.name),
             zone: ZoneId(index_of_name(&mut self.zones, &record.zone)),
             kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
             cell: CellId(record.group),
             status: record.status.into(),
-            started: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
+            started_at: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
             size: record.weight,
         };
         NamedEndpoint { name: record.name.as_str().into(), address: record.address, listing }
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -30,15 +30,15 @@
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
 };
-use crate::handover::Peer;
-use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
+use crate::handover::takeover::{TakeoverParts, TakeoverTask};
+use crate::handover::{Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
-use crate::server::{Server, ServerLimits};
+use crate::server::{Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient};
@@ -115,17 +115,16 @@
     }
 
     fn create_server(&self, site: &Site) -> Server {
-        let limits =
-            ServerLimits { room: self.descriptors.client_connections(), tuning: self.server_options.clone() };
-        Server::new(
-            self.dispatch_queue.clone(),
-            self.clock,
+        Server::new(ServerParts {
+            queue: self.dispatch_queue.clone(),
+            clock: self.clock,
             site,
-            self.lifecycle.clone(),
-            self.metrics.clone(),
-            self.peer.clone(),
-            limits,
-        )
+            lifecycle: self.lifecycle.clone(),
+            metrics: self.metrics.clone(),
+            peer: self.peer.clone(),
+            connection_budget: self.descriptors.client_connections(),
+            options: self.server_options.clone(),
+        })
     }
 }
 
@@ -228,7 +227,7 @@
     /// there is none.
     async fn find_predecessor(&self) -> StartupHandover {
         let folder = self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
-        StartupHandover::look(folder, &self.name, self.listen).await
+        StartupHandover::find_predecessor(folder, &self.name, self.listen).await
     }
 
     /// The listener that the other process passes on, or one of its own.
@@ -258,8 +257,8 @@
             listen: self.listen,
             listener: listener.for_successor,
             server: self.server.clone(),
-            next_hops: self.upstream.clone(),
-            operations: admin.clone(),
+            upstream: self.upstream.clone(),
+            admin: admin.clone(),
         };
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
         let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
@@ -269,7 +268,7 @@
         let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.follows();
+        let has_predecessor = handover.has_predecessor();
         let (takeover_handle, takeover) =
             TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
         let takeover = spawn_local(takeover);
@@ -314,7 +313,7 @@
     site.decisions.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.notified_within = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
