--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -12,6 +12,9 @@
 
 use crate::dispatch::NamedEndpoint;
 
+/// Version of the endpoint list by which the whole list is requested.
+pub const NO_LIST_INDEX: u64 = 0;
+
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
 /// A whole endpoint list, or the endpoints that changed.
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -96,7 +96,8 @@
 pub struct PollRequest {
     /// Where discovery is.
     pub address: SocketAddr,
-    /// The known version of the list; 0 asks for the whole list.
+    /// The known version of the list, or
+    /// [`NO_LIST_INDEX`](crate::discovery::endpoint_list::NO_LIST_INDEX).
     pub known_index: u64,
     /// When the poll was started.
     pub started_at: Instant,
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -35,7 +35,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
 
-use crate::discovery::endpoint_list::EndpointListMessage;
+use crate::discovery::endpoint_list::{EndpointListMessage, NO_LIST_INDEX};
 use crate::discovery::endpoint_watch::{EndpointWatch, OpenedWatch, PollRequest, WatchError, WatchEvent};
 use crate::discovery::watch_timing::WatchTiming;
 use crate::telemetry::logging::DISCOVERY;
@@ -120,7 +120,7 @@
     timing: WatchTiming,
     address: SocketAddr,
     generation: AddressGeneration,
-    /// Version of the list that is known; 0 asks for the whole list.
+    /// Version of the list that is known, or [`NO_LIST_INDEX`].
     known_index: u64,
     open_watch: Option<OpenWatch>,
     pending_polls: Vec<PendingPoll>,
@@ -163,7 +163,7 @@
         self.address = address;
         self.generation = previous.next();
         // Another discovery numbers its versions in its own way, so that the whole list is needed.
-        self.known_index = 0;
+        self.known_index = NO_LIST_INDEX;
         // All changes must be known 4 s later: a poll that hangs must leave time for others.
         self.unrequested_polls_left = Some(self.timing.unrequested_polls());
         // Polls of older addresses are cancelled, or they would accumulate descriptors.
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -21,7 +21,8 @@
     pub address: SocketAddr,
     /// Turns the names of a list into the numbers of the dispatcher.
     pub resolver: EndpointResolver,
-    /// The version of the endpoint list that is known at the start; 0 for none.
+    /// The version of the endpoint list that is known at the start, or
+    /// [`NO_LIST_INDEX`](crate::discovery::endpoint_list::NO_LIST_INDEX).
     pub known_index: u64,
     /// The queue of the dispatch task.
     pub queue: DispatchQueue<RequestPayload>,
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -25,7 +25,7 @@
 use crate::admin::listener::AdminListener;
 use crate::admin::service::AdminService;
 use crate::config::Config;
-use crate::discovery::endpoint_list::EndpointResolver;
+use crate::discovery::endpoint_list::{EndpointResolver, NO_LIST_INDEX};
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
@@ -41,7 +41,7 @@
 use crate::server::{Server, ServerLimits};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::{RequestPayload, UpstreamClient};
+use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
 
 /// Time in which a healthy worker answers a job on an open connection, with a wide margin.
 const ACCEPT_RESPONSE_TIMEOUT: Micros = 400_000;
@@ -49,9 +49,6 @@
 const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Commands to the dispatch task that may wait; each takes microseconds.
 const MAX_PENDING_DISPATCH_COMMANDS: usize = 64;
-/// Version of the endpoint list with which the whole list is requested. A saved list without endpoints counts as
-/// none: with its version, discovery would send later changes only.
-const UNKNOWN_ENDPOINT_INDEX: u64 = 0;
 
 /// Builds the node and spawns its tasks. Returns none if SIGTERM comes while the other process is being contacted.
 pub async fn start_node(
@@ -104,14 +101,13 @@
     }
 
     fn create_upstream(&self, site: &Site) -> UpstreamClient {
-        UpstreamClient::new(
-            self.dispatch_queue.clone(),
-            self.metrics.clone(),
-            Duration::from_micros(site.connect_timeout),
-            Duration::from_micros(site.keepalive),
-            self.upstream_options.clone(),
-            self.descriptors.upstream_connections(),
-        )
+        let config = UpstreamConfig {
+            connect_timeout: Duration::from_micros(site.connect_timeout),
+            keepalive: Duration::from_micros(site.keepalive),
+            options: self.upstream_options.clone(),
+            budget: self.descriptors.upstream_connections(),
+        };
+        UpstreamClient::new(self.dispatch_queue.clone(), self.metrics.clone(), config)
     }
 
     fn create_server(&self, site: &Site) -> Server {
@@ -185,7 +181,8 @@
 
         let mut resolver = EndpointResolver::new(&site);
         let saved_endpoints = resolver.resolve(&known.endpoints);
-        let saved_index = if saved_endpoints.is_empty() { UNKNOWN_ENDPOINT_INDEX } else { known.index };
+        // With the version of an empty saved list discovery would send later changes only.
+        let saved_index = if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index };
         let (poll_sender, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
         let dispatch_task = DispatchTask::new(
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -14,28 +14,26 @@
 mod attempt;
 mod cancel_signal;
 mod cancellation;
+mod config;
 mod exchange;
 mod in_flight;
 mod payload;
 mod pool;
 pub mod send_permit;
 
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
-use curlewusher_settings::operator::UpstreamOptions;
 use tokio::task::spawn_local;
 
-use crate::connection_budget::ConnectionBudget;
 use crate::dispatch::{AttemptRequest, AttemptTransport, DispatchQueue};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::attempt::AttemptRunner;
 use crate::upstream::cancellation::{CancellationTarget, Canceller};
+pub use crate::upstream::config::UpstreamConfig;
 use crate::upstream::in_flight::InFlightCounter;
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
-use crate::upstream::pool::{ConnectionPool, PoolConfig};
+use crate::upstream::pool::ConnectionPool;
 
 /// Makes the attempts at all workers. Clones share one pool of connections.
 #[derive(Clone)]
@@ -62,15 +60,9 @@
 }
 
 impl UpstreamClient {
-    pub fn new(
-        queue: DispatchQueue<RequestPayload>,
-        metrics: Metrics,
-        connect_timeout: Duration,
-        keepalive: Duration,
-        options: Rc<Cell<UpstreamOptions>>,
-        budget: ConnectionBudget,
-    ) -> Self {
-        let config = PoolConfig { connect_timeout, keepalive, options: options.clone(), budget };
+    /// A client without connections, which reports to the dispatch task through `queue`.
+    pub fn new(queue: DispatchQueue<RequestPayload>, metrics: Metrics, config: UpstreamConfig) -> Self {
+        let options = config.options.clone();
         let pool = Rc::new(ConnectionPool::new(metrics.clone(), config));
         let canceller = Canceller::new(pool.clone(), metrics, options);
         let in_flight = InFlightCounter::default();
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -13,11 +13,11 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 use tracing::{debug, trace};
 
+use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::payload::UpstreamRequest;
@@ -86,8 +86,8 @@
     epoch: Epoch,
     reused: bool,
     idle_since: Instant,
-    /// Its part of the connection budget, free once the connection is dropped.
-    _permit: OwnedSemaphorePermit,
+    /// Returned to the connection budget once the connection is dropped.
+    _permit: ConnectionPermit,
 }
 
 impl Connection {
@@ -95,7 +95,7 @@
     pub async fn dial(
         address: SocketAddr,
         epoch: Epoch,
-        permit: OwnedSemaphorePermit,
+        permit: ConnectionPermit,
         metrics: Metrics,
     ) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -16,24 +16,22 @@
 mod idle;
 mod socket;
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher_settings::operator::UpstreamOptions;
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
 use hyper::body::Incoming;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{debug, trace};
 
-use crate::connection_budget::ConnectionBudget;
+use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::config::UpstreamConfig;
 use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
 use crate::upstream::pool::epoch::Epoch;
 use crate::upstream::pool::idle::IdleConnections;
@@ -45,28 +43,16 @@
 /// How often idle connections are checked for expiry.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The bounds of a pool.
-pub struct PoolConfig {
-    /// How long a connection may take to be established.
-    pub connect_timeout: Duration,
-    /// After this time without a request workers close a connection.
-    pub keepalive: Duration,
-    /// The operator's options, which may change.
-    pub options: Rc<Cell<UpstreamOptions>>,
-    /// How many connections there may be.
-    pub budget: ConnectionBudget,
-}
-
 /// The connections to all workers.
 pub struct ConnectionPool {
     metrics: Metrics,
-    config: PoolConfig,
+    config: UpstreamConfig,
     idle: RefCell<HashMap<SocketAddr, IdleConnections>>,
 }
 
 impl ConnectionPool {
     /// An empty pool.
-    pub fn new(metrics: Metrics, config: PoolConfig) -> Self {
+    pub fn new(metrics: Metrics, config: UpstreamConfig) -> Self {
         ConnectionPool { metrics, config, idle: RefCell::default() }
     }
 
@@ -154,12 +140,12 @@
     }
 
     async fn dial_within_budget(&self, address: SocketAddr, epoch: Epoch) -> io::Result<Connection> {
-        let permit = self.acquire_budget().await.ok_or(ErrorKind::Other)?;
+        let permit = self.acquire_permit().await.ok_or(ErrorKind::Other)?;
         Connection::dial(address, epoch, permit, self.metrics.clone()).await
     }
 
-    /// Waits for the budget of one more connection. Where all is used, an idle connection is closed.
-    async fn acquire_budget(&self) -> Option<OwnedSemaphorePermit> {
+    /// Waits for the permit of one more connection. Where none is free, an idle connection is closed.
+    async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.config.budget.free() == 0 {
             drop(self.take_any_idle());
         }
