--- a/crates/node/tests/unit/send_permit.rs
+++ b/crates/node/tests/unit/send_permit.rs
@@ -1,4 +1,4 @@
-//! Whoever ends a clearance, who looks sees it at once and who waits is woken. Time is the test's.
+//! Each cause that ends a send permit is seen at once and wakes whoever waits. Time is the test's.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,25 +8,42 @@
 use super::{CancelFlag, SendPermit};
 
 const LONG: Duration = Duration::from_secs(3600);
+const PERMIT_TIME: Duration = Duration::from_secs(1);
+const JUST_BEFORE_DEADLINE: Duration = Duration::from_millis(999);
+
+/// What ends a permit.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Cause {
+    Revoked,
+    ClientGone,
+    Deadline,
+}
 
 #[tokio::test(start_paused = true)]
-async fn each_of_three_ends_a_clearance_for_who_looks_and_for_who_waits() {
-    let end: [fn(&SendPermit, &CancelFlag); 3] = [|c, _| c.revoke(), |_, client| client.raise(), |_, _| {}];
-    for (which, end) in end.into_iter().enumerate() {
+async fn when_revoked_or_client_gone_or_expired_then_invalid_at_once_and_waiters_woken() {
+    for cause in [Cause::Revoked, Cause::ClientGone, Cause::Deadline] {
         let client_gone = Rc::<CancelFlag>::default();
-        let leave_by = Instant::now() + Duration::from_secs(1);
-        let send_permit = SendPermit::new(client_gone.clone(), (which == 2).then_some(leave_by));
-        let ends = async {
-            tokio::time::sleep(Duration::from_millis(999)).await;
+        let deadline = (cause == Cause::Deadline).then(|| Instant::now() + PERMIT_TIME);
+        let send_permit = SendPermit::new(client_gone.clone(), deadline);
+        let end_permit = async {
+            tokio::time::sleep(JUST_BEFORE_DEADLINE).await;
             assert!(send_permit.is_valid());
-            end(&send_permit, &client_gone);
-            assert_eq!(send_permit.is_valid(), which == 2, "it ends in that moment");
+            match cause {
+                Cause::Revoked => send_permit.revoke(),
+                Cause::ClientGone => client_gone.raise(),
+                Cause::Deadline => {}
+            }
+            assert_eq!(send_permit.is_valid(), cause == Cause::Deadline, "{cause:?} ends it in that moment");
         };
-        let (woken, ()) = tokio::join!(timeout(LONG, send_permit.invalidated()), ends);
-        assert!(woken.is_ok() && !send_permit.is_valid(), "{which}");
-        // Who waits only now has nothing to wait for.
-        assert!(timeout(LONG, send_permit.invalidated()).await.is_ok(), "{which}");
+        let (woken, ()) = tokio::join!(timeout(LONG, send_permit.invalidated()), end_permit);
+        assert!(woken.is_ok() && !send_permit.is_valid(), "{cause:?}");
+        let woken_later = timeout(LONG, send_permit.invalidated()).await;
+        assert!(woken_later.is_ok(), "{cause:?}: who waits only now is not held up");
     }
-    let lasting = SendPermit::default();
-    assert!(timeout(LONG, lasting.invalidated()).await.is_err() && lasting.is_valid());
+}
+
+#[tokio::test(start_paused = true)]
+async fn when_nothing_ends_it_then_permit_stays_valid() {
+    let send_permit = SendPermit::default();
+    assert!(timeout(LONG, send_permit.invalidated()).await.is_err() && send_permit.is_valid());
 }
