--- a/crates/core/src/policy/pre_send.rs
+++ b/crates/core/src/policy/pre_send.rs
@@ -35,6 +35,6 @@
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         };
         let last_repeat = deduplicated_until.map(|until| until.saturating_sub(DEDUPLICATION_MARGIN));
-        last_repeat.into_iter().chain(self.discovery.leave_by()).min()
+        last_repeat.into_iter().chain(self.poll_schedule.send_by()).min()
     }
 }
