--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -11,6 +11,7 @@
 use crate::handover::link::PeerRequest;
 use crate::handover::state_transfer::StateTransfer;
 use crate::telemetry::logging::NODE;
+use crate::upstream::CancellationTarget;
 
 impl TakeoverTask {
     /// Handles an event of this process; returns the commands that follow from it.
@@ -58,7 +59,8 @@
                 spawn_local(server.adopt_job(job, client, is_adopted, response_written));
             }
             PeerRequest::CancelAttempt { worker, job_id } => {
-                self.parts.upstream.adopt_cancellation(worker, job_id);
+                let target = CancellationTarget { address: worker, request_id: job_id };
+                self.parts.upstream.adopt_cancellation(target);
             }
             PeerRequest::Takeover { snapshot } => {
                 self.takeover_response = Some(snapshot);
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -119,8 +119,8 @@
     /// and closes the rendezvous socket.
     pub async fn finish(&self, upstream: &UpstreamClient) {
         if let Some(link) = self.admin.peer.link() {
-            for (address, job_id) in upstream.unacknowledged_cancellations().iter() {
-                link.transfer_cancellation(*address, job_id);
+            for target in upstream.unacknowledged_cancellations() {
+                link.transfer_cancellation(target.address, &target.request_id);
             }
             let _ = timeout(LAST_FRAMES_TIMEOUT, link.flush()).await;
         }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -29,7 +29,8 @@
 use crate::dispatch::{AttemptRequest, AttemptTransport, DispatchQueue};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::attempt::AttemptRunner;
-use crate::upstream::cancellation::{CancellationTarget, Canceller};
+pub use crate::upstream::cancellation::CancellationTarget;
+use crate::upstream::cancellation::Canceller;
 pub use crate::upstream::config::UpstreamConfig;
 use crate::upstream::in_flight::InFlightCounter;
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
@@ -74,17 +75,15 @@
         self.attempts.pool.set_budget_halved(half);
     }
 
-    /// The cancellations that no worker has acknowledged yet: address of the worker and the client's id of
-    /// the job.
-    pub fn unacknowledged_cancellations(&self) -> Vec<(SocketAddr, String)> {
-        let targets = self.attempts.canceller.unacknowledged();
-        targets.into_iter().map(|target| (target.address, target.request_id)).collect()
+    /// The cancellations that no worker has acknowledged yet, to be handed over to another process of this
+    /// node.
+    pub fn unacknowledged_cancellations(&self) -> Vec<CancellationTarget> {
+        self.attempts.canceller.unacknowledged()
     }
 
     /// Goes on with a cancellation that another process of this node could not complete.
-    pub fn adopt_cancellation(&self, address: SocketAddr, request_id: String) {
+    pub fn adopt_cancellation(&self, target: CancellationTarget) {
         let attempts = self.attempts.clone();
-        let target = CancellationTarget { address, request_id };
         spawn_local(async move { attempts.adopt_cancellation(target).await });
     }
 
