--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -52,7 +52,7 @@
     /// Capacity relative to a usual worker of its kind.
     #[serde(default = "EndpointRecord::default_weight")]
     weight: f64,
-    /// When the worker started, in milliseconds since the Unix epoch; 0 where that is not known.
+    /// When the worker started, in milliseconds since the Unix epoch; 0 if that is not known.
     #[serde(default)]
     since_ms: u64,
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// The position of a name, which is appended where it is not there yet.
+/// The position of a name, which is appended if it is not there yet.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> u32 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -78,7 +78,7 @@
 }
 
 impl WatchError {
-    /// Whether nothing came where something was due, so that it is unknown what discovery has changed since.
+    /// Whether nothing came when something was due, so that it is unknown what discovery has changed since.
     pub fn is_silence(&self) -> bool {
         matches!(self, WatchError::Silent | WatchError::PollTimeout)
     }
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -118,7 +118,7 @@
         Ok(Parsed::Incomplete)
     }
 
-    /// Fails where no continuation can make a list of the incomplete object.
+    /// Fails if the incomplete object cannot become a list, whatever follows.
     ///
     /// An object is checked again only once its checkable prefix has doubled, so that small pieces cost no
     /// more than twice the whole. The check stops at the last punctuation mark or string, because the JSON
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -21,7 +21,7 @@
 //! earlier generation is open. The first poll of the present generation that opens a watch cancels all
 //! others.
 //!
-//! After a failure the next state is *scheduled* where lists are pushed or unrequested polls are left, else
+//! After a failure the next state is *scheduled* if lists are pushed or unrequested polls are left, else
 //! *idle*: then the caller notifies the dispatch task, once. A watch of an earlier generation stays open
 //! until one of the present generation replaces it, since it may still deliver changes. While it is open it
 //! keeps the dispatch task from requesting polls, so that the state never stays *idle* beside it.
@@ -125,7 +125,7 @@
     open_watch: Option<OpenWatch>,
     pending_polls: Vec<PendingPoll>,
     next_poll_at: Option<Instant>,
-    /// How many unrequested polls are left since a silence or a change of address; `None` where there was
+    /// How many unrequested polls are left since a silence or a change of address; `None` if there was
     /// neither since a watch was opened at the present address.
     unrequested_polls_left: Option<u32>,
     /// Failures since an open watch has delivered something after its first event.
@@ -133,7 +133,7 @@
 }
 
 impl WatchState {
-    /// A state that begins with a poll at once where lists are pushed, else idle.
+    /// A state that begins with a poll at once if lists are pushed, else idle.
     pub fn new(timing: WatchTiming, address: SocketAddr, known_index: u64) -> Self {
         WatchState {
             timing,
@@ -271,7 +271,7 @@
         }
         let list = match first_event {
             WatchEvent::List(list) => list,
-            // The dispatch task waits for the answer to its request also where nothing has changed.
+            // The dispatch task waits for the answer to its request even if nothing has changed.
             WatchEvent::Heartbeat if is_current => EndpointListMessage::unchanged(self.known_index),
             WatchEvent::Heartbeat => return None,
         };
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Schedules a poll in this node's slot where only a watch at an old address is open: its lists keep the
+    /// Schedules a poll in this node's slot if only a watch at an old address is open: its lists keep the
     /// dispatch task from requesting one.
     fn schedule_poll_beside_old_watch(&mut self) {
         if self.open_watch.is_some() && !self.is_active() {
@@ -317,7 +317,7 @@
     }
 }
 
-/// Removes the first poll that has finished, in the order in which they were started. Pending for ever
+/// Removes the first poll that has finished, in the order in which they were started. Never returns
 /// without polls.
 async fn next_poll_outcome(polls: &mut Vec<PendingPoll>) -> PollOutcome {
     poll_fn(|context| {
--- a/crates/node/src/discovery/watch_timing.rs
+++ b/crates/node/src/discovery/watch_timing.rs
@@ -12,7 +12,7 @@
 
 /// Upper bound of the time in which discovery serves one poll.
 const POLL_SERVICE_TIME: Duration = Duration::from_millis(70);
-/// A poll that is not answered within this hangs, where discovery could have served all nodes.
+/// A poll that is not answered within this time hangs, provided that discovery can serve all nodes in it.
 ///
 /// What a silent watch misses counts as notified after 6 s, and work must stop 0.75 s later, 6.75 s in all.
 /// Silence is detected after 3 s; a poll is made in this node's slot, 1.2 s later at most; the next one 1.2 s
@@ -21,7 +21,7 @@
 /// How many unrequested polls fit into that time. After them the dispatch task is notified, which polls ever
 /// more rarely.
 const MAX_UNREQUESTED_POLLS: u32 = 2;
-/// Delay of the first retry where lists are pushed, doubled with each failure up to [`MAX_RETRY_DOUBLINGS`]
+/// Delay of the first retry if lists are pushed, doubled with each failure up to [`MAX_RETRY_DOUBLINGS`]
 /// times. A change counts as notified as soon as discovery is back, and work must stop 0.75 s later.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DOUBLINGS: u32 = 3;
@@ -31,7 +31,7 @@
 /// When this node polls discovery without a request of the dispatch task.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTiming {
-    /// Lists are pushed: the dispatch task requests nothing, and a change counts as notified at once.
+    /// Whether lists are pushed: the dispatch task requests nothing, and a change counts as notified at once.
     lists_are_pushed: bool,
     /// In this time discovery serves one poll of each node.
     fleet_poll_time: Duration,
@@ -57,7 +57,7 @@
         self.slot_delay
     }
 
-    /// How long after a poll that is not answered another is made beside it; `None` where the second would
+    /// How long after a poll that is not answered another is made beside it; `None` if the second would
     /// only queue behind the first.
     pub fn hedge_delay(&self) -> Option<Duration> {
         let delay =
@@ -76,7 +76,7 @@
         HEDGE_DELAY + self.slot_delay
     }
 
-    /// Where lists are pushed: the delay of the retry after this many consecutive failures before the last
+    /// If lists are pushed: the delay of the retry after this many consecutive failures before the last
     /// one.
     pub fn retry_delay(previous_failures: u32) -> Duration {
         INITIAL_RETRY_DELAY * 2u32.pow(previous_failures.min(MAX_RETRY_DOUBLINGS))
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a job at one worker: send it, report what became of it, and cancel it where it may have
+//! One attempt of a job at one worker: send it, report what became of it, and cancel it if it may have
 //! arrived and is not wanted any more.
 //!
 //! | outcome of the exchange | cancelled at the worker | reported as |
@@ -138,7 +138,7 @@
     }
 
     async fn conclude_cancelled(&self, attempt: &Attempt, request_written: bool) {
-        // Where nothing was written the worker is not to blame: the client has disconnected.
+        // If nothing was written, the worker is not to blame: the client has disconnected.
         if request_written {
             self.discard_connections(attempt);
             self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
--- a/crates/node/src/upstream/cancel_signal.rs
+++ b/crates/node/src/upstream/cancel_signal.rs
@@ -25,7 +25,7 @@
         matches!(self, CancelSignal::Received)
     }
 
-    /// Returns once it is received; pending for ever where it will not be. Cancel-safe.
+    /// Returns once it is received; never returns if it will not be. Cancel-safe.
     pub async fn received(&mut self) {
         if let CancelSignal::Waiting(receiver) = self {
             let received = receiver.await.is_ok();
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -46,7 +46,7 @@
 /// What became of the connection on which the attempt to be cancelled was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptConnection {
-    /// It was closed before a response, which cancels the attempt as well where the worker sees it. A network
+    /// It was closed before a response, which cancels the attempt as well if the worker sees it. A network
     /// that is cut does not carry the closing. A connection that is established or refused after that shows
     /// that the network carries it: then a worker that still does not respond hangs, with the closing and the
     /// cancellation in its queue.
@@ -76,7 +76,7 @@
     }
 
     /// Cancels a job that the worker may have, until that is acknowledged or `deadline` has passed. It is
-    /// sent once also where the deadline has passed already.
+    /// sent once even if the deadline has passed already.
     pub async fn cancel_before(
         &self,
         deadline: Instant,
@@ -86,7 +86,7 @@
         let deadline = deadline.max(Instant::now() + self.response_timeout());
         if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection)).await.is_err() {
             let CancellationTarget { address, request_id } = target;
-            debug!(target: UPSTREAM, %request_id, %address, "cancellation not acknowledged before the deadline");
+            debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned at its deadline");
         }
     }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// Lists a cancellation as not acknowledged. Dropping it removes the entry, also where the cancellation was
+/// Lists a cancellation as not acknowledged. Dropping it removes the entry, even if the cancellation was
 /// abandoned at its deadline: one that this process has abandoned is not handed over to another.
 struct UnacknowledgedGuard<'a> {
     list: &'a RefCell<Vec<CancellationTarget>>,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One request to a worker and its response, over a pooled connection.
 //!
-//! A request is sent once. Only where its connection closed before a byte of it was written is it sent on
-//! another connection. Where it may have arrived without a response, the outcome says so, and the caller
+//! A request is sent once. Only if its connection closed before a byte of it was written is it sent on
+//! another connection. If it may have arrived without a response, the outcome says so, and the caller
 //! decides what that means.
 
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::upstream::pool::connection::{ConnectError, Connection, RequestError};
 use crate::upstream::send_permit::SendPermit;
 
-/// In a rejection: `1` where the worker has not run the job and never will.
+/// In a rejection: `1` if the worker has not run the job and never will.
 const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
 /// How long a response is waited for after the attempt was cancelled. It may be under way, and with it the
@@ -33,7 +33,7 @@
     pub address: SocketAddr,
     /// The request.
     pub request: UpstreamRequest,
-    /// Checked once there is a connection, which is kept where the permit is no longer valid, and once more
+    /// Checked once there is a connection, which is kept if the permit is no longer valid, and once more
     /// by the socket before the first byte.
     pub send_permit: &'a Rc<SendPermit>,
     /// Ends the exchange early.
@@ -91,7 +91,8 @@
         }
     }
 
-    /// `None` where a reused connection had closed and nothing was written, so that the request may be sent on another.
+    /// `None` if a reused connection had closed and nothing was written, so that the request may be sent on
+    /// another.
     async fn try_once(&mut self, pool: &Rc<ConnectionPool>) -> Option<ExchangeOutcome> {
         let mut connection = match self.obtain_connection(pool).await {
             Ok(connection) => connection,
@@ -125,7 +126,7 @@
         tokio::select! {
             biased;
             () = self.cancel.received() => Err(ExchangeOutcome::Cancelled { request_written: false }),
-            // Ends a dial that is under way, which frees its connection budget.
+            // Ends a dial that is under way, which returns its connection permit.
             () = self.send_permit.invalidated() => Err(ExchangeOutcome::PermitInvalid),
             connection = pool.obtain(self.address) => connection.map_err(|error| match error {
                 ConnectError::Refused(_) => ExchangeOutcome::Refused,
--- a/crates/node/src/upstream/in_flight.rs
+++ b/crates/node/src/upstream/in_flight.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Counts an operation as in flight. Dropping it ends that, also where the operation was aborted.
+/// Counts an operation as in flight. Dropping it ends that, even if the operation was aborted.
 pub struct InFlightGuard<'a>(&'a Cell<usize>);
 
 impl Drop for InFlightGuard<'_> {
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The client side of workers: attempts, their cancellation, and the connections that carry them.
 //!
 //! The dispatch task decides which attempt goes to which worker and when it is cancelled; nothing here does.
-//! An attempt is sent at most once. One that may have arrived is never reported as not sent: where that is
+//! An attempt is sent at most once. One that may have arrived is never reported as not sent: if that is
 //! unknown, it is reported as lost.
 //!
 //! - [`send_permit`]: whether the first byte of an attempt may still be sent.
@@ -92,7 +92,7 @@
         self.attempts.in_flight.is_idle()
     }
 
-    /// Closes connections that have been idle for too long, for ever.
+    /// Closes connections that have been idle for too long, until the future is dropped.
     pub async fn sweep(self) {
         self.attempts.pool.sweep_idle_connections().await;
     }
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -138,7 +138,7 @@
         now.duration_since(self.idle_since) >= COOL_DOWN
     }
 
-    /// Sends a request and waits for the head of its response. Where the permit is invalid just before the
+    /// Sends a request and waits for the head of its response. If the permit is invalid just before the
     /// first byte, nothing is written and the connection ends.
     pub async fn send(
         &mut self,
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Waits, after the end of a response, until the connection can carry another request. Fails where the
+    /// Waits, after the end of a response, until the connection can carry another request. Fails if the
     /// response says that the connection ends with it.
     pub async fn ready(&mut self) -> hyper::Result<()> {
         self.sender.ready().await
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -54,9 +54,9 @@
     }
 
     /// Takes the most recently used connection of those that have cooled down, so that the others expire;
-    /// where none has, the one that will have first. Closes those that cannot be used any more.
+    /// if none has, the one that will have first. Closes those that cannot be used any more.
     pub fn take(&mut self, now: Instant, max_idle: Duration) -> Option<Connection> {
-        // Where the operator's limit is not longer than the pause, no connection is reused.
+        // If the operator's limit is not longer than the pause, no connection is reused.
         self.connections.retain(|connection| max_idle > COOL_DOWN && connection.is_usable(now, max_idle));
         let cooled_down = |connection: &Connection| connection.has_cooled_down(now);
         let index = self.connections.iter().rposition(cooled_down).unwrap_or(0);
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -75,8 +75,8 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes expired connections, for ever: the worker closes them too, and a request that is written to one
-    /// in that moment would be lost.
+    /// Closes expired connections, until the future is dropped: the worker closes them too, and a request
+    /// that is written to one in that moment would be lost.
     pub async fn sweep_idle_connections(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -114,8 +114,8 @@
         self.idle.borrow().get(&address).is_some_and(|idle| idle.has_epoch_of(connection))
     }
 
-    /// Puts a connection back on which nothing was written since it was taken. Where the budget is used up
-    /// somebody may wait for its part of it, and it is closed.
+    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, somebody
+    /// may wait for that of this connection, which is closed.
     fn put_back(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
             return;
@@ -144,7 +144,7 @@
         Connection::dial(address, epoch, permit, self.metrics.clone()).await
     }
 
-    /// Waits for the permit of one more connection. Where none is free, an idle connection is closed.
+    /// Waits for the permit of one more connection. If none is free, an idle connection is closed.
     async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.config.budget.free() == 0 {
             drop(self.take_any_idle());
@@ -157,7 +157,7 @@
         self.idle.borrow_mut().values_mut().find(|idle| !idle.is_empty())?.take_oldest()
     }
 
-    /// Reads a response to its end and keeps the connection for another request; closes it where that is not
+    /// Reads a response to its end and keeps the connection for another request; closes it if that is not
     /// possible.
     pub async fn recycle(
         &self,
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -65,7 +65,7 @@
         Socket { stream, traffic, metrics }
     }
 
-    /// Fails where a request must not begin on this connection. A request that has begun goes on.
+    /// Fails if a request must not begin on this connection. A request that has begun goes on.
     fn check_before_first_byte(&self) -> io::Result<()> {
         if self.traffic.request_written() {
             return Ok(());
@@ -78,7 +78,7 @@
         self.check_nothing_received()
     }
 
-    /// Fails where the worker has closed the connection or sent something without a request. The byte that is
+    /// Fails if the worker has closed the connection or sent something without a request. The byte that is
     /// read here is lost, which is no loss, since the connection is then closed.
     fn check_nothing_received(&self) -> io::Result<()> {
         match (&*SockRef::from(&self.stream)).read(&mut [0]) {
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -19,7 +19,7 @@
 }
 
 impl CancelFlag {
-    /// Raises the flag. Does nothing where it is raised.
+    /// Raises the flag. Does nothing if it is raised already.
     pub fn raise(&self) {
         if !self.raised.replace(true) {
             self.waiters.notify_waiters();
@@ -48,8 +48,8 @@
 /// Whether the first byte of one attempt may still be sent. It ends by the first of three:
 ///
 /// - the dispatch task, which alone creates and revokes permits, revokes it;
-/// - the client disconnects: the job's server task raises that flag directly, since in the queue of the dispatch task it
-///   might wait behind others;
+/// - the client disconnects: the job's server task raises that flag directly, since in the queue of the
+///   dispatch task it might wait behind others;
 /// - a deadline passes.
 #[derive(Default)]
 pub struct SendPermit {
