--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -12,6 +12,9 @@
 
 use crate::dispatch::NamedEndpoint;
 
+/// Version of the endpoint list by which the whole list is requested.
+pub const NO_LIST_INDEX: u64 = 0;
+
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
 /// A whole endpoint list, or the endpoints that changed.
@@ -49,7 +52,7 @@
     /// Capacity relative to a usual worker of its kind.
     #[serde(default = "EndpointRecord::default_weight")]
     weight: f64,
-    /// When the worker started, in milliseconds since the Unix epoch; 0 where that is not known.
+    /// When the worker started, in milliseconds since the Unix epoch; 0 if that is not known.
     #[serde(default)]
     since_ms: u64,
 }
@@ -113,7 +116,7 @@
     }
 }
 
-/// The position of a name, which is appended where it is not there yet.
+/// The position of a name, which is appended if it is not there yet.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> u32 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -21,7 +21,7 @@
 //! earlier generation is open. The first poll of the present generation that opens a watch cancels all
 //! others.
 //!
-//! After a failure the next state is *scheduled* where lists are pushed or unrequested polls are left, else
+//! After a failure the next state is *scheduled* if lists are pushed or unrequested polls are left, else
 //! *idle*: then the caller notifies the dispatch task, once. A watch of an earlier generation stays open
 //! until one of the present generation replaces it, since it may still deliver changes. While it is open it
 //! keeps the dispatch task from requesting polls, so that the state never stays *idle* beside it.
@@ -35,7 +35,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
 
-use crate::discovery::endpoint_list::EndpointListMessage;
+use crate::discovery::endpoint_list::{EndpointListMessage, NO_LIST_INDEX};
 use crate::discovery::endpoint_watch::{EndpointWatch, OpenedWatch, PollRequest, WatchError, WatchEvent};
 use crate::discovery::watch_timing::WatchTiming;
 use crate::telemetry::logging::DISCOVERY;
@@ -120,12 +120,12 @@
     timing: WatchTiming,
     address: SocketAddr,
     generation: AddressGeneration,
-    /// Version of the list that is known; 0 asks for the whole list.
+    /// Version of the list that is known, or [`NO_LIST_INDEX`].
     known_index: u64,
     open_watch: Option<OpenWatch>,
     pending_polls: Vec<PendingPoll>,
     next_poll_at: Option<Instant>,
-    /// How many unrequested polls are left since a silence or a change of address; `None` where there was
+    /// How many unrequested polls are left since a silence or a change of address; `None` if there was
     /// neither since a watch was opened at the present address.
     unrequested_polls_left: Option<u32>,
     /// Failures since an open watch has delivered something after its first event.
@@ -133,7 +133,7 @@
 }
 
 impl WatchState {
-    /// A state that begins with a poll at once where lists are pushed, else idle.
+    /// A state that begins with a poll at once if lists are pushed, else idle.
     pub fn new(timing: WatchTiming, address: SocketAddr, known_index: u64) -> Self {
         WatchState {
             timing,
@@ -163,7 +163,7 @@
         self.address = address;
         self.generation = previous.next();
         // Another discovery numbers its versions in its own way, so that the whole list is needed.
-        self.known_index = 0;
+        self.known_index = NO_LIST_INDEX;
         // All changes must be known 4 s later: a poll that hangs must leave time for others.
         self.unrequested_polls_left = Some(self.timing.unrequested_polls());
         // Polls of older addresses are cancelled, or they would accumulate descriptors.
@@ -271,7 +271,7 @@
         }
         let list = match first_event {
             WatchEvent::List(list) => list,
-            // The dispatch task waits for the answer to its request also where nothing has changed.
+            // The dispatch task waits for the answer to its request even if nothing has changed.
             WatchEvent::Heartbeat if is_current => EndpointListMessage::unchanged(self.known_index),
             WatchEvent::Heartbeat => return None,
         };
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Schedules a poll in this node's slot where only a watch at an old address is open: its lists keep the
+    /// Schedules a poll in this node's slot if only a watch at an old address is open: its lists keep the
     /// dispatch task from requesting one.
     fn schedule_poll_beside_old_watch(&mut self) {
         if self.open_watch.is_some() && !self.is_active() {
@@ -317,7 +317,7 @@
     }
 }
 
-/// Removes the first poll that has finished, in the order in which they were started. Pending for ever
+/// Removes the first poll that has finished, in the order in which they were started. Never returns
 /// without polls.
 async fn next_poll_outcome(polls: &mut Vec<PendingPoll>) -> PollOutcome {
     poll_fn(|context| {
