--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -126,6 +126,16 @@
             options: self.server_options.clone(),
         })
     }
+
+    fn create_reloader(&self, name: String, discovery: watch::Sender<SocketAddr>) -> ConfigReloader {
+        ConfigReloader {
+            name,
+            metrics: self.metrics.clone(),
+            server_options: self.server_options.clone(),
+            upstream_options: self.upstream_options.clone(),
+            discovery,
+        }
+    }
 }
 
 /// The parts of the node, connected to each other, before any of their tasks runs.
@@ -245,14 +255,18 @@
         open().map_err(|source| ServeError::ClientListener { listen: self.listen, source })
     }
 
-    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
-        let admin = AdminService {
+    fn create_admin_service(&self) -> AdminService {
+        AdminService {
             name: self.name.as_str().into(),
             lifecycle: self.shared.lifecycle.clone(),
-            dispatch_commands: self.dispatch_commands,
-            peer: self.shared.peer,
+            dispatch_commands: self.dispatch_commands.clone(),
+            peer: self.shared.peer.clone(),
             drain_requested: Rc::default(),
-        };
+        }
+    }
+
+    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
+        let admin = self.create_admin_service();
         let takeover_parts = TakeoverParts {
             listen: self.listen,
             listener: listener.for_successor,
@@ -260,31 +274,27 @@
             upstream: self.upstream.clone(),
             admin: admin.clone(),
         };
+        let discovery = self.discovery;
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
-        let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
-            self.discovery;
+        let has_predecessor = handover.has_predecessor();
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
-        let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
+        let endpoint_watcher =
+            spawn_local(discovery.watcher.run(discovery.poll_requests, discovery.address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.has_predecessor();
-        let (takeover_handle, takeover) =
-            TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
-        let takeover = spawn_local(takeover);
-        let admin_address = self.admin_listener.as_ref().map(|listener| listener.address);
+        let (takeover_handle, takeover_task) =
+            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available, has_saved_endpoints);
+        let takeover = spawn_local(takeover_task);
+        let (admin_address, admin_commands) =
+            self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
         log_addresses(&self.name, has_predecessor, listener.address, admin_address);
 
+        let reloader = self.shared.create_reloader(self.name.clone(), discovery.address_updates);
         RunningNode {
-            metrics: self.shared.metrics.clone(),
+            metrics: self.shared.metrics,
             tasks: TaskHandles { dispatch, takeover, endpoint_watcher, idle_connection_sweep },
-            reloader: ConfigReloader {
-                name: self.name.clone(),
-                metrics: self.shared.metrics,
-                server_options: self.shared.server_options,
-                upstream_options: self.shared.upstream_options,
-                discovery: address_updates,
-            },
+            reloader,
             shutdown: GracefulShutdown {
                 name: self.name,
                 final_answer_delay: self.final_answer_delay,
@@ -296,7 +306,7 @@
                 accept_task,
             },
             admin,
-            admin_commands: self.admin_listener.map(|listener| listener.commands),
+            admin_commands,
         }
     }
 }
