--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -13,24 +13,24 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged { endpoints, snapshot } => {
-                self.discovery.listed(now);
+                self.poll_schedule.record_endpoints(now);
                 self.fleet.apply_endpoints(now, endpoints, snapshot);
                 self.revoke_attempts(actions);
             }
-            Event::EndpointsConfirmed => self.discovery.stands(now),
-            Event::PollAnswered { duration } => self.discovery.answered(duration),
-            Event::EndpointsUnreadable => self.discovery.spoilt(now),
-            Event::DiscoveryMoved => self.discovery.moved(now),
-            Event::WatchFailed => self.discovery.failed(now, &mut self.rng),
+            Event::EndpointsConfirmed => self.poll_schedule.record_confirmation(now),
+            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
+            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
+            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
             Event::JobSubmitted(submission) => self.admit_job(now, &submission, actions),
             Event::AttemptAccepted { job, attempt } => self.record_acceptance(now, job, attempt),
             Event::AttemptStarted { job, attempt } => {
                 self.record_acceptance(now, job, attempt);
                 self.handle_start(now, job, attempt, actions);
             }
-            Event::AttemptProgressed { job, attempt, done } => {
+            Event::AttemptProgressed { job, attempt, fraction_done } => {
                 self.record_acceptance(now, job, attempt);
-                self.record_progress(now, job, attempt, done);
+                self.record_progress(now, job, attempt, fraction_done);
             }
             Event::AttemptStreaming { job, attempt } => {
                 self.handle_start(now, job, attempt, actions);
@@ -49,7 +49,7 @@
                 self.fleet.reenable_worker(now, worker);
                 self.dispatch_pending(now, actions);
             }
-            Event::SuccessorActive(is_active) => self.lifecycle.is_superseded = is_active,
+            Event::SuccessorActive { active } => self.lifecycle.is_superseded = active,
             Event::ShutdownStarted { deadline } => {
                 self.lifecycle.shutdown_at = deadline;
                 self.handle_timer(now, actions);
@@ -59,20 +59,26 @@
         self.set_timer(now, actions);
     }
 
+    /// An attempt has started to run, or to answer.
     fn handle_start(&mut self, now: Micros, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
-        if self.record_start(now, job, attempt) {
-            self.cancel_other_attempts(job, attempt, actions);
+        if !self.record_start(now, job, attempt) {
+            return;
+        }
+        // The first attempt to start is kept: a hedged request must not run as well.
+        if let Some(job) = self.jobs.get(&job) {
+            self.cancel_in_flight(job, Some(attempt), actions);
         }
     }
 
+    /// An attempt has ended, by what its worker or its connection reported.
     fn handle_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { job, attempt, outcome, settled } = end;
         let was_held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
-        let is_news = self.record_outcome(job, attempt, outcome);
-        if is_news && let Some(ended) = self.remove_ended(job, attempt, outcome) {
+        let is_first_report = self.record_outcome(job, attempt, outcome);
+        if is_first_report && let Some(ended) = self.remove_ended(job, attempt, outcome) {
             self.assess_worker(now, &ended);
         }
-        if !is_news && !settled {
+        if !is_first_report && !settled {
             return;
         }
         let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, job, actions);
@@ -84,7 +90,7 @@
     /// Revokes attempts whose worker takes nothing new any more.
     fn revoke_attempts(&mut self, actions: &mut Vec<Action>) {
         let pending = self.fleet.pending_revocations.drain(..);
-        actions.extend(pending.map(|(job, attempt)| Action::RevokeAttempt { job, attempt }));
+        actions.extend(pending.map(|id| Action::RevokeAttempt { job: id.job, attempt: id.number }));
     }
 
     /// Whether an attempt that is in flight was revoked.
@@ -94,6 +100,7 @@
         attempt.is_some_and(|attempt| attempt.revoked)
     }
 
+    /// The client of a job has gone: no answer is needed any more.
     fn disconnect_client(&mut self, job: JobId, actions: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&job) else { return };
         if !job.is_answered {
--- a/crates/core/src/policy/rules.rs
+++ b/crates/core/src/policy/rules.rs
@@ -16,7 +16,7 @@
         let is_suitable =
             self.fleet.takes_work(worker) && required_kind.is_none_or(|kind| kind == worker.kind);
         let may_attempt = job.attempts.len() < self.max_attempts()
-            && (self.settings.may_duplicate || job.is_idle())
+            && (self.settings.may_hedge || job.is_idle())
             && !job.may_receive_stale_callback(worker.id);
         is_open
             && is_suitable
@@ -49,9 +49,6 @@
     /// Marks a job as answered and cancels what is still in flight for it.
     pub(crate) fn close_job(&self, job: &mut Job, actions: &mut Vec<Action>) {
         job.is_answered = true;
-        if self.settings.may_cancel {
-            let in_flight = job.in_flight();
-            actions.extend(in_flight.map(|at| Action::CancelAttempt { job: job.id, attempt: at.number }));
-        }
+        self.cancel_in_flight(job, None, actions);
     }
 }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -4,7 +4,7 @@
 use super::time::{seconds_between, to_micros};
 use super::worker::{EXCESS_WAIT_SPAN_S, Progress, UnhintedWork, WarmUpSend};
 use super::{Attempt, Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementEstimate};
-use crate::{JobId, Micros, Outcome};
+use crate::{Action, JobId, Micros, Outcome};
 
 /// Shortest run that a speed is learned from, in seconds.
 const MIN_MEASURED_RUN_S: f64 = 1e-3;
@@ -34,7 +34,7 @@
     ) {
         let worker = &mut self.fleet.workers[placement.worker_index];
         worker.warm_up_sends.retain(|send| seconds_between(send.at, now) < window);
-        if worker.warm_up_fraction < 1.0 {
+        if worker.estimates.warm_up_fraction < 1.0 {
             worker.warm_up_sends.push_back(WarmUpSend { at: now, work: job.load() });
         }
         worker.sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
@@ -45,7 +45,7 @@
         worker.in_flight.push(InFlightAttempt {
             job: job.id,
             attempt: job.attempts.len() as u32,
-            work: placement.run * worker.current_speed,
+            work: placement.run * worker.estimates.speed,
             slots: job.slots,
             sent_at: now,
             accepted: false,
@@ -99,7 +99,7 @@
     pub(crate) fn record_success(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
         self.fleet.workers[index].record_contact(now);
         let is_warm = self.warm_up_fraction(now, &self.fleet.workers[index]) >= 1.0;
-        self.fleet.workers[index].consecutive_failures /= 2;
+        self.fleet.workers[index].health.consecutive_failures /= 2;
         if is_warm {
             let run = seconds_between(attempt.started_at.unwrap_or(attempt.sent_at), now);
             self.fleet.record_speed(index, attempt, run.max(MIN_MEASURED_RUN_S));
@@ -137,6 +137,15 @@
         Some(EndedAttempt { worker_index, attempt, outcome })
     }
 
+    /// Cancels the attempts of a job that are in flight, but for the one that is to run on.
+    pub(crate) fn cancel_in_flight(&self, job: &Job, except: Option<u32>, actions: &mut Vec<Action>) {
+        if !self.settings.may_cancel {
+            return;
+        }
+        let cancelled = job.in_flight().filter(|attempt| Some(attempt.number) != except);
+        actions.extend(cancelled.map(|at| Action::CancelAttempt { job: job.id, attempt: at.number }));
+    }
+
     /// Updates how many slots each worker of the subset runs at once.
     pub(crate) fn observe_slots(&mut self, now: Micros) {
         for index in &self.fleet.subset {
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -1,4 +1,4 @@
-//! What is known of one job: what its submission said, and the attempts made for it.
+//! One job: what its submission contained, and the attempts made for it.
 
 use arrayvec::ArrayVec;
 
@@ -6,6 +6,17 @@
 
 /// Most attempts of one job; settings that allow more are cut to this.
 pub(crate) const MAX_ATTEMPTS: usize = 8;
+/// Most slots of one job; submissions that ask for more are cut to this.
+pub(crate) const MAX_JOB_SLOTS: f64 = 64.0;
+/// Least work of a job, in seconds at speed 1.
+const MIN_JOB_WORK_S: f64 = 1e-4;
+/// Most work of a job, in seconds at speed 1.
+const MAX_JOB_WORK_S: f64 = 1e4;
+
+/// Bounds the work of a job, whether hinted or estimated, in seconds at speed 1.
+pub(crate) fn clamp_job_work(work: f64) -> f64 {
+    work.clamp(MIN_JOB_WORK_S, MAX_JOB_WORK_S)
+}
 
 /// One attempt of a job, in flight or ended.
 #[derive(Clone, Copy)]
@@ -34,6 +45,15 @@
     }
 }
 
+/// Names an attempt of any job.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptId {
+    /// Its job.
+    pub job: JobId,
+    /// Its number among the job's attempts, from 0.
+    pub number: u32,
+}
+
 /// Names an attempt of a known job.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptRef {
@@ -63,7 +83,7 @@
     pub slots: f64,
     /// Affinity key: what it concerns.
     pub key: Option<u64>,
-    /// Least rendezvous weight of the workers that are homes of its key.
+    /// Least rendezvous weight of the owners of its key.
     pub affinity_threshold: u64,
     /// An answer after this misses its latency objective.
     pub objective_at: Micros,
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -75,7 +75,7 @@
             .map(|id| Endpoint {
                 zone: ZoneId(id as u32 % 2),
                 kind: KindId(id as u32 / 2 % 3),
-                started: if id % 5 == 4 { 9 * SECOND } else { 0 },
+                started_at: if id % 5 == 4 { 9 * SECOND } else { 0 },
                 size: f64::from(rng.u32(1..4)),
                 ..endpoint(id)
             })
@@ -107,9 +107,9 @@
             if event == EVENTS / 2 {
                 self.start_process(self.fleet.settings.node_index);
                 self.hand_over(0, self.processes.len() - 1);
-                self.handle(0, Event::SuccessorActive(true));
+                self.handle(0, Event::SuccessorActive { active: true });
             } else if event == EVENTS / 10 * 9 {
-                self.handle(0, Event::SuccessorActive(false));
+                self.handle(0, Event::SuccessorActive { active: false });
                 self.hand_over(self.processes.len() - 1, 0);
             }
         }
@@ -236,7 +236,7 @@
                 middle,
                 job,
                 attempt,
-                Event::AttemptProgressed { job, attempt, done: 0.5 },
+                Event::AttemptProgressed { job, attempt, fraction_done: 0.5 },
             ),
             1 => self.schedule_attempt_event(middle, job, attempt, Event::AttemptStreaming { job, attempt }),
             _ => {}
@@ -386,7 +386,7 @@
         match self.rng.u8(0..10) {
             0..2 => entry.status = WorkerStatus::Draining,
             2 => entry.status = WorkerStatus::Gone,
-            3 => entry.started = self.now,
+            3 => entry.started_at = self.now,
             _ => entry.status = WorkerStatus::Ready,
         }
         let (snapshot, to_all) = (self.rng.bool(), self.rng.bool());
--- a/crates/core/tests/decision_lock/main.rs
+++ b/crates/core/tests/decision_lock/main.rs
@@ -27,9 +27,9 @@
 fn many_nodes() -> Fleet {
     let mut settings = Settings {
         endpoints_on_request: true,
-        notified_within: 6 * SECOND,
+        assumed_notified_after: 6 * SECOND,
         accept_timeout: 100 * MILLISECOND,
-        may_duplicate: false,
+        may_hedge: false,
         sizes_listed: true,
         may_gossip: true,
         gossip_price: 1.0,
@@ -38,7 +38,7 @@
     settings.classes[0].required_kind = Some(KindId(1));
     settings.classes[1].idempotency =
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
-    settings.classes.push(Class { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
+    settings.classes.push(JobClass { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
     let max_other_work = 40 * MILLISECOND;
     Fleet { settings, driven_nodes: 1, workers: 40, mean_gap: 14_000, max_other_work }
 }
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -25,7 +25,7 @@
     node.set_disabled(0, true);
     // Whatever the list says meanwhile: gone, there again, restarted.
     let mut restarted = workers.clone();
-    restarted[0].started = node.now;
+    restarted[0].started_at = node.now;
     for (job, list) in [&workers[1..], &workers[..], &restarted[..]].into_iter().enumerate() {
         node.list(list);
         assert_eq!(node.run_job(job as u64, 0, 0.1, 0), Some(1));
--- a/crates/core/tests/decisions/hedging.rs
+++ b/crates/core/tests/decisions/hedging.rs
@@ -71,7 +71,7 @@
 /// One of so many nodes that may have one attempt of a job in flight, and has sent job 1 to the worker returned,
 /// which has accepted it.
 fn node_with_an_accepted_job(nodes: u32, class: usize) -> (TestNode, Option<u64>) {
-    let mut settings = Settings { may_duplicate: false, ..node_settings(nodes, 0) };
+    let mut settings = Settings { may_hedge: false, ..node_settings(nodes, 0) };
     settings.classes.iter_mut().for_each(|class| class.latency_objective = 2 * SECOND);
     let mut node = TestNode::new(settings, &endpoints(12));
     let first = node.place_with_key(1, class, 0.1, 7);
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -10,7 +10,7 @@
     for attempt in [0, 1, u32::MAX] {
         assert_eq!(sent_to(&node.end(1, attempt, Outcome::Lost)), None);
         assert_eq!(sent_to(&node.start(77, attempt)), None);
-        node.handle(Event::AttemptProgressed { job: JobId(1), attempt, done: f64::NAN });
+        node.handle(Event::AttemptProgressed { job: JobId(1), attempt, fraction_done: f64::NAN });
     }
     node.handle(Event::ClientDisconnected { job: JobId(77) });
     node.handle(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
--- a/crates/core/tests/decisions/migration.rs
+++ b/crates/core/tests/decisions/migration.rs
@@ -6,7 +6,7 @@
 fn predecessor(workers: &mut [Endpoint]) -> TestNode {
     let mut node = TestNode::new(settings(), workers);
     node.teach_speed(workers, 1, 4.0, 100);
-    workers[2].started = node.now;
+    workers[2].started_at = node.now;
     node.list(workers);
     // It spends the budget by jobs that end at once.
     node.list(&workers[2..]);
@@ -41,17 +41,17 @@
     assert_eq!(node.place(1, 2, 0.05), Some(2));
 
     // The predecessor sends nothing more there while the successor is active.
-    older.handle(Event::SuccessorActive(true));
+    older.handle(Event::SuccessorActive { active: true });
     older.list(&workers[2..]);
     assert_eq!(sent_to(&older.advance(2 * SECOND)), None);
     assert_eq!(older.place(200, 2, 0.05), None);
-    older.handle(Event::SuccessorActive(false));
+    older.handle(Event::SuccessorActive { active: false });
     assert_eq!(sent_to(&older.advance(SECOND / 10)), Some(2));
 }
 
 #[test]
 fn job_migrated_then_it_keeps_its_attempts_and_their_rules() {
-    let settings = Settings { may_duplicate: false, ..settings() };
+    let settings = Settings { may_hedge: false, ..settings() };
     let mut older = TestNode::new(settings.clone(), &endpoints(2));
     // One may have run and must not again; one runs; one is enqueued, both workers being busy.
     let first = older.place(1, 2, 0.1).expect("a worker");
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -31,7 +31,7 @@
 #[test]
 fn worker_takes_no_new_job_then_its_unaccepted_attempts_are_revoked_once() {
     let workers = endpoints(1);
-    let listed = |status, started| [Endpoint { status, started, ..endpoint(0) }];
+    let listed = |status, started_at| [Endpoint { status, started_at, ..endpoint(0) }];
     let (draining, gone) = (listed(WorkerStatus::Draining, 0), listed(WorkerStatus::Gone, 0));
     let (restarted, unchanged) = (listed(WorkerStatus::Ready, 9 * SECOND), listed(WorkerStatus::Ready, 0));
     let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, snapshot };
--- a/crates/core/tests/decisions/retries.rs
+++ b/crates/core/tests/decisions/retries.rs
@@ -52,7 +52,7 @@
 fn end_unknown_at_a_worker_then_the_job_does_not_return_there() {
     // A late end names the job and no attempt: it would end the second one there, and a third would run beside that.
     for outcome in [Outcome::Lost, Outcome::Cancelled] {
-        let mut node = TestNode::new(Settings { may_duplicate: false, ..settings() }, &endpoints(2));
+        let mut node = TestNode::new(Settings { may_hedge: false, ..settings() }, &endpoints(2));
         let first = node.place(0, 0, 0.01).expect("a free worker");
         let second = sent_to(&node.end(0, 0, outcome)).expect("the other");
         assert_ne!(first, second, "{outcome:?}");
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -27,7 +27,7 @@
     let mut sends = Vec::new();
     for node_index in 0..nodes {
         let mut node = TestNode::new(node_settings(nodes, node_index), &endpoints(1));
-        node.list(&[Endpoint { started: node.now, ..endpoint(0) }]);
+        node.list(&[Endpoint { started_at: node.now, ..endpoint(0) }]);
         let end = node.now + span;
         node.now += interval * u64::from(node_index) / u64::from(nodes);
         for job in 0..(end - node.now).div_ceil(interval) {
@@ -64,7 +64,7 @@
         let listed = |worker| Endpoint { kind: KindId(u32::from(worker >= 6)), ..endpoint(worker) };
         let mut workers: Vec<Endpoint> = (0..100).map(listed).collect();
         let mut node = TestNode::new(settings, &workers);
-        workers[..6].iter_mut().for_each(|worker| worker.started = node.now);
+        workers[..6].iter_mut().for_each(|worker| worker.started_at = node.now);
         node.list(&workers);
         node.now += u64::from(node_index) * 600;
         for job in 0..60 {
@@ -113,7 +113,7 @@
         node.start(job, 0);
     }
     node.advance(10 * SECOND);
-    (workers[10].status, workers[10].started) = (WorkerStatus::Ready, node.now);
+    (workers[10].status, workers[10].started_at) = (WorkerStatus::Ready, node.now);
     node.list(&workers);
     let mut sum = 0.0;
     for job in 10..30 {
@@ -135,7 +135,7 @@
 
 /// The worker of a job of one of two nodes, after jobs that waited for long at warm workers.
 fn worker_after_long_waits(node_index: u32) -> Option<u64> {
-    let workers = [endpoint(0), Endpoint { started: 1, ..endpoint(1) }];
+    let workers = [endpoint(0), Endpoint { started_at: 1, ..endpoint(1) }];
     let warm_up = 1_000 * SECOND;
     let settings = Settings { warm_up_floor: 0.4, warm_up, ..node_settings(2, node_index) };
     let mut node = TestNode::new(settings, &workers);
@@ -189,7 +189,7 @@
         node.serve(job, if job % 10 == 9 { 2 * SECOND } else { 50_000 });
     }
     let draining = Endpoint { status: WorkerStatus::Draining, ..endpoint(0) };
-    node.list(&[draining, Endpoint { started: node.now, ..endpoint(1) }]);
+    node.list(&[draining, Endpoint { started_at: node.now, ..endpoint(1) }]);
     let mut sends = 0;
     for job in 1_000..1_040 {
         let actions = node.submit_job(unhinted(job, node.now));
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -144,7 +144,7 @@
     fn start(scenario: &Scenario, node_index: u32, now: Micros, seed: u64) -> Self {
         let settings = Settings {
             endpoints_on_request: true,
-            notified_within: NOTIFIED_WITHIN,
+            assumed_notified_after: NOTIFIED_WITHIN,
             ..node_settings(scenario.nodes, node_index)
         };
         SimulatedNode {
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -16,7 +16,7 @@
     for (index, worker) in workers.iter_mut().enumerate() {
         (worker.zone, worker.kind) = (ZoneId(7), KindId(index as u32 / 2 % 2));
     }
-    workers[3].started = 9 * SECOND;
+    workers[3].started_at = 9 * SECOND;
     workers
 }
 
@@ -61,7 +61,7 @@
     node.advance(3_000);
     node.start(MIGRATED_JOB, 2);
     node.advance(100_000);
-    node.handle(Event::AttemptProgressed { job: JobId(MIGRATED_JOB), attempt: 2, done: 0.5 });
+    node.handle(Event::AttemptProgressed { job: JobId(MIGRATED_JOB), attempt: 2, fraction_done: 0.5 });
     node
 }
 
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -95,7 +95,8 @@
         match action {
             Action::SendAttempt { job, worker, timeout, send_by } => {
                 let endpoint = self.endpoints.get(worker).cloned().ok_or(Violation::UnavailableWorker)?;
-                self.check_send(now, *job, &endpoint, *timeout, *send_by)?;
+                self.check_in_time(*job, now + timeout)?;
+                self.check_send(now, &self.jobs[job], &endpoint, *send_by)?;
                 self.job(*job)?.attempts.push(Attempt { endpoint, sent_at: now, outcome: None });
                 Ok(())
             }
@@ -148,20 +149,16 @@
         require(!may_have_run || may_run_anywhere, Violation::UnsafeRejection)
     }
 
-    fn check_send(
-        &self,
-        now: Micros,
-        job: JobId,
-        to: &Endpoint,
-        timeout: Micros,
-        send_by: Option<Micros>,
-    ) -> Checked {
-        let job = self.jobs.get(&job).ok_or(Violation::UnknownJob)?;
-        require(!job.is_answered && now + timeout <= job.deadline(), Violation::LateAttempt)?;
+    fn check_in_time(&mut self, job: JobId, timeout_at: Micros) -> Checked {
+        let job = self.job(job)?;
+        require(!job.is_answered && timeout_at <= job.deadline(), Violation::LateAttempt)
+    }
+
+    fn check_send(&self, now: Micros, job: &Job, to: &Endpoint, send_by: Option<Micros>) -> Checked {
         let is_available = to.status == WorkerStatus::Ready && !self.disabled.contains(&to.worker);
         require(is_available, Violation::UnavailableWorker)?;
         let has_attempt_in_flight = job.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        let may_send = self.settings.may_duplicate || !has_attempt_in_flight;
+        let may_send = self.settings.may_hedge || !has_attempt_in_flight;
         let has_attempts_left = job.attempts.len() < self.settings.max_attempts as usize;
         require(may_send && has_attempts_left, Violation::TooManyAttempts)?;
         self.check_retry(job, to, now, send_by)?;
@@ -190,7 +187,7 @@
     }
 
     fn is_warming_up(&self, endpoint: &Endpoint, now: Micros) -> bool {
-        endpoint.started > 0 && now < endpoint.started + self.settings.warm_up
+        endpoint.started_at > 0 && now < endpoint.started_at + self.settings.warm_up
     }
 
     fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Micros) -> Checked {
@@ -198,7 +195,7 @@
             return Ok(());
         }
         let settings = &self.settings;
-        let age = (now - to.started) as f64 / settings.warm_up as f64;
+        let age = (now - to.started_at) as f64 / settings.warm_up as f64;
         let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * age;
         let window = settings.overload_window as f64 / 1e6;
         // One of many nodes may have its turn, but never the whole budget.
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -30,7 +30,7 @@
     settings.nodes = if rng.bool() { rng.u32(1..4) } else { rng.u32(8..40) };
     settings.node_index = rng.u32(0..settings.nodes);
     settings.may_cancel = rng.bool();
-    settings.may_duplicate = rng.bool();
+    settings.may_hedge = rng.bool();
     settings.may_gossip = rng.bool();
     settings.endpoints_on_request = rng.bool();
     settings.max_attempts = rng.u32(1..12);
@@ -70,8 +70,8 @@
             let statuses = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone];
             let kinds = if snapshot { 2 } else { 3 };
             entry.status = statuses[self.rng.usize(0..kinds).min(self.rng.usize(0..3))];
-            let started = self.checker.endpoints.get(&entry.worker).map_or(0, |known| known.started);
-            entry.started = if self.rng.u8(0..4) == 0 { self.node.now } else { started };
+            let started_at = self.checker.endpoints.get(&entry.worker).map_or(0, |known| known.started_at);
+            entry.started_at = if self.rng.u8(0..4) == 0 { self.node.now } else { started_at };
             endpoints.push(entry);
         }
         if snapshot {
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -86,7 +86,7 @@
 #[test]
 fn large_job_to_a_warming_worker_then_rule_4_is_violated() {
     let mut checker = checker_with_job(0);
-    checker.endpoints.get_mut(&WorkerId(0)).unwrap().started = NOW - 1;
+    checker.endpoints.get_mut(&WorkerId(0)).unwrap().started_at = NOW - 1;
     checker.record_submission(submission(1, 0, 2.0, NOW));
     let checked = checker.check(NOW, &send(0));
     assert!(matches!(checked, Err(Violation::WarmUpBudgetExceeded { .. })), "{checked:?}");
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use curlewusher_settings::operator::Operator;
+use curlewusher_settings::operator::OperatorFile;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -34,7 +34,10 @@
     Address { field: &'static str, text: String },
     /// The settings cannot be worked with.
     #[error("config: settings.{0}")]
-    Settings(String),
+    Settings(#[source] curlewusher_settings::ReadError),
+    /// The values in effect cannot be shown.
+    #[error("config: settings.{0}")]
+    EffectiveSettings(#[source] curlewusher_settings::EffectiveValuesError),
     /// Too few descriptors.
     #[error("config: limits.sockets: under {LEAST_SOCKETS} a node cannot serve; allow it that many")]
     Sockets,
@@ -88,7 +91,7 @@
     pub limits: Limits,
     pub known: EndpointListMessage,
     pub site: curlewusher_settings::Site,
-    pub operator: Operator,
+    pub operator: OperatorFile,
 }
 
 /// The variables that stand before what a field of the file says.
@@ -146,9 +149,9 @@
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let operator = match sources.operator()? {
-            None => Operator::default(),
+            None => OperatorFile::default(),
             Some((path, text)) => {
-                let read = Operator::parse(&text);
+                let read = OperatorFile::parse(&text);
                 read.map_err(|e| ConfigError::Operator { path, cause: e.to_string() })?
             }
         };
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -12,6 +12,9 @@
 
 use crate::dispatch::NamedEndpoint;
 
+/// Version of the endpoint list by which the whole list is requested.
+pub const NO_LIST_INDEX: u64 = 0;
+
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
 /// A whole endpoint list, or the endpoints that changed.
@@ -49,7 +52,7 @@
     /// Capacity relative to a usual worker of its kind.
     #[serde(default = "EndpointRecord::default_weight")]
     weight: f64,
-    /// When the worker started, in milliseconds since the Unix epoch; 0 where that is not known.
+    /// When the worker started, in milliseconds since the Unix epoch; 0 if that is not known.
     #[serde(default)]
     since_ms: u64,
 }
@@ -91,7 +94,7 @@
 impl EndpointResolver {
     /// A resolver that knows the names of these settings.
     pub fn new(site: &Site) -> Self {
-        EndpointResolver { zones: site.zones.clone(), kinds: site.kinds.clone() }
+        EndpointResolver { zones: site.zone_names.clone(), kinds: site.kind_names.clone() }
     }
 
     /// The endpoints in the dispatcher's terms, in the order of the message.
@@ -101,19 +104,19 @@
 
     fn resolve_record(&mut self, record: &EndpointRecord) -> NamedEndpoint {
         let listing = Endpoint {
-            worker: WorkerId::of_name(&record.name),
+            worker: WorkerId::from_name(&record.name),
             zone: ZoneId(index_of_name(&mut self.zones, &record.zone)),
             kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
             cell: CellId(record.group),
             status: record.status.into(),
-            started: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
+            started_at: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
             size: record.weight,
         };
         NamedEndpoint { name: record.name.as_str().into(), address: record.address, listing }
     }
 }
 
-/// The position of a name, which is appended where it is not there yet.
+/// The position of a name, which is appended if it is not there yet.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> u32 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
