--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -137,11 +137,6 @@
         self.handle(Event::EndpointsChanged { endpoints, snapshot: true })
     }
 
-    /// Delivers changes to the endpoint list.
-    pub fn list_changes(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
-        self.handle(Event::EndpointsChanged { endpoints, snapshot: false })
-    }
-
     /// An operator disables a worker, or enables it again.
     pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
         self.handle(Event::MaintenanceChanged { worker: WorkerId(worker), disabled })
--- a/crates/core/tests/decisions/admission.rs
+++ b/crates/core/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission and the pending queue: jobs wait for capacity, by quotas and weights of what else waits or is lost.
+//! Admission and the pending queue: which jobs wait for capacity, and in which order by quota and weight.
 
 use crate::common::*;
 
--- a/crates/core/tests/decisions/gossip.rs
+++ b/crates/core/tests/decisions/gossip.rs
@@ -61,9 +61,9 @@
 #[test]
 fn gossip_received_then_the_busy_worker_is_avoided_until_it_is_outdated() {
     let workers = endpoints(2);
-    let mut sender = TestNode::new(gossiping(2, 0), &workers[..1]);
-    sender.submit(1, 0, 3.0);
-    let actions = sender.advance(20_000);
+    let mut busy_node = TestNode::new(gossiping(2, 0), &workers[..1]);
+    busy_node.submit(1, 0, 3.0);
+    let actions = busy_node.advance(20_000);
     let gossip = actions.iter().find_map(|action| match action {
         Action::SendGossip { data, .. } => Some(data),
         _ => None,
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -44,9 +44,9 @@
 #[test]
 fn one_worker_warms_up_then_all_nodes_together_keep_its_budget_and_use_it() {
     // A hundred nodes with a job each 2 s: by the rotation alone one would send six jobs in 12 s.
+    let rare = (100, 2 * SECOND, 12 * SECOND, 1_000);
     let frequent = [1, 2, 9, 50].map(|nodes| (nodes, 10_000, 3 * SECOND, 300));
-    for (nodes, interval, span, least) in frequent.into_iter().chain([(100, 2 * SECOND, 12 * SECOND, 1_000)])
-    {
+    for (nodes, interval, span, least) in frequent.into_iter().chain([rare]) {
         let sends = sends_to_one_worker(nodes, interval, span);
         assert_within_budget(&sends);
         let sum: u64 = sends.iter().map(|sent| sent.work).sum();
@@ -200,8 +200,7 @@
             node.serve(job, 0);
         }
     }
-    // 0.4 s have passed: all of it lies within one window of a second, for which three times a fifth is
-    // allowed.
+    // 0.4 s have passed: all of it lies within one window of a second, for which three times a fifth is allowed.
     let allowed = 3.0 * (0.2 + 0.8 * 0.4 / 20.0) * 1.0;
     assert!(sends >= 1, "it is used");
     assert!(f64::from(sends) * 0.245 <= allowed, "{sends} jobs, {allowed} s allowed");
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -185,9 +185,9 @@
                 self.connection = Connection::Watching { last_event, is_silent };
                 if is_closed || is_silent && now >= last_event + WATCH_TIMEOUT {
                     self.close_connection();
-                    return is_answered;
+                } else if has_event {
+                    return true;
                 }
-                return is_answered || has_event;
             }
             Connection::Closed | Connection::Polling(_) => {}
         }
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -54,16 +54,12 @@
 }
 
 pub struct Job {
-    submission: JobSubmission,
+    pub submission: JobSubmission,
     pub attempts: Vec<Attempt>,
     pub is_answered: bool,
 }
 
 impl Job {
-    pub fn deadline(&self) -> Micros {
-        self.submission.deadline
-    }
-
     /// Seconds of work, over all slots.
     pub fn load(&self) -> f64 {
         self.submission.cost_hint.unwrap_or(0.1) * self.submission.slots
@@ -123,7 +119,7 @@
     }
 
     pub fn check_all_answered(&self, now: Micros) -> Checked {
-        let is_overdue = |job: &Job| !job.is_answered && now > job.deadline() + ANSWER_TOLERANCE;
+        let is_overdue = |job: &Job| !job.is_answered && now > job.submission.deadline + ANSWER_TOLERANCE;
         let overdue = self.jobs.iter().find(|(_, job)| is_overdue(job));
         overdue.map_or(Ok(()), |(id, _)| Err(Violation::NoAnswer(*id)))
     }
@@ -134,7 +130,7 @@
 
     fn check_answer(&mut self, now: Micros, job: JobId) -> Checked {
         let job = self.job(job)?;
-        let is_late = now > job.deadline() + ANSWER_TOLERANCE;
+        let is_late = now > job.submission.deadline + ANSWER_TOLERANCE;
         require(!job.is_answered && !is_late, Violation::SecondOrLateAnswer)?;
         job.is_answered = true;
         Ok(())
@@ -151,7 +147,7 @@
 
     fn check_in_time(&mut self, job: JobId, timeout_at: Micros) -> Checked {
         let job = self.job(job)?;
-        require(!job.is_answered && timeout_at <= job.deadline(), Violation::LateAttempt)
+        require(!job.is_answered && timeout_at <= job.submission.deadline, Violation::LateAttempt)
     }
 
     fn check_send(&self, now: Micros, job: &Job, to: &Endpoint, send_by: Option<Micros>) -> Checked {
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -160,7 +160,7 @@
         let (now, job) = (self.node.now, &self.checker.jobs[&in_flight.job]);
         match (in_flight.started_at, self.rng.u32(0..1000)) {
             (Some(at), _) if now >= at + (job.load() * 1e6) as Micros => Some(Outcome::Done),
-            _ if now >= job.deadline() => Some(Outcome::TimedOut),
+            _ if now >= job.submission.deadline => Some(Outcome::TimedOut),
             (_, 0..4) => Some(Outcome::Lost),
             (_, 4..8) => Some(Outcome::Error),
             (None, 8..20) => Some(Outcome::Rejected),
