--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -122,6 +122,16 @@
             options: self.server_options.clone(),
         })
     }
+
+    fn create_reloader(&self, name: String, discovery: watch::Sender<SocketAddr>) -> ConfigReloader {
+        ConfigReloader {
+            name,
+            metrics: self.metrics.clone(),
+            server_options: self.server_options.clone(),
+            upstream_options: self.upstream_options.clone(),
+            discovery,
+        }
+    }
 }
 
 /// The parts of the node, connected to each other, before any of their tasks runs.
@@ -173,7 +183,7 @@
         let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
-        let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
+        let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
         let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
@@ -200,9 +210,9 @@
             queue: shared.dispatch_queue.clone(),
             list_received: watch::Sender::new(false),
             metrics: shared.metrics.clone(),
-            timing: WatchTiming::new(&site.decisions),
+            timing: WatchTiming::new(&site.dispatcher),
         };
-        let client_timeouts = site.decisions.classes.iter().map(|class| class.client_timeout);
+        let client_timeouts = site.dispatcher.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
@@ -242,14 +252,18 @@
         open().map_err(|source| ServeError::ClientListener { listen: self.listen, source })
     }
 
-    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
-        let admin = AdminService {
+    fn create_admin_service(&self) -> AdminService {
+        AdminService {
             name: self.name.as_str().into(),
             lifecycle: self.shared.lifecycle.clone(),
-            dispatch_commands: self.dispatch_commands,
-            peer: self.shared.peer,
+            dispatch_commands: self.dispatch_commands.clone(),
+            peer: self.shared.peer.clone(),
             drain_requested: Rc::default(),
-        };
+        }
+    }
+
+    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
+        let admin = self.create_admin_service();
         let takeover_parts = TakeoverParts {
             listen: self.listen,
             listener: listener.for_successor,
@@ -257,31 +271,27 @@
             upstream: self.upstream.clone(),
             admin: admin.clone(),
         };
+        let discovery = self.discovery;
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
-        let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
-            self.discovery;
+        let has_predecessor = handover.has_predecessor();
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
-        let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
+        let endpoint_watcher =
+            spawn_local(discovery.watcher.run(discovery.poll_requests, discovery.address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.has_predecessor();
-        let (takeover_handle, takeover) =
-            TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
-        let takeover = spawn_local(takeover);
-        let admin_address = self.admin_listener.as_ref().map(|listener| listener.address);
+        let (takeover_handle, takeover_task) =
+            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available, has_saved_endpoints);
+        let takeover = spawn_local(takeover_task);
+        let (admin_address, admin_commands) =
+            self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
         log_addresses(&self.name, has_predecessor, listener.address, admin_address);
 
+        let reloader = self.shared.create_reloader(self.name.clone(), discovery.address_updates);
         RunningNode {
-            metrics: self.shared.metrics.clone(),
+            metrics: self.shared.metrics,
             tasks: TaskHandles { dispatch, takeover, endpoint_watcher, idle_connection_sweep },
-            reloader: ConfigReloader {
-                name: self.name.clone(),
-                metrics: self.shared.metrics,
-                server_options: self.shared.server_options,
-                upstream_options: self.shared.upstream_options,
-                discovery: address_updates,
-            },
+            reloader,
             shutdown: GracefulShutdown {
                 name: self.name,
                 final_answer_delay: self.final_answer_delay,
@@ -293,7 +303,7 @@
                 accept_task,
             },
             admin,
-            admin_commands: self.admin_listener.map(|listener| listener.commands),
+            admin_commands,
         }
     }
 }
@@ -301,16 +311,16 @@
 fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
         operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
-    Metrics::new(&site.classes, &answer_bounds_s, logging.dropped())
+    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped())
 }
 
 /// Sets what decisions on real sockets need otherwise than in a simulator.
 fn adapt_settings_to_sockets(site: &mut Site) {
     // Any rejection may carry Retry-After here; the simulator's clients would not get it.
-    site.decisions.max_retry_after = site.max_retry_after;
+    site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
-    site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
+    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
