--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,78 +1,102 @@
-//! Owns `curlewusher check`: each value in effect, and where it comes from. It must never start anything, and it reads
-//! by the same code as a start, so that what it finds good is good.
+//! `curlewusher check`: prints each value in effect and where it comes from. It reads the configuration by the same
+//! code as a start, and starts nothing: a configuration that passes the check is one that a start accepts.
 
-use std::fmt::Write as _;
+use std::fmt::{Display, Write as _};
 use std::io::Write as _;
 
 use curlewusher_settings::operator::OperatorFile;
 use serde_json::Value;
 
-use crate::config::{Config, ConfigError, ConfigSources, VARIABLES};
+use crate::config::{
+    Config, ConfigError, ConfigFile, ConfigSources, DEFAULT_SOCKETS, Override, parse_operator_file,
+};
 
-/// Prints all values; an error where a start would fail.
+/// Source of a value that nobody configured.
+const DEFAULT: &str = "default";
+
+/// Prints all values, or returns the error that a start would end with.
 pub fn run(sources: &ConfigSources) -> Result<(), ConfigError> {
     Config::read(sources)?;
-    let mut out = String::new();
-    platform(sources, &mut out)?;
-    operator(sources, &mut out)?;
-    // A reader that has seen enough may close its end.
-    let _ = std::io::stdout().write_all(out.as_bytes());
+    let mut report = Report::default();
+    report.add_platform_file(&sources.read_platform_file()?)?;
+    report.add_operator_file(sources.read_operator_file()?)?;
+    // The reader may close its end before it has read everything.
+    let _ = std::io::stdout().write_all(report.text.as_bytes());
     Ok(())
 }
 
-fn platform(sources: &ConfigSources, out: &mut String) -> Result<(), ConfigError> {
-    let (path, text) = sources.platform()?;
-    let mut written: Value = serde_json::from_str(&text).map_err(|e| ConfigError::Shape(e.to_string()))?;
-    let settings = written["settings"].take();
-    let effective =
-        curlewusher_settings::effective(settings.clone()).map_err(ConfigError::EffectiveSettings)?;
-    let _ = writeln!(out, "# what the platform tells");
-    for (field, variable) in VARIABLES {
-        match sources.variable(variable) {
-            Some(value) => _ = writeln!(out, "{field} = {:?}  # {variable}", value),
-            None if written[field].is_null() => _ = writeln!(out, "{field} is not given  # default"),
-            None => _ = writeln!(out, "{field} = {}  # {path}", written[field]),
+/// The values in effect, one a line.
+#[derive(Default)]
+struct Report {
+    text: String,
+}
+
+impl Report {
+    fn add_line(&mut self, line: impl Display) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(self.text, "{line}");
+    }
+
+    fn add_value(&mut self, field: &str, value: impl Display, source: &str) {
+        self.add_line(format_args!("{field} = {value}  # {source}"));
+    }
+
+    fn add_platform_file(&mut self, file: &ConfigFile) -> Result<(), ConfigError> {
+        let mut object: Value = serde_json::from_str(&file.text).map_err(ConfigError::Syntax)?;
+        let settings = object["settings"].take();
+        let effective =
+            curlewusher_settings::effective(settings.clone()).map_err(ConfigError::EffectiveSettings)?;
+        self.add_line("# what the platform tells");
+        for field in Override::ALL {
+            self.add_overridable_field(field, &object[field.field()], &file.path);
         }
+        self.add_value("seed", &object["seed"], &file.path);
+        match &object["limits"]["sockets"] {
+            Value::Null => self.add_value("limits.sockets", DEFAULT_SOCKETS, DEFAULT),
+            sockets => self.add_value("limits.sockets", sockets, &file.path),
+        }
+        let endpoints = object["known"]["endpoints"].as_array().map_or(0, Vec::len);
+        self.add_value("known.endpoints", format_args!("{endpoints} entries"), &file.path);
+        self.add_settings("settings", &effective, Some(&settings), &file.path);
+        Ok(())
     }
-    let _ = writeln!(out, "seed = {}  # {path}", written["seed"]);
-    match &written["limits"]["sockets"] {
-        Value::Null => _ = writeln!(out, "limits.sockets = 1024  # default"),
-        sockets => _ = writeln!(out, "limits.sockets = {sockets}  # {path}"),
+
+    /// Adds a field that a variable may override.
+    fn add_overridable_field(&mut self, field: Override, configured: &Value, path: &str) {
+        let name = field.field();
+        match field.value() {
+            Some(value) => self.add_value(name, format_args!("{value:?}"), field.variable()),
+            None if configured.is_null() => self.add_line(format_args!("{name} is not given  # {DEFAULT}")),
+            None => self.add_value(name, configured, path),
+        }
     }
-    let listed = written["known"]["endpoints"].as_array().map_or(0, Vec::len);
-    let _ = writeln!(out, "known.endpoints = {listed} entries  # {path}");
-    flatten("settings", &effective, Some(&settings), &path, out);
-    Ok(())
-}
 
-fn flatten(name: &str, value: &Value, written: Option<&Value>, path: &str, out: &mut String) {
-    match value {
-        Value::Object(fields) => {
-            for (field, value) in fields {
-                flatten(&format!("{name}.{field}"), value, written.and_then(|w| w.get(field)), path, out);
+    /// Adds the leaves of a part of the settings object; `configured` is the same part as the file has it, if it does.
+    fn add_settings(&mut self, name: &str, effective: &Value, configured: Option<&Value>, path: &str) {
+        match effective {
+            Value::Object(fields) => {
+                for (field, value) in fields {
+                    let configured = configured.and_then(|object| object.get(field));
+                    self.add_settings(&format!("{name}.{field}"), value, configured, path);
+                }
             }
-        }
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            for (at, item) in items.iter().enumerate() {
-                flatten(&format!("{name}[{at}]"), item, written.and_then(|w| w.get(at)), path, out);
+            Value::Array(items) if items.iter().any(Value::is_object) => {
+                for (index, item) in items.iter().enumerate() {
+                    let configured = configured.and_then(|array| array.get(index));
+                    self.add_settings(&format!("{name}[{index}]"), item, configured, path);
+                }
             }
-        }
-        leaf => {
-            let source = if written.is_some() { path } else { "default" };
-            let _ = writeln!(out, "{name} = {leaf}  # {source}");
+            leaf => self.add_value(name, leaf, if configured.is_some() { path } else { DEFAULT }),
         }
     }
-}
 
-fn operator(sources: &ConfigSources, out: &mut String) -> Result<(), ConfigError> {
-    let file = sources.operator()?;
-    let _ = writeln!(out, "# what the operator says");
-    let (path, text) = file.as_ref().map_or(("", ""), |(path, text)| (path.as_str(), text.as_str()));
-    let operator = OperatorFile::parse(text)
-        .map_err(|e| ConfigError::Operator { path: path.to_owned(), cause: e.to_string() })?;
-    for (field, value) in operator.values() {
-        let source = if OperatorFile::sets(text, field) { path } else { "default" };
-        let _ = writeln!(out, "{} = {value}  # {source}", field.path);
+    fn add_operator_file(&mut self, file: Option<ConfigFile>) -> Result<(), ConfigError> {
+        let ConfigFile { path, text } = file.unwrap_or_default();
+        self.add_line("# what the operator says");
+        for (field, value) in parse_operator_file(&path, &text)?.values() {
+            let source = if OperatorFile::sets(&text, field) { &path } else { DEFAULT };
+            self.add_value(field.path, value, source);
+        }
+        Ok(())
     }
-    Ok(())
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -57,7 +57,7 @@
 
 fn main() -> ExitCode {
     let command_line = CommandLine::parse();
-    let sources = config::ConfigSources { operator: command_line.operator };
+    let sources = config::ConfigSources { operator_file: command_line.operator };
     let result = match command_line.command.unwrap_or(Command::Serve) {
         Command::Serve => runtime::run(&sources),
         Command::Check => check::run(&sources).map_err(ServeError::Config),
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -170,11 +170,11 @@
 
 impl NodeParts {
     fn build(config: Config, logging: &Logging) -> Result<Self, ServeError> {
-        let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
+        let Config { name, listen, discovery, admin, seed, limits, known, mut site, operator } = config;
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
         let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
-        let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
+        let descriptors = DescriptorBudget::divide(limits.sockets, admin.is_some());
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
 
@@ -206,9 +206,7 @@
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
-            admin_listener: console
-                .map(|at| AdminListener::open(at, shared.lifecycle.clone()))
-                .transpose()?,
+            admin_listener: admin.map(|at| AdminListener::open(at, shared.lifecycle.clone())).transpose()?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
             name,
             listen,
--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -6,7 +6,7 @@
 mod options;
 mod reference;
 
-use curlewusher_toml_diagnostics::ParseError;
+pub use curlewusher_toml_diagnostics::ParseError;
 use serde::{Deserialize, Serialize};
 
 pub use self::bounded_integer::BoundedInteger;
--- a/crates/toml-diagnostics/src/error.rs
+++ b/crates/toml-diagnostics/src/error.rs
@@ -12,7 +12,7 @@
         /// Line of the mistake, from 1.
         line: usize,
         /// What the parser reports.
-        source: toml::de::Error,
+        source: Box<toml::de::Error>,
     },
     /// A field is unknown, missing, or has a value that it cannot have.
     #[error("line {line}: {path}: {}", on_one_line(source.message()))]
@@ -22,7 +22,7 @@
         /// Tables and name of the field, separated by dots.
         path: String,
         /// What the deserializer reports.
-        source: toml::de::Error,
+        source: Box<toml::de::Error>,
     },
 }
 
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -14,12 +14,15 @@
 
 /// Parses a text. The error names the line of the text, the field, and what would be right.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
-    let deserializer = toml::Deserializer::parse(text)
-        .map_err(|source| ParseError::Syntax { line: line_of_error(text, &source), source })?;
+    let deserializer = toml::Deserializer::parse(text).map_err(|source| {
+        let line = line_of_error(text, &source);
+        ParseError::Syntax { line, source: Box::new(source) }
+    })?;
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
         let path = error.path().to_string();
         let source = error.into_inner();
-        ParseError::Field { line: line_of_error(text, &source), path, source }
+        let line = line_of_error(text, &source);
+        ParseError::Field { line, path, source: Box::new(source) }
     })
 }
 
