--- a/crates/node/src/server/connection/lingering_close.rs
+++ b/crates/node/src/server/connection/lingering_close.rs
@@ -8,14 +8,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::{Connection, ConnectionState};
+use super::{Connection, ConnectionState, READ_CHUNK_BYTES};
 
 /// Longest time for which a lingering connection is read.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Most bytes that are read from a lingering connection.
 const MAX_LINGER_BYTES: usize = 256 << 10;
-/// Bytes read from the socket at once.
-const READ_CHUNK_BYTES: usize = 4096;
 
 /// Shuts the write side down, and discards what the peer sends until it closes or a bound is reached.
 pub async fn discard_and_close(mut stream: TcpStream) {
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -28,6 +28,8 @@
 pub use lingering_close::{discard_and_close, lingering_close};
 pub use read_filter::ReadFilter;
 
+/// Bytes that are read from a connection's socket at once.
+pub const READ_CHUNK_BYTES: usize = 4096;
 /// Longest head of a request, in bytes; hyper's read buffer has the same bound.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// A request that has begun must be whole within this, and on a new connection one must have come. Good
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -18,13 +18,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::{Connection, ConnectionState, MAX_HEAD_BYTES};
+use super::{Connection, ConnectionState, MAX_HEAD_BYTES, READ_CHUNK_BYTES};
 use crate::telemetry::metrics::{Counter, Metrics};
 
 /// Most headers of a request, as in hyper.
 const MAX_HEADERS: usize = 100;
-/// Bytes read from the socket at once.
-const READ_CHUNK_BYTES: usize = 4096;
 /// What hyper reads in place of a request that must not be served: it answers 400 and closes.
 const INVALID_REQUEST: &[u8] = b"REFUSED\r\n\r\n";
 /// Value of [`ReadFilter::forwardable_bytes`] for a stream that is passed on to its end.
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use super::Server;
-use super::connection::discard_and_close;
+use super::connection::{READ_CHUNK_BYTES, discard_and_close};
 use super::migration_record;
 use super::open_job::OpenJob;
 use super::response;
@@ -28,8 +28,6 @@
 
 /// Pause after a job could not migrate.
 pub const MIGRATION_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes read at once from a client that waits for its response.
-const READ_CHUNK_BYTES: usize = 4096;
 
 /// Migrates a job to the other process of this node, with a duplicate of its client's socket. Whether the
 /// other process holds it now.
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -34,7 +34,7 @@
 /// X-Cost-Hint is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Slots that a job may ask for.
-const SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
+const ALLOWED_SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
 /// Slots of a job that does not ask for any.
 const DEFAULT_SLOTS: f64 = 1.0;
 
@@ -227,7 +227,7 @@
 /// How many slots of a worker the job takes.
 fn parse_slots(headers: &HeaderMap) -> Result<f64, RequestError> {
     let slots = parse_extra(headers, "slots")?.unwrap_or(DEFAULT_SLOTS);
-    if SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
+    if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
 }
 
 /// One of the figures of X-Extras, a list of `name=figure`; the last one of that name counts.
--- a/crates/node/src/server/state.rs
+++ b/crates/node/src/server/state.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Most jobs that may be open. The other connections of the budget are left for callbacks and for
-    /// requests that must be answered with a rejection.
+    /// Most jobs that may be open: three quarters of the connection budget. The other connections of the
+    /// budget are left for callbacks and for requests that must be answered with a rejection.
     pub fn max_open_jobs(&self) -> usize {
         self.connection_budget.target() * 3 / 4
     }
