--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -74,8 +74,8 @@
             (AdminCommand::Disable(name) | AdminCommand::Enable(name), vouched) => {
                 let (name, out) = (name.clone(), matches!(call, AdminCommand::Disable(_)));
                 match vouched {
-                    true => DispatchCommand::SetWorkerDisabledByPeer { name, out, verdict },
-                    false => DispatchCommand::SetWorkerDisabled { name, out, verdict },
+                    true => DispatchCommand::SetWorkerDisabledByPeer { name, disabled: out, result: verdict },
+                    false => DispatchCommand::SetWorkerDisabled { name, disabled: out, result: verdict },
                 }
             }
         };
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -81,7 +81,7 @@
         let hop = |e: &EndpointRecord| NamedEndpoint {
             name: e.name.as_str().into(),
             address: e.address,
-            listing: Endpoint {
+            endpoint: Endpoint {
                 worker: WorkerId::of_name(&e.name),
                 zone: ZoneId(Self::place(&mut self.zones, &e.zone)),
                 kind: KindId(Self::place(&mut self.kinds, &e.kind)),
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -29,7 +29,7 @@
 const QUEUE_ROOM: usize = 4096;
 
 /// The queue of a node that has at most so many connections, each with one job.
-pub fn queue<P>(connections: usize) -> (DispatchQueue<P>, mpsc::Receiver<DispatchMessage<P>>) {
+pub fn create_queue<P>(connections: usize) -> (DispatchQueue<P>, mpsc::Receiver<DispatchMessage<P>>) {
     mpsc::channel(QUEUE_ROOM + connections)
 }
 
@@ -74,19 +74,19 @@
 
 /// A job as a sender side hands it in.
 pub struct SubmittedJob<P> {
-    pub id: Rc<str>,
+    pub request_id: Rc<str>,
     pub class: ClassId,
     pub tenant: TenantId,
     pub deadline: Micros,
-    pub hint: Option<f64>,
+    pub cost_hint: Option<f64>,
     pub slots: f64,
     /// What it concerns, as a number that is the same at every node.
-    pub key: Option<u64>,
-    pub repeat: bool,
+    pub affinity_key: Option<u64>,
+    pub is_retry: bool,
     /// What is to be delivered; the dispatch task never looks into it.
     pub payload: P,
     pub job_handle: JobHandle,
-    pub answer: oneshot::Sender<JobResponse>,
+    pub response_sender: oneshot::Sender<JobResponse>,
 }
 
 /// Stands for a job between its sender side, which says on it that the client has gone, and the dispatch task, which
@@ -118,12 +118,12 @@
 /// A delivery attempt to be made. It is given up when `give_up` says so; once the sending half of that is
 /// dropped, the attempt is over and only its connection is left to care for.
 pub struct AttemptRequest<P> {
-    pub key: AttemptId,
-    pub id: Rc<str>,
-    pub to: SocketAddr,
+    pub id: AttemptId,
+    pub request_id: Rc<str>,
+    pub address: SocketAddr,
     pub payload: Rc<P>,
-    pub wait: Duration,
-    pub give_up: oneshot::Receiver<()>,
+    pub timeout: Duration,
+    pub cancel: oneshot::Receiver<()>,
     /// Where it holds no more before the first byte has left, none does, and the attempt ends as never sent.
     pub send_permit: Rc<SendPermit>,
 }
@@ -136,7 +136,7 @@
     /// Cares for an attempt that a next hop has taken on from another process of this node.
     fn resume_attempt(&self, attempt: AttemptRequest<Self::Payload>);
     /// What is open to that next hop is of no use any more.
-    fn forget_endpoint(&self, to: SocketAddr);
+    fn discard_connections(&self, to: SocketAddr);
 }
 
 /// A job that goes from one process of this node to another, but for its parcel.
@@ -150,7 +150,7 @@
 }
 
 impl JobMigration {
-    pub fn id(&self) -> &str {
+    pub fn request_id(&self) -> &str {
         &self.id
     }
 }
@@ -167,14 +167,20 @@
     times_out: Micros,
 }
 
+/// A job that is about to go to the other process of this node, with its payload.
+pub struct OutgoingMigration<P> {
+    pub migration: JobMigration,
+    pub payload: Rc<P>,
+}
+
 /// A job that another process has moved here.
 pub struct IncomingMigration<P> {
-    pub moved: JobMigration,
+    pub migration: JobMigration,
     pub payload: P,
     pub job_handle: JobHandle,
-    pub answer: oneshot::Sender<JobResponse>,
+    pub response_sender: oneshot::Sender<JobResponse>,
     /// Whether it is held here.
-    pub held: oneshot::Sender<bool>,
+    pub accepted: oneshot::Sender<bool>,
 }
 
 /// Which process a call-back for an id is for.
@@ -202,7 +208,7 @@
 pub struct NamedEndpoint {
     pub name: Rc<str>,
     pub address: SocketAddr,
-    pub listing: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// What reaches the dispatch task.
@@ -211,25 +217,34 @@
     ClientDisconnected(JobHandle),
     /// A call-back: the job's id, the next hop's name, and what it says.
     Callback {
-        id: String,
-        worker: String,
+        request_id: String,
+        worker_name: String,
         state: CallbackState,
         /// Who holds a job of that id, for whoever would look for it elsewhere.
         owner: Option<oneshot::Sender<JobOwner>>,
     },
     /// Whether a job of that id is in hand.
     QueryJob {
-        id: String,
+        request_id: String,
         held: oneshot::Sender<bool>,
     },
     /// A job is to move to the other process; nothing comes back while it cannot.
-    MigrateJob(JobHandle, oneshot::Sender<(JobMigration, Rc<P>)>),
+    MigrateJob {
+        job_handle: JobHandle,
+        migration_sender: oneshot::Sender<OutgoingMigration<P>>,
+    },
     /// Whether the other process holds it; where it does not it is held here again.
-    MigrationFinished(JobHandle, bool),
+    MigrationFinished {
+        job_handle: JobHandle,
+        accepted: bool,
+    },
     /// A job comes from the other process.
     ReceiveMigration(IncomingMigration<P>),
     /// Whether the other process has been told that it is held here; else the job is that one's.
-    MigrationConfirmed(JobHandle, bool),
+    MigrationConfirmed {
+        job_handle: JobHandle,
+        confirmed: bool,
+    },
     AttemptAccepted(AttemptId),
     AttemptEnded(AttemptId, Outcome),
     AttemptCancelled(AttemptId),
@@ -256,9 +271,9 @@
 /// hops bring, so that it does not wait behind a crowd.
 pub enum DispatchCommand {
     /// Nothing more to the next hop of that name, or work for it again.
-    SetWorkerDisabled { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
+    SetWorkerDisabled { name: String, disabled: bool, result: oneshot::Sender<CommandResult> },
     /// The same for one that the other process of this node knows, whether or not a list here has named it.
-    SetWorkerDisabledByPeer { name: String, out: bool, verdict: oneshot::Sender<CommandResult> },
+    SetWorkerDisabledByPeer { name: String, disabled: bool, result: oneshot::Sender<CommandResult> },
     /// What is known now, for a successor.
     TakeSnapshot(oneshot::Sender<TransferableState>),
     /// What the process before this one knew.
@@ -271,9 +286,11 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TransferableState {
-    pub bans: DisabledWorkers,
+    #[serde(rename = "bans")]
+    pub disabled_workers: DisabledWorkers,
     /// None where only what operators called for is to be taken on.
-    pub learned: Option<StateSnapshot>,
+    #[serde(rename = "learned")]
+    pub snapshot: Option<StateSnapshot>,
 }
 
 pub type DispatchQueue<P> = mpsc::Sender<DispatchMessage<P>>;
@@ -321,6 +338,18 @@
     TimeOut(AttemptId),
 }
 
+/// What a [`DispatchTask`] is made of and connected to.
+pub struct DispatchParts<C: AttemptTransport> {
+    pub dispatcher: Dispatcher,
+    pub clock: Clock,
+    pub transport: C,
+    pub messages: mpsc::Receiver<DispatchMessage<C::Payload>>,
+    pub commands: mpsc::Receiver<DispatchCommand>,
+    /// Asks for a watch on discovery's endpoint list.
+    pub watch_requests: mpsc::Sender<()>,
+    pub metrics: Metrics,
+}
+
 /// The task.
 pub struct DispatchTask<C: AttemptTransport> {
     dispatcher: Dispatcher,
@@ -349,23 +378,16 @@
 }
 
 impl<C: AttemptTransport> DispatchTask<C> {
-    pub fn new(
-        dispatcher: Dispatcher,
-        clock: Clock,
-        transport: C,
-        queue: mpsc::Receiver<DispatchMessage<C::Payload>>,
-        orders: mpsc::Receiver<DispatchCommand>,
-        watch: mpsc::Sender<()>,
-        counters: Metrics,
-    ) -> Self {
+    /// A task without jobs and without endpoints.
+    pub fn new(parts: DispatchParts<C>) -> Self {
         DispatchTask {
-            dispatcher,
-            clock,
-            transport,
-            queue,
-            orders,
-            watch,
-            counters,
+            dispatcher: parts.dispatcher,
+            clock: parts.clock,
+            transport: parts.transport,
+            queue: parts.messages,
+            orders: parts.commands,
+            watch: parts.watch_requests,
+            counters: parts.metrics,
             next_job: 0,
             held: HashMap::new(),
             ids: HashMap::new(),
@@ -419,7 +441,7 @@
 
     fn obey(&mut self, order: DispatchCommand) {
         match order {
-            DispatchCommand::SetWorkerDisabled { name, out, verdict } => {
+            DispatchCommand::SetWorkerDisabled { name, disabled: out, result: verdict } => {
                 let said = if out { self.bans.disable(&name) } else { self.bans.enable(&name) };
                 if said.is_ok() {
                     self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
@@ -427,19 +449,20 @@
                 // An operator who no longer waits may ask again.
                 let _ = verdict.send(said);
             }
-            DispatchCommand::SetWorkerDisabledByPeer { name, out, verdict } => {
+            DispatchCommand::SetWorkerDisabledByPeer { name, disabled: out, result: verdict } => {
                 self.bans.record_listed([name.as_str()]);
-                self.obey(DispatchCommand::SetWorkerDisabled { name, out, verdict });
+                self.obey(DispatchCommand::SetWorkerDisabled { name, disabled: out, result: verdict });
             }
             DispatchCommand::TakeSnapshot(estate) => {
                 let learned = Some(self.dispatcher.snapshot());
-                let _ = estate.send(TransferableState { bans: self.bans.clone(), learned });
+                let _ =
+                    estate.send(TransferableState { disabled_workers: self.bans.clone(), snapshot: learned });
             }
             DispatchCommand::RestoreSnapshot(estate) => {
-                for (name, out) in self.bans.merge_predecessor(estate.bans) {
+                for (name, out) in self.bans.merge_predecessor(estate.disabled_workers) {
                     self.tell(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled: out });
                 }
-                if let Some(learned) = &estate.learned {
+                if let Some(learned) = &estate.snapshot {
                     self.dispatcher.restore(self.clock.now(), learned);
                 }
             }
@@ -455,18 +478,26 @@
                     self.client_gone(job);
                 }
             }
-            DispatchMessage::Callback { id, worker: from, state: word, owner: holder } => {
+            DispatchMessage::Callback { request_id: id, worker_name: from, state: word, owner: holder } => {
                 if let Some(asks) = holder {
                     // Who asks looks elsewhere next, and has ended if it does not listen.
                     let _ = asks.send(self.holder(&id));
                 }
                 self.told(&id, &from, word);
             }
-            DispatchMessage::QueryJob { id, held } => _ = held.send(self.holder(&id) != JobOwner::Unknown),
-            DispatchMessage::MigrateJob(job_handle, to) => self.let_go(&job_handle, to),
-            DispatchMessage::MigrationFinished(job_handle, held) => self.move_ended(&job_handle, held),
+            DispatchMessage::QueryJob { request_id: id, held } => {
+                _ = held.send(self.holder(&id) != JobOwner::Unknown)
+            }
+            DispatchMessage::MigrateJob { job_handle, migration_sender } => {
+                self.let_go(&job_handle, migration_sender)
+            }
+            DispatchMessage::MigrationFinished { job_handle, accepted } => {
+                self.move_ended(&job_handle, accepted)
+            }
             DispatchMessage::ReceiveMigration(adopted) => self.expect(adopted),
-            DispatchMessage::MigrationConfirmed(job_handle, ours) => self.arrived(&job_handle, ours),
+            DispatchMessage::MigrationConfirmed { job_handle, confirmed } => {
+                self.arrived(&job_handle, confirmed)
+            }
             DispatchMessage::AttemptAccepted(key) => {
                 if let Some(attempt) = self.attempt(key) {
                     attempt.accepted = true;
@@ -531,7 +562,7 @@
 
     /// Lets a job go to the other process, where all that is out of it has been taken on: until then the answer of its next
     /// hop is on its way to a connection of this process.
-    fn let_go(&mut self, job_handle: &JobHandle, to: oneshot::Sender<(JobMigration, Rc<C::Payload>)>) {
+    fn let_go(&mut self, job_handle: &JobHandle, to: oneshot::Sender<OutgoingMigration<C::Payload>>) {
         let Some(id) = job_handle.job() else { return };
         let settled = |a: &Attempt| a.stage == Stage::Over || a.stage == Stage::Out && a.accepted;
         let until = self.clock.now() + TOO_LATE_TO_MOVE;
@@ -558,7 +589,8 @@
         let attempts = held.attempts.iter().map(delivery).collect();
         let moved = JobMigration { id: held.id.to_string(), taken: held.taken, attempts, job };
         debug!(target: DISPATCH, request_id = %held.id, "moves to the other process");
-        let unheard = to.send((moved.clone(), held.payload.clone())).is_err();
+        let unheard =
+            to.send(OutgoingMigration { migration: moved.clone(), payload: held.payload.clone() }).is_err();
         self.leaving.insert(id, (moved, held));
         if unheard {
             // Its sender side has left in this moment.
@@ -595,7 +627,13 @@
 
     /// A job is about to come from the other process: its id is taken here from now on.
     fn expect(&mut self, adopted: IncomingMigration<C::Payload>) {
-        let IncomingMigration { moved, payload, job_handle, answer, held } = adopted;
+        let IncomingMigration {
+            migration: moved,
+            payload,
+            job_handle,
+            response_sender: answer,
+            accepted: held,
+        } = adopted;
         let name = Rc::<str>::from(moved.id.as_str());
         if self.ids.contains_key(&name) || !self.dispatcher.accepts_migrated_job(&moved.job) {
             let _ = held.send(false);
@@ -634,12 +672,12 @@
                 let (id, payload) = (name.clone(), payload.clone());
                 let send_permit = send_permit.clone();
                 self.transport.resume_attempt(AttemptRequest {
-                    key,
-                    id,
-                    to,
+                    id: key,
+                    request_id: id,
+                    address: to,
                     payload,
-                    wait,
-                    give_up: asked,
+                    timeout: wait,
+                    cancel: asked,
                     send_permit,
                 });
             }
@@ -666,30 +704,30 @@
     }
 
     fn take(&mut self, taken: SubmittedJob<C::Payload>) {
-        if self.ids.contains_key(&taken.id) {
+        if self.ids.contains_key(&taken.request_id) {
             // Two jobs of one id could not be told apart in a call-back.
-            let _ = taken.answer.send(JobResponse::Duplicate);
+            let _ = taken.response_sender.send(JobResponse::Duplicate);
             return;
         }
         self.counters.add(Counter::Taken);
-        let (class, key, hint) = (taken.class.0, taken.key, taken.hint);
+        let (class, key, hint) = (taken.class.0, taken.affinity_key, taken.cost_hint);
         debug!(
             target: DISPATCH,
-            request_id = %taken.id,
+            request_id = %taken.request_id,
             class,
             ?key,
             ?hint,
             slots = taken.slots,
-            repeat = taken.repeat,
+            repeat = taken.is_retry,
             "taken"
         );
         let job = JobId(self.next_job);
         self.next_job += 1;
         taken.job_handle.job.set(Some(job));
-        self.ids.insert(taken.id.clone(), job);
-        let (payload, answer) = (Rc::new(taken.payload), Some(taken.answer));
+        self.ids.insert(taken.request_id.clone(), job);
+        let (payload, answer) = (Rc::new(taken.payload), Some(taken.response_sender));
         let held = Held {
-            id: taken.id,
+            id: taken.request_id,
             class: taken.class,
             taken: self.clock.now(),
             deadline: taken.deadline,
@@ -704,10 +742,10 @@
             class: taken.class,
             tenant: taken.tenant,
             deadline: taken.deadline,
-            cost_hint: taken.hint,
+            cost_hint: taken.cost_hint,
             slots: taken.slots,
-            key: taken.key,
-            is_retry: taken.repeat,
+            key: taken.affinity_key,
+            is_retry: taken.is_retry,
         }));
     }
 
@@ -819,16 +857,16 @@
     fn listed(&mut self, now: Micros, hops: Vec<NamedEndpoint>, whole: bool) {
         self.counters.add(Counter::ListChanges);
         self.bans.record_listed(hops.iter().map(|hop| &*hop.name));
-        let entries: Vec<Endpoint> = hops.iter().map(|hop| hop.listing.clone()).collect();
+        let entries: Vec<Endpoint> = hops.iter().map(|hop| hop.endpoint.clone()).collect();
         if whole {
             self.hops.clear();
         }
-        for NamedEndpoint { name, address, listing } in hops {
+        for NamedEndpoint { name, address, endpoint: listing } in hops {
             trace!(target: DISPATCH, %name, %address, ?listing, "listed");
             let old = self.starts.insert(listing.worker, listing.started);
             if listing.status == WorkerStatus::Gone || old.is_some_and(|old| old != listing.started) {
                 // The connections that are left are those of a process that is no more.
-                self.transport.forget_endpoint(address);
+                self.transport.discard_connections(address);
             }
             if listing.status == WorkerStatus::Gone {
                 self.starts.remove(&listing.worker);
@@ -922,12 +960,12 @@
         debug!(target: DISPATCH, request_id = %id, attempt = key.attempt, %to, name, "attempt sent");
         let wait = Duration::from_micros(timeout);
         self.transport.start_attempt(AttemptRequest {
-            key,
-            id,
-            to,
+            id: key,
+            request_id: id,
+            address: to,
             payload,
-            wait,
-            give_up: asked,
+            timeout: wait,
+            cancel: asked,
             send_permit,
         });
         None
--- a/crates/node/src/handover/takeover.rs
+++ b/crates/node/src/handover/takeover.rs
@@ -242,13 +242,16 @@
     async fn join(&mut self, elder: Predecessor) {
         self.link(Some((elder.link, elder.asked)));
         if let Some(mut heritage) = StateTransfer::read(&elder.heritage) {
-            let learned = heritage.estate.learned.take();
+            let learned = heritage.estate.snapshot.take();
             self.inherit(
                 heritage.drained,
-                TransferableState { bans: heritage.estate.bans.clone(), learned: None },
+                TransferableState {
+                    disabled_workers: heritage.estate.disabled_workers.clone(),
+                    snapshot: None,
+                },
             )
             .await;
-            heritage.estate.learned = learned;
+            heritage.estate.snapshot = learned;
             self.learned = Some(heritage);
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::connection_budget::ConnectionBudget;
 use crate::discovery::endpoint_list::EndpointResolver;
 use crate::discovery::{EndpointWatcher, WatchTiming};
-use crate::dispatch::{self, Clock, DispatchMessage, DispatchTask};
+use crate::dispatch::{self, Clock, DispatchMessage, DispatchParts, DispatchTask};
 use crate::handover::Peer;
 use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
 use crate::lifecycle::{DRAIN_AT_LEAST, DRAIN_AT_MOST, LAST_ANSWERS, Lifecycle, PhaseEvent};
@@ -128,7 +128,7 @@
     let all = limits.sockets.saturating_sub(spared).max(LEAST_SOCKETS);
     let half =
         (limits.sockets / 2).saturating_sub(spared / 2 + listener::SOCKETS / 2).clamp(LEAST_SOCKETS, all);
-    let (queue, notices) = dispatch::queue(all);
+    let (queue, notices) = dispatch::create_queue(all);
     let peer = Peer::default();
     let next_hops = UpstreamClient::new(
         queue.clone(),
@@ -142,9 +142,16 @@
     let hops = names.resolve(&known.endpoints);
     let listed = !hops.is_empty();
     let (order, orders) = mpsc::channel(ORDERS_ROOM);
-    let dispatch =
-        DispatchTask::new(dispatcher, clock, next_hops.clone(), notices, orders, ask, counters.clone())
-            .run(hops);
+    let dispatch = DispatchTask::new(DispatchParts {
+        dispatcher,
+        clock,
+        transport: next_hops.clone(),
+        messages: notices,
+        commands: orders,
+        watch_requests: ask,
+        metrics: counters.clone(),
+    })
+    .run(hops);
     let map = EndpointWatcher {
         discovery,
         names,
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -42,7 +42,7 @@
 use crate::connection_budget::ConnectionBudget;
 use crate::dispatch::{
     Clock, DispatchMessage, DispatchQueue, IncomingMigration, JobHandle, JobMigration, JobOwner, JobResponse,
-    SubmittedJob,
+    OutgoingMigration, SubmittedJob,
 };
 use crate::handover::{ForwardResult, Peer};
 use crate::lifecycle::Lifecycle;
@@ -578,7 +578,7 @@
         if self
             .shared
             .queue
-            .send(DispatchMessage::Callback { id, worker: from, state: word, owner: holder })
+            .send(DispatchMessage::Callback { request_id: id, worker_name: from, state: word, owner: holder })
             .await
             .is_err()
         {
@@ -610,7 +610,8 @@
     pub async fn handle_callback(&self, body: Bytes) -> Option<bool> {
         let Ok((id, from, word)) = Callback::read(&body) else { return Some(false) };
         let (holder, holds) = oneshot::channel();
-        let told = DispatchMessage::Callback { id, worker: from, state: word, owner: Some(holder) };
+        let told =
+            DispatchMessage::Callback { request_id: id, worker_name: from, state: word, owner: Some(holder) };
         self.shared.queue.send(told).await.ok()?;
         match holds.await.ok()? {
             JobOwner::Local => Some(true),
@@ -636,13 +637,19 @@
         // A task of its own: a client that leaves now must not leave the job between both.
         let moving = spawn_local(async move {
             let (to, let_go) = oneshot::channel();
-            queue.send(DispatchMessage::MigrateJob(job_handle.clone(), to)).await.ok()?;
-            let (moved, payload) = let_go.await.ok()?;
+            queue
+                .send(DispatchMessage::MigrateJob { job_handle: job_handle.clone(), migration_sender: to })
+                .await
+                .ok()?;
+            let OutgoingMigration { migration: moved, payload } = let_go.await.ok()?;
             let held = match record(&moved, &payload) {
                 Some(record) => link.migrate_job(record, client).await,
                 None => false,
             };
-            queue.send(DispatchMessage::MigrationFinished(job_handle.clone(), held)).await.ok()?;
+            queue
+                .send(DispatchMessage::MigrationFinished { job_handle: job_handle.clone(), accepted: held })
+                .await
+                .ok()?;
             if !held && client_gone.try_recv() == Err(TryRecvError::Closed) {
                 // While it was on its way nobody heard that; the other process would have seen it by itself.
                 queue.send(DispatchMessage::ClientDisconnected(job_handle)).await.ok()?;
@@ -674,7 +681,13 @@
         let job_handle = JobHandle::default();
         let Ok(place_for_gone) = self.shared.queue.clone().reserve_owned().await else { return };
         let (answer, mut answered) = oneshot::channel();
-        let adopted = IncomingMigration { moved, payload, job_handle: job_handle.clone(), answer, held };
+        let adopted = IncomingMigration {
+            migration: moved,
+            payload,
+            job_handle: job_handle.clone(),
+            response_sender: answer,
+            accepted: held,
+        };
         if self.shared.queue.send(DispatchMessage::ReceiveMigration(adopted)).await.is_err() {
             return;
         }
@@ -683,7 +696,7 @@
         if self
             .shared
             .queue
-            .send(DispatchMessage::MigrationConfirmed(job_handle.clone(), ours))
+            .send(DispatchMessage::MigrationConfirmed { job_handle: job_handle.clone(), confirmed: ours })
             .await
             .is_err()
             || !ours
@@ -721,7 +734,7 @@
     /// Whether a job of that id is in hand.
     pub async fn holds_job(&self, id: String) -> bool {
         let (held, holds) = oneshot::channel();
-        self.shared.queue.send(DispatchMessage::QueryJob { id, held }).await.is_ok()
+        self.shared.queue.send(DispatchMessage::QueryJob { request_id: id, held }).await.is_ok()
             && holds.await.unwrap_or(false)
     }
 
@@ -793,17 +806,17 @@
         open.gone = Some((place_for_gone, job_handle.clone()));
         let (answer, mut answered) = oneshot::channel();
         let taken = SubmittedJob {
-            id,
+            request_id: id,
             class: ClassId(place),
             tenant,
             deadline: came + (wait * 1e6) as u64,
-            hint,
+            cost_hint: hint,
             slots,
-            key: subject,
-            repeat,
+            affinity_key: subject,
+            is_retry: repeat,
             payload,
             job_handle: job_handle.clone(),
-            answer,
+            response_sender: answer,
         };
         shared.queue.send(DispatchMessage::Submit(taken)).await.map_err(|_| ended())?;
         // From here on the dispatch task knows the id.
@@ -890,7 +903,7 @@
     let payload = RequestPayload {
         method: method.parse().ok()?,
         path: path.parse().ok()?,
-        id: HeaderValue::from_str(moved.id()).ok()?,
+        id: HeaderValue::from_str(moved.request_id()).ok()?,
         key: header(key)?,
         content_type: header(content_type)?,
         body,
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -97,7 +97,9 @@
     fn resume_attempt(&self, attempt: AttemptRequest<RequestPayload>) {
         let hops = self.clone();
         tokio::task::spawn_local(async move {
-            let AttemptRequest { key, id, to, wait, give_up, .. } = attempt;
+            let AttemptRequest {
+                id: key, request_id: id, address: to, timeout: wait, cancel: give_up, ..
+            } = attempt;
             if give_up.await.is_ok() {
                 let _busy = Busy::new(&hops.0.busy);
                 hops.call_off(to, &id, Instant::now() + wait, false).await;
@@ -106,7 +108,7 @@
         });
     }
 
-    fn forget_endpoint(&self, to: SocketAddr) {
+    fn discard_connections(&self, to: SocketAddr) {
         self.0.pool.forget(to);
     }
 }
@@ -180,7 +182,15 @@
 
     async fn carry(self, attempt: AttemptRequest<RequestPayload>) {
         let _busy = Busy::new(&self.0.busy);
-        let AttemptRequest { key, id, to, payload, wait, give_up, send_permit } = attempt;
+        let AttemptRequest {
+            id: key,
+            request_id: id,
+            address: to,
+            payload,
+            timeout: wait,
+            cancel: give_up,
+            send_permit,
+        } = attempt;
         let mut give_up = Some(give_up);
         let until = Instant::now() + wait;
         let request = || payload.request(to, wait);
@@ -218,18 +228,18 @@
             // What else is open to a next hop that died or fell silent would only cost the next attempt its
             // time.
             Exchange::Refused | Exchange::Unreachable => {
-                self.forget_endpoint(to);
+                self.discard_connections(to);
                 Outcome::Unreachable
             }
             Exchange::InDoubt | Exchange::Silent { .. } => {
-                self.forget_endpoint(to);
+                self.discard_connections(to);
                 Outcome::Lost
             }
             Exchange::HeldBack => Outcome::NotSent,
             Exchange::GivenUp { written } => {
                 // Where nothing was written the next hop has shown no weakness: a client has left.
                 if written {
-                    self.forget_endpoint(to);
+                    self.discard_connections(to);
                     self.call_off(to, &id, until, true).await;
                 }
                 return self.report(DispatchMessage::AttemptCancelled(key)).await;
