--- /dev/null
+++ b/crates/node/src/dispatch/migration.rs
@@ -0,0 +1,180 @@
+//! Migration of a job between the two processes of a node: what is transferred, and the jobs that are on their way.
+//!
+//! A job is owned by exactly one process. The steps of a migration, as the dispatch tasks of both processes see it:
+//!
+//! | step | sending process | receiving process |
+//! | --- | --- | --- |
+//! | `MigrateJob` | the job leaves the table and is kept as outgoing | |
+//! | `ReceiveMigration` | | its request id is reserved, the job is kept as incoming |
+//! | `MigrationFinished` | accepted: dropped; else: rolled back into the table | |
+//! | `MigrationConfirmed` | | confirmed: added to the table; else: dropped |
+//!
+//! Nothing is done for a job while it is outgoing or incoming, and callbacks for it are to be repeated by the worker.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use curlewusher_core::{JobId, Micros, MigratedJob};
+use serde::{Deserialize, Serialize};
+use tokio::sync::oneshot;
+
+use super::attempts::{Attempt, CallbackState};
+use super::jobs::{Job, JobHandle, JobResponse};
+use crate::handover::MIGRATION_TIMEOUT;
+
+/// A job that has less time left than this is not migrated: were the other process silent until the migration times
+/// out, too little time would be left to answer. The half second is for what remains to be done then.
+pub(super) const MIN_TIME_LEFT_TO_MIGRATE: Micros = MIGRATION_TIMEOUT.as_micros() as Micros + 500_000;
+
+/// A job on its way from one process of this node to the other, without its payload.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct JobMigration {
+    #[serde(rename = "id")]
+    pub(super) request_id: String,
+    #[serde(rename = "taken")]
+    pub(super) submitted_at: Micros,
+    pub(super) attempts: Vec<MigratedAttempt>,
+    /// What the dispatcher knows of it.
+    pub(super) job: MigratedJob,
+}
+
+impl JobMigration {
+    /// The client's id of the job.
+    pub fn request_id(&self) -> &str {
+        &self.request_id
+    }
+
+    /// What is transferred of a job that the dispatcher has released.
+    pub(super) fn new<P>(job: &Job<P>, released: MigratedJob) -> Self {
+        JobMigration {
+            request_id: job.request_id.to_string(),
+            submitted_at: job.submitted_at,
+            attempts: job.attempts.iter().map(MigratedAttempt::new).collect(),
+            job: released,
+        }
+    }
+
+    /// Whether an attempt is under way.
+    pub(super) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
+    }
+}
+
+/// An attempt of a job that is migrated.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct MigratedAttempt {
+    #[serde(rename = "from")]
+    pub(super) worker_name: String,
+    #[serde(rename = "to")]
+    pub(super) address: Option<SocketAddr>,
+    /// Its worker has accepted it and it has not ended.
+    #[serde(rename = "out")]
+    pub(super) in_flight: bool,
+    #[serde(rename = "share")]
+    pub(super) progress: f64,
+    #[serde(rename = "last")]
+    pub(super) last_callback: Option<CallbackState>,
+    #[serde(rename = "times_out")]
+    pub(super) expires_at: Micros,
+}
+
+impl MigratedAttempt {
+    fn new(attempt: &Attempt) -> Self {
+        MigratedAttempt {
+            worker_name: attempt.worker_name.to_string(),
+            address: attempt.address,
+            in_flight: attempt.is_in_flight(),
+            progress: attempt.progress,
+            last_callback: attempt.last_callback.clone(),
+            expires_at: attempt.expires_at,
+        }
+    }
+}
+
+/// Whether a job can be migrated: somebody waits for its response, there is time enough, and no attempt is in between.
+/// Until a worker has accepted an attempt, its answer is on its way to a connection of this process.
+pub(super) fn is_migratable<P>(job: &Job<P>, now: Micros) -> bool {
+    let is_settled = |attempt: &Attempt| attempt.has_ended() || attempt.is_in_flight() && attempt.accepted;
+    let latest_timeout = now + MIN_TIME_LEFT_TO_MIGRATE;
+    !job.is_settled() && job.deadline > latest_timeout && job.attempts.iter().all(is_settled)
+}
+
+/// A job that is to be sent to the other process of this node.
+pub struct OutgoingMigration<P> {
+    /// The job.
+    pub migration: JobMigration,
+    /// Its payload.
+    pub payload: Rc<P>,
+}
+
+/// A job that has come from the other process of this node.
+pub struct IncomingMigration<P> {
+    /// The job.
+    pub migration: JobMigration,
+    /// Its payload.
+    pub payload: P,
+    /// The server's handle of the job.
+    pub job_handle: JobHandle,
+    /// Receives the one response.
+    pub response_sender: oneshot::Sender<JobResponse>,
+    /// Receives whether this process can take the job.
+    pub accepted: oneshot::Sender<bool>,
+}
+
+/// A job that the other process has not yet accepted, as it was in the job table.
+pub(super) struct OutgoingJob<P> {
+    pub(super) migration: JobMigration,
+    pub(super) job: Job<P>,
+}
+
+/// A job that this process has accepted; the other process may not yet know that, and may still take the job back.
+pub(super) struct IncomingJob<P> {
+    pub(super) request_id: Rc<str>,
+    pub(super) migration: JobMigration,
+    pub(super) payload: P,
+    pub(super) response_sender: oneshot::Sender<JobResponse>,
+    pub(super) job_handle: JobHandle,
+}
+
+/// The jobs that are on their way to the other process of this node or from there.
+pub(super) struct Migrations<P> {
+    outgoing: HashMap<JobId, OutgoingJob<P>>,
+    incoming: HashMap<JobId, IncomingJob<P>>,
+}
+
+impl<P> Default for Migrations<P> {
+    fn default() -> Self {
+        Migrations { outgoing: HashMap::new(), incoming: HashMap::new() }
+    }
+}
+
+impl<P> Migrations<P> {
+    /// Whether a job is on its way.
+    pub(super) fn contains(&self, id: JobId) -> bool {
+        self.outgoing.contains_key(&id) || self.incoming.contains_key(&id)
+    }
+
+    pub(super) fn insert_outgoing(&mut self, id: JobId, outgoing: OutgoingJob<P>) {
+        self.outgoing.insert(id, outgoing);
+    }
+
+    /// A job that is on its way to the other process.
+    pub(super) fn outgoing_job_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
+        self.outgoing.get_mut(&id).map(|outgoing| &mut outgoing.job)
+    }
+
+    pub(super) fn remove_outgoing(&mut self, id: JobId) -> Option<OutgoingJob<P>> {
+        self.outgoing.remove(&id)
+    }
+
+    pub(super) fn insert_incoming(&mut self, id: JobId, incoming: IncomingJob<P>) {
+        self.incoming.insert(id, incoming);
+    }
+
+    pub(super) fn remove_incoming(&mut self, id: JobId) -> Option<IncomingJob<P>> {
+        self.incoming.remove(&id)
+    }
+}
--- /dev/null
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -0,0 +1,124 @@
+//! Performs the dispatcher's actions.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_core::{Action, JobId, Micros, Outcome, WorkerId};
+use tokio::sync::oneshot;
+use tracing::debug;
+
+use super::DispatchTask;
+use crate::dispatch::attempts::{Attempt, AttemptState};
+use crate::dispatch::jobs::JobResponse;
+use crate::dispatch::timers::Timer;
+use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::Counter;
+use crate::upstream::send_permit::SendPermit;
+
+/// Where and how an attempt is to be sent.
+struct AttemptSpec {
+    job: JobId,
+    worker: WorkerId,
+    timeout: Micros,
+    /// The first byte may be written until then; None where only the timeout bounds it.
+    send_by: Option<Micros>,
+}
+
+/// Whether an attempt was handed to the transport.
+enum SendResult {
+    Sent,
+    /// The worker is not listed any more, the client has disconnected, or it is too late.
+    NotSent(AttemptId),
+    /// There is no such job.
+    NoJob,
+}
+
+impl<T: AttemptTransport> DispatchTask<T> {
+    /// Performs what the dispatcher wants done, in its spec. Attempts that could not be sent are reported to it
+    /// afterwards.
+    pub(super) fn perform_actions(&mut self) {
+        let mut not_sent = Vec::new();
+        for action in std::mem::take(&mut self.actions) {
+            match action {
+                Action::SendAttempt { job, worker, timeout, send_by } => {
+                    let spec = AttemptSpec { job, worker, timeout, send_by };
+                    if let SendResult::NotSent(id) = self.send_attempt(spec) {
+                        not_sent.push(id);
+                    }
+                }
+                Action::Reject { job, retry_after } => {
+                    let retry_after = Duration::from_micros(retry_after);
+                    self.respond(job, JobResponse::Rejected { retry_after });
+                    self.jobs.remove_if_finished(job);
+                }
+                Action::Fail { job } => {
+                    self.respond(job, JobResponse::Failed);
+                    self.jobs.remove_if_finished(job);
+                }
+                Action::RevokeAttempt { job, attempt: number } => {
+                    self.revoke_send_permit(AttemptId { job, number });
+                }
+                Action::CancelAttempt { job, attempt: number } => {
+                    self.cancel_attempt(AttemptId { job, number }, Outcome::Cancelled);
+                }
+                Action::SetTimer { after } => {
+                    self.timers.schedule(self.clock.now() + after, Timer::Dispatcher);
+                }
+                // A request that waits already stands for this one as well.
+                Action::WatchEndpoints => _ = self.watch_requests.try_send(()),
+                // The settings allow no messages between nodes, and no protocol carries any.
+                Action::SendGossip { .. } => {}
+            }
+        }
+        for id in not_sent {
+            self.end_attempt(id, Outcome::NotSent);
+        }
+    }
+
+    /// Records an attempt and hands it to the transport, where it can still be sent.
+    fn send_attempt(&mut self, spec: AttemptSpec) -> SendResult {
+        let Some(job) = self.jobs.get_mut(spec.job) else { return SendResult::NoJob };
+        let id = AttemptId { job: spec.job, number: job.attempts.len() as u32 };
+        let expires_at = self.clock.now() + spec.timeout;
+        let (cancel, cancel_receiver) = oneshot::channel();
+        let worker = self.endpoints.get(spec.worker);
+        let send_by = spec.send_by.map(|moment| self.clock.instant_at(moment));
+        let send_permit = SendPermit::new(job.job_handle.client_gone_flag(), send_by);
+        let worker_name = worker.map_or_else(|| "".into(), |worker| Rc::clone(&worker.name));
+        job.attempts.push(Attempt {
+            worker_name: Rc::clone(&worker_name),
+            address: worker.map(|worker| worker.address),
+            state: AttemptState::InFlight,
+            accepted: false,
+            progress: 0.0,
+            last_callback: None,
+            cancel: Some(cancel),
+            send_permit: Rc::clone(&send_permit),
+            expires_at,
+        });
+        let Some(worker) = worker.filter(|_| send_permit.is_valid()) else { return SendResult::NotSent(id) };
+        let address = worker.address;
+        self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
+        self.metrics.add(Counter::Sent);
+        let request_id = Rc::clone(&job.request_id);
+        debug!(target: DISPATCH, %request_id, attempt = id.number, worker = %worker_name, %address, "attempt sent");
+        self.transport.start_attempt(AttemptRequest {
+            id,
+            request_id,
+            address,
+            payload: Rc::clone(&job.payload),
+            timeout: Duration::from_micros(spec.timeout),
+            cancel: cancel_receiver,
+            send_permit,
+        });
+        SendResult::Sent
+    }
+
+    /// Forbids that the first byte of an attempt is written, where that has not happened.
+    fn revoke_send_permit(&mut self, id: AttemptId) {
+        if let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) {
+            attempt.send_permit.revoke();
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -0,0 +1,112 @@
+//! What becomes of an attempt after it was sent: acceptance, callbacks, cancellation, end.
+
+use curlewusher_core::{Event, Outcome};
+use tracing::{debug, trace};
+
+use super::DispatchTask;
+use crate::dispatch::attempts::{AttemptState, CallbackState};
+use crate::dispatch::callbacks::{CallbackEffect, find_target, interpret};
+use crate::dispatch::jobs::JobResponse;
+use crate::dispatch::outcomes::outcome_counter;
+use crate::dispatch::timers::Timer;
+use crate::dispatch::transport::{AttemptId, AttemptTransport};
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::Counter;
+
+impl<T: AttemptTransport> DispatchTask<T> {
+    pub(super) fn handle_attempt_accepted(&mut self, id: AttemptId) {
+        let Some(attempt) = self.jobs.attempt_mut(id) else { return };
+        attempt.accepted = true;
+        self.metrics.add(Counter::Accepted);
+        self.apply_event(Event::AttemptAccepted { job: id.job, attempt: id.number });
+    }
+
+    pub(super) fn handle_attempt_cancelled(&mut self, id: AttemptId) {
+        if let Some(AttemptState::Cancelling(outcome)) =
+            self.jobs.attempt_mut(id).map(|attempt| attempt.state)
+        {
+            self.end_attempt(id, outcome);
+        }
+    }
+
+    /// Applies a callback to the latest attempt of that job at that worker, where it has not ended; any other is
+    /// ignored.
+    pub(super) fn handle_callback(&mut self, request_id: &str, worker: &str, state: CallbackState) {
+        self.metrics.add(Counter::Callbacks);
+        trace!(target: DISPATCH, request_id, worker, "callback received");
+        let Some((id, effect)) = self.interpret_callback(request_id, worker, &state) else {
+            return self.metrics.add(Counter::CallbacksIdle);
+        };
+        let (job, attempt) = (id.job, id.number);
+        match effect {
+            CallbackEffect::Ignored => self.metrics.add(Counter::CallbacksIdle),
+            CallbackEffect::Ambiguous => self.cancel_attempt(id, Outcome::Error),
+            CallbackEffect::Started => {
+                debug!(target: DISPATCH, request_id, attempt, worker, "attempt started");
+                self.apply_event(Event::AttemptStarted { job, attempt });
+            }
+            CallbackEffect::Progressed(done) => {
+                if let Some(attempt) = self.jobs.attempt_mut(id) {
+                    attempt.progress = done;
+                }
+                self.apply_event(Event::AttemptProgressed { job, attempt, done });
+            }
+            CallbackEffect::Ended(outcome) => {
+                if let CallbackState::Done(result) = state {
+                    self.respond(job, JobResponse::Served(result));
+                } else if let Some(attempt) = self.jobs.attempt_mut(id) {
+                    attempt.last_callback = Some(state);
+                }
+                self.end_attempt(id, outcome);
+            }
+        }
+    }
+
+    fn interpret_callback(
+        &self,
+        request_id: &str,
+        worker: &str,
+        state: &CallbackState,
+    ) -> Option<(AttemptId, CallbackEffect)> {
+        let job = self.jobs.find(request_id)?;
+        let attempts = &self.jobs.get(job)?.attempts;
+        let target = find_target(attempts, worker, state)?;
+        let attempt = attempts.get(target.number as usize)?;
+        let effect = interpret(attempt, state, target.may_be_repeat);
+        Some((AttemptId { job, number: target.number }, effect))
+    }
+
+    /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end, with that outcome,
+    /// only once the worker need not be expected to run it any more, so that no two attempts of a job overlap.
+    pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
+            return;
+        };
+        attempt.request_cancellation(outcome);
+        self.metrics.add(Counter::GivenUp);
+    }
+
+    /// Records the end of an attempt; only the first end of each counts.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        if self.jobs.get(id.job).is_some_and(|job| job.job_handle.is_client_gone()) {
+            // The message of that may be further back in the queue, and no other attempt is to follow this one.
+            self.handle_client_disconnect(id.job);
+        }
+        let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| !attempt.has_ended()) else { return };
+        attempt.end();
+        let expires_at = attempt.expires_at;
+        self.timers.cancel(expires_at, Timer::AttemptTimeout(id));
+        self.metrics.add(outcome_counter(outcome));
+        self.log_attempt_end(id, outcome);
+        let settled = self.jobs.get(id.job).is_some_and(|job| job.is_settled());
+        self.apply_event(Event::AttemptEnded { job: id.job, attempt: id.number, outcome, settled });
+        self.jobs.remove_if_finished(id.job);
+    }
+
+    fn log_attempt_end(&self, id: AttemptId, outcome: Outcome) {
+        let Some(job) = self.jobs.get(id.job) else { return };
+        let Some(attempt) = job.attempts.get(id.number as usize) else { return };
+        let (request_id, worker) = (&*job.request_id, &*attempt.worker_name);
+        debug!(target: DISPATCH, request_id, attempt = id.number, worker, ?outcome, "attempt ended");
+    }
+}
--- /dev/null
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -0,0 +1,101 @@
+//! A job from its submission to its response, and who owns it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_core::{Event, JobId, JobSubmission};
+use tracing::debug;
+
+use super::DispatchTask;
+use crate::dispatch::jobs::{Job, JobOwner, JobResponse, SubmittedJob};
+use crate::dispatch::outcomes::response_counter;
+use crate::dispatch::transport::AttemptTransport;
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::Counter;
+
+impl<T: AttemptTransport> DispatchTask<T> {
+    /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
+    pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
+        if self.jobs.find(&submitted.request_id).is_some() {
+            let _ = submitted.response_sender.send(JobResponse::Duplicate);
+            return;
+        }
+        self.metrics.add(Counter::Taken);
+        log_submission(&submitted);
+        let job = self.jobs.reserve(Rc::clone(&submitted.request_id));
+        submitted.job_handle.set_job_id(job);
+        let submission = JobSubmission {
+            job,
+            class: submitted.class,
+            tenant: submitted.tenant,
+            deadline: submitted.deadline,
+            cost_hint: submitted.cost_hint,
+            slots: submitted.slots,
+            key: submitted.affinity_key,
+            is_retry: submitted.is_retry,
+        };
+        self.jobs.insert(
+            job,
+            Job {
+                request_id: submitted.request_id,
+                class: submitted.class,
+                submitted_at: self.clock.now(),
+                deadline: submitted.deadline,
+                payload: Rc::new(submitted.payload),
+                response_sender: Some(submitted.response_sender),
+                job_handle: submitted.job_handle,
+                attempts: Vec::new(),
+            },
+        );
+        self.apply_event(Event::JobSubmitted(submission));
+    }
+
+    /// Records that a job's client has disconnected, which may be reported twice. For a job that is on its way to the
+    /// other process the dispatcher has no use for the event, and is given it again where the job is rolled back.
+    pub(super) fn handle_client_disconnect(&mut self, id: JobId) {
+        let outgoing = self.migrations.outgoing_job_mut(id);
+        let Some(job) = self.jobs.get_mut(id).or(outgoing) else { return };
+        if job.response_sender.take().is_none() {
+            return;
+        }
+        self.metrics.add(Counter::ClientsGone);
+        debug!(target: DISPATCH, request_id = %job.request_id, "client disconnected");
+        self.apply_event(Event::ClientDisconnected { job: id });
+        self.jobs.remove_if_finished(id);
+    }
+
+    /// Which process owns the job of a request id.
+    pub(super) fn job_owner(&self, request_id: &str) -> JobOwner {
+        match self.jobs.find(request_id) {
+            Some(id) if self.migrations.contains(id) => JobOwner::Migrating,
+            Some(_) => JobOwner::Local,
+            None => JobOwner::Unknown,
+        }
+    }
+
+    /// Answers a job; only the first response counts.
+    pub(super) fn respond(&mut self, id: JobId, response: JobResponse) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(response_sender) = job.response_sender.take() else { return };
+        let counter = response_counter(&response);
+        let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
+        self.metrics.answered(counter, job.class.0, elapsed);
+        let elapsed_ms = elapsed.as_millis() as u64;
+        debug!(target: DISPATCH, request_id = %job.request_id, response = ?counter, elapsed_ms, "answered");
+        // A client that disconnects in this moment needs no response.
+        let _ = response_sender.send(response);
+    }
+}
+
+fn log_submission<P>(job: &SubmittedJob<P>) {
+    debug!(
+        target: DISPATCH,
+        request_id = %job.request_id,
+        class = job.class.0,
+        affinity_key = ?job.affinity_key,
+        cost_hint = ?job.cost_hint,
+        slots = job.slots,
+        is_retry = job.is_retry,
+        "taken"
+    );
+}
--- /dev/null
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -0,0 +1,192 @@
+//! The steps of a job's migration to the other process of this node and from there; see
+//! [`migration`](crate::dispatch::migration).
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use curlewusher_core::{Event, JobId, Micros};
+use tokio::sync::oneshot;
+use tracing::debug;
+
+use super::DispatchTask;
+use crate::dispatch::attempts::{Attempt, AttemptState};
+use crate::dispatch::jobs::{Job, JobHandle};
+use crate::dispatch::migration::{
+    IncomingJob, IncomingMigration, JobMigration, MigratedAttempt, OutgoingJob, OutgoingMigration,
+    is_migratable,
+};
+use crate::dispatch::timers::Timer;
+use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::Counter;
+use crate::upstream::send_permit::SendPermit;
+
+/// A migrated job whose attempts are being resumed.
+struct ResumedJob<'a, P> {
+    id: JobId,
+    request_id: &'a Rc<str>,
+    payload: &'a Rc<P>,
+    now: Micros,
+}
+
+impl<T: AttemptTransport> DispatchTask<T> {
+    /// Removes a job from the table and hands it out for the other process, where it can be migrated now.
+    pub(super) fn start_outgoing_migration(
+        &mut self,
+        job_handle: &JobHandle,
+        migration_sender: oneshot::Sender<OutgoingMigration<T::Payload>>,
+    ) {
+        let Some(id) = job_handle.job_id() else { return };
+        let now = self.clock.now();
+        let is_migratable = self.jobs.get(id).is_some_and(|job| is_migratable(job, now));
+        if !is_migratable || migration_sender.is_closed() {
+            return;
+        }
+        let (Some(released), Some(job)) = (self.dispatcher.release_job(id), self.jobs.remove(id)) else {
+            return;
+        };
+        for (attempt, number) in job.attempts.iter().zip(0..) {
+            self.timers.cancel(attempt.expires_at, Timer::AttemptTimeout(AttemptId { job: id, number }));
+        }
+        let migration = JobMigration::new(&job, released);
+        debug!(target: DISPATCH, request_id = %job.request_id, "job migration started");
+        let outgoing = OutgoingMigration { migration: migration.clone(), payload: Rc::clone(&job.payload) };
+        let receiver_is_gone = migration_sender.send(outgoing).is_err();
+        self.migrations.insert_outgoing(id, OutgoingJob { migration, job });
+        if receiver_is_gone {
+            self.finish_outgoing_migration(job_handle, false);
+        }
+    }
+
+    /// Ends a migration to the other process: that one owns the job now, or the job is rolled back.
+    pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, accepted: bool) {
+        let Some(id) = job_handle.job_id() else { return };
+        let Some(outgoing) = self.migrations.remove_outgoing(id) else { return };
+        if accepted {
+            self.jobs.release(&outgoing.job.request_id);
+            self.metrics.add(Counter::MovedAway);
+        } else {
+            self.roll_back_migration(id, outgoing);
+        }
+    }
+
+    /// Puts a job back into the table that the other process has not accepted.
+    fn roll_back_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
+        let OutgoingJob { migration, job } = outgoing;
+        let is_client_gone = job.is_settled();
+        if is_client_gone && !migration.has_attempt_in_flight() {
+            self.jobs.release(&job.request_id);
+            return;
+        }
+        self.jobs.insert(id, job);
+        let in_flight = migration.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.in_flight);
+        for (attempt, number) in in_flight {
+            self.timers.schedule(attempt.expires_at, Timer::AttemptTimeout(AttemptId { job: id, number }));
+        }
+        // The dispatcher accepts what it has released a moment ago.
+        self.dispatcher.adopt_job(self.clock.now(), id, &migration.job, &mut self.actions);
+        self.perform_actions();
+        if is_client_gone {
+            self.apply_event(Event::ClientDisconnected { job: id });
+        }
+    }
+
+    /// Reserves the request id of a job that comes from the other process, and says whether it can be taken.
+    pub(super) fn start_incoming_migration(&mut self, incoming: IncomingMigration<T::Payload>) {
+        let IncomingMigration { migration, payload, job_handle, response_sender, accepted } = incoming;
+        let request_id = Rc::<str>::from(migration.request_id());
+        let is_in_use = self.jobs.find(&request_id).is_some();
+        if is_in_use || !self.dispatcher.accepts_migrated_job(&migration.job) {
+            let _ = accepted.send(false);
+            return;
+        }
+        let id = self.jobs.reserve(Rc::clone(&request_id));
+        job_handle.set_job_id(id);
+        let incoming = IncomingJob { request_id, migration, payload, response_sender, job_handle };
+        self.migrations.insert_incoming(id, incoming);
+        let _ = accepted.send(true);
+    }
+
+    /// Ends a migration from the other process: this one owns the job now, or the job stays with the other.
+    pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, confirmed: bool) {
+        let Some(id) = job_handle.job_id() else { return };
+        let Some(incoming) = self.migrations.remove_incoming(id) else { return };
+        let now = self.clock.now();
+        let is_adopted =
+            confirmed && self.dispatcher.adopt_job(now, id, &incoming.migration.job, &mut self.actions);
+        if is_adopted {
+            self.add_migrated_job(id, now, incoming);
+        } else {
+            self.jobs.release(&incoming.request_id);
+        }
+    }
+
+    /// Adds a job to the table that the dispatcher has adopted, and resumes its attempts.
+    fn add_migrated_job(&mut self, id: JobId, now: Micros, incoming: IncomingJob<T::Payload>) {
+        let IncomingJob { request_id, migration, payload, response_sender, job_handle } = incoming;
+        let payload = Rc::new(payload);
+        let resumed = ResumedJob { id, request_id: &request_id, payload: &payload, now };
+        let attempts = migration
+            .attempts
+            .into_iter()
+            .zip(0..)
+            .map(|(attempt, number)| self.resume_attempt(&resumed, number, attempt))
+            .collect();
+        debug!(target: DISPATCH, %request_id, "job migrated from the other process");
+        self.metrics.add(Counter::MovedHere);
+        self.jobs.insert(
+            id,
+            Job {
+                request_id,
+                class: migration.job.class(),
+                submitted_at: migration.submitted_at,
+                deadline: migration.job.deadline(),
+                payload,
+                response_sender: Some(response_sender),
+                job_handle,
+                attempts,
+            },
+        );
+        self.perform_actions();
+    }
+
+    /// Hands an attempt that is under way to the transport; any other is only recorded, as ended.
+    fn resume_attempt(
+        &mut self,
+        job: &ResumedJob<'_, T::Payload>,
+        number: u32,
+        migrated: MigratedAttempt,
+    ) -> Attempt {
+        let mut state = AttemptState::Ended;
+        let mut cancel = None;
+        // Its first byte was written by the other process.
+        let send_permit = Rc::<SendPermit>::default();
+        if let (true, Some(address)) = (migrated.in_flight, migrated.address) {
+            let id = AttemptId { job: job.id, number };
+            let (cancel_sender, cancel_receiver) = oneshot::channel();
+            state = AttemptState::InFlight;
+            cancel = Some(cancel_sender);
+            self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(id));
+            self.transport.resume_attempt(AttemptRequest {
+                id,
+                request_id: Rc::clone(job.request_id),
+                address,
+                payload: Rc::clone(job.payload),
+                timeout: Duration::from_micros(migrated.expires_at.saturating_sub(job.now)),
+                cancel: cancel_receiver,
+                send_permit: Rc::clone(&send_permit),
+            });
+        }
+        Attempt {
+            worker_name: migrated.worker_name.into(),
+            address: migrated.address,
+            state,
+            accepted: true,
+            progress: migrated.progress,
+            last_callback: migrated.last_callback,
+            cancel,
+            send_permit,
+            expires_at: migrated.expires_at,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -0,0 +1,238 @@
+//! The dispatch task: it owns the dispatcher and everything that the dispatcher's decisions need, and alone changes them.
+//!
+//! Each message, command and expired timer becomes an event for the dispatcher, and the actions that the dispatcher
+//! returns are performed at once, before the next message is read. The task decides nothing about jobs itself, knows no
+//! protocol, and touches no socket: attempts are carried by an [`AttemptTransport`].
+
+mod actions;
+mod attempt_lifecycle;
+mod job_lifecycle;
+mod job_migration;
+
+use curlewusher_control::command::CommandResult;
+use curlewusher_control::maintenance::DisabledWorkers;
+use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Micros, Outcome, WorkerId};
+use tokio::sync::{mpsc, oneshot};
+use tracing::trace;
+
+use super::clock::Clock;
+use super::endpoints::{EndpointTable, ExistingConnections, NamedEndpoint};
+use super::jobs::{JobOwner, JobTable};
+use super::messages::{DispatchCommand, DispatchMessage, TransferableState};
+use super::migration::Migrations;
+use super::timers::{Timer, TimerQueue};
+use super::transport::AttemptTransport;
+use crate::telemetry::logging::DISPATCH;
+use crate::telemetry::metrics::{Counter, Metrics};
+
+/// What a [`DispatchTask`] is made of and connected to.
+pub struct DispatchParts<T: AttemptTransport> {
+    /// Decides what to do with each job.
+    pub dispatcher: Dispatcher,
+    /// The node's clock.
+    pub clock: Clock,
+    /// Carries attempts to workers.
+    pub transport: T,
+    /// Messages of clients, workers and discovery.
+    pub messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
+    /// Commands of operators and of the other process of this node.
+    pub commands: mpsc::Receiver<DispatchCommand>,
+    /// Asks for a watch on discovery's endpoint list.
+    pub watch_requests: mpsc::Sender<()>,
+    /// The node's counters.
+    pub metrics: Metrics,
+}
+
+/// The task; see the module's documentation.
+pub struct DispatchTask<T: AttemptTransport> {
+    dispatcher: Dispatcher,
+    clock: Clock,
+    transport: T,
+    messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
+    commands: mpsc::Receiver<DispatchCommand>,
+    watch_requests: mpsc::Sender<()>,
+    metrics: Metrics,
+    jobs: JobTable<T::Payload>,
+    migrations: Migrations<T::Payload>,
+    endpoints: EndpointTable,
+    disabled_workers: DisabledWorkers,
+    timers: TimerQueue,
+    /// What the dispatcher wants done; empty between two events.
+    actions: Vec<Action>,
+}
+
+impl<T: AttemptTransport> DispatchTask<T> {
+    /// A task without jobs and without endpoints.
+    pub fn new(parts: DispatchParts<T>) -> Self {
+        DispatchTask {
+            dispatcher: parts.dispatcher,
+            clock: parts.clock,
+            transport: parts.transport,
+            messages: parts.messages,
+            commands: parts.commands,
+            watch_requests: parts.watch_requests,
+            metrics: parts.metrics,
+            jobs: JobTable::default(),
+            migrations: Migrations::default(),
+            endpoints: EndpointTable::default(),
+            disabled_workers: DisabledWorkers::default(),
+            timers: TimerQueue::default(),
+            actions: Vec::new(),
+        }
+    }
+
+    /// Runs until no sender of messages is left. `saved_endpoints` is the list of the configuration, which counts until
+    /// discovery has sent its own.
+    pub async fn run(mut self, saved_endpoints: Vec<NamedEndpoint>) {
+        // The saved list has the same time as the first expiry of a timer: by that the dispatcher knows that it does
+        // not come from discovery.
+        let now = self.clock.now();
+        self.dispatcher.handle(now, Event::TimerExpired, &mut self.actions);
+        self.update_endpoints(now, saved_endpoints, true);
+        loop {
+            let next_expiry = self.timers.next_expiry().map(|expiry| self.clock.instant_at(expiry));
+            let sleep = async {
+                match next_expiry {
+                    Some(instant) => tokio::time::sleep_until(instant).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                biased;
+                Some(command) = self.commands.recv() => self.handle_command(command),
+                message = self.messages.recv() => match message {
+                    Some(message) => self.handle_message(message),
+                    None => return,
+                },
+                () = sleep => {}
+            }
+            self.handle_expired_timers();
+        }
+    }
+
+    fn handle_expired_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::Dispatcher => self.apply_event(Event::TimerExpired),
+                Timer::AttemptTimeout(id) => self.cancel_attempt(id, Outcome::TimedOut),
+            }
+        }
+    }
+
+    fn handle_command(&mut self, command: DispatchCommand) {
+        match command {
+            DispatchCommand::SetWorkerDisabled { name, disabled, result } => {
+                self.set_worker_disabled(&name, disabled, result);
+            }
+            DispatchCommand::SetWorkerDisabledByPeer { name, disabled, result } => {
+                self.disabled_workers.record_listed([name.as_str()]);
+                self.set_worker_disabled(&name, disabled, result);
+            }
+            DispatchCommand::TakeSnapshot(snapshot_sender) => {
+                let snapshot = Some(self.dispatcher.snapshot());
+                let disabled_workers = self.disabled_workers.clone();
+                let _ = snapshot_sender.send(TransferableState { disabled_workers, snapshot });
+            }
+            DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
+            DispatchCommand::SetSuccessorActive(active) => self.apply_event(Event::SuccessorActive(active)),
+        }
+    }
+
+    fn set_worker_disabled(&mut self, name: &str, disabled: bool, result: oneshot::Sender<CommandResult>) {
+        let changed =
+            if disabled { self.disabled_workers.disable(name) } else { self.disabled_workers.enable(name) };
+        if changed.is_ok() {
+            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::of_name(name), disabled });
+        }
+        // An operator who does not wait any more may repeat the command.
+        let _ = result.send(changed);
+    }
+
+    /// Adopts what the predecessor of this process knew.
+    fn restore_state(&mut self, state: TransferableState) {
+        for (name, disabled) in self.disabled_workers.merge_predecessor(state.disabled_workers) {
+            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled });
+        }
+        if let Some(snapshot) = &state.snapshot {
+            self.dispatcher.restore(self.clock.now(), snapshot);
+        }
+    }
+
+    fn handle_message(&mut self, message: DispatchMessage<T::Payload>) {
+        match message {
+            DispatchMessage::Submit(job) => self.submit_job(job),
+            DispatchMessage::ClientDisconnected(job_handle) => {
+                if let Some(id) = job_handle.job_id() {
+                    self.handle_client_disconnect(id);
+                }
+            }
+            DispatchMessage::Callback { request_id, worker_name, state, owner } => {
+                if let Some(owner) = owner {
+                    // A caller that does not wait any more has ended.
+                    let _ = owner.send(self.job_owner(&request_id));
+                }
+                self.handle_callback(&request_id, &worker_name, state);
+            }
+            DispatchMessage::QueryJob { request_id, held } => {
+                let _ = held.send(self.job_owner(&request_id) != JobOwner::Unknown);
+            }
+            DispatchMessage::MigrateJob { job_handle, migration_sender } => {
+                self.start_outgoing_migration(&job_handle, migration_sender);
+            }
+            DispatchMessage::MigrationFinished { job_handle, accepted } => {
+                self.finish_outgoing_migration(&job_handle, accepted);
+            }
+            DispatchMessage::ReceiveMigration(incoming) => self.start_incoming_migration(incoming),
+            DispatchMessage::MigrationConfirmed { job_handle, confirmed } => {
+                self.finish_incoming_migration(&job_handle, confirmed);
+            }
+            DispatchMessage::AttemptAccepted(id) => self.handle_attempt_accepted(id),
+            DispatchMessage::AttemptEnded(id, outcome) => self.end_attempt(id, outcome),
+            DispatchMessage::AttemptCancelled(id) => self.handle_attempt_cancelled(id),
+            DispatchMessage::EndpointsChanged { endpoints, snapshot, confirmed, poll_duration } => {
+                if let Some(duration) = poll_duration {
+                    self.apply_event(Event::PollAnswered { duration: duration.as_micros() as Micros });
+                }
+                self.update_endpoints(self.clock.now(), endpoints, snapshot);
+                if confirmed {
+                    self.apply_event(Event::EndpointsConfirmed);
+                }
+            }
+            DispatchMessage::EndpointsConfirmed => self.apply_event(Event::EndpointsConfirmed),
+            DispatchMessage::EndpointsUnreadable => self.apply_event(Event::EndpointsUnreadable),
+            DispatchMessage::DiscoveryMoved => self.apply_event(Event::DiscoveryMoved),
+            DispatchMessage::WatchFailed => self.apply_event(Event::WatchFailed),
+            DispatchMessage::ShutdownStarted(time_left) => {
+                let deadline = self.clock.now() + time_left.as_micros() as Micros;
+                self.apply_event(Event::ShutdownStarted { deadline });
+            }
+        }
+    }
+
+    /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
+    fn update_endpoints(&mut self, now: Micros, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
+        self.metrics.add(Counter::ListChanges);
+        self.disabled_workers.record_listed(endpoints.iter().map(|listed| &*listed.name));
+        let entries: Vec<Endpoint> = endpoints.iter().map(|listed| listed.endpoint.clone()).collect();
+        if snapshot {
+            self.endpoints.clear();
+        }
+        for listed in endpoints {
+            let address = listed.address;
+            trace!(target: DISPATCH, worker = %listed.name, %address, endpoint = ?listed.endpoint, "endpoint listed");
+            if self.endpoints.apply(listed) == ExistingConnections::Stale {
+                self.transport.discard_connections(address);
+            }
+        }
+        let event = Event::EndpointsChanged { endpoints: &entries, snapshot };
+        self.dispatcher.handle(now, event, &mut self.actions);
+        self.perform_actions();
+    }
+
+    /// Hands an event to the dispatcher and performs what it wants done.
+    fn apply_event(&mut self, event: Event) {
+        self.dispatcher.handle(self.clock.now(), event, &mut self.actions);
+        self.perform_actions();
+    }
+}
