--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -64,7 +64,7 @@
     /// The server's handle of the job.
     pub job_handle: JobHandle,
     /// Receives the one response.
-    pub response_sender: oneshot::Sender<JobResponse>,
+    pub response_channel: oneshot::Sender<JobResponse>,
 }
 
 /// Links a job at the server with its entry at the dispatch task: the task records the job's id in it, the server
@@ -112,7 +112,7 @@
     pub(super) deadline: Micros,
     pub(super) payload: Rc<P>,
     /// Taken when the job is answered or its client disconnects.
-    pub(super) response_sender: Option<oneshot::Sender<JobResponse>>,
+    pub(super) response_channel: Option<oneshot::Sender<JobResponse>>,
     pub(super) job_handle: JobHandle,
     /// In the order of sends.
     pub(super) attempts: Vec<Attempt>,
@@ -121,7 +121,7 @@
 impl<P> Job<P> {
     /// Whether nobody waits for a response any more.
     pub(super) fn is_settled(&self) -> bool {
-        self.response_sender.is_none()
+        self.response_channel.is_none()
     }
 
     /// Whether nobody waits for a response and no attempt is under way.
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -57,7 +57,7 @@
         /// The job.
         job_handle: JobHandle,
         /// Receives the job; dropped where it cannot be migrated now.
-        migration_sender: oneshot::Sender<OutgoingMigration<P>>,
+        migration_channel: oneshot::Sender<OutgoingMigration<P>>,
     },
     /// The other process has answered to a migration, or has not answered in time.
     MigrationFinished {
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -119,7 +119,7 @@
     /// The server's handle of the job.
     pub job_handle: JobHandle,
     /// Receives the one response.
-    pub response_sender: oneshot::Sender<JobResponse>,
+    pub response_channel: oneshot::Sender<JobResponse>,
     /// Receives whether this process can take the job.
     pub accepted: oneshot::Sender<bool>,
 }
@@ -135,7 +135,7 @@
     pub(super) request_id: Rc<str>,
     pub(super) migration: JobMigration,
     pub(super) payload: P,
-    pub(super) response_sender: oneshot::Sender<JobResponse>,
+    pub(super) response_channel: oneshot::Sender<JobResponse>,
     pub(super) job_handle: JobHandle,
 }
 
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -17,7 +17,7 @@
     /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
-            let _ = submitted.response_sender.send(JobResponse::Duplicate);
+            let _ = submitted.response_channel.send(JobResponse::Duplicate);
             return;
         }
         self.metrics.add(Counter::Taken);
@@ -42,7 +42,7 @@
                 submitted_at: self.clock.now(),
                 deadline: submitted.deadline,
                 payload: Rc::new(submitted.payload),
-                response_sender: Some(submitted.response_sender),
+                response_channel: Some(submitted.response_channel),
                 job_handle: submitted.job_handle,
                 attempts: Vec::new(),
             },
@@ -55,7 +55,7 @@
     pub(super) fn handle_client_disconnect(&mut self, id: JobId) {
         let outgoing = self.migrations.outgoing_job_mut(id);
         let Some(job) = self.jobs.get_mut(id).or(outgoing) else { return };
-        if job.response_sender.take().is_none() {
+        if job.response_channel.take().is_none() {
             return;
         }
         self.metrics.add(Counter::ClientsGone);
@@ -76,14 +76,14 @@
     /// Answers a job; only the first response counts.
     pub(super) fn respond(&mut self, id: JobId, response: JobResponse) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Some(response_sender) = job.response_sender.take() else { return };
+        let Some(response_channel) = job.response_channel.take() else { return };
         let counter = response_counter(&response);
         let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
         self.metrics.answered(counter, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
         debug!(target: DISPATCH, request_id = %job.request_id, response = ?counter, elapsed_ms, "answered");
         // A client that disconnects in this moment needs no response.
-        let _ = response_sender.send(response);
+        let _ = response_channel.send(response);
     }
 }
 
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -34,12 +34,12 @@
     pub(super) fn start_outgoing_migration(
         &mut self,
         job_handle: &JobHandle,
-        migration_sender: oneshot::Sender<OutgoingMigration<T::Payload>>,
+        migration_channel: oneshot::Sender<OutgoingMigration<T::Payload>>,
     ) {
         let Some(id) = job_handle.job_id() else { return };
         let now = self.clock.now();
         let is_migratable = self.jobs.get(id).is_some_and(|job| is_migratable(job, now));
-        if !is_migratable || migration_sender.is_closed() {
+        if !is_migratable || migration_channel.is_closed() {
             return;
         }
         let (Some(released), Some(job)) = (self.dispatcher.release_job(id), self.jobs.remove(id)) else {
@@ -51,7 +51,7 @@
         let migration = JobMigration::new(&job, released);
         debug!(target: DISPATCH, request_id = %job.request_id, "job migration started");
         let outgoing = OutgoingMigration { migration: migration.clone(), payload: Rc::clone(&job.payload) };
-        let receiver_is_gone = migration_sender.send(outgoing).is_err();
+        let receiver_is_gone = migration_channel.send(outgoing).is_err();
         self.migrations.insert_outgoing(id, OutgoingJob { migration, job });
         if receiver_is_gone {
             self.finish_outgoing_migration(job_handle, false);
@@ -93,7 +93,7 @@
 
     /// Reserves the request id of a job that comes from the other process, and says whether it can be taken.
     pub(super) fn start_incoming_migration(&mut self, incoming: IncomingMigration<T::Payload>) {
-        let IncomingMigration { migration, payload, job_handle, response_sender, accepted } = incoming;
+        let IncomingMigration { migration, payload, job_handle, response_channel, accepted } = incoming;
         let request_id = Rc::<str>::from(migration.request_id());
         let is_in_use = self.jobs.find(&request_id).is_some();
         if is_in_use || !self.dispatcher.accepts_migrated_job(&migration.job) {
@@ -102,7 +102,7 @@
         }
         let id = self.jobs.reserve(Rc::clone(&request_id));
         job_handle.set_job_id(id);
-        let incoming = IncomingJob { request_id, migration, payload, response_sender, job_handle };
+        let incoming = IncomingJob { request_id, migration, payload, response_channel, job_handle };
         self.migrations.insert_incoming(id, incoming);
         let _ = accepted.send(true);
     }
@@ -123,7 +123,7 @@
 
     /// Adds a job to the table that the dispatcher has adopted, and resumes its attempts.
     fn add_migrated_job(&mut self, id: JobId, now: Micros, incoming: IncomingJob<T::Payload>) {
-        let IncomingJob { request_id, migration, payload, response_sender, job_handle } = incoming;
+        let IncomingJob { request_id, migration, payload, response_channel, job_handle } = incoming;
         let payload = Rc::new(payload);
         let resumed = ResumedJob { id, request_id: &request_id, payload: &payload, now };
         let attempts = migration
@@ -142,7 +142,7 @@
                 submitted_at: migration.submitted_at,
                 deadline: migration.job.deadline(),
                 payload,
-                response_sender: Some(response_sender),
+                response_channel: Some(response_channel),
                 job_handle,
                 attempts,
             },
@@ -163,9 +163,9 @@
         let send_permit = Rc::<SendPermit>::default();
         if let (true, Some(address)) = (migrated.in_flight, migrated.address) {
             let id = AttemptId { job: job.id, number };
-            let (cancel_sender, cancel_receiver) = oneshot::channel();
+            let (cancel_channel, cancel_receiver) = oneshot::channel();
             state = AttemptState::InFlight;
-            cancel = Some(cancel_sender);
+            cancel = Some(cancel_channel);
             self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(id));
             self.transport.resume_attempt(AttemptRequest {
                 id,
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -129,10 +129,10 @@
                 self.disabled_workers.record_listed([name.as_str()]);
                 self.set_worker_disabled(&name, disabled, result);
             }
-            DispatchCommand::TakeSnapshot(snapshot_sender) => {
+            DispatchCommand::TakeSnapshot(snapshot_channel) => {
                 let snapshot = Some(self.dispatcher.snapshot());
                 let disabled_workers = self.disabled_workers.clone();
-                let _ = snapshot_sender.send(TransferableState { disabled_workers, snapshot });
+                let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
             DispatchCommand::SetSuccessorActive(active) => self.apply_event(Event::SuccessorActive(active)),
@@ -151,8 +151,9 @@
 
     /// Adopts what the predecessor of this process knew.
     fn restore_state(&mut self, state: TransferableState) {
-        for (name, disabled) in self.disabled_workers.merge_predecessor(state.disabled_workers) {
-            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::of_name(&name), disabled });
+        for change in self.disabled_workers.merge_predecessor(state.disabled_workers) {
+            let worker = WorkerId::of_name(&change.name);
+            self.apply_event(Event::MaintenanceChanged { worker, disabled: change.disabled });
         }
         if let Some(snapshot) = &state.snapshot {
             self.dispatcher.restore(self.clock.now(), snapshot);
@@ -177,8 +178,8 @@
             DispatchMessage::QueryJob { request_id, held } => {
                 let _ = held.send(self.job_owner(&request_id) != JobOwner::Unknown);
             }
-            DispatchMessage::MigrateJob { job_handle, migration_sender } => {
-                self.start_outgoing_migration(&job_handle, migration_sender);
+            DispatchMessage::MigrateJob { job_handle, migration_channel } => {
+                self.start_outgoing_migration(&job_handle, migration_channel);
             }
             DispatchMessage::MigrationFinished { job_handle, accepted } => {
                 self.finish_outgoing_migration(&job_handle, accepted);
