--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -41,7 +41,8 @@
 pub(super) enum AttemptState {
     /// Handed to the transport.
     InFlight,
-    /// The transport has been asked to cancel it and has not yet confirmed that; it will end with this outcome.
+    /// The transport has been asked to cancel it and has not yet confirmed that; it will end with this
+    /// outcome.
     Cancelling(Outcome),
     /// Over. Nothing that is reported of it counts any more.
     Ended,
@@ -84,7 +85,8 @@
         matches!(self.state, AttemptState::Cancelling(_))
     }
 
-    /// Asks the transport to cancel it. It ends with that outcome once the transport confirms the cancellation.
+    /// Asks the transport to cancel it. It ends with that outcome once the transport confirms the
+    /// cancellation.
     pub(super) fn request_cancellation(&mut self, outcome: Outcome) {
         self.state = AttemptState::Cancelling(outcome);
         self.send_permit.revoke();
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Marks it as over. A callback can end an attempt that still waits for a connection, so that its permit to send
-    /// is revoked as well.
+    /// Marks it as over. A callback can end an attempt that still waits for a connection, so that its permit
+    /// to send is revoked as well.
     pub(super) fn end(&mut self) {
         self.state = AttemptState::Ended;
         self.cancel = None;
--- a/crates/node/src/dispatch/callbacks.rs
+++ b/crates/node/src/dispatch/callbacks.rs
@@ -1,7 +1,7 @@
 //! Which attempt a worker's callback concerns, and what it means for that attempt.
 //!
-//! Workers repeat a callback until they read an answer to it. A repeat of the callback that ended an earlier attempt at
-//! the same worker must not end a later attempt there that the worker has not yet accepted.
+//! Workers repeat a callback until they read an answer to it. A repeat of the callback that ended an earlier
+//! attempt at the same worker must not end a later attempt there that the worker has not yet accepted.
 
 use curlewusher_core::Outcome;
 
@@ -24,15 +24,15 @@
     Started,
     /// This share of the attempt is done.
     Progressed(f64),
-    /// Either this attempt has ended or the callback repeats the one that ended the attempt before it at this worker.
-    /// Since this attempt may be running, it is cancelled before its job is sent anywhere else.
+    /// Either this attempt has ended or the callback repeats the one that ended the attempt before it at this
+    /// worker. Since this attempt may be running, it is cancelled before its job is sent anywhere else.
     Ambiguous,
     /// The attempt is over.
     Ended(Outcome),
 }
 
-/// Finds the attempt that a callback concerns: the latest at that worker that has not ended. None where there is no
-/// such attempt, or where the callback can only be a repeat of one for an earlier attempt.
+/// Finds the attempt that a callback concerns: the latest at that worker that has not ended. None where there
+/// is no such attempt, or where the callback can only be a repeat of one for an earlier attempt.
 pub(super) fn find_target(
     attempts: &[Attempt],
     worker_name: &str,
@@ -50,7 +50,8 @@
 /// What a callback means for the attempt that [`find_target`] has found.
 pub(super) fn interpret(attempt: &Attempt, callback: &CallbackState, may_be_repeat: bool) -> CallbackEffect {
     match callback {
-        // A start of an attempt that is being cancelled must not lead to the cancellation of the one that replaces it.
+        // A start of an attempt that is being cancelled must not lead to the cancellation of the one that
+        // replaces it.
         CallbackState::Started | CallbackState::Running(_) if attempt.is_being_cancelled() => {
             CallbackEffect::Ignored
         }
--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -12,7 +12,7 @@
     pub name: Rc<str>,
     /// Where it is reached.
     pub address: SocketAddr,
-    /// What the dispatcher is told.
+    /// What the dispatcher knows of it.
     pub endpoint: Endpoint,
 }
 
@@ -35,8 +35,8 @@
 #[derive(Default)]
 pub(super) struct EndpointTable {
     workers: HashMap<WorkerId, WorkerAddress>,
-    /// When each worker was last listed to have started. Kept when the table is cleared, so that a worker that was
-    /// restarted is recognized in the next list.
+    /// When each worker was last listed to have started. Kept when the table is cleared, so that a worker
+    /// that was restarted is recognized in the next list.
     started_at: HashMap<WorkerId, Micros>,
 }
 
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -1,5 +1,5 @@
-//! The jobs that this process has in hand: their ids, what is known of each, and the handle by which the server reaches
-//! a job.
+//! The jobs that this process has in hand: their ids, what is known of each, and the handle by which the
+//! server reaches a job.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -59,7 +59,7 @@
     pub affinity_key: Option<u64>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
-    /// What is sent to workers; the dispatch task never looks into it.
+    /// What is sent to workers; the dispatch task never reads it.
     pub payload: P,
     /// The server's handle of the job.
     pub job_handle: JobHandle,
@@ -67,8 +67,8 @@
     pub response_channel: oneshot::Sender<JobResponse>,
 }
 
-/// Links a job at the server with its entry at the dispatch task: the task records the job's id in it, the server
-/// records that the client has disconnected.
+/// Links a job at the server with its entry at the dispatch task: the task records the job's id in it, the
+/// server records that the client has disconnected.
 #[derive(Clone, Default)]
 pub struct JobHandle {
     id: Rc<Cell<Option<JobId>>>,
@@ -76,8 +76,8 @@
 }
 
 impl JobHandle {
-    /// From now on no attempt of the job is sent. Everything else that follows from the disconnection waits for
-    /// [`DispatchMessage::ClientDisconnected`](super::DispatchMessage::ClientDisconnected).
+    /// From now on no attempt of the job is sent. Everything else that follows from the disconnection waits
+    /// for [`DispatchMessage::ClientDisconnected`](super::DispatchMessage::ClientDisconnected).
     pub fn mark_client_gone(&self) {
         self.client_gone.raise();
     }
@@ -130,8 +130,8 @@
     }
 }
 
-/// The jobs in hand, and the request ids that are in use. A job that is being migrated is not in the table, but its
-/// request id stays in use until the migration has ended.
+/// The jobs in hand, and the request ids that are in use. A job that is being migrated is not in the table,
+/// but its request id stays in use until the migration has ended. Ids of jobs are never used again.
 pub(super) struct JobTable<P> {
     next_id: u64,
     jobs: HashMap<JobId, Job<P>>,
@@ -182,14 +182,17 @@
         }
     }
 
+    /// A job that is not being migrated.
     pub(super) fn get(&self, id: JobId) -> Option<&Job<P>> {
         self.jobs.get(&id)
     }
 
+    /// The same, to change it.
     pub(super) fn get_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
         self.jobs.get_mut(&id)
     }
 
+    /// An attempt of a job that is not being migrated, to change it.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.jobs.get_mut(&id.job)?.attempts.get_mut(id.number as usize)
     }
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -1,5 +1,5 @@
-//! What the rest of the node sends to the dispatch task: messages of clients, workers and discovery, and the commands of
-//! operators and of the other process of this node.
+//! What the rest of the node sends to the dispatch task: messages of clients, workers and discovery, and the
+//! commands of operators and of the other process of this node.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 use super::migration::{IncomingMigration, OutgoingMigration};
 use super::transport::AttemptId;
 
-/// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot reserved for the
-/// message that its client has disconnected; without these of their own, jobs could fill the queue and no message that
-/// ends a job would reach the task any more.
+/// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot
+/// reserved for the message that its client has disconnected; without these of their own, jobs could fill the
+/// queue and no message that ends a job would reach the task any more.
 const QUEUE_CAPACITY: usize = 4096;
 
 /// The sending half of the dispatch task's queue.
@@ -87,7 +87,8 @@
         endpoints: Vec<NamedEndpoint>,
         /// Whether these are all endpoints, rather than a change.
         snapshot: bool,
-        /// Whether it comes from the current discovery service, so that everything that is known is confirmed.
+        /// Whether it comes from the current discovery service, so that everything that is known is
+        /// confirmed.
         confirmed: bool,
         /// How long the poll took that it answers.
         poll_duration: Option<Duration>,
@@ -104,8 +105,8 @@
     ShutdownStarted(Duration),
 }
 
-/// A command of an operator or of the other process of this node. Commands have a queue of their own, which is read
-/// before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
+/// A command of an operator or of the other process of this node. Commands have a queue of their own, which
+/// is read before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
 pub enum DispatchCommand {
     /// Sends nothing more to the worker of that name, or ends that.
     SetWorkerDisabled {
@@ -116,7 +117,8 @@
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
-    /// The same for a worker that the other process of this node knows, whether or not a list here has named it.
+    /// The same for a worker that the other process of this node knows, whether or not a list here has named
+    /// it.
     SetWorkerDisabledByPeer {
         /// The worker.
         name: String,
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -1,6 +1,8 @@
-//! Migration of a job between the two processes of a node: what is transferred, and the jobs that are on their way.
+//! Migration of a job between the two processes of a node: what is transferred, and the jobs that are on
+//! their way.
 //!
-//! A job is owned by exactly one process. The steps of a migration, as the dispatch tasks of both processes see it:
+//! A job is owned by exactly one process. The steps of a migration, as the dispatch tasks of both processes
+//! see it:
 //!
 //! | step | sending process | receiving process |
 //! | --- | --- | --- |
@@ -9,7 +11,8 @@
 //! | `MigrationFinished` | accepted: dropped; else: rolled back into the table | |
 //! | `MigrationConfirmed` | | confirmed: added to the table; else: dropped |
 //!
-//! Nothing is done for a job while it is outgoing or incoming, and callbacks for it are to be repeated by the worker.
+//! Nothing is done for a job while it is outgoing or incoming, and callbacks for it are to be repeated by the
+//! worker.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,9 +26,13 @@
 use super::jobs::{Job, JobHandle, JobResponse};
 use crate::handover::MIGRATION_TIMEOUT;
 
-/// A job that has less time left than this is not migrated: were the other process silent until the migration times
-/// out, too little time would be left to answer. The half second is for what remains to be done then.
-pub(super) const MIN_TIME_LEFT_TO_MIGRATE: Micros = MIGRATION_TIMEOUT.as_micros() as Micros + 500_000;
+/// Time that a job needs after its migration has timed out, to be answered by this process after all.
+const TIME_TO_ANSWER_AFTER_ROLLBACK: Micros = 500_000;
+
+/// A job that has less time left than this is not migrated: were the other process silent until the migration
+/// times out, the response would come too late.
+const MIN_TIME_LEFT_TO_MIGRATE: Micros =
+    MIGRATION_TIMEOUT.as_micros() as Micros + TIME_TO_ANSWER_AFTER_ROLLBACK;
 
 /// A job on its way from one process of this node to the other, without its payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -82,6 +89,7 @@
 }
 
 impl MigratedAttempt {
+    /// What is transferred of an attempt that is in flight or has ended.
     fn new(attempt: &Attempt) -> Self {
         MigratedAttempt {
             worker_name: attempt.worker_name.to_string(),
@@ -94,12 +102,14 @@
     }
 }
 
-/// Whether a job can be migrated: somebody waits for its response, there is time enough, and no attempt is in between.
-/// Until a worker has accepted an attempt, its answer is on its way to a connection of this process.
+/// Whether a job can be migrated: somebody waits for its response, there is time enough, and each attempt has
+/// ended or was accepted. Until a worker has accepted an attempt, its answer goes to a connection of this
+/// process.
 pub(super) fn is_migratable<P>(job: &Job<P>, now: Micros) -> bool {
-    let is_settled = |attempt: &Attempt| attempt.has_ended() || attempt.is_in_flight() && attempt.accepted;
-    let latest_timeout = now + MIN_TIME_LEFT_TO_MIGRATE;
-    !job.is_settled() && job.deadline > latest_timeout && job.attempts.iter().all(is_settled)
+    let is_transferable =
+        |attempt: &Attempt| attempt.has_ended() || attempt.is_in_flight() && attempt.accepted;
+    let has_time = job.deadline > now + MIN_TIME_LEFT_TO_MIGRATE;
+    !job.is_settled() && has_time && job.attempts.iter().all(is_transferable)
 }
 
 /// A job that is to be sent to the other process of this node.
@@ -130,7 +140,8 @@
     pub(super) job: Job<P>,
 }
 
-/// A job that this process has accepted; the other process may not yet know that, and may still take the job back.
+/// A job that this process has accepted; the other process may not yet know that, and may still take the job
+/// back.
 pub(super) struct IncomingJob<P> {
     pub(super) request_id: Rc<str>,
     pub(super) migration: JobMigration,
@@ -157,23 +168,27 @@
         self.outgoing.contains_key(&id) || self.incoming.contains_key(&id)
     }
 
+    /// Adds a job that is on its way to the other process.
     pub(super) fn insert_outgoing(&mut self, id: JobId, outgoing: OutgoingJob<P>) {
         self.outgoing.insert(id, outgoing);
     }
 
-    /// A job that is on its way to the other process.
+    /// A job that is on its way to the other process, to change it.
     pub(super) fn outgoing_job_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
         self.outgoing.get_mut(&id).map(|outgoing| &mut outgoing.job)
     }
 
+    /// Removes a job whose migration to the other process has ended.
     pub(super) fn remove_outgoing(&mut self, id: JobId) -> Option<OutgoingJob<P>> {
         self.outgoing.remove(&id)
     }
 
+    /// Adds a job that is on its way from the other process.
     pub(super) fn insert_incoming(&mut self, id: JobId, incoming: IncomingJob<P>) {
         self.incoming.insert(id, incoming);
     }
 
+    /// Removes a job whose migration from the other process has ended.
     pub(super) fn remove_incoming(&mut self, id: JobId) -> Option<IncomingJob<P>> {
         self.incoming.remove(&id)
     }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,10 +1,10 @@
-//! Dispatching of jobs: one task owns the [`Dispatcher`](curlewusher_core::Dispatcher) and the state that its decisions
-//! need, and the rest of the node reaches it by messages only.
+//! Dispatching of jobs: one task owns the [`Dispatcher`](curlewusher_core::Dispatcher) and the state that its
+//! decisions need, and the rest of the node reaches it by messages only.
 //!
 //! | module | what it owns |
 //! | --- | --- |
 //! | [`messages`] | what the task is sent |
-//! | [`jobs`], [`attempts`], [`callbacks`] | the jobs in hand, their attempts, what workers' callbacks mean for these |
+//! | [`jobs`], [`attempts`], [`callbacks`] | jobs in hand, their attempts, what callbacks mean for these |
 //! | [`migration`] | jobs on their way between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
 //! | [`timers`], [`clock`] | when the task acts by itself |
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -35,8 +35,8 @@
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Performs what the dispatcher wants done, in its spec. Attempts that could not be sent are reported to it
-    /// afterwards.
+    /// Performs what the dispatcher wants done, in its order. Attempts that could not be sent are reported to
+    /// it afterwards.
     pub(super) fn perform_actions(&mut self) {
         let mut not_sent = Vec::new();
         for action in std::mem::take(&mut self.actions) {
@@ -102,7 +102,14 @@
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::Sent);
         let request_id = Rc::clone(&job.request_id);
-        debug!(target: DISPATCH, %request_id, attempt = id.number, worker = %worker_name, %address, "attempt sent");
+        debug!(
+            target: DISPATCH,
+            %request_id,
+            attempt = id.number,
+            worker = %worker_name,
+            %address,
+            "attempt sent"
+        );
         self.transport.start_attempt(AttemptRequest {
             id,
             request_id,
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -14,6 +14,7 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
+    /// Records that a worker has accepted an attempt, whatever became of it meanwhile.
     pub(super) fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
@@ -21,6 +22,7 @@
         self.apply_event(Event::AttemptAccepted { job: id.job, attempt: id.number });
     }
 
+    /// Ends an attempt that was to be cancelled, with the outcome that was recorded at that time.
     pub(super) fn handle_attempt_cancelled(&mut self, id: AttemptId) {
         if let Some(AttemptState::Cancelling(outcome)) =
             self.jobs.attempt_mut(id).map(|attempt| attempt.state)
@@ -29,8 +31,8 @@
         }
     }
 
-    /// Applies a callback to the latest attempt of that job at that worker, where it has not ended; any other is
-    /// ignored.
+    /// Applies a callback to the latest attempt of that job at that worker, where it has not ended; any other
+    /// is ignored.
     pub(super) fn handle_callback(&mut self, request_id: &str, worker: &str, state: CallbackState) {
         self.metrics.add(Counter::Callbacks);
         trace!(target: DISPATCH, request_id, worker, "callback received");
@@ -62,6 +64,7 @@
         }
     }
 
+    /// The attempt that a callback concerns, and what it means for it. None where it concerns no attempt.
     fn interpret_callback(
         &self,
         request_id: &str,
@@ -76,8 +79,9 @@
         Some((AttemptId { job, number: target.number }, effect))
     }
 
-    /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end, with that outcome,
-    /// only once the worker need not be expected to run it any more, so that no two attempts of a job overlap.
+    /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end only
+    /// once the transport has confirmed the cancellation, or a callback has come before that, so that no two
+    /// attempts of a job overlap.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
             return;
@@ -89,7 +93,8 @@
     /// Records the end of an attempt; only the first end of each counts.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         if self.jobs.get(id.job).is_some_and(|job| job.job_handle.is_client_gone()) {
-            // The message of that may be further back in the queue, and no other attempt is to follow this one.
+            // The message of that may be further back in the queue, and no other attempt is to follow this
+            // one.
             self.handle_client_disconnect(id.job);
         }
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| !attempt.has_ended()) else { return };
@@ -103,6 +108,7 @@
         self.jobs.remove_if_finished(id.job);
     }
 
+    /// Logs the end of an attempt.
     fn log_attempt_end(&self, id: AttemptId, outcome: Outcome) {
         let Some(job) = self.jobs.get(id.job) else { return };
         let Some(attempt) = job.attempts.get(id.number as usize) else { return };
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -50,8 +50,9 @@
         self.apply_event(Event::JobSubmitted(submission));
     }
 
-    /// Records that a job's client has disconnected, which may be reported twice. For a job that is on its way to the
-    /// other process the dispatcher has no use for the event, and is given it again where the job is rolled back.
+    /// Records that a job's client has disconnected, which may be reported twice. For a job that is on its
+    /// way to the other process the dispatcher has no use for the event, and is given it again where the job
+    /// is rolled back.
     pub(super) fn handle_client_disconnect(&mut self, id: JobId) {
         let outgoing = self.migrations.outgoing_job_mut(id);
         let Some(job) = self.jobs.get_mut(id).or(outgoing) else { return };
@@ -87,6 +88,7 @@
     }
 }
 
+/// Logs what a client has submitted.
 fn log_submission<P>(job: &SubmittedJob<P>) {
     debug!(
         target: DISPATCH,
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -1,8 +1,9 @@
-//! The dispatch task: it owns the dispatcher and everything that the dispatcher's decisions need, and alone changes them.
+//! The dispatch task: it owns the dispatcher and everything that the dispatcher's decisions need, and alone
+//! changes them.
 //!
-//! Each message, command and expired timer becomes an event for the dispatcher, and the actions that the dispatcher
-//! returns are performed at once, before the next message is read. The task decides nothing about jobs itself, knows no
-//! protocol, and touches no socket: attempts are carried by an [`AttemptTransport`].
+//! Each message, command and expired timer becomes an event for the dispatcher, and the actions that the
+//! dispatcher returns are performed at once, before the next message is read. The task decides nothing about
+//! jobs itself, knows no protocol, and touches no socket: attempts are carried by an [`AttemptTransport`].
 
 mod actions;
 mod attempt_lifecycle;
@@ -81,11 +82,11 @@
         }
     }
 
-    /// Runs until no sender of messages is left. `saved_endpoints` is the list of the configuration, which counts until
-    /// discovery has sent its own.
+    /// Runs until the queue of messages is closed. `saved_endpoints` is the list of the configuration, which
+    /// counts until discovery has sent its own.
     pub async fn run(mut self, saved_endpoints: Vec<NamedEndpoint>) {
-        // The saved list has the same time as the first expiry of a timer: by that the dispatcher knows that it does
-        // not come from discovery.
+        // The saved list has the same time as the first expiry of a timer: by that the dispatcher knows that
+        // it does not come from discovery.
         let now = self.clock.now();
         self.dispatcher.handle(now, Event::TimerExpired, &mut self.actions);
         self.update_endpoints(now, saved_endpoints, true);
@@ -110,6 +111,7 @@
         }
     }
 
+    /// Handles the timers that have expired at this moment.
     fn handle_expired_timers(&mut self) {
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_expired(now) {
@@ -120,6 +122,7 @@
         }
     }
 
+    /// Carries out a command of an operator or of the other process of this node.
     fn handle_command(&mut self, command: DispatchCommand) {
         match command {
             DispatchCommand::SetWorkerDisabled { name, disabled, result } => {
@@ -139,6 +142,7 @@
         }
     }
 
+    /// Disables or enables a worker, and answers the operator.
     fn set_worker_disabled(&mut self, name: &str, disabled: bool, result: oneshot::Sender<CommandResult>) {
         let changed =
             if disabled { self.disabled_workers.disable(name) } else { self.disabled_workers.enable(name) };
@@ -160,6 +164,7 @@
         }
     }
 
+    /// Handles a message of a client, a worker, the transport or discovery.
     fn handle_message(&mut self, message: DispatchMessage<T::Payload>) {
         match message {
             DispatchMessage::Submit(job) => self.submit_job(job),
@@ -170,7 +175,8 @@
             }
             DispatchMessage::Callback { request_id, worker_name, state, owner } => {
                 if let Some(owner) = owner {
-                    // A caller that does not wait any more has ended.
+                    // Before the callback is handled, which may end the job. A caller that does not wait has
+                    // ended.
                     let _ = owner.send(self.job_owner(&request_id));
                 }
                 self.handle_callback(&request_id, &worker_name, state);
@@ -221,7 +227,13 @@
         }
         for listed in endpoints {
             let address = listed.address;
-            trace!(target: DISPATCH, worker = %listed.name, %address, endpoint = ?listed.endpoint, "endpoint listed");
+            trace!(
+                target: DISPATCH,
+                worker = %listed.name,
+                %address,
+                endpoint = ?listed.endpoint,
+                "endpoint listed"
+            );
             if self.endpoints.apply(listed) == ExistingConnections::Stale {
                 self.transport.discard_connections(address);
             }
--- a/crates/node/src/dispatch/timers.rs
+++ b/crates/node/src/dispatch/timers.rs
@@ -6,7 +6,8 @@
 
 use super::transport::AttemptId;
 
-/// What is to be done when a timer expires. At one moment the dispatcher's timers come before those of attempts.
+/// What is to be done when a timer expires. At one moment the dispatcher's timers come before those of
+/// attempts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// The dispatcher asked to be called.
--- a/crates/node/src/dispatch/transport.rs
+++ b/crates/node/src/dispatch/transport.rs
@@ -29,18 +29,18 @@
     pub payload: Rc<P>,
     /// The time that is left for the attempt.
     pub timeout: Duration,
-    /// Receives a value where the attempt is to be cancelled. Once the sending half is dropped, the attempt has ended
-    /// and only its connection is left to be cleaned up.
+    /// Receives a value where the attempt is to be cancelled. Once the sending half is dropped, the attempt
+    /// has ended and only its connection is left to be cleaned up.
     pub cancel: oneshot::Receiver<()>,
-    /// Checked before the first byte is written: where it has been revoked, nothing is written and the attempt ends
-    /// as not sent.
+    /// Checked before the first byte is written: where it has been revoked, nothing is written and the
+    /// attempt ends as not sent.
     pub send_permit: Rc<SendPermit>,
 }
 
-/// Carries attempts to workers. It reports by [`DispatchMessage`](super::DispatchMessage): either `AttemptAccepted`,
-/// followed by `AttemptCancelled` or nothing; or `AttemptCancelled`; or `AttemptEnded`.
+/// Carries attempts to workers. It reports by [`DispatchMessage`](super::DispatchMessage): either
+/// `AttemptAccepted`, followed by `AttemptCancelled` or nothing; or `AttemptCancelled`; or `AttemptEnded`.
 pub trait AttemptTransport {
-    /// What is sent to workers; the dispatch task never looks into it.
+    /// What is sent to workers; the dispatch task never reads it.
     type Payload;
 
     /// Sends an attempt.
