--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -49,7 +49,7 @@
     /// Applies an entry of the list.
     pub(super) fn apply(&mut self, listed: NamedEndpoint) -> ExistingConnections {
         let NamedEndpoint { name, address, endpoint } = listed;
-        let previous_start = self.started_at.insert(endpoint.worker, endpoint.started);
+        let previous_start = self.started_at.insert(endpoint.worker, endpoint.started_at);
         if endpoint.status == WorkerStatus::Gone {
             self.started_at.remove(&endpoint.worker);
             self.workers.remove(&endpoint.worker);
@@ -57,7 +57,7 @@
         }
         self.workers.insert(endpoint.worker, WorkerAddress { name, address });
         match previous_start {
-            Some(previous) if previous != endpoint.started => ExistingConnections::Stale,
+            Some(previous) if previous != endpoint.started_at => ExistingConnections::Stale,
             _ => ExistingConnections::Valid,
         }
     }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -31,4 +31,4 @@
 pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
 pub use migration::{IncomingMigration, JobMigration, OutgoingMigration};
 pub use task::{DispatchParts, DispatchTask};
-pub use transport::{AttemptRequest, AttemptTransport};
+pub use transport::{AttemptId, AttemptRequest, AttemptTransport};
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -47,11 +47,11 @@
                 debug!(target: DISPATCH, request_id, attempt, worker, "attempt started");
                 self.apply_event(Event::AttemptStarted { job, attempt });
             }
-            CallbackEffect::Progressed(done) => {
+            CallbackEffect::Progressed(fraction_done) => {
                 if let Some(attempt) = self.jobs.attempt_mut(id) {
-                    attempt.progress = done;
+                    attempt.progress = fraction_done;
                 }
-                self.apply_event(Event::AttemptProgressed { job, attempt, done });
+                self.apply_event(Event::AttemptProgressed { job, attempt, fraction_done });
             }
             CallbackEffect::Ended(outcome) => {
                 if let CallbackState::Done(result) = state {
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -138,7 +138,9 @@
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
-            DispatchCommand::SetSuccessorActive(active) => self.apply_event(Event::SuccessorActive(active)),
+            DispatchCommand::SetSuccessorActive(active) => {
+                self.apply_event(Event::SuccessorActive { active })
+            }
         }
     }
 
@@ -147,7 +149,7 @@
         let changed =
             if disabled { self.disabled_workers.disable(name) } else { self.disabled_workers.enable(name) };
         if changed.is_ok() {
-            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::of_name(name), disabled });
+            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::from_name(name), disabled });
         }
         // An operator who does not wait any more may repeat the command.
         let _ = result.send(changed);
@@ -156,7 +158,7 @@
     /// Adopts what the predecessor of this process knew.
     fn restore_state(&mut self, state: TransferableState) {
         for change in self.disabled_workers.merge_predecessor(state.disabled_workers) {
-            let worker = WorkerId::of_name(&change.name);
+            let worker = WorkerId::from_name(&change.name);
             self.apply_event(Event::MaintenanceChanged { worker, disabled: change.disabled });
         }
         if let Some(snapshot) = &state.snapshot {
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -5,7 +5,7 @@
 //!    admin address, so that an address that cannot be used ends the program here.
 //! 3. The other process of this node, where there is one, is contacted. It passes on its listener for clients;
 //!    otherwise a listener is opened.
-//! 4. All tasks are spawned, and the log says where the node serves.
+//! 4. All tasks are spawned, and the log names the addresses where the node serves.
 
 use std::cell::Cell;
 use std::io;
@@ -30,15 +30,15 @@
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
 };
-use crate::handover::Peer;
-use crate::handover::takeover::{StartupHandover, TakeoverParts, TakeoverTask};
+use crate::handover::takeover::{TakeoverParts, TakeoverTask};
+use crate::handover::{Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
-use crate::server::{Server, ServerLimits};
+use crate::server::{Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient};
@@ -115,17 +115,16 @@
     }
 
     fn create_server(&self, site: &Site) -> Server {
-        let limits =
-            ServerLimits { room: self.descriptors.client_connections(), tuning: self.server_options.clone() };
-        Server::new(
-            self.dispatch_queue.clone(),
-            self.clock,
+        Server::new(ServerParts {
+            queue: self.dispatch_queue.clone(),
+            clock: self.clock,
             site,
-            self.lifecycle.clone(),
-            self.metrics.clone(),
-            self.peer.clone(),
-            limits,
-        )
+            lifecycle: self.lifecycle.clone(),
+            metrics: self.metrics.clone(),
+            peer: self.peer.clone(),
+            connection_budget: self.descriptors.client_connections(),
+            options: self.server_options.clone(),
+        })
     }
 }
 
@@ -151,7 +150,7 @@
     /// From the dispatch task to the watcher: poll now.
     poll_requests: mpsc::Receiver<()>,
     /// To the watcher: the address of discovery has changed.
-    address_sender: watch::Sender<SocketAddr>,
+    address_updates: watch::Sender<SocketAddr>,
     address_changes: watch::Receiver<SocketAddr>,
     /// From the watcher to the takeover task: an endpoint list is there.
     endpoints_available: watch::Receiver<bool>,
@@ -167,9 +166,9 @@
 
 impl DiscoveryParts {
     fn connect(watcher: EndpointWatcher, poll_requests: mpsc::Receiver<()>) -> Self {
-        let (address_sender, address_changes) = watch::channel(watcher.address);
+        let (address_updates, address_changes) = watch::channel(watcher.address);
         let endpoints_available = watcher.list_received.subscribe();
-        DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available }
+        DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available }
     }
 }
 
@@ -186,7 +185,7 @@
         let mut resolver = EndpointResolver::new(&site);
         let saved_endpoints = resolver.resolve(&known.endpoints);
         let saved_index = if saved_endpoints.is_empty() { UNKNOWN_ENDPOINT_INDEX } else { known.index };
-        let (poll_sender, poll_requests) = mpsc::channel(1);
+        let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
         let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
@@ -194,7 +193,7 @@
             transport: upstream.clone(),
             messages: dispatch_messages,
             commands: received_commands,
-            watch_requests: poll_sender,
+            watch_requests: poll_requester,
             metrics: shared.metrics.clone(),
         });
         let watcher = EndpointWatcher {
@@ -228,7 +227,7 @@
     /// there is none.
     async fn find_predecessor(&self) -> StartupHandover {
         let folder = self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
-        StartupHandover::look(folder, &self.name, self.listen).await
+        StartupHandover::find_predecessor(folder, &self.name, self.listen).await
     }
 
     /// The listener that the other process passes on, or one of its own.
@@ -258,18 +257,18 @@
             listen: self.listen,
             listener: listener.for_successor,
             server: self.server.clone(),
-            next_hops: self.upstream.clone(),
-            operations: admin.clone(),
+            upstream: self.upstream.clone(),
+            admin: admin.clone(),
         };
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
-        let DiscoveryParts { watcher, poll_requests, address_sender, address_changes, endpoints_available } =
+        let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
             self.discovery;
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
         let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.follows();
+        let has_predecessor = handover.has_predecessor();
         let (takeover_handle, takeover) =
             TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
         let takeover = spawn_local(takeover);
@@ -284,7 +283,7 @@
                 metrics: self.shared.metrics,
                 server_options: self.shared.server_options,
                 upstream_options: self.shared.upstream_options,
-                discovery: address_sender,
+                discovery: address_updates,
             },
             shutdown: GracefulShutdown {
                 name: self.name,
@@ -314,7 +313,7 @@
     site.decisions.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.notified_within = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
