--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::estimators::{DecayingSum, SpeedRatio};
-use super::job::Attempt;
+use super::job::{Attempt, AttemptId};
 use super::time::seconds_between;
 use crate::{CellId, DeduplicationScope, Endpoint, JobId, KindId, Micros, WorkerId, WorkerStatus, ZoneId};
 
@@ -138,7 +138,7 @@
     pub wait: f64,
 }
 
-/// What the failures of a worker say of it.
+/// Health of a worker, by its recent failures.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkerHealth {
     /// Failures in a row, halved by each success.
@@ -206,7 +206,7 @@
     pub excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
     pub peer_backlogs: Vec<PeerBacklog>,
-    /// What its failures say of it.
+    /// Its health.
     pub health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
     pub reenabled_at: Option<Micros>,
@@ -330,10 +330,10 @@
 
     /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
     /// those that were not marked before.
-    pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = (JobId, u32)> {
+    pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
-            (attempt.job, attempt.attempt)
+            AttemptId { job: attempt.job, number: attempt.attempt }
         })
     }
 
