--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -24,16 +24,10 @@
 
 use super::attempts::{Attempt, CallbackState};
 use super::jobs::{Job, JobHandle, JobResponse};
-use crate::handover::MIGRATION_TIMEOUT;
 
 /// Time that a job needs after its migration has timed out, to be answered by this process after all.
 const TIME_TO_ANSWER_AFTER_ROLLBACK: Micros = 500_000;
 
-/// A job that has less time left than this is not migrated: were the other process silent until the migration
-/// times out, the response would come too late.
-const MIN_TIME_LEFT_TO_MIGRATE: Micros =
-    MIGRATION_TIMEOUT.as_micros() as Micros + TIME_TO_ANSWER_AFTER_ROLLBACK;
-
 /// A job on its way from one process of this node to the other, without its payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -102,13 +96,13 @@
     }
 }
 
-/// Whether a job can be migrated: somebody waits for its response, there is time enough, and each attempt has
-/// ended or was accepted. Until a worker has accepted an attempt, its answer goes to a connection of this
-/// process.
-pub(super) fn is_migratable<P>(job: &Job<P>, now: Micros) -> bool {
+/// Whether a job can be migrated: somebody waits for its response, it could still be answered in time after a
+/// migration that times out, and each attempt has ended or was accepted. Until a worker has accepted an attempt,
+/// its answer goes to a connection of this process.
+pub(super) fn is_migratable<P>(job: &Job<P>, now: Micros, migration_timeout: Micros) -> bool {
     let is_transferable =
         |attempt: &Attempt| attempt.has_ended() || attempt.is_in_flight() && attempt.accepted;
-    let has_time = job.deadline > now + MIN_TIME_LEFT_TO_MIGRATE;
+    let has_time = job.deadline > now + migration_timeout + TIME_TO_ANSWER_AFTER_ROLLBACK;
     !job.is_settled() && has_time && job.attempts.iter().all(is_transferable)
 }
 
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -10,6 +10,8 @@
 mod job_lifecycle;
 mod job_migration;
 
+use std::time::Duration;
+
 use curlewusher_control::command::CommandResult;
 use curlewusher_control::maintenance::DisabledWorkers;
 use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Micros, Outcome, WorkerId};
@@ -42,6 +44,8 @@
     pub watch_requests: mpsc::Sender<()>,
     /// The node's counters.
     pub metrics: Metrics,
+    /// The other process of this node has answered to a migration by then, or counts as having rejected it.
+    pub migration_timeout: Duration,
 }
 
 /// The task; see the module's documentation.
@@ -53,6 +57,7 @@
     commands: mpsc::Receiver<DispatchCommand>,
     watch_requests: mpsc::Sender<()>,
     metrics: Metrics,
+    migration_timeout: Micros,
     jobs: JobTable<T::Payload>,
     migrations: Migrations<T::Payload>,
     endpoints: EndpointTable,
@@ -73,6 +78,7 @@
             commands: parts.commands,
             watch_requests: parts.watch_requests,
             metrics: parts.metrics,
+            migration_timeout: parts.migration_timeout.as_micros() as Micros,
             jobs: JobTable::default(),
             migrations: Migrations::default(),
             endpoints: EndpointTable::default(),
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -31,7 +31,7 @@
     self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
-use crate::handover::{Peer, StartupHandover};
+use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
@@ -195,6 +195,7 @@
             commands: received_commands,
             watch_requests: poll_requester,
             metrics: shared.metrics.clone(),
+            migration_timeout: MIGRATION_TIMEOUT,
         });
         let watcher = EndpointWatcher {
             address: discovery,
