--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --document-private-items
 
 run: build
 	exec target/release/curlewusher
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -103,6 +103,9 @@
 
 impl AdminCommand {
     /// Parses a line, with or without its end (`\n` or `\r\n`).
+    ///
+    /// # Errors
+    /// Says what is wrong with the line, and what would be a command.
     pub fn parse(line: &[u8]) -> Result<AdminCommand, CommandParseError> {
         let text = printable_text(line)?;
         let mut tokens = text.split_ascii_whitespace();
--- a/crates/control/src/frame/codec.rs
+++ b/crates/control/src/frame/codec.rs
@@ -8,8 +8,10 @@
 use crate::frame::message::Frame;
 
 impl Frame {
-    /// Encodes the frame under a sequence number, for a response that of its request. Fails with `TooLong` if
-    /// the payload is longer than its kind allows.
+    /// Encodes the frame under a sequence number, for a response that of its request.
+    ///
+    /// # Errors
+    /// `TooLong` if the payload is longer than its kind allows.
     pub fn encode(&self, sequence: u64) -> Result<Bytes, FrameError> {
         let payload = self.encode_payload();
         let header = FrameHeader::for_payload(self.kind().number(), sequence, &payload)?;
@@ -43,6 +45,9 @@
     }
 
     /// Takes the next frame out; `None` if more bytes must come first.
+    ///
+    /// # Errors
+    /// Says why the bytes are no frame, and the same again on every later call.
     pub fn next_frame(&mut self) -> Result<Option<ReceivedFrame>, FrameError> {
         let Some(header) = FrameHeader::parse(&self.buffer)? else { return Ok(None) };
         let frame_bytes = HEADER_BYTES + header.payload_bytes;
@@ -56,7 +61,10 @@
         Ok(Some(ReceivedFrame { sequence: header.sequence, frame }))
     }
 
-    /// Ends the input; fails with `Truncated` if that is within a frame.
+    /// Ends the input.
+    ///
+    /// # Errors
+    /// `Truncated` if that is within a frame.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::Truncated) }
     }
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -64,8 +64,10 @@
         self.ever_listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES
     }
 
-    /// Disables a worker; succeeds as well if it is disabled already. Fails if no list has ever named it, or
-    /// if [`MAX_DISABLED_WORKERS`] are disabled.
+    /// Disables a worker; succeeds as well if it is disabled already.
+    ///
+    /// # Errors
+    /// If no list has ever named it, or if [`MAX_DISABLED_WORKERS`] are disabled.
     pub fn disable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         if !self.disabled.contains(name) && self.disabled.len() >= MAX_DISABLED_WORKERS {
@@ -76,8 +78,10 @@
         Ok(())
     }
 
-    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled. Fails if no
-    /// list has ever named it.
+    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled.
+    ///
+    /// # Errors
+    /// If no list has ever named it.
     pub fn enable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         self.disabled.remove(name);
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -193,7 +193,7 @@
                 TakeoverCommand::StartAccepting => process.accepting = true,
                 TakeoverCommand::StopAccepting => process.accepting = false,
                 TakeoverCommand::ApplyPhaseEvent(event) => {
-                    process.phase = process.phase.next(event).expect("a transition of the table")
+                    process.phase = process.phase.next(event).expect("a transition of the table");
                 }
                 TakeoverCommand::SetDescriptorShare(share) => process.share = Some(share),
                 TakeoverCommand::ListenForSuccessor => self.rendezvous = Some(index),
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -145,7 +145,7 @@
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
             DispatchCommand::SetSuccessorActive(active) => {
-                self.apply_event(Event::SuccessorActive { active })
+                self.apply_event(Event::SuccessorActive { active });
             }
         }
     }
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -10,7 +10,7 @@
 //! | New, Idle | Reading | bytes of a request have arrived ([`ReadFilter`]) |
 //! | Reading | Busy | the body of the request was read to its end |
 //! | Reading, Busy | Idle | the response to the request is made |
-//! | any | Lingering | HTTP on it has ended, and this process closes it ([`lingering_close`]) |
+//! | any | Lingering | HTTP on it has ended, and this process closes it ([`lingering_close()`]) |
 
 mod filtered_stream;
 mod lingering_close;
--- a/crates/node/src/upstream/cancel_signal.rs
+++ b/crates/node/src/upstream/cancel_signal.rs
@@ -32,7 +32,7 @@
             *self = if received { CancelSignal::Received } else { CancelSignal::Closed };
         }
         if !self.is_received() {
-            pending().await
+            pending::<()>().await;
         }
     }
 
