--- /dev/null
+++ b/crates/core/tests/decisions/main.rs
@@ -0,0 +1,19 @@
+//! What a dispatcher decides, one behaviour a test; a module for each concern.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod affinity;
+mod deadlines;
+mod ejection;
+mod estimates;
+mod gossip;
+mod hedging;
+mod interface;
+mod migration;
+mod placement;
+mod poll_schedule;
+mod pre_send;
+mod retries;
+mod slow_start;
--- /dev/null
+++ b/crates/core/tests/rules/checker.rs
@@ -0,0 +1,214 @@
+//! The rules as invariants of the actions that a node asks for. The checker shares nothing with the dispatcher.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::common::*;
+
+/// A final answer may come so long after the deadline.
+const ANSWER_TOLERANCE: Micros = 20_000;
+const MAX_GOSSIP_BYTES: usize = 256;
+
+#[derive(Debug, PartialEq)]
+pub enum Violation {
+    /// Rule 1: one answer for each job, in time.
+    SecondOrLateAnswer,
+    /// Rule 1.
+    NoAnswer(JobId),
+    /// Rule 1: no attempt after the answer, or past the deadline.
+    LateAttempt,
+    /// Rule 2: what may have run is retried only as far as the class allows it.
+    UnsafeRetry,
+    /// Rule 2: what may have run is rejected only if every worker discards repeats.
+    UnsafeRejection,
+    /// Rule 3: attempts go to workers that are listed as ready and not disabled.
+    UnavailableWorker,
+    /// Rule 4: a worker that warms up gets no more than its budget, in seconds of work.
+    WarmUpBudgetExceeded {
+        work: f64,
+        budget: f64,
+    },
+    UnknownJob,
+    TooManyAttempts,
+    CancelledUnsentAttempt,
+    RevokedEndedAttempt,
+    ForbiddenGossip,
+}
+
+pub type Checked = Result<(), Violation>;
+
+fn require(condition: bool, violation: Violation) -> Checked {
+    if condition { Ok(()) } else { Err(violation) }
+}
+
+pub struct Attempt {
+    /// The worker as it was listed when the attempt was sent.
+    pub endpoint: Endpoint,
+    sent_at: Micros,
+    pub outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    fn may_have_run(&self) -> bool {
+        !self.outcome.is_some_and(Outcome::never_ran)
+    }
+}
+
+pub struct Job {
+    submission: JobSubmission,
+    pub attempts: Vec<Attempt>,
+    pub is_answered: bool,
+}
+
+impl Job {
+    pub fn deadline(&self) -> Micros {
+        self.submission.deadline
+    }
+
+    /// Seconds of work, over all slots.
+    pub fn load(&self) -> f64 {
+        self.submission.cost_hint.unwrap_or(0.1) * self.submission.slots
+    }
+}
+
+/// What the node has received, and what it has done.
+pub struct Checker {
+    settings: Settings,
+    pub jobs: BTreeMap<JobId, Job>,
+    pub endpoints: BTreeMap<WorkerId, Endpoint>,
+    /// Disabled by an operator.
+    pub disabled: BTreeSet<WorkerId>,
+    /// Most slots that any worker was observed to use: bounds the capacity at speed 1.
+    pub slots: f64,
+}
+
+impl Checker {
+    pub fn new(settings: Settings) -> Self {
+        let (jobs, endpoints, disabled) = Default::default();
+        Checker { settings, jobs, endpoints, disabled, slots: 1.0 }
+    }
+
+    pub fn record_submission(&mut self, submission: JobSubmission) {
+        self.jobs.insert(submission.job, Job { submission, attempts: Vec::new(), is_answered: false });
+    }
+
+    pub fn check(&mut self, now: Micros, action: &Action) -> Checked {
+        match action {
+            Action::SendAttempt { job, worker, timeout, send_by } => {
+                let endpoint = self.endpoints.get(worker).cloned().ok_or(Violation::UnavailableWorker)?;
+                self.check_in_time(*job, now + timeout)?;
+                self.check_send(now, &self.jobs[job], &endpoint, *send_by)?;
+                self.job(*job)?.attempts.push(Attempt { endpoint, sent_at: now, outcome: None });
+                Ok(())
+            }
+            Action::Reject { job, .. } => {
+                self.check_answer(now, *job)?;
+                self.check_rejection(&self.jobs[job])
+            }
+            Action::Fail { job } => self.check_answer(now, *job),
+            Action::CancelAttempt { job, attempt } => {
+                let is_sent = (*attempt as usize) < self.job(*job)?.attempts.len();
+                require(is_sent && self.settings.may_cancel, Violation::CancelledUnsentAttempt)
+            }
+            Action::RevokeAttempt { job, attempt } => {
+                let attempt = self.job(*job)?.attempts.get(*attempt as usize);
+                let is_in_flight = attempt.is_some_and(|attempt| attempt.outcome.is_none());
+                require(is_in_flight, Violation::RevokedEndedAttempt)
+            }
+            Action::SendGossip { data, .. } => {
+                let is_allowed = self.settings.may_gossip && data.len() <= MAX_GOSSIP_BYTES;
+                require(is_allowed, Violation::ForbiddenGossip)
+            }
+            Action::SetTimer { .. } | Action::WatchEndpoints => Ok(()),
+        }
+    }
+
+    pub fn check_all_answered(&self, now: Micros) -> Checked {
+        let is_overdue = |job: &Job| !job.is_answered && now > job.deadline() + ANSWER_TOLERANCE;
+        let overdue = self.jobs.iter().find(|(_, job)| is_overdue(job));
+        overdue.map_or(Ok(()), |(id, _)| Err(Violation::NoAnswer(*id)))
+    }
+
+    pub fn job(&mut self, job: JobId) -> Result<&mut Job, Violation> {
+        self.jobs.get_mut(&job).ok_or(Violation::UnknownJob)
+    }
+
+    fn check_answer(&mut self, now: Micros, job: JobId) -> Checked {
+        let job = self.job(job)?;
+        let is_late = now > job.deadline() + ANSWER_TOLERANCE;
+        require(!job.is_answered && !is_late, Violation::SecondOrLateAnswer)?;
+        job.is_answered = true;
+        Ok(())
+    }
+
+    fn check_rejection(&self, job: &Job) -> Checked {
+        let may_run_anywhere = matches!(
+            self.idempotency(job),
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+        );
+        let may_have_run = job.attempts.iter().any(Attempt::may_have_run);
+        require(!may_have_run || may_run_anywhere, Violation::UnsafeRejection)
+    }
+
+    fn check_in_time(&mut self, job: JobId, timeout_at: Micros) -> Checked {
+        let job = self.job(job)?;
+        require(!job.is_answered && timeout_at <= job.deadline(), Violation::LateAttempt)
+    }
+
+    fn check_send(&self, now: Micros, job: &Job, to: &Endpoint, send_by: Option<Micros>) -> Checked {
+        let is_available = to.status == WorkerStatus::Ready && !self.disabled.contains(&to.worker);
+        require(is_available, Violation::UnavailableWorker)?;
+        let has_attempt_in_flight = job.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        let may_send = self.settings.may_hedge || !has_attempt_in_flight;
+        let has_attempts_left = job.attempts.len() < self.settings.max_attempts as usize;
+        require(may_send && has_attempts_left, Violation::TooManyAttempts)?;
+        self.check_retry(job, to, now, send_by)?;
+        self.check_warm_up_budget(job, to, now)
+    }
+
+    fn idempotency(&self, job: &Job) -> Idempotency {
+        self.settings.classes[job.submission.class.0].idempotency
+    }
+
+    fn check_retry(&self, job: &Job, to: &Endpoint, now: Micros, send_by: Option<Micros>) -> Checked {
+        let may_follow = |earlier: &Attempt| match self.idempotency(job) {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::WithKey { scope, window } => {
+                let in_scope = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => earlier.endpoint.zone == to.zone,
+                    DeduplicationScope::Cell => earlier.endpoint.cell == to.cell,
+                };
+                in_scope && send_by.is_some_and(|by| now < by && by < earlier.sent_at + window)
+            }
+        };
+        let mut may_have_run = job.attempts.iter().filter(|attempt| attempt.may_have_run());
+        require(may_have_run.all(may_follow), Violation::UnsafeRetry)
+    }
+
+    fn is_warming_up(&self, endpoint: &Endpoint, now: Micros) -> bool {
+        endpoint.started_at > 0 && now < endpoint.started_at + self.settings.warm_up
+    }
+
+    fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Micros) -> Checked {
+        if !self.is_warming_up(to, now) {
+            return Ok(());
+        }
+        let settings = &self.settings;
+        let age = (now - to.started_at) as f64 / settings.warm_up as f64;
+        let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * age;
+        let window = settings.overload_window as f64 / 1e6;
+        // One of many nodes may have its turn, but never the whole budget.
+        let share = f64::from(settings.nodes.min(2));
+        let budget = settings.overload_factor * warm_up_fraction * self.slots * window / share;
+        let is_counted = |attempt: &&Attempt| {
+            attempt.endpoint.worker == to.worker
+                && attempt.sent_at + settings.overload_window > now
+                && self.is_warming_up(&attempt.endpoint, attempt.sent_at)
+        };
+        let load_in_window =
+            |other: &Job| other.attempts.iter().filter(is_counted).count() as f64 * other.load();
+        let work = job.load() + self.jobs.values().map(load_in_window).sum::<f64>();
+        require(work <= budget, Violation::WarmUpBudgetExceeded { work, budget })
+    }
+}
