--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -9,6 +9,7 @@
 
 use crate::admin::listener::AdminListenerError;
 use crate::config::ConfigError;
+use crate::telemetry::logging::LoggingError;
 
 /// Why the node does not serve, or no longer serves. Each text names the cause and what an operator can do.
 #[derive(Debug, Error)]
@@ -34,7 +35,7 @@
     Settings(#[from] SettingsError),
     /// The log cannot be written as the operator's file configures it.
     #[error("operator file: log: {0}")]
-    Logging(String),
+    Logging(#[from] LoggingError),
     /// The system denies the resources of the asynchronous runtime.
     #[error("the runtime does not start: {0}; raise the limits of this user, and start it again")]
     Runtime(#[source] io::Error),
--- a/crates/node/src/runtime/mod.rs
+++ b/crates/node/src/runtime/mod.rs
@@ -38,7 +38,7 @@
     let mut signals = Signals::install()?;
     let config = Config::read(sources)?;
     // Dropped after the node: what its parts log while they are dropped is still written.
-    let logging = Logging::start(&config.operator.log).map_err(ServeError::Logging)?;
+    let logging = Logging::start(&config.operator.log)?;
     match startup::start_node(config, &logging, &mut signals.terminate).await? {
         Some(node) => node.run_until_shutdown(sources, &logging, signals).await,
         None => Ok(()),
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -309,7 +309,7 @@
 fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
         operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
-    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped())
+    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped_lines())
 }
 
 /// Sets what decisions on real sockets need otherwise than in a simulator.
--- /dev/null
+++ b/crates/node/src/telemetry/logging/line_filter.rs
@@ -0,0 +1,118 @@
+//! Which lines are written: a level and a rate limit for each target. Both can change while lines are written.
+
+use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Instant;
+
+use curlewusher_settings::operator::{LogLevel, LogOptions, LogTarget};
+use tracing::level_filters::LevelFilter;
+use tracing::subscriber::Interest;
+use tracing::{Event, Metadata, Subscriber};
+use tracing_subscriber::layer::{Context, Filter};
+
+use super::rate_limiter::RateLimiter;
+
+const TARGET_COUNT: usize = LogTarget::ALL.len();
+
+/// The least severe level that is written.
+#[derive(Default)]
+struct AtomicLevel(AtomicU8);
+
+impl AtomicLevel {
+    fn store(&self, level: LogLevel) {
+        self.0.store(level as u8, Ordering::Relaxed);
+    }
+
+    fn load(&self) -> LevelFilter {
+        const LEVELS: [(LogLevel, LevelFilter); 6] = [
+            (LogLevel::Off, LevelFilter::OFF),
+            (LogLevel::Error, LevelFilter::ERROR),
+            (LogLevel::Warn, LevelFilter::WARN),
+            (LogLevel::Info, LevelFilter::INFO),
+            (LogLevel::Debug, LevelFilter::DEBUG),
+            (LogLevel::Trace, LevelFilter::TRACE),
+        ];
+        let stored = self.0.load(Ordering::Relaxed);
+        let level = LEVELS.iter().find(|(level, _)| *level as u8 == stored);
+        level.map_or(LevelFilter::TRACE, |(_, filter)| *filter)
+    }
+}
+
+/// Levels and rate limits of the targets, by their index in [`LogTarget::ALL`].
+pub struct LineFilter {
+    levels: [AtomicLevel; TARGET_COUNT],
+    /// Rate limit of each target.
+    lines_per_s: AtomicU64,
+    rate_limiters: Mutex<[RateLimiter; TARGET_COUNT]>,
+    rate_limited: AtomicU64,
+}
+
+impl LineFilter {
+    /// A filter whose targets have not written anything yet.
+    pub fn new(options: &LogOptions) -> Self {
+        let lines_per_s = options.lines_per_s.get();
+        let new_rate_limiter = |_| RateLimiter::new(lines_per_s as f64, Instant::now());
+        let filter = LineFilter {
+            levels: Default::default(),
+            lines_per_s: AtomicU64::new(lines_per_s),
+            rate_limiters: Mutex::new(std::array::from_fn(new_rate_limiter)),
+            rate_limited: AtomicU64::new(0),
+        };
+        filter.apply(options);
+        filter
+    }
+
+    /// Changes levels and rate limit.
+    pub fn apply(&self, options: &LogOptions) {
+        for (level, target) in self.levels.iter().zip(LogTarget::ALL) {
+            level.store(options.level_of(target));
+        }
+        self.lines_per_s.store(options.lines_per_s.get(), Ordering::Relaxed);
+    }
+
+    /// Lines that the rate limit has dropped so far.
+    pub fn rate_limited(&self) -> u64 {
+        self.rate_limited.load(Ordering::Relaxed)
+    }
+
+    /// Whether a target may write a line now; counts the line as dropped if not.
+    fn try_acquire(&self, target: usize, now: Instant) -> bool {
+        let lines_per_s = self.lines_per_s.load(Ordering::Relaxed) as f64;
+        let mut rate_limiters = self.rate_limiters.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_admitted = rate_limiters[target].try_acquire(lines_per_s, now);
+        if !is_admitted {
+            self.rate_limited.fetch_add(1, Ordering::Relaxed);
+        }
+        is_admitted
+    }
+}
+
+/// Index of the target of a line. Lines of other crates have none and are not written.
+fn target_index(line: &Metadata<'_>) -> Option<usize> {
+    LogTarget::ALL.iter().position(|target| target.name() == line.target())
+}
+
+/// The filter in the form in which the subscriber takes it.
+pub struct SharedLineFilter(pub Arc<LineFilter>);
+
+impl<S: Subscriber> Filter<S> for SharedLineFilter {
+    fn enabled(&self, line: &Metadata<'_>, _: &Context<'_, S>) -> bool {
+        target_index(line).is_some_and(|target| *line.level() <= self.0.levels[target].load())
+    }
+
+    fn callsite_enabled(&self, line: &'static Metadata<'static>) -> Interest {
+        if target_index(line).is_some() { Interest::sometimes() } else { Interest::never() }
+    }
+
+    fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
+        target_index(event.metadata()).is_some_and(|target| self.0.try_acquire(target, Instant::now()))
+    }
+
+    fn max_level_hint(&self) -> Option<LevelFilter> {
+        self.0.levels.iter().map(AtomicLevel::load).max()
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/line_filter.rs"]
+mod tests;
--- a/crates/node/src/telemetry/metrics.rs
+++ b/crates/node/src/telemetry/metrics.rs
@@ -11,6 +11,8 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
+use crate::telemetry::logging::DroppedLines;
+
 type Labels = Vec<(&'static str, String)>;
 
 /// Family, labels, help.
@@ -79,7 +81,7 @@
     answers: Vec<[Histogram; KINDS.len()]>,
     registry: Registry,
     /// Lines dropped from the log, by the two reasons.
-    dropped: Box<dyn Fn() -> [u64; 2] + Send + Sync>,
+    dropped: Box<dyn Fn() -> DroppedLines + Send + Sync>,
 }
 
 impl Metrics {
@@ -87,7 +89,7 @@
     pub fn new(
         classes: &[String],
         bounds: &[f64],
-        dropped: impl Fn() -> [u64; 2] + Send + Sync + 'static,
+        dropped: impl Fn() -> DroppedLines + Send + Sync + 'static,
     ) -> Self {
         let mut registry = Registry::default();
         let mut counts: Vec<Count> = Vec::new();
@@ -143,9 +145,9 @@
 
     /// All of them in the OpenMetrics text form, which Prometheus reads.
     pub fn text(&self) -> String {
-        let [flood, stalled] = (self.0.dropped)();
-        self.bring_up_to(Counter::LinesFlooded, flood);
-        self.bring_up_to(Counter::LinesStalled, stalled);
+        let DroppedLines { rate_limited, queue_full } = (self.0.dropped)();
+        self.bring_up_to(Counter::LinesFlooded, rate_limited);
+        self.bring_up_to(Counter::LinesStalled, queue_full);
         let mut out = String::new();
         // A string takes all that is written to it.
         let _ = encode(&mut out, &self.0.registry);
--- a/crates/settings/src/operator/options.rs
+++ b/crates/settings/src/operator/options.rs
@@ -58,14 +58,20 @@
 }
 
 impl LogTarget {
-    /// All targets with the names that the file and the log lines give them.
-    pub const ALL: [(LogTarget, &str); 5] = [
-        (LogTarget::Node, "node"),
-        (LogTarget::Dispatch, "dispatch"),
-        (LogTarget::Server, "sender_side"),
-        (LogTarget::Upstream, "next_hop"),
-        (LogTarget::Discovery, "transport_map"),
-    ];
+    /// All targets.
+    pub const ALL: [LogTarget; 5] =
+        [LogTarget::Node, LogTarget::Dispatch, LogTarget::Server, LogTarget::Upstream, LogTarget::Discovery];
+
+    /// The name that the file and the log lines give the target.
+    pub const fn name(self) -> &'static str {
+        match self {
+            LogTarget::Node => "node",
+            LogTarget::Dispatch => "dispatch",
+            LogTarget::Server => "sender_side",
+            LogTarget::Upstream => "next_hop",
+            LogTarget::Discovery => "transport_map",
+        }
+    }
 }
 
 /// The log on standard error.
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -27,8 +27,9 @@
         format!("next_hop.withdrawal_ms: {:?}", read.upstream.cancellation_timeout_ms.millis()),
         format!("metrics.answer_bounds_ms: {:?}", metrics.response_time_bounds_ms),
     ];
-    lines
-        .extend(LogTarget::ALL.map(|(part, name)| format!("level of {name}: {}", json!(log.level_of(part)))));
+    lines.extend(
+        LogTarget::ALL.map(|target| format!("level of {}: {}", target.name(), json!(log.level_of(target)))),
+    );
     lines.join("\n") + "\n"
 }
 
