--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -103,7 +103,7 @@
     }
 
     fn resolve_record(&mut self, record: &EndpointRecord) -> NamedEndpoint {
-        let listing = Endpoint {
+        let endpoint = Endpoint {
             worker: WorkerId::from_name(&record.name),
             zone: ZoneId(index_of_name(&mut self.zones, &record.zone)),
             kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
@@ -112,7 +112,7 @@
             started_at: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
             size: record.weight,
         };
-        NamedEndpoint { name: record.name.as_str().into(), address: record.address, listing }
+        NamedEndpoint { name: record.name.as_str().into(), address: record.address, endpoint }
     }
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -56,18 +56,17 @@
     /// Makes an attempt.
     pub async fn run(&self, request: AttemptRequest<RequestPayload>) {
         let _in_flight = self.in_flight.enter();
-        let AttemptRequest { key: id, id: request_id, to: address, payload, wait, give_up, send_permit } =
-            request;
-        let attempt = Attempt { id, request_id, address, deadline: Instant::now() + wait };
-        let mut cancel = CancelSignal::from(give_up);
-        let outcome = match payload.to_request(address, wait) {
+        let AttemptRequest { id, request_id, address, payload, timeout, cancel, send_permit } = request;
+        let attempt = Attempt { id, request_id, address, deadline: Instant::now() + timeout };
+        let mut cancel = CancelSignal::from(cancel);
+        let outcome = match payload.to_request(address, timeout) {
             Ok(request) => {
                 let exchange = Exchange {
                     address,
                     request,
                     send_permit: &send_permit,
                     cancel: &mut cancel,
-                    response_timeout: wait + LATE_RESPONSE_TIMEOUT,
+                    response_timeout: timeout + LATE_RESPONSE_TIMEOUT,
                 };
                 exchange.run(&self.pool).await
             }
@@ -79,10 +78,10 @@
     /// Takes over an attempt that a worker has accepted from another process of this node: waits whether it
     /// is to be cancelled.
     pub async fn resume(&self, request: AttemptRequest<RequestPayload>) {
-        let AttemptRequest { key: id, id: request_id, to: address, wait, give_up, .. } = request;
-        if give_up.await.is_ok() {
+        let AttemptRequest { id, request_id, address, timeout, cancel, .. } = request;
+        if cancel.await.is_ok() {
             let _in_flight = self.in_flight.enter();
-            let attempt = Attempt { id, request_id, address, deadline: Instant::now() + wait };
+            let attempt = Attempt { id, request_id, address, deadline: Instant::now() + timeout };
             self.cancel_and_report(&attempt, AttemptConnection::Other).await;
         }
     }
