--- a/example/try.sh
+++ b/example/try.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Starts the toy server and a node, hands in one job, shows the answer and the counters, and ends both.
+# Starts the toy server and a node, submits one job, prints the answer and the counters, and stops both.
 set -eu
 cd "$(dirname "$0")/.."
 cargo build --release --locked --package curlewusher-node --examples --bins
