--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -28,10 +28,10 @@
 use crate::discovery::endpoint_list::{EndpointResolver, NO_LIST_INDEX};
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
-    self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
+    self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
-use crate::handover::{Peer, StartupHandover};
+use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
@@ -86,7 +86,7 @@
         descriptors: DescriptorBudget,
         operator: &OperatorFile,
     ) -> (Self, mpsc::Receiver<DispatchMessage<RequestPayload>>) {
-        let (dispatch_queue, messages) = dispatch::queue(descriptors.max_connections());
+        let (dispatch_queue, messages) = dispatch::create_queue(descriptors.max_connections());
         let shared = SharedState {
             clock: Clock::new(),
             lifecycle: Lifecycle::new(),
@@ -194,15 +194,16 @@
         let saved_index = if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index };
         let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
-        let dispatch_task = DispatchTask::new(
+        let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
-            shared.clock,
-            upstream.clone(),
-            dispatch_messages,
-            received_commands,
-            poll_requester,
-            shared.metrics.clone(),
-        );
+            clock: shared.clock,
+            transport: upstream.clone(),
+            messages: dispatch_messages,
+            commands: received_commands,
+            watch_requests: poll_requester,
+            metrics: shared.metrics.clone(),
+            migration_timeout: MIGRATION_TIMEOUT,
+        });
         let watcher = EndpointWatcher {
             address: discovery,
             resolver,
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -107,8 +107,8 @@
     owner_sender: Option<oneshot::Sender<JobOwner>>,
 ) -> DispatchMessage<P> {
     DispatchMessage::Callback {
-        id: report.request_id,
-        worker: report.worker_name,
+        request_id: report.request_id,
+        worker_name: report.worker_name,
         state: report.state,
         owner: owner_sender,
     }
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -54,7 +54,7 @@
     let payload = RequestPayload {
         method: record.method.parse().ok()?,
         path: record.path.parse().ok()?,
-        request_id: HeaderValue::from_str(record.migration.id()).ok()?,
+        request_id: HeaderValue::from_str(record.migration.request_id()).ok()?,
         idempotency_key: text_to_header(record.idempotency_key)?,
         content_type: text_to_header(record.content_type)?,
         body: rest,
