--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -28,10 +28,10 @@
 use crate::discovery::endpoint_list::{EndpointResolver, NO_LIST_INDEX};
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
-    self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
+    self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
-use crate::handover::{Peer, StartupHandover};
+use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
@@ -86,7 +86,7 @@
         descriptors: DescriptorBudget,
         operator: &OperatorFile,
     ) -> (Self, mpsc::Receiver<DispatchMessage<RequestPayload>>) {
-        let (dispatch_queue, messages) = dispatch::queue(descriptors.max_connections());
+        let (dispatch_queue, messages) = dispatch::create_queue(descriptors.max_connections());
         let shared = SharedState {
             clock: Clock::new(),
             lifecycle: Lifecycle::new(),
@@ -180,11 +180,11 @@
 
 impl NodeParts {
     fn build(config: Config, logging: &Logging) -> Result<Self, ServeError> {
-        let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
+        let Config { name, listen, discovery, admin, seed, limits, known, mut site, operator } = config;
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
         let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
-        let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
+        let descriptors = DescriptorBudget::divide(limits.sockets, admin.is_some());
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
 
@@ -194,15 +194,16 @@
         let saved_index = if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index };
         let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
-        let dispatch_task = DispatchTask::new(
+        let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
-            shared.clock,
-            upstream.clone(),
-            dispatch_messages,
-            received_commands,
-            poll_requester,
-            shared.metrics.clone(),
-        );
+            clock: shared.clock,
+            transport: upstream.clone(),
+            messages: dispatch_messages,
+            commands: received_commands,
+            watch_requests: poll_requester,
+            metrics: shared.metrics.clone(),
+            migration_timeout: MIGRATION_TIMEOUT,
+        });
         let watcher = EndpointWatcher {
             address: discovery,
             resolver,
@@ -216,9 +217,7 @@
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
-            admin_listener: console
-                .map(|at| AdminListener::open(at, shared.lifecycle.clone()))
-                .transpose()?,
+            admin_listener: admin.map(|at| AdminListener::open(at, shared.lifecycle.clone())).transpose()?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
             name,
             listen,
@@ -311,7 +310,7 @@
 fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
         operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
-    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped())
+    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped_lines())
 }
 
 /// Sets what decisions on real sockets need otherwise than in a simulator.
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -72,7 +72,7 @@
     /// Whether a job of that id is open.
     pub async fn holds_job(&self, id: String) -> bool {
         let (held_sender, held) = oneshot::channel();
-        let query = DispatchMessage::QueryJob { id, held: held_sender };
+        let query = DispatchMessage::QueryJob { request_id: id, held: held_sender };
         self.state.queue.send(query).await.is_ok() && held.await.unwrap_or(false)
     }
 }
