--- a/crates/node/tests/random_lives/ledger.rs
+++ b/crates/node/tests/random_lives/ledger.rs
@@ -135,6 +135,18 @@
     pub settled: bool,
 }
 
+/// An attempt as it arrives at a worker.
+pub struct Arrival<'a> {
+    pub message: &'a Message,
+    pub worker: usize,
+    /// Zone and cell of the worker.
+    pub cell: (usize, usize),
+    /// Set where the node was notified that the worker is to get nothing new.
+    pub stop: Option<Stop>,
+    /// The attempt cannot have arrived before this.
+    pub earliest: Instant,
+}
+
 impl Job {
     pub fn is_open(&self) -> bool {
         matches!(self.fate, Fate::Begun | Fate::Waits)
@@ -145,15 +157,9 @@
         format!("result {attempt} of {}", self.id)
     }
 
-    /// An attempt whose last byte has come to a next hop: it cannot have come before `earliest`.
-    pub fn arrived(
-        &self,
-        message: &Message,
-        (hop, cell): (usize, (usize, usize)),
-        stop: Option<Stop>,
-        earliest: Instant,
-        rules: Rules,
-    ) -> Result<(), String> {
+    /// Checks an attempt whose last byte has arrived at a worker.
+    pub fn arrived(&self, arrival: &Arrival, rules: Rules) -> Result<(), String> {
+        let Arrival { message, worker: hop, cell, stop, earliest } = *arrival;
         let Some((_, events)) = self.sent else { return Err("sent on before it was whole".into()) };
         let start = format!("POST {} HTTP/1.1", self.path);
         let same = message.start == start
--- a/crates/node/tests/random_lives/life.rs
+++ b/crates/node/tests/random_lives/life.rs
@@ -15,7 +15,7 @@
 use fastrand::Rng;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-use super::ledger::{Attempt, Class, Ended, Fate, Job, Rules, Scope, Stop};
+use super::ledger::{Arrival, Attempt, Class, Ended, Fate, Job, Rules, Scope, Stop};
 use super::script::{self, Act, Hearing, Reply, Word};
 use super::wire::{End, Wire};
 use crate::common::{LONG, Message, Node, list};
@@ -105,6 +105,16 @@
     said: Instant,
 }
 
+/// How a worker's callback is written to the node.
+#[derive(Clone, Copy, Debug)]
+enum Delivery {
+    Whole {
+        times: u8,
+    },
+    /// Once: the second half follows later.
+    InTwoParts,
+}
+
 /// What lives came to: how many of each.
 pub type Tally = [(&'static str, usize); 9];
 
@@ -523,8 +533,8 @@
             match act {
                 Act::Pause => {}
                 Act::Repeat(word) => self.repeat(job, attempt, word),
-                Act::Tell(word, times) => self.tell(job, attempt, word, times, false),
-                Act::TellSlowly(word) => self.tell(job, attempt, word, 1, true),
+                Act::Tell(word, times) => self.send_callbacks(job, attempt, word, Delivery::Whole { times }),
+                Act::TellSlowly(word) => self.send_callbacks(job, attempt, word, Delivery::InTwoParts),
                 Act::Reply(_) | Act::Close | Act::Reset => {
                     self.links[link].wire.read();
                     let this = &self.links[link];
@@ -622,7 +632,8 @@
         format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}")
     }
 
-    fn tell(&mut self, job: usize, attempt: usize, word: Word, times: u8, slowly: bool) {
+    /// Sends a worker's callbacks, after what they say is written down.
+    fn send_callbacks(&mut self, job: usize, attempt: usize, word: Word, delivery: Delivery) {
         let text = self.words(job, attempt, word);
         let this = &mut self.jobs[job];
         match word {
@@ -637,8 +648,11 @@
             // It never began, whatever was thought of it before.
             Word::Returned => this.attempts[attempt].ended = Some(Ended { ran: false }),
         }
-        self.note(job, format!("attempt {attempt}: tells {word:?}, {times} times, slowly: {slowly}"));
-        let cut = if slowly { text.len() / 2 } else { text.len() };
+        self.note(job, format!("attempt {attempt}: callback {word:?}, {delivery:?}"));
+        let (cut, times) = match delivery {
+            Delivery::Whole { times } => (text.len(), times),
+            Delivery::InTwoParts => (text.len() / 2, 1),
+        };
         for _ in 0..times {
             self.call(text.clone(), cut, 0);
         }
@@ -756,7 +770,8 @@
         let hop = self.links[link].hop;
         let (cell, stop) = (self.hops[hop].cell, self.hops[hop].stop);
         self.note(job, format!("attempt {} comes to {hop} of cell {cell:?}", self.jobs[job].attempts.len()));
-        let judged = self.jobs[job].arrived(message, (hop, cell), stop, self.earliest, self.rules);
+        let arrival = Arrival { message, worker: hop, cell, stop, earliest: self.earliest };
+        let judged = self.jobs[job].arrived(&arrival, self.rules);
         if let Err(what) = judged {
             self.broken(Some(job), &what);
         }
