--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -98,7 +98,7 @@
         state: &mut WatchState,
         failure: WatchFailure,
     ) -> Result<(), DispatchStopped> {
-        self.metrics.add(Counter::ListFailures);
+        self.metrics.add(Counter::EndpointWatchFailures);
         warn!(target: DISCOVERY, "transport map: {}", failure.error);
         if failure.is_current && matches!(failure.error, WatchError::Malformed(_)) {
             self.notify(DispatchMessage::EndpointsUnreadable).await?;
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -100,7 +100,7 @@
         let Some(worker) = worker.filter(|_| send_permit.is_valid()) else { return SendResult::NotSent(id) };
         let address = worker.address;
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
-        self.metrics.add(Counter::Sent);
+        self.metrics.add(Counter::AttemptsStarted);
         let request_id = Rc::clone(&job.request_id);
         debug!(
             target: DISPATCH,
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -18,7 +18,7 @@
     pub(super) fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
-        self.metrics.add(Counter::Accepted);
+        self.metrics.add(Counter::AttemptsAccepted);
         self.apply_event(Event::AttemptAccepted { job: id.job, attempt: id.number });
     }
 
@@ -37,11 +37,11 @@
         self.metrics.add(Counter::Callbacks);
         trace!(target: DISPATCH, request_id, worker, "callback received");
         let Some((id, effect)) = self.interpret_callback(request_id, worker, &state) else {
-            return self.metrics.add(Counter::CallbacksIdle);
+            return self.metrics.add(Counter::CallbacksWithoutEffect);
         };
         let (job, attempt) = (id.job, id.number);
         match effect {
-            CallbackEffect::Ignored => self.metrics.add(Counter::CallbacksIdle),
+            CallbackEffect::Ignored => self.metrics.add(Counter::CallbacksWithoutEffect),
             CallbackEffect::Ambiguous => self.cancel_attempt(id, Outcome::Error),
             CallbackEffect::Started => {
                 debug!(target: DISPATCH, request_id, attempt, worker, "attempt started");
@@ -87,7 +87,7 @@
             return;
         };
         attempt.request_cancellation(outcome);
-        self.metrics.add(Counter::GivenUp);
+        self.metrics.add(Counter::AttemptsAbandoned);
     }
 
     /// Records the end of an attempt; only the first end of each counts.
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -8,7 +8,7 @@
 
 use super::DispatchTask;
 use crate::dispatch::jobs::{Job, JobOwner, JobResponse, SubmittedJob};
-use crate::dispatch::outcomes::response_counter;
+use crate::dispatch::outcomes::response_kind;
 use crate::dispatch::transport::AttemptTransport;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
@@ -20,7 +20,7 @@
             let _ = submitted.response_channel.send(JobResponse::Duplicate);
             return;
         }
-        self.metrics.add(Counter::Taken);
+        self.metrics.add(Counter::JobsReceived);
         log_submission(&submitted);
         let job = self.jobs.reserve(Rc::clone(&submitted.request_id));
         submitted.job_handle.set_job_id(job);
@@ -59,7 +59,7 @@
         if job.response_channel.take().is_none() {
             return;
         }
-        self.metrics.add(Counter::ClientsGone);
+        self.metrics.add(Counter::ClientsDisconnected);
         debug!(target: DISPATCH, request_id = %job.request_id, "client disconnected");
         self.apply_event(Event::ClientDisconnected { job: id });
         self.jobs.remove_if_finished(id);
@@ -78,11 +78,11 @@
     pub(super) fn respond(&mut self, id: JobId, response: JobResponse) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(response_channel) = job.response_channel.take() else { return };
-        let counter = response_counter(&response);
+        let kind = response_kind(&response);
         let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
-        self.metrics.answered(counter, job.class.0, elapsed);
+        self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
-        debug!(target: DISPATCH, request_id = %job.request_id, response = ?counter, elapsed_ms, "answered");
+        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "answered");
         // A client that disconnects in this moment needs no response.
         let _ = response_channel.send(response);
     }
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -65,7 +65,7 @@
         let Some(outgoing) = self.migrations.remove_outgoing(id) else { return };
         if accepted {
             self.jobs.release(&outgoing.job.request_id);
-            self.metrics.add(Counter::MovedAway);
+            self.metrics.add(Counter::JobsMigratedAway);
         } else {
             self.roll_back_migration(id, outgoing);
         }
@@ -134,7 +134,7 @@
             .map(|(attempt, number)| self.resume_attempt(&resumed, number, attempt))
             .collect();
         debug!(target: DISPATCH, %request_id, "job migrated from the other process");
-        self.metrics.add(Counter::MovedHere);
+        self.metrics.add(Counter::JobsMigratedHere);
         self.jobs.insert(
             id,
             Job {
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -227,7 +227,7 @@
 
     /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
     fn update_endpoints(&mut self, now: Micros, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
-        self.metrics.add(Counter::ListChanges);
+        self.metrics.add(Counter::EndpointListUpdates);
         self.disabled_workers.record_listed(endpoints.iter().map(|listed| &*listed.name));
         let entries: Vec<Endpoint> = endpoints.iter().map(|listed| listed.endpoint.clone()).collect();
         if snapshot {
--- a/crates/node/src/runtime/supervision.rs
+++ b/crates/node/src/runtime/supervision.rs
@@ -63,7 +63,7 @@
         if let Some(task) = ended_task {
             return Err(ServeError::TaskEnded(task));
         }
-        logging.write_final_metrics(&metrics.text());
+        logging.write_final_metrics(&metrics.encode());
         Ok(())
     }
 }
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -125,7 +125,7 @@
             // What has arrived is read first, however late that is: it may be the end of a request, which
             // would be lost. Its length is bounded.
             if self.connection.read_expired.replace(false) && !self.has_unread_input() {
-                self.metrics.add(Counter::Cut);
+                self.metrics.add(Counter::ConnectionsTimedOut);
                 if self.forwardable_bytes > 0 || self.buffered.is_empty() || self.intake_closed.get() {
                     return Poll::Ready(Ok(()));
                 }
@@ -170,7 +170,7 @@
             Ok(httparse::Status::Partial) if self.buffered.len() <= MAX_HEAD_BYTES => return,
             // hyper answers what is wrong with it more precisely; nothing behind it is read.
             Ok(httparse::Status::Partial) | Err(_) => {
-                self.metrics.add(Counter::Rejected);
+                self.metrics.add(Counter::RequestsMalformed);
                 self.forwardable_bytes = UNLIMITED;
                 return;
             }
@@ -190,7 +190,7 @@
 
     /// Has hyper answer 400 in place of serving what is buffered.
     fn substitute_invalid_request(&mut self) {
-        self.metrics.add(Counter::Rejected);
+        self.metrics.add(Counter::RequestsMalformed);
         self.buffered.clear();
         self.buffered.extend_from_slice(INVALID_REQUEST);
         self.forwardable_bytes = UNLIMITED;
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -31,7 +31,7 @@
         let intake_closed = state.intake_closed.get();
         if intake_closed || body.is_ok() && state.open_jobs.get() >= state.max_open_jobs() {
             if !intake_closed {
-                state.metrics.add(Counter::Crowded);
+                state.metrics.add(Counter::RequestsShed);
             }
             return Ok(response::rejected(state.options.get().overload_retry_ms.millis()));
         }
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -104,7 +104,7 @@
             Route::Job => self.handle_job(request).await,
             Route::Callback => self.handle_callback(request).await,
             Route::Readiness => Ok(response::readiness(self.state.lifecycle.phase())),
-            Route::Metrics => Ok(response::metrics(self.state.metrics.text())),
+            Route::Metrics => Ok(response::metrics(self.state.metrics.encode())),
             Route::MethodNotAllowed { allowed } => Ok(response::method_not_allowed(allowed)),
             Route::NotFound => Err(RequestError::NotFound),
         };
@@ -118,7 +118,7 @@
 
     /// The response to a request that is not served; its connection is closed to free its descriptor.
     fn reject_request(&self, error: &RequestError) -> HttpResponse {
-        self.state.metrics.add(Counter::Rejected);
+        self.state.metrics.add(Counter::RequestsMalformed);
         debug!(target: SERVER, status = error.status().as_u16(), reason = %error, "request rejected");
         let mut response = response::from_error(error);
         response::set_connection_close(&mut response);
--- a/crates/node/src/telemetry/mod.rs
+++ b/crates/node/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What the node says about itself: metrics and the log.
+//! What the node reports about itself: metrics and the log.
 
 pub mod logging;
 pub mod metrics;
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -108,7 +108,7 @@
             if is_acknowledged(&self.send(target, &send_permit).await, connection) {
                 return;
             }
-            self.metrics.add(Counter::WithdrawalsUnheard);
+            self.metrics.add(Counter::CancellationsUnacknowledged);
             debug!(target: UPSTREAM, %request_id, %address, "cancellation not acknowledged");
             sleep(delay).await;
             delay = (2 * delay).min(MAX_RETRY_DELAY);
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -194,7 +194,7 @@
     if let Err(error) = connection.await
         && !error.source().is_some_and(|source| source.is::<io::Error>())
     {
-        metrics.add(Counter::SpoiltAnswers);
+        metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, %error, "connection closed");
     }
 }
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -127,13 +127,13 @@
     }
 
     async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        self.metrics.add(Counter::Connects);
+        self.metrics.add(Counter::WorkerConnections);
         trace!(target: UPSTREAM, %address, "connecting");
         let epoch = self.idle.borrow_mut().entry(address).or_default().epoch();
         let dialled = timeout(self.config.connect_timeout, self.dial_within_budget(address, epoch)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|error| {
-            self.metrics.add(Counter::ConnectsFailed);
+            self.metrics.add(Counter::WorkerConnectionFailures);
             debug!(target: UPSTREAM, %address, %error, "connection not established");
             ConnectError::from(error)
         })
@@ -181,7 +181,7 @@
 
     /// Counts a response that was none, or not whole.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
-        self.metrics.add(Counter::SpoiltAnswers);
+        self.metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, reason, "malformed response");
     }
 }
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -86,7 +86,7 @@
             Err(error) => Err(error),
             Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => {
-                self.metrics.add(Counter::SpoiltAnswers);
+                self.metrics.add(Counter::MalformedWorkerResponses);
                 let address = self.stream.peer_addr().ok();
                 debug!(target: UPSTREAM, ?address, "unsolicited data on an idle connection");
                 Err(ErrorKind::InvalidData.into())
