--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -1,5 +1,7 @@
 //! Drives the nodes of a fleet with drawn events, and carries out their actions in virtual time.
 
+mod external_events;
+
 use std::collections::BTreeMap;
 
 use crate::common::*;
@@ -307,104 +309,6 @@
         self.handle(process, event);
     }
 
-    fn play_external_event(&mut self) {
-        let process = self.rng.usize(0..self.processes.len());
-        match self.rng.u8(0..100) {
-            0..70 => self.submit_job(process),
-            70..76 => self.change_list(),
-            76..80 => self.play_watch_event(process),
-            80 => {
-                let disabled = self.rng.u8(0..3) == 0;
-                let worker = WorkerId(self.rng.u64(0..=self.endpoints.len() as u64));
-                self.handle_at_all(Event::MaintenanceChanged { worker, disabled });
-            }
-            81..84 => {
-                if let Some(job) = self.choose_open_job() {
-                    self.mark_answered(job);
-                    self.handle(self.jobs[&job].process, Event::ClientDisconnected { job });
-                }
-            }
-            84 => {
-                let data: Vec<u8> = (0..self.rng.usize(0..40)).map(|_| self.rng.u8(..)).collect();
-                let from = self.rng.u32(0..5);
-                self.handle(process, Event::GossipReceived { from, data: &data });
-            }
-            85 => self.end_unknown_attempt(process),
-            _ => self.handle(process, Event::TimerExpired),
-        }
-    }
-
-    /// The end of an attempt that is not in flight, there or at all.
-    fn end_unknown_attempt(&mut self, process: usize) {
-        let job = JobId(self.rng.u64(0..=self.jobs.len() as u64));
-        if !self.jobs.get(&job).is_some_and(|state| state.in_flight.contains_key(&0)) {
-            let (attempt, outcome, settled) = (0, Outcome::Error, false);
-            self.handle(process, Event::AttemptEnded { job, attempt, outcome, settled });
-        }
-    }
-
-    /// An open watch confirms the list, or fails.
-    fn play_watch_event(&mut self, process: usize) {
-        if !self.processes[process].is_watching {
-            return;
-        }
-        let event = match self.rng.u8(0..12) {
-            0..8 => return self.handle(process, Event::EndpointsConfirmed),
-            8 => Event::EndpointsUnreadable,
-            9 => Event::DiscoveryMoved,
-            _ => Event::TimerExpired,
-        };
-        self.handle(process, event);
-        self.handle(process, Event::WatchFailed);
-        self.processes[process].is_watching = !self.fleet.settings.endpoints_on_request;
-    }
-
-    fn submit_job(&mut self, process: usize) {
-        let job = JobId(self.jobs.len() as u64);
-        let work = 0.01 + self.rng.f64() * 0.2;
-        // Less than the usual time left: a client's retry.
-        let time_left =
-            if self.rng.u8(0..5) == 0 { self.rng.u64(SECOND / 10..5 * SECOND) } else { 5 * SECOND };
-        let usual = submission(job.0, self.rng.usize(0..self.fleet.settings.classes.len()), work, self.now);
-        let submission = JobSubmission {
-            tenant: TenantId(self.rng.usize(0..3)),
-            deadline: self.now + time_left,
-            cost_hint: self.rng.bool().then_some(work),
-            slots: if self.rng.u8(0..8) == 0 { 2.0 } else { 1.0 },
-            key: self.rng.bool().then(|| self.rng.u64(0..12)),
-            is_retry: self.rng.u8(0..10) == 0,
-            ..usual
-        };
-        self.jobs.insert(job, Job { process, attempts: 0, in_flight: BTreeMap::new(), is_answered: false });
-        self.handle(process, Event::JobSubmitted(submission));
-    }
-
-    /// A worker drains, is gone, returns or restarts; all watching processes are notified, or one only.
-    fn change_list(&mut self) {
-        let worker = self.rng.usize(0..self.endpoints.len());
-        let entry = &mut self.endpoints[worker];
-        match self.rng.u8(0..10) {
-            0..2 => entry.status = WorkerStatus::Draining,
-            2 => entry.status = WorkerStatus::Gone,
-            3 => entry.started_at = self.now,
-            _ => entry.status = WorkerStatus::Ready,
-        }
-        let (snapshot, to_all) = (self.rng.bool(), self.rng.bool());
-        let one = self.rng.usize(0..self.processes.len());
-        for process in 0..self.processes.len() {
-            if self.processes[process].is_watching && (to_all || process == one) {
-                self.deliver_list(process, snapshot);
-            }
-        }
-    }
-
-    /// One of the last jobs that have no answer.
-    fn choose_open_job(&mut self) -> Option<JobId> {
-        let latest = self.jobs.iter().rev().take(60);
-        let open: Vec<JobId> = latest.filter(|(_, state)| !state.is_answered).map(|(job, _)| *job).collect();
-        self.rng.choice(open)
-    }
-
     /// Moves the state snapshot of one process to another, and then most of its open jobs.
     fn hand_over(&mut self, from: usize, to: usize) {
         let snapshot = self.processes[from].node.dispatcher.snapshot();
