--- a/crates/node/tests/random_lives/life.rs
+++ b/crates/node/tests/random_lives/life.rs
@@ -156,6 +156,36 @@
     listener
 }
 
+/// The settings of a node: objectives of the classes and the window for repeats in milliseconds.
+fn settings_text(deadlines: [u64; 3], window: u64, most_attempts: usize, scope: Scope) -> String {
+    let [view, order, register] = deadlines.map(|ms| ms * 1000);
+    format!(
+        r#"{{"balancers":1,"rank":0,"zone":0,"discovery":"subscribe","localities":["a","b"],"kinds":["m"],
+            "weights":"nominal",
+            "services":[
+            {{"name":"view","idempotency":"safe","objectiveUs":{view},"giveUpUs":{view},"worth":1.0}},
+            {{"name":"order","idempotency":"unsafe","objectiveUs":{order},"giveUpUs":{order},"worth":1.0}},
+            {{"name":"register","idempotency":"keyed","keyScope":"{}","dedupWindowUs":{window}000,
+            "objectiveUs":{register},"giveUpUs":{register},"worth":1.0}}],
+            "limits":{{"cancel":true,"mayDuplicate":false,"mayTell":false,"sendCap":{most_attempts},
+            "retryAfter":true,"maxRetryAfterUs":2000000,"connectTimeoutUs":100000,"keepaliveUs":2000000}},
+            "familyInfo":{{"tellsStart":true}},
+            "rules":{{"askWithinUs":2000000,"coldShare":0.5,"warmUpUs":500000,"overloadFactor":3.0,
+            "fallUs":1000000}}}}"#,
+        scope.name()
+    )
+}
+
+/// The last header of a request and its body, as one chunk or with its length.
+fn framed(body: &str, chunked: bool) -> String {
+    let length = body.len();
+    if chunked {
+        format!("Transfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n")
+    } else {
+        format!("Content-Length: {length}\r\n\r\n{body}")
+    }
+}
+
 impl Life {
     pub fn new(seed: u64) -> Life {
         let mut rng = Rng::with_seed(seed);
@@ -179,22 +209,7 @@
         let deadlines = [0; 3].map(|_| rng.u64(1000..=2500));
         let most_attempts = rng.usize(2..=5);
         let scope = [Scope::Cell, Scope::Cell, Scope::Zone, Scope::All][rng.usize(0..4)];
-        let [view, order, register] = deadlines.map(|ms| ms * 1000);
-        let settings = format!(
-            r#"{{"balancers":1,"rank":0,"zone":0,"discovery":"subscribe","localities":["a","b"],"kinds":["m"],
-            "weights":"nominal",
-            "services":[
-            {{"name":"view","idempotency":"safe","objectiveUs":{view},"giveUpUs":{view},"worth":1.0}},
-            {{"name":"order","idempotency":"unsafe","objectiveUs":{order},"giveUpUs":{order},"worth":1.0}},
-            {{"name":"register","idempotency":"keyed","keyScope":"{}","dedupWindowUs":{window}000,
-            "objectiveUs":{register},"giveUpUs":{register},"worth":1.0}}],
-            "limits":{{"cancel":true,"mayDuplicate":false,"mayTell":false,"sendCap":{most_attempts},
-            "retryAfter":true,"maxRetryAfterUs":2000000,"connectTimeoutUs":100000,"keepaliveUs":2000000}},
-            "familyInfo":{{"tellsStart":true}},
-            "rules":{{"askWithinUs":2000000,"coldShare":0.5,"warmUpUs":500000,"overloadFactor":3.0,
-            "fallUs":1000000}}}}"#,
-            scope.name()
-        );
+        let settings = settings_text(deadlines, window, most_attempts, scope);
         let known: Vec<_> = hops.iter().map(Hop::line).collect();
         let at = discoveries[0].local_addr().expect("an address");
         let node = Node::start_with(&config(&settings, at, &list(41, true, &known)), OPERATOR);
@@ -317,6 +332,22 @@
         }
     }
 
+    /// A client's connection without a job: one that is open already, or a new one.
+    fn free_caller(&mut self, reuse: bool) -> Option<usize> {
+        let idle = |caller: &&mut Caller| caller.job.is_none() && caller.wire.is_open();
+        let reused = if reuse { self.callers.iter_mut().filter(idle).last() } else { None };
+        match reused {
+            Some(caller) => {
+                caller.worn = true;
+                self.callers.iter().rposition(|caller| caller.job.is_none() && caller.wire.is_open())
+            }
+            None => Wire::connect(self.node.address).map(|wire| {
+                self.callers.push(Caller { wire, job: None, worn: false, rest: String::new(), more: false });
+                self.callers.len() - 1
+            }),
+        }
+    }
+
     fn new_job(&mut self, a: usize, b: usize, half: bool, behind: bool) {
         let number = self.jobs.len();
         let class = [Class::View, Class::Order, Class::Register][a % 3];
@@ -335,23 +366,8 @@
         if let Some(key) = &key {
             request += &format!("Idempotency-Key: {key}\r\n");
         }
-        let length = body.len();
-        request += &match a / 16 % 4 {
-            0 => format!("Transfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n"),
-            _ => format!("Content-Length: {length}\r\n\r\n{body}"),
-        };
-        let idle = |caller: &&mut Caller| caller.job.is_none() && caller.wire.is_open();
-        let reused = if b.is_multiple_of(3) { self.callers.iter_mut().filter(idle).last() } else { None };
-        let at = match reused {
-            Some(caller) => {
-                caller.worn = true;
-                self.callers.iter().rposition(|caller| caller.job.is_none() && caller.wire.is_open())
-            }
-            None => Wire::connect(self.node.address).map(|wire| {
-                self.callers.push(Caller { wire, job: None, worn: false, rest: String::new(), more: false });
-                self.callers.len() - 1
-            }),
-        };
+        request += &framed(&body, (a / 16).is_multiple_of(4));
+        let at = self.free_caller(b.is_multiple_of(3));
         let Some(at) = at else {
             if self.terminated.is_none() {
                 self.broken(None, "a new connection is refused");
