--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -19,6 +19,10 @@
 pub use self::site::Site;
 
 /// The settings object with every value in effect, defaults included, in the platform's form.
+///
+/// # Errors
+///
+/// If a field is missing or has another type.
 pub fn effective(object: serde_json::Value) -> Result<serde_json::Value, EffectiveValuesError> {
     let object: SettingsObject =
         serde_path_to_error::deserialize(object).map_err(EffectiveValuesError::Form)?;
@@ -26,11 +30,19 @@
 }
 
 /// Reads the JSON text of a settings object.
+///
+/// # Errors
+///
+/// If a field is missing, has another type, or has a value that it cannot have. The error names the field.
 pub fn read(text: &str) -> Result<Site, ReadError> {
     read_from(&mut serde_json::Deserializer::from_str(text))
 }
 
 /// Reads a settings object from a deserializer of `serde_json`.
+///
+/// # Errors
+///
+/// As [`read`].
 pub fn read_from<'de, D>(deserializer: D) -> Result<Site, ReadError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
--- a/crates/settings/src/object.rs
+++ b/crates/settings/src/object.rs
@@ -12,6 +12,7 @@
 /// Idle time for which workers keep a connection open where the settings do not say.
 const DEFAULT_KEEPALIVE: Micros = 1_000_000;
 
+/// The settings object, as a whole.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase", expecting = "struct Wire")]
 pub(crate) struct SettingsObject {
--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -32,7 +32,11 @@
 }
 
 impl OperatorFile {
-    /// Parses the text of a file. The error names line, field and remedy.
+    /// Parses the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// If the text is not TOML, or a field is unknown or out of its bounds. The error names line, field and remedy.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
         curlewusher_toml_diagnostics::parse(text)
     }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The operator's file and the settings object, read: every value of full ones, and every mistake in its exact words.
+//! The operator's file and the settings object: every value of full ones, and the exact message of every mistake.
 
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros};
 use curlewusher_settings::operator::{FIELDS, LogTarget, OperatorFile, TakesEffect};
@@ -13,18 +13,19 @@
 const FULL_OBJECT: &str = include_str!("golden/settings_full.json");
 const LEAST_OBJECT: &str = include_str!("golden/settings_least.json");
 
-fn operator_values(read: &OperatorFile) -> String {
-    let (log, metrics) = (&read.log, &read.metrics);
+/// The values of an operator's file, one a line.
+fn operator_values(file: &OperatorFile) -> String {
+    let (log, metrics) = (&file.log, &file.metrics);
     let mut lines = vec![
         format!("log.format: {}", json!(log.format)),
         format!("log.level: {}", json!(log.level)),
         format!("log.parts: {} entries", log.target_levels.len()),
         format!("log.lines_per_s: {}", log.lines_per_s.get()),
         format!("log.waiting_lines: {}", log.max_queued_lines.get()),
-        format!("sender_side.idle_ms: {:?}", read.server.idle_timeout_ms.millis()),
-        format!("sender_side.crowded_retry_ms: {:?}", read.server.overload_retry_ms.millis()),
-        format!("next_hop.reuse_ms: {:?}", read.upstream.max_reuse_idle_ms.millis()),
-        format!("next_hop.withdrawal_ms: {:?}", read.upstream.cancellation_timeout_ms.millis()),
+        format!("sender_side.idle_ms: {:?}", file.server.idle_timeout_ms.millis()),
+        format!("sender_side.crowded_retry_ms: {:?}", file.server.overload_retry_ms.millis()),
+        format!("next_hop.reuse_ms: {:?}", file.upstream.max_reuse_idle_ms.millis()),
+        format!("next_hop.withdrawal_ms: {:?}", file.upstream.cancellation_timeout_ms.millis()),
         format!("metrics.answer_bounds_ms: {:?}", metrics.response_time_bounds_ms),
     ];
     lines.extend(
@@ -39,14 +40,14 @@
         FIELDS.iter().all(|field| OperatorFile::sets(FULL_FILE, field)),
         "the full file sets every field"
     );
-    let read = OperatorFile::parse(FULL_FILE).expect("a good file");
+    let file = OperatorFile::parse(FULL_FILE).expect("a good file");
     let defaults = OperatorFile::default().values();
-    for ((field, value), (_, default)) in read.values().iter().zip(&defaults) {
+    for ((field, value), (_, default)) in file.values().iter().zip(&defaults) {
         assert_ne!(value, default, "{} has another value than its default", field.path);
     }
-    golden!("operator_full.txt").assert_is(&operator_values(&read));
+    golden!("operator_full.txt").assert_is(&operator_values(&file));
     golden!("operator_default.txt").assert_is(&operator_values(&OperatorFile::default()));
-    let shown = read.values().into_iter().map(|(field, value)| {
+    let shown = file.values().into_iter().map(|(field, value)| {
         let when = if field.takes_effect == TakesEffect::OnReload { "at once" } else { "at the next start" };
         format!("{} = {value} ({when})\n", field.path)
     });
@@ -54,15 +55,15 @@
 }
 
 #[test]
-fn a_mistake_in_an_operator_file_then_its_words_are_as_recorded() {
+fn a_mistake_in_an_operator_file_then_the_message_is_as_recorded() {
     golden!("operator_mistakes.txt").assert_answers(|text| match OperatorFile::parse(text) {
         Ok(_) => "accepted".to_owned(),
         Err(problem) => problem.to_string(),
     });
 }
 
-fn effect_words(effect: &Idempotency) -> String {
-    match effect {
+fn idempotency_text(idempotency: &Idempotency) -> String {
+    match idempotency {
         Idempotency::Idempotent => "safe".to_owned(),
         Idempotency::WithKey { scope: DeduplicationScope::All, window } => format!("keyed all {window}"),
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window } => format!("keyed zone {window}"),
@@ -71,49 +72,50 @@
     }
 }
 
-fn class_values(nth: usize, class: &JobClass) -> String {
+fn class_values(index: usize, class: &JobClass) -> String {
     let JobClass {
-        idempotency: effect,
-        latency_objective: aim,
+        idempotency,
+        latency_objective,
         latency_objective_stretch: stretch,
-        priority_weight: worth,
-        client_timeout: give_up,
-        required_kind: kind,
+        priority_weight,
+        client_timeout,
+        required_kind,
     } = class;
-    let (effect, kind) = (effect_words(effect), kind.map(|KindId(number)| number));
+    let (idempotency, kind) = (idempotency_text(idempotency), required_kind.map(|KindId(number)| number));
     format!(
-        "class {nth}: {effect}, aim {aim}, stretch {stretch}, worth {worth}, give up {give_up}, kind {kind:?}"
+        "class {index}: {idempotency}, aim {latency_objective}, stretch {stretch}, worth {priority_weight}, \
+         give up {client_timeout}, kind {kind:?}"
     )
 }
 
 fn site_values(site: &Site) -> Vec<String> {
-    let decisions = &site.dispatcher;
+    let dispatcher = &site.dispatcher;
     let mut lines = vec![
-        format!("nodes: {}", decisions.nodes),
-        format!("rank: {}", decisions.node_index),
-        format!("zone: {}", decisions.zone.0),
+        format!("nodes: {}", dispatcher.nodes),
+        format!("rank: {}", dispatcher.node_index),
+        format!("zone: {}", dispatcher.zone.0),
     ];
-    lines.extend(decisions.classes.iter().enumerate().map(|(nth, class)| class_values(nth, class)));
+    lines.extend(dispatcher.classes.iter().enumerate().map(|(index, class)| class_values(index, class)));
     lines.extend([
-        format!("tenant quotas: {:?}", decisions.tenant_quotas),
-        format!("over-quota worth: {}", decisions.over_quota_weight),
-        format!("list on request: {}", decisions.endpoints_on_request),
-        format!("ask within: {}", decisions.max_poll_interval),
-        format!("told within: {}", decisions.assumed_notified_after),
-        format!("sizes told: {}", decisions.sizes_listed),
-        format!("tells start: {}", decisions.reports_start),
-        format!("accepts within: {}", decisions.accept_timeout),
-        format!("may cancel: {}", decisions.may_cancel),
-        format!("may duplicate: {}", decisions.may_hedge),
-        format!("may tell: {}", decisions.may_gossip),
-        format!("tell price: {}", decisions.gossip_price),
-        format!("max attempts: {}", decisions.max_attempts),
-        format!("max advice: {}", decisions.max_retry_after),
-        format!("cross-zone price: {}", decisions.cross_zone_price),
-        format!("cold share: {}", decisions.warm_up_floor),
-        format!("warm-up: {}", decisions.warm_up),
-        format!("overload factor: {}", decisions.overload_factor),
-        format!("fall window: {}", decisions.overload_window),
+        format!("tenant quotas: {:?}", dispatcher.tenant_quotas),
+        format!("over-quota worth: {}", dispatcher.over_quota_weight),
+        format!("list on request: {}", dispatcher.endpoints_on_request),
+        format!("ask within: {}", dispatcher.max_poll_interval),
+        format!("told within: {}", dispatcher.assumed_notified_after),
+        format!("sizes told: {}", dispatcher.sizes_listed),
+        format!("tells start: {}", dispatcher.reports_start),
+        format!("accepts within: {}", dispatcher.accept_timeout),
+        format!("may cancel: {}", dispatcher.may_cancel),
+        format!("may duplicate: {}", dispatcher.may_hedge),
+        format!("may tell: {}", dispatcher.may_gossip),
+        format!("tell price: {}", dispatcher.gossip_price),
+        format!("max attempts: {}", dispatcher.max_attempts),
+        format!("max advice: {}", dispatcher.max_retry_after),
+        format!("cross-zone price: {}", dispatcher.cross_zone_price),
+        format!("cold share: {}", dispatcher.warm_up_floor),
+        format!("warm-up: {}", dispatcher.warm_up),
+        format!("overload factor: {}", dispatcher.overload_factor),
+        format!("fall window: {}", dispatcher.overload_window),
         format!("names of classes: {:?}", site.class_names),
         format!("names of tenants: {:?}", site.tenant_names),
         format!("names of zones: {:?}", site.zone_names),
@@ -125,6 +127,7 @@
     lines
 }
 
+/// The values of a settings object, one a line.
 fn values_of(object: &str) -> Vec<String> {
     site_values(&read(object).expect("a good object"))
 }
@@ -161,22 +164,22 @@
 }
 
 #[test]
-fn a_settings_object_with_one_field_changed_then_the_changed_values_or_the_words_are_as_recorded() {
-    let usual = values_of(FULL_OBJECT);
+fn a_settings_object_with_one_field_changed_then_the_changed_values_or_the_message_are_as_recorded() {
+    let unchanged = values_of(FULL_OBJECT);
     golden!("settings_edits.txt").assert_answers(|edit| {
         let object = edited(edit);
         match (read(&object.to_string()), effective(object.clone())) {
             (Ok(site), Ok(_)) => {
                 let values = site_values(&site);
-                let changed: Vec<_> = values.into_iter().filter(|line| !usual.contains(line)).collect();
+                let changed: Vec<_> = values.into_iter().filter(|line| !unchanged.contains(line)).collect();
                 if changed.is_empty() { "no change".to_owned() } else { changed.join("; ") }
             }
             // Its form is right, so that it can be shown.
             (Err(problem), Ok(_)) => problem.to_string(),
-            (problem, Err(shown)) => {
-                let problem = problem.expect_err("its form is wrong").to_string();
+            (site, Err(form_problem)) => {
+                let problem = site.expect_err("its form is wrong").to_string();
                 let place = problem.rfind(" at line ").expect("a place");
-                assert_eq!(shown.to_string(), format!("config: settings.{}", &problem[..place]));
+                assert_eq!(form_problem.to_string(), format!("config: settings.{}", &problem[..place]));
                 problem
             }
         }
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_span_beyond_a_year_then_a_year_counts() {
+fn a_time_span_beyond_a_year_then_it_is_a_year() {
     const YEAR: Micros = 365 * 86_400 * 1_000_000;
     let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
     let spans = [
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -12,7 +12,12 @@
 pub use self::error::ParseError;
 pub use self::line_of::line_of;
 
-/// Parses a text. The error names the line of the text, the field, and what would be right.
+/// Parses a text.
+///
+/// # Errors
+///
+/// If the text is not TOML or does not fit the type. The error names the line of the text, the field, and what would be
+/// right.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
     let deserializer = toml::Deserializer::parse(text).map_err(|source| {
         let line = line_of_error(text, &source);
