--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,21 +1,22 @@
-//! The world that a node serves in: workers, the archive they fetch from, discovery's list, and what clients ask for.
+//! Models of what a node works with: the workers, the archive that they fetch data sets from, the registry behind the
+//! discovery service, and the workload that clients submit.
 //!
-//! Everything here is a model without I/O and without a clock: whoever drives it hands in what happens with the time
-//! of each, in microseconds of a clock that never goes back, and is told what follows and when to come again. The
-//! laboratory drives it by sockets and real time. The same inputs give the same effects.
+//! The models do no I/O and read no clock. Their driver passes in each event with its time, in microseconds of a
+//! monotonic clock, and gets back what follows and when to call again. The testbed drives them by sockets and real time.
+//! The same inputs give the same effects.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod fluid;
-pub mod plan;
-pub mod roll;
-pub mod world;
+pub mod endpoint_registry;
+pub mod processor_sharing;
+pub mod worker_pool;
+pub mod workload;
 
 /// A moment, or a span of time, in microseconds.
 pub type Micros = u64;
 
-/// Seconds as a span; what is negative is nought.
+/// Converts seconds to a span; a negative number counts as 0.
 pub fn span(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
--- /dev/null
+++ b/crates/model/src/worker_pool/archive.rs
@@ -0,0 +1,61 @@
+//! The archive that workers fetch data sets from; concurrent fetches share its bandwidth.
+
+use std::collections::HashMap;
+
+use super::event::{AttemptNumber, WorkerIndex};
+use crate::Micros;
+use crate::processor_sharing::ProcessorSharing;
+
+/// The fetches in progress.
+///
+/// [`Archive::update_rate`] is to be called after fetches were added or removed.
+#[derive(Debug)]
+pub(super) struct Archive {
+    fetch_seconds: f64,
+    concurrency: f64,
+    sharing: ProcessorSharing,
+    worker_by_attempt: HashMap<AttemptNumber, WorkerIndex>,
+}
+
+impl Archive {
+    pub(super) fn new(fetch_seconds: f64, concurrency: f64) -> Self {
+        Archive {
+            fetch_seconds,
+            concurrency,
+            sharing: ProcessorSharing::new(),
+            worker_by_attempt: HashMap::new(),
+        }
+    }
+
+    pub(super) fn begin_fetch(&mut self, now: Micros, worker: WorkerIndex, attempt: AttemptNumber) {
+        self.worker_by_attempt.insert(attempt, worker);
+        self.sharing.add(now, attempt, self.fetch_seconds);
+    }
+
+    /// Ends the fetch of an attempt, if it has one.
+    pub(super) fn cancel_fetch(&mut self, now: Micros, attempt: AttemptNumber) {
+        if self.worker_by_attempt.remove(&attempt).is_some() {
+            self.sharing.remove(now, attempt);
+        }
+    }
+
+    /// Divides the bandwidth anew: up to `concurrency` fetches run at full speed.
+    pub(super) fn update_rate(&mut self, now: Micros) {
+        let rate = (self.concurrency / self.sharing.len().max(1) as f64).min(1.0);
+        self.sharing.set_rate(now, rate);
+    }
+
+    pub(super) fn next_completion(&self) -> Option<Micros> {
+        self.sharing.next_completion()
+    }
+
+    /// Removes and returns the next attempt whose fetch is complete.
+    pub(super) fn pop_completed(&mut self, now: Micros) -> Option<AttemptNumber> {
+        self.sharing.pop_completed(now)
+    }
+
+    /// Removes and returns the worker that a completed fetch was for.
+    pub(super) fn take_worker(&mut self, attempt: AttemptNumber) -> Option<WorkerIndex> {
+        self.worker_by_attempt.remove(&attempt)
+    }
+}
--- /dev/null
+++ b/crates/model/src/worker_pool/mod.rs
@@ -0,0 +1,247 @@
+//! The pool of workers and the archive: which attempts they accept, how fast they run, when they complete.
+//!
+//! The pool is a discrete-event model. Events enter by [`WorkerPool::handle`], time passes by
+//! [`WorkerPool::advance_to`], and both append what follows to a list of [`PoolEffect`]s. How attempts and effects travel
+//! is the driver's concern.
+
+mod archive;
+mod deduplication;
+mod event;
+mod parameters;
+mod worker;
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+use archive::Archive;
+use deduplication::{BayKey, Deduplication};
+pub use event::{Arrival, AttemptNumber, JobDemand, PoolEffect, PoolInput, WorkerIndex};
+pub use parameters::{Machine, PoolParameters};
+use worker::{Worker, WorkerState};
+
+use crate::Micros;
+
+/// The speed of a worker that warms up is updated this often.
+const WARM_UP_STEP: Micros = 250_000;
+
+/// The order of the variants is the order in which timers of one moment expire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Timer {
+    /// A progress report is due.
+    Progress { worker: WorkerIndex, attempt: AttemptNumber },
+    /// The speed of a worker that warms up is to be updated.
+    WarmUp { worker: WorkerIndex },
+}
+
+/// The workers and the archive.
+#[derive(Debug)]
+pub struct WorkerPool {
+    parameters: PoolParameters,
+    workers: Vec<Worker>,
+    archive: Archive,
+    deduplication: Deduplication,
+    timers: BinaryHeap<Reverse<(Micros, Timer)>>,
+    /// The next completion of each worker as predicted at some time; outdated predictions are skipped.
+    completions: BinaryHeap<Reverse<(Micros, WorkerIndex)>>,
+}
+
+impl WorkerPool {
+    /// A pool whose workers are all up, warm and idle.
+    pub fn new(machines: Vec<Machine>, parameters: PoolParameters) -> Self {
+        WorkerPool {
+            workers: machines.into_iter().map(Worker::new).collect(),
+            archive: Archive::new(parameters.fetch_seconds, parameters.archive_concurrency),
+            deduplication: Deduplication::new(parameters.deduplication_window),
+            timers: BinaryHeap::new(),
+            completions: BinaryHeap::new(),
+            parameters,
+        }
+    }
+
+    /// When [`WorkerPool::advance_to`] is to be called next, if no event happens before.
+    pub fn next_event(&self) -> Option<Micros> {
+        let timer = self.timers.peek().map(|Reverse((at, _))| *at);
+        let completion = self.completions.peek().map(|Reverse((at, _))| *at);
+        [timer, completion, self.archive.next_completion()].into_iter().flatten().min()
+    }
+
+    /// Handles an event at `now`, after everything that is due by then.
+    pub fn handle(&mut self, now: Micros, input: PoolInput, effects: &mut Vec<PoolEffect>) {
+        self.advance_to(now, effects);
+        match input {
+            PoolInput::Arrive(arrival) => self.handle_arrival(now, arrival, effects),
+            PoolInput::Cancel { worker, attempt } => self.cancel(now, worker, attempt, effects),
+            PoolInput::Kill(worker) => self.kill(now, worker, effects),
+            PoolInput::Start(worker) => self.start(now, worker),
+            PoolInput::SetSlowdown { worker, factor } => self.set_slowdown(now, worker, factor),
+            PoolInput::Drain(worker) => {
+                let returned = self.workers[worker].drain();
+                effects.extend(returned.into_iter().map(PoolEffect::Returned));
+            }
+        }
+    }
+
+    /// Lets everything happen that is due by `now`.
+    pub fn advance_to(&mut self, now: Micros, effects: &mut Vec<PoolEffect>) {
+        while let Some(next) = self.next_event().filter(|next| *next <= now) {
+            while let Some(timer) = pop_due(&mut self.timers, next) {
+                self.expire_timer(next, timer, effects);
+            }
+            while let Some(attempt) = self.archive.pop_completed(next) {
+                self.complete_fetch(next, attempt);
+            }
+            while let Some(worker) = pop_due(&mut self.completions, next) {
+                self.complete_attempts(next, worker, effects);
+            }
+        }
+    }
+
+    fn expire_timer(&mut self, now: Micros, timer: Timer, effects: &mut Vec<PoolEffect>) {
+        match timer {
+            Timer::Progress { worker, attempt } => {
+                let Some(fraction) = self.workers[worker].progress(now, attempt) else { return };
+                effects.push(PoolEffect::Progressed { attempt, fraction });
+                self.timers.push(Reverse((now + self.parameters.progress_interval, timer)));
+            }
+            Timer::WarmUp { worker } => {
+                self.update_rate(now, worker);
+                let warming = &self.workers[worker];
+                if warming.state != WorkerState::Down && warming.is_warming_up(now, &self.parameters) {
+                    self.timers.push(Reverse((now + WARM_UP_STEP, timer)));
+                }
+            }
+        }
+    }
+
+    fn complete_fetch(&mut self, now: Micros, attempt: AttemptNumber) {
+        self.archive.update_rate(now);
+        let Some(index) = self.archive.take_worker(attempt) else { return };
+        let worker = &mut self.workers[index];
+        let Some(job) = worker.jobs.get(&attempt) else { return };
+        let set = job.demand.set;
+        worker.keep_set(set);
+        worker.begin_computing(now, attempt);
+        self.predict_completion(index);
+    }
+
+    fn complete_attempts(&mut self, now: Micros, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+        while let Some(attempt) = self.workers[worker].computing.pop_completed(now) {
+            effects.push(PoolEffect::Completed(attempt));
+            if let Some(key) = self.workers[worker].key_of(attempt) {
+                self.deduplication.record_completion(key);
+            }
+            self.remove_attempt(now, worker, attempt, effects);
+        }
+        // The prediction may have been an outdated one, with nothing complete yet.
+        self.predict_completion(worker);
+    }
+
+    fn handle_arrival(&mut self, now: Micros, arrival: Arrival, effects: &mut Vec<PoolEffect>) {
+        let Arrival { worker: index, attempt, demand } = arrival;
+        let worker = &mut self.workers[index];
+        if worker.state == WorkerState::Down {
+            return effects.push(PoolEffect::Rejected(attempt));
+        }
+        if worker.offer(now, demand.work_seconds, &self.parameters) {
+            effects.push(PoolEffect::Overloaded(index));
+            effects.push(PoolEffect::Rejected(attempt));
+            return self.kill(now, index, effects);
+        }
+        let key = demand.key.map(|key| BayKey { bay: worker.machine.bay, key });
+        if key.is_some_and(|key| self.deduplication.is_repeat(now, key)) {
+            // The job is complete already: it is reported so without another run.
+            effects.push(PoolEffect::Accepted(attempt));
+            effects.push(PoolEffect::Started(attempt));
+            return effects.push(PoolEffect::Completed(attempt));
+        }
+        if !worker.can_accept(&demand) {
+            return effects.push(PoolEffect::Rejected(attempt));
+        }
+        worker.enqueue(attempt, demand);
+        effects.push(PoolEffect::Accepted(attempt));
+        self.start_queued(now, index, effects);
+    }
+
+    /// Starts jobs from the head of the queue until one does not fit, which all others wait behind.
+    fn start_queued(&mut self, now: Micros, index: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+        let worker = &mut self.workers[index];
+        while let Some(attempt) = worker.start_next() {
+            effects.push(PoolEffect::Started(attempt));
+            let report = Timer::Progress { worker: index, attempt };
+            self.timers.push(Reverse((now + self.parameters.progress_interval, report)));
+            let set = worker.jobs[&attempt].demand.set;
+            if worker.use_set(set) {
+                worker.begin_computing(now, attempt);
+            } else {
+                self.archive.begin_fetch(now, index, attempt);
+            }
+        }
+        self.archive.update_rate(now);
+        self.update_rate(now, index);
+    }
+
+    /// Removes an attempt from its worker, and starts what fits then.
+    fn remove_attempt(
+        &mut self,
+        now: Micros,
+        worker: WorkerIndex,
+        attempt: AttemptNumber,
+        effects: &mut Vec<PoolEffect>,
+    ) {
+        let Some(removed) = self.workers[worker].remove(now, attempt) else { return };
+        if removed.has_started {
+            self.archive.cancel_fetch(now, attempt);
+        }
+        self.start_queued(now, worker, effects);
+    }
+
+    fn cancel(
+        &mut self,
+        now: Micros,
+        worker: WorkerIndex,
+        attempt: AttemptNumber,
+        effects: &mut Vec<PoolEffect>,
+    ) {
+        let Some(job) = self.workers[worker].jobs.get(&attempt) else { return };
+        effects.push(PoolEffect::Cancelled { attempt, had_started: job.has_started });
+        self.remove_attempt(now, worker, attempt, effects);
+    }
+
+    fn kill(&mut self, now: Micros, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+        for attempt in self.workers[worker].kill() {
+            self.archive.cancel_fetch(now, attempt);
+            effects.push(PoolEffect::Lost(attempt));
+        }
+        self.archive.update_rate(now);
+    }
+
+    fn start(&mut self, now: Micros, worker: WorkerIndex) {
+        self.workers[worker].start(now);
+        self.timers.push(Reverse((now + WARM_UP_STEP, Timer::WarmUp { worker })));
+    }
+
+    fn set_slowdown(&mut self, now: Micros, worker: WorkerIndex, factor: f64) {
+        assert!(factor > 0.0, "a slowdown factor must be above 0");
+        self.workers[worker].slowdown = factor;
+        self.update_rate(now, worker);
+    }
+
+    fn update_rate(&mut self, now: Micros, worker: WorkerIndex) {
+        self.workers[worker].update_rate(now, &self.parameters);
+        self.predict_completion(worker);
+    }
+
+    fn predict_completion(&mut self, worker: WorkerIndex) {
+        if let Some(at) = self.workers[worker].computing.next_completion() {
+            self.completions.push(Reverse((at, worker)));
+        }
+    }
+}
+
+/// Removes and returns the earliest entry that is due by `now`.
+fn pop_due<T: Ord>(heap: &mut BinaryHeap<Reverse<(Micros, T)>>, now: Micros) -> Option<T> {
+    if heap.peek().is_none_or(|Reverse((at, _))| *at > now) {
+        return None;
+    }
+    heap.pop().map(|Reverse((_, entry))| entry)
+}
--- a/crates/testbed/src/drill.rs
+++ b/crates/testbed/src/drill.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::plan::stream;
+use curlewusher_model::workload::random_stream;
 use rand::Rng;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -129,7 +129,7 @@
     /// One round of calls: a worker out, out again and back, one that was never listed, words that are no
     /// call; and callers that connect and finish nothing.
     async fn calls(&self, round: usize) {
-        let mut random = stream(self.scenario.seed, &format!("drill-{round}"));
+        let mut random = random_stream(self.scenario.seed, &format!("drill-{round}"));
         let Some(console) = self.nodes[0].lock().await.console else { return };
         if round.is_multiple_of(STUCK) {
             for nth in 0..STUCK {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -11,9 +11,11 @@
 
 use bytes::Bytes;
 use curlewusher_model::Micros;
-use curlewusher_model::plan::Planned;
-use curlewusher_model::roll::{Entry, Roll, Status};
-use curlewusher_model::world::{AttemptNo, Demand, Effect, Input, WorkerNo, World};
+use curlewusher_model::endpoint_registry::{EndpointEntry, EndpointRegistry, EndpointStatus, Publication};
+use curlewusher_model::worker_pool::{
+    Arrival, AttemptNumber, JobDemand, PoolEffect, PoolInput, WorkerIndex, WorkerPool,
+};
+use curlewusher_model::workload::PlannedJob;
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::service::service_fn;
@@ -78,17 +80,17 @@
 /// What is done to the fleet.
 #[derive(Clone, Debug)]
 pub enum Order {
-    Kill(WorkerNo),
-    Start(WorkerNo),
-    Slow(WorkerNo, f64),
-    Drain(WorkerNo),
-    Silent(WorkerNo, bool),
+    Kill(WorkerIndex),
+    Start(WorkerIndex),
+    Slow(WorkerIndex, f64),
+    Drain(WorkerIndex),
+    Silent(WorkerIndex, bool),
     DiscoveryDown(bool),
 }
 
 enum Notice {
     Arrived {
-        worker: WorkerNo,
+        worker: WorkerIndex,
         id: String,
         node: usize,
         job: usize,
@@ -97,12 +99,12 @@
     },
     /// By name.
     Withdraw {
-        worker: WorkerNo,
+        worker: WorkerIndex,
         id: String,
     },
     /// Its connection ended before the 202.
     Dropped {
-        worker: WorkerNo,
+        worker: WorkerIndex,
         id: String,
     },
     Watch {
@@ -166,21 +168,21 @@
 }
 
 impl Names {
-    fn line(&self, entry: &Entry) -> serde_json::Value {
+    fn line(&self, entry: &EndpointEntry) -> serde_json::Value {
         let status = match entry.status {
-            Status::InService => "in_service",
-            Status::Terminating => "terminating",
-            Status::Terminated => "terminated",
+            EndpointStatus::InService => "in_service",
+            EndpointStatus::Terminating => "terminating",
+            EndpointStatus::Terminated => "terminated",
         };
         let worker = entry.worker;
         serde_json::json!({
             "name": name_of(worker), "address": self.addresses[worker], "zone": "lab", "type": self.kinds[worker],
             "group": self.bays[worker], "status": status, "weight": 1.0,
-            "since_ms": entry.since.map_or(0, |since| self.unix_ms + since / 1000),
+            "since_ms": entry.started_at.map_or(0, |since| self.unix_ms + since / 1000),
         })
     }
 
-    fn message(&self, index: u64, whole: bool, entries: &[Entry]) -> Bytes {
+    fn message(&self, index: u64, whole: bool, entries: &[EndpointEntry]) -> Bytes {
         let endpoints: Vec<_> = entries.iter().map(|entry| self.line(entry)).collect();
         let message = serde_json::json!({"index": index, "snapshot": whole, "endpoints": endpoints});
         format!("{message}\n").into()
@@ -188,15 +190,15 @@
 }
 
 /// A worker's name on discovery's list.
-pub fn name_of(worker: WorkerNo) -> String {
+pub fn name_of(worker: WorkerIndex) -> String {
     format!("w-{worker:05}")
 }
 
 impl Fleet {
-    /// Opens all workers' ports and starts the world.
+    /// Opens all workers' ports and starts the worker pool.
     pub async fn start(
         scenario: &Scenario,
-        jobs: Arc<Vec<Planned>>,
+        jobs: Arc<Vec<PlannedJob>>,
         tries: Tries,
         nodes: NodePlaces,
         log: Log,
@@ -223,14 +225,14 @@
             unix_ms: (unix.as_micros() as u64 - log.now()) / 1000,
         };
         let present = (0..machines.len()).filter(|worker| !grown.contains(worker));
-        let roll = Roll::new(present, curlewusher_model::span(scenario.fleet.list_late_s));
-        let mut world = World::new(machines, scenario.nature());
+        let registry = EndpointRegistry::new(present, curlewusher_model::span(scenario.fleet.list_late_s));
+        let mut pool = WorkerPool::new(machines, scenario.pool_parameters());
         for worker in grown {
-            world.handle(0, Input::Kill(worker), &mut Vec::new());
+            pool.handle(0, PoolInput::Kill(worker), &mut Vec::new());
         }
         let owner = Owner {
-            world,
-            roll,
+            pool,
+            registry,
             names,
             jobs,
             nodes,
@@ -373,7 +375,7 @@
 /// What one worker listens by.
 #[derive(Clone)]
 struct Hall {
-    worker: WorkerNo,
+    worker: WorkerIndex,
     queue: UnboundedSender<Notice>,
     tries: Tries,
     log: Log,
@@ -476,7 +478,7 @@
 
 /// Says that a connection ended before its answer.
 struct DropWatch {
-    worker: WorkerNo,
+    worker: WorkerIndex,
     id: Option<String>,
     queue: UnboundedSender<Notice>,
 }
@@ -491,24 +493,24 @@
 
 struct Out {
     id: String,
-    worker: WorkerNo,
+    worker: WorkerIndex,
     reply: Option<oneshot::Sender<bool>>,
     calls: UnboundedSender<String>,
 }
 
 /// The task that owns the models.
 struct Owner {
-    world: World,
-    roll: Roll,
+    pool: WorkerPool,
+    registry: EndpointRegistry,
     names: Names,
-    jobs: Arc<Vec<Planned>>,
+    jobs: Arc<Vec<PlannedJob>>,
     nodes: NodePlaces,
     log: Log,
     sockets: Arc<Vec<watch::Sender<Sockets>>>,
-    attempts: HashMap<AttemptNo, Out>,
+    attempts: HashMap<AttemptNumber, Out>,
     /// The attempt of a request that a worker has.
-    current: HashMap<(WorkerNo, String), AttemptNo>,
-    next_attempt: AttemptNo,
+    current: HashMap<(WorkerIndex, String), AttemptNumber>,
+    next_attempt: AttemptNumber,
     silent: Vec<bool>,
     watches: Vec<(usize, u64, UnboundedSender<Bytes>)>,
     discovery_down: bool,
@@ -519,7 +521,7 @@
     async fn run(mut self, mut notices: UnboundedReceiver<Notice>) {
         let mut beat = tokio::time::interval(WATCH_BEAT);
         loop {
-            let due = [self.world.next(), self.roll.next()].into_iter().flatten().min();
+            let due = [self.pool.next_event(), self.registry.next_publication()].into_iter().flatten().min();
             let wait = async {
                 match due {
                     Some(at) => sleep_until(self.log.instant(at)).await,
@@ -537,15 +539,15 @@
                 }
             }
             let mut effects = Vec::new();
-            self.world.drive(self.log.now(), &mut effects);
+            self.pool.advance_to(self.log.now(), &mut effects);
             self.carry_out(effects);
             self.reveal();
         }
     }
 
-    fn drive(&mut self, input: Input) {
+    fn drive(&mut self, input: PoolInput) {
         let mut effects = Vec::new();
-        self.world.handle(self.log.now(), input, &mut effects);
+        self.pool.handle(self.log.now(), input, &mut effects);
         self.carry_out(effects);
     }
 
@@ -553,8 +555,8 @@
         match notice {
             Notice::Arrived { worker, id, node, job, head, reply } => {
                 let planned = &self.jobs[job];
-                let demand = Demand {
-                    work_s: planned.work_s,
+                let demand = JobDemand {
+                    work_seconds: planned.work_seconds,
                     slots: planned.slots,
                     memory: f64::from(planned.slots),
                     set: planned.set,
@@ -569,7 +571,7 @@
                     node,
                     worker,
                     bay: self.names.bays[worker],
-                    work_s: planned.work_s,
+                    work_s: planned.work_seconds,
                     head_us: head,
                 });
                 let calls = self.caller(node);
@@ -577,14 +579,14 @@
                 self.attempts.insert(attempt, Out { id, worker, reply: Some(reply), calls });
                 // A silent process has it and does nothing with it; `reply` waits with it.
                 if !self.silent[worker] {
-                    self.drive(Input::Arrive { worker, attempt, demand });
+                    self.drive(PoolInput::Arrive(Arrival { worker, attempt, demand }));
                 }
             }
             Notice::Withdraw { worker, id } | Notice::Dropped { worker, id } => {
                 let Some(attempt) = self.current.get(&(worker, id)).copied() else { return };
-                self.drive(Input::Withdraw { worker, attempt });
+                self.drive(PoolInput::Cancel { worker, attempt });
                 if self.attempts.contains_key(&attempt) {
-                    // It came to a silent process, and the world never had it.
+                    // It came to a silent process, and the pool never had it.
                     self.log.add(What::Withdrawn { attempt });
                     self.over(attempt);
                 }
@@ -593,11 +595,11 @@
                 if self.discovery_down {
                     return;
                 }
-                let (whole, entries) = match self.roll.since(since) {
+                let (whole, entries) = match self.registry.changes_since(since) {
                     Some(entries) => (false, entries),
-                    None => (true, self.roll.whole()),
+                    None => (true, self.registry.snapshot()),
                 };
-                if lines.send(self.names.message(self.roll.index(), whole, &entries)).is_ok() {
+                if lines.send(self.names.message(self.registry.index(), whole, &entries)).is_ok() {
                     self.told(node, &entries);
                     self.watches.push((node, port, lines));
                 }
@@ -609,25 +611,26 @@
 
     fn obey(&mut self, order: Order) {
         let now = self.log.now();
-        let change =
-            |roll: &mut Roll, worker, status, since| roll.change(now, Entry { worker, status, since });
+        let change = |registry: &mut EndpointRegistry, worker, status, started_at| {
+            registry.record_change(now, EndpointEntry { worker, status, started_at })
+        };
         match order {
             Order::Kill(worker) => {
-                self.drive(Input::Kill(worker));
+                self.drive(PoolInput::Kill(worker));
                 self.sockets[worker].send_replace(Sockets::Closed);
-                change(&mut self.roll, worker, Status::Terminated, None);
+                change(&mut self.registry, worker, EndpointStatus::Terminated, None);
             }
             Order::Start(worker) => {
-                self.drive(Input::Start(worker));
+                self.drive(PoolInput::Start(worker));
                 self.silent[worker] = false;
                 self.log.add_at(now, What::WorkerStarted { worker });
                 self.sockets[worker].send_replace(Sockets::Open);
-                change(&mut self.roll, worker, Status::InService, Some(now));
+                change(&mut self.registry, worker, EndpointStatus::InService, Some(now));
             }
-            Order::Slow(worker, times) => self.drive(Input::Slow(worker, times)),
+            Order::Slow(worker, times) => self.drive(PoolInput::SetSlowdown { worker, factor: times }),
             Order::Drain(worker) => {
-                self.drive(Input::Drain(worker));
-                change(&mut self.roll, worker, Status::Terminating, None);
+                self.drive(PoolInput::Drain(worker));
+                change(&mut self.registry, worker, EndpointStatus::Terminating, None);
             }
             Order::Silent(worker, silent) => {
                 self.silent[worker] = silent;
@@ -642,16 +645,16 @@
         }
     }
 
-    fn told(&self, node: usize, entries: &[Entry]) {
+    fn told(&self, node: usize, entries: &[EndpointEntry]) {
         for entry in entries {
-            let in_service = entry.status == Status::InService;
-            let started_us = entry.since.unwrap_or(0);
+            let in_service = entry.status == EndpointStatus::InService;
+            let started_us = entry.started_at.unwrap_or(0);
             self.log.add(What::Told { node, worker: entry.worker, in_service, started_us });
         }
     }
 
     fn reveal(&mut self) {
-        let (index, entries) = self.roll.reveal(self.log.now());
+        let Publication { index, entries } = self.registry.publish(self.log.now());
         if entries.is_empty() {
             return;
         }
@@ -667,26 +670,26 @@
         self.watches = watches;
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn carry_out(&mut self, effects: Vec<PoolEffect>) {
         for effect in effects {
             match effect {
-                Effect::TakenOn(attempt) => {
+                PoolEffect::Accepted(attempt) => {
                     self.log.add(What::TakenOn { attempt });
                     self.answer(attempt, true);
                 }
-                Effect::TurnedAway(attempt) => {
+                PoolEffect::Rejected(attempt) => {
                     self.log.add(What::TurnedAway { attempt });
                     self.answer(attempt, false);
                     self.over(attempt);
                 }
-                Effect::Started(attempt) => {
+                PoolEffect::Started(attempt) => {
                     self.log.add(What::Started { attempt });
                     self.call(attempt, r#""state":"started""#);
                 }
-                Effect::Running(attempt, share) => {
-                    self.call(attempt, &format!(r#""state":"running","share":{share:.3}"#))
+                PoolEffect::Progressed { attempt, fraction } => {
+                    self.call(attempt, &format!(r#""state":"running","share":{fraction:.3}"#))
                 }
-                Effect::Done(attempt) => {
+                PoolEffect::Completed(attempt) => {
                     self.log.add(What::Done { attempt });
                     let result = self.attempts.get(&attempt).map(|out| result_of(&out.id));
                     self.call(
@@ -695,32 +698,33 @@
                     );
                     self.over(attempt);
                 }
-                Effect::Returned(attempt) => {
+                PoolEffect::Returned(attempt) => {
                     self.log.add(What::Returned { attempt });
                     self.call(attempt, r#""state":"returned""#);
                     self.over(attempt);
                 }
-                Effect::Lost(attempt) => {
+                PoolEffect::Lost(attempt) => {
                     self.log.add(What::Lost { attempt });
                     // The machine's agent saw the process die.
                     self.call(attempt, r#""state":"lost""#);
                     self.over(attempt);
                 }
-                Effect::Withdrawn(attempt, _) => {
+                PoolEffect::Cancelled { attempt, .. } => {
                     self.log.add(What::Withdrawn { attempt });
                     self.over(attempt);
                 }
-                Effect::FellOver(worker) => {
+                PoolEffect::Overloaded(worker) => {
                     self.log.add(What::FellOver { worker });
                     self.sockets[worker].send_replace(Sockets::Closed);
-                    let entry = Entry { worker, status: Status::Terminated, since: None };
-                    self.roll.change(self.log.now(), entry);
+                    let entry =
+                        EndpointEntry { worker, status: EndpointStatus::Terminated, started_at: None };
+                    self.registry.record_change(self.log.now(), entry);
                 }
             }
         }
     }
 
-    fn answer(&mut self, attempt: AttemptNo, taken: bool) {
+    fn answer(&mut self, attempt: AttemptNumber, taken: bool) {
         let reply = self.attempts.get_mut(&attempt).and_then(|out| out.reply.take());
         if let Some(reply) = reply {
             // A node that has closed its connection hears nothing, and has said so.
@@ -728,7 +732,7 @@
         }
     }
 
-    fn over(&mut self, attempt: AttemptNo) {
+    fn over(&mut self, attempt: AttemptNumber) {
         if let Some(out) = self.attempts.remove(&attempt) {
             let key = (out.worker, out.id);
             if self.current.get(&key) == Some(&attempt) {
@@ -737,7 +741,7 @@
         }
     }
 
-    fn call(&self, attempt: AttemptNo, rest: &str) {
+    fn call(&self, attempt: AttemptNumber, rest: &str) {
         let Some(out) = self.attempts.get(&attempt) else { return };
         let from = name_of(out.worker);
         let _ = out.calls.send(format!(r#"{{"id":"{}","from":"{from}",{rest}}}"#, out.id));
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::plan::Planned;
+use curlewusher_model::workload::PlannedJob;
 use curlewusher_model::{Micros, span};
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -113,7 +113,7 @@
 /// The clients of a run.
 pub struct Clients {
     pub scenario: Arc<Scenario>,
-    pub jobs: Arc<Vec<Planned>>,
+    pub jobs: Arc<Vec<PlannedJob>>,
     pub tries: Tries,
     pub front: Arc<Front>,
     pub log: Log,
@@ -133,7 +133,7 @@
 impl Clients {
     pub fn new(
         scenario: Arc<Scenario>,
-        jobs: Arc<Vec<Planned>>,
+        jobs: Arc<Vec<PlannedJob>>,
         tries: Tries,
         front: Arc<Front>,
         log: Log,
@@ -145,7 +145,7 @@
     pub async fn run(self: Arc<Self>, begin: Micros, done: Arc<AtomicUsize>) {
         let mut open = JoinSet::new();
         for job in 0..self.jobs.len() {
-            let intended = begin + self.jobs[job].at;
+            let intended = begin + self.jobs[job].submit_at;
             sleep_until(self.log.instant(intended)).await;
             if self.enough.load(Ordering::Relaxed) {
                 break;
@@ -209,7 +209,7 @@
             way.place,
             class.name,
             wait as f64 / 1e6,
-            planned.hint_s * 1e6,
+            planned.hint_seconds * 1e6,
             planned.slots
         );
         if class.repeats == ClassRepeats::Keyed {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -191,7 +191,7 @@
             ))
         }
         Command::Check { scenario } => read(&scenario).map(|scenario| {
-            let jobs = scenario.wish().draw().len();
+            let jobs = scenario.workload().draw().len();
             println!(
                 "{}: {} nodes, {} workers, {jobs} jobs",
                 scenario.title,
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -100,7 +100,7 @@
     bar: bool,
 ) -> Result<Played, String> {
     let scenario = Arc::new(scenario);
-    let jobs = Arc::new(scenario.wish().draw());
+    let jobs = Arc::new(scenario.workload().draw());
     let (log, tries) = (Log::new(), Tries::default());
     let places: NodePlaces = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
     let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone()).await?;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -124,7 +124,7 @@
         }
     }
     // The same draw as the load's: the work of a job is not in the records.
-    let plan = scenario.wish().draw();
+    let workload = scenario.workload().draw();
     let mut classes: Vec<(ClassFigures, Histogram<u64>)> = scenario
         .classes
         .iter()
@@ -134,7 +134,7 @@
     let mut seconds = vec![vec![(0.0, 0.0); length]; classes.len()];
     for (number, job) in &jobs {
         let class = &scenario.classes[job.class];
-        let work_s = plan[*number].work_s;
+        let work_s = workload[*number].work_seconds;
         let worth = class.worth * work_s;
         let (figures, times) = &mut classes[job.class];
         figures.jobs += 1;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -5,8 +5,8 @@
 
 use std::path::PathBuf;
 
-use curlewusher_model::plan::{Asking, Tide, Wish};
-use curlewusher_model::world::{Machine, Nature};
+use curlewusher_model::worker_pool::{Machine, PoolParameters};
+use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
 use curlewusher_model::{Micros, span};
 use serde::{Deserialize, Serialize};
 
@@ -542,28 +542,33 @@
         (0..self.workers()).map(machine).collect()
     }
 
-    pub fn nature(&self) -> Nature {
-        Nature {
-            cold_share: self.fleet.cold_share,
+    pub fn pool_parameters(&self) -> PoolParameters {
+        PoolParameters {
+            cold_capacity_fraction: self.fleet.cold_share,
             warm_up: span(self.fleet.warm_up_s),
             overload_factor: OVERLOAD_FACTOR,
-            fall_window: FALL_WINDOW,
-            crowding: self.fleet.crowding,
-            fetch_s: self.fleet.fetch_s,
-            archive: self.fleet.archive,
-            dedup_window: DEDUP_WINDOW,
-            progress: span(2.0),
+            overload_window: FALL_WINDOW,
+            contention_penalty: self.fleet.crowding,
+            fetch_seconds: self.fleet.fetch_s,
+            archive_concurrency: self.fleet.archive,
+            deduplication_window: DEDUP_WINDOW,
+            progress_interval: span(2.0),
         }
     }
 
-    pub fn wish(&self) -> Wish {
-        let class = |c: &Class| Asking { share: c.share, mean_s: c.mean_s, slots: c.slots };
-        let tide = |t: &LoadTide| Tide { from: span(t.from_s), until: span(t.until_s), factor: t.factor };
-        Wish {
+    pub fn workload(&self) -> WorkloadSpec {
+        let class =
+            |class: &Class| JobClass { share: class.share, mean_seconds: class.mean_s, slots: class.slots };
+        let segment = |segment: &LoadTide| LoadSegment {
+            from: span(segment.from_s),
+            until: span(segment.until_s),
+            factor: segment.factor,
+        };
+        WorkloadSpec {
             seed: self.seed,
             length: span(self.length_s),
             rate: self.load.rate,
-            tides: self.load.tides.iter().map(tide).collect(),
+            load_curve: self.load.tides.iter().map(segment).collect(),
             classes: self.classes.iter().map(class).collect(),
             sets: self.load.sets,
             skew: self.load.skew,
--- a/crates/testbed/src/upkeep.rs
+++ b/crates/testbed/src/upkeep.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewusher_model::plan::stream;
+use curlewusher_model::workload::random_stream;
 use rand::Rng;
 use rustix::process::Signal;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -39,7 +39,7 @@
 impl Plan {
     /// Draws it from the scenario's seed; the concern keeps upgrades apart.
     pub fn draw(scenario: &Scenario, fault: &Fault, concern: &str) -> Plan {
-        let mut random = stream(scenario.seed, concern);
+        let mut random = random_stream(scenario.seed, concern);
         let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(LONGEST_DELAY_S);
         let kill_s = random.random::<f64>() * (delay_s + KILL_AFTER_DELAY_S);
         let drawn = if random.random() { Whom::Older } else { Whom::Newer };
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -13,28 +13,34 @@
     Scenario::parse(FULL).expect("a good scenario")
 }
 
-fn plan_lines(scenario: &Scenario) -> Vec<String> {
-    let wish = scenario.wish();
-    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", wish.seed, wish.length, wish.rate)];
-    lines.push(format!("sets {}, skew {}, hint spread {}", wish.sets, wish.skew, wish.hint_spread));
-    let tide = |tide: &super::Tide| {
-        format!("tide: from {}, until {}, factor {}", tide.from, tide.until, tide.factor)
+fn workload_lines(scenario: &Scenario) -> Vec<String> {
+    let spec = scenario.workload();
+    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length, spec.rate)];
+    lines.push(format!("sets {}, skew {}, hint spread {}", spec.sets, spec.skew, spec.hint_spread));
+    let segment = |segment: &super::LoadSegment| {
+        format!("tide: from {}, until {}, factor {}", segment.from, segment.until, segment.factor)
     };
-    lines.extend(wish.tides.iter().map(tide));
-    let class = |class: &super::Asking| {
-        format!("class: share {}, mean {}, slots {}", class.share, class.mean_s, class.slots)
+    lines.extend(spec.load_curve.iter().map(segment));
+    let class = |class: &super::JobClass| {
+        format!("class: share {}, mean {}, slots {}", class.share, class.mean_seconds, class.slots)
     };
-    lines.extend(wish.classes.iter().map(class));
+    lines.extend(spec.classes.iter().map(class));
     lines
 }
 
-fn nature_lines(scenario: &Scenario) -> Vec<String> {
-    let nature = scenario.nature();
+fn pool_lines(scenario: &Scenario) -> Vec<String> {
+    let parameters = scenario.pool_parameters();
     vec![
-        format!("cold share {}, warm-up {}", nature.cold_share, nature.warm_up),
-        format!("overload factor {}, fall window {}", nature.overload_factor, nature.fall_window),
-        format!("crowding {}, fetch {}, archive {}", nature.crowding, nature.fetch_s, nature.archive),
-        format!("deduplication window {}, progress {}", nature.dedup_window, nature.progress),
+        format!("cold share {}, warm-up {}", parameters.cold_capacity_fraction, parameters.warm_up),
+        format!("overload factor {}, fall window {}", parameters.overload_factor, parameters.overload_window),
+        format!(
+            "crowding {}, fetch {}, archive {}",
+            parameters.contention_penalty, parameters.fetch_seconds, parameters.archive_concurrency
+        ),
+        format!(
+            "deduplication window {}, progress {}",
+            parameters.deduplication_window, parameters.progress_interval
+        ),
     ]
 }
 
@@ -89,6 +95,6 @@
 #[test]
 fn a_scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
     let scenario = full();
-    let lines = [plan_lines, nature_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
+    let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
     golden!("scenario_parts.txt").assert_is(&(lines.concat().join("\n") + "\n"));
 }
