--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -216,3 +216,7 @@
         records
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/event_log.rs"]
+mod tests;
