--- a/crates/testbed/src/drill.rs
+++ b/crates/testbed/src/drill.rs
@@ -13,11 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until};
 
-use crate::daily::Daily;
+use crate::event_log::ExpectedAnswer;
 use crate::fleet::name_of;
-use crate::judge::{Breach, Rule};
 use crate::play::{Played, Stage};
-use crate::record::Owed;
+use crate::rules::{OperationFigures, Rule, UpgradeFigures, Violation};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::upkeep::Plan;
 
@@ -139,13 +138,13 @@
         let worker = name_of(round % self.scenario.workers());
         let mut between = || Duration::from_secs_f64(0.05 + random.random::<f64>() * 0.6);
         for (line, owed) in [
-            ("READY".to_owned(), Owed::Yes),
-            (format!("DISABLE {worker}"), Owed::Yes),
-            (format!("DISABLE w-never-{round}"), Owed::No),
-            (format!("DISABLE {worker}"), Owed::Yes),
-            (format!("ENABLE w-never-{round}"), Owed::No),
-            ("RESTART".to_owned(), Owed::No),
-            (format!("ENABLE {worker}"), Owed::Yes),
+            ("READY".to_owned(), ExpectedAnswer::Yes),
+            (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
+            (format!("DISABLE w-never-{round}"), ExpectedAnswer::No),
+            (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
+            (format!("ENABLE w-never-{round}"), ExpectedAnswer::No),
+            ("RESTART".to_owned(), ExpectedAnswer::No),
+            (format!("ENABLE {worker}"), ExpectedAnswer::Yes),
         ] {
             let _ = self.operate(0, &line, owed).await;
             sleep(between()).await;
@@ -161,25 +160,31 @@
 }
 
 /// The table of a drill.
-pub fn table(drill: Drill, seed: u64, played: &Played, daily: &Daily, breaches: &[Breach]) -> String {
+pub fn table(
+    drill: Drill,
+    seed: u64,
+    played: &Played,
+    operations: &OperationFigures,
+    violations: &[Violation],
+) -> String {
     let mut out = format!("drill {:?}, {} times, seed {seed}\n", drill.kind, drill.times).to_lowercase();
     let mut rules: BTreeMap<String, usize> = BTreeMap::new();
-    breaches.iter().for_each(|breach| *rules.entry(format!("{:?}", breach.rule)).or_default() += 1);
-    let lost = breaches.iter().filter(|breach| breach.rule == Rule::OneAnswer).count();
+    violations.iter().for_each(|violation| *rules.entry(format!("{:?}", violation.rule)).or_default() += 1);
+    let lost = violations.iter().filter(|violation| violation.rule == Rule::OneAnswer).count();
     let mut line = |name: &str, value: String| _ = writeln!(out, "{name:<40}{value}");
     line("jobs lost", lost.to_string());
-    let upgrades = &daily.upgrades;
+    let upgrades = &operations.upgrades;
     if !upgrades.is_empty() {
         let count = upgrades.len() as f64;
         let harmed: usize = upgrades.iter().map(|upgrade| upgrade.harmed).sum();
         let most = upgrades.iter().map(|upgrade| upgrade.harmed).max().unwrap_or_default();
         line("jobs harmed an upgrade, max, mean", format!("{most}, {:.2}", harmed as f64 / count));
-        line("jobs refused, all", upgrades.iter().map(|upgrade| upgrade.refused).sum::<usize>().to_string());
+        line("jobs refused, all", upgrades.iter().map(|upgrade| upgrade.rejected).sum::<usize>().to_string());
         line(
             "times no to /ready, all",
-            upgrades.iter().map(|upgrade| upgrade.noes).sum::<usize>().to_string(),
+            upgrades.iter().map(|upgrade| upgrade.not_ready_answers).sum::<usize>().to_string(),
         );
-        let times = |of: &dyn Fn(&crate::daily::Upgrade) -> Option<f64>| {
+        let times = |of: &dyn Fn(&UpgradeFigures) -> Option<f64>| {
             let all: Vec<f64> = upgrades.iter().filter_map(of).collect();
             let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
             format!("{:.2} s, {mean:.2} s, of {}", all.iter().copied().fold(0.0, f64::max), all.len())
@@ -188,11 +193,14 @@
         line("one process again after, max, mean", times(&|upgrade| upgrade.ended_s));
         line("upgrades with a kill that hit", upgrades.iter().filter(|u| u.killed).count().to_string());
     }
-    for (call, (count, slowest)) in &daily.calls {
-        line(&format!("{call}: calls, slowest answer"), format!("{count}, {slowest:.1} ms"));
+    for (command, figures) in &operations.commands {
+        line(
+            &format!("{command}: calls, slowest answer"),
+            format!("{}, {:.1} ms", figures.count, figures.slowest_ms),
+        );
     }
     line("crashes", played.crashes.len().to_string());
-    line("broken rules", breaches.len().to_string());
+    line("broken rules", violations.len().to_string());
     for (rule, count) in rules {
         line(&format!("  {rule}"), count.to_string());
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -30,7 +30,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::record::{Log, What};
+use crate::event_log::{Event, EventLog};
 use crate::scenario::Scenario;
 
 /// Discovery gives up a call that has waited for this.
@@ -201,7 +201,7 @@
         jobs: Arc<Vec<PlannedJob>>,
         tries: Tries,
         nodes: NodePlaces,
-        log: Log,
+        log: EventLog,
     ) -> Result<Fleet, String> {
         let machines = scenario.machines();
         let grown = scenario.grown();
@@ -378,7 +378,7 @@
     worker: WorkerIndex,
     queue: UnboundedSender<Notice>,
     tries: Tries,
-    log: Log,
+    log: EventLog,
     state: watch::Receiver<Sockets>,
 }
 
@@ -505,7 +505,7 @@
     names: Names,
     jobs: Arc<Vec<PlannedJob>>,
     nodes: NodePlaces,
-    log: Log,
+    log: EventLog,
     sockets: Arc<Vec<watch::Sender<Sockets>>>,
     attempts: HashMap<AttemptNumber, Out>,
     /// The attempt of a request that a worker has.
@@ -565,7 +565,7 @@
                 };
                 let attempt = self.next_attempt;
                 self.next_attempt += 1;
-                self.log.add(What::Arrived {
+                self.log.record(Event::AttemptArrived {
                     attempt,
                     id: id.clone(),
                     node,
@@ -587,7 +587,7 @@
                 self.drive(PoolInput::Cancel { worker, attempt });
                 if self.attempts.contains_key(&attempt) {
                     // It came to a silent process, and the pool never had it.
-                    self.log.add(What::Withdrawn { attempt });
+                    self.log.record(Event::AttemptCancelled { attempt });
                     self.over(attempt);
                 }
             }
@@ -623,7 +623,7 @@
             Order::Start(worker) => {
                 self.drive(PoolInput::Start(worker));
                 self.silent[worker] = false;
-                self.log.add_at(now, What::WorkerStarted { worker });
+                self.log.record_at(now, Event::WorkerStarted { worker });
                 self.sockets[worker].send_replace(Sockets::Open);
                 change(&mut self.registry, worker, EndpointStatus::InService, Some(now));
             }
@@ -649,7 +649,7 @@
         for entry in entries {
             let in_service = entry.status == EndpointStatus::InService;
             let started_us = entry.started_at.unwrap_or(0);
-            self.log.add(What::Told { node, worker: entry.worker, in_service, started_us });
+            self.log.record(Event::EndpointSent { node, worker: entry.worker, in_service, started_us });
         }
     }
 
@@ -674,23 +674,23 @@
         for effect in effects {
             match effect {
                 PoolEffect::Accepted(attempt) => {
-                    self.log.add(What::TakenOn { attempt });
+                    self.log.record(Event::AttemptAccepted { attempt });
                     self.answer(attempt, true);
                 }
                 PoolEffect::Rejected(attempt) => {
-                    self.log.add(What::TurnedAway { attempt });
+                    self.log.record(Event::AttemptRejected { attempt });
                     self.answer(attempt, false);
                     self.over(attempt);
                 }
                 PoolEffect::Started(attempt) => {
-                    self.log.add(What::Started { attempt });
+                    self.log.record(Event::AttemptStarted { attempt });
                     self.call(attempt, r#""state":"started""#);
                 }
                 PoolEffect::Progressed { attempt, fraction } => {
                     self.call(attempt, &format!(r#""state":"running","share":{fraction:.3}"#))
                 }
                 PoolEffect::Completed(attempt) => {
-                    self.log.add(What::Done { attempt });
+                    self.log.record(Event::AttemptCompleted { attempt });
                     let result = self.attempts.get(&attempt).map(|out| result_of(&out.id));
                     self.call(
                         attempt,
@@ -699,22 +699,22 @@
                     self.over(attempt);
                 }
                 PoolEffect::Returned(attempt) => {
-                    self.log.add(What::Returned { attempt });
+                    self.log.record(Event::AttemptReturned { attempt });
                     self.call(attempt, r#""state":"returned""#);
                     self.over(attempt);
                 }
                 PoolEffect::Lost(attempt) => {
-                    self.log.add(What::Lost { attempt });
+                    self.log.record(Event::AttemptLost { attempt });
                     // The machine's agent saw the process die.
                     self.call(attempt, r#""state":"lost""#);
                     self.over(attempt);
                 }
                 PoolEffect::Cancelled { attempt, .. } => {
-                    self.log.add(What::Withdrawn { attempt });
+                    self.log.record(Event::AttemptCancelled { attempt });
                     self.over(attempt);
                 }
                 PoolEffect::Overloaded(worker) => {
-                    self.log.add(What::FellOver { worker });
+                    self.log.record(Event::WorkerOverloaded { worker });
                     self.sockets[worker].send_replace(Sockets::Closed);
                     let entry =
                         EndpointEntry { worker, status: EndpointStatus::Terminated, started_at: None };
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use crate::record::Missing;
+use crate::event_log::FailureReason;
 
 const CONNECT_TIME: Duration = Duration::from_secs(1);
 /// A client closes a connection that it has not used for this.
@@ -79,12 +79,12 @@
         taken: Option<TcpStream>,
         request: &[u8],
         keep: bool,
-    ) -> Result<Answer, Missing> {
+    ) -> Result<Answer, FailureReason> {
         let mut stream = match taken {
             Some(stream) => stream,
             None => match timeout(CONNECT_TIME, TcpStream::connect(place)).await {
                 Ok(Ok(stream)) => stream,
-                _ => return Err(Missing::Unreachable),
+                _ => return Err(FailureReason::Unreachable),
             },
         };
         let _ = stream.set_nodelay(true);
@@ -112,9 +112,9 @@
 }
 
 /// One request and its answer; the flag says whether the connection can be used again.
-async fn exchange(stream: &mut TcpStream, request: &[u8]) -> Result<(Answer, bool), Missing> {
+async fn exchange(stream: &mut TcpStream, request: &[u8]) -> Result<(Answer, bool), FailureReason> {
     if stream.write_all(request).await.is_err() {
-        return Err(Missing::Reset);
+        return Err(FailureReason::Reset);
     }
     let mut text = Vec::with_capacity(512);
     loop {
@@ -122,36 +122,36 @@
             // A node that had read all ends with an end; where it had not, the system resets the connection,
             // which shows on the socket beside the end.
             Ok(0) if text.is_empty() && matches!(stream.take_error(), Ok(None)) => {
-                return Err(Missing::Closed);
+                return Err(FailureReason::Closed);
             }
-            Ok(0) | Err(_) if text.is_empty() => return Err(Missing::Reset),
-            Ok(0) | Err(_) => return Err(Missing::Closed),
+            Ok(0) | Err(_) if text.is_empty() => return Err(FailureReason::Reset),
+            Ok(0) | Err(_) => return Err(FailureReason::Closed),
             Ok(_) => {}
         }
         if let Some(answer) = read(&text)? {
             return Ok(answer);
         }
         if text.len() > LONGEST_ANSWER {
-            return Err(Missing::Closed);
+            return Err(FailureReason::Closed);
         }
     }
 }
 
 /// An answer, once all of it is there. One that is none counts as no answer.
-fn read(text: &[u8]) -> Result<Option<(Answer, bool)>, Missing> {
+fn read(text: &[u8]) -> Result<Option<(Answer, bool)>, FailureReason> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let begin = match head.parse(text) {
         Ok(httparse::Status::Complete(begin)) => begin,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(Missing::Closed),
+        Err(_) => return Err(FailureReason::Closed),
     };
     let field = |name: &str| {
         let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.value).ok().map(str::trim)
     };
     // Without a length the client cannot know where the answer ends.
-    let length: usize = field("content-length").and_then(|v| v.parse().ok()).ok_or(Missing::Closed)?;
+    let length: usize = field("content-length").and_then(|v| v.parse().ok()).ok_or(FailureReason::Closed)?;
     let Some(body) = text.get(begin..begin + length) else { return Ok(None) };
     let stays = !field("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
     let retry_after = field("retry-after").and_then(|v| v.parse().ok());
@@ -175,15 +175,15 @@
             stream.read_exact(&mut all).await.expect("all of it");
         };
         let (seen, ()) = tokio::join!(links.send(0, place, None, b"read", true), dropped);
-        assert_eq!(seen, Err(Missing::Closed));
+        assert_eq!(seen, Err(FailureReason::Closed));
         // A queue that ends with what is in it.
         let (seen, ()) = tokio::join!(links.send(0, place, None, b"unread", true), async {
             let (stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("something");
         });
-        assert_eq!(seen, Err(Missing::Reset));
+        assert_eq!(seen, Err(FailureReason::Reset));
         drop(listener);
-        assert_eq!(links.send(0, place, None, b"none", true).await, Err(Missing::Unreachable));
+        assert_eq!(links.send(0, place, None, b"none", true).await, Err(FailureReason::Unreachable));
     }
 
     #[tokio::test]
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -12,10 +12,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
+use crate::event_log::{Event, EventLog, FailureReason, Readiness};
 use crate::fleet::{NodePlaces, Tries, result_of};
 use crate::links::Links;
 use crate::nodes::asked;
-use crate::record::{Log, Missing, Ready, What};
 use crate::scenario::{ClassRepeats, Scenario};
 
 /// A client waits a little beyond its time, to see how late a late answer is.
@@ -39,7 +39,7 @@
     next: AtomicUsize,
     places: NodePlaces,
     pub links: Links,
-    log: Log,
+    log: EventLog,
 }
 
 /// Where a try goes.
@@ -51,7 +51,7 @@
 }
 
 impl Front {
-    pub fn new(nodes: usize, places: NodePlaces, log: Log) -> Self {
+    pub fn new(nodes: usize, places: NodePlaces, log: EventLog) -> Self {
         Front {
             closes: (0..nodes).map(|_| AtomicU64::new(0)).collect(),
             next: AtomicUsize::new(0),
@@ -65,11 +65,11 @@
         self.closes[node].store(if well { Micros::MAX } else { self.log.now() }, Ordering::Relaxed);
     }
 
-    fn heard(&self, node: usize, said: Ready) {
+    fn heard(&self, node: usize, said: Readiness) {
         let after = match said {
-            Ready::Yes => return self.admit(node, true),
-            Ready::No => AFTER_NO,
-            Ready::Nothing => AFTER_SILENCE,
+            Readiness::Yes => return self.admit(node, true),
+            Readiness::No => AFTER_NO,
+            Readiness::Nothing => AFTER_SILENCE,
         };
         // Counted from the first of them: a later one moves nothing.
         self.closes[node].fetch_min(self.log.now() + after, Ordering::Relaxed);
@@ -79,18 +79,18 @@
     pub async fn watch(self: Arc<Self>, node: usize) {
         let mut ticks = interval(PROBES);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut last = Ready::Nothing;
+        let mut last = Readiness::Nothing;
         loop {
             ticks.tick().await;
             let Some(place) = self.places.lock()[node] else { continue };
             let said = match asked(place).await {
-                Some(true) => Ready::Yes,
-                Some(false) => Ready::No,
-                None => Ready::Nothing,
+                Some(true) => Readiness::Yes,
+                Some(false) => Readiness::No,
+                None => Readiness::Nothing,
             };
             self.heard(node, said);
             if said != last {
-                self.log.add(What::Said { node, ready: said });
+                self.log.record(Event::ReadinessChanged { node, readiness: said });
                 last = said;
             }
         }
@@ -116,7 +116,7 @@
     pub jobs: Arc<Vec<PlannedJob>>,
     pub tries: Tries,
     pub front: Arc<Front>,
-    pub log: Log,
+    pub log: EventLog,
     /// Nobody asks any more: the run has seen what it wanted.
     pub enough: AtomicBool,
 }
@@ -136,7 +136,7 @@
         jobs: Arc<Vec<PlannedJob>>,
         tries: Tries,
         front: Arc<Front>,
-        log: Log,
+        log: EventLog,
     ) -> Self {
         Clients { scenario, jobs, tries, front, log, enough: AtomicBool::new(false) }
     }
@@ -193,15 +193,15 @@
         let node = way.as_ref().map_or(0, |way| way.node);
         let id = format!("j{job}-{number}");
         self.tries.add(&id, node, job);
-        self.log.add(What::Asked {
+        self.log.record(Event::RequestSent {
             id: id.clone(),
             job,
             node,
             class: planned.class,
-            give_up_us: wait,
+            timeout_us: wait,
             late_us,
         });
-        let Some(way) = way else { return self.missing(id, Missing::NoNode) };
+        let Some(way) = way else { return self.missing(id, FailureReason::NoNode) };
         let mut request = format!(
             "POST /api/set-{} HTTP/1.1\r\nhost: {}\r\nx-request-id: {id}\r\nx-class: {}\r\nx-deadline: {:.6}\r\n\
              x-cost-hint: {:.0}\r\nx-extras: slots={}\r\n",
@@ -223,10 +223,10 @@
         let answer = match timeout(Duration::from_micros(wait) + PATIENCE, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(why)) => return self.missing(id, why),
-            Err(_) => return self.missing(id, Missing::Late),
+            Err(_) => return self.missing(id, FailureReason::Late),
         };
         let good = answer.body == result_of(&id).as_bytes();
-        self.log.add(What::Answered { id, status: answer.status, good });
+        self.log.record(Event::ResponseReceived { id, status: answer.status, has_own_result: good });
         match answer.status {
             200 if good => End::Served,
             429 | 503 => End::Refused { after: answer.retry_after },
@@ -234,8 +234,12 @@
         }
     }
 
-    fn missing(&self, id: String, why: Missing) -> End {
-        self.log.add(What::Unanswered { id, why });
-        if matches!(why, Missing::Unreachable | Missing::NoNode) { End::Unreachable } else { End::Missing }
+    fn missing(&self, id: String, why: FailureReason) -> End {
+        self.log.record(Event::RequestFailed { id, reason: why });
+        if matches!(why, FailureReason::Unreachable | FailureReason::NoNode) {
+            End::Unreachable
+        } else {
+            End::Missing
+        }
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,20 +4,23 @@
 
 mod compare;
 mod console;
-mod daily;
 mod drill;
+mod event_log;
 mod fleet;
-mod judge;
 mod links;
 mod load;
 mod nodes;
 mod play;
-mod record;
 mod report;
+mod rules;
 mod scenario;
 mod scripted;
 mod upkeep;
 
+#[cfg(test)]
+#[path = "../../toml-diagnostics/tests/support/golden.rs"]
+mod golden;
+
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -151,7 +154,10 @@
             let drill = drill::Drill { kind, times, delay_s: delay };
             let program = program_or_scripted(node, scripted, &out)?;
             runtime(1)?.block_on(run(drill.scenario(seed), program, Some(drill), !quiet)).map(|ran| {
-                print!("{}", drill::table(drill, seed, &ran.played, &ran.figures.daily, &ran.breaches));
+                print!(
+                    "{}",
+                    drill::table(drill, seed, &ran.played, &ran.figures.operations, &ran.violations)
+                );
                 println!("report: {}", out.join("report.html").display());
                 ran.code
             })
@@ -253,7 +259,7 @@
 /// What is left of a run once its files are written.
 struct Ran {
     played: play::Played,
-    breaches: Vec<judge::Breach>,
+    violations: Vec<rules::Violation>,
     figures: Figures,
     /// What this program ends with.
     code: u8,
@@ -269,26 +275,29 @@
     std::fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
     let played = play::play(scenario.clone(), program, drill, bar).await?;
     // A run cut short leaves requests open that nobody can be blamed for.
-    let mut breaches =
-        if played.interrupted { Vec::new() } else { judge::judge(&played.records, &scenario.rules()) };
-    breaches.extend(daily::size(&played.samples, &scenario));
-    let figures = report::figures(&scenario, &played, &breaches);
+    let mut violations = if played.interrupted {
+        Vec::new()
+    } else {
+        rules::check_rules(&played.records, &scenario.rule_parameters())
+    };
+    violations.extend(rules::check_footprint(&played.samples, &scenario));
+    let figures = report::figures(&scenario, &played, &violations);
     let lines = played.records.iter().map(|record| serde_json::to_string(record).map(|line| line + "\n"));
     let seen: String = lines.collect::<Result<_, _>>().map_err(|e| e.to_string())?;
     write(&out.join("seen.jsonl"), &seen)?;
     write(&out.join("figures.json"), &serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?)?;
-    write(&out.join("report.html"), &report::page(&scenario, &played, &figures, &breaches))?;
-    for breach in breaches.iter().take(5) {
-        eprint!("BROKEN RULE {breach}");
+    write(&out.join("report.html"), &report::page(&scenario, &played, &figures, &violations))?;
+    for violation in violations.iter().take(5) {
+        eprint!("BROKEN RULE {violation}");
     }
-    if breaches.len() > 5 {
-        eprintln!("... and {} more; see the report", breaches.len() - 5);
+    if violations.len() > 5 {
+        eprintln!("... and {} more; see the report", violations.len() - 5);
     }
     played.crashes.iter().for_each(|crash| eprintln!("CRASH {crash}"));
-    let code = match (breaches.is_empty() && played.crashes.is_empty(), figures.valid) {
+    let code = match (violations.is_empty() && played.crashes.is_empty(), figures.valid) {
         (false, _) => 1,
         (true, false) => 3,
         (true, true) => 0,
     };
-    Ok(Ran { played, breaches, figures, code })
+    Ok(Ran { played, violations, figures, code })
 }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -18,10 +18,10 @@
 
 use crate::console::free_place;
 use crate::drill::Drill;
+use crate::event_log::{Event, EventLog, Record};
 use crate::fleet::{Fleet, NodePlaces, Order, Tries};
 use crate::load::{Clients, Front};
 use crate::nodes::{Node, NodeError, Place, Program, Sample, asked, cost};
-use crate::record::{Log, Record, What};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::upkeep::{Plan, join_all};
 
@@ -74,7 +74,7 @@
     pub fleet: Fleet,
     pub front: Arc<Front>,
     places: NodePlaces,
-    pub log: Log,
+    pub log: EventLog,
     pub nodes: Vec<Mutex<Held>>,
     crashes: parking_lot::Mutex<Vec<String>>,
     /// Nodes have a second address.
@@ -101,7 +101,7 @@
 ) -> Result<Played, String> {
     let scenario = Arc::new(scenario);
     let jobs = Arc::new(scenario.workload().draw());
-    let (log, tries) = (Log::new(), Tries::default());
+    let (log, tries) = (EventLog::new(), Tries::default());
     let places: NodePlaces = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
     let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone()).await?;
     let front = Arc::new(Front::new(scenario.nodes.count, places.clone(), log.clone()));
@@ -197,7 +197,7 @@
         let node = Node::start(&self.program, &self.scenario, place).await?;
         self.places.lock()[number] = Some(node.address);
         *self.nodes[number].lock().await = Held { node: Some(node), console, processes: Vec::new() };
-        self.log.add(What::NodeReady { node: number });
+        self.log.record(Event::NodeReady { node: number });
         self.front.admit(number, true);
         Ok(())
     }
@@ -220,7 +220,7 @@
                     self.crashed(format!(
                         "node {number} ended by itself, {status}; its last lines:\n    {lines}"
                     ));
-                    self.log.add(What::NodeGone { node: number, killed: false });
+                    self.log.record(Event::NodeExited { node: number, killed: false });
                     self.front.admit(number, false);
                     held.node = None;
                 }
@@ -251,7 +251,7 @@
         let targets = self.scenario.targets(&fault);
         sleep_until(instant(fault.at_s)).await;
         let words = |moment: &str| format!("{:?} of {targets:?} {moment}", fault.kind);
-        self.log.add(What::Fault { words: words("begins") });
+        self.log.record(Event::Fault { description: words("begins") });
         let until = fault.for_s.map(|s| instant(fault.at_s + s));
         let ends = async {
             match until {
@@ -329,7 +329,7 @@
                 join_all(targets.iter().map(|node| self.upgrade(*node, plan(node)))).await;
             }
         }
-        self.log.add(What::Fault { words: words("ends") });
+        self.log.record(Event::Fault { description: words("ends") });
     }
 
     /// Ends a node; the front hears of it in its own time.
@@ -342,9 +342,9 @@
         let ends = async {
             if kill {
                 let _ = node.child.kill().await;
-                return self.log.add(What::NodeGone { node: number, killed: true });
+                return self.log.record(Event::NodeExited { node: number, killed: true });
             }
-            self.log.add(What::NodeToldToEnd { node: number });
+            self.log.record(Event::NodeTerminated { node: number });
             node.signal(Signal::TERM);
             let longest = self.scenario.classes.iter().map(|class| class.give_up_s).fold(0.0, f64::max);
             let last = Instant::now() + KILL_AT_LEAST.max(Duration::from_secs_f64(longest)) + KILL_GRACE;
@@ -362,10 +362,10 @@
                     self.crashed(format!(
                         "node {number} did not end by itself after SIGTERM, and was killed"
                     ));
-                    return self.log.add(What::NodeGone { node: number, killed: true });
+                    return self.log.record(Event::NodeExited { node: number, killed: true });
                 }
             }
-            self.log.add(What::NodeGone { node: number, killed: false });
+            self.log.record(Event::NodeExited { node: number, killed: false });
         };
         if heard {
             // Its place is taken by its next process only once the front has heard of the end of this one.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -9,11 +9,10 @@
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::daily::{self, Daily};
-use crate::judge::Breach;
+use crate::event_log::{Event, FailureReason, Record};
 use crate::nodes::Sample;
 use crate::play::Played;
-use crate::record::{Missing, Record, What};
+use crate::rules::{CommandFigures, OperationFigures, UpgradeFigures, Violation, operation_figures};
 use crate::scenario::Scenario;
 
 /// A load whose latest hundredth of first sends came later than this after its moment was not the load that was asked.
@@ -72,8 +71,8 @@
     pub broken_rules: usize,
     pub crashes: usize,
     /// What was seen of operators' work.
-    #[serde(default)]
-    pub daily: Daily,
+    #[serde(default, rename = "daily")]
+    pub operations: OperationFigures,
     /// Worth asked and in time by second of asking, for each class.
     pub seconds: Vec<Vec<(f64, f64)>>,
 }
@@ -84,7 +83,7 @@
 }
 
 /// All figures of a run.
-pub fn figures(scenario: &Scenario, played: &Played, breaches: &[Breach]) -> Figures {
+pub fn figures(scenario: &Scenario, played: &Played, violations: &[Violation]) -> Figures {
     struct Job {
         class: usize,
         intended: u64,
@@ -94,9 +93,9 @@
     let mut of: HashMap<&str, usize> = HashMap::new();
     let mut attempts_of_worker = vec![0; scenario.workers()];
     let (mut tries, mut attempts, mut lateness) = (0, 0, histogram());
-    for Record { at, what } in &played.records {
-        match what {
-            What::Asked { id, job, class, late_us, .. } => {
+    for Record { at, event } in &played.records {
+        match event {
+            Event::RequestSent { id, job, class, late_us, .. } => {
                 tries += 1;
                 of.insert(id, *job);
                 jobs.entry(*job).or_insert_with(|| {
@@ -104,19 +103,19 @@
                     Job { class: *class, intended: at - late_us, last: None }
                 });
             }
-            What::Answered { id, status, good } => {
+            Event::ResponseReceived { id, status, has_own_result: good } => {
                 if let Some(job) = of.get(id.as_str()).and_then(|job| jobs.get_mut(job)) {
                     job.last = Some((*at, *status, *good));
                 }
             }
-            What::Unanswered { id, why } => {
+            Event::RequestFailed { id, reason: why } => {
                 if let Some(job) = of.get(id.as_str()).and_then(|job| jobs.get_mut(job)) {
-                    let refused = matches!(why, Missing::Unreachable | Missing::NoNode);
+                    let refused = matches!(why, FailureReason::Unreachable | FailureReason::NoNode);
                     let status = if refused { 503 } else { 0 };
                     job.last = Some((*at, status, false));
                 }
             }
-            What::Arrived { worker, .. } => {
+            Event::AttemptArrived { worker, .. } => {
                 attempts += 1;
                 attempts_of_worker[*worker] += 1;
             }
@@ -191,9 +190,9 @@
         classes,
         nodes,
         attempts_of_worker,
-        broken_rules: breaches.len(),
+        broken_rules: violations.len(),
         crashes: played.crashes.len(),
-        daily: daily::look(&played.records, &scenario.rules()).1,
+        operations: operation_figures(&played.records, &scenario.rule_parameters()),
         seconds,
     }
 }
@@ -239,7 +238,7 @@
             node.cpu_s, node.most_memory_mb, node.most_descriptors
         );
     }
-    for line in daily_lines(&figures.daily) {
+    for line in operation_lines(&figures.operations) {
         out += &format!("{line}\n");
     }
     if !figures.valid {
@@ -252,9 +251,9 @@
 }
 
 /// What was seen of operators' work, a line for each upgrade and each kind of call.
-fn daily_lines(daily: &Daily) -> Vec<String> {
+fn operation_lines(operations: &OperationFigures) -> Vec<String> {
     let seconds = |s: Option<f64>| s.map_or("never".into(), |s| format!("after {s:.2} s"));
-    let upgrade = |u: &daily::Upgrade| {
+    let upgrade = |u: &UpgradeFigures| {
         let kill = if u.killed { ", one process killed" } else { "" };
         format!(
             "upgrade of node {} at {:.1} s: newer ready {}, one process again {}, \
@@ -264,18 +263,18 @@
             seconds(u.ready_s),
             seconds(u.ended_s),
             u.harmed,
-            u.refused,
-            u.noes
+            u.rejected,
+            u.not_ready_answers
         )
     };
-    let call = |(call, (count, slowest)): (&String, &(usize, f64))| {
-        format!("{call}: {count} calls, the slowest {slowest:.1} ms")
+    let command = |(verb, figures): (&String, &CommandFigures)| {
+        format!("{verb}: {} calls, the slowest {:.1} ms", figures.count, figures.slowest_ms)
     };
-    daily.upgrades.iter().map(upgrade).chain(daily.calls.iter().map(call)).collect()
+    operations.upgrades.iter().map(upgrade).chain(operations.commands.iter().map(command)).collect()
 }
 
 /// The page: one file that needs nothing else.
-pub fn page(scenario: &Scenario, played: &Played, figures: &Figures, breaches: &[Breach]) -> String {
+pub fn page(scenario: &Scenario, played: &Played, figures: &Figures, violations: &[Violation]) -> String {
     let bands = bands(played);
     let share: Vec<(String, Vec<(f64, f64)>)> = figures
         .classes
@@ -317,10 +316,10 @@
                 }
                 @if figures.valid { p.good { "The load kept its schedule (99 % of first sends within " (format!("{:.1}", figures.late_p99_ms)) " ms)." } }
                 @else { p.bad { "This run does not count: it was cut short, or sends were late by " (format!("{:.1}", figures.late_p99_ms)) " ms (99 %)." } }
-                @if breaches.is_empty() && played.crashes.is_empty() { p.good { "No rule was broken, and no node crashed." } }
+                @if violations.is_empty() && played.crashes.is_empty() { p.good { "No rule was broken, and no node crashed." } }
                 @for crash in &played.crashes { p.bad { "Crash" } pre { (crash) } }
-                @for breach in breaches.iter().take(20) { p.bad { "Broken rule" } pre { (breach) } }
-                @if breaches.len() > 20 { p.bad { "and " (breaches.len() - 20) " more" } }
+                @for violation in violations.iter().take(20) { p.bad { "Broken rule" } pre { (violation) } }
+                @if violations.len() > 20 { p.bad { "and " (violations.len() - 20) " more" } }
                 h2 { "Classes" }
                 table {
                     tr { th { "class" } th { "jobs" } th { "in time" } th { "late" } th { "refused" } th { "failed" }
@@ -342,9 +341,9 @@
                 (plot(&of_nodes(&|s| s.descriptors as f64), length, None, &bands, "s", "open"))
                 h2 { "Attempts by worker" }
                 (plot(&[("attempts".into(), load)], figures.attempts_of_worker.len() as f64, None, &[], "worker", "attempts"))
-                @if !daily_lines(&figures.daily).is_empty() {
+                @if !operation_lines(&figures.operations).is_empty() {
                     h2 { "Operators' work" }
-                    ul { @for line in daily_lines(&figures.daily) { li { (line) } } }
+                    ul { @for line in operation_lines(&figures.operations) { li { (line) } } }
                 }
                 h2 { "What was done" }
                 ul { @for (from, until, words) in &bands { li { (format!("{from:.1} to {until:.1} s: {words}")) } } }
@@ -374,8 +373,8 @@
 fn bands(played: &Played) -> Vec<(f64, f64, String)> {
     let s = |at: u64| at.saturating_sub(played.begin) as f64 / 1e6;
     let mut bands: Vec<(f64, f64, String)> = Vec::new();
-    for Record { at, what } in &played.records {
-        let What::Fault { words } = what else { continue };
+    for Record { at, event } in &played.records {
+        let Event::Fault { description: words } = event else { continue };
         if let Some(words) = words.strip_suffix(" begins") {
             bands.push((s(*at), s(played.end), words.to_owned()));
         } else if let Some(words) = words.strip_suffix(" ends")
--- /dev/null
+++ b/crates/testbed/src/rules/mod.rs
@@ -0,0 +1,83 @@
+//! The rule checker: finds in the event log where a node broke one of its rules. A node may consist of two processes.
+//!
+//! It shares no code with the node and takes none of its statements as facts.
+
+mod footprint;
+mod job_rules;
+mod operation_figures;
+mod operations_rules;
+mod timeline;
+mod violation;
+
+use curlewusher_model::Micros;
+use serde::Serialize;
+
+pub use footprint::check_footprint;
+pub use operation_figures::{CommandFigures, OperationFigures, UpgradeFigures};
+pub use operations_rules::operation_figures;
+pub use violation::Violation;
+
+use crate::event_log::Record;
+
+/// Effects of an upgrade may be observed this long after its end: what was queued then is reported a moment later.
+const UPGRADE_AFTERMATH: Micros = 500_000;
+
+/// Which repeats of a job that may have run a class allows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RepeatPolicy {
+    /// All.
+    Idempotent,
+    /// Those in the bay of the first attempt that may have run, within the window from its arrival.
+    IdempotentWithKey { window: Micros },
+    /// None.
+    NonIdempotent,
+}
+
+/// The figures of the rules.
+#[derive(Clone, Debug)]
+pub struct RuleParameters {
+    /// By class.
+    pub classes: Vec<RepeatPolicy>,
+    /// Tolerance that is added to each time limit.
+    pub slack: Micros,
+    /// A node must send nothing to a worker from this long after it learned that the worker drains or has ended.
+    pub stop_within: Micros,
+    /// A request that was sent later than this after SIGTERM may be lost.
+    pub drain_grace: Micros,
+    /// Window in which work that was sent to an overloaded worker is added up.
+    pub fall_window: Micros,
+    /// The successor of an upgrade is bound by the registry's entries this long after its first yes.
+    pub successor_grace: Micros,
+}
+
+/// A rule.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Rule {
+    /// Each request gets one response, in time, and with the result that a worker made for it.
+    OneAnswer,
+    /// A job runs again only as its class allows.
+    OneEffect,
+    /// A worker that drains or has ended gets nothing more.
+    QuietDrain,
+    /// A worker that warms up is not overloaded.
+    GentleStart,
+    /// Admin commands are answered correctly and in time.
+    Console,
+    /// Clients leave a node that is drained, and return afterwards.
+    NodeDrain,
+    /// A disabled worker gets nothing, and is used again once it is enabled.
+    Maintenance,
+    /// An upgrade harms a bounded number of jobs.
+    Upgrade,
+    /// All processes of a node together stay within the limits of one.
+    Size,
+}
+
+/// Returns all violations: those of the rules on jobs in the order of detection, then those of the rules on operations
+/// in the order of time.
+pub fn check_rules(records: &[Record], parameters: &RuleParameters) -> Vec<Violation> {
+    let mut violations = job_rules::check(records, parameters);
+    violations.extend(operations_rules::check(records, parameters).violations);
+    violations
+}
--- /dev/null
+++ b/crates/testbed/src/rules/timeline.rs
@@ -0,0 +1,80 @@
+//! Renders the events around a violation, a line each.
+
+use curlewusher_model::Micros;
+
+use crate::event_log::{Event, Record};
+
+/// Events about workers this near to a violation belong to its timeline.
+const VICINITY: Micros = 2_000_000;
+
+/// The events of a request and of its attempts.
+pub fn of_request(records: &[Record], id: &str) -> Vec<String> {
+    let mut attempts = Vec::new();
+    let mut lines = Vec::new();
+    for record in records {
+        let description = request_event(&record.event, id)
+            .or_else(|| arrival(&record.event, id, &mut attempts))
+            .or_else(|| attempt_event(&record.event, &attempts));
+        lines.extend(description.map(|description| timeline_line(record.at, &description)));
+    }
+    lines
+}
+
+/// The events about workers shortly before and after a moment.
+pub fn of_workers(records: &[Record], around: Micros) -> Vec<String> {
+    let near = records.iter().filter(|record| record.at.abs_diff(around) < VICINITY);
+    near.filter_map(|record| Some(timeline_line(record.at, &worker_event(&record.event)?))).collect()
+}
+
+fn timeline_line(at: Micros, description: &str) -> String {
+    format!("{:9.3} s  {description}", at as f64 / 1e6)
+}
+
+fn request_event(event: &Event, request: &str) -> Option<String> {
+    match event {
+        Event::RequestSent { id, node, class, timeout_us, .. } if id == request => {
+            Some(format!("asked of node {node}, class {class}, for {:.2} s", *timeout_us as f64 / 1e6))
+        }
+        Event::ResponseReceived { id, status, has_own_result } if id == request => {
+            let remark = if *status == 200 && !has_own_result { ", not with its result" } else { "" };
+            Some(format!("answered {status}{remark}"))
+        }
+        Event::RequestFailed { id, reason } if id == request => Some(format!("no answer: {reason:?}")),
+        _ => None,
+    }
+}
+
+/// Describes an arrival of the request, and adds the attempt to its attempts.
+fn arrival(event: &Event, request: &str, attempts: &mut Vec<u64>) -> Option<String> {
+    let Event::AttemptArrived { attempt, id, node, worker, bay, .. } = event else { return None };
+    if id != request {
+        return None;
+    }
+    attempts.push(*attempt);
+    Some(format!("attempt {attempt} of node {node} arrived at worker {worker} in bay {bay}"))
+}
+
+fn attempt_event(event: &Event, attempts: &[u64]) -> Option<String> {
+    let (attempt, outcome) = match event {
+        Event::AttemptAccepted { attempt } => (attempt, "taken on"),
+        Event::AttemptRejected { attempt } => (attempt, "turned away"),
+        Event::AttemptStarted { attempt } => (attempt, "started"),
+        Event::AttemptCompleted { attempt } => (attempt, "done"),
+        Event::AttemptReturned { attempt } => (attempt, "handed back"),
+        Event::AttemptLost { attempt } => (attempt, "lost"),
+        Event::AttemptCancelled { attempt } => (attempt, "withdrawn"),
+        _ => return None,
+    };
+    attempts.contains(attempt).then(|| format!("attempt {attempt} {outcome}"))
+}
+
+fn worker_event(event: &Event) -> Option<String> {
+    match event {
+        Event::EndpointSent { node, worker, in_service, .. } => {
+            Some(format!("node {node} told: worker {worker} in service: {in_service}"))
+        }
+        Event::WorkerStarted { worker } => Some(format!("worker {worker} started")),
+        Event::WorkerOverloaded { worker } => Some(format!("worker {worker} fell over")),
+        _ => None,
+    }
+}
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -10,7 +10,7 @@
 use curlewusher_model::{Micros, span};
 use serde::{Deserialize, Serialize};
 
-use crate::judge::{Repeats, Rules};
+use crate::rules::{RepeatPolicy, RuleParameters};
 
 /// A scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -576,19 +576,19 @@
         }
     }
 
-    pub fn rules(&self) -> Rules {
+    pub fn rule_parameters(&self) -> RuleParameters {
         let repeats = |class: &Class| match class.repeats {
-            ClassRepeats::Safe => Repeats::Safe,
-            ClassRepeats::Keyed => Repeats::Keyed { window: DEDUP_WINDOW },
-            ClassRepeats::Unsafe => Repeats::Unsafe,
+            ClassRepeats::Safe => RepeatPolicy::Idempotent,
+            ClassRepeats::Keyed => RepeatPolicy::IdempotentWithKey { window: DEDUP_WINDOW },
+            ClassRepeats::Unsafe => RepeatPolicy::NonIdempotent,
         };
-        Rules {
+        RuleParameters {
             classes: self.classes.iter().map(repeats).collect(),
             slack: SLACK,
             stop_within: STOP_WITHIN,
             drain_grace: DRAIN_GRACE,
             fall_window: FALL_WINDOW,
-            newer_learns: NEWER_LEARNS,
+            successor_grace: NEWER_LEARNS,
         }
     }
 }
--- a/crates/testbed/src/upkeep.rs
+++ b/crates/testbed/src/upkeep.rs
@@ -10,10 +10,10 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::console::{Said, call, free_place};
+use crate::event_log::{Event, ExpectedAnswer};
 use crate::fleet::{Order, name_of};
 use crate::nodes::{Node, Place};
 use crate::play::{KILL_AT_LEAST, KILL_GRACE, Stage};
-use crate::record::{Owed, What};
 use crate::scenario::{Fault, FaultKind, LONGEST_DELAY_S, Scenario, Whom};
 
 /// A newer process says yes to READY within this.
@@ -82,17 +82,23 @@
 impl Stage {
     /// Makes a call to a node and writes down how it went. In an upgrade the newer process is called once it
     /// is ready.
-    pub async fn operate(&self, node: usize, line: &str, owed: Owed) -> Option<Said> {
+    pub async fn operate(&self, node: usize, line: &str, owed: ExpectedAnswer) -> Option<Said> {
         let console = self.nodes[node].lock().await.console?;
         Some(self.operate_at(console, node, line, owed).await)
     }
 
-    async fn operate_at(&self, console: SocketAddr, node: usize, line: &str, owed: Owed) -> Said {
+    async fn operate_at(&self, console: SocketAddr, node: usize, line: &str, owed: ExpectedAnswer) -> Said {
         let said = call(console, line).await;
         // A process that was started a moment ago does not listen yet; no call was made.
-        if !(said.refused && owed == Owed::Either) {
+        if !(said.refused && owed == ExpectedAnswer::Either) {
             let (call, line, took_us) = (line.to_owned(), said.line.clone(), said.took_us);
-            self.log.add(What::Called { node, call, owed, said: line, took_us });
+            self.log.record(Event::AdminCommandEnded {
+                node,
+                command: call,
+                expected: owed,
+                answer: line,
+                took_us,
+            });
         }
         said
     }
@@ -100,14 +106,14 @@
     /// Drains a node, notes 4 s later what clients hold open to it, and ends the drain.
     pub async fn node_drain(&self, node: usize, until: Option<Instant>) {
         let begin = Instant::now();
-        self.operate(node, "DRAIN", Owed::Yes).await;
+        self.operate(node, "DRAIN", ExpectedAnswer::Yes).await;
         if until.is_some_and(|until| until > begin + LEFT_WITHIN) {
             sleep_until(begin + LEFT_WITHIN).await;
             let (idle, fresh) = self.front.links.standing(node);
-            self.log.add(What::Standing { node, idle, fresh });
+            self.log.record(Event::ConnectionsCounted { node, idle, fresh });
         }
         moment(until).await;
-        self.operate(node, "UNDRAIN", Owed::Yes).await;
+        self.operate(node, "UNDRAIN", ExpectedAnswer::Yes).await;
     }
 
     /// Calls a worker out on all nodes, twice, since calls out may be repeated; starts it again half way;
@@ -127,7 +133,7 @@
     }
 
     async fn all_nodes(&self, line: &str) {
-        join_all((0..self.nodes.len()).map(|node| self.operate(node, line, Owed::Yes))).await;
+        join_all((0..self.nodes.len()).map(|node| self.operate(node, line, ExpectedAnswer::Yes))).await;
     }
 
     /// Starts a newer process beside a node's own, and ends the older one once that is ready.
@@ -141,7 +147,7 @@
             held.processes = older.child.id().into_iter().collect();
             older
         };
-        self.log.add(What::UpgradeBegan { node });
+        self.log.record(Event::UpgradeBegan { node });
         let place = Place {
             version: older.place.version + 1,
             listen: older.address,
@@ -179,12 +185,12 @@
         drop(held);
         if let (true, Some(address)) = (gone, address) {
             // Both are gone: the platform starts the node anew.
-            self.log.add(What::NodeGone { node, killed: upgrade.hit.is_some() });
+            self.log.record(Event::NodeExited { node, killed: upgrade.hit.is_some() });
             if let Err(problem) = self.start_node(node, address).await {
                 self.crashed(problem);
             }
         }
-        self.log.add(What::UpgradeEnded { node });
+        self.log.record(Event::UpgradeEnded { node });
     }
 
     /// The next thing that happens in an upgrade.
@@ -194,7 +200,7 @@
             match newer_console {
                 Some(console) if !upgrade.ready => {
                     sleep(ASK_AGAIN).await;
-                    self.operate_at(console, node, "READY", Owed::Either).await.yes()
+                    self.operate_at(console, node, "READY", ExpectedAnswer::Either).await.yes()
                 }
                 _ => std::future::pending().await,
             }
@@ -221,7 +227,7 @@
                 self.nodes[node].lock().await.console = console;
             }
             yes = ask => if yes {
-                self.log.add(What::NewerReady { node });
+                self.log.record(Event::SuccessorReady { node });
                 upgrade.ready = true;
                 upgrade.late = None;
                 upgrade.term = upgrade.older.as_ref().map(|_| Instant::now() + plan.delay);
@@ -248,7 +254,7 @@
                 if let Some(mut older) = upgrade.older.take() {
                     let _ = older.child.kill().await;
                     self.crashed(older.failed("did not end by itself within 3.7 s of SIGTERM, and was killed"));
-                    self.log.add(What::ProcessGone { node, newer: false, killed: false });
+                    self.log.record(Event::ProcessExited { node, is_successor: false, killed: false });
                 }
             }
             () = moment(late) => {
@@ -256,14 +262,14 @@
                 if let Some(mut newer) = upgrade.newer.take() {
                     let _ = newer.child.kill().await;
                     self.crashed(newer.failed("did not say yes to READY within 6 s in an upgrade"));
-                    self.log.add(What::ProcessGone { node, newer: true, killed: true });
+                    self.log.record(Event::ProcessExited { node, is_successor: true, killed: true });
                 }
             }
         }
     }
 
     fn gone(&self, node: usize, process: Option<Node>, whom: Whom, killed: bool, fine: bool) {
-        self.log.add(What::ProcessGone { node, newer: whom == Whom::Newer, killed });
+        self.log.record(Event::ProcessExited { node, is_successor: whom == Whom::Newer, killed });
         if let Some(process) = process.filter(|_| !fine) {
             let why = match whom {
                 Whom::Older => "ended badly, or before its newer process was ready",
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -1,11 +1,8 @@
 //! A scenario with every field, read: all its values by the names in the file, and what the parts are given of them.
 
 use super::Scenario;
-use crate::judge::Repeats;
-use golden::golden;
-
-#[path = "../../../toml-diagnostics/tests/support/golden.rs"]
-mod golden;
+use crate::golden::{self, golden};
+use crate::rules::RepeatPolicy;
 
 const FULL: &str = include_str!("../golden/scenario_full.toml");
 
@@ -63,16 +60,16 @@
 }
 
 fn rule_lines(scenario: &Scenario) -> Vec<String> {
-    let rules = scenario.rules();
-    let repeats = |repeats: &Repeats| match repeats {
-        Repeats::Safe => "repeats: safe".to_owned(),
-        Repeats::Keyed { window } => format!("repeats: keyed for {window}"),
-        Repeats::Unsafe => "repeats: unsafe".to_owned(),
+    let rules = scenario.rule_parameters();
+    let repeats = |repeats: &RepeatPolicy| match repeats {
+        RepeatPolicy::Idempotent => "repeats: safe".to_owned(),
+        RepeatPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {window}"),
+        RepeatPolicy::NonIdempotent => "repeats: unsafe".to_owned(),
     };
     let mut lines: Vec<String> = rules.classes.iter().map(repeats).collect();
     lines.push(format!("slack {}, stop within {}", rules.slack, rules.stop_within));
     lines.push(format!("drain grace {}, fall window {}", rules.drain_grace, rules.fall_window));
-    lines.push(format!("newer learns {}", rules.newer_learns));
+    lines.push(format!("newer learns {}", rules.successor_grace));
     lines
 }
 
--- /dev/null
+++ b/crates/testbed/tests/unit/job_rules.rs
@@ -0,0 +1,142 @@
+//! The rules on jobs, checked on short sequences of events.
+
+use super::*;
+use crate::event_log::{Event, FailureReason, Record};
+use crate::rules::{RepeatPolicy, Rule, RuleParameters};
+
+fn parameters() -> RuleParameters {
+    let classes = vec![
+        RepeatPolicy::Idempotent,
+        RepeatPolicy::IdempotentWithKey { window: 40_000_000 },
+        RepeatPolicy::NonIdempotent,
+    ];
+    RuleParameters {
+        classes,
+        slack: 50_000,
+        stop_within: 750_000,
+        drain_grace: 700_000,
+        fall_window: 2_000_000,
+        successor_grace: 2_000_000,
+    }
+}
+
+fn sent(at: Micros, class: usize) -> (Micros, Event) {
+    let id = "r".to_owned();
+    (at, Event::RequestSent { id, job: 0, node: 0, class, timeout_us: 1_000_000, late_us: 0 })
+}
+
+fn responded(at: Micros, status: u16) -> (Micros, Event) {
+    (at, Event::ResponseReceived { id: "r".into(), status, has_own_result: true })
+}
+
+fn arrived(at: Micros, attempt: u64, bay: u32) -> (Micros, Event) {
+    let worker = attempt as usize;
+    (at, Event::AttemptArrived { attempt, id: "r".into(), node: 0, worker, bay, work_s: 1.0, head_us: at })
+}
+
+fn broken_rules(events: &[(Micros, Event)]) -> Vec<Rule> {
+    let records: Vec<_> = events.iter().map(|(at, event)| Record { at: *at, event: event.clone() }).collect();
+    check(&records, &parameters()).into_iter().map(|violation| violation.rule).collect()
+}
+
+#[test]
+fn missing_response_then_violation_unless_the_node_was_killed_or_the_request_came_late_in_a_drain() {
+    let exited = |at, killed| (at, Event::NodeExited { node: 0, killed });
+    let sigterm = |at| (at, Event::NodeTerminated { node: 0 });
+    let failed = |why| (900_000, Event::RequestFailed { id: "r".into(), reason: why });
+    for (events, broken) in [
+        (vec![sent(0, 0), responded(1_050_000, 200)], false),
+        (vec![sent(0, 0), responded(1_050_001, 200)], true),
+        (vec![sent(0, 0), responded(1, 502), responded(2, 200)], true),
+        (vec![sent(0, 0), failed(FailureReason::Closed)], true),
+        (vec![sent(0, 0)], true),
+        (vec![sent(0, 0), failed(FailureReason::Unreachable)], false),
+        (vec![sent(0, 0), exited(500_000, true), failed(FailureReason::Closed)], false),
+        (vec![exited(0, true), sent(100, 0), failed(FailureReason::Closed)], true),
+        (vec![sigterm(0), sent(700_001, 0), exited(800_000, false), failed(FailureReason::Closed)], false),
+        (vec![sigterm(0), sent(700_000, 0), exited(800_000, false), failed(FailureReason::Closed)], true),
+    ] {
+        assert_eq!(!broken_rules(&events).is_empty(), broken, "{events:?}");
+    }
+}
+
+#[test]
+fn repeated_attempt_then_violation_unless_the_class_allows_it_and_no_attempt_is_outstanding() {
+    let (lost, returned) =
+        (|n| (1, Event::AttemptLost { attempt: n }), |n| (1, Event::AttemptReturned { attempt: n }));
+    for (class, end, bay, at, broken) in [
+        (0, Some(lost(1)), 2, 2, false),
+        (0, None, 1, 2, true),
+        (1, Some(lost(1)), 1, 2, false),
+        (1, Some(lost(1)), 2, 2, true),
+        (1, Some(returned(1)), 2, 2, false),
+        (1, Some(lost(1)), 1, 40_050_002, true),
+        (2, Some(lost(1)), 1, 2, true),
+        (2, Some(returned(1)), 2, 2, false),
+    ] {
+        let mut events = vec![sent(0, class), arrived(1, 1, 1)];
+        events.extend(end.clone());
+        events.extend([arrived(at, 2, bay), responded(900_000, 200)]);
+        assert_eq!(broken_rules(&events), if broken { vec![Rule::OneEffect] } else { vec![] }, "{events:?}");
+    }
+    // A rejection states that a repeat is harmless.
+    for (class, end, broken) in
+        [(0, lost(1), false), (1, lost(1), true), (2, lost(1), true), (2, returned(1), false)]
+    {
+        let events = [sent(0, class), arrived(1, 1, 1), end, responded(9, 503)];
+        assert_eq!(broken_rules(&events), if broken { vec![Rule::OneEffect] } else { vec![] }, "{events:?}");
+    }
+}
+
+#[test]
+fn connection_lost_in_an_upgrade_then_violation_unless_unread_or_its_process_was_killed() {
+    let failed = |at, why| (at, Event::RequestFailed { id: "r".into(), reason: why });
+    let began = (5, Event::UpgradeBegan { node: 0 });
+    let ended = |at| (at, Event::UpgradeEnded { node: 0 });
+    let killed = (200_000, Event::ProcessExited { node: 0, is_successor: false, killed: true });
+    for (events, broken) in [
+        (vec![began.clone(), sent(9, 2), failed(99, FailureReason::Reset)], false),
+        (vec![began.clone(), sent(9, 2), failed(99, FailureReason::Closed)], true),
+        (vec![began.clone(), sent(9, 2), arrived(20, 1, 1), failed(99, FailureReason::Reset)], true),
+        (vec![began.clone(), ended(7), sent(9, 2), failed(500_007, FailureReason::Reset)], false),
+        (vec![began.clone(), ended(7), sent(9, 2), failed(500_008, FailureReason::Reset)], true),
+        (vec![began.clone(), sent(9, 2), arrived(20, 1, 1), killed.clone()], true),
+        (vec![began.clone(), sent(9, 2), killed.clone(), failed(200_100, FailureReason::Closed)], false),
+        (vec![began.clone(), sent(9, 2), killed.clone(), failed(900_000, FailureReason::Closed)], true),
+        (vec![began, sent(9, 2), killed, failed(900_000, FailureReason::Late)], true),
+    ] {
+        assert_eq!(!broken_rules(&events).is_empty(), broken, "{events:?}");
+    }
+}
+
+#[test]
+fn successor_sends_to_a_drained_worker_then_violation_from_2_s_after_its_first_yes() {
+    let endpoint = (100_000, Event::EndpointSent { node: 0, worker: 1, in_service: false, started_us: 0 });
+    let began = |at| (at, Event::UpgradeBegan { node: 0 });
+    let ready = (200_000, Event::SuccessorReady { node: 0 });
+    for (events, at, broken) in [
+        (vec![began(5), endpoint.clone(), ready.clone()], 3_000_000, false),
+        (vec![began(5), endpoint.clone(), ready.clone()], 3_000_001, true),
+        (vec![endpoint.clone(), began(150_000), ready.clone()], 950_000, true),
+        (vec![began(5), endpoint], 9_000_000, false),
+    ] {
+        let last = [(at, sent(0, 0).1), arrived(at, 1, 1), responded(at + 9, 200)];
+        let events: Vec<_> = events.into_iter().chain(last).collect();
+        assert_eq!(broken_rules(&events), if broken { vec![Rule::QuietDrain] } else { vec![] }, "{events:?}");
+    }
+}
+
+#[test]
+fn node_sends_to_a_drained_worker_then_violation_until_it_is_in_service_again() {
+    let endpoint =
+        |at, in_service| (at, Event::EndpointSent { node: 0, worker: 1, in_service, started_us: 0 });
+    for (events, broken) in [
+        (vec![endpoint(0, false), sent(1, 0), arrived(800_000, 1, 1)], false),
+        (vec![endpoint(0, false), sent(1, 0), arrived(800_001, 1, 1)], true),
+        (vec![endpoint(0, false), endpoint(700_000, false), sent(1, 0), arrived(900_000, 1, 1)], true),
+        (vec![endpoint(0, false), endpoint(1, true), sent(1, 0), arrived(900_000, 1, 1)], false),
+    ] {
+        let events: Vec<_> = events.into_iter().chain([responded(950_000, 200)]).collect();
+        assert_eq!(broken_rules(&events), if broken { vec![Rule::QuietDrain] } else { vec![] }, "{events:?}");
+    }
+}
