--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -33,10 +33,9 @@
     DEFAULT_SOCKETS
 }
 
-/// The platform's file.
+/// The platform's file. Error messages show the name of this type.
 #[derive(Deserialize)]
-#[serde(expecting = "struct File")]
-struct PlatformFile {
+struct File {
     name: String,
     listen: String,
     discovery: String,
@@ -123,7 +122,7 @@
     OperatorFile::parse(text).map_err(|source| ConfigError::OperatorFile { path: path.to_owned(), source })
 }
 
-fn parse_platform_file(text: &str) -> Result<PlatformFile, ConfigError> {
+fn parse_platform_file(text: &str) -> Result<File, ConfigError> {
     let deserializer = &mut serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(deserializer).map_err(ConfigError::Form)
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,15 +8,15 @@
 #![warn(missing_docs)]
 
 mod error;
-mod object;
 pub mod operator;
 mod site;
+mod wire;
 
 use serde::Deserializer;
 
 pub use self::error::{EffectiveValuesError, FormError, ReadError};
-use self::object::SettingsObject;
 pub use self::site::Site;
+use self::wire::Wire;
 
 /// The settings object with every value in effect, defaults included, in the platform's form.
 ///
@@ -24,9 +24,8 @@
 ///
 /// If a field is missing or has another type.
 pub fn effective(object: serde_json::Value) -> Result<serde_json::Value, EffectiveValuesError> {
-    let object: SettingsObject =
-        serde_path_to_error::deserialize(object).map_err(EffectiveValuesError::Form)?;
-    serde_json::to_value(object).map_err(EffectiveValuesError::Serialization)
+    let wire: Wire = serde_path_to_error::deserialize(object).map_err(EffectiveValuesError::Form)?;
+    serde_json::to_value(wire).map_err(EffectiveValuesError::Serialization)
 }
 
 /// Reads the JSON text of a settings object.
@@ -47,6 +46,6 @@
 where
     D: Deserializer<'de, Error = serde_json::Error>,
 {
-    let object: SettingsObject = serde_path_to_error::deserialize(deserializer).map_err(ReadError::Form)?;
-    Site::try_from(object)
+    let wire: Wire = serde_path_to_error::deserialize(deserializer).map_err(ReadError::Form)?;
+    Site::try_from(wire)
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -3,7 +3,7 @@
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros, Settings, ZoneId};
 
 use crate::error::ReadError;
-use crate::object::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, SettingsObject};
+use crate::wire::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, Wire};
 
 /// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a point in
 /// time is computed from it.
@@ -32,50 +32,50 @@
     pub max_retry_after: Micros,
 }
 
-impl TryFrom<SettingsObject> for Site {
+impl TryFrom<Wire> for Site {
     type Error = ReadError;
 
-    fn try_from(object: SettingsObject) -> Result<Self, ReadError> {
-        let dispatcher = dispatcher_settings(&object)?;
+    fn try_from(wire: Wire) -> Result<Self, ReadError> {
+        let dispatcher = dispatcher_settings(&wire)?;
         dispatcher.validate().map_err(ReadError::from_dispatcher)?;
-        let connect_timeout = match object.limits.connect_timeout_us {
+        let connect_timeout = match wire.limits.connect_timeout_us {
             0 => DEFAULT_CONNECT_TIMEOUT,
             given => given.min(MAX_TIME_SPAN),
         };
         Ok(Site {
             dispatcher,
-            class_names: object.services.into_iter().map(|service| service.name).collect(),
-            tenant_names: object.customers.into_iter().map(|customer| customer.name).collect(),
-            zone_names: object.zone_names,
-            kind_names: object.kind_names,
+            class_names: wire.services.into_iter().map(|service| service.name).collect(),
+            tenant_names: wire.customers.into_iter().map(|customer| customer.name).collect(),
+            zone_names: wire.zone_names,
+            kind_names: wire.kind_names,
             connect_timeout,
-            keepalive: object.limits.keepalive_us.min(MAX_TIME_SPAN),
-            max_retry_after: object.limits.max_retry_after_us.min(MAX_TIME_SPAN),
+            keepalive: wire.limits.keepalive_us.min(MAX_TIME_SPAN),
+            max_retry_after: wire.limits.max_retry_after_us.min(MAX_TIME_SPAN),
         })
     }
 }
 
 /// Settings of the dispatcher, not yet validated.
-fn dispatcher_settings(object: &SettingsObject) -> Result<Settings, ReadError> {
-    let SettingsObject { limits, prices, rules, family_info, .. } = object;
-    let services = object.services.iter().enumerate();
+fn dispatcher_settings(wire: &Wire) -> Result<Settings, ReadError> {
+    let Wire { limits, prices, rules, family_info, .. } = wire;
+    let services = wire.services.iter().enumerate();
     let max_retry_after =
         if limits.clients_follow_retry_after { limits.max_retry_after_us.min(MAX_TIME_SPAN) } else { 0 };
     Ok(Settings {
-        nodes: object.nodes,
-        node_index: object.node_index,
-        zone: ZoneId(object.zone),
+        nodes: wire.nodes,
+        node_index: wire.node_index,
+        zone: ZoneId(wire.zone),
         classes: services
             .map(|(index, service)| job_class(index, service, family_info))
             .collect::<Result<_, _>>()?,
-        tenant_quotas: object.customers.iter().map(|Customer { quota_per_s, .. }| *quota_per_s).collect(),
-        over_quota_weight: object.over_quota_weight,
-        endpoints_on_request: endpoints_on_request(&object.discovery_mode)?,
+        tenant_quotas: wire.customers.iter().map(|Customer { quota_per_s, .. }| *quota_per_s).collect(),
+        over_quota_weight: wire.over_quota_weight,
+        endpoints_on_request: endpoints_on_request(&wire.discovery_mode)?,
         max_poll_interval: rules.max_poll_interval_us.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
         // The node sets it: only real connections acknowledge.
         assumed_notified_after: 0,
         // A size that changes with the load, or is the same for all workers, says nothing about slots.
-        sizes_listed: matches!(object.size_meaning.as_str(), "nominal" | "rough"),
+        sizes_listed: matches!(wire.size_meaning.as_str(), "nominal" | "rough"),
         reports_start: family_info.reports_start,
         // The node sets it: only real connections time out.
         accept_timeout: 0,
--- a/crates/settings/src/object.rs
+++ b/crates/settings/src/wire.rs
@@ -1,8 +1,8 @@
-//! The settings object in the form that the platform writes.
+//! The wire form of the settings object, as the platform writes it.
 //!
-//! Fields have the terms of this project; where the platform has another name, that stands in `serde(rename)`. The
-//! names of the types `Service`, `Customer`, `Limits`, `Prices`, `Rules` and `FamilyInfo`, and the order of their
-//! fields, show in error messages. Unknown fields are accepted: the platform may add some.
+//! Fields have the terms of this project; where the platform has another name, that stands in `serde(rename)`. Error
+//! messages show the names of the types and the number of their fields. Unknown fields are accepted: the platform may
+//! add some.
 
 use curlewusher_core::Micros;
 use serde::{Deserialize, Serialize};
@@ -14,8 +14,8 @@
 
 /// The settings object, as a whole.
 #[derive(Deserialize, Serialize)]
-#[serde(rename_all = "camelCase", expecting = "struct Wire")]
-pub(crate) struct SettingsObject {
+#[serde(rename_all = "camelCase")]
+pub(crate) struct Wire {
     #[serde(rename = "balancers")]
     pub(crate) nodes: u32,
     #[serde(default, rename = "rank")]
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -206,3 +206,9 @@
     // The longest wait that a client follows is also the longest that a refusal advises.
     assert_eq!(values.matches(&YEAR.to_string()).count(), spans.len() + 1, "{values}");
 }
+
+#[test]
+fn a_settings_object_that_is_a_list_then_the_message_shows_the_number_of_fields() {
+    let message = read("[]").expect_err("a list").to_string();
+    assert_eq!(message, "invalid length 0, expected struct Wire with 14 elements at line 1 column 2");
+}
