--- a/crates/testbed/src/drill.rs
+++ b/crates/testbed/src/drill.rs
@@ -114,7 +114,7 @@
         for round in 0..drill.times {
             match drill.kind {
                 Kind::Upgrades | Kind::Kills => {
-                    let fault = Fault { delay_s: Some(drill.delay_s), ..Fault::of(kind) };
+                    let fault = Fault { delay_s: Some(drill.delay_s), ..Fault::of_kind(kind) };
                     let plan = Plan::draw(&self.scenario, &fault, &format!("drill-{round}"));
                     self.upgrade(0, plan).await;
                 }
@@ -135,7 +135,7 @@
                 tokio::spawn(stuck(console, nth));
             }
         }
-        let worker = name_of(round % self.scenario.workers());
+        let worker = name_of(round % self.scenario.worker_count());
         let mut between = || Duration::from_secs_f64(0.05 + random.random::<f64>() * 0.6);
         for (line, owed) in [
             ("READY".to_owned(), ExpectedAnswer::Yes),
@@ -214,12 +214,14 @@
     #[test]
     fn a_seed_draws_the_same_upgrades_and_the_world_of_a_drill_can_be_read() {
         let scenario = |seed| Drill { kind: Kind::Kills, times: 3, delay_s: 6.0 }.scenario(seed);
-        let fault = Fault { delay_s: Some(2.0), ..Fault::of(FaultKind::KillInUpgrade) };
+        let fault = Fault { delay_s: Some(2.0), ..Fault::of_kind(FaultKind::KillInUpgrade) };
         let plans = |seed| (0..40).map(|n| Plan::draw(&scenario(seed), &fault, &n.to_string())).collect();
         let (first, again, other): (Vec<_>, Vec<_>, Vec<_>) = (plans(1), plans(1), plans(2));
         assert!(first == again && first != other);
         assert!(first.iter().all(|plan| plan.delay.as_secs_f64() <= 2.0 && plan.kill.is_some()));
-        let older = first.iter().filter(|p| p.kill.is_some_and(|(w, _)| w == crate::scenario::Whom::Older));
+        let older = first
+            .iter()
+            .filter(|p| p.kill.is_some_and(|(w, _)| w == crate::scenario::UpgradeProcess::Predecessor));
         assert!((5..35).contains(&older.count()), "both are drawn");
     }
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -204,7 +204,7 @@
         log: EventLog,
     ) -> Result<Fleet, String> {
         let machines = scenario.machines();
-        let grown = scenario.grown();
+        let grown = scenario.grown_workers();
         let (queue, notices) = unbounded_channel();
         let (mut tasks, mut sockets, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
         for worker in 0..machines.len() {
@@ -220,12 +220,13 @@
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let names = Names {
             addresses,
-            kinds: (0..machines.len()).map(|worker| scenario.kind_of(worker).1.name.clone()).collect(),
+            kinds: (0..machines.len()).map(|worker| scenario.kind_of(worker).name.clone()).collect(),
             bays: machines.iter().map(|machine| machine.bay).collect(),
             unix_ms: (unix.as_micros() as u64 - log.now()) / 1000,
         };
         let present = (0..machines.len()).filter(|worker| !grown.contains(worker));
-        let registry = EndpointRegistry::new(present, curlewusher_model::span(scenario.fleet.list_late_s));
+        let registry =
+            EndpointRegistry::new(present, curlewusher_model::span(scenario.fleet.publication_delay_s));
         let mut pool = WorkerPool::new(machines, scenario.pool_parameters());
         for worker in grown {
             pool.handle(0, PoolInput::Kill(worker), &mut Vec::new());
@@ -252,7 +253,7 @@
             ports: Mutex::default(),
             next_port: Mutex::new(1),
             calls: Arc::default(),
-            call_time: Duration::from_secs_f64(scenario.fleet.list_call_s),
+            call_time: Duration::from_secs_f64(scenario.fleet.discovery_call_s),
             tasks,
         })
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -16,7 +16,7 @@
 use crate::fleet::{NodePlaces, Tries, result_of};
 use crate::links::Links;
 use crate::nodes::asked;
-use crate::scenario::{ClassRepeats, Scenario};
+use crate::scenario::{Idempotence, Scenario};
 
 /// A client waits a little beyond its time, to see how late a late answer is.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -163,7 +163,7 @@
     /// One client with one job, through all its tries.
     async fn ask(&self, job: usize, intended: Micros) {
         let class = &self.scenario.classes[self.jobs[job].class];
-        let give_up = intended + span(class.give_up_s);
+        let give_up = intended + span(class.timeout_s);
         for number in 0..=self.scenario.load.retries {
             let now = self.log.now();
             if now >= give_up {
@@ -177,7 +177,7 @@
                 End::Refused { after } => wait.max(after.unwrap_or(0.0).min(LONGEST_ADVICE)),
                 End::Unreachable => wait,
                 // What may have run is asked for again only where that does no harm.
-                End::Failed | End::Missing if class.repeats == ClassRepeats::Safe => wait,
+                End::Failed | End::Missing if class.idempotence == Idempotence::Idempotent => wait,
                 End::Failed | End::Missing => return,
             };
             sleep(Duration::from_secs_f64(wait)).await;
@@ -212,7 +212,7 @@
             planned.hint_seconds * 1e6,
             planned.slots
         );
-        if class.repeats == ClassRepeats::Keyed {
+        if class.idempotence == Idempotence::IdempotentWithKey {
             request += &format!("idempotency-key: {job:032x}\r\n");
         }
         if number > 0 {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -97,7 +97,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// The longest wait between a newer process's yes and SIGTERM for the older one, seconds
-        #[arg(long, default_value_t = scenario::LONGEST_DELAY_S, value_name = "SECONDS")]
+        #[arg(long, default_value_t = scenario::MAX_DELAY_S, value_name = "SECONDS")]
         delay: f64,
         /// The node's program; else the one beside this program
         #[arg(long, value_name = "FILE")]
@@ -148,8 +148,8 @@
             })
         }
         Command::Drill { kind, times, seed, delay, node, scripted, out, quiet } => {
-            if !(0.0..=scenario::LONGEST_DELAY_S).contains(&delay) {
-                return Err(format!("--delay: {delay} is not from 0 to {}", scenario::LONGEST_DELAY_S));
+            if !(0.0..=scenario::MAX_DELAY_S).contains(&delay) {
+                return Err(format!("--delay: {delay} is not from 0 to {}", scenario::MAX_DELAY_S));
             }
             let drill = drill::Drill { kind, times, delay_s: delay };
             let program = program_or_scripted(node, scripted, &out)?;
@@ -202,7 +202,7 @@
                 "{}: {} nodes, {} workers, {jobs} jobs",
                 scenario.title,
                 scenario.nodes.count,
-                scenario.workers()
+                scenario.worker_count()
             );
             0
         }),
--- a/crates/testbed/src/nodes.rs
+++ b/crates/testbed/src/nodes.rs
@@ -19,7 +19,9 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::scenario::{ClassRepeats, DEDUP_WINDOW, FALL_WINDOW, MEMORY_MB, OVERLOAD_FACTOR, Scenario};
+use crate::scenario::{
+    DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
+};
 
 /// A node says where it serves within this, and is ready within the second.
 const SERVES_WITHIN: Duration = Duration::from_secs(10);
@@ -91,14 +93,14 @@
         .classes
         .iter()
         .map(|class| {
-            let (idempotency, scope, window) = match class.repeats {
-                ClassRepeats::Safe => ("safe", "", 0),
-                ClassRepeats::Keyed => ("keyed", "cell", DEDUP_WINDOW),
-                ClassRepeats::Unsafe => ("unsafe", "", 0),
+            let (idempotency, scope, window) = match class.idempotence {
+                Idempotence::Idempotent => ("safe", "", 0),
+                Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
+                Idempotence::NonIdempotent => ("unsafe", "", 0),
             };
             json!({"name": class.name, "idempotency": idempotency, "keyScope": scope, "dedupWindowUs": window,
-                "objectiveUs": span(class.aim_s), "aimStretch": class.stretch, "giveUpUs": span(class.give_up_s),
-                "worth": class.worth})
+                "objectiveUs": span(class.objective_s), "aimStretch": class.stretch, "giveUpUs": span(class.timeout_s),
+                "worth": class.priority_weight})
         })
         .collect();
     let kinds: Vec<_> = scenario.fleet.kinds.iter().map(|kind| kind.name.as_str()).collect();
@@ -113,8 +115,8 @@
             "familyInfo": {"classKind": vec![-1; services.len()], "tellsStart": true},
             "limits": {"cancel": true, "mayDuplicate": false, "mayTell": false, "sendCap": 3, "retryAfter": false,
                 "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 150_000, "keepaliveUs": 30_000_000},
-            "rules": {"askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_share,
-                "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": FALL_WINDOW},
+            "rules": {"askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_capacity_fraction,
+                "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": OVERLOAD_WINDOW},
         },
     });
     if let Some(console) = console {
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -109,7 +109,7 @@
     let _ = std::fs::remove_dir_all(&temporary);
     let stage = Arc::new(Stage {
         nodes: (0..scenario.nodes.count).map(|_| Mutex::default()).collect(),
-        consoles: drill.is_some() || scenario.needs_consoles(),
+        consoles: drill.is_some() || scenario.needs_admin_addresses(),
         scenario: scenario.clone(),
         program,
         fleet,
@@ -248,7 +248,7 @@
 
     async fn fault(&self, nth: usize, fault: Fault, begin: u64) {
         let instant = |s: f64| self.log.instant(begin + span(s));
-        let targets = self.scenario.targets(&fault);
+        let targets = self.scenario.targets_of(&fault);
         sleep_until(instant(fault.at_s)).await;
         let words = |moment: &str| format!("{:?} of {targets:?} {moment}", fault.kind);
         self.log.record(Event::Fault { description: words("begins") });
@@ -346,7 +346,7 @@
             }
             self.log.record(Event::NodeTerminated { node: number });
             node.signal(Signal::TERM);
-            let longest = self.scenario.classes.iter().map(|class| class.give_up_s).fold(0.0, f64::max);
+            let longest = self.scenario.classes.iter().map(|class| class.timeout_s).fold(0.0, f64::max);
             let last = Instant::now() + KILL_AT_LEAST.max(Duration::from_secs_f64(longest)) + KILL_GRACE;
             let ended = timeout_at(last, node.child.wait()).await;
             match ended {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -91,7 +91,7 @@
     }
     let mut jobs: BTreeMap<usize, Job> = BTreeMap::new();
     let mut of: HashMap<&str, usize> = HashMap::new();
-    let mut attempts_of_worker = vec![0; scenario.workers()];
+    let mut attempts_of_worker = vec![0; scenario.worker_count()];
     let (mut tries, mut attempts, mut lateness) = (0, 0, histogram());
     for Record { at, event } in &played.records {
         match event {
@@ -134,7 +134,7 @@
     for (number, job) in &jobs {
         let class = &scenario.classes[job.class];
         let work_s = workload[*number].work_seconds;
-        let worth = class.worth * work_s;
+        let worth = class.priority_weight * work_s;
         let (figures, times) = &mut classes[job.class];
         figures.jobs += 1;
         figures.worth_asked += worth;
@@ -145,7 +145,7 @@
             Some((at, 200, true)) => {
                 let took = at - job.intended;
                 times.saturating_record(took);
-                if took <= span(class.aim_s + class.stretch * work_s) {
+                if took <= span(class.objective_s + class.stretch * work_s) {
                     figures.in_time += 1;
                     figures.worth_in_time += worth;
                     second.1 += worth;
@@ -310,7 +310,7 @@
                 p {
                     b { (format!("{:.3}", figures.share_in_time)) } " of the worth asked for was answered within the wanted time: "
                     (figures.jobs) " jobs at " (format!("{:.1}", figures.rate)) " a second, seed " (figures.seed) ", "
-                    (scenario.nodes.count) " nodes, " (scenario.workers()) " workers, "
+                    (scenario.nodes.count) " nodes, " (scenario.worker_count()) " workers, "
                     (format!("{:.2}", figures.attempts_a_try)) " attempts a try, "
                     (format!("{:.0}", figures.cpu_us_a_job)) " µs of the nodes' processor time a job."
                 }
--- /dev/null
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -0,0 +1,127 @@
+//! What the parts of the testbed take from a scenario: machines, model parameters, workload and rule parameters.
+
+use curlewusher_model::worker_pool::{Machine, PoolParameters};
+use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
+use curlewusher_model::{Micros, span};
+
+use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
+use crate::rules::{RepeatPolicy, RuleParameters};
+
+// The rules' own figures; a scenario does not change them.
+const SLACK: Micros = 50_000;
+const STOP_WITHIN: Micros = 750_000;
+const DRAIN_GRACE: Micros = 700_000;
+const SUCCESSOR_GRACE: Micros = 2_000_000;
+/// Repeats of a keyed job are dropped in a bay for this long.
+pub const DEDUPLICATION_WINDOW: Micros = 40_000_000;
+/// Window in which work that is sent to a worker that warms up is added up.
+pub const OVERLOAD_WINDOW: Micros = 2_000_000;
+/// Multiple of its capacity at which a worker that warms up crashes.
+pub const OVERLOAD_FACTOR: f64 = 3.0;
+/// Memory of a node, all of its processes together, in MB.
+pub const MEMORY_MB: f64 = 192.0;
+
+/// Interval between two progress reports of a worker.
+const PROGRESS_INTERVAL: Micros = 2_000_000;
+/// Units of memory of a machine for each of its slots.
+const MEMORY_PER_SLOT: f64 = 2.0;
+/// Workers are dealt the kinds by this stride, which has no factor in common with most sizes and so mixes the kinds.
+const KIND_STRIDE: usize = 7;
+
+impl Scenario {
+    /// Index of the kind of machine that a worker runs on.
+    pub fn kind_index_of(&self, worker: usize) -> usize {
+        let kinds = self.fleet.kinds.iter().enumerate();
+        let dealt: Vec<usize> =
+            kinds.flat_map(|(index, kind)| std::iter::repeat_n(index, kind.parts)).collect();
+        dealt[(worker * KIND_STRIDE) % dealt.len()]
+    }
+
+    /// The kind of machine that a worker runs on.
+    pub fn kind_of(&self, worker: usize) -> &MachineKind {
+        &self.fleet.kinds[self.kind_index_of(worker)]
+    }
+
+    /// The machines of all workers.
+    pub fn machines(&self) -> Vec<Machine> {
+        (0..self.worker_count()).map(|worker| self.machine_of(worker)).collect()
+    }
+
+    fn machine_of(&self, worker: usize) -> Machine {
+        let kind = self.kind_of(worker);
+        Machine {
+            bay: (worker % self.fleet.bays) as u32,
+            cores: kind.cores,
+            speed: kind.speed,
+            slots: kind.slots,
+            memory: f64::from(kind.slots) * MEMORY_PER_SLOT,
+            queue: self.fleet.queue,
+            sets: self.fleet.sets_kept,
+        }
+    }
+
+    /// The parameters of the worker pool.
+    pub fn pool_parameters(&self) -> PoolParameters {
+        PoolParameters {
+            cold_capacity_fraction: self.fleet.cold_capacity_fraction,
+            warm_up: span(self.fleet.warm_up_s),
+            overload_factor: OVERLOAD_FACTOR,
+            overload_window: OVERLOAD_WINDOW,
+            contention_penalty: self.fleet.contention_penalty,
+            fetch_seconds: self.fleet.fetch_s,
+            archive_concurrency: self.fleet.archive_concurrency,
+            deduplication_window: DEDUPLICATION_WINDOW,
+            progress_interval: PROGRESS_INTERVAL,
+        }
+    }
+
+    /// What the jobs are drawn from.
+    pub fn workload(&self) -> WorkloadSpec {
+        WorkloadSpec {
+            seed: self.seed,
+            length: span(self.length_s),
+            rate: self.load.rate,
+            load_curve: self.load.load_curve.iter().map(LoadSegment::from).collect(),
+            classes: self.classes.iter().map(JobClass::from).collect(),
+            sets: self.load.sets,
+            skew: self.load.skew,
+            hint_spread: self.load.hint_spread,
+        }
+    }
+
+    /// The figures of the rules.
+    pub fn rule_parameters(&self) -> RuleParameters {
+        RuleParameters {
+            classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
+            slack: SLACK,
+            stop_within: STOP_WITHIN,
+            drain_grace: DRAIN_GRACE,
+            fall_window: OVERLOAD_WINDOW,
+            successor_grace: SUCCESSOR_GRACE,
+        }
+    }
+}
+
+impl From<&LoadCurveSegment> for LoadSegment {
+    fn from(segment: &LoadCurveSegment) -> Self {
+        LoadSegment { from: span(segment.from_s), until: span(segment.until_s), factor: segment.factor }
+    }
+}
+
+impl From<&Class> for JobClass {
+    fn from(class: &Class) -> Self {
+        JobClass { share: class.share, mean_seconds: class.mean_s, slots: class.slots }
+    }
+}
+
+impl From<Idempotence> for RepeatPolicy {
+    fn from(idempotence: Idempotence) -> Self {
+        match idempotence {
+            Idempotence::Idempotent => RepeatPolicy::Idempotent,
+            Idempotence::IdempotentWithKey => {
+                RepeatPolicy::IdempotentWithKey { window: DEDUPLICATION_WINDOW }
+            }
+            Idempotence::NonIdempotent => RepeatPolicy::NonIdempotent,
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/scenario/fault.rs
@@ -0,0 +1,122 @@
+//! Faults: what goes wrong in a run, or is done to the system.
+
+use serde::{Deserialize, Serialize};
+
+/// The longest wait between the successor's first yes and SIGTERM for its predecessor, in seconds.
+pub const MAX_DELAY_S: f64 = 6.0;
+
+/// A fault.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Fault {
+    pub at_s: f64,
+    /// Its duration; none if it lasts.
+    #[serde(default)]
+    pub for_s: Option<f64>,
+    pub kind: FaultKind,
+    /// The workers or nodes, by number from 0.
+    #[serde(default, rename = "of")]
+    pub targets: Vec<usize>,
+    /// In place of `targets`: the fraction of all workers or nodes, those with the lowest numbers first.
+    #[serde(default)]
+    pub share: Option<f64>,
+    /// The slowdown, for `slow`.
+    #[serde(default)]
+    pub factor: Option<f64>,
+    /// The longest wait between the successor's first yes and SIGTERM, of which a drawn part is waited.
+    #[serde(default)]
+    pub delay_s: Option<f64>,
+    /// The process that dies, for `kill_in_upgrade`; drawn if none is named.
+    #[serde(default, rename = "whom")]
+    pub victim: Option<UpgradeProcess>,
+}
+
+impl Fault {
+    /// A fault of a kind, with nothing else set.
+    pub fn of_kind(kind: FaultKind) -> Self {
+        Fault {
+            at_s: 0.0,
+            for_s: None,
+            kind,
+            targets: Vec::new(),
+            share: None,
+            factor: None,
+            delay_s: None,
+            victim: None,
+        }
+    }
+}
+
+/// One of the two processes of a node during an upgrade.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum UpgradeProcess {
+    #[serde(rename = "older")]
+    Predecessor,
+    #[serde(rename = "newer")]
+    Successor,
+}
+
+/// The kinds of faults.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum FaultKind {
+    /// A worker's process dies; after `for_s` it starts again, cold.
+    Kill,
+    /// A worker accepts connections and requests, and answers nothing.
+    Silent,
+    /// A worker runs slower by `factor`.
+    Slow,
+    /// A worker completes what is running and ends; after `for_s` it starts again, cold.
+    Drain,
+    /// Workers that were not there start, cold.
+    Grow,
+    /// Discovery fails its polls and ends its watches.
+    DiscoveryDown,
+    /// Discovery moves, and SIGHUP makes the nodes reload its address.
+    Reload,
+    /// A node gets SIGTERM, is killed 3.7 s (or, if that is longer, the longest timeout of a class and 0.7 s) later,
+    /// and is started again after `for_s`.
+    NodeStop,
+    /// A node is killed, and started again after `for_s`.
+    NodeKill,
+    /// An operator drains a node, and ends the drain after `for_s`.
+    NodeDrain,
+    /// An operator disables a worker on all nodes, and enables it after `for_s`; half way it is started again, cold.
+    Maintenance,
+    /// The successor of a node's process is started beside it; the predecessor gets SIGTERM a drawn time after the
+    /// successor is ready.
+    Upgrade,
+    /// The same, and one of both processes is killed at a drawn moment.
+    KillInUpgrade,
+}
+
+impl FaultKind {
+    /// Whether its targets are nodes, as opposed to workers.
+    pub fn targets_nodes(self) -> bool {
+        match self {
+            FaultKind::Reload
+            | FaultKind::NodeStop
+            | FaultKind::NodeKill
+            | FaultKind::NodeDrain
+            | FaultKind::Upgrade
+            | FaultKind::KillInUpgrade => true,
+            FaultKind::Kill
+            | FaultKind::Silent
+            | FaultKind::Slow
+            | FaultKind::Drain
+            | FaultKind::Grow
+            | FaultKind::DiscoveryDown
+            | FaultKind::Maintenance => false,
+        }
+    }
+
+    pub fn is_upgrade(self) -> bool {
+        matches!(self, FaultKind::Upgrade | FaultKind::KillInUpgrade)
+    }
+
+    /// Whether it is done by commands at the nodes' admin addresses.
+    pub fn needs_admin_address(self) -> bool {
+        self.is_upgrade() || matches!(self, FaultKind::NodeDrain | FaultKind::Maintenance)
+    }
+}
--- a/crates/testbed/src/upkeep.rs
+++ b/crates/testbed/src/upkeep.rs
@@ -14,7 +14,7 @@
 use crate::fleet::{Order, name_of};
 use crate::nodes::{Node, Place};
 use crate::play::{KILL_AT_LEAST, KILL_GRACE, Stage};
-use crate::scenario::{Fault, FaultKind, LONGEST_DELAY_S, Scenario, Whom};
+use crate::scenario::{Fault, FaultKind, MAX_DELAY_S, Scenario, UpgradeProcess};
 
 /// A newer process says yes to READY within this.
 pub const READY_WITHIN: Duration = Duration::from_secs(6);
@@ -33,18 +33,18 @@
     /// From the yes of the newer process to SIGTERM for the older one.
     pub delay: Duration,
     /// Who is killed, so long after the start of the newer process.
-    pub kill: Option<(Whom, Duration)>,
+    pub kill: Option<(UpgradeProcess, Duration)>,
 }
 
 impl Plan {
     /// Draws it from the scenario's seed; the concern keeps upgrades apart.
     pub fn draw(scenario: &Scenario, fault: &Fault, concern: &str) -> Plan {
         let mut random = random_stream(scenario.seed, concern);
-        let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(LONGEST_DELAY_S);
+        let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(MAX_DELAY_S);
         let kill_s = random.random::<f64>() * (delay_s + KILL_AFTER_DELAY_S);
-        let drawn = if random.random() { Whom::Older } else { Whom::Newer };
+        let drawn = if random.random() { UpgradeProcess::Predecessor } else { UpgradeProcess::Successor };
         let kill = (fault.kind == FaultKind::KillInUpgrade)
-            .then(|| (fault.whom.unwrap_or(drawn), Duration::from_secs_f64(kill_s)));
+            .then(|| (fault.victim.unwrap_or(drawn), Duration::from_secs_f64(kill_s)));
         Plan { delay: Duration::from_secs_f64(delay_s), kill }
     }
 }
@@ -60,8 +60,8 @@
     term: Option<Instant>,
     kill: Option<Instant>,
     /// The kill that the scenario wants, and whom it has hit.
-    wanted: Option<(Whom, Instant)>,
-    hit: Option<Whom>,
+    wanted: Option<(UpgradeProcess, Instant)>,
+    hit: Option<UpgradeProcess>,
 }
 
 /// Waits for the end of a process; for ever where there is none.
@@ -172,8 +172,8 @@
             || upgrade.newer.is_some() && !upgrade.ready
             || upgrade.older.is_some() && upgrade.kill.is_some()
             // Whoever was killed ends in a moment, and is no process to go on with.
-            || upgrade.hit == Some(Whom::Newer) && upgrade.newer.is_some()
-            || upgrade.hit == Some(Whom::Older) && upgrade.older.is_some()
+            || upgrade.hit == Some(UpgradeProcess::Successor) && upgrade.newer.is_some()
+            || upgrade.hit == Some(UpgradeProcess::Predecessor) && upgrade.older.is_some()
         {
             self.step(node, &mut upgrade, plan).await;
         }
@@ -209,16 +209,16 @@
             (upgrade.wanted.map(|(_, at)| at), upgrade.late, upgrade.term, upgrade.kill);
         tokio::select! {
             status = end(&mut upgrade.older) => {
-                let killed = upgrade.hit == Some(Whom::Older);
+                let killed = upgrade.hit == Some(UpgradeProcess::Predecessor);
                 let left = upgrade.ready && status.is_some_and(|status| status.success());
-                self.gone(node, upgrade.older.take(), Whom::Older, killed, killed || left);
+                self.gone(node, upgrade.older.take(), UpgradeProcess::Predecessor, killed, killed || left);
                 (upgrade.term, upgrade.kill) = (None, None);
             }
             status = end(&mut upgrade.newer) => {
                 let _ = status;
-                let killed = upgrade.hit == Some(Whom::Newer);
+                let killed = upgrade.hit == Some(UpgradeProcess::Successor);
                 // Whatever it says of itself: a newer process that ends has crashed.
-                self.gone(node, upgrade.newer.take(), Whom::Newer, killed, killed);
+                self.gone(node, upgrade.newer.take(), UpgradeProcess::Successor, killed, killed);
                 upgrade.late = None;
                 // Without a newer one, the older one is not told to end; one that was told already is seen
                 // through.
@@ -236,8 +236,8 @@
             () = moment(wanted) => {
                 let (whom, _) = upgrade.wanted.take().expect("its moment has come");
                 let victim = match whom {
-                    Whom::Older => &upgrade.older,
-                    Whom::Newer => &upgrade.newer,
+                    UpgradeProcess::Predecessor => &upgrade.older,
+                    UpgradeProcess::Successor => &upgrade.newer,
                 };
                 if let Some(victim) = victim {
                     victim.signal(Signal::KILL);
@@ -268,12 +268,16 @@
         }
     }
 
-    fn gone(&self, node: usize, process: Option<Node>, whom: Whom, killed: bool, fine: bool) {
-        self.log.record(Event::ProcessExited { node, is_successor: whom == Whom::Newer, killed });
+    fn gone(&self, node: usize, process: Option<Node>, whom: UpgradeProcess, killed: bool, fine: bool) {
+        self.log.record(Event::ProcessExited {
+            node,
+            is_successor: whom == UpgradeProcess::Successor,
+            killed,
+        });
         if let Some(process) = process.filter(|_| !fine) {
             let why = match whom {
-                Whom::Older => "ended badly, or before its newer process was ready",
-                Whom::Newer => "ended by itself as the newer process of an upgrade",
+                UpgradeProcess::Predecessor => "ended badly, or before its newer process was ready",
+                UpgradeProcess::Successor => "ended by itself as the newer process of an upgrade",
             };
             self.crashed(process.failed(why));
         }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -1,5 +1,8 @@
 //! A scenario with every field, read: all its values by the names in the file, and what the parts are given of them.
 
+use curlewusher_model::worker_pool::Machine;
+use curlewusher_model::workload::{JobClass, LoadSegment};
+
 use super::Scenario;
 use crate::golden::{self, golden};
 use crate::rules::RepeatPolicy;
@@ -14,11 +17,11 @@
     let spec = scenario.workload();
     let mut lines = vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length, spec.rate)];
     lines.push(format!("sets {}, skew {}, hint spread {}", spec.sets, spec.skew, spec.hint_spread));
-    let segment = |segment: &super::LoadSegment| {
+    let segment = |segment: &LoadSegment| {
         format!("tide: from {}, until {}, factor {}", segment.from, segment.until, segment.factor)
     };
     lines.extend(spec.load_curve.iter().map(segment));
-    let class = |class: &super::JobClass| {
+    let class = |class: &JobClass| {
         format!("class: share {}, mean {}, slots {}", class.share, class.mean_seconds, class.slots)
     };
     lines.extend(spec.classes.iter().map(class));
@@ -42,8 +45,8 @@
 }
 
 fn machine_lines(scenario: &Scenario) -> Vec<String> {
-    let line = |(number, machine): (usize, &super::Machine)| {
-        let (kind_number, kind) = scenario.kind_of(number);
+    let line = |(number, machine): (usize, &Machine)| {
+        let (kind_number, kind) = (scenario.kind_index_of(number), scenario.kind_of(number));
         format!(
             "worker {number}: kind {kind_number} {}, bay {}, cores {}, speed {}, slots {}, memory {}, queue {}, sets {}",
             kind.name,
@@ -74,9 +77,13 @@
 }
 
 fn fault_lines(scenario: &Scenario) -> Vec<String> {
-    let targets = |fault| format!("fault for {:?}", scenario.targets(fault));
+    let targets = |fault| format!("fault for {:?}", scenario.targets_of(fault));
     let mut lines: Vec<String> = scenario.faults.iter().map(targets).collect();
-    lines.push(format!("grown {:?}, second addresses {}", scenario.grown(), scenario.needs_consoles()));
+    lines.push(format!(
+        "grown {:?}, second addresses {}",
+        scenario.grown_workers(),
+        scenario.needs_admin_addresses()
+    ));
     lines
 }
 
