--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use crate::common::*;
+use crate::common::{Node, ScriptedServer, node_config, wait_for_counter};
 
 /// Runs the program to its end.
 fn run(arguments: &[&str], config: Option<&str>, operator: Option<&str>) -> Output {
@@ -26,7 +26,7 @@
 
 /// Any address will do: nothing is started.
 fn usual() -> String {
-    config("127.0.0.1:9".parse().expect("an address"), &[])
+    node_config("127.0.0.1:9".parse().expect("an address"), &[])
 }
 
 #[test]
@@ -90,20 +90,18 @@
 
 #[test]
 fn a_line_about_a_job_carries_its_id_in_json_and_levels_change_on_sighup() {
-    let hop = Server::start();
-    let discovery = Server::start();
-    let known = [endpoint("s-1", hop.address, "in_service")];
+    let worker = ScriptedServer::start();
+    let discovery = ScriptedServer::start();
+    let known = [worker.endpoint_json("s-1", "in_service")];
     let debug = "[log]\nformat = \"json\"\n[log.parts]\ndispatch = \"debug\"\n";
-    let node = Node::start_with(&config(discovery.address, &known), debug);
+    let node = Node::start_with_operator_file(&node_config(discovery.address, &known), debug);
     let serve = |id: &str| {
-        let client = write(node.address, &job(id, "view", 5.0, ""));
-        hop.request().answer("202 Accepted");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
+        let client = node.submit_job(id, "view", 5.0);
+        node.serve_job(client, &worker.next_request(), id, "s-1");
     };
     serve("r1");
     let about = |id: &str| {
-        let line = node.says();
+        let line = node.next_log_line();
         let line: serde_json::Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
         assert_eq!(
             (line["target"].as_str(), line["request_id"].as_str()),
@@ -115,38 +113,36 @@
     assert_eq!([(); 4].map(|()| about("r1")), ["taken", "attempt sent", "answered", "attempt ended"]);
 
     // A bad file changes nothing, and says where it is bad; a good one counts at once.
-    node.operate("[log.parts]\ndispatch = \"loud\"\n");
-    let said = node.says();
+    node.reload_operator_file("[log.parts]\ndispatch = \"loud\"\n");
+    let said = node.next_log_line();
     assert!(said.contains("line 2: log.parts") && said.contains("the old configuration stays"), "{said}");
-    node.operate("[log]\nlevel = \"error\"\n");
-    while node.count("curlewusher_reloads_total") < 1 {}
+    node.reload_operator_file("[log]\nlevel = \"error\"\n");
+    wait_for_counter(&node, "curlewusher_reloads_total", 1);
     serve("r2");
     node.signal("-TERM");
-    let end = node.says();
+    let end = node.next_log_line();
     assert!(end.contains("figures") && !end.contains("r2") && !end.contains("drains"), "{end}");
 }
 
 #[test]
 fn a_stalled_standard_error_holds_up_no_answer_and_what_it_misses_is_counted() {
-    let hop = Server::start();
-    let discovery = Server::start();
-    let known = [endpoint("s-1", hop.address, "in_service")];
-    let settings = config(discovery.address, &known);
+    let worker = ScriptedServer::start();
+    let discovery = ScriptedServer::start();
+    let known = [worker.endpoint_json("s-1", "in_service")];
+    let settings = node_config(discovery.address, &known);
     let loud = "[log]\nlevel = \"trace\"\nlines_per_s = 100000\nwaiting_lines = 16\n";
-    let (node, _stalled) = Node::start_stalled(&settings, loud);
+    let (node, _stalled) = Node::start_with_blocked_stderr(&settings, loud);
     let dropped = r#"curlewusher_log_lines_dropped_total{why="stalled"}"#;
     // A pipe takes 64 KiB before it stalls; every turned-away request is a line.
     let mut requests = 0;
-    while node.count(dropped) == 0 {
+    while node.counter(dropped) == 0 {
         assert_eq!(node.callback("{"), 400);
         requests += 1;
         assert!(requests < 20_000, "it does not stall");
     }
-    let client = write(node.address, &job("r1", "view", 5.0, ""));
-    hop.request().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let client = node.submit_job("r1", "view", 5.0);
+    node.serve_job(client, &worker.next_request(), "r1", "s-1");
     node.signal("-TERM");
-    let ended = node.end();
+    let ended = node.wait_for_exit();
     assert_eq!(ended.status.code(), Some(0), "nor does it hold up the end");
 }
--- /dev/null
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -0,0 +1,61 @@
+//! The endpoint watch as a scripted discovery serves it, and the JSON of endpoints and endpoint lists.
+
+use std::net::SocketAddr;
+
+use super::scripted_server::{ReceivedRequest, ScriptedServer};
+
+/// The endpoint watch that a node has opened at discovery.
+pub struct ScriptedWatch(ReceivedRequest);
+
+impl ScriptedWatch {
+    /// Waits for the node to open its watch, and begins the response.
+    pub fn open(discovery: &ScriptedServer) -> ScriptedWatch {
+        let request = discovery.next_request();
+        assert!(
+            request.message.start_line.starts_with("GET /v1/endpoints?follow=1"),
+            "{}",
+            request.message.start_line
+        );
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        request.write_raw(head);
+        ScriptedWatch(request)
+    }
+
+    /// The version since which the node asks for changes.
+    pub fn since(&self) -> &str {
+        self.0.message.start_line.split("since=").nth(1).and_then(|s| s.split(' ').next()).expect("a version")
+    }
+
+    /// Sends a line as a chunk of its own.
+    pub fn send_line(&self, line: &str) {
+        let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+        self.write_raw(&chunk);
+    }
+
+    /// Writes these bytes, which need not be a line.
+    pub fn write_raw(&self, bytes: &str) {
+        self.0.write_raw(bytes);
+    }
+
+    /// Like [`Self::write_raw`] for a node that may have closed the watch; returns whether it was written.
+    pub fn try_write(&self, bytes: &str) -> bool {
+        self.0.try_write(bytes)
+    }
+
+    /// Closes the connection of the watch.
+    pub fn close(&self) {
+        self.0.close();
+    }
+}
+
+/// An endpoint as discovery lists it.
+pub fn endpoint_json(name: &str, at: SocketAddr, status: &str) -> String {
+    format!(
+        r#"{{"name":"{name}","address":"{at}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
+    )
+}
+
+/// A line of the watch: a snapshot of all endpoints, or a change of some.
+pub fn endpoint_list_json(index: u64, snapshot: bool, endpoints: &[String]) -> String {
+    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
+}
--- a/crates/node/tests/connections/mod.rs
+++ b/crates/node/tests/connections/mod.rs
@@ -6,15 +6,10 @@
 
 use socket2::SockRef;
 
-use crate::common::*;
-
-/// Waits for an event that only the node's counters show.
-fn until(what: &str, mut come: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !come() {
-        assert!(begun.elapsed() < LONG, "{what}");
-    }
-}
+use crate::common::{
+    Client, HttpMessage, Node, ScriptedServer, TEST_TIMEOUT, endpoint_list_json, job_request, node_config,
+    open_request, read_response, send_request, wait_until,
+};
 
 /// Closes it, with a reset or in good order.
 fn go(stream: TcpStream, reset: bool) {
@@ -26,58 +21,56 @@
 
 #[test]
 fn who_sends_on_behind_a_job_and_goes_is_seen_to_go_and_the_job_is_not_sent() {
-    // No next hop is there, so that each job waits. Its client's end lies behind what the client sent on.
-    let (node, watch, _discovery) = Node::with(&[]);
-    let gone = || node.count("curlewusher_clients_gone_total");
+    // No worker is there, so that each job waits. Its client's end lies behind what the client sent on.
+    let (node, watch, _discovery) = Node::start_with_workers(&[]);
+    let gone = || node.counter("curlewusher_clients_gone_total");
     let mut clients = 0;
     for more in [0, 3, 40, 200 << 10] {
         for reset in [false, true] {
-            let taken = node.count("curlewusher_jobs_taken_total");
-            let mut client = write(node.address, &job(&format!("r{clients}"), "view", 60.0, ""));
-            until("it is taken", || node.count("curlewusher_jobs_taken_total") > taken);
+            let taken = node.counter("curlewusher_jobs_taken_total");
+            let mut client = node.submit_job(&format!("r{clients}"), "view", 60.0);
+            wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") > taken);
             client.write_all("x".repeat(more).as_bytes()).expect("it reads on");
             go(client, reset);
             clients += 1;
-            until(&format!("{more} bytes, reset: {reset}"), || gone() == clients);
+            wait_until(&format!("{more} bytes, reset: {reset}"), || gone() == clients);
         }
     }
-    let hop = Server::start();
-    watch.line(&list(43, false, &[endpoint("s-1", hop.address, "in_service")]));
-    let client = write(node.address, &job("last", "view", 9.0, ""));
-    let got = hop.request();
+    let worker = ScriptedServer::start();
+    watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+    let client = node.submit_job("last", "view", 9.0);
+    let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some("last"));
-    got.answer("202 Accepted");
-    node.tell("last", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    assert!(!hop.has_more());
+    node.serve_job(client, &got, "last", "s-1");
+    assert!(!worker.has_pending_request());
 }
 
 #[test]
 fn who_sends_on_behind_a_chunked_job_and_goes_is_seen_to_go() {
     // hyper reads to the end of a chunked body, and what lies behind that with it.
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let chunked = "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\nPOST /and more";
-    let client =
-        write(node.address, &job("r1", "view", 60.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked));
-    hop.request().answer("202 Accepted");
+    let client = open_request(
+        node.address,
+        &job_request("r1", "view", 60.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked),
+    );
+    worker.next_request().accept();
     go(client, false);
-    until("its going", || node.count("curlewusher_clients_gone_total") == 1);
-    assert_eq!(hop.request().message.start, "DELETE /jobs/r1 HTTP/1.1");
+    wait_until("the client is not seen to leave", || node.counter("curlewusher_clients_gone_total") == 1);
+    assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
 }
 
 #[test]
 fn a_request_behind_a_job_waits_for_its_answer_and_is_served() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let mut client = Client::connect(node.address);
-    client.send(&(job("r1", "view", 9.0, "") + &job("r2", "view", 9.0, "")));
+    client.send(&(job_request("r1", "view", 9.0, "") + &job_request("r2", "view", 9.0, "")));
     for id in ["r1", "r2"] {
-        let got = hop.request();
+        let got = worker.next_request();
         assert_eq!(got.message.header("x-request-id"), Some(id));
-        got.answer("202 Accepted");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        got.accept();
+        node.post_completion(id, "s-1");
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
     }
 }
 
@@ -94,15 +87,14 @@
     stream.read_to_end(&mut said).unwrap_or_else(|e| panic!("{what}: {e}"));
     assert!(!is_reset(&stream, node), "{what}");
     let mut rest = &said[..];
-    std::iter::from_fn(|| Message::read(&mut rest)).map(|answer| answer.status()).collect()
+    std::iter::from_fn(|| HttpMessage::read(&mut rest)).map(|answer| answer.status()).collect()
 }
 
 #[test]
 fn an_answer_is_read_whole_by_a_client_that_sends_on_and_its_connection_ends_in_order() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let much = "x".repeat(100 << 10);
-    let good = job("r1", "view", 9.0, "");
+    let good = job_request("r1", "view", 9.0, "");
     let cases = [
         (good.replace("Content-Length: 4", "Content-Length: 200000"), 413),
         (
@@ -116,40 +108,38 @@
     ];
     for (request, status) in cases {
         // All of it is under way before the answer is made, and stays unread by hyper.
-        let client = write(node.address, &(request.clone() + &much));
+        let client = open_request(node.address, &(request.clone() + &much));
         assert_eq!(whole(client, &node, &request), [status], "{request}");
     }
     // The answer to a job, behind which much came.
-    let client = write(node.address, &(good + &much));
-    hop.request().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
+    let client = open_request(node.address, &(good + &much));
+    worker.next_request().accept();
+    node.post_completion("r1", "s-1");
     assert_eq!(whole(client, &node, "a job"), [200]);
 }
 
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_meets_no_reset_and_is_not_served() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let mut idle = idle(&node);
     // A job in hand keeps the node from ending.
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.request().answer("202 Accepted");
+    let client = node.submit_job("r1", "view", 9.0);
+    worker.next_request().accept();
     node.signal("-TERM");
     assert_eq!(idle.read(&mut [0]).expect("an end in good order"), 0);
-    idle.write_all(job("r2", "view", 9.0, "").as_bytes()).expect("it is read");
+    idle.write_all(job_request("r2", "view", 9.0, "").as_bytes()).expect("it is read");
     assert!(!is_reset(&idle, &node));
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    assert!(node.end().status.success());
-    assert!(!hop.has_more());
+    node.complete_job(client, "r1", "s-1");
+    assert!(node.wait_for_exit().status.success());
+    assert!(!worker.has_pending_request());
 }
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// An idle connection, on which one answer has come.
 fn idle(node: &Node) -> TcpStream {
-    let stream = write(node.address, READY);
-    assert_eq!(Message::read(&mut std::io::BufReader::new(&stream)).expect("an answer").status(), 200);
+    let stream = open_request(node.address, READY);
+    assert_eq!(HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("an answer").status(), 200);
     stream
 }
 
@@ -161,34 +151,34 @@
 
 #[test]
 fn a_request_that_is_half_read_as_the_node_ends_is_served() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let first = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.request().answer("202 Accepted");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let first = node.submit_job("r1", "view", 9.0);
+    worker.next_request().accept();
     let idle = idle(&node);
     node.signal("-TERM");
-    while node.get("/ready").status() == 200 {}
-    let requests = ["r2", "r3"].map(|id| job(id, "view", 9.0, ""));
+    wait_until("it stays ready", || node.get("/ready").status() != 200);
+    let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
     // One is in its head, the other in its body.
     let mut parts = requests.iter().zip([30, requests[1].len() - 2]).map(|(r, at)| r.split_at(at));
-    let mut begun: Vec<_> = parts.by_ref().map(|(begun, rest)| (write(node.address, begun), rest)).collect();
+    let mut begun: Vec<_> =
+        parts.by_ref().map(|(begun, rest)| (open_request(node.address, begun), rest)).collect();
     ended(idle);
     for (client, rest) in &mut begun {
         client.write_all(rest.as_bytes()).expect("it reads on");
     }
-    until("all are taken", || node.count("curlewusher_jobs_taken_total") == 3);
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
+    wait_until("not all jobs are taken", || node.counter("curlewusher_jobs_taken_total") == 3);
+    node.post_completion("r1", "s-1");
     for _ in &begun {
-        let got = hop.request();
-        got.answer("202 Accepted");
+        let got = worker.next_request();
+        got.accept();
         let id = got.message.header("x-request-id").expect("an id");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
+        node.post_completion(id, "s-1");
     }
     for client in begun.into_iter().map(|(client, _)| client).chain([first]) {
-        let answer = answer(client);
+        let answer = read_response(client);
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
-    assert!(node.end().status.success());
+    assert!(node.wait_for_exit().status.success());
 }
 
 /// A client that asks for more than the system holds for it, and reads one answer only.
@@ -197,7 +187,7 @@
     socket.set_recv_buffer_size(4096).expect("an option of any socket");
     socket.connect(&node.address.into()).expect("it listens");
     let mut stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     let ask = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
     stream.write_all(ask.repeat(420).as_bytes()).expect("it reads");
     stream.read_exact(&mut [0; 12]).expect("an answer");
@@ -206,42 +196,41 @@
 
 #[test]
 fn what_comes_when_all_is_answered_is_told_to_come_again() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let _slow = reads_nothing(&node);
     let idle = idle(&node);
     node.signal("-TERM");
     ended(idle);
     // Nothing was in hand, and an answer that nobody reads keeps the node a little longer.
-    let answer = ask(node.address, &job("r1", "view", 9.0, ""));
+    let answer = send_request(node.address, &job_request("r1", "view", 9.0, ""));
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert!(answer.header("retry-after").is_some());
-    assert!(node.end().status.success());
-    assert!(!hop.has_more());
+    assert!(node.wait_for_exit().status.success());
+    assert!(!worker.has_pending_request());
 }
 
 #[test]
 fn sigterm_twice_and_before_a_list_is_there_ends_well_with_every_job_answered() {
-    let discovery = Server::start();
-    let node = Node::start(&config(discovery.address, &[]));
+    let discovery = ScriptedServer::start();
+    let node = Node::start(&node_config(discovery.address, &[]));
     // Discovery holds its answer.
-    discovery.request();
-    let client = write(node.address, &job("r1", "view", 60.0, ""));
-    until("it is taken", || node.count("curlewusher_jobs_taken_total") == 1);
+    discovery.next_request();
+    let client = node.submit_job("r1", "view", 60.0);
+    wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") == 1);
     node.signal("-TERM");
-    node.says_of("drains");
+    node.wait_for_log_line("drains");
     node.signal("-HUP");
     node.signal("-TERM");
-    let answer = answer(client);
+    let answer = read_response(client);
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-    assert!(node.end().status.success());
+    assert!(node.wait_for_exit().status.success());
 }
 
 #[test]
 fn a_flood_of_bad_clients_of_every_kind_shuts_no_good_one_out() {
-    let (discovery, hop) = (Server::start(), Server::start());
-    let config = config(discovery.address, &[endpoint("s-1", hop.address, "in_service")]);
-    let node = Node::start_within(&config.replace("1024", "64"), 64);
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
+    let node = Node::start_with_descriptors(&config.replace("1024", "64"), 64);
     let much = "x".repeat(60 << 10);
     let bad = |kind: usize| match kind {
         // Refused, with much behind it; refused in its body; half a head; nothing; good, with more behind it.
@@ -263,18 +252,16 @@
         }
         if n % 50 == 49 {
             let id = format!("r{n}");
-            let client = write(node.address, &job(&id, "view", 9.0, ""));
-            hop.request().answer("202 Accepted");
-            node.tell(&id, "s-1", r#""state":"done","result":"x""#);
-            assert_eq!(answer(client).status(), 200, "{id}");
+            let client = node.submit_job(&id, "view", 9.0);
+            node.serve_job(client, &worker.next_request(), &id, "s-1");
             assert_eq!(node.get("/ready").status(), 200);
         }
     }
-    assert_eq!(node.count("curlewusher_accept_failures_total"), 0, "it keeps within its descriptors");
+    assert_eq!(node.counter("curlewusher_accept_failures_total"), 0, "it keeps within its descriptors");
     // Who rests is ended, in good order or not.
     for mut stream in rest {
         let mut said = Vec::new();
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let timed_out = |e: std::io::Error| e.kind() == std::io::ErrorKind::WouldBlock;
         assert!(!stream.read_to_end(&mut said).is_err_and(timed_out), "it is held for ever");
     }
@@ -282,41 +269,37 @@
 
 #[test]
 fn clients_that_read_nothing_of_their_answers_make_way() {
-    let (discovery, hop) = (Server::start(), Server::start());
-    let config = config(discovery.address, &[endpoint("s-1", hop.address, "in_service")]);
-    let node = Node::start_within(&config.replace("1024", "64"), 64);
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
+    let node = Node::start_with_descriptors(&config.replace("1024", "64"), 64);
     // More than it has places for; each holds its answers back, and stays.
     let _crowd: Vec<_> = (0..40).map(|_| reads_nothing(&node)).collect();
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.request().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let client = node.submit_job("r1", "view", 9.0);
+    node.serve_job(client, &worker.next_request(), "r1", "s-1");
 }
 
 #[test]
 fn what_comes_while_the_last_withdrawal_is_under_way_is_told_to_come_again() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "order", 60.0, ""));
-    hop.request().answer("202 Accepted");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "order", 60.0);
+    worker.next_request().accept();
     node.signal("-TERM");
-    assert_eq!(answer(client).status(), 502);
-    // Its next hop has heard that it is to stop and does not say so. By the time it is told again the node
+    assert_eq!(read_response(client).status(), 502);
+    // Its worker has heard that it is to stop and does not say so. By the time it is told again the node
     // has closed all that it had.
     for _ in 0..2 {
-        assert_eq!(hop.request().message.start, "DELETE /jobs/r1 HTTP/1.1");
+        assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
     }
-    let late = ask(node.address, &job("r2", "view", 9.0, ""));
+    let late = send_request(node.address, &job_request("r2", "view", 9.0, ""));
     assert_eq!((late.status(), late.header("connection")), (503, Some("close")));
-    assert!(node.end().status.success());
+    assert!(node.wait_for_exit().status.success());
 }
 
 #[test]
 fn a_call_back_that_cannot_be_used_gets_a_plain_answer_and_changes_nothing() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.request().answer("202 Accepted");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "view", 9.0);
+    worker.next_request().accept();
     let cases = [
         "",
         "{",
@@ -337,11 +320,10 @@
     );
     // One that stops half way, and one whose far end goes half way.
     let half = "POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n{\"id\":\"r1\",";
-    drop(write(node.address, half));
-    assert_eq!(ask(node.address, half).status(), 408);
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    assert!(!hop.has_more());
+    drop(open_request(node.address, half));
+    assert_eq!(send_request(node.address, half).status(), 408);
+    node.complete_job(client, "r1", "s-1");
+    assert!(!worker.has_pending_request());
 }
 
 /// Clients whose half a head comes to the node in the moment in which its drain is over and it ends their
@@ -349,22 +331,22 @@
 /// held still too late or for too long, which shows nothing.
 fn begun_as_the_drain_ends(node: &Node, requests: &[String; 2]) -> Option<Vec<(TcpStream, String)>> {
     // Its drain begins later than the other's, so that the other's is over once this one has ended.
-    let (clock, _watch, _discovery) = Node::with(&[]);
+    let (clock, _watch, _discovery) = Node::start_with_workers(&[]);
     let control = idle(node);
-    let begun = [idle(node), write(node.address, "")];
+    let begun = [idle(node), open_request(node.address, "")];
     // All of them are accepted.
     node.get("/ready");
     let told = Instant::now();
     node.signal("-TERM");
-    node.says_of("drains");
-    let held = node.hold();
+    node.wait_for_log_line("drains");
+    let held = node.pause();
     control.set_nonblocking(true).expect("a stream");
     if control.peek(&mut [0]).is_ok() {
         return None;
     }
     control.set_nonblocking(false).expect("a stream");
     clock.signal("-TERM");
-    assert!(clock.end().status.success());
+    assert!(clock.wait_for_exit().status.success());
     // The last answers are due 3.3 s after SIGTERM.
     if told.elapsed() > Duration::from_millis(1500) {
         return None;
@@ -383,28 +365,28 @@
 #[test]
 fn half_a_head_that_comes_as_the_node_ends_its_connection_is_read_on_and_served() {
     let shown = (0..20).any(|_| {
-        let (node, watch, _discovery) = Node::with(&[]);
-        // A job that waits, since no next hop is there, keeps the node from ending.
-        let first = write(node.address, &job("r1", "view", 9.0, ""));
-        until("it is taken", || node.count("curlewusher_jobs_taken_total") == 1);
-        let requests = ["r2", "r3"].map(|id| job(id, "view", 9.0, ""));
+        let (node, watch, _discovery) = Node::start_with_workers(&[]);
+        // A job that waits, since no worker is there, keeps the node from ending.
+        let first = node.submit_job("r1", "view", 9.0);
+        wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") == 1);
+        let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
         let Some(mut begun) = begun_as_the_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut begun {
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
-        let hop = Server::start();
-        watch.line(&list(43, false, &[endpoint("s-1", hop.address, "in_service")]));
+        let worker = ScriptedServer::start();
+        watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
         for _ in 0..=begun.len() {
-            let got = hop.request();
-            got.answer("202 Accepted");
+            let got = worker.next_request();
+            got.accept();
             let id = got.message.header("x-request-id").expect("an id");
-            node.tell(id, "s-1", r#""state":"done","result":"x""#);
+            node.post_completion(id, "s-1");
         }
         for client in begun.into_iter().map(|(client, _)| client).chain([first]) {
-            let answer = answer(client);
+            let answer = read_response(client);
             assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         }
-        assert!(node.end().status.success());
+        assert!(node.wait_for_exit().status.success());
         true
     });
     assert!(shown, "the node was never held still in time");
@@ -413,19 +395,18 @@
 #[test]
 fn half_a_head_that_comes_as_all_is_answered_is_told_to_come_again_once_it_is_whole() {
     let shown = (0..20).any(|_| {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let requests = ["r1", "r2"].map(|id| job(id, "view", 9.0, ""));
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let requests = ["r1", "r2"].map(|id| job_request(id, "view", 9.0, ""));
         let Some(mut begun) = begun_as_the_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut begun {
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
         for (client, _) in begun {
-            let answer = answer(client);
+            let answer = read_response(client);
             assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
         }
-        assert!(node.end().status.success());
-        assert!(!hop.has_more());
+        assert!(node.wait_for_exit().status.success());
+        assert!(!worker.has_pending_request());
         true
     });
     assert!(shown, "the node was never held still in time");
--- a/crates/node/tests/links/mod.rs
+++ b/crates/node/tests/links/mod.rs
@@ -1,179 +1,163 @@
-//! Connections to next hops in their narrow moments: late, second, broken and endless answers, resets,
+//! Connections to workers in their narrow moments: late, second, broken and endless answers, resets,
 //! withdrawals.
 
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
 
-use crate::common::*;
+use crate::common::{
+    FullBacklogWorker, HttpMessage, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, TEST_TIMEOUT,
+    call_operator, endpoint_json, endpoint_list_json, next_request_at_either, node_config,
+    node_config_with_console, read_response, wait_for_counter,
+};
 
 const POST: &str = "POST /api/k1?q=2 HTTP/1.1";
-const DONE: &str = r#""state":"done","result":"x""#;
 const SPOILT: &str = "curlewusher_next_hop_answers_spoilt_total";
 const ATTEMPTS: &str = "curlewusher_delivery_attempts_total";
 
-/// Which of two next hops a job went to, what that got, and the other one.
-fn went<'a>(one: &'a Server, two: &'a Server) -> (&'a Server, Got, &'a Server) {
-    let begun = Instant::now();
-    loop {
-        assert!(begun.elapsed() < LONG, "the job reached neither");
-        std::thread::yield_now();
-        if let Some(got) = one.waiting() {
-            return (one, got, two);
-        }
-        if let Some(got) = two.waiting() {
-            return (two, got, one);
-        }
-    }
-}
-
-fn withdrawal(hop: &Server, id: &str) -> Got {
-    let got = hop.request();
-    assert_eq!(got.message.start, format!("DELETE /jobs/{id} HTTP/1.1"));
+fn withdrawal(worker: &ScriptedServer, id: &str) -> ReceivedRequest {
+    let got = worker.next_request();
+    assert_eq!(got.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
     got
 }
 
-/// A client's job that this next hop has, and has not answered.
-fn sent(node: &Node, hop: &Server, id: &str, class: &str, wait: f64) -> (TcpStream, Got) {
-    let client = write(node.address, &job(id, class, wait, ""));
-    let got = hop.request();
-    assert_eq!((got.message.start.as_str(), got.message.header("x-request-id")), (POST, Some(id)));
+/// A client's job that this worker has, and has not answered.
+fn sent(
+    node: &Node,
+    worker: &ScriptedServer,
+    id: &str,
+    class: &str,
+    wait: f64,
+) -> (TcpStream, ReceivedRequest) {
+    let client = node.submit_job(id, class, wait);
+    let got = worker.next_request();
+    assert_eq!((got.message.start_line.as_str(), got.message.header("x-request-id")), (POST, Some(id)));
     (client, got)
 }
 
-/// Takes the job on and serves it.
-fn serve(node: &Node, client: TcpStream, got: &Got, name: &str, id: &str) {
-    got.answer("202 Accepted");
-    node.tell(id, name, DONE);
-    assert_eq!(answer(client).status(), 200, "{id}");
-}
-
 #[test]
 fn a_job_that_is_not_taken_on_goes_elsewhere_only_once_its_withdrawal_was_heard() {
     // On a cut network the closing of its connection never arrives, and the first copy may run beside the
     // next.
-    let (one, two) = (Server::start(), Server::start());
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &one), ("s-2", &two)]);
-    let client = write(node.address, &job("r1", "view", 8.0, ""));
-    let (hop, _silent, other) = went(&one, &two);
+    let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+    let client = node.submit_job("r1", "view", 8.0);
+    let (worker, _silent, other) = next_request_at_either(&one, &two);
     for _ in 0..3 {
-        let call = withdrawal(hop, "r1");
-        assert!(!other.has_more(), "a second copy beside one that may still run");
-        call.reset();
+        let call = withdrawal(worker, "r1");
+        assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+        call.close();
     }
-    let call = withdrawal(hop, "r1");
-    assert!(!other.has_more(), "a second copy beside one that may still run");
-    call.answer("404 Not Found");
-    let got = other.request();
-    assert_eq!(got.message.start, POST);
-    serve(&node, client, &got, if std::ptr::eq(other, &one) { "s-1" } else { "s-2" }, "r1");
+    let call = withdrawal(worker, "r1");
+    assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+    call.respond("404 Not Found");
+    let got = other.next_request();
+    assert_eq!(got.message.start_line, POST);
+    node.serve_job(client, &got, "r1", if std::ptr::eq(other, &one) { "s-1" } else { "s-2" });
 }
 
-/// Two next hops whose listeners the test holds, and a node that knows them.
-fn bare_hops() -> (Vec<(&'static str, TcpListener)>, Node, Watch) {
+/// Two workers whose listeners the test holds, and a node that knows them.
+fn bare_hops() -> (Vec<(&'static str, TcpListener)>, Node, ScriptedWatch) {
     let listen = || {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.set_nonblocking(true).expect("a listener");
         listener
     };
-    let hops = vec![("s-1", listen()), ("s-2", listen())];
-    let at = |hop: &(&str, TcpListener)| hop.1.local_addr().expect("an address");
-    let known: Vec<_> = hops.iter().map(|hop| endpoint(hop.0, at(hop), "in_service")).collect();
-    let discovery = Server::start();
-    let node = Node::start(&config(discovery.address, &known));
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, &known));
-    (hops, node, watch)
+    let workers = vec![("s-1", listen()), ("s-2", listen())];
+    let at = |worker: &(&str, TcpListener)| worker.1.local_addr().expect("an address");
+    let known: Vec<_> =
+        workers.iter().map(|worker| endpoint_json(worker.0, at(worker), "in_service")).collect();
+    let discovery = ScriptedServer::start();
+    let node = Node::start(&node_config(discovery.address, &known));
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    (workers, node, watch)
 }
 
 /// The next connection to one of them, by its place, with the job's request read from it.
-fn accepted(hops: &[(&str, TcpListener)]) -> (usize, TcpStream) {
+fn accepted(workers: &[(&str, TcpListener)]) -> (usize, TcpStream) {
     let begun = Instant::now();
     loop {
-        for (i, hop) in hops.iter().enumerate() {
-            match hop.1.accept() {
+        for (i, worker) in workers.iter().enumerate() {
+            match worker.1.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).expect("a stream");
-                    stream.set_read_timeout(Some(LONG)).expect("a time-out");
-                    let got = Message::read(&mut BufReader::new(&stream)).expect("a request");
-                    assert_eq!(got.start, POST);
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+                    let got = HttpMessage::read(&mut BufReader::new(&stream)).expect("a request");
+                    assert_eq!(got.start_line, POST);
                     return (i, stream);
                 }
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock),
             }
         }
-        assert!(begun.elapsed() < LONG, "nothing came");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "nothing came");
         std::thread::yield_now();
     }
 }
 
 #[test]
 fn a_process_that_is_gone_needs_to_hear_no_withdrawal() {
-    let (mut hops, node, _watch) = bare_hops();
-    let client = write(node.address, &job("r1", "view", 8.0, ""));
+    let (mut workers, node, _watch) = bare_hops();
+    let client = node.submit_job("r1", "view", 8.0);
     // The first one's process is gone: nobody listens there, and what is open says nothing.
-    let (i, _silent) = accepted(&hops);
-    drop(hops.remove(i));
-    let (_, stream) = accepted(&hops);
+    let (i, _silent) = accepted(&workers);
+    drop(workers.remove(i));
+    let (_, stream) = accepted(&workers);
     (&stream).write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("it reads");
-    node.tell("r1", hops[0].0, DONE);
-    assert_eq!(answer(client).status(), 200);
+    node.complete_job(client, "r1", workers[0].0);
 }
 
 #[test]
 fn a_refused_withdrawal_says_nothing_of_a_job_that_was_taken_on() {
-    // A next hop that holds as many connections as it may refuses others, and runs on.
-    let (mut hops, node, _watch) = bare_hops();
-    let client = write(node.address, &job("r1", "view", 8.0, ""));
-    let (i, stream) = accepted(&hops);
+    // A worker that holds as many connections as it may refuses others, and runs on.
+    let (mut workers, node, _watch) = bare_hops();
+    let client = node.submit_job("r1", "view", 8.0);
+    let (i, stream) = accepted(&workers);
     let taken = b"HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    let (name, full) = hops.remove(i);
+    let (name, full) = workers.remove(i);
     drop(full);
     (&stream).write_all(taken).expect("it reads");
     // It is not started, so that the job is called off there; each call meets a refusal.
-    until_count(&node, "curlewusher_withdrawals_unheard_total", 3);
-    assert_eq!(node.count(ATTEMPTS), 1, "a second copy beside one that may still run");
-    node.tell("r1", name, DONE);
-    assert_eq!(answer(client).status(), 200);
-    assert_eq!(node.count(ATTEMPTS), 1);
+    wait_for_counter(&node, "curlewusher_withdrawals_unheard_total", 3);
+    assert_eq!(node.counter(ATTEMPTS), 1, "a second copy beside one that may still run");
+    node.complete_job(client, "r1", name);
+    assert_eq!(node.counter(ATTEMPTS), 1);
 }
 
 #[test]
 fn a_client_that_leaves_while_a_connection_comes_up_leaves_nothing_to_withdraw() {
-    let hop = Crowded::start();
-    let discovery = Server::start();
-    let known = [hop.line("in_service")];
-    let node = Node::start(&config(discovery.address, &known));
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, &known));
-    let client = write(node.address, &job("r1", "order", 8.0, ""));
-    until_count(&node, "curlewusher_next_hop_connections_total", 1);
+    let worker = FullBacklogWorker::start();
+    let discovery = ScriptedServer::start();
+    let known = [worker.endpoint_json("in_service")];
+    let node = Node::start(&node_config(discovery.address, &known));
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    let client = node.submit_job("r1", "order", 8.0);
+    wait_for_counter(&node, "curlewusher_next_hop_connections_total", 1);
     drop(client);
-    until_count(&node, "curlewusher_clients_gone_total", 1);
+    wait_for_counter(&node, "curlewusher_clients_gone_total", 1);
     // Now there is room. Nothing that comes has to do with the first job.
-    hop.let_in();
-    let client = write(node.address, &job("r2", "order", 8.0, ""));
-    let stream = hop.next();
-    let got = Message::read(&mut BufReader::new(&stream)).expect("a request");
-    assert_eq!((got.start.as_str(), got.header("x-request-id")), (POST, Some("r2")));
+    worker.drain_backlog();
+    let client = node.submit_job("r2", "order", 8.0);
+    let stream = worker.accept();
+    let got = HttpMessage::read(&mut BufReader::new(&stream)).expect("a request");
+    assert_eq!((got.start_line.as_str(), got.header("x-request-id")), (POST, Some("r2")));
     (&stream).write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("it reads");
-    node.tell("r2", "s-1", DONE);
-    assert_eq!(answer(client).status(), 200);
+    node.complete_job(client, "r2", "s-1");
     // By its end it has made all that it had to make.
     node.signal("-TERM");
-    assert!(node.end().status.success());
-    assert!(hop.reached().is_none(), "another connection than that of the second job");
+    assert!(node.wait_for_exit().status.success());
+    assert!(worker.try_accept().is_none(), "another connection than that of the second job");
 }
 
 #[test]
 fn the_answer_does_not_wait_for_a_withdrawal() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let (client, _got) = sent(&node, &hop, "r1", "order", 0.5);
-    // While the hop still resets every call, the client has its answer.
-    let first = withdrawal(&hop, "r1");
-    assert_eq!(answer(client).status(), 502);
-    first.reset();
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let (client, _got) = sent(&node, &worker, "r1", "order", 0.5);
+    // While the worker still resets every call, the client has its answer.
+    let first = withdrawal(&worker, "r1");
+    assert_eq!(read_response(client).status(), 502);
+    first.close();
 }
 
 #[test]
@@ -181,25 +165,24 @@
     // Nothing tells a stray answer from the next one but that it comes while the connection rests. Where the
     // next job was written before the stray one, the test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let (client, first) = sent(&node, &hop, "r1", "order", 8.0);
-        serve(&node, client, &first, "s-1", "r1");
-        let client = write(node.address, &job("r2", "order", 8.0, ""));
-        until_count(&node, "curlewusher_jobs_taken_total", 2);
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        node.serve_job(client, &first, "r1", "s-1");
+        let client = node.submit_job("r2", "order", 8.0);
+        wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
         node.signal("-STOP");
-        if hop.waiting().is_some() {
+        if worker.try_next_request().is_some() {
             node.signal("-CONT");
             return false;
         }
-        first.say("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        first.write_raw("HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         node.signal("-CONT");
-        let got = hop.request();
+        let got = worker.next_request();
         if got.connection == first.connection {
             return false;
         }
-        serve(&node, client, &got, "s-1", "r2");
-        assert_eq!((node.count(ATTEMPTS), node.count(SPOILT)), (2, 1));
+        node.serve_job(client, &got, "r2", "s-1");
+        assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (2, 1));
         true
     });
     assert!(shown, "a connection carries a job right after an answer");
@@ -207,17 +190,15 @@
 
 #[test]
 fn a_second_answer_right_behind_the_first_closes_the_connection() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let (client, first) = sent(&node, &hop, "r1", "order", 8.0);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
     let accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    first.say(&format!("{accepted}HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n"));
-    node.tell("r1", "s-1", DONE);
-    assert_eq!(answer(client).status(), 200);
-    let (client, got) = sent(&node, &hop, "r2", "order", 8.0);
+    first.write_raw(&format!("{accepted}HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n"));
+    node.complete_job(client, "r1", "s-1");
+    let (client, got) = sent(&node, &worker, "r2", "order", 8.0);
     assert_ne!(got.connection, first.connection);
-    serve(&node, client, &got, "s-1", "r2");
-    assert_eq!((node.count(ATTEMPTS), node.count(SPOILT)), (2, 1));
+    node.serve_job(client, &got, "r2", "s-1");
+    assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (2, 1));
 }
 
 #[test]
@@ -230,75 +211,71 @@
     let strange = ["101 Switching Protocols", "200 OK", "204 No Content", "302 Found"]
         .map(|status| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
     for (bytes, count) in spoilt.into_iter().map(|s| (s, 1)).chain(strange.iter().map(|s| (s.as_str(), 0))) {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let (client, got) = sent(&node, &hop, "r1", "order", 8.0);
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
         // A long one may be cut off before its end.
-        got.try_say(bytes);
-        withdrawal(&hop, "r1").answer("200 OK");
+        got.try_write(bytes);
+        withdrawal(&worker, "r1").respond("200 OK");
         let start = &bytes[..bytes.len().min(40)];
-        assert_eq!(answer(client).status(), 502, "{start}");
-        assert_eq!((node.count(ATTEMPTS), node.count(SPOILT)), (1, count), "{start}");
+        assert_eq!(read_response(client).status(), 502, "{start}");
+        assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (1, count), "{start}");
         // The node serves on.
-        let (client, got) = sent(&node, &hop, "r2", "order", 8.0);
-        serve(&node, client, &got, "s-1", "r2");
+        let (client, got) = sent(&node, &worker, "r2", "order", 8.0);
+        node.serve_job(client, &got, "r2", "s-1");
     }
 }
 
 #[test]
 fn a_safe_job_goes_on_after_what_is_no_answer_only_once_it_is_withdrawn() {
     for bytes in ["nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
-        let (one, two) = (Server::start(), Server::start());
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &one), ("s-2", &two)]);
-        let client = write(node.address, &job("r1", "view", 8.0, ""));
-        let (hop, got, other) = went(&one, &two);
-        got.say(bytes);
+        let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
+        let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+        let client = node.submit_job("r1", "view", 8.0);
+        let (worker, got, other) = next_request_at_either(&one, &two);
+        got.write_raw(bytes);
         for _ in 0..2 {
-            let call = withdrawal(hop, "r1");
-            assert!(!other.has_more(), "a second copy beside one that may still run");
-            call.reset();
+            let call = withdrawal(worker, "r1");
+            assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+            call.close();
         }
-        withdrawal(hop, "r1").answer("200 OK");
-        let got = other.request();
-        assert_eq!(got.message.start, POST);
-        serve(&node, client, &got, if std::ptr::eq(other, &one) { "s-1" } else { "s-2" }, "r1");
+        withdrawal(worker, "r1").respond("200 OK");
+        let got = other.next_request();
+        assert_eq!(got.message.start_line, POST);
+        node.serve_job(client, &got, "r1", if std::ptr::eq(other, &one) { "s-1" } else { "s-2" });
     }
 }
 
 #[test]
 fn half_an_answer_and_then_an_end_is_a_reset() {
     for bytes in ["HTTP/1.1 20", "HTTP/1.1 202 Accepted\r\nContent-Le", ""] {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let (client, got) = sent(&node, &hop, "r1", "order", 8.0);
-        got.say(bytes);
-        got.reset();
-        assert_eq!(answer(client).status(), 502, "{bytes}");
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+        got.write_raw(bytes);
+        got.close();
+        assert_eq!(read_response(client).status(), 502, "{bytes}");
         let counts = [r#"curlewusher_delivery_attempts_ended_total{outcome="lost"}"#, ATTEMPTS, SPOILT];
-        assert_eq!(counts.map(|c| node.count(c)), [1, 1, u64::from(!bytes.is_empty())], "{bytes}");
-        assert!(!hop.has_more());
+        assert_eq!(counts.map(|c| node.counter(c)), [1, 1, u64::from(!bytes.is_empty())], "{bytes}");
+        assert!(!worker.has_pending_request());
     }
 }
 
 #[test]
 fn a_head_that_never_ends_is_given_up_by_the_jobs_deadline() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let (client, got) = sent(&node, &hop, "r1", "order", 0.5);
-    got.say("HTTP/1.1 202 Accepted\r\nContent-Le");
-    assert_eq!(answer(client).status(), 502);
-    withdrawal(&hop, "r1").answer("200 OK");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let (client, got) = sent(&node, &worker, "r1", "order", 0.5);
+    got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Le");
+    assert_eq!(read_response(client).status(), 502);
+    withdrawal(&worker, "r1").respond("200 OK");
 }
 
 #[test]
 fn a_202_counts_after_others_of_the_100s() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let (client, got) = sent(&node, &hop, "r1", "order", 8.0);
-    got.say("HTTP/1.1 100 Continue\r\n\r\n");
-    got.say("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
-    serve(&node, client, &got, "s-1", "r1");
-    assert_eq!((node.count("curlewusher_delivery_attempts_accepted_total"), node.count(SPOILT)), (1, 0));
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+    got.write_raw("HTTP/1.1 100 Continue\r\n\r\n");
+    got.write_raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
+    node.serve_job(client, &got, "r1", "s-1");
+    assert_eq!((node.counter("curlewusher_delivery_attempts_accepted_total"), node.counter(SPOILT)), (1, 0));
 }
 
 #[test]
@@ -312,88 +289,92 @@
         &long,
     ];
     for body in bodies {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let (client, got) = sent(&node, &hop, "r1", "order", 8.0);
-        got.say(&format!("HTTP/1.1 202 Accepted\r\n{body}"));
-        until_count(&node, "curlewusher_delivery_attempts_accepted_total", 1);
-        node.tell("r1", "s-1", DONE);
-        assert_eq!(answer(client).status(), 200);
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+        got.write_raw(&format!("HTTP/1.1 202 Accepted\r\n{body}"));
+        wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
+        node.complete_job(client, "r1", "s-1");
         // It is ended, and with it the place that it held.
-        let end = hop.next();
-        assert_eq!((end.message.start.as_str(), end.connection), ("", got.connection));
-        until_count(&node, SPOILT, 1);
-        assert_eq!(node.count(ATTEMPTS), 1);
+        let end = worker.next_event();
+        assert_eq!((end.message.start_line.as_str(), end.connection), ("", got.connection));
+        wait_for_counter(&node, SPOILT, 1);
+        assert_eq!(node.counter(ATTEMPTS), 1);
     }
 }
 
 #[test]
 fn a_connection_to_a_process_that_is_gone_is_not_kept() {
-    let hop = Server::start();
-    let discovery = Server::start();
-    let known = [endpoint("s-1", hop.address, "in_service")];
+    let worker = ScriptedServer::start();
+    let discovery = ScriptedServer::start();
+    let known = [worker.endpoint_json("s-1", "in_service")];
     // Idle connections are of use for longer than this test may take.
-    let node = Node::start_with(&config(discovery.address, &known), "[next_hop]\nreuse_ms = 600000\n");
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, &known));
-    let (client, got) = sent(&node, &hop, "r1", "order", 8.0);
-    // While its answer is still being read, the next hop is started anew.
-    got.say("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
-    until_count(&node, "curlewusher_delivery_attempts_accepted_total", 1);
-    node.tell("r1", "s-1", DONE);
-    assert_eq!(answer(client).status(), 200);
-    let before = node.count("curlewusher_transport_map_changes_total");
-    watch.line(&list(43, false, &[known[0].replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)]));
-    until_count(&node, "curlewusher_transport_map_changes_total", before + 1);
-    let (client, second) = sent(&node, &hop, "r2", "order", 8.0);
+    let node = Node::start_with_operator_file(
+        &node_config(discovery.address, &known),
+        "[next_hop]\nreuse_ms = 600000\n",
+    );
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+    // While its answer is still being read, the worker is started anew.
+    got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
+    wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
+    node.complete_job(client, "r1", "s-1");
+    let before = node.counter("curlewusher_transport_map_changes_total");
+    watch.send_line(&endpoint_list_json(
+        43,
+        false,
+        &[known[0].replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)],
+    ));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    let (client, second) = sent(&node, &worker, "r2", "order", 8.0);
     assert_ne!(second.connection, got.connection);
-    serve(&node, client, &second, "s-1", "r2");
-    got.say("late");
-    let end = hop.next();
-    assert_eq!((end.message.start.as_str(), end.connection), ("", got.connection));
+    node.serve_job(client, &second, "r2", "s-1");
+    got.write_raw("late");
+    let end = worker.next_event();
+    assert_eq!((end.message.start_line.as_str(), end.connection), ("", got.connection));
 }
 
 #[test]
 fn a_withdrawal_that_was_given_up_does_not_go_to_the_next_process() {
-    let (hop, first, second) = (Server::start(), Server::start(), Server::start());
-    let known = [endpoint("s-1", hop.address, "in_service")];
-    let older = Node::start_older(&operated(first.address, &known));
-    let _operators = older.operators();
-    let watch = Watch::open(&first);
-    watch.line(&list(42, true, &known));
-    let (client, got) = sent(&older, &hop, "r1", "order", 0.5);
-    got.answer("202 Accepted");
-    // The next hop never answers, and the job's time is up.
-    let _call = withdrawal(&hop, "r1");
-    assert_eq!(answer(client).status(), 502);
-    until_count(&older, r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#, 1);
+    let (worker, first, second) = (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
+    let known = [worker.endpoint_json("s-1", "in_service")];
+    let older = Node::start_older(&node_config_with_console(first.address, &known));
+    let _operators = older.operator_address();
+    let watch = ScriptedWatch::open(&first);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    let (client, got) = sent(&older, &worker, "r1", "order", 0.5);
+    got.accept();
+    // The worker never answers, and the job's time is up.
+    let _call = withdrawal(&worker, "r1");
+    assert_eq!(read_response(client).status(), 502);
+    wait_for_counter(&older, r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#, 1);
     // Whatever the older one wrote has come by the time that the newer one serves.
-    let newer = Node::heard(older.spawn_beside(second.address));
-    let operators = newer.operators();
-    let watch = Watch::open(&second);
-    watch.line(&list(42, true, &known));
-    older.says_of("n0: retired");
+    let newer = Node::wait_until_serving(older.spawn_beside(second.address));
+    let operators = newer.operator_address();
+    let watch = ScriptedWatch::open(&second);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    older.wait_for_log_line("n0: retired");
     let begun = Instant::now();
-    while call(operators, "READY\n") != "+OK" {
-        assert!(begun.elapsed() < LONG, "the newer one does not serve");
+    while call_operator(operators, "READY\n") != "+OK" {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the newer one does not serve");
     }
-    while hop.waiting().is_some() {}
+    while worker.try_next_request().is_some() {}
     older.signal("-TERM");
-    assert_eq!(older.end().status.code(), Some(0));
+    assert_eq!(older.wait_for_exit().status.code(), Some(0));
     for id in ["r2", "r3", "r4", "r5", "r6"] {
-        let (client, got) = sent(&newer, &hop, id, "order", 8.0);
-        serve(&newer, client, &got, "s-1", id);
+        let (client, got) = sent(&newer, &worker, id, "order", 8.0);
+        newer.serve_job(client, &got, id, "s-1");
     }
 }
 
-/// A node whose idle connections are of use for longer than any test may take, and one next hop.
-fn with_lasting_connections(hop: &Server) -> (Node, Watch, String) {
-    let discovery = Server::start();
-    let known = endpoint("s-1", hop.address, "in_service");
-    let config = config(discovery.address, std::slice::from_ref(&known));
-    let node = Node::start_with(&config, "[next_hop]\nreuse_ms = 600000\n");
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, std::slice::from_ref(&known)));
+/// A node whose idle connections are of use for longer than any test may take, and one worker.
+fn with_lasting_connections(worker: &ScriptedServer) -> (Node, ScriptedWatch, String) {
+    let discovery = ScriptedServer::start();
+    let known = worker.endpoint_json("s-1", "in_service");
+    let config = node_config(discovery.address, std::slice::from_ref(&known));
+    let node = Node::start_with_operator_file(&config, "[next_hop]\nreuse_ms = 600000\n");
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, std::slice::from_ref(&known)));
     (node, watch, known)
 }
 
@@ -402,15 +383,19 @@
     // It rests for a moment only. Where the job was written before the node had heard of the start, the test
     // was too slow and shows nothing.
     let shown = (0..20).any(|_| {
-        let hop = Server::start();
-        let (node, watch, known) = with_lasting_connections(&hop);
-        let (client, first) = sent(&node, &hop, "r1", "order", 8.0);
-        serve(&node, client, &first, "s-1", "r1");
-        let client = write(node.address, &job("r2", "order", 8.0, ""));
-        until_count(&node, "curlewusher_jobs_taken_total", 2);
-        watch.line(&list(43, false, &[known.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)]));
-        let second = hop.request();
-        serve(&node, client, &second, "s-1", "r2");
+        let worker = ScriptedServer::start();
+        let (node, watch, known) = with_lasting_connections(&worker);
+        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        node.serve_job(client, &first, "r1", "s-1");
+        let client = node.submit_job("r2", "order", 8.0);
+        wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
+        watch.send_line(&endpoint_list_json(
+            43,
+            false,
+            &[known.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)],
+        ));
+        let second = worker.next_request();
+        node.serve_job(client, &second, "r2", "s-1");
         second.connection != first.connection
     });
     assert!(shown, "a job goes out on a connection to a process that is gone");
@@ -421,34 +406,31 @@
     // It rests for a moment only. Where the job was written before the node had seen its client go, the test was
     // too slow and shows nothing.
     let shown = (0..20).any(|_| {
-        let hop = Server::start();
-        let (node, _watch, _known) = with_lasting_connections(&hop);
+        let worker = ScriptedServer::start();
+        let (node, _watch, _known) = with_lasting_connections(&worker);
         // Two connections, since the answer on the first one is not at its end, which then rest.
-        let (client, first) = sent(&node, &hop, "r1", "order", 8.0);
-        first.say("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
-        node.tell("r1", "s-1", DONE);
-        assert_eq!(answer(client).status(), 200);
-        let (client, second) = sent(&node, &hop, "r2", "order", 8.0);
-        node.tell("r2", "s-1", DONE);
-        assert_eq!(answer(client).status(), 200);
-        first.say("late");
-        second.answer("202 Accepted");
-        let client = write(node.address, &job("r3", "order", 8.0, ""));
-        until_count(&node, ATTEMPTS, 3);
+        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        first.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
+        node.complete_job(client, "r1", "s-1");
+        let (client, second) = sent(&node, &worker, "r2", "order", 8.0);
+        node.complete_job(client, "r2", "s-1");
+        first.write_raw("late");
+        second.accept();
+        let client = node.submit_job("r3", "order", 8.0);
+        wait_for_counter(&node, ATTEMPTS, 3);
         drop(client);
-        until_count(&node, "curlewusher_clients_gone_total", 1);
-        let client = write(node.address, &job("r4", "order", 8.0, ""));
-        let got = hop.request();
+        wait_for_counter(&node, "curlewusher_clients_gone_total", 1);
+        let client = node.submit_job("r4", "order", 8.0);
+        let got = worker.next_request();
         if got.message.header("x-request-id") != Some("r4") {
             return false;
         }
-        got.say("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
-        node.tell("r4", "s-1", DONE);
-        assert_eq!(answer(client).status(), 200);
+        got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
+        node.complete_job(client, "r4", "s-1");
         // Nor that one: the next job, while the answer to the last is not at its end, finds it idle.
-        let (client, got) = sent(&node, &hop, "r5", "order", 8.0);
-        serve(&node, client, &got, "s-1", "r5");
-        node.count("curlewusher_next_hop_connections_total") == 2
+        let (client, got) = sent(&node, &worker, "r5", "order", 8.0);
+        node.serve_job(client, &got, "r5", "s-1");
+        node.counter("curlewusher_next_hop_connections_total") == 2
     });
     assert!(shown, "it closes connections, or a connection carries a job right after an answer");
 }
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/moves/mod.rs
@@ -11,94 +11,75 @@
 use curlewusher_control::frame::{Decoder, Frame};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 
-use crate::common::*;
-
-/// Asks until it is so.
-fn until(mut so: impl FnMut() -> bool) {
-    let since = std::time::Instant::now();
-    while !so() {
-        assert!(since.elapsed() < LONG, "it never is");
-    }
-}
-
-/// The first request that comes to either.
-fn first_of(one: &Server, two: &Server) -> Got {
-    let since = std::time::Instant::now();
-    loop {
-        if let Some(got) = one.waiting().or_else(|| two.waiting()) {
-            return got;
-        }
-        assert!(since.elapsed() < LONG, "no request");
-        std::thread::yield_now();
-    }
-}
+use crate::common::{
+    Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, endpoint_list_json, job_request,
+    next_request_at_either, node_config, node_config_with_console, open_request, read_response, send_request,
+    wait_for_counter, wait_until,
+};
 
 #[test]
 fn a_repeat_of_an_earlier_word_ends_no_later_attempt_that_may_run() {
-    let (hop, other) = (Server::start(), Server::start());
-    let (node, watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "order", 8.0, ""));
-    hop.request().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"returned""#);
+    let (worker, other) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
+    let client = node.submit_job("r1", "order", 8.0);
+    worker.next_request().accept();
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
     // It never ran: it goes there once more, and is taken on.
-    hop.request().answer("202 Accepted");
-    until(|| node.count("curlewusher_delivery_attempts_accepted_total") == 2);
+    worker.next_request().accept();
+    wait_until("the count is not 2", || node.counter("curlewusher_delivery_attempts_accepted_total") == 2);
     let changes = "curlewusher_transport_map_changes_total";
-    let before = node.count(changes);
-    watch.line(&list(43, false, &[endpoint("s-2", other.address, "in_service")]));
-    until(|| node.count(changes) > before);
+    let before = node.counter(changes);
+    watch.send_line(&endpoint_list_json(43, false, &[other.endpoint_json("s-2", "in_service")]));
+    wait_for_counter(&node, changes, before + 1);
     // The answer to the first call was lost on its way.
-    node.tell("r1", "s-1", r#""state":"returned""#);
-    let next = first_of(&hop, &other);
-    assert_eq!(next.message.start, "DELETE /jobs/r1 HTTP/1.1", "a second copy of one that may run");
-    next.answer("200 OK");
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
+    let (_, next, _) = next_request_at_either(&worker, &other);
+    assert_eq!(next.message.start_line, "DELETE /jobs/r1 HTTP/1.1", "a second copy of one that may run");
+    next.respond("200 OK");
     // It may have run by then.
-    assert_eq!(answer(client).status(), 502);
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 2);
+    assert_eq!(read_response(client).status(), 502);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
 }
 
 #[test]
 fn a_copy_that_starts_while_it_is_withdrawn_does_not_call_off_the_one_that_stays() {
-    let hops = [Server::start(), Server::start()];
+    let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let names = ["s-1", "s-2"];
     let two = |discovery, known: &[String]| {
-        let text = config(discovery, known).replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#);
-        // That a next hop is slow to take a job on is not looked at here: on a busy machine it may be.
+        let text = node_config(discovery, known).replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#);
+        // That a worker is slow to take a job on is not looked at here: on a busy machine it may be.
         text.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
     };
-    let (node, _watch, _discovery) = Node::configured(&[("s-1", &hops[0]), ("s-2", &hops[1])], two);
+    let (node, _watch, _discovery) =
+        Node::start_with_config(&[("s-1", &workers[0]), ("s-2", &workers[1])], two);
     let next = || {
-        let got = first_of(&hops[0], &hops[1]);
-        let at = hops.iter().position(|hop| got.local() == hop.address).expect("one of both");
-        (got, at)
+        let (worker, request, _) = next_request_at_either(&workers[0], &workers[1]);
+        (request, usize::from(std::ptr::eq(worker, &workers[1])))
     };
     // Second copies are earned by the work that came before.
     for n in 0..12 {
-        let client = write(node.address, &job(&format!("r{n}"), "view", 8.0, ""));
+        let client = node.submit_job(&format!("r{n}"), "view", 8.0);
         let (got, at) = next();
-        got.answer("202 Accepted");
-        node.tell(&format!("r{n}"), names[at], r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
+        node.serve_job(client, &got, &format!("r{n}"), names[at]);
     }
-    let client = write(node.address, &job("c", "view", 8.0, ""));
+    let client = node.submit_job("c", "view", 8.0);
     let (first, one) = next();
-    first.answer("202 Accepted");
+    first.accept();
     // It does not start there.
     let (second, other) = next();
-    assert!(other != one && second.message.start.starts_with("POST"), "{}", second.message.start);
-    second.answer("202 Accepted");
-    node.tell("c", names[other], r#""state":"started""#);
+    assert!(other != one && second.message.start_line.starts_with("POST"), "{}", second.message.start_line);
+    second.accept();
+    node.post_callback("c", names[other], r#""state":"started""#);
     let (withdrawal, at) = next();
-    assert_eq!((withdrawal.message.start.as_str(), at), ("DELETE /jobs/c HTTP/1.1", one));
+    assert_eq!((withdrawal.message.start_line.as_str(), at), ("DELETE /jobs/c HTTP/1.1", one));
     // It starts there now, and the withdrawal is on its way yet.
     let callbacks = "curlewusher_callbacks_total";
-    let before = node.count(callbacks);
-    node.tell("c", names[one], r#""state":"started""#);
-    until(|| node.count(callbacks) > before);
-    assert_eq!(node.count("curlewusher_delivery_attempts_given_up_total"), 1, "both copies are called off");
-    withdrawal.answer("200 OK");
-    node.tell("c", names[other], r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let before = node.counter(callbacks);
+    node.post_callback("c", names[one], r#""state":"started""#);
+    wait_for_counter(&node, callbacks, before + 1);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_given_up_total"), 1, "both copies are called off");
+    withdrawal.respond("200 OK");
+    node.complete_job(client, "c", names[other]);
 }
 
 /// The other process of a node, as the test plays it: it answers what is moved to it when the test says so.
@@ -110,43 +91,43 @@
 
 impl Other {
     fn of(stream: UnixStream) -> Other {
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Other { stream, decoder: Decoder::default() }
     }
 
     /// One that has come to the place where the processes of a node meet, and has said nothing yet.
     pub fn comes(node: &Node) -> Other {
-        let place = format!("{}/curlewusher-127.0.0.1-0.sock", node.folder());
+        let place = format!("{}/curlewusher-127.0.0.1-0.sock", node.temp_directory());
         Other::of(UnixStream::connect(place).expect("it sits"))
     }
 
-    /// The younger one, which has taken over.
+    /// The successor, which has taken over.
     fn takes_over(node: &Node) -> Other {
-        let mut younger = Other::comes(node);
-        younger.say(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
-        younger.read_listener();
-        assert!(matches!(younger.hears(), (_, Frame::Accepted(_))));
-        younger.say(1, Frame::TakeoverRequest);
-        assert!(matches!(younger.hears(), (1, Frame::TakeoverGranted(_))));
-        younger
+        let mut successor = Other::comes(node);
+        successor.send_frame(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
+        successor.read_listener();
+        assert!(matches!(successor.next_frame(), (_, Frame::Accepted(_))));
+        successor.send_frame(1, Frame::TakeoverRequest);
+        assert!(matches!(successor.next_frame(), (1, Frame::TakeoverGranted(_))));
+        successor
     }
 
-    /// The elder one of a node with that configuration, which it welcomes to this listener.
+    /// The predecessor one of a node with that configuration, which it welcomes to this listener.
     fn is_followed(text: &str, listener: &TcpListener) -> (Other, Node) {
         Other::welcomes(text, listener, "".into())
     }
 
     /// The same, which has learned this.
     pub fn welcomes(text: &str, listener: &TcpListener, learned: Bytes) -> (Other, Node) {
-        let file = Node::file(text);
+        let file = Node::write_config_file(text);
         let folder = format!("{file}.d");
         let seat = UnixListener::bind(format!("{folder}/curlewusher-127.0.0.1-0.sock")).expect("a place");
         let child = Node::spawn_in(&folder, &file, 1024, None);
-        let mut elder = Other::of(seat.accept().expect("a hello").0);
-        assert!(matches!(elder.hears(), (_, Frame::Hello { .. })));
-        elder.say_with(listener, b"+");
-        elder.say(0, Frame::Accepted(learned));
-        (elder, Node::heard((child, file)))
+        let mut predecessor = Other::of(seat.accept().expect("a hello").0);
+        assert!(matches!(predecessor.next_frame(), (_, Frame::Hello { .. })));
+        predecessor.send_with_descriptor(listener, b"+");
+        predecessor.send_frame(0, Frame::Accepted(learned));
+        (predecessor, Node::wait_until_serving((child, file)))
     }
 
     /// Reads the byte that carries the listener.
@@ -155,7 +136,7 @@
     }
 
     /// Says these bytes, the first of which carries a descriptor.
-    pub fn say_with(&mut self, fd: &impl AsFd, bytes: &[u8]) {
+    pub fn send_with_descriptor(&mut self, fd: &impl AsFd, bytes: &[u8]) {
         let fds = [fd.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -164,11 +145,11 @@
         assert_eq!(sent.expect("it reads"), bytes.len());
     }
 
-    pub fn say(&mut self, seq: u64, frame: Frame) {
+    pub fn send_frame(&mut self, seq: u64, frame: Frame) {
         self.stream.write_all(&frame.encode(seq).expect("short")).expect("it reads");
     }
 
-    pub fn hears(&mut self) -> (u64, Frame) {
+    pub fn next_frame(&mut self) -> (u64, Frame) {
         loop {
             if let Some(said) = self.decoder.next_frame().expect("a frame") {
                 return (said.sequence, said.frame);
@@ -182,7 +163,7 @@
 
     /// The next job that is to move here, and the number of that.
     fn moved(&mut self) -> (u64, Frame) {
-        let (seq, frame) = self.hears();
+        let (seq, frame) = self.next_frame();
         assert!(matches!(frame, Frame::MigrateJob(_)), "{frame:?}");
         (seq, frame)
     }
@@ -196,134 +177,131 @@
 
 /// With a place for processes of one node to meet.
 fn patient(discovery: SocketAddr, known: &[String]) -> String {
-    operated(discovery, known).replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+    node_config_with_console(discovery, known)
+        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
 
 #[test]
 fn a_client_that_leaves_while_its_job_moves_is_gone_and_what_is_out_is_withdrawn() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::configured(&[("s-1", &hop)], patient);
-    let client = write(node.address, &job("r1", "order", 60.0, ""));
-    hop.request().answer("202 Accepted");
-    until(|| node.count("curlewusher_delivery_attempts_accepted_total") == 1);
-    let mut younger = Other::takes_over(&node);
-    let (seq, _) = younger.moved();
+    let worker = ScriptedServer::start();
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
+    let client = node.submit_job("r1", "order", 60.0);
+    worker.next_request().accept();
+    wait_until("the count is not 1", || node.counter("curlewusher_delivery_attempts_accepted_total") == 1);
+    let mut successor = Other::takes_over(&node);
+    let (seq, _) = successor.moved();
     leaves(client);
-    younger.say(seq, Frame::MigrationResult(false));
-    let withdrawal = hop.request();
-    assert_eq!(withdrawal.message.start, "DELETE /jobs/r1 HTTP/1.1");
-    withdrawal.answer("200 OK");
-    drop(younger);
-    node.says_of("the other process is gone");
-    assert_eq!(node.count("curlewusher_clients_gone_total"), 1);
+    successor.send_frame(seq, Frame::MigrationResult(false));
+    let withdrawal = worker.next_request();
+    assert_eq!(withdrawal.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    withdrawal.respond("200 OK");
+    drop(successor);
+    node.wait_for_log_line("the other process is gone");
+    assert_eq!(node.counter("curlewusher_clients_gone_total"), 1);
 }
 
 #[test]
 fn a_client_that_leaves_while_its_job_moves_is_gone_and_the_job_not_sent_on() {
-    let hop = Server::start();
-    let (node, watch, _discovery) = Node::configured(&[], patient);
-    let client = write(node.address, &job("r1", "order", 9.0, ""));
-    until(|| node.count("curlewusher_jobs_taken_total") == 1);
-    let mut younger = Other::takes_over(&node);
-    let (seq, _) = younger.moved();
+    let worker = ScriptedServer::start();
+    let (node, watch, _discovery) = Node::start_with_config(&[], patient);
+    let client = node.submit_job("r1", "order", 9.0);
+    wait_until("the count is not 1", || node.counter("curlewusher_jobs_taken_total") == 1);
+    let mut successor = Other::takes_over(&node);
+    let (seq, _) = successor.moved();
     leaves(client);
-    younger.say(seq, Frame::MigrationResult(false));
-    drop(younger);
-    node.says_of("the other process is gone");
-    watch.line(&list(43, false, &[endpoint("s-1", hop.address, "in_service")]));
-    let client = write(node.address, &job("r2", "view", 9.0, ""));
-    let got = hop.request();
+    successor.send_frame(seq, Frame::MigrationResult(false));
+    drop(successor);
+    node.wait_for_log_line("the other process is gone");
+    watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+    let client = node.submit_job("r2", "view", 9.0);
+    let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some("r2"), "sent on for nobody");
-    got.answer("202 Accepted");
-    node.tell("r2", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    assert!(!hop.has_more(), "sent on for nobody");
+    node.serve_job(client, &got, "r2", "s-1");
+    assert!(!worker.has_pending_request(), "sent on for nobody");
 }
 
 #[test]
 fn a_job_that_could_not_be_answered_in_time_after_a_move_stays_where_it_is() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::configured(&[("s-1", &hop)], patient);
-    let client = write(node.address, &job("r1", "order", 2.4, ""));
-    hop.request().answer("202 Accepted");
-    until(|| node.count("curlewusher_delivery_attempts_accepted_total") == 1);
-    let mut younger = Other::takes_over(&node);
-    // The younger one does not answer; the client gets its answer all the same.
-    assert_eq!(answer(client).status(), 502);
-    assert!(hop.request().message.start.starts_with("DELETE "));
-    assert_eq!(younger.decoder.next_frame(), Ok(None), "it was to move");
-    younger.stream.set_nonblocking(true).expect("a socket");
-    let said = younger.stream.read(&mut [0]).map_err(|e| e.kind());
+    let worker = ScriptedServer::start();
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
+    let client = node.submit_job("r1", "order", 2.4);
+    worker.next_request().accept();
+    wait_until("the count is not 1", || node.counter("curlewusher_delivery_attempts_accepted_total") == 1);
+    let mut successor = Other::takes_over(&node);
+    // The successor does not answer; the client gets its answer all the same.
+    assert_eq!(read_response(client).status(), 502);
+    assert!(worker.next_request().message.start_line.starts_with("DELETE "));
+    assert_eq!(successor.decoder.next_frame(), Ok(None), "it was to move");
+    successor.stream.set_nonblocking(true).expect("a socket");
+    let said = successor.stream.read(&mut [0]).map_err(|e| e.kind());
     assert_eq!(said, Err(ErrorKind::WouldBlock), "it was to move, or the link is given up");
 }
 
 #[test]
 fn a_word_for_an_unknown_job_is_to_be_said_again_while_the_other_process_may_serve_on() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::configured(&[("s-1", &hop)], patient);
+    let worker = ScriptedServer::start();
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
     let word = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
     assert_eq!(node.callback(word), 204);
-    // The younger one gives the link up, and runs on: it is the test itself.
+    // The successor gives the link up, and runs on: it is the test itself.
     drop(Other::takes_over(&node));
-    node.says_of("the other process is gone");
+    node.wait_for_log_line("the other process is gone");
     assert_eq!(node.callback(word), 503);
     // One that is no more holds nothing.
-    let discovery = Server::start();
-    let younger = Node::heard(node.spawn_beside(discovery.address));
-    node.says_of("a successor has come");
-    younger.kill();
-    node.says_of("the other process is gone");
+    let discovery = ScriptedServer::start();
+    let successor = Node::wait_until_serving(node.spawn_beside(discovery.address));
+    node.wait_for_log_line("a successor has come");
+    successor.kill();
+    node.wait_for_log_line("the other process is gone");
     assert_eq!(node.callback(word), 204);
 }
 
-/// A job from a new client is the next that the hop gets, and is served.
-fn serves(at: SocketAddr, hop: &Server, id: &str) {
-    let client = write(at, &job(id, "view", 9.0, ""));
-    let got = hop.request();
+/// A job from a new client is the next that the worker gets, and is served.
+fn serves(at: SocketAddr, worker: &ScriptedServer, id: &str) {
+    let client = open_request(at, &job_request(id, "view", 9.0, ""));
+    let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some(id), "another one goes out");
-    got.answer("202 Accepted");
+    got.accept();
     let told = format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"x"}}"#);
     let head = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", told.len());
-    assert_eq!(ask(at, &(head + &told)).status(), 204);
-    assert_eq!(answer(client).status(), 200);
+    assert_eq!(send_request(at, &(head + &told)).status(), 204);
+    assert_eq!(read_response(client).status(), 200);
 }
 
 #[test]
 fn of_two_processes_never_do_both_hold_a_job_whose_move_breaks_off() {
     // A job that is out nowhere is to move.
-    let hops = [Server::start(), Server::start()];
-    let (elder, watch, _discovery) = Node::configured(&[], patient);
-    let client = write(elder.address, &job("r1", "order", 60.0, ""));
-    until(|| elder.count("curlewusher_jobs_taken_total") == 1);
-    let mut to_elder = Other::takes_over(&elder);
+    let workers = [ScriptedServer::start(), ScriptedServer::start()];
+    let (predecessor, watch, _discovery) = Node::start_with_config(&[], patient);
+    let client = predecessor.submit_job("r1", "order", 60.0);
+    wait_until("the count is not 1", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
+    let mut to_elder = Other::takes_over(&predecessor);
     let (_, moved) = to_elder.moved();
 
-    // The younger one gets it, and the elder has given the link up before it can hear so.
+    // The successor gets it, and the predecessor has given the link up before it can hear so.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
-    let discovery = Server::start();
-    let known = [endpoint("s-1", hops[1].address, "in_service")];
-    let (mut to_younger, younger) = Other::is_followed(&patient(discovery.address, &known), &listener);
-    Watch::open(&discovery).line(&list(42, true, &known));
-    let (seq, asks) = to_younger.hears();
+    let discovery = ScriptedServer::start();
+    let known = [workers[1].endpoint_json("s-1", "in_service")];
+    let (mut to_younger, successor) = Other::is_followed(&patient(discovery.address, &known), &listener);
+    ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &known));
+    let (seq, asks) = to_younger.next_frame();
     assert_eq!(asks, Frame::TakeoverRequest);
-    to_younger.say(seq, Frame::TakeoverGranted("".into()));
+    to_younger.send_frame(seq, Frame::TakeoverGranted("".into()));
     // What it says next does not reach anybody.
     to_younger.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
-    to_younger.say_with(&socket, &moved.encode(9).expect("short"));
-    younger.says_of("the other process is gone");
-    serves(at, &hops[1], "r2");
-    assert!(!hops[1].has_more(), "it is the elder's");
+    to_younger.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
+    successor.wait_for_log_line("the other process is gone");
+    serves(at, &workers[1], "r2");
+    assert!(!workers[1].has_pending_request(), "it is the elder's");
 
     drop(to_elder);
-    elder.says_of("the other process is gone");
-    watch.line(&list(43, false, &[endpoint("s-1", hops[0].address, "in_service")]));
-    let got = hops[0].request();
+    predecessor.wait_for_log_line("the other process is gone");
+    watch.send_line(&endpoint_list_json(43, false, &[workers[0].endpoint_json("s-1", "in_service")]));
+    let got = workers[0].next_request();
     assert_eq!(got.message.header("x-request-id"), Some("r1"));
-    got.answer("202 Accepted");
-    elder.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    predecessor.serve_job(client, &got, "r1", "s-1");
 }
 
 #[test]
@@ -333,25 +311,24 @@
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let most = getrlimit(Resource::Nofile).maximum;
     setrlimit(Resource::Nofile, Rlimit { current: most, maximum: most }).expect("its own to raise");
-    // They all wait: no next hop is there, and nobody says of one.
+    // They all wait: no worker is there, and nobody says of one.
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let text = config(nowhere, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
-    let node = Node::start_within(&text.replace("9000000", "900000000"), 5000);
-    let mut clients: Vec<_> =
-        (0..JOBS).map(|n| write(node.address, &job(&n.to_string(), "order", 900.0, ""))).collect();
+    let text = node_config(nowhere, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
+    let node = Node::start_with_descriptors(&text.replace("9000000", "900000000"), 5000);
+    let mut clients: Vec<_> = (0..JOBS).map(|n| node.submit_job(&n.to_string(), "order", 900.0)).collect();
     // On a busy machine that takes long, but it never rests.
     let mut taken = 0;
     while taken < JOBS as u64 {
         let so_far = taken;
-        until(|| {
-            taken = node.count("curlewusher_jobs_taken_total");
+        wait_until("the expected state is not reached", || {
+            taken = node.counter("curlewusher_jobs_taken_total");
             taken > so_far
         });
     }
     // A call-back is heard, and so is the end of a client.
-    node.tell("0", "s-1", r#""state":"started""#);
+    node.post_callback("0", "s-1", r#""state":"started""#);
     clients.pop();
-    until(|| node.count("curlewusher_clients_gone_total") == 1);
+    wait_until("the count is not 1", || node.counter("curlewusher_clients_gone_total") == 1);
 }
 
 #[test]
@@ -383,24 +360,22 @@
         (r#""sockets":1024"#, &format!(r#""sockets":{end}"#)),
     ] {
         let odd = |discovery, known: &[String]| {
-            let text = config(discovery, known);
+            let text = node_config(discovery, known);
             assert!(text.contains(was), "{was}");
             text.replace(was, is)
         };
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::configured(&[("s-1", &hop)], odd);
-        let request = job("r1", "register", 8.0, "Idempotency-Key: k9\r\n");
-        let client = write(node.address, &request);
-        let got = hop.request();
-        got.answer("202 Accepted");
-        node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200, "{was} {is}");
+        let worker = ScriptedServer::start();
+        let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], odd);
+        let request = job_request("r1", "register", 8.0, "Idempotency-Key: k9\r\n");
+        let client = open_request(node.address, &request);
+        let got = worker.next_request();
+        node.serve_job(client, &got, "r1", "s-1");
     }
 }
 
 #[test]
 fn a_setting_that_cannot_be_worked_with_is_named_as_it_is_written_with_what_would_be_right() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &[]);
+    let good = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     for (was, is, said) in [
         (r#""sendCap":3"#, r#""sendCap":0"#, "settings.limits.sendCap: max_attempts is zero; give 1 or more"),
         (r#""giveUpUs":9000000"#, r#""giveUpUs":0"#, "settings.services.giveUpUs: "),
@@ -419,10 +394,10 @@
 
 #[test]
 fn a_site_that_does_not_say_how_long_connections_take_has_usual_ones() {
-    let text = config("127.0.0.1:1".parse().expect("an address"), &[]);
+    let text = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     let written = r#","connectTimeoutUs":500000,"keepaliveUs":120000000"#;
     assert!(text.contains(written));
-    let file = Node::file(&text.replace(written, ""));
+    let file = Node::write_config_file(&text.replace(written, ""));
     let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_curlewusher"));
     let said = check.arg("check").env("RELAY_CONFIG", file).output().expect("it starts");
     let said = String::from_utf8(said.stdout).expect("text");
@@ -435,10 +410,10 @@
 fn where_a_site_has_no_advice_on_coming_again_none_is_given() {
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     for (most, advised) in [("2000000", true), ("0", false)] {
-        let text = config(nowhere, &[])
+        let text = node_config(nowhere, &[])
             .replace("\"maxRetryAfterUs\":2000000", &format!("\"maxRetryAfterUs\":{most}"));
         let node = Node::start(&text);
-        let answer = ask(node.address, &job("r1", "view", 0.3, ""));
+        let answer = send_request(node.address, &job_request("r1", "view", 0.3, ""));
         assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, advised), "{most}");
     }
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The program as a process: clients, next hops and discovery are played by the test.
+//! The program as a process: clients, workers and discovery are played by the test.
 
 mod command_line;
 mod common;
@@ -16,47 +16,49 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-use common::*;
+use common::{
+    HttpMessage, Node, ScriptedServer, ScriptedWatch, endpoint_list_json, job_request,
+    next_request_at_either, node_config, open_request, read_response, send_request, wait_for_counter,
+    wait_until,
+};
 
 #[test]
 fn a_job_passes_through_unchanged_and_its_result_comes_back() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     assert_eq!(node.get("/ready").status(), 200);
-    let request = job("r1", "register", 5.0, "Idempotency-Key: k9\r\n");
-    let client = write(node.address, &request.replace("/api", "http://backend.local/api"));
-    let got = hop.next();
-    assert_eq!(got.message.start, "POST /api/k1?q=2 HTTP/1.1");
+    let request = job_request("r1", "register", 5.0, "Idempotency-Key: k9\r\n");
+    let client = open_request(node.address, &request.replace("/api", "http://backend.local/api"));
+    let got = worker.next_event();
+    assert_eq!(got.message.start_line, "POST /api/k1?q=2 HTTP/1.1");
     assert_eq!(got.message.header("x-request-id"), Some("r1"));
     assert_eq!(got.message.header("idempotency-key"), Some("k9"));
     assert_eq!(got.message.body, "body");
     let wait: f64 = got.message.header("x-deadline").and_then(|v| v.parse().ok()).expect("a deadline");
     assert!(wait > 0.0 && wait <= 5.0, "{wait}");
-    got.answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"started""#);
-    node.tell("r1", "s-1", r#""state":"running","share":0.4"#);
-    node.tell("r1", "s-1", r#""state":"done","result":"a\nb""#);
-    let answer = answer(client);
+    got.accept();
+    node.post_callback("r1", "s-1", r#""state":"started""#);
+    node.post_callback("r1", "s-1", r#""state":"running","share":0.4"#);
+    node.post_callback("r1", "s-1", r#""state":"done","result":"a\nb""#);
+    let answer = read_response(client);
     assert_eq!((answer.status(), answer.body.as_str()), (200, "a\nb"));
-    assert_eq!(node.count(r#"curlewusher_answers_total{kind="served"}"#), 1);
+    assert_eq!(node.counter(r#"curlewusher_answers_total{kind="served"}"#), 1);
 }
 
 #[test]
 fn calls_before_the_202_and_repeats_and_strangers_change_nothing_more() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "view", 5.0, ""));
-    let got = hop.next();
-    // Neither another next hop nor another job is meant.
-    node.tell("r1", "s-9", r#""state":"failed""#);
-    node.tell("r9", "s-1", r#""state":"failed""#);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "view", 5.0);
+    let got = worker.next_event();
+    // Neither another worker nor another job is meant.
+    node.post_callback("r1", "s-9", r#""state":"failed""#);
+    node.post_callback("r9", "s-1", r#""state":"failed""#);
     for _ in 0..3 {
-        node.tell("r1", "s-1", r#""state":"done","result":"first""#);
+        node.post_callback("r1", "s-1", r#""state":"done","result":"first""#);
     }
-    assert_eq!(answer(client).body, "first");
-    got.answer("202 Accepted");
-    assert_eq!(node.count("curlewusher_callbacks_without_effect_total"), 4);
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 1);
+    assert_eq!(read_response(client).body, "first");
+    got.accept();
+    assert_eq!(node.counter("curlewusher_callbacks_without_effect_total"), 4);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 1);
     for bad in ["", "{", r#"{"id":"a","from":"b"}"#, r#"{"id":"a","from":"b","state":"running"}"#] {
         assert_eq!(node.callback(bad), 400, "{bad}");
     }
@@ -64,236 +66,211 @@
 
 #[test]
 fn a_connection_is_used_again_one_request_at_a_time() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2", "r3"] {
-        let client = write(node.address, &job(id, "view", 5.0, ""));
-        let got = hop.next();
+        let client = node.submit_job(id, "view", 5.0);
+        let got = worker.next_event();
         assert_eq!(got.connection, 0, "{id}");
-        got.answer("202 Accepted");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
+        node.serve_job(client, &got, id, "s-1");
     }
 }
 
 #[test]
 fn a_connection_that_has_stood_idle_is_not_trusted_with_a_job() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "order", 5.0, ""));
-    hop.next().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "order", 5.0);
+    node.serve_job(client, &worker.next_event(), "r1", "s-1");
     // The node ends it long before the far end would.
-    let end = hop.next();
-    assert_eq!((end.message.start.as_str(), end.connection), ("", 0));
+    let end = worker.next_event();
+    assert_eq!((end.message.start_line.as_str(), end.connection), ("", 0));
 }
 
 #[test]
 fn an_unsafe_job_goes_out_again_only_when_it_never_ran() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     // Turned away unstarted: it goes out once more. Lost without a 202: it may have run.
-    let client = write(node.address, &job("r1", "order", 5.0, ""));
-    hop.next().answer("503 Service Unavailable\r\nX-Not-Run: 1");
-    hop.next().reset();
-    let lost = answer(client);
+    let client = node.submit_job("r1", "order", 5.0);
+    worker.next_event().respond("503 Service Unavailable\r\nX-Not-Run: 1");
+    worker.next_event().close();
+    let lost = read_response(client);
     assert_eq!(lost.status(), 502, "a refusal would call it harmless to come again");
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 2);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
     // A 503 without that header says nothing.
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r2", "order", 5.0, ""));
-    hop.request().answer("503 Service Unavailable");
-    assert_eq!(answer(client).status(), 502);
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 1);
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
+    let client = node.submit_job("r2", "order", 5.0);
+    worker.next_request().respond("503 Service Unavailable");
+    assert_eq!(read_response(client).status(), 502);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 1);
 }
 
 #[test]
 fn a_connection_closed_while_idle_costs_no_attempt() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2"] {
-        let client = write(node.address, &job(id, "order", 5.0, ""));
-        let got = hop.request();
-        got.answer("202 Accepted");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
-        got.reset();
+        let client = node.submit_job(id, "order", 5.0);
+        let got = worker.next_request();
+        node.serve_job(client, &got, id, "s-1");
+        got.close();
     }
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 2);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
 }
 
 #[test]
 fn a_job_given_up_while_its_202_is_on_its_way_is_withdrawn_by_name() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2", "r3", "r4"] {
-        let client = write(node.address, &job(id, "view", 5.0, ""));
-        let got = hop.request();
+        let client = node.submit_job(id, "view", 5.0);
+        let got = worker.next_request();
         // Held still, the node finds both when it goes on: that its client has left, and the 202.
         node.signal("-STOP");
         drop(client);
-        got.answer("202 Accepted");
+        got.accept();
         node.signal("-CONT");
         // Closing the connection would leave the job to run, and another attempt beside it.
-        let call = hop.request();
-        assert_eq!(call.message.start, format!("DELETE /jobs/{id} HTTP/1.1"));
-        call.answer("200 OK");
+        let call = worker.next_request();
+        assert_eq!(call.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
+        call.respond("200 OK");
     }
 }
 
 #[test]
 fn a_job_goes_on_elsewhere_only_once_its_withdrawal_was_heard() {
-    let (first, second) = (Server::start(), Server::start());
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &first), ("s-2", &second)]);
-    let client = write(node.address, &job("r1", "view", 8.0, ""));
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let client = node.submit_job("r1", "view", 8.0);
     // Whichever of the two it goes to takes it on and never starts it.
-    let begun = std::time::Instant::now();
-    let (hop, got, other) = loop {
-        assert!(begun.elapsed() < LONG, "the job reached neither");
-        std::thread::yield_now();
-        if let Some(got) = first.waiting() {
-            break (&first, got, &second);
-        }
-        if let Some(got) = second.waiting() {
-            break (&second, got, &first);
-        }
-    };
-    got.answer("202 Accepted");
+    let (worker, got, other) = next_request_at_either(&first, &second);
+    got.accept();
     for _ in 0..3 {
-        let call = hop.request();
-        assert_eq!(call.message.start, "DELETE /jobs/r1 HTTP/1.1");
-        assert!(!other.has_more(), "a second copy beside one that may still run");
-        call.reset();
+        let call = worker.next_request();
+        assert_eq!(call.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+        assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+        call.close();
     }
-    let call = hop.request();
-    assert!(!other.has_more(), "a second copy beside one that may still run");
-    call.answer("200 OK");
-    other.request().answer("202 Accepted");
+    let call = worker.next_request();
+    assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+    call.respond("200 OK");
+    other.next_request().accept();
     let name = if std::ptr::eq(other, &first) { "s-1" } else { "s-2" };
-    node.tell("r1", name, r#""state":"done","result":"x""#);
-    assert_eq!((answer(client).body.as_str(), node.count("curlewusher_withdrawals_unheard_total")), ("x", 3));
+    node.post_completion("r1", name);
+    assert_eq!(
+        (read_response(client).body.as_str(), node.counter("curlewusher_withdrawals_unheard_total")),
+        ("x", 3)
+    );
 }
 
 /// Its connection is closed, and it is withdrawn by name on another.
-fn is_given_up(hop: &Server, id: &str, connection: usize) {
-    let both = [hop.next(), hop.next()];
-    let (ends, calls): (Vec<_>, Vec<_>) = both.iter().partition(|got| got.message.start.is_empty());
+fn is_given_up(worker: &ScriptedServer, id: &str, connection: usize) {
+    let both = [worker.next_event(), worker.next_event()];
+    let (ends, calls): (Vec<_>, Vec<_>) = both.iter().partition(|got| got.message.start_line.is_empty());
     assert_eq!(ends.iter().map(|end| end.connection).collect::<Vec<_>>(), [connection]);
-    assert_eq!(calls[0].message.start, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert_eq!(calls[0].message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
     assert_ne!(calls[0].connection, connection);
 }
 
 #[test]
 fn a_client_that_closes_is_gone_and_its_job_withdrawn() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     // After the 202 the job is withdrawn by name.
-    let client = write(node.address, &job("r1", "view", 5.0, ""));
-    hop.next().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"started""#);
+    let client = node.submit_job("r1", "view", 5.0);
+    worker.next_event().accept();
+    node.post_callback("r1", "s-1", r#""state":"started""#);
     drop(client);
-    let got = hop.next();
-    assert_eq!(got.message.start, "DELETE /jobs/r1 HTTP/1.1");
-    got.answer("204 No Content");
+    let got = worker.next_event();
+    assert_eq!(got.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    got.respond("204 No Content");
     // Before it, the connection is closed as well: on a cut network only a call that is repeated arrives.
-    let client = write(node.address, &job("r2", "view", 5.0, ""));
-    let got = hop.request();
-    assert!(got.message.start.starts_with("POST"), "{}", got.message.start);
+    let client = node.submit_job("r2", "view", 5.0);
+    let got = worker.next_request();
+    assert!(got.message.start_line.starts_with("POST"), "{}", got.message.start_line);
     drop(client);
-    is_given_up(&hop, "r2", got.connection);
-    assert_eq!(node.count("curlewusher_clients_gone_total"), 2);
+    is_given_up(&worker, "r2", got.connection);
+    assert_eq!(node.counter("curlewusher_clients_gone_total"), 2);
 }
 
 #[test]
 fn a_silent_next_hop_costs_the_answer_no_time_and_is_told_to_stop() {
     // It may have run, so that an order fails and a view is deferred; either attempt is given up.
     for (class, status) in [("order", 502), ("view", 503)] {
-        let hop = Server::start();
-        let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-        let client = write(node.address, &job("r1", class, 0.3, ""));
-        let got = hop.next();
-        assert!(got.message.start.starts_with("POST"));
-        let answer = answer(client);
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let client = node.submit_job("r1", class, 0.3);
+        let got = worker.next_event();
+        assert!(got.message.start_line.starts_with("POST"));
+        let answer = read_response(client);
         assert_eq!((answer.status(), answer.header("retry-after").is_some()), (status, status == 503));
-        is_given_up(&hop, "r1", got.connection);
-        assert_eq!(node.count("curlewusher_delivery_attempts_given_up_total"), 1);
+        is_given_up(&worker, "r1", got.connection);
+        assert_eq!(node.counter("curlewusher_delivery_attempts_given_up_total"), 1);
     }
 }
 
 #[test]
 fn a_job_leaves_a_next_hop_that_does_not_take_it_on() {
-    let (one, two) = (Server::start(), Server::start());
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &one), ("s-2", &two)]);
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
+    let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+    let client = node.submit_job("r1", "view", 9.0);
     // Its connection was closed before the job went to the other.
-    let first: Vec<_> = [&one, &two].map(|hop| hop.next().message.start).into();
+    let first: Vec<_> = [&one, &two].map(|worker| worker.next_event().message.start_line).into();
     assert!(first.iter().all(|start| start.starts_with("POST")), "{first:?}");
-    assert_eq!(node.count(r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#), 1);
+    assert_eq!(node.counter(r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#), 1);
     for name in ["s-1", "s-2"] {
-        node.tell("r1", name, r#""state":"done","result":"x""#);
+        node.post_completion("r1", name);
     }
-    assert_eq!(answer(client).status(), 200);
+    assert_eq!(read_response(client).status(), 200);
 }
 
 #[test]
 fn an_id_in_hand_is_not_taken_again_and_its_first_job_is_not_disturbed() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "order", 5.0, ""));
-    hop.next().answer("202 Accepted");
-    assert_eq!(ask(node.address, &job("r1", "order", 5.0, "")).status(), 409);
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    assert!(!hop.has_more());
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "order", 5.0);
+    worker.next_event().accept();
+    assert_eq!(send_request(node.address, &job_request("r1", "order", 5.0, "")).status(), 409);
+    node.complete_job(client, "r1", "s-1");
+    assert!(!worker.has_pending_request());
 }
 
 #[test]
 fn a_job_handed_back_goes_to_another_next_hop() {
-    let (first, second) = (Server::start(), Server::start());
-    let (node, watch, _discovery) = Node::with(&[("s-1", &first)]);
-    let client = write(node.address, &job("r1", "order", 5.0, ""));
-    first.next().answer("202 Accepted");
-    let before = node.count("curlewusher_transport_map_changes_total");
-    let change =
-        [endpoint("s-1", first.address, "terminating"), endpoint("s-2", second.address, "in_service")];
-    watch.line(&list(43, false, &change));
-    while node.count("curlewusher_transport_map_changes_total") <= before {}
-    node.tell("r1", "s-1", r#""state":"returned""#);
-    second.next().answer("202 Accepted");
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
+    let client = node.submit_job("r1", "order", 5.0);
+    first.next_event().accept();
+    let before = node.counter("curlewusher_transport_map_changes_total");
+    let change = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
+    watch.send_line(&endpoint_list_json(43, false, &change));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
+    second.next_event().accept();
     // Late and repeated words of the first say nothing of the second.
-    node.tell("r1", "s-1", r#""state":"returned""#);
-    node.tell("r1", "s-2", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
+    node.complete_job(client, "r1", "s-2");
 }
 
 #[test]
 fn a_silent_watch_is_opened_again() {
     // A change that does not arrive counts as told all the same: silence must not be taken for calm.
-    let (discovery, hop) = (Server::start(), Server::start());
-    let _node = Node::start(&config(discovery.address, &[endpoint("s-1", hop.address, "in_service")]));
-    let first = Watch::open(&discovery);
-    first.line("");
-    assert_eq!(Watch::open(&discovery).since(), "41");
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let _node = Node::start(&node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]));
+    let first = ScriptedWatch::open(&discovery);
+    first.send_line("");
+    assert_eq!(ScriptedWatch::open(&discovery).since(), "41");
 }
 
 #[test]
 fn without_next_hops_or_discovery_a_job_is_deferred_before_its_deadline() {
     let discovery = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let node = Node::start(&config(discovery, &[]));
+    let node = Node::start(&node_config(discovery, &[]));
     assert_eq!(node.get("/ready").status(), 503);
-    let answer = ask(node.address, &job("r1", "view", 0.3, ""));
+    let answer = send_request(node.address, &job_request("r1", "view", 0.3, ""));
     assert_eq!(answer.status(), 503);
     let after: f64 = answer.header("retry-after").and_then(|v| v.parse().ok()).expect("Retry-After");
     assert!(after > 0.0 && after <= 2.0, "{after}");
-    assert_eq!(node.count("curlewusher_delivery_attempts_total"), 0);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 0);
 }
 
 #[test]
 fn what_is_malformed_gets_a_plain_answer_and_goes_no_further() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let with = |more: &str| job("r1", "view", 5.0, more);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let with = |more: &str| job_request("r1", "view", 5.0, more);
     let good = with("");
     let cases = [
         (good.replace("X-Request-Id: r1\r\n", ""), 400),
@@ -329,42 +306,43 @@
         ("nonsense\r\n\r\n".to_owned(), 400),
     ];
     for (request, status) in cases {
-        assert_eq!(ask(node.address, &request).status(), status, "{request}");
+        assert_eq!(send_request(node.address, &request).status(), status, "{request}");
     }
     // So is a head that follows a good request on one connection.
     let chunked = with("Transfer-Encoding: chunked\r\n");
-    let mut stream = write(node.address, &format!("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n{chunked}"));
+    let mut stream = open_request(node.address, &format!("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n{chunked}"));
     let mut both = String::new();
     stream.read_to_string(&mut both).expect("it closes");
     assert!(both.starts_with("HTTP/1.1 200") && both.contains("HTTP/1.1 400"), "{both}");
-    assert!(!hop.has_more());
-    assert_eq!(node.count("curlewusher_jobs_taken_total"), 0);
+    assert!(!worker.has_pending_request());
+    assert_eq!(node.counter("curlewusher_jobs_taken_total"), 0);
 }
 
 #[test]
 fn a_chunked_body_is_delivered_with_its_length() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let chunked = "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n";
-    let request = job("r1", "view", 5.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked);
-    let client = write(node.address, &request);
-    let got = hop.next();
+    let request = job_request("r1", "view", 5.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked);
+    let client = open_request(node.address, &request);
+    let got = worker.next_event();
     assert_eq!((got.message.body.as_str(), got.message.header("content-length")), ("body", Some("4")));
-    got.answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).header("connection"), Some("close"));
+    got.accept();
+    node.post_completion("r1", "s-1");
+    assert_eq!(read_response(client).header("connection"), Some("close"));
 }
 
 #[test]
 fn who_says_nothing_or_half_a_request_is_cut_and_an_idle_client_is_not() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut idle = write(node.address, ready);
+    let mut idle = open_request(node.address, ready);
     let starts = ["", "POST /api/k1 HTT", "POST /api/k1 HTTP/1.1\r\nX-Request-Id: r", ready];
-    let half_body = job("r1", "view", 5.0, "").replace("Content-Length: 4", "Content-Length: 9");
-    let cut: Vec<_> =
-        starts.iter().map(|s| write(node.address, s)).chain([write(node.address, &half_body)]).collect();
+    let half_body = job_request("r1", "view", 5.0, "").replace("Content-Length: 4", "Content-Length: 9");
+    let cut: Vec<_> = starts
+        .iter()
+        .map(|s| open_request(node.address, s))
+        .chain([open_request(node.address, &half_body)])
+        .collect();
     // The half of a second request on a connection that was good before.
     (&cut[3]).write_all(b"POST /api").expect("it reads");
     for (mut stream, owed) in cut.into_iter().zip(["", "400", "400", "200", "408"]) {
@@ -376,84 +354,77 @@
     idle.write_all(ready.as_bytes()).expect("it is open");
     let mut read = std::io::BufReader::new(idle);
     for _ in 0..2 {
-        assert_eq!(Message::read(&mut read).expect("an answer").status(), 200);
+        assert_eq!(HttpMessage::read(&mut read).expect("an answer").status(), 200);
     }
-    assert!(!hop.has_more());
+    assert!(!worker.has_pending_request());
 }
 
 #[test]
 fn a_drain_is_heeded_and_a_broken_watch_goes_on_where_it_ended() {
-    let (first, second) = (Server::start(), Server::start());
-    let (node, watch, discovery) = Node::with(&[("s-1", &first), ("s-2", &second)]);
-    let before = node.count("curlewusher_transport_map_changes_total");
-    watch.line(&list(43, false, &[endpoint("s-1", first.address, "terminating")]));
-    while node.count("curlewusher_transport_map_changes_total") <= before {}
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let before = node.counter("curlewusher_transport_map_changes_total");
+    watch.send_line(&endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
     for id in ["r1", "r2", "r3"] {
-        let client = write(node.address, &job(id, "view", 5.0, ""));
-        second.next().answer("202 Accepted");
-        node.tell(id, "s-2", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
+        let client = node.submit_job(id, "view", 5.0);
+        node.serve_job(client, &second.next_event(), id, "s-2");
     }
-    assert!(!first.has_more());
-    watch.end();
-    assert_eq!(Watch::open(&discovery).since(), "43");
+    assert!(!first.has_pending_request());
+    watch.close();
+    assert_eq!(ScriptedWatch::open(&discovery).since(), "43");
 }
 
 #[test]
 fn after_sigterm_it_serves_what_it_has_and_ends_well() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.next().answer("202 Accepted");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "view", 9.0);
+    worker.next_event().accept();
     node.signal("-TERM");
-    while node.get("/ready").status() == 200 {}
+    wait_until("it stays ready", || node.get("/ready").status() != 200);
     // It still takes what comes, and tells the client to go on elsewhere.
-    let late = write(node.address, &job("r2", "view", 9.0, ""));
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    hop.next().answer("202 Accepted");
-    node.tell("r2", "s-1", r#""state":"done","result":"y""#);
-    let late = answer(late);
+    let late = node.submit_job("r2", "view", 9.0);
+    node.complete_job(client, "r1", "s-1");
+    worker.next_event().accept();
+    node.post_callback("r2", "s-1", r#""state":"done","result":"y""#);
+    let late = read_response(late);
     assert_eq!((late.body.as_str(), late.header("connection")), ("y", Some("close")));
-    assert!(node.end().status.success());
+    assert!(node.wait_for_exit().status.success());
 }
 
 #[test]
 fn a_job_that_outlasts_the_drain_is_answered_before_the_end() {
     // The kill comes 3.7 s after SIGTERM, however long the deadline is: without an answer the job would be lost.
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "order", 60.0, ""));
-    hop.next().answer("202 Accepted");
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "order", 60.0);
+    worker.next_event().accept();
     node.signal("-TERM");
-    assert_eq!(answer(client).status(), 502);
-    assert_eq!(hop.request().message.start, "DELETE /jobs/r1 HTTP/1.1");
-    assert!(node.end().status.success());
+    assert_eq!(read_response(client).status(), 502);
+    assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    assert!(node.wait_for_exit().status.success());
 }
 
 #[test]
 fn more_connections_than_descriptors_do_not_shut_a_job_out() {
-    let (discovery, hop) = (Server::start(), Server::start());
-    let config = config(discovery.address, &[endpoint("s-1", hop.address, "in_service")]);
-    // By its own count it closes idle connections in time, and keeps descriptors for next hops.
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
+    // By its own count it closes idle connections in time, and keeps descriptors for workers.
     let node = Node::start(&config.replace("1024", "64"));
     // Half a request is no idle connection, and holds its place no longer than a silent one.
-    let crowd: Vec<_> = (0..100).map(|i| write(node.address, ["", "POST /api"][i % 2])).collect();
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    hop.request().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let crowd: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
+    let client = node.submit_job("r1", "view", 9.0);
+    node.serve_job(client, &worker.next_request(), "r1", "s-1");
     drop(crowd);
     // Told of far more descriptors than it has, it meets the system's refusal, and survives that.
-    let node = Node::start_within(&config, 48);
-    let _crowd: Vec<_> = (0..100).map(|_| write(node.address, "")).collect();
+    let node = Node::start_with_descriptors(&config, 48);
+    let _crowd: Vec<_> = (0..100).map(|_| open_request(node.address, "")).collect();
     assert_eq!(node.get("/ready").status(), 200);
-    assert!(node.count("curlewusher_accept_failures_total") > 0);
+    assert!(node.counter("curlewusher_accept_failures_total") > 0);
 }
 
 #[test]
 fn a_bad_configuration_is_named_in_one_line() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &[]);
+    let good = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     let cases = [
         (good.replace(r#""sendCap":3"#, r#""sendCap":"x""#), "limits.sendCap"),
         (good.replace(r#""coldShare":0.2"#, r#""coldShare":7"#), "cold_share"),
@@ -473,52 +444,56 @@
 #[test]
 fn a_new_configuration_moves_the_watch_before_the_old_one_is_dropped() {
     // SIGHUP used to end the program, and with it all jobs in hand.
-    let (first, second) = (Server::start(), Server::start());
-    let (node, old, _discovery) = Node::with(&[("s-1", &first)]);
-    let client = write(node.address, &job("r1", "view", 9.0, ""));
-    first.next().answer("202 Accepted");
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, old, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
+    let client = node.submit_job("r1", "view", 9.0);
+    first.next_event().accept();
     for _ in 0..2 {
-        node.reload("{");
-        assert!(node.says().contains("config: "), "a bad file changes nothing");
-        node.reload(&config(first.address, &[]).replace(r#""discovery":"127"#, r#""discovery":"x"#));
-        assert!(node.says().contains("config: discovery: "));
+        node.reload_config("{");
+        assert!(node.next_log_line().contains("config: "), "a bad file changes nothing");
+        node.reload_config(
+            &node_config(first.address, &[]).replace(r#""discovery":"127"#, r#""discovery":"x"#),
+        );
+        assert!(node.next_log_line().contains("config: discovery: "));
     }
     // The new discovery hangs; the old one still tells of a change, and of its end.
-    let (hangs, moved) = (Server::start(), Server::start());
-    node.reload(&config(hangs.address, &[]));
-    hangs.request();
-    let all = [endpoint("s-1", first.address, "terminating"), endpoint("s-2", second.address, "in_service")];
-    old.line(&list(43, false, &all[..1]));
-    while node.count("curlewusher_transport_map_changes_total") < 3 {}
+    let (hangs, moved) = (ScriptedServer::start(), ScriptedServer::start());
+    node.reload_config(&node_config(hangs.address, &[]));
+    hangs.next_request();
+    let all = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
+    old.send_line(&endpoint_list_json(43, false, &all[..1]));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", 3);
     // Another one comes while that hangs. It counts in its own way, so that the whole list is asked for.
-    node.reload(&config(moved.address, &[]));
-    let watch = Watch::open(&moved);
+    node.reload_config(&node_config(moved.address, &[]));
+    let watch = ScriptedWatch::open(&moved);
     assert_eq!(watch.since(), "0");
-    watch.line(&list(7, true, &all));
-    let late = write(node.address, &job("r2", "view", 9.0, ""));
-    second.next().answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    node.tell("r2", "s-2", r#""state":"done","result":"y""#);
-    assert_eq!((answer(client).body, answer(late).body), ("x".into(), "y".into()));
-    watch.end();
-    assert_eq!(Watch::open(&moved).since(), "7");
+    watch.send_line(&endpoint_list_json(7, true, &all));
+    let late = node.submit_job("r2", "view", 9.0);
+    second.next_event().accept();
+    node.post_completion("r1", "s-1");
+    node.post_callback("r2", "s-2", r#""state":"done","result":"y""#);
+    assert_eq!((read_response(client).body, read_response(late).body), ("x".into(), "y".into()));
+    watch.close();
+    assert_eq!(ScriptedWatch::open(&moved).since(), "7");
     node.signal("-TERM");
     node.signal("-HUP");
-    assert!(node.end().status.success());
+    assert!(node.wait_for_exit().status.success());
 }
 
 #[test]
 fn where_jobs_have_no_key_they_come_without_one_and_are_served() {
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::with(&[("s-1", &hop)]);
-    let client = write(node.address, &job("r1", "view", 5.0, "").replace("/api/k1?q=2", "/api"));
-    let got = hop.request();
-    assert_eq!(got.message.start, "POST /api HTTP/1.1");
-    got.answer("202 Accepted");
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client =
+        open_request(node.address, &job_request("r1", "view", 5.0, "").replace("/api/k1?q=2", "/api"));
+    let got = worker.next_request();
+    assert_eq!(got.message.start_line, "POST /api HTTP/1.1");
+    node.serve_job(client, &got, "r1", "s-1");
     // Neither a word that only begins like it nor another method is one.
-    assert_eq!(ask(node.address, &job("r2", "view", 5.0, "").replace("/api/k1?q=2", "/apis")).status(), 404);
+    assert_eq!(
+        send_request(node.address, &job_request("r2", "view", 5.0, "").replace("/api/k1?q=2", "/apis"))
+            .status(),
+        404
+    );
     assert_eq!(node.get("/api").status(), 405);
 }
 
@@ -531,37 +506,35 @@
         r#""overShareWorth":0.01,"#
     );
     let settings = |discovery, known: &[String]| {
-        config(discovery, known).replace(r#""settings":{"#, &format!(r#""settings":{{{tenants}"#))
+        node_config(discovery, known).replace(r#""settings":{"#, &format!(r#""settings":{{{tenants}"#))
     };
-    let hop = Server::start();
-    let (node, _watch, _discovery) = Node::configured(&[("s-1", &hop)], settings);
-    let of = |id: &str, tenant: &str| job(id, "view", 5.0, tenant);
-    assert_eq!(ask(node.address, &of("r1", "")).status(), 400);
-    assert_eq!(ask(node.address, &of("r2", "X-Tenant: osier\r\n")).status(), 400);
-    assert_eq!(ask(node.address, &of("r3", "X-Tenant: 2\r\n")).status(), 400);
+    let worker = ScriptedServer::start();
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], settings);
+    let of = |id: &str, tenant: &str| job_request(id, "view", 5.0, tenant);
+    assert_eq!(send_request(node.address, &of("r1", "")).status(), 400);
+    assert_eq!(send_request(node.address, &of("r2", "X-Tenant: osier\r\n")).status(), 400);
+    assert_eq!(send_request(node.address, &of("r3", "X-Tenant: 2\r\n")).status(), 400);
     // By name and by place in the settings.
     for (id, tenant) in [("r4", "X-Tenant: tern\r\n"), ("r5", "X-Tenant: 1\r\n")] {
-        let client = write(node.address, &of(id, tenant));
-        hop.request().answer("202 Accepted");
-        node.tell(id, "s-1", r#""state":"done","result":"x""#);
-        assert_eq!(answer(client).status(), 200);
+        let client = open_request(node.address, &of(id, tenant));
+        node.serve_job(client, &worker.next_request(), id, "s-1");
     }
     // What the first tenant's share allows at once is soon used up; behind it the other one's job goes first.
     let mut firsts = Vec::new();
     for n in 0..40 {
-        firsts.push(write(node.address, &of(&format!("m{n}"), "X-Tenant: marl\r\n")));
+        firsts.push(open_request(node.address, &of(&format!("m{n}"), "X-Tenant: marl\r\n")));
     }
     // All are in hand: each has its number, and the next is counted after them.
-    let taken = |count| while node.count("curlewusher_jobs_taken_total") < count {};
+    let taken = |count| wait_for_counter(&node, "curlewusher_jobs_taken_total", count);
     taken(42);
-    let _last = write(node.address, &of("r6", "X-Tenant: tern\r\n"));
+    let _last = open_request(node.address, &of("r6", "X-Tenant: tern\r\n"));
     taken(43);
     // One by one they are served: the last to come is not the last to be sent.
     let mut order = Vec::new();
-    while let Some(got) = (order.len() < 41).then(|| hop.request()) {
+    while let Some(got) = (order.len() < 41).then(|| worker.next_request()) {
         let id = got.message.header("x-request-id").expect("an id").to_owned();
-        got.answer("202 Accepted");
-        node.tell(&id, "s-1", r#""state":"done","result":"x""#);
+        got.accept();
+        node.post_completion(&id, "s-1");
         let found = id == "r6";
         order.push(id);
         if found {
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -10,77 +10,72 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixListener;
-use std::time::Instant;
 
-use crate::common::*;
+use crate::common::{
+    COMPLETED, Client, HttpMessage, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, call_operator,
+    endpoint_list_json, job_request, node_config_with_console, open_request, read_response, send_request,
+    wait_until,
+};
 
 const NAMES: [&str; 2] = ["s-1", "s-2"];
-const DONE: &str = r#""state":"done","result":"x""#;
 
 /// A process of a node, with a discovery of its own.
 struct Process {
     node: Node,
     operators: SocketAddr,
-    discovery: Server,
+    discovery: ScriptedServer,
 }
 
 /// What all processes of a node have in common.
 struct Scene {
-    hops: Vec<Server>,
+    workers: Vec<ScriptedServer>,
     known: Vec<String>,
 }
 
-/// That a next hop is slow to take a job on is not looked at here: on a busy machine it may be.
+/// That a worker is slow to take a job on is not looked at here: on a busy machine it may be.
 fn patient(discovery: SocketAddr, known: &[String]) -> String {
-    operated(discovery, known).replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+    node_config_with_console(discovery, known)
+        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
 
-/// Asks until it is so.
-fn until(so: impl Fn() -> bool) {
-    let since = Instant::now();
-    while !so() {
-        assert!(since.elapsed() < LONG, "it never is");
-    }
-}
-
-/// A call-back, which its next hop says again while the job is on its way from one process to the other.
+/// A call-back, which its worker says again while the job is on its way from one process to the other.
 fn tell(node: &Node, id: &str, from: &str, rest: &str) {
     let text = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
-    until(|| match node.callback(&text) {
+    wait_until("the expected state is not reached", || match node.callback(&text) {
         503 => false,
         status => status == 204 || panic!("{status} to {text}"),
     });
 }
 
 fn done(node: &Node, id: &str) {
-    tell(node, id, "s-1", DONE);
+    tell(node, id, "s-1", COMPLETED);
 }
 
 fn is_ready(operators: SocketAddr) {
-    until(|| call(operators, "READY\n") == "+OK");
+    wait_until("the expected state is not reached", || call_operator(operators, "READY\n") == "+OK");
 }
 
 impl Scene {
-    fn new(hops: usize) -> Scene {
-        let hops: Vec<_> = (0..hops).map(|_| Server::start()).collect();
-        let known = hops.iter().zip(NAMES);
-        let known = known.map(|(hop, name)| endpoint(name, hop.address, "in_service")).collect();
-        Scene { hops, known }
+    fn new(workers: usize) -> Scene {
+        let workers: Vec<_> = (0..workers).map(|_| ScriptedServer::start()).collect();
+        let known = workers.iter().zip(NAMES);
+        let known = known.map(|(worker, name)| worker.endpoint_json(name, "in_service")).collect();
+        Scene { workers, known }
     }
 
-    /// A scene with so many next hops, and the first process of its node, which serves.
-    fn begun(hops: usize) -> (Scene, Process) {
-        let scene = Scene::new(hops);
+    /// A scene with so many workers, and the first process of its node, which serves.
+    fn begun(workers: usize) -> (Scene, Process) {
+        let scene = Scene::new(workers);
         let (first, _) = scene.first();
-        if hops == 1 {
+        if workers == 1 {
             // A cold one would be given one job at a time.
             scene.serves(&first.node, "r0", 0);
         }
         (scene, first)
     }
 
-    fn first(&self) -> (Process, Watch) {
-        let discovery = Server::start();
+    fn first(&self) -> (Process, ScriptedWatch) {
+        let discovery = ScriptedServer::start();
         let node = Node::start_older(&patient(discovery.address, &self.known));
         let first = Process::of(node, discovery);
         let watch = self.list(&first);
@@ -88,9 +83,9 @@
         (first, watch)
     }
 
-    fn list(&self, process: &Process) -> Watch {
-        let watch = Watch::open(&process.discovery);
-        watch.line(&list(42, true, &self.known));
+    fn list(&self, process: &Process) -> ScriptedWatch {
+        let watch = ScriptedWatch::open(&process.discovery);
+        watch.send_line(&endpoint_list_json(42, true, &self.known));
         watch
     }
 
@@ -98,56 +93,56 @@
     fn upgrade(&self, older: &Process) -> Process {
         let newer = older.beside();
         self.list(&newer);
-        older.node.says_of("n0: retired");
+        older.node.wait_for_log_line("n0: retired");
         newer.is_ready();
         newer
     }
 
-    /// A job that the next hop has, and has not accepted.
-    fn sent(&self, node: &Node, id: &str) -> (TcpStream, Got) {
-        (write(node.address, &job(id, "order", 8.0, "")), self.hops[0].request())
+    /// A job that the worker has, and has not accepted.
+    fn sent(&self, node: &Node, id: &str) -> (TcpStream, ReceivedRequest) {
+        (node.submit_job(id, "order", 8.0), self.workers[0].next_request())
     }
 
     /// One that it has accepted.
     fn held(&self, node: &Node, id: &str) -> TcpStream {
         let (client, got) = self.sent(node, id);
-        got.answer("202 Accepted");
+        got.accept();
         client
     }
 
     /// A job from a new client is served there, at the first try.
-    fn serves(&self, node: &Node, id: &str, hop: usize) {
-        let client = write(node.address, &job(id, "view", 8.0, ""));
-        let got = self.hops[hop].request();
+    fn serves(&self, node: &Node, id: &str, worker: usize) {
+        let client = node.submit_job(id, "view", 8.0);
+        let got = self.workers[worker].next_request();
         assert!(got.message.header("x-request-id") == Some(id), "{:?}", got.message);
-        got.answer("202 Accepted");
-        tell(node, id, NAMES[hop], DONE);
-        assert_eq!(answer(client).status(), 200, "{id}");
+        got.accept();
+        tell(node, id, NAMES[worker], COMPLETED);
+        assert_eq!(read_response(client).status(), 200, "{id}");
     }
 
     fn is_quiet(&self) {
-        assert!(!self.hops.iter().any(Server::has_more), "a second attempt");
+        assert!(!self.workers.iter().any(ScriptedServer::has_pending_request), "a second attempt");
     }
 }
 
 impl Process {
-    fn of(node: Node, discovery: Server) -> Process {
-        let operators = node.operators();
+    fn of(node: Node, discovery: ScriptedServer) -> Process {
+        let operators = node.operator_address();
         Process { node, operators, discovery }
     }
 
     /// A version beside this one, which has no list yet but the saved one.
     fn beside(&self) -> Process {
-        let discovery = Server::start();
-        let node = Node::heard(self.node.spawn_beside(discovery.address));
-        assert!(node.follows(), "{:?}", node.before);
+        let discovery = ScriptedServer::start();
+        let node = Node::wait_until_serving(self.node.spawn_beside(discovery.address));
+        assert!(node.is_successor(), "{:?}", node.startup_lines);
         assert_eq!(node.address, self.node.address);
-        self.node.says_of("n0: a successor has come");
+        self.node.wait_for_log_line("n0: a successor has come");
         Process::of(node, discovery)
     }
 
     fn call(&self, line: &str) -> String {
-        call(self.operators, &format!("{line}\n"))
+        call_operator(self.operators, &format!("{line}\n"))
     }
 
     fn yes(&self, line: &str) {
@@ -161,7 +156,7 @@
     /// SIGTERM, and a good end.
     fn ends(self) {
         self.node.signal("-TERM");
-        assert_eq!(self.node.end().status.code(), Some(0));
+        assert_eq!(self.node.wait_for_exit().status.code(), Some(0));
     }
 }
 
@@ -175,9 +170,9 @@
     tell(&newer.node, "r1", "s-1", r#""state":"running","share":0.5"#);
     older.node.signal("-TERM");
     done(&newer.node, "r1");
-    let result = answer(client);
+    let result = read_response(client);
     assert_eq!((result.status(), result.body.as_str()), (200, "x"));
-    assert_eq!(older.node.end().status.code(), Some(0));
+    assert_eq!(older.node.wait_for_exit().status.code(), Some(0));
     scene.serves(&newer.node, "r3", 0);
     scene.is_quiet();
     newer.ends();
@@ -191,7 +186,7 @@
         let newer = older.beside();
         if when != "before" {
             scene.list(&newer);
-            older.node.says_of("n0: retired");
+            older.node.wait_for_log_line("n0: retired");
         }
         if when == "after" {
             newer.is_ready();
@@ -200,7 +195,7 @@
         newer.node.kill();
         // No connection is refused meanwhile.
         done(&older.node, &format!("{id}-held"));
-        match Message::read(&mut client) {
+        match HttpMessage::read(&mut client) {
             Some(answer) => assert_eq!(answer.status(), 200, "{when}"),
             // It may have moved to the newer one, and ended with it.
             None => assert_ne!(when, "before"),
@@ -220,7 +215,7 @@
         let newer = older.beside();
         if handed_over {
             scene.list(&newer);
-            older.node.says_of("n0: retired");
+            older.node.wait_for_log_line("n0: retired");
         }
         older.node.kill();
         // What came in between waits in the queue of the listener that both hold.
@@ -239,22 +234,28 @@
 
 #[test]
 fn of_two_that_start_at_once_one_serves_and_the_other_follows() {
-    let (scene, discovery) = (Scene::new(1), Server::start());
-    let file = Node::file(&patient(discovery.address, &scene.known));
+    let (scene, discovery) = (Scene::new(1), ScriptedServer::start());
+    let file = Node::write_config_file(&patient(discovery.address, &scene.known));
     let both = [(); 2].map(|()| (Node::spawn_in(&format!("{file}.d"), &file, 1024, None), file.clone()));
-    let mut both = both.map(Node::heard);
-    both.sort_by_key(Node::follows);
+    let mut both = both.map(Node::wait_until_serving);
+    both.sort_by_key(Node::is_successor);
     let [older, newer] = both;
-    assert!(!older.follows() && newer.follows(), "{:?} {:?}", older.before, newer.before);
+    assert!(
+        !older.is_successor() && newer.is_successor(),
+        "{:?} {:?}",
+        older.startup_lines,
+        newer.startup_lines
+    );
     assert_eq!(older.address, newer.address);
-    (0..2).for_each(|_| Watch::open(&discovery).line(&list(42, true, &scene.known)));
-    let newer_at = newer.operators();
-    older.says_of("n0: retired");
+    (0..2)
+        .for_each(|_| ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &scene.known)));
+    let newer_at = newer.operator_address();
+    older.wait_for_log_line("n0: retired");
     is_ready(newer_at);
     scene.serves(&newer, "r1", 0);
     for node in [older, newer] {
         node.signal("-TERM");
-        assert_eq!(node.end().status.code(), Some(0));
+        assert_eq!(node.wait_for_exit().status.code(), Some(0));
     }
 }
 
@@ -262,13 +263,13 @@
 fn a_third_start_waits_for_the_first_to_end_and_takes_over_from_the_second() {
     let (scene, first) = Scene::begun(1);
     let second = scene.upgrade(&first);
-    let discovery = Server::start();
+    let discovery = ScriptedServer::start();
     let third = second.node.spawn_beside(discovery.address);
     first.ends();
-    let third = Process::of(Node::heard(third), discovery);
-    assert!(third.node.follows(), "{:?}", third.node.before);
+    let third = Process::of(Node::wait_until_serving(third), discovery);
+    assert!(third.node.is_successor(), "{:?}", third.node.startup_lines);
     scene.list(&third);
-    second.node.says_of("n0: retired");
+    second.node.wait_for_log_line("n0: retired");
     third.is_ready();
     second.ends();
     scene.serves(&third.node, "r1", 0);
@@ -283,12 +284,12 @@
     let newer = scene.upgrade(&older);
     let client = scene.held(&newer.node, "r2");
     newer.node.signal("-TERM");
-    older.node.says_of("n0: ready");
+    older.node.wait_for_log_line("n0: ready");
     // The job of the one that ends is answered, though its call comes here.
     done(&older.node, "r2");
-    assert_eq!(answer(client).status(), 200);
+    assert_eq!(read_response(client).status(), 200);
     scene.serves(&older.node, "r3", 0);
-    assert_eq!(newer.node.end().status.code(), Some(0));
+    assert_eq!(newer.node.wait_for_exit().status.code(), Some(0));
     older.yes("READY");
     assert_eq!(older.node.get("/ready").status(), 200);
     scene.is_quiet();
@@ -304,16 +305,16 @@
     let newer = older.beside();
     let (client, got) = scene.sent(&older.node, "r1");
     scene.list(&newer);
-    older.node.says_of("n0: retired");
+    older.node.wait_for_log_line("n0: retired");
     done(&newer.node, "r1");
     tell(&newer.node, "r1", "s-1", r#""state":"failed""#);
-    assert_eq!(answer(client).body, "x");
-    got.answer("202 Accepted");
+    assert_eq!(read_response(client).body, "x");
+    got.accept();
     older.ends();
     let series = "curlewusher_callbacks_without_effect_total";
-    let before = newer.node.count(series);
-    newer.node.tell("r1", "s-1", DONE);
-    assert_eq!(newer.node.count(series), before + 1);
+    let before = newer.node.counter(series);
+    newer.node.post_completion("r1", "s-1");
+    assert_eq!(newer.node.counter(series), before + 1);
     scene.serves(&newer.node, "r2", 0);
     scene.is_quiet();
 }
@@ -323,17 +324,17 @@
     let (scene, older) = Scene::begun(1);
     let client = scene.held(&older.node, "r1");
     // The older one has read half of this one by the time it hands over.
-    let copy = job("r2", "order", 8.0, "");
-    let mut late = write(older.node.address, &copy[..copy.len() - 4]);
+    let copy = job_request("r2", "order", 8.0, "");
+    let mut late = open_request(older.node.address, &copy[..copy.len() - 4]);
     let newer = scene.upgrade(&older);
-    assert_eq!(ask(newer.node.address, &job("r1", "order", 8.0, "")).status(), 409);
+    assert_eq!(send_request(newer.node.address, &job_request("r1", "order", 8.0, "")).status(), 409);
     done(&newer.node, "r1");
-    assert_eq!(answer(client).status(), 200);
+    assert_eq!(read_response(client).status(), 200);
     let client = scene.held(&newer.node, "r2");
     late.write_all(b"body").expect("it reads");
-    assert_eq!(answer(late).status(), 409);
+    assert_eq!(read_response(late).status(), 409);
     done(&newer.node, "r2");
-    assert_eq!(answer(client).status(), 200);
+    assert_eq!(read_response(client).status(), 200);
     scene.is_quiet();
 }
 
@@ -348,7 +349,7 @@
     newer.yes("DISABLE s-2");
     scene.serves(&older.node, "r2", 0);
     scene.list(&newer);
-    older.node.says_of("n0: retired");
+    older.node.wait_for_log_line("n0: retired");
     newer.is_ready();
     scene.serves(&newer.node, "r3", 0);
     older.yes("DISABLE s-1");
@@ -369,8 +370,10 @@
     older.yes("DRAIN");
     let newer = older.beside();
     scene.list(&newer);
-    older.node.says_of("n0: retired");
-    until(|| newer.call("READY").starts_with("-ERR drained: send UNDRAIN"));
+    older.node.wait_for_log_line("n0: retired");
+    wait_until("the expected state is not reached", || {
+        newer.call("READY").starts_with("-ERR drained: send UNDRAIN")
+    });
     assert_eq!(newer.node.get("/ready").status(), 503);
     newer.yes("UNDRAIN");
     assert_eq!((newer.node.get("/ready").status(), newer.call("READY").as_str()), (200, "+OK"));
@@ -396,10 +399,10 @@
     let scene = Scene::new(2);
     let (older, watch) = scene.first();
     older.yes("DISABLE s-2");
-    watch.end();
+    watch.close();
     // Nobody answers the newer one's discovery: it goes by the saved list.
     let newer = older.beside();
-    older.node.says_of("n0: retired");
+    older.node.wait_for_log_line("n0: retired");
     newer.is_ready();
     // A free choice would fall on the one that is out.
     (0..8).for_each(|n| scene.serves(&newer.node, &format!("r1{n}"), 0));
@@ -418,30 +421,36 @@
 #[test]
 fn without_a_place_to_meet_a_node_says_so_once_and_the_next_one_binds_as_well() {
     let scene = Scene::new(1);
-    let discovery = [Server::start(), Server::start()];
+    let discovery = [ScriptedServer::start(), ScriptedServer::start()];
     let text = discovery.each_ref().map(|discovery| patient(discovery.address, &scene.known));
-    let file = Node::file("not a folder");
+    let file = Node::write_config_file("not a folder");
     for folder in [format!("{file}.d/none"), file] {
         let older = Node::start_in(&folder, &text[0]);
         let newer = text[1].replacen("127.0.0.1:0\",\"d", &format!("{}\",\"d", older.address), 1);
         let newer = Node::start_in(&folder, &newer);
         assert_eq!(older.address, newer.address);
-        discovery.iter().for_each(|discovery| Watch::open(discovery).line(&list(42, true, &scene.known)));
+        discovery.iter().for_each(|discovery| {
+            ScriptedWatch::open(discovery).send_line(&endpoint_list_json(42, true, &scene.known))
+        });
         for node in [&older, &newer] {
-            assert!(node.before.len() == 1 && node.before[0].contains(&folder), "{:?}", node.before);
-            assert!(node.before[0].contains("$TMPDIR"), "{:?}", node.before);
-            is_ready(node.operators());
+            assert!(
+                node.startup_lines.len() == 1 && node.startup_lines[0].contains(&folder),
+                "{:?}",
+                node.startup_lines
+            );
+            assert!(node.startup_lines[0].contains("$TMPDIR"), "{:?}", node.startup_lines);
+            is_ready(node.operator_address());
         }
         // Whichever of both it reaches, the other may hold that job: it is to be said again, not lost.
         assert_eq!(newer.callback(r#"{"id":"r9","from":"s-1","state":"failed"}"#), 503);
         older.signal("-TERM");
         // Not another word of it.
-        while let line = older.says()
+        while let line = older.next_log_line()
             && !line.ends_with("n0: drains")
         {
             assert!(!line.contains(&folder), "{line}");
         }
-        assert_eq!(older.end().status.code(), Some(0));
+        assert_eq!(older.wait_for_exit().status.code(), Some(0));
         scene.serves(&newer, "r1", 0);
     }
 }
@@ -452,7 +461,7 @@
     let at = other.local_addr().expect("an address").to_string();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     for field in ["listen", "console"] {
-        let text = operated(nowhere, &[]);
+        let text = node_config_with_console(nowhere, &[]);
         let text = text.replace(&format!(r#""{field}":"127.0.0.1:0""#), &format!(r#""{field}":"{at}""#));
         let (mut child, _) = Node::spawn(&text, 1024);
         let mut said = String::new();
@@ -468,8 +477,8 @@
     let scene = Scene::new(1);
     // A stale socket, a file, two sockets of a program that is no node, and a folder, which nobody can sit on.
     for what in ["stale", "file", "silent", "noise", "folder"] {
-        let discovery = Server::start();
-        let file = Node::file(&patient(discovery.address, &scene.known));
+        let discovery = ScriptedServer::start();
+        let file = Node::write_config_file(&patient(discovery.address, &scene.known));
         let folder = format!("{file}.d");
         let place = format!("{folder}/curlewusher-127.0.0.1-0.sock");
         let there = match what {
@@ -482,15 +491,16 @@
             let there = there.as_ref().and_then(|there| there.try_clone().ok()).expect("a handle");
             std::thread::spawn(move || _ = there.accept().and_then(|(mut s, _)| s.write_all(&[b'x'; 999])));
         }
-        let older = Process::of(Node::heard((Node::spawn_older_in(&folder, &file), file)), discovery);
-        assert!(!older.node.follows(), "{what}");
+        let older =
+            Process::of(Node::wait_until_serving((Node::spawn_older_in(&folder, &file), file)), discovery);
+        assert!(!older.node.is_successor(), "{what}");
         let lines = usize::from(matches!(what, "silent" | "noise"));
-        assert_eq!(older.node.before.len(), lines, "{what}: {:?}", older.node.before);
+        assert_eq!(older.node.startup_lines.len(), lines, "{what}: {:?}", older.node.startup_lines);
         scene.list(&older);
         older.is_ready();
         scene.serves(&older.node, "r1", 0);
         if what == "folder" {
-            let line = older.node.says_of("no successor can find this process");
+            let line = older.node.wait_for_log_line("no successor can find this process");
             assert!(line.contains(&place) && line.contains("look at what is there in $TMPDIR"), "{line}");
         } else {
             let newer = scene.upgrade(&older);
@@ -505,35 +515,37 @@
     let (scene, first) = Scene::begun(1);
     let mut client = scene.held(&first.node, "r1");
     let newer = scene.upgrade(&first);
-    until(|| newer.node.count(r#"curlewusher_jobs_moved_total{direction="here"}"#) == 1);
+    wait_until("the count is not 1", || {
+        newer.node.counter(r#"curlewusher_jobs_moved_total{direction="here"}"#) == 1
+    });
     client.write_all(b"and more").expect("it reads on");
     drop(client);
-    until(|| newer.node.count("curlewusher_clients_gone_total") == 1);
-    assert_eq!(scene.hops[0].request().message.start, "DELETE /jobs/r1 HTTP/1.1");
+    wait_until("the count is not 1", || newer.node.counter("curlewusher_clients_gone_total") == 1);
+    assert_eq!(scene.workers[0].next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
 }
 
 #[test]
 fn who_goes_while_its_job_moves_in_vain_is_seen_to_go() {
     let (scene, older) = Scene::begun(1);
     let (client, got) = scene.sent(&older.node, "r1");
-    // A next hop's connection, which stays with the older one.
+    // A worker's connection, which stays with the older one.
     let kept = std::cell::RefCell::new(Client::connect(older.node.address));
     let call = r#"{"id":"r1","from":"s-1","state":"running","share":0.1}"#;
     let head = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", call.len());
     let says = || {
         kept.borrow_mut().send(&(head.clone() + call));
-        kept.borrow_mut().answer().expect("an answer").status()
+        kept.borrow_mut().read_response().expect("an answer").status()
     };
     assert_eq!(says(), 204);
     let newer = scene.upgrade(&older);
     newer.node.signal("-STOP");
-    got.answer("202 Accepted");
+    got.accept();
     // It is on its way, and nobody takes it on.
-    until(|| says() == 503);
+    wait_until("the expected state is not reached", || says() == 503);
     drop(client);
     // The client's end is read before what is said next.
     says();
     newer.node.kill();
-    until(|| older.node.count("curlewusher_clients_gone_total") == 1);
-    assert_eq!(scene.hops[0].request().message.start, "DELETE /jobs/r1 HTTP/1.1");
+    wait_until("the count is not 1", || older.node.counter("curlewusher_clients_gone_total") == 1);
+    assert_eq!(scene.workers[0].next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
 }
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -5,7 +5,10 @@
 use std::net::{Shutdown, SocketAddr};
 use std::process::Command;
 
-use crate::common::*;
+use crate::common::{
+    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, endpoint_list_json, node_config,
+    node_config_with_console, open_request, wait_for_counter, wait_until,
+};
 
 /// Runs the program to its end, with these variables alone of its own.
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> String {
@@ -35,14 +38,17 @@
 
 #[test]
 fn a_fresh_node_is_asked_for_its_metrics_then_every_series_is_as_recorded() {
-    let silent = Server::start();
-    let node = Node::start_with(&config(silent.address, &[]), "[metrics]\nanswer_bounds_ms = [5, 1500]\n");
+    let silent = ScriptedServer::start();
+    let node = Node::start_with_operator_file(
+        &node_config(silent.address, &[]),
+        "[metrics]\nanswer_bounds_ms = [5, 1500]\n",
+    );
     // The saved list.
-    until_count(&node, "curlewusher_transport_map_changes_total", 1);
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", 1);
     let answer = node.get("/metrics");
     let kind = answer.header("content-type").expect("a content type");
-    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start, in_order(&answer.body));
-    matches_golden("metrics.txt", &text);
+    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start_line, in_order(&answer.body));
+    assert_matches_golden("metrics.txt", &text);
 }
 
 #[test]
@@ -51,7 +57,7 @@
         ("RELAY_CONFIG", "tests/golden/platform.json"),
         ("CURLEWUSHER_OPERATOR", "tests/golden/operator.toml"),
     ];
-    matches_golden("check_full.txt", &run(&["check"], &variables));
+    assert_matches_golden("check_full.txt", &run(&["check"], &variables));
 }
 
 #[test]
@@ -63,7 +69,7 @@
         ("RELAY_DISCOVERY", "127.0.0.1:8509"),
         ("RELAY_CONSOLE", "127.0.0.1:8709"),
     ];
-    matches_golden("check_least.txt", &run(&["check"], &variables));
+    assert_matches_golden("check_least.txt", &run(&["check"], &variables));
 }
 
 #[test]
@@ -74,7 +80,7 @@
     {
         let _ = writeln!(text, "$ curlewusher {}\n{}", arguments.join(" "), run(arguments, &[]));
     }
-    matches_golden("help.txt", &text);
+    assert_matches_golden("help.txt", &text);
 }
 
 /// Calls at the second address, and all that is answered.
@@ -99,7 +105,7 @@
 /// All that comes back until the end of the connection.
 fn whole_answer(at: SocketAddr, line: &[u8]) -> String {
     use std::io::{Read, Write};
-    let mut stream = write(at, "");
+    let mut stream = open_request(at, "");
     stream.write_all(line).expect("it reads");
     stream.shutdown(Shutdown::Write).expect("it is open");
     let mut said = Vec::new();
@@ -109,14 +115,14 @@
 
 #[test]
 fn operators_call_in_every_phase_then_each_answer_is_as_recorded() {
-    let (hop, discovery) = (Server::start(), Server::start());
-    let node = Node::start(&operated(discovery.address, &[]));
-    let mut calls = Calls { operators: node.operators(), text: String::new() };
+    let (worker, discovery) = (ScriptedServer::start(), ScriptedServer::start());
+    let node = Node::start(&node_config_with_console(discovery.address, &[]));
+    let mut calls = Calls { operators: node.operator_address(), text: String::new() };
     calls.stage("before the list");
     calls.make(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, &[endpoint("s-1", hop.address, "in_service")]));
-    while node.get("/ready").status() != 200 {}
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
+    wait_until("it stays unready", || node.get("/ready").status() == 200);
     calls.stage("with the list");
     calls.make(&[
         "READY\n",
@@ -134,13 +140,12 @@
     calls.make(&["\n", " \t\n", "REBOOT\n", "READY now\n", "DRAIN s-1\n", "UNDRAIN s-1\n"]);
     calls.make(&["DISABLE\n", "ENABLE\n", "DISABLE s-1 s-2\n", "ENABLE s-1 s-2\n", "\u{e9}\n"]);
     calls.make(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
-    let client = write(node.address, &job("r1", "view", 8.0, ""));
-    hop.request().answer("202 Accepted");
+    let client = node.submit_job("r1", "view", 8.0);
+    worker.next_request().accept();
     node.signal("-TERM");
     while whole_answer(calls.operators, b"READY\n").starts_with("+OK") {}
     calls.stage("told to end");
     calls.make(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
-    node.tell("r1", "s-1", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
-    matches_golden("second_address.txt", &calls.text);
+    node.complete_job(client, "r1", "s-1");
+    assert_matches_golden("second_address.txt", &calls.text);
 }
--- a/crates/node/tests/random_lives/ledger.rs
+++ b/crates/node/tests/random_lives/ledger.rs
@@ -1,10 +1,10 @@
 //! Owns what is known of each job of a life, and the judge over it: what the node may never do, written
 //! plainly. It
-//! must never act, and goes only by what the next hops and clients of the life have seen.
+//! must never act, and goes only by what the workers and clients of the life have seen.
 
 use std::time::{Duration, Instant};
 
-use crate::common::Message;
+use crate::common::HttpMessage;
 
 /// On the wire a copy may come so much later; the node keeps away from the end of the window by as much.
 const WIRE_SLACK: Duration = Duration::from_millis(200);
@@ -28,7 +28,7 @@
     }
 }
 
-/// How an attempt ended, as its next hop knows it.
+/// How an attempt ended, as its worker knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     /// It may have run.
@@ -38,7 +38,7 @@
 /// A delivery attempt whose last byte has come.
 #[derive(Debug)]
 pub struct Attempt {
-    pub hop: usize,
+    pub worker: usize,
     pub cell: (usize, usize),
     pub at: Instant,
     /// Its 202 is written.
@@ -91,7 +91,7 @@
     pub history: Vec<String>,
 }
 
-/// Which next hops discard the repeats of a keyed job.
+/// Which workers discard the repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     Cell,
@@ -125,7 +125,7 @@
     pub most_attempts: usize,
 }
 
-/// What was told of a next hop that takes nothing new.
+/// What was told of a worker that takes nothing new.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     /// The node has read it by then, and after so many events.
@@ -140,36 +140,36 @@
         matches!(self.fate, Fate::Begun | Fate::Waits)
     }
 
-    /// What a next hop makes of it.
+    /// What a worker makes of it.
     pub fn result(&self, attempt: usize) -> String {
         format!("result {attempt} of {}", self.id)
     }
 
-    /// An attempt whose last byte has come to a next hop: it cannot have come before `earliest`.
+    /// An attempt whose last byte has come to a worker: it cannot have come before `earliest`.
     pub fn arrived(
         &self,
-        message: &Message,
-        (hop, cell): (usize, (usize, usize)),
+        message: &HttpMessage,
+        (worker, cell): (usize, (usize, usize)),
         stop: Option<Stop>,
         earliest: Instant,
         rules: Rules,
     ) -> Result<(), String> {
         let Some((_, events)) = self.sent else { return Err("sent on before it was whole".into()) };
         let start = format!("POST {} HTTP/1.1", self.path);
-        let same = message.start == start
+        let same = message.start_line == start
             && message.body == self.body
             && message.header("idempotency-key") == self.key.as_deref();
         if !same {
             return Err(format!("not passed on unchanged: {message:?}"));
         }
         if let Some(at) = self.attempts.iter().position(|a| a.ended.is_none()) {
-            return Err(format!("a second copy at {hop} beside attempt {at}"));
+            return Err(format!("a second copy at {worker} beside attempt {at}"));
         }
         if let Fate::Answered(_) | Fate::Crossed = self.fate {
-            return Err(format!("sent on to {hop} after it was {:?}", self.fate));
+            return Err(format!("sent on to {worker} after it was {:?}", self.fate));
         }
         if self.left_is_known {
-            return Err(format!("sent on to {hop} long after its client left"));
+            return Err(format!("sent on to {worker} long after its client left"));
         }
         if self.attempts.len() >= rules.most_attempts {
             return Err("more attempts than the settings allow".into());
@@ -177,24 +177,25 @@
         if let Some(stop) = stop
             && (stop.settled || events > stop.events)
         {
-            return Err(format!("sent to {hop}, which was told to take nothing new"));
+            return Err(format!("sent to {worker}, which was told to take nothing new"));
         }
         let Some(first) = self.attempts.iter().find(|a| a.may_have_run()) else { return Ok(()) };
         match self.class {
             Class::View => Ok(()),
-            Class::Order => Err(format!("sent again to {hop}, though it may have run")),
-            Class::Register if !rules.scope.has(first.cell, cell) => {
-                Err(format!("sent again to {hop} of another {}, though it may have run", rules.scope.name()))
-            }
+            Class::Order => Err(format!("sent again to {worker}, though it may have run")),
+            Class::Register if !rules.scope.has(first.cell, cell) => Err(format!(
+                "sent again to {worker} of another {}, though it may have run",
+                rules.scope.name()
+            )),
             Class::Register if earliest > first.at + rules.window + WIRE_SLACK => {
-                Err(format!("sent again to {hop} after the window for repeats"))
+                Err(format!("sent again to {worker} after the window for repeats"))
             }
             Class::Register => Ok(()),
         }
     }
 
     /// A whole answer has come to its client; `ends`: the node was told to end.
-    pub fn answered(&self, message: &Message, rules: Rules, ends: bool) -> Result<(), String> {
+    pub fn answered(&self, message: &HttpMessage, rules: Rules, ends: bool) -> Result<(), String> {
         let status = message.status();
         match self.fate {
             Fate::Answered(before) => return Err(format!("answered {status} after {before}")),
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A next hop goes on with an attempt that it was never told to give up.
+    /// A worker goes on with an attempt that it was never told to give up.
     pub fn runs_on_untold(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.ended.is_none() && attempt.withdrawals == 0)
     }
--- a/crates/node/tests/random_lives/life.rs
+++ b/crates/node/tests/random_lives/life.rs
@@ -1,4 +1,4 @@
-//! Owns one life: a node as a process, with a discovery, next hops and clients that are all played here, on
+//! Owns one life: a node as a process, with a discovery, workers and clients that are all played here, on
 //! one thread.
 //! Every event is drawn from the seed. After each, what has come on all sockets is read, the node is asked
 //! something
@@ -18,7 +18,7 @@
 use super::ledger::{Attempt, Class, Ended, Fate, Job, Rules, Scope, Stop};
 use super::script::{self, Act, Hearing, Reply, Word};
 use super::wire::{End, Wire};
-use crate::common::{LONG, Message, Node, list};
+use crate::common::{HttpMessage, Node, TEST_TIMEOUT, endpoint_list_json};
 
 /// A client that has left is known to have left by whoever had so long, and a whole round trip after it.
 const LEFT_KNOWN: Duration = Duration::from_millis(300);
@@ -28,10 +28,10 @@
 const HEARTBEAT: Duration = Duration::from_millis(700);
 /// The node does not see that a client has left while bytes that came behind its request are unread: a job
 /// that still
-/// waits for a next hop is sent on, and one that is out runs on, up to the client's time. Lives 46 and 57
+/// waits for a worker is sent on, and one that is out runs on, up to the client's time. Lives 46 and 57
 /// show it.
 const SEES_CLIENTS_LEAVE_BEHIND_MORE: bool = true;
-/// A repeat of the word that ended an earlier attempt at a next hop, whose answer got lost, ends a later one
+/// A repeat of the word that ended an earlier attempt at a worker, whose answer got lost, ends a later one
 /// there once that is taken on: call-backs name no attempt.
 const TELLS_REPEATS_FROM_NEWS: bool = true;
 /// So long after SIGTERM new connections must still be served.
@@ -49,7 +49,7 @@
     Terminated,
 }
 
-struct Hop {
+struct Worker {
     name: String,
     /// Its zone, and its cell there.
     cell: (usize, usize),
@@ -61,10 +61,10 @@
     stop: Option<Stop>,
 }
 
-/// A connection from the node to a next hop.
+/// A connection from the node to a worker.
 struct Link {
     wire: Wire,
-    hop: usize,
+    worker: usize,
     at: Option<(usize, usize)>,
     /// The last request on it is answered in full, and nothing but that was written.
     free: bool,
@@ -72,7 +72,7 @@
     spoilt: bool,
 }
 
-/// What a next hop is still to do with an attempt.
+/// What a worker is still to do with an attempt.
 struct Part {
     job: usize,
     attempt: usize,
@@ -117,7 +117,7 @@
     deadlines: [u64; 3],
     discoveries: [TcpListener; 2],
     index: u64,
-    hops: Vec<Hop>,
+    workers: Vec<Worker>,
     links: Vec<Link>,
     parts: Vec<Part>,
     callers: Vec<Caller>,
@@ -149,10 +149,10 @@
 impl Life {
     pub fn new(seed: u64) -> Life {
         let mut rng = Rng::with_seed(seed);
-        let hops = (0..rng.usize(3..=5)).map(|number| {
+        let workers = (0..rng.usize(3..=5)).map(|number| {
             let listener = listen();
             let address = listener.local_addr().expect("an address");
-            Hop {
+            Worker {
                 name: format!("s-{number}"),
                 cell: (rng.usize(0..2), rng.usize(1..3)),
                 listener,
@@ -163,7 +163,7 @@
                 stop: None,
             }
         });
-        let hops: Vec<_> = hops.collect();
+        let workers: Vec<_> = workers.collect();
         let discoveries = [listen(), listen()];
         let window = rng.u64(500..1500);
         let deadlines = [0; 3].map(|_| rng.u64(1000..=2500));
@@ -185,9 +185,12 @@
             "fallUs":1000000}}}}"#,
             scope.name()
         );
-        let known: Vec<_> = hops.iter().map(Hop::line).collect();
+        let known: Vec<_> = workers.iter().map(Worker::line).collect();
         let at = discoveries[0].local_addr().expect("an address");
-        let node = Node::start_with(&config(&settings, at, &list(41, true, &known)), OPERATOR);
+        let node = Node::start_with_operator_file(
+            &config(&settings, at, &endpoint_list_json(41, true, &known)),
+            OPERATOR,
+        );
         let now = Instant::now();
         let mut life = Life {
             seed,
@@ -198,7 +201,7 @@
             deadlines,
             discoveries,
             index: 41,
-            hops,
+            workers,
             links: vec![],
             parts: vec![],
             callers: vec![],
@@ -217,7 +220,7 @@
             terminated: None,
             over: false,
         };
-        if !life.pump(LONG, |life| life.watches.iter().any(|watch| watch.open)) {
+        if !life.pump(TEST_TIMEOUT, |life| life.watches.iter().any(|watch| watch.open)) {
             life.broken(None, "no watch was opened");
         }
         life.settle();
@@ -415,28 +418,28 @@
     }
 
     fn change(&mut self, a: usize, b: usize) {
-        let hop = a % self.hops.len();
-        let status = match (self.hops[hop].status, b % 3) {
+        let worker = a % self.workers.len();
+        let status = match (self.workers[worker].status, b % 3) {
             (Status::InService, 0 | 1) => Status::Terminating,
             (Status::Terminating, 0) | (Status::InService, _) => Status::Terminated,
             _ => Status::InService,
         };
         self.index += 1;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a date").as_millis();
-        let this = &mut self.hops[hop];
+        let this = &mut self.workers[worker];
         if this.status == Status::Terminated && status == Status::InService && b.is_multiple_of(2) {
             this.since_ms = now;
         }
         (this.status, this.changed, this.stop) = (status, self.index, None);
-        self.unconfirmed.retain(|(at, _)| *at != hop);
-        let line = list(self.index, false, &[this.line()]);
+        self.unconfirmed.retain(|(at, _)| *at != worker);
+        let line = endpoint_list_json(self.index, false, &[this.line()]);
         for at in 0..self.watches.len() {
             if self.watches[at].is_well() {
                 self.say(at, &line, (b / 8).is_multiple_of(3));
             }
         }
         if status != Status::InService && self.watches.iter().any(Watch::is_well) {
-            self.unconfirmed.push((hop, self.lines));
+            self.unconfirmed.push((worker, self.lines));
         }
     }
 
@@ -467,11 +470,11 @@
         self.lines_lost = true;
     }
 
-    /// A next hop ends connections on which nothing is asked, or writes a second answer on them.
+    /// A worker ends connections on which nothing is asked, or writes a second answer on them.
     fn spoil_idle(&mut self, a: usize, b: usize) {
         self.read_all();
-        let hop = a % self.hops.len();
-        let idle = |link: &&mut Link| link.hop == hop && link.free && link.wire.is_open();
+        let worker = a % self.workers.len();
+        let idle = |link: &&mut Link| link.worker == worker && link.free && link.wire.is_open();
         for link in self.links.iter_mut().filter(idle) {
             match b % 3 {
                 0 => link.wire.close(false),
@@ -489,11 +492,11 @@
             return;
         }
         if b.is_multiple_of(4) {
-            return self.node.reload("{");
+            return self.node.reload_config("{");
         }
         let at = self.discoveries[a % 2].local_addr().expect("an address");
-        let known: Vec<_> = self.hops.iter().map(Hop::line).collect();
-        self.node.reload(&config(&self.settings, at, &list(self.index, true, &known)));
+        let known: Vec<_> = self.workers.iter().map(Worker::line).collect();
+        self.node.reload_config(&config(&self.settings, at, &endpoint_list_json(self.index, true, &known)));
     }
 
     fn heartbeat(&mut self) {
@@ -513,9 +516,9 @@
         }
     }
 
-    // ---- what next hops do --------------------------------------------------------------------------------
+    // ---- what workers do --------------------------------------------------------------------------------
 
-    /// Each attempt's next hop does one thing more.
+    /// Each attempt's worker does one thing more.
     fn act(&mut self) {
         for at in 0..self.parts.len() {
             let Some(act) = self.parts[at].acts.pop_front() else { continue };
@@ -608,7 +611,7 @@
 
     fn words(&self, job: usize, attempt: usize, word: Word) -> String {
         let this = &self.jobs[job];
-        let hop = &self.hops[this.attempts[attempt].hop].name;
+        let worker = &self.workers[this.attempts[attempt].worker].name;
         let state = match word {
             Word::Started => r#""state":"started""#.to_owned(),
             Word::Running => r#""state":"running","share":0.5"#.to_owned(),
@@ -617,7 +620,7 @@
             Word::Returned => r#""state":"returned""#.to_owned(),
             Word::Lost => r#""state":"lost""#.to_owned(),
         };
-        let body = format!(r#"{{"id":"{}","from":"{hop}",{state}}}"#, this.id);
+        let body = format!(r#"{{"id":"{}","from":"{worker}",{state}}}"#, this.id);
         let length = body.len();
         format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}")
     }
@@ -647,8 +650,9 @@
     /// A repeat is answered before anything more is said there.
     fn repeat(&mut self, job: usize, attempt: usize, word: Word) {
         let attempts = &self.jobs[job].attempts;
-        let hop = attempts[attempt].hop;
-        let taken_again = attempts[attempt + 1..].iter().any(|later| later.hop == hop && later.accepted);
+        let worker = attempts[attempt].worker;
+        let taken_again =
+            attempts[attempt + 1..].iter().any(|later| later.worker == worker && later.accepted);
         if self.held_for > 0 || taken_again && !TELLS_REPEATS_FROM_NEWS {
             return;
         }
@@ -679,7 +683,7 @@
         while self.pass() {}
     }
 
-    /// Looks at every socket once; whether anything had come. Answers are judged after all that next hops
+    /// Looks at every socket once; whether anything had come. Answers are judged after all that workers
     /// have got.
     fn pass(&mut self) -> bool {
         let now = Instant::now();
@@ -687,9 +691,15 @@
         for caller in &mut self.callers {
             any |= caller.wire.read();
         }
-        for hop in 0..self.hops.len() {
-            while let Ok((stream, _)) = self.hops[hop].listener.accept() {
-                self.links.push(Link { wire: Wire::new(stream), hop, at: None, free: true, spoilt: false });
+        for worker in 0..self.workers.len() {
+            while let Ok((stream, _)) = self.workers[worker].listener.accept() {
+                self.links.push(Link {
+                    wire: Wire::new(stream),
+                    worker,
+                    at: None,
+                    free: true,
+                    spoilt: false,
+                });
                 any = true;
             }
         }
@@ -728,22 +738,22 @@
         any
     }
 
-    fn asked(&mut self, link: usize, message: &Message) {
-        let id = match message.start.strip_prefix("DELETE /jobs/") {
+    fn asked(&mut self, link: usize, message: &HttpMessage) {
+        let id = match message.start_line.strip_prefix("DELETE /jobs/") {
             Some(rest) => rest.split(' ').next(),
             None => message.header("x-request-id"),
         };
         let Some(number) = id.and_then(|id| id.strip_prefix(&format!("l{}-", self.seed))) else {
-            // A node of another test, whose next hop or discovery had this port before.
+            // A node of another test, whose worker or discovery had this port before.
             return self.links[link].wire.close(false);
         };
         let job = number.parse().ok().filter(|job| *job < self.jobs.len());
         let Some(job) = job else { self.broken(None, &format!("a request of nobody's: {message:?}")) };
         if !self.links[link].free {
-            let text = format!("a request on a connection that is not free: {}", message.start);
+            let text = format!("a request on a connection that is not free: {}", message.start_line);
             self.broken(Some(job), &text);
         }
-        if message.start.starts_with("DELETE") {
+        if message.start_line.starts_with("DELETE") {
             return self.withdrawn(link, job);
         }
         // What was given up before this was written shows by now.
@@ -753,16 +763,19 @@
                 self.link_ended(other);
             }
         }
-        let hop = self.links[link].hop;
-        let (cell, stop) = (self.hops[hop].cell, self.hops[hop].stop);
-        self.note(job, format!("attempt {} comes to {hop} of cell {cell:?}", self.jobs[job].attempts.len()));
-        let judged = self.jobs[job].arrived(message, (hop, cell), stop, self.earliest, self.rules);
+        let worker = self.links[link].worker;
+        let (cell, stop) = (self.workers[worker].cell, self.workers[worker].stop);
+        self.note(
+            job,
+            format!("attempt {} comes to {worker} of cell {cell:?}", self.jobs[job].attempts.len()),
+        );
+        let judged = self.jobs[job].arrived(message, (worker, cell), stop, self.earliest, self.rules);
         if let Err(what) = judged {
             self.broken(Some(job), &what);
         }
         let attempt = self.jobs[job].attempts.len();
         self.jobs[job].attempts.push(Attempt {
-            hop,
+            worker,
             cell,
             at: Instant::now(),
             accepted: false,
@@ -787,12 +800,12 @@
     }
 
     fn withdrawn(&mut self, link: usize, job: usize) {
-        let hop = self.links[link].hop;
-        let attempt = self.jobs[job].attempts.iter().rposition(|attempt| attempt.hop == hop);
+        let worker = self.links[link].worker;
+        let attempt = self.jobs[job].attempts.iter().rposition(|attempt| attempt.worker == worker);
         let before = attempt.map_or(0, |at| self.jobs[job].attempts[at].withdrawals);
-        let mut draw = self.draw("withdrawal", job, hop * 8 + before as usize);
+        let mut draw = self.draw("withdrawal", job, worker * 8 + before as usize);
         let hearing = script::of_withdrawal(&mut draw, before);
-        self.note(job, format!("withdrawn at {hop}, which says {hearing:?}"));
+        self.note(job, format!("withdrawn at {worker}, which says {hearing:?}"));
         self.links[link].at = None;
         self.links[link].free = false;
         match hearing {
@@ -850,7 +863,7 @@
             };
             caller.job = None;
             caller.worn = true;
-            self.note(job, format!("answered: {} {:?}", message.start, message.body));
+            self.note(job, format!("answered: {} {:?}", message.start_line, message.body));
             if let Err(what) = self.jobs[job].answered(&message, self.rules, self.terminated.is_some()) {
                 self.broken(Some(job), &what);
             }
@@ -880,9 +893,10 @@
     fn watch(&mut self, at: usize) -> bool {
         let any = self.watches[at].wire.read();
         if let Some(message) = self.watches[at].wire.message() {
-            let since = message.start.split("follow=1&since=").nth(1).and_then(|rest| rest.split(' ').next());
+            let since =
+                message.start_line.split("follow=1&since=").nth(1).and_then(|rest| rest.split(' ').next());
             let Some(since) = since.and_then(|since| since.parse::<u64>().ok()) else {
-                // As of a next hop that had this port in another test.
+                // As of a worker that had this port in another test.
                 self.watches[at].wire.close(false);
                 return any;
             };
@@ -900,14 +914,16 @@
                     watch.wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     watch.open = true;
                     let whole = since == 0 || drawn % 2 == 0;
-                    let told = |hop: &&Hop| {
-                        if whole { hop.status != Status::Terminated } else { hop.changed > since }
+                    let told = |worker: &&Worker| {
+                        if whole { worker.status != Status::Terminated } else { worker.changed > since }
                     };
-                    let lines: Vec<_> = self.hops.iter().filter(told).map(Hop::line).collect();
-                    self.say(at, &list(self.index, whole, &lines), drawn == 2);
-                    for hop in 0..self.hops.len() {
-                        if self.hops[hop].status != Status::InService && self.hops[hop].stop.is_none() {
-                            self.unconfirmed.push((hop, self.lines));
+                    let lines: Vec<_> = self.workers.iter().filter(told).map(Worker::line).collect();
+                    self.say(at, &endpoint_list_json(self.index, whole, &lines), drawn == 2);
+                    for worker in 0..self.workers.len() {
+                        if self.workers[worker].status != Status::InService
+                            && self.workers[worker].stop.is_none()
+                        {
+                            self.unconfirmed.push((worker, self.lines));
                         }
                     }
                 }
@@ -947,7 +963,7 @@
             .chain(self.calls.iter().map(|c| &c.wire))
             .chain(&self.control);
         let streams = streams.filter(|wire| wire.is_open()).filter_map(|wire| wire.stream.as_ref());
-        let listeners = self.hops.iter().map(|hop| &hop.listener).chain(&self.discoveries);
+        let listeners = self.workers.iter().map(|worker| &worker.listener).chain(&self.discoveries);
         let mut all: Vec<_> = streams.map(|s| PollFd::from_borrowed_fd(s.as_fd(), PollFlags::IN)).collect();
         all.extend(listeners.map(|l| PollFd::from_borrowed_fd(l.as_fd(), PollFlags::IN)));
         let time = Timespec { tv_sec: 0, tv_nsec: time.as_nanos().min(999_999_999) as _ };
@@ -969,7 +985,7 @@
     }
 
     fn ended(&mut self) -> bool {
-        let Some(status) = self.node.ended() else { return false };
+        let Some(status) = self.node.try_exit_status() else { return false };
         if self.terminated.is_none() || !status.success() {
             self.broken(None, &format!("the program has ended: {status}"));
         }
@@ -986,7 +1002,7 @@
         // After a first answer the node may still have in hand what came with the question: a whole machine
         // can stand still for seconds, and then all is there at once. A second one comes after all of that.
         let Some(metrics) = self.metrics().and_then(|_| self.metrics()) else { return };
-        if !self.pump(LONG, |life| life.over || life.calls.iter().all(|call| !call.rest.is_empty())) {
+        if !self.pump(TEST_TIMEOUT, |life| life.over || life.calls.iter().all(|call| !call.rest.is_empty())) {
             self.broken(None, "a call-back is not answered");
         }
         let read =
@@ -1001,15 +1017,15 @@
         }
         let now = Instant::now();
         let (events, lost) = (self.events, self.lines_lost);
-        let hops = &mut self.hops;
-        self.unconfirmed.retain(|(hop, lines)| {
+        let workers = &mut self.workers;
+        self.unconfirmed.retain(|(worker, lines)| {
             let known = read >= *lines && !lost;
-            if known && hops[*hop].status != Status::InService {
-                hops[*hop].stop.get_or_insert(Stop { read: now, events, settled: false });
+            if known && workers[*worker].status != Status::InService {
+                workers[*worker].stop.get_or_insert(Stop { read: now, events, settled: false });
             }
             !known
         });
-        for stop in hops.iter_mut().filter_map(|hop| hop.stop.as_mut()) {
+        for stop in workers.iter_mut().filter_map(|worker| worker.stop.as_mut()) {
             stop.settled |= begun >= stop.read + STOPS_WITHIN;
         }
         let judged = |job: &&mut Job| SEES_CLIENTS_LEAVE_BEHIND_MORE || !job.more_behind;
@@ -1036,7 +1052,7 @@
             };
             control.write("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
             let come = |wire: &Wire| !wire.is_open() || wire.bytes.ends_with(b"# EOF\n");
-            if !self.pump(LONG, |life| life.over || life.control.as_ref().is_none_or(come)) {
+            if !self.pump(TEST_TIMEOUT, |life| life.over || life.control.as_ref().is_none_or(come)) {
                 self.broken(None, "it does not show its counters");
             }
             if self.over {
@@ -1070,7 +1086,7 @@
                 }
             }
             self.quiet_event();
-            if begun.elapsed() > LONG {
+            if begun.elapsed() > TEST_TIMEOUT {
                 self.broken(None, "jobs stay open");
             }
         }
@@ -1083,7 +1099,7 @@
             if now <= descriptors && watched && done {
                 return;
             }
-            if begun.elapsed() > 2 * LONG {
+            if begun.elapsed() > 2 * TEST_TIMEOUT {
                 if untold.is_some() {
                     self.broken(untold, "nobody waits for it, and a next hop that took it on was not told");
                 }
@@ -1114,7 +1130,7 @@
         let begun = Instant::now();
         while !self.over {
             self.quiet_event();
-            if begun.elapsed() > LONG {
+            if begun.elapsed() > TEST_TIMEOUT {
                 self.broken(None, "the program does not end");
             }
         }
@@ -1139,7 +1155,7 @@
         };
         let id = job.and_then(|job| self.jobs.get(job)).map_or("WARN", |job| &job.id);
         let about = |line: &String| line.split(['=', ' ']).any(|word| word == id);
-        let said: Vec<_> = self.node.said_so_far().into_iter().filter(about).collect();
+        let said: Vec<_> = self.node.drain_log_lines().into_iter().filter(about).collect();
         panic!(
             "life {seed}, event {event}: {what}\nagain: LIVES_SEED={seed} cargo test -p curlewusher-node \
              --locked --test node random_lives\n{ledger}\n{}",
@@ -1154,7 +1170,7 @@
     }
 }
 
-impl Hop {
+impl Worker {
     /// Its line of the list.
     fn line(&self) -> String {
         let (zone, group) = (["a", "b"][self.cell.0], self.cell.1);
--- a/crates/node/tests/random_lives/script.rs
+++ b/crates/node/tests/random_lives/script.rs
@@ -1,4 +1,4 @@
-//! Owns what a next hop does with one attempt or one withdrawal, drawn from the life's seed and the
+//! Owns what a worker does with one attempt or one withdrawal, drawn from the life's seed and the
 //! attempt's own
 //! number: the same whatever else came first. It must never act.
 
@@ -150,7 +150,7 @@
     acts
 }
 
-/// What a next hop still says of an attempt that it was told to give up: mostly nothing.
+/// What a worker still says of an attempt that it was told to give up: mostly nothing.
 pub fn of_withdrawn(rng: &mut Rng, started: bool) -> VecDeque<Act> {
     let mut acts = VecDeque::new();
     if rng.u8(0..3) > 0 {
--- a/crates/node/tests/random_lives/wire.rs
+++ b/crates/node/tests/random_lives/wire.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use crate::common::Message;
+use crate::common::HttpMessage;
 
 /// How the far end ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     }
 
     /// The first message, once it is whole.
-    pub fn message(&mut self) -> Option<Message> {
+    pub fn message(&mut self) -> Option<HttpMessage> {
         let head = self.bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
         let text = String::from_utf8_lossy(&self.bytes[..head]).to_ascii_lowercase();
         let length = text.split("\r\ncontent-length: ").nth(1).and_then(|rest| rest.split("\r\n").next());
@@ -66,7 +66,7 @@
             return None;
         }
         let whole: Vec<u8> = self.bytes.drain(..head + length).collect();
-        Message::read(&mut &whole[..])
+        HttpMessage::read(&mut &whole[..])
     }
 
     pub fn is_open(&self) -> bool {
