--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -11,16 +11,18 @@
 use curlewusher_control::command::{AdminCommand, CommandError};
 use curlewusher_control::frame::Frame;
 
-use crate::common::*;
+use crate::common::{
+    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator, endpoint_list_json,
+    job_request, node_config_with_console, open_request, read_response, send_request, wait_for_counter,
+};
 use crate::moves::Other;
 
 /// Digits of a moment in microseconds since the Unix epoch.
 const TIME_DIGITS: usize = 16;
 /// A measured figure has more decimals than one that was given.
 const GIVEN_DECIMALS: usize = 3;
-/// Where the next hops `s-1` and `s-2` are in golden files.
+/// Where the workers `s-1` and `s-2` are in golden files.
 const RECORDED: [&str; 2] = ["10.0.0.1:80", "10.0.0.2:80"];
-const DONE: &str = r#"{"id":"moved","from":"s-2","state":"done","result":"x"}"#;
 
 /// A text with each run of digits and points replaced by what `number` makes of it.
 fn with_numbers(text: &str, mut number: impl FnMut(&str) -> String) -> String {
@@ -54,25 +56,27 @@
     let golden = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
     assert_eq!(steady(payload), steady(&golden), "{file}");
 }
+/// The callback of worker `s-2` that completes the job which has moved.
+const MOVED_JOB_COMPLETED: &str = r#"{"id":"moved","from":"s-2","state":"done","result":"x"}"#;
 
-/// Two next hops, and their places in golden files.
-struct Hops([Server; 2]);
+/// Two workers, and their places in golden files.
+struct Workers([ScriptedServer; 2]);
 
-impl Hops {
-    fn start() -> Hops {
-        Hops([Server::start(), Server::start()])
+impl Workers {
+    fn start() -> Workers {
+        Workers([ScriptedServer::start(), ScriptedServer::start()])
     }
 
     fn known(&self) -> Vec<String> {
         let named = self.0.iter().zip(["s-1", "s-2"]);
-        named.map(|(hop, name)| endpoint(name, hop.address, "in_service")).collect()
+        named.map(|(worker, name)| worker.endpoint_json(name, "in_service")).collect()
     }
 
     /// A payload of today as it is recorded.
     fn recorded(&self, payload: &[u8]) -> String {
         let text = String::from_utf8(payload.to_vec()).expect("text");
         let places = self.0.iter().zip(RECORDED);
-        places.fold(text, |text, (hop, recorded)| text.replace(&hop.address.to_string(), recorded))
+        places.fold(text, |text, (worker, recorded)| text.replace(&worker.address.to_string(), recorded))
     }
 
     /// A recorded payload as though the job in it had been taken now.
@@ -87,7 +91,7 @@
             _ => number.to_owned(),
         });
         let places = self.0.iter().zip(RECORDED);
-        places.fold(text, |text, (hop, recorded)| text.replace(recorded, &hop.address.to_string()))
+        places.fold(text, |text, (worker, recorded)| text.replace(recorded, &worker.address.to_string()))
     }
 }
 
@@ -106,14 +110,14 @@
 struct Talk<'a> {
     other: Other,
     names: [&'static str; 2],
-    hops: &'a Hops,
+    workers: &'a Workers,
     text: String,
 }
 
 impl<'a> Talk<'a> {
     /// `names`: what the test plays, and what the program is.
-    fn of(other: Other, names: [&'static str; 2], hops: &'a Hops) -> Talk<'a> {
-        Talk { other, names, hops, text: String::new() }
+    fn of(other: Other, names: [&'static str; 2], workers: &'a Workers) -> Talk<'a> {
+        Talk { other, names, workers, text: String::new() }
     }
 
     /// Notes a frame: its bytes, or the header as far as it does not tell of a payload that differs, and what of that
@@ -125,7 +129,7 @@
             Frame::Accepted(_) | Frame::TakeoverGranted(_) => format!("{steady_header} and what was learned"),
             Frame::MigrateJob(_) => format!("{steady_header} and a job"),
             Frame::CancelAttempt { .. } => {
-                format!("{steady_header} and {}", self.hops.recorded(&bytes[22..]))
+                format!("{steady_header} and {}", self.workers.recorded(&bytes[22..]))
             }
             _ => bytes.escape_ascii().to_string(),
         };
@@ -134,32 +138,33 @@
 
     fn says(&mut self, seq: u64, frame: Frame) {
         self.note(0, seq, &frame);
-        self.other.say(seq, frame);
+        self.other.send_frame(seq, frame);
     }
 
     /// A job with its client's socket.
     fn moves(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
         let frame = Frame::MigrateJob(job);
         self.note(0, seq, &frame);
-        self.other.say_with(client, &frame.encode(seq).expect("short"));
+        self.other.send_with_descriptor(client, &frame.encode(seq).expect("short"));
     }
 
-    fn hears(&mut self) -> (u64, Frame) {
-        let (seq, frame) = self.other.hears();
+    fn next_frame(&mut self) -> (u64, Frame) {
+        let (seq, frame) = self.other.next_frame();
         self.note(1, seq, &frame);
         (seq, frame)
     }
 
     /// What is heard next, which must be this.
-    fn hears_that(&mut self, frame: Frame) -> u64 {
-        let (seq, heard) = self.hears();
+    fn expect_frame(&mut self, frame: Frame) -> u64 {
+        let (seq, heard) = self.next_frame();
         assert_eq!(heard, frame);
         seq
     }
 }
 
 fn patient(discovery: SocketAddr, known: &[String]) -> String {
-    operated(discovery, known).replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+    node_config_with_console(discovery, known)
+        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
 
 /// A request to be told on a thread of its own, since it is answered after what the test says on the link.
@@ -168,97 +173,95 @@
 }
 
 /// A job with all that a request can have, which has failed at `s-1` and goes on at `s-2`, and an earlier one.
-fn serve_and_hold(node: &Node, operators: SocketAddr, hops: &Hops) -> TcpStream {
-    let yes = |line: &str| assert_eq!(call(operators, &format!("{line}\n")), "+OK");
+fn serve_and_hold(node: &Node, operators: SocketAddr, workers: &Workers) -> TcpStream {
+    let yes = |line: &str| assert_eq!(call_operator(operators, &format!("{line}\n")), "+OK");
     yes("DISABLE s-1");
-    let client = write(node.address, &job("served", "view", 8.0, ""));
-    hops.0[1].request().answer("202 Accepted");
-    node.tell("served", "s-2", r#""state":"done","result":"x""#);
-    assert_eq!(answer(client).status(), 200);
+    let client = node.submit_job("served", "view", 8.0);
+    node.serve_job(client, &workers.0[1].next_request(), "served", "s-2");
     yes("ENABLE s-1");
     yes("DISABLE s-2");
     let headers = "Idempotency-Key: k9\r\nContent-Type: text/plain\r\n";
-    let client = write(node.address, &job("moved", "view", 60.0, headers));
-    hops.0[0].request().answer("202 Accepted");
-    until_count(node, "curlewusher_delivery_attempts_accepted_total", 2);
+    let client = open_request(node.address, &job_request("moved", "view", 60.0, headers));
+    workers.0[0].next_request().accept();
+    wait_for_counter(node, "curlewusher_delivery_attempts_accepted_total", 2);
     yes("DISABLE s-1");
     yes("ENABLE s-2");
-    node.tell("moved", "s-1", r#""state":"failed""#);
-    hops.0[1].request().answer("202 Accepted");
-    until_count(node, "curlewusher_delivery_attempts_accepted_total", 3);
-    node.tell("moved", "s-2", r#""state":"started""#);
-    node.tell("moved", "s-2", r#""state":"running","share":0.25"#);
+    node.post_callback("moved", "s-1", r#""state":"failed""#);
+    workers.0[1].next_request().accept();
+    wait_for_counter(node, "curlewusher_delivery_attempts_accepted_total", 3);
+    node.post_callback("moved", "s-2", r#""state":"started""#);
+    node.post_callback("moved", "s-2", r#""state":"running","share":0.25"#);
     client
 }
 
 #[test]
 fn a_newer_process_takes_over_and_gives_back_then_the_program_says_what_was_recorded() {
-    let hops = Hops::start();
-    let named = [("s-1", &hops.0[0]), ("s-2", &hops.0[1])];
-    let (node, _watch, _discovery) = Node::configured(&named, patient);
-    let (address, operators) = (node.address, node.operators());
-    let client = serve_and_hold(&node, operators, &hops);
+    let workers = Workers::start();
+    let named = [("s-1", &workers.0[0]), ("s-2", &workers.0[1])];
+    let (node, _watch, _discovery) = Node::start_with_config(&named, patient);
+    let (address, operators) = (node.address, node.operator_address());
+    let client = serve_and_hold(&node, operators, &workers);
     let hello = |name: &str| Frame::Hello { node: name.into(), listen: "127.0.0.1:0".into() };
 
-    let mut stranger = Talk::of(Other::comes(&node), ["newer", "older"], &hops);
+    let mut stranger = Talk::of(Other::comes(&node), ["newer", "older"], &workers);
     stranger.says(0, hello("another"));
-    stranger.hears();
-    let mut newer = Talk::of(Other::comes(&node), ["newer", "older"], &hops);
+    stranger.next_frame();
+    let mut newer = Talk::of(Other::comes(&node), ["newer", "older"], &workers);
     newer.text = stranger.text;
     newer.says(0, hello("n0"));
     newer.other.read_listener();
-    let (_, Frame::Accepted(learned)) = newer.hears() else { panic!("no welcome") };
-    matches_payload("older_welcome.json", &hops.recorded(&learned));
+    let (_, Frame::Accepted(learned)) = newer.next_frame() else { panic!("no welcome") };
+    matches_payload("older_welcome.json", &workers.recorded(&learned));
 
     for (seq, id) in [(1, "moved"), (2, "new")] {
         newer.says(seq, Frame::ClaimJob(id.into()));
-        newer.hears_that(Frame::ClaimResult(id == "new"));
+        newer.expect_frame(Frame::ClaimResult(id == "new"));
     }
     newer.says(3, Frame::Command(AdminCommand::Disable("s-9".into())));
-    newer.hears_that(Frame::CommandResult(Ok(())));
+    newer.expect_frame(Frame::CommandResult(Ok(())));
     newer.says(4, Frame::Command(AdminCommand::Enable("s-9".into())));
-    newer.hears_that(Frame::CommandResult(Ok(())));
-    let asked = meanwhile(move || ask(address, &job("copy", "view", 8.0, "")).status());
-    let seq = newer.hears_that(Frame::ClaimJob("copy".into()));
+    newer.expect_frame(Frame::CommandResult(Ok(())));
+    let asked = meanwhile(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
+    let seq = newer.expect_frame(Frame::ClaimJob("copy".into()));
     newer.says(seq, Frame::ClaimResult(false));
     assert_eq!(asked.join().expect("an answer"), 409);
     let word = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
     let told = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{word}", word.len());
-    let asked = meanwhile(move || ask(address, &told).status());
-    let seq = newer.hears_that(Frame::Callback(word.into()));
+    let asked = meanwhile(move || send_request(address, &told).status());
+    let seq = newer.expect_frame(Frame::Callback(word.into()));
     newer.says(seq, Frame::CallbackResult(true));
     assert_eq!(asked.join().expect("an answer"), 204);
     for (call_of, said) in
         [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
     {
         let line = format!("{call_of}\n");
-        let asked = meanwhile(move || call(operators, &line));
-        let seq = newer.hears_that(Frame::Command(call_of));
+        let asked = meanwhile(move || call_operator(operators, &line));
+        let seq = newer.expect_frame(Frame::Command(call_of));
         newer.says(seq, Frame::CommandResult(said.clone()));
         assert_eq!(asked.join().expect("an answer").starts_with("+OK"), said.is_ok());
     }
 
     newer.says(5, Frame::TakeoverRequest);
-    let (5, Frame::TakeoverGranted(learned)) = newer.hears() else { panic!("not handed over") };
-    matches_payload("older_yours.json", &hops.recorded(&learned));
-    let (seq, Frame::MigrateJob(moved)) = newer.hears() else { panic!("no job moves") };
-    matches_payload("older_move.json", &hops.recorded(without_body(&moved)));
+    let (5, Frame::TakeoverGranted(learned)) = newer.next_frame() else { panic!("not handed over") };
+    matches_payload("older_yours.json", &workers.recorded(&learned));
+    let (seq, Frame::MigrateJob(moved)) = newer.next_frame() else { panic!("no job moves") };
+    matches_payload("older_move.json", &workers.recorded(without_body(&moved)));
     newer.says(seq, Frame::MigrationResult(false));
     newer.says(6, Frame::HandBack);
     newer.says(7, Frame::Command(AdminCommand::Undrain));
-    newer.hears_that(Frame::CommandResult(Ok(())));
-    newer.says(8, Frame::Callback(DONE.into()));
-    newer.hears_that(Frame::CallbackResult(true));
-    matches_golden("link_newer_played.txt", &newer.text);
+    newer.expect_frame(Frame::CommandResult(Ok(())));
+    newer.says(8, Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    newer.expect_frame(Frame::CallbackResult(true));
+    assert_matches_golden("link_newer_played.txt", &newer.text);
     drop(newer);
     // It serves on, alone.
-    let result = answer(client);
+    let result = read_response(client);
     assert_eq!((result.status(), result.body.as_str()), (200, "x"));
-    while call(operators, "READY\n") != "+OK" {}
-    let client = write(address, &job("after", "view", 8.0, ""));
-    hops.0[1].request().answer("202 Accepted");
+    while call_operator(operators, "READY\n") != "+OK" {}
+    let client = open_request(address, &job_request("after", "view", 8.0, ""));
+    workers.0[1].next_request().accept();
     while node.callback(r#"{"id":"after","from":"s-2","state":"done","result":"y"}"#) == 503 {}
-    assert_eq!(answer(client).body, "y");
+    assert_eq!(read_response(client).body, "y");
 }
 
 /// The program as successor of an older process that says what was recorded, with the recorded job in its hands.
@@ -268,89 +271,89 @@
     operators: SocketAddr,
     /// Where the job's client waits for its answer.
     client: TcpStream,
-    _discovery: (Server, Watch),
+    _discovery: (ScriptedServer, ScriptedWatch),
 }
 
-fn follow(hops: &Hops) -> Followed<'_> {
-    let discovery = Server::start();
+fn follow(workers: &Workers) -> Followed<'_> {
+    let discovery = ScriptedServer::start();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let text = patient(discovery.address, &hops.known());
-    let welcome = hops.replayed("older_welcome.json");
+    let text = patient(discovery.address, &workers.known());
+    let welcome = workers.replayed("older_welcome.json");
     let (other, node) = Other::welcomes(&text, &listener, welcome.into());
-    let operators = node.operators();
-    let mut older = Talk::of(other, ["older", "newer"], hops);
-    let watch = Watch::open(&discovery);
-    watch.line(&list(42, true, &hops.known()));
-    let seq = older.hears_that(Frame::TakeoverRequest);
-    older.says(seq, Frame::TakeoverGranted(hops.replayed("older_yours.json").into()));
+    let operators = node.operator_address();
+    let mut older = Talk::of(other, ["older", "newer"], workers);
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &workers.known()));
+    let seq = older.expect_frame(Frame::TakeoverRequest);
+    older.says(seq, Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
     let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let client = write(clients.local_addr().expect("bound"), "");
+    let client = open_request(clients.local_addr().expect("bound"), "");
     let (served, _) = clients.accept().expect("it has connected");
-    older.moves(1, with_body(&hops.replayed("older_move.json")), &served);
-    older.hears_that(Frame::MigrationResult(true));
+    older.moves(1, with_body(&workers.replayed("older_move.json")), &served);
+    older.expect_frame(Frame::MigrationResult(true));
     assert_eq!(node.address, listener.local_addr().expect("bound"));
     Followed { older, node, operators, client, _discovery: (discovery, watch) }
 }
 
 #[test]
 fn older_process_recorded_hands_over_then_the_program_serves_with_what_it_had_learned() {
-    let hops = Hops::start();
-    let Followed { mut older, node, operators, client, .. } = follow(&hops);
-    // The drain and the next hop that is out are known from there.
-    assert!(call(operators, "READY\n").starts_with("-ERR drained"));
-    let undrain = meanwhile(move || call(operators, "UNDRAIN\n"));
-    let seq = older.hears_that(Frame::Command(AdminCommand::Undrain));
+    let workers = Workers::start();
+    let Followed { mut older, node, operators, client, .. } = follow(&workers);
+    // The drain and the worker that is out are known from there.
+    assert!(call_operator(operators, "READY\n").starts_with("-ERR drained"));
+    let undrain = meanwhile(move || call_operator(operators, "UNDRAIN\n"));
+    let seq = older.expect_frame(Frame::Command(AdminCommand::Undrain));
     older.says(seq, Frame::CommandResult(Ok(())));
     assert_eq!(undrain.join().expect("an answer"), "+OK");
-    assert_eq!(call(operators, "READY\n"), "+OK");
+    assert_eq!(call_operator(operators, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
-        let client = write(node.address, &job(id, "view", 8.0, ""));
-        let seq = older.hears_that(Frame::ClaimJob(id.into()));
+        let client = node.submit_job(id, "view", 8.0);
+        let seq = older.expect_frame(Frame::ClaimJob(id.into()));
         older.says(seq, Frame::ClaimResult(true));
-        hops.0[1].request().answer("202 Accepted");
-        node.tell(id, "s-2", r#""state":"done","result":"y""#);
-        assert_eq!(answer(client).status(), 200);
+        workers.0[1].next_request().accept();
+        node.post_callback(id, "s-2", r#""state":"done","result":"y""#);
+        assert_eq!(read_response(client).status(), 200);
     }
     older.says(2, Frame::ClaimJob("moved".into()));
-    older.hears_that(Frame::ClaimResult(false));
-    older.says(3, Frame::CancelAttempt { worker: hops.0[1].address, job_id: "w".into() });
-    let withdrawal = hops.0[1].request();
-    assert_eq!(withdrawal.message.start, "DELETE /jobs/w HTTP/1.1");
-    withdrawal.answer("200 OK");
-    matches_golden("link_older_played.txt", &older.text);
-    assert_eq!(node.callback(DONE), 204);
-    let result = answer(client);
+    older.expect_frame(Frame::ClaimResult(false));
+    older.says(3, Frame::CancelAttempt { worker: workers.0[1].address, job_id: "w".into() });
+    let withdrawal = workers.0[1].next_request();
+    assert_eq!(withdrawal.message.start_line, "DELETE /jobs/w HTTP/1.1");
+    withdrawal.respond("200 OK");
+    assert_matches_golden("link_older_played.txt", &older.text);
+    assert_eq!(node.callback(MOVED_JOB_COMPLETED), 204);
+    let result = read_response(client);
     assert_eq!((result.status(), result.body.as_str()), (200, "x"));
-    assert!(!hops.0.iter().any(Server::has_more), "a second attempt");
+    assert!(!workers.0.iter().any(ScriptedServer::has_pending_request), "a second attempt");
 }
 
 #[test]
 fn older_process_recorded_is_lost_after_its_job_came_then_the_program_answers_it() {
-    let hops = Hops::start();
-    let Followed { older, node, client, .. } = follow(&hops);
+    let workers = Workers::start();
+    let Followed { older, node, client, .. } = follow(&workers);
     drop(older);
     // Until the loss is seen a word may be asked for again.
-    while node.callback(DONE) == 503 {}
-    assert_eq!(answer(client).body, "x");
+    while node.callback(MOVED_JOB_COMPLETED) == 503 {}
+    assert_eq!(read_response(client).body, "x");
 }
 
 #[test]
 fn older_process_recorded_gets_the_node_back_then_the_job_comes_as_it_went() {
-    let hops = Hops::start();
-    let Followed { mut older, node, client, .. } = follow(&hops);
+    let workers = Workers::start();
+    let Followed { mut older, node, client, .. } = follow(&workers);
     node.signal("-TERM");
-    older.hears_that(Frame::HandBack);
-    let (seq, Frame::MigrateJob(job)) = older.hears() else { panic!("no job moves") };
+    older.expect_frame(Frame::HandBack);
+    let (seq, Frame::MigrateJob(job)) = older.next_frame() else { panic!("no job moves") };
     let went = std::fs::read_to_string("tests/golden/older_move.json").expect("it was recorded");
-    assert_eq!(steady(&hops.recorded(without_body(&job))), steady(&went));
+    assert_eq!(steady(&workers.recorded(without_body(&job))), steady(&went));
     older.says(seq, Frame::MigrationResult(false));
-    older.says(2, Frame::Callback(DONE.into()));
-    let mut next = older.hears();
+    older.says(2, Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    let mut next = older.next_frame();
     while matches!(next.1, Frame::MigrateJob(_)) {
         older.says(next.0, Frame::MigrationResult(false));
-        next = older.hears();
+        next = older.next_frame();
     }
     assert_eq!(next.1, Frame::CallbackResult(true));
-    assert_eq!(answer(client).body, "x");
-    assert_eq!(node.end().status.code(), Some(0));
+    assert_eq!(read_response(client).body, "x");
+    assert_eq!(node.wait_for_exit().status.code(), Some(0));
 }
