--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -9,7 +9,7 @@
 mod moves;
 mod operation;
 mod outputs;
-mod random_lives;
+mod randomized_lifecycle;
 mod versions;
 mod watch;
 
--- a/crates/node/tests/random_lives/wire.rs
+++ b/crates/node/tests/randomized_lifecycle/connection.rs
@@ -1,6 +1,4 @@
-//! Owns one connection of a life as bytes: it reads what has come without waiting, finds whole messages in
-//! it, and
-//! tells a close from a reset. It must never wait, nor know what a message means.
+//! A non-blocking connection: it collects what has arrived, splits it into messages and tells a close from a reset.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,55 +6,55 @@
 
 use crate::common::HttpMessage;
 
-/// How the far end ended a connection.
+/// How the peer ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-pub struct Wire {
+pub struct Connection {
     /// None once this side has closed it.
     pub stream: Option<TcpStream>,
     pub bytes: Vec<u8>,
-    pub end: Option<End>,
+    pub end: Option<ConnectionEnd>,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
         stream.set_nonblocking(true).expect("a socket");
         stream.set_nodelay(true).expect("a socket");
-        Wire { stream: Some(stream), bytes: vec![], end: None }
+        Connection { stream: Some(stream), bytes: vec![], end: None }
     }
 
-    /// None where nobody listens any more.
-    pub fn connect(to: SocketAddr) -> Option<Wire> {
-        TcpStream::connect(to).ok().map(Wire::new)
+    /// Connects; none where nothing listens.
+    pub fn connect(to: SocketAddr) -> Option<Connection> {
+        TcpStream::connect(to).ok().map(Connection::new)
     }
 
-    /// Takes in all that has come; whether that was anything.
+    /// Reads all that has arrived; returns whether that was anything, the end included.
     pub fn read(&mut self) -> bool {
         let mut any = false;
         let mut room = [0; 4096];
         while let (Some(stream), None) = (&mut self.stream, self.end) {
             match stream.read(&mut room) {
-                Ok(0) => self.end = Some(End::Closed),
+                Ok(0) => self.end = Some(ConnectionEnd::Closed),
                 Ok(n) => self.bytes.extend_from_slice(&room[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => self.end = Some(End::Reset),
+                Err(_) => self.end = Some(ConnectionEnd::Reset),
             }
             any = true;
         }
         any
     }
 
-    /// What is written here is small, and the far end's buffer takes it whole.
+    /// Writes a text that is small enough for the socket buffers; returns whether it could be written.
     pub fn write(&mut self, text: &str) -> bool {
         self.stream.as_mut().is_some_and(|stream| stream.write_all(text.as_bytes()).is_ok())
     }
 
-    /// The first message, once it is whole.
+    /// Takes the first message, once it has arrived whole.
     pub fn message(&mut self) -> Option<HttpMessage> {
         let head = self.bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
         let text = String::from_utf8_lossy(&self.bytes[..head]).to_ascii_lowercase();
@@ -73,7 +71,7 @@
         self.stream.is_some() && self.end.is_none()
     }
 
-    /// Closes it, or where `reset` says so ends it without the usual good-bye.
+    /// Closes the connection, with a reset or in order.
     pub fn close(&mut self, reset: bool) {
         if let Some(stream) = self.stream.take()
             && reset
