--- a/crates/node/tests/connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn who_sends_on_behind_a_job_and_goes_is_seen_to_go_and_the_job_is_not_sent() {
+fn client_pipelines_data_and_leaves_then_departure_is_seen_and_job_is_not_sent() {
     // No worker is there, so that each job waits. Its client's end lies behind what the client sent on.
     let (node, watch, _discovery) = Node::start_with_workers(&[]);
     let gone = || node.counter("curlewusher_clients_gone_total");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn who_sends_on_behind_a_chunked_job_and_goes_is_seen_to_go() {
+fn client_pipelines_data_behind_chunked_job_and_leaves_then_departure_is_seen() {
     // hyper reads to the end of a chunked body, and what lies behind that with it.
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let chunked = "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\nPOST /and more";
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_request_behind_a_job_waits_for_its_answer_and_is_served() {
+fn request_is_pipelined_behind_job_then_it_waits_and_is_served() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let mut client = Client::connect(node.address);
     client.send(&(job_request("r1", "view", 9.0, "") + &job_request("r2", "view", 9.0, "")));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_answer_is_read_whole_by_a_client_that_sends_on_and_its_connection_ends_in_order() {
+fn client_keeps_sending_then_it_reads_whole_response_and_orderly_close() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let much = "x".repeat(100 << 10);
     let good = job_request("r1", "view", 9.0, "");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_meets_no_reset_and_is_not_served() {
+fn request_crosses_connection_close_then_it_is_not_served_and_not_reset() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let mut idle = idle(&node);
     // A job in hand keeps the node from ending.
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_request_that_is_half_read_as_the_node_ends_is_served() {
+fn request_is_partly_read_at_sigterm_then_it_is_served() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let first = node.submit_job("r1", "view", 9.0);
     worker.next_request().accept();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn what_comes_when_all_is_answered_is_told_to_come_again() {
+fn job_arrives_when_all_are_answered_after_sigterm_then_it_gets_503_with_retry_after() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let _slow = reads_nothing(&node);
     let idle = idle(&node);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn sigterm_twice_and_before_a_list_is_there_ends_well_with_every_job_answered() {
+fn sigterm_arrives_twice_before_first_list_then_every_job_is_answered_and_exit_succeeds() {
     let discovery = ScriptedServer::start();
     let node = Node::start(&node_config(discovery.address, &[]));
     // Discovery holds its answer.
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_flood_of_bad_clients_of_every_kind_shuts_no_good_one_out() {
+fn many_misbehaving_clients_connect_then_good_clients_are_served() {
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
     let node = Node::start_with_descriptors(&config.replace("1024", "64"), 64);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn clients_that_read_nothing_of_their_answers_make_way() {
+fn clients_read_no_responses_then_they_yield_descriptors_to_a_job() {
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
     let node = Node::start_with_descriptors(&config.replace("1024", "64"), 64);
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn what_comes_while_the_last_withdrawal_is_under_way_is_told_to_come_again() {
+fn job_arrives_during_last_withdrawal_after_sigterm_then_it_gets_503() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "order", 60.0);
     worker.next_request().accept();
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_call_back_that_cannot_be_used_gets_a_plain_answer_and_changes_nothing() {
+fn callback_is_invalid_then_it_is_rejected_and_changes_nothing() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "view", 9.0);
     worker.next_request().accept();
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn half_a_head_that_comes_as_the_node_ends_its_connection_is_read_on_and_served() {
+fn partial_head_arrives_at_connection_close_then_it_is_completed_and_served() {
     let shown = (0..20).any(|_| {
         let (node, watch, _discovery) = Node::start_with_workers(&[]);
         // A job that waits, since no worker is there, keeps the node from ending.
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn half_a_head_that_comes_as_all_is_answered_is_told_to_come_again_once_it_is_whole() {
+fn partial_head_arrives_when_all_are_answered_then_whole_request_gets_503() {
     let shown = (0..20).any(|_| {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let requests = ["r1", "r2"].map(|id| job_request(id, "view", 9.0, ""));
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn check_prints_each_value_and_its_source_and_starts_nothing() {
+fn check_runs_then_each_value_and_its_source_is_printed() {
     let out = run(&["check"], Some(&usual()), Some("[log]\nlevel = \"warn\"\n"));
     let said = text(&out.stdout);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn check_ends_with_2_and_one_line_that_names_file_place_and_field() {
+fn check_meets_invalid_input_then_exit_is_2_and_one_line_names_file_place_and_field() {
     let broken = usual().replace("\"coldShare\":0.2", "\"coldShare\":2");
     for (config, operator, parts) in [
         (Some(usual()), Some("[log]\nformat = \"xml\"\n"), &[".toml", "line 2", "log.format", "`json`"][..]),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_line_knows_its_version_its_commands_and_its_completions() {
+fn version_completions_or_unknown_command_then_answer_is_right() {
     let version = run(&["--version"], None, None);
     assert_eq!(text(&version.stdout), concat!("curlewusher ", env!("CARGO_PKG_VERSION"), "\n"));
     for shell in ["bash", "zsh", "fish"] {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_line_about_a_job_carries_its_id_in_json_and_levels_change_on_sighup() {
+fn log_is_json_then_job_lines_carry_its_id_and_levels_change_on_sighup() {
     let worker = ScriptedServer::start();
     let discovery = ScriptedServer::start();
     let known = [worker.endpoint_json("s-1", "in_service")];
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_stalled_standard_error_holds_up_no_answer_and_what_it_misses_is_counted() {
+fn stderr_stalls_then_jobs_are_answered_and_dropped_lines_are_counted() {
     let worker = ScriptedServer::start();
     let discovery = ScriptedServer::start();
     let known = [worker.endpoint_json("s-1", "in_service")];
--- a/crates/node/tests/watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -34,7 +34,7 @@
 /// Each way of cutting a list in two is read as the whole would be. That the first part has been read is seen by
 /// the line before it, which comes in the same write.
 #[test]
-fn a_list_that_is_cut_anywhere_is_no_spoilt_one() {
+fn list_is_split_anywhere_then_it_is_read_whole() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
     wait_for_counter(&node, CHANGES, 2);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_indented_list_in_the_smallest_pieces_is_read() {
+fn list_is_indented_and_sent_byte_by_byte_then_it_is_read() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
     wait_for_counter(&node, CHANGES, 2);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_plain_list_that_ends_without_a_line_s_end_counts() {
+fn list_has_no_final_newline_then_it_counts() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
     let known = first.endpoint_json("s-1", "in_service");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn bytes_that_never_become_a_list_are_silence() {
+fn bytes_never_complete_a_list_then_watch_counts_as_silent() {
     for (begin, piece) in [(r#"{"index":43,"#, ""), ("{", " "), ("", " "), ("{", "\n")] {
         let (node, watch, discovery) = Node::start_with_workers(&[]);
         wait_for_counter(&node, CHANGES, 2);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_spoilt_list_breaks_the_watch_before_it_swallows_the_next() {
+fn list_is_malformed_then_watch_is_reopened_before_the_next_list_is_read() {
     let spoilt = ["\u{0}\u{1}nonsense", r#"{"index":43,"snapshot":fal"#, "[", "}", "{]", r#"{"a "#];
     for spoilt in spoilt {
         let (worker, node, watch, discovery) = Node::start_with_worker();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_watch_that_is_given_up_gives_its_descriptor_back() {
+fn watch_is_given_up_then_its_connection_is_closed() {
     // A peer that is silent notices nothing unless the connection ends.
     let discovery = ScriptedServer::start();
     let _node = Node::start(&node_config(discovery.address, &[]));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn pushed_lists_are_watched_from_the_first_moment_and_again_at_once() {
+fn discovery_pushes_lists_then_watch_opens_at_start_and_reopens_at_once() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
     let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn after_a_silence_a_call_that_hangs_gets_another_beside_it() {
+fn reopened_watch_hangs_after_silence_then_another_request_is_made_beside_it() {
     let (worker, node, watch, discovery) = Node::start_with_worker();
     watch.send_line("");
     let hangs = discovery.next_request();
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_before_its_first_line_gets_calls_beside_each_other() {
+fn watch_is_silent_before_first_line_then_requests_are_made_side_by_side() {
     let discovery = ScriptedServer::start();
     let node = Node::start(&node_config(discovery.address, &[]));
     let first = discovery.next_request();
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn after_a_move_a_call_that_hangs_gets_another_beside_it() {
+fn request_to_new_discovery_hangs_then_another_is_made_beside_it() {
     let (worker, node, watch, old) = Node::start_with_worker();
     watch.send_line("");
     let moved = ScriptedServer::start();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn what_a_call_at_the_old_address_still_brings_counts() {
+fn old_discovery_answers_after_change_of_address_then_its_list_counts() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
     let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn the_new_address_is_called_until_it_answers_while_the_old_watch_still_tells() {
+fn new_discovery_fails_while_old_watch_is_alive_then_it_is_retried_until_it_answers() {
     let (worker, node, old, _discovery) = Node::start_with_worker();
     wait_for_counter(&node, CHANGES, 2);
     let moved = ScriptedServer::start();
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn lists_and_the_end_of_their_watch_in_one_read_all_count() {
+fn lists_and_end_of_watch_arrive_in_one_read_then_all_lists_count() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let workers = [("s-1", &first), ("s-2", &second)];
     let (node, watch, discovery) = Node::start_with_workers(&workers);
--- a/crates/node/tests/moves/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -18,7 +18,7 @@
 };
 
 #[test]
-fn a_repeat_of_an_earlier_word_ends_no_later_attempt_that_may_run() {
+fn earlier_callback_is_repeated_then_no_later_attempt_is_ended_by_it() {
     let (worker, other) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
     let client = node.submit_job("r1", "order", 8.0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_copy_that_starts_while_it_is_withdrawn_does_not_call_off_the_one_that_stays() {
+fn withdrawn_copy_starts_then_remaining_copy_is_not_withdrawn() {
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let names = ["s-1", "s-2"];
     let two = |discovery, known: &[String]| {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_job_moves_is_gone_and_what_is_out_is_withdrawn() {
+fn client_leaves_while_job_migrates_then_running_attempt_is_withdrawn() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
     let client = node.submit_job("r1", "order", 60.0);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_job_moves_is_gone_and_the_job_not_sent_on() {
+fn client_leaves_while_job_migrates_then_pending_job_is_not_sent() {
     let worker = ScriptedServer::start();
     let (node, watch, _discovery) = Node::start_with_config(&[], patient);
     let client = node.submit_job("r1", "order", 9.0);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_job_that_could_not_be_answered_in_time_after_a_move_stays_where_it_is() {
+fn deadline_is_too_close_for_migration_then_job_stays() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
     let client = node.submit_job("r1", "order", 2.4);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_word_for_an_unknown_job_is_to_be_said_again_while_the_other_process_may_serve_on() {
+fn job_is_unknown_while_other_process_may_hold_it_then_callback_gets_503() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
     let word = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn of_two_processes_never_do_both_hold_a_job_whose_move_breaks_off() {
+fn migration_breaks_off_then_exactly_one_process_holds_the_job() {
     // A job that is out nowhere is to move.
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let (predecessor, watch, _discovery) = Node::start_with_config(&[], patient);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn open_jobs_leave_room_for_what_ends_them_however_many_a_site_allows() {
+fn thousands_of_jobs_are_open_then_callbacks_and_disconnects_are_still_handled() {
     // More than the queue has room for besides.
     const JOBS: usize = 4160;
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn odd_settings_of_a_site_keep_no_job_from_being_served() {
+fn settings_are_extreme_but_valid_then_jobs_are_served() {
     let end = u64::MAX;
     for (was, is) in [
         // Nothing could be sent by a connection that is to be up at once.
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn a_setting_that_cannot_be_worked_with_is_named_as_it_is_written_with_what_would_be_right() {
+fn setting_is_unusable_then_it_is_named_with_the_remedy() {
     let good = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     for (was, is, said) in [
         (r#""sendCap":3"#, r#""sendCap":0"#, "settings.limits.sendCap: max_attempts is zero; give 1 or more"),
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_site_that_does_not_say_how_long_connections_take_has_usual_ones() {
+fn connection_timeouts_are_not_set_then_defaults_apply() {
     let text = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     let written = r#","connectTimeoutUs":500000,"keepaliveUs":120000000"#;
     assert!(text.contains(written));
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn where_a_site_has_no_advice_on_coming_again_none_is_given() {
+fn max_retry_after_is_zero_then_no_retry_after_header_is_sent() {
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     for (most, advised) in [("2000000", true), ("0", false)] {
         let text = node_config(nowhere, &[])
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,17 +1,17 @@
 //! The program as a process: clients, workers and discovery are played by the test.
 
+mod client_connections;
 mod command_line;
 mod common;
-mod connections;
-mod crowds;
-mod departures;
-mod links;
-mod moves;
+mod endpoint_watch;
+mod migration;
 mod operation;
 mod outputs;
 mod randomized_lifecycle;
+mod scale;
+mod send_permits;
 mod versions;
-mod watch;
+mod worker_connections;
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -23,7 +23,7 @@
 };
 
 #[test]
-fn a_job_passes_through_unchanged_and_its_result_comes_back() {
+fn job_is_submitted_then_worker_gets_it_unchanged_and_client_gets_result() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     assert_eq!(node.get("/ready").status(), 200);
     let request = job_request("r1", "register", 5.0, "Idempotency-Key: k9\r\n");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn calls_before_the_202_and_repeats_and_strangers_change_nothing_more() {
+fn callbacks_are_early_repeated_or_foreign_then_only_the_first_valid_one_counts() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "view", 5.0);
     let got = worker.next_event();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_connection_is_used_again_one_request_at_a_time() {
+fn jobs_come_one_after_another_then_worker_connection_is_reused() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2", "r3"] {
         let client = node.submit_job(id, "view", 5.0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_connection_that_has_stood_idle_is_not_trusted_with_a_job() {
+fn worker_connection_stays_idle_then_node_closes_it() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "order", 5.0);
     node.serve_job(client, &worker.next_event(), "r1", "s-1");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_unsafe_job_goes_out_again_only_when_it_never_ran() {
+fn non_idempotent_job_fails_then_it_is_retried_only_if_it_never_ran() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     // Turned away unstarted: it goes out once more. Lost without a 202: it may have run.
     let client = node.submit_job("r1", "order", 5.0);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_connection_closed_while_idle_costs_no_attempt() {
+fn worker_closes_idle_connection_then_no_attempt_is_lost() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2"] {
         let client = node.submit_job(id, "order", 5.0);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_job_given_up_while_its_202_is_on_its_way_is_withdrawn_by_name() {
+fn client_leaves_while_202_is_in_transit_then_job_is_withdrawn_by_id() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 5.0);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_job_goes_on_elsewhere_only_once_its_withdrawal_was_heard() {
+fn accepted_job_does_not_start_then_it_is_retried_elsewhere_after_acknowledged_withdrawal() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
     let client = node.submit_job("r1", "view", 8.0);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_client_that_closes_is_gone_and_its_job_withdrawn() {
+fn client_closes_connection_then_its_job_is_withdrawn() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     // After the 202 the job is withdrawn by name.
     let client = node.submit_job("r1", "view", 5.0);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_silent_next_hop_costs_the_answer_no_time_and_is_told_to_stop() {
+fn worker_is_silent_then_client_is_answered_by_deadline_and_attempt_is_withdrawn() {
     // It may have run, so that an order fails and a view is deferred; either attempt is given up.
     for (class, status) in [("order", 502), ("view", 503)] {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_job_leaves_a_next_hop_that_does_not_take_it_on() {
+fn worker_does_not_accept_then_job_is_sent_to_another_worker() {
     let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
     let client = node.submit_job("r1", "view", 9.0);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn an_id_in_hand_is_not_taken_again_and_its_first_job_is_not_disturbed() {
+fn job_id_is_in_flight_then_a_second_job_of_that_id_gets_409() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "order", 5.0);
     worker.next_event().accept();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_job_handed_back_goes_to_another_next_hop() {
+fn worker_returns_job_then_it_goes_to_another_worker() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
     let client = node.submit_job("r1", "order", 5.0);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_again() {
+fn watch_is_silent_then_it_is_reopened_from_the_last_version() {
     // A change that does not arrive counts as told all the same: silence must not be taken for calm.
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let _node = Node::start(&node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn without_next_hops_or_discovery_a_job_is_deferred_before_its_deadline() {
+fn no_worker_and_no_discovery_then_job_is_rejected_with_retry_after_before_deadline() {
     let discovery = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let node = Node::start(&node_config(discovery, &[]));
     assert_eq!(node.get("/ready").status(), 503);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn what_is_malformed_gets_a_plain_answer_and_goes_no_further() {
+fn request_is_malformed_then_it_is_rejected_and_not_sent() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let with = |more: &str| job_request("r1", "view", 5.0, more);
     let good = with("");
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_chunked_body_is_delivered_with_its_length() {
+fn body_is_chunked_then_worker_gets_it_with_content_length() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let chunked = "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n";
     let request = job_request("r1", "view", 5.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked);
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn who_says_nothing_or_half_a_request_is_cut_and_an_idle_client_is_not() {
+fn client_sends_nothing_or_partial_request_then_it_is_closed_but_idle_client_is_kept() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
     let mut idle = open_request(node.address, ready);
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn a_drain_is_heeded_and_a_broken_watch_goes_on_where_it_ended() {
+fn worker_drains_then_it_gets_no_job_and_broken_watch_resumes_from_last_version() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
     let before = node.counter("curlewusher_transport_map_changes_total");
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn after_sigterm_it_serves_what_it_has_and_ends_well() {
+fn sigterm_arrives_then_jobs_in_flight_are_served_and_node_exits_with_success() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "view", 9.0);
     worker.next_event().accept();
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_job_that_outlasts_the_drain_is_answered_before_the_end() {
+fn job_outlasts_drain_then_it_is_answered_before_exit() {
     // The kill comes 3.7 s after SIGTERM, however long the deadline is: without an answer the job would be lost.
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "order", 60.0);
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn more_connections_than_descriptors_do_not_shut_a_job_out() {
+fn connections_exceed_descriptors_then_job_is_still_served() {
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let config = node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]);
     // By its own count it closes idle connections in time, and keeps descriptors for workers.
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
+fn configuration_is_invalid_then_one_line_names_the_field() {
     let good = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
     let cases = [
         (good.replace(r#""sendCap":3"#, r#""sendCap":"x""#), "limits.sendCap"),
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_before_the_old_one_is_dropped() {
+fn configuration_names_new_discovery_then_watch_moves_before_the_old_one_closes() {
     // SIGHUP used to end the program, and with it all jobs in hand.
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, old, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn where_jobs_have_no_key_they_come_without_one_and_are_served() {
+fn jobs_have_no_key_then_they_are_served() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client =
         open_request(node.address, &job_request("r1", "view", 5.0, "").replace("/api/k1?q=2", "/api"));
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn a_job_counts_against_its_own_tenants_share_and_one_of_nobody_is_malformed() {
+fn job_names_tenant_then_it_counts_against_that_quota_and_without_tenant_gets_400() {
     // The first tenant may hardly send anything: a job beyond its share waits for room to spare, and there is
     // none.
     let tenants = concat!(
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_drain_sends_clients_on_and_its_end_brings_them_back() {
+fn operator_drains_then_clients_are_sent_away_until_undrain() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_with_console);
     let operators = node.operator_address();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_drained_node_that_is_told_to_end_answers_and_ends_well() {
+fn drained_node_gets_sigterm_then_it_answers_jobs_and_exits_with_success() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_with_console);
     let operators = node.operator_address();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn callers_who_finish_no_call_keep_nobody_waiting() {
+fn operator_connections_send_no_whole_line_then_other_operators_are_answered() {
     let (node, _watch, _discovery) = Node::start_with_config(&[], node_config_with_console);
     let operators = node.operator_address();
     let mut silent: Vec<_> =
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_next_hop_that_is_out_gets_nothing_until_its_call_back_whatever_discovery_says() {
+fn worker_is_disabled_by_operator_then_it_gets_no_job_until_enabled() {
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let workers = [("s-1", &first), ("s-2", &second)];
     let (node, watch, _discovery) = Node::start_with_config(&workers, node_config_with_console);
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_newer_version_serves_and_the_older_answers_what_it_has_and_ends_well() {
+fn newer_version_starts_then_it_serves_and_older_one_finishes_its_jobs() {
     let (scene, older) = Scene::begun(1);
     let client = scene.held(&older.node, "r1");
     let newer = scene.upgrade(&older);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn the_older_takes_back_where_the_newer_is_killed_before_at_or_after_its_yes() {
+fn newer_version_is_killed_around_its_acceptance_then_older_one_serves_again() {
     let (scene, older) = Scene::begun(1);
     for (when, id) in [("before", "r1"), ("at", "r2"), ("after", "r3")] {
         let mut client = BufReader::new(scene.held(&older.node, &format!("{id}-held")));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn the_newer_goes_on_where_the_older_is_killed_before_or_after_it_hands_over() {
+fn older_version_is_killed_around_handover_then_newer_one_serves() {
     for handed_over in [false, true] {
         let (scene, older) = Scene::begun(1);
         let newer = older.beside();
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn of_two_that_start_at_once_one_serves_and_the_other_follows() {
+fn two_processes_start_at_once_then_one_serves_and_the_other_is_successor() {
     let (scene, discovery) = (Scene::new(1), ScriptedServer::start());
     let file = Node::write_config_file(&patient(discovery.address, &scene.known));
     let both = [(); 2].map(|()| (Node::spawn_in(&format!("{file}.d"), &file, 1024, None), file.clone()));
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_third_start_waits_for_the_first_to_end_and_takes_over_from_the_second() {
+fn third_process_starts_then_it_waits_for_the_first_and_takes_over_from_the_second() {
     let (scene, first) = Scene::begun(1);
     let second = scene.upgrade(&first);
     let discovery = ScriptedServer::start();
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn the_node_goes_on_at_the_older_where_the_newer_is_told_to_end() {
+fn newer_version_gets_sigterm_then_older_one_serves_again() {
     let (scene, older) = Scene::begun(1);
     older.beside().ends();
     scene.serves(&older.node, "r1", 0);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_call_for_a_job_of_the_other_process_counts_before_its_202_and_once() {
+fn callback_reaches_the_other_process_then_it_counts_once_and_before_the_202() {
     let (scene, older) = Scene::begun(1);
     let newer = older.beside();
     let (client, got) = scene.sent(&older.node, "r1");
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_copy_of_a_job_in_hand_is_turned_away_by_either_process() {
+fn job_id_is_in_flight_at_one_process_then_either_rejects_a_second() {
     let (scene, older) = Scene::begun(1);
     let client = scene.held(&older.node, "r1");
     // The older one has read half of this one by the time it hands over.
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_call_for_a_next_hop_counts_at_both_processes_wherever_it_comes() {
+fn operator_disables_worker_at_one_process_then_both_apply_it() {
     let (scene, older) = Scene::begun(2);
     older.yes("DISABLE s-1");
     let newer = older.beside();
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_drain_outlasts_an_upgrade_and_is_ended_at_either_process() {
+fn node_is_drained_then_drain_survives_upgrade_and_ends_at_either_process() {
     let (scene, older) = Scene::begun(1);
     older.yes("DRAIN");
     let newer = older.beside();
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_next_hop_that_is_out_stays_out_over_an_upgrade_without_discovery() {
+fn worker_is_disabled_then_it_stays_disabled_over_upgrade_without_discovery() {
     let scene = Scene::new(2);
     let (older, watch) = scene.first();
     older.yes("DISABLE s-2");
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn without_a_place_to_meet_a_node_says_so_once_and_the_next_one_binds_as_well() {
+fn handover_socket_cannot_be_bound_then_it_is_logged_once_and_next_process_binds_too() {
     let scene = Scene::new(1);
     let discovery = [ScriptedServer::start(), ScriptedServer::start()];
     let text = discovery.each_ref().map(|discovery| patient(discovery.address, &scene.known));
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn an_address_that_another_program_has_ends_the_node_with_2_and_one_line() {
+fn address_is_taken_by_another_program_then_node_exits_with_2_and_one_line() {
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = other.local_addr().expect("an address").to_string();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn what_is_left_or_put_at_the_place_to_meet_keeps_no_node_from_serving() {
+fn handover_socket_path_is_occupied_then_node_serves_all_the_same() {
     let scene = Scene::new(1);
     // A stale socket, a file, two sockets of a program that is no node, and a folder, which nobody can sit on.
     for what in ["stale", "file", "silent", "noise", "folder"] {
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn who_sends_on_and_goes_is_seen_to_go_after_its_job_has_moved() {
+fn client_pipelines_data_and_leaves_after_migration_then_departure_is_seen() {
     let (scene, first) = Scene::begun(1);
     let mut client = scene.held(&first.node, "r1");
     let newer = scene.upgrade(&first);
@@ -525,7 +525,7 @@
 }
 
 #[test]
-fn who_goes_while_its_job_moves_in_vain_is_seen_to_go() {
+fn client_leaves_during_failed_migration_then_departure_is_seen() {
     let (scene, older) = Scene::begun(1);
     let (client, got) = scene.sent(&older.node, "r1");
     // A worker's connection, which stays with the older one.
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_fresh_node_is_asked_for_its_metrics_then_every_series_is_as_recorded() {
+fn metrics_of_fresh_node_are_read_then_every_series_is_as_recorded() {
     let silent = ScriptedServer::start();
     let node = Node::start_with_operator_file(
         &node_config(silent.address, &[]),
--- a/crates/node/tests/crowds/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_node_while_discovery_is_down_take_no_other_use_s_descriptors() {
+fn idle_clients_fill_node_while_discovery_is_down_then_other_uses_keep_their_descriptors() {
     for discovery_is in ["subscribe", "automatic"] {
         let (down, at) = Down::new();
         let (drained, other) = (ScriptedServer::start(), ScriptedServer::start());
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_move_of_discovery_is_read_and_carried_out_by_a_node_that_is_full_on_all_sides() {
+fn all_connection_budgets_are_full_then_a_new_discovery_address_is_still_used() {
     let (hangs, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let known: Vec<_> = (0..24).map(|n| worker.endpoint_json(&format!("s-{n}"), "in_service")).collect();
     let to = |at| node_config(at, &known).replace("1024", "64").replace("subscribe", "automatic");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_thousand_core_workers_with_long_names_and_a_thousand_nodes_are_worked_with() {
+fn thousand_workers_with_long_names_and_thousand_nodes_then_jobs_are_served_in_32_mb() {
     for nodes in [350, 1024] {
         let (discovery, drained, other) =
             (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_node_with_no_saved_list_is_ready_with_the_first_list_of_a_discovery_that_was_down() {
+fn no_saved_list_and_discovery_was_down_then_node_is_ready_with_its_first_list() {
     for discovery_is in ["subscribe", "automatic"] {
         let (down, at) = Down::new();
         let worker = ScriptedServer::start();
--- a/crates/node/tests/departures/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_job_whose_connection_comes_up_goes_elsewhere_once_its_next_hop_takes_nothing_new() {
+fn worker_drains_while_connecting_then_job_goes_elsewhere() {
     for status in ["terminating", "terminated", "not in the list", "in_service"] {
         let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
         let (node, watch, _discovery, client) = dialling(&worker);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_drain_and_a_connection_that_come_in_one_moment_send_nothing_to_who_drains() {
+fn drain_and_connection_arrive_together_then_nothing_is_sent_to_draining_worker() {
     // The node handles the connection first: the request is with the connection's task when the list is read.
     let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
     let (node, watch, _discovery, client) = dialling(&worker);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_client_that_goes_in_the_moment_its_connection_comes_up_sends_nothing() {
+fn client_leaves_as_connection_is_established_then_nothing_is_sent() {
     let worker = FullBacklogWorker::start();
     let (node, _watch, _discovery, client) = dialling(&worker);
     let mut crowd: Vec<_> = (0..300).map(|_| known_connection(&node)).collect();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_client_that_goes_as_its_turn_comes_begins_no_attempt() {
+fn client_leaves_as_its_job_is_dequeued_then_no_attempt_begins() {
     // The worker is at work for the first, and the second waits in line. The word that makes room stands before
     // the notice that the second's client has gone.
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -15,7 +15,7 @@
     Node, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator, endpoint_list_json,
     job_request, node_config_with_console, open_request, read_response, send_request, wait_for_counter,
 };
-use crate::moves::Other;
+use crate::migration::Other;
 
 /// Digits of a moment in microseconds since the Unix epoch.
 const TIME_DIGITS: usize = 16;
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_newer_process_takes_over_and_gives_back_then_the_program_says_what_was_recorded() {
+fn newer_process_takes_over_and_gives_back_then_frames_are_as_recorded() {
     let workers = Workers::start();
     let named = [("s-1", &workers.0[0]), ("s-2", &workers.0[1])];
     let (node, _watch, _discovery) = Node::start_with_config(&named, patient);
--- a/crates/node/tests/links/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_job_that_is_not_taken_on_goes_elsewhere_only_once_its_withdrawal_was_heard() {
+fn job_is_not_accepted_then_it_is_retried_elsewhere_after_acknowledged_withdrawal() {
     // On a cut network the closing of its connection never arrives, and the first copy may run beside the
     // next.
     let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_process_that_is_gone_needs_to_hear_no_withdrawal() {
+fn worker_process_is_gone_then_no_withdrawal_is_needed_before_retry() {
     let (mut workers, node, _watch) = bare_hops();
     let client = node.submit_job("r1", "view", 8.0);
     // The first one's process is gone: nobody listens there, and what is open says nothing.
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_refused_withdrawal_says_nothing_of_a_job_that_was_taken_on() {
+fn withdrawal_connection_is_refused_then_accepted_job_is_not_retried() {
     // A worker that holds as many connections as it may refuses others, and runs on.
     let (mut workers, node, _watch) = bare_hops();
     let client = node.submit_job("r1", "view", 8.0);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_comes_up_leaves_nothing_to_withdraw() {
+fn client_leaves_while_connecting_then_nothing_is_withdrawn() {
     let worker = FullBacklogWorker::start();
     let discovery = ScriptedServer::start();
     let known = [worker.endpoint_json("in_service")];
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_answer_does_not_wait_for_a_withdrawal() {
+fn withdrawal_is_unacknowledged_then_client_is_answered_all_the_same() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let (client, _got) = sent(&node, &worker, "r1", "order", 0.5);
     // While the worker still resets every call, the client has its answer.
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_not_read_as_that_to_the_next_job() {
+fn stray_response_arrives_late_then_it_is_not_taken_for_the_next_jobs_response() {
     // Nothing tells a stray answer from the next one but that it comes while the connection rests. Where the
     // next job was written before the stray one, the test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_second_answer_right_behind_the_first_closes_the_connection() {
+fn second_response_follows_the_first_then_connection_is_closed() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
     let accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn what_is_no_answer_ends_an_unsafe_job_after_one_attempt() {
+fn response_is_invalid_then_non_idempotent_job_fails_after_one_attempt() {
     let long = format!("HTTP/1.1 202 Accepted\r\nX-Long: {}", "a".repeat(1 << 20));
     let spoilt =
         ["nonsense\r\n\r\n", "HTTP/7.3 202 Accepted\r\n\r\n", "HTTP/1.1 2x2 Accepted\r\n\r\n", &long];
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_safe_job_goes_on_after_what_is_no_answer_only_once_it_is_withdrawn() {
+fn response_is_invalid_then_idempotent_job_is_retried_after_withdrawal() {
     for bytes in ["nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
         let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
         let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn half_an_answer_and_then_an_end_is_a_reset() {
+fn partial_response_then_close_counts_as_lost_attempt() {
     for bytes in ["HTTP/1.1 20", "HTTP/1.1 202 Accepted\r\nContent-Le", ""] {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_head_that_never_ends_is_given_up_by_the_jobs_deadline() {
+fn response_head_never_ends_then_attempt_is_given_up_by_deadline() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let (client, got) = sent(&node, &worker, "r1", "order", 0.5);
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Le");
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_202_counts_after_others_of_the_100s() {
+fn informational_responses_precede_202_then_the_202_counts() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
     got.write_raw("HTTP/1.1 100 Continue\r\n\r\n");
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_202_whose_body_never_ends_is_taken_and_its_connection_closed() {
+fn body_of_202_never_ends_then_job_is_accepted_and_connection_closed() {
     let chunk = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n", 40_000, "a".repeat(40_000));
     let long = format!("{chunk}{:x}\r\n{}\r\n", 40_000, "a".repeat(40_000));
     let bodies = [
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_connection_to_a_process_that_is_gone_is_not_kept() {
+fn worker_restarts_while_response_is_read_then_its_connection_is_not_reused() {
     let worker = ScriptedServer::start();
     let discovery = ScriptedServer::start();
     let known = [worker.endpoint_json("s-1", "in_service")];
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_was_given_up_does_not_go_to_the_next_process() {
+fn withdrawal_is_given_up_then_restarted_worker_does_not_get_it() {
     let (worker, first, second) = (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
     let known = [worker.endpoint_json("s-1", "in_service")];
     let older = Node::start_older(&node_config_with_console(first.address, &known));
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_connection_that_rests_while_its_next_hop_is_started_anew_carries_no_job() {
+fn worker_restarts_while_connection_is_idle_then_it_carries_no_job() {
     // It rests for a moment only. Where the job was written before the node had heard of the start, the test
     // was too slow and shows nothing.
     let shown = (0..20).any(|_| {
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_a_connection_rests_for_its_job_costs_the_next_hop_none() {
+fn client_leaves_while_job_waits_for_idle_connection_then_worker_keeps_its_connection() {
     // It rests for a moment only. Where the job was written before the node had seen its client go, the test was
     // too slow and shows nothing.
     let shown = (0..20).any(|_| {
