--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -7,6 +7,7 @@
 mod node_requests;
 mod process;
 mod scripted_discovery;
+mod scripted_process;
 mod scripted_server;
 
 use std::time::{Duration, Instant};
@@ -15,10 +16,11 @@
 pub use http_message::{
     Client, HttpMessage, call_operator, job_request, open_request, read_response, send_request,
 };
-pub use node_config::{node_config, node_config_with_console};
+pub use node_config::{node_config, node_config_for_handover, node_config_with_console};
 pub use node_requests::{COMPLETED, callback_request, counter_value, wait_for_counter};
 pub use process::Node;
 pub use scripted_discovery::{ScriptedWatch, endpoint_json, endpoint_list_json};
+pub use scripted_process::ScriptedProcess;
 pub use scripted_server::{ReceivedRequest, ScriptedServer, next_request_at_either};
 
 /// Bounds every wait of these tests; nothing takes nearly as long.
--- a/crates/node/tests/common/node_config.rs
+++ b/crates/node/tests/common/node_config.rs
@@ -28,3 +28,9 @@
 pub fn node_config_with_console(discovery: SocketAddr, known: &[String]) -> String {
     node_config(discovery, known).replacen('{', r#"{"console":"127.0.0.1:0","#, 1)
 }
+
+/// Like [`node_config_with_console`], with a connect timeout that a worker on a busy machine keeps.
+pub fn node_config_for_handover(discovery: SocketAddr, known: &[String]) -> String {
+    node_config_with_console(discovery, known)
+        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+}
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -1,20 +1,15 @@
 //! The dispatch task's narrow moments: words that cross, jobs on their way between two processes of a node,
 //! and settings of other customers.
 
-use std::io::{ErrorKind, IoSlice, Read, Write};
-use std::mem::MaybeUninit;
+use std::io::{ErrorKind, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::os::fd::AsFd;
-use std::os::unix::net::{UnixListener, UnixStream};
 
-use bytes::Bytes;
-use curlewusher_control::frame::{Decoder, Frame};
-use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
+use curlewusher_control::frame::Frame;
 
 use crate::common::{
-    Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, endpoint_list_json, job_request,
-    next_request_at_either, node_config, node_config_with_console, open_request, read_response, send_request,
-    wait_for_counter, wait_until,
+    COMPLETED, Node, ScriptedProcess, ScriptedServer, ScriptedWatch, callback_request, endpoint_list_json,
+    job_request, next_request_at_either, node_config, node_config_for_handover, open_request, read_response,
+    send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -82,115 +77,22 @@
     node.complete_job(client, "c", names[other]);
 }
 
-/// The other process of a node, as the test plays it: it answers what is moved to it when the test says so.
-/// The descriptors that come to it are closed.
-pub struct Other {
-    stream: UnixStream,
-    decoder: Decoder,
-}
-
-impl Other {
-    fn of(stream: UnixStream) -> Other {
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Other { stream, decoder: Decoder::default() }
-    }
-
-    /// One that has come to the place where the processes of a node meet, and has said nothing yet.
-    pub fn comes(node: &Node) -> Other {
-        let place = format!("{}/curlewusher-127.0.0.1-0.sock", node.temp_directory());
-        Other::of(UnixStream::connect(place).expect("it sits"))
-    }
-
-    /// The successor, which has taken over.
-    fn takes_over(node: &Node) -> Other {
-        let mut successor = Other::comes(node);
-        successor.send_frame(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
-        successor.read_listener();
-        assert!(matches!(successor.next_frame(), (_, Frame::Accepted(_))));
-        successor.send_frame(1, Frame::TakeoverRequest);
-        assert!(matches!(successor.next_frame(), (1, Frame::TakeoverGranted(_))));
-        successor
-    }
-
-    /// The predecessor one of a node with that configuration, which it welcomes to this listener.
-    fn is_followed(text: &str, listener: &TcpListener) -> (Other, Node) {
-        Other::welcomes(text, listener, "".into())
-    }
-
-    /// The same, which has learned this.
-    pub fn welcomes(text: &str, listener: &TcpListener, learned: Bytes) -> (Other, Node) {
-        let file = Node::write_config_file(text);
-        let folder = format!("{file}.d");
-        let seat = UnixListener::bind(format!("{folder}/curlewusher-127.0.0.1-0.sock")).expect("a place");
-        let child = Node::spawn_in(&folder, &file, 1024, None);
-        let mut predecessor = Other::of(seat.accept().expect("a hello").0);
-        assert!(matches!(predecessor.next_frame(), (_, Frame::Hello { .. })));
-        predecessor.send_with_descriptor(listener, b"+");
-        predecessor.send_frame(0, Frame::Accepted(learned));
-        (predecessor, Node::wait_until_serving((child, file)))
-    }
-
-    /// Reads the byte that carries the listener.
-    pub fn read_listener(&mut self) {
-        self.stream.read_exact(&mut [0]).expect("a welcome");
-    }
-
-    /// Says these bytes, the first of which carries a descriptor.
-    pub fn send_with_descriptor(&mut self, fd: &impl AsFd, bytes: &[u8]) {
-        let fds = [fd.as_fd()];
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
-        assert!(control.push(SendAncillaryMessage::ScmRights(&fds)));
-        let sent = sendmsg(&self.stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL);
-        assert_eq!(sent.expect("it reads"), bytes.len());
-    }
-
-    pub fn send_frame(&mut self, seq: u64, frame: Frame) {
-        self.stream.write_all(&frame.encode(seq).expect("short")).expect("it reads");
-    }
-
-    pub fn next_frame(&mut self) -> (u64, Frame) {
-        loop {
-            if let Some(said) = self.decoder.next_frame().expect("a frame") {
-                return (said.sequence, said.frame);
-            }
-            let mut piece = [0; 4096];
-            let came = self.stream.read(&mut piece).expect("a frame");
-            assert!(came > 0, "the link is lost");
-            self.decoder.feed(&piece[..came]);
-        }
-    }
-
-    /// The next job that is to move here, and the number of that.
-    fn moved(&mut self) -> (u64, Frame) {
-        let (seq, frame) = self.next_frame();
-        assert!(matches!(frame, Frame::MigrateJob(_)), "{frame:?}");
-        (seq, frame)
-    }
-}
-
-/// The client leaves; returns once the node has dropped its connection.
-fn leaves(mut client: TcpStream) {
+/// Disconnects a client and waits until the node has closed the connection.
+fn disconnect_client(mut client: TcpStream) {
     client.shutdown(Shutdown::Write).expect("it is open");
     assert_eq!(client.read_to_end(&mut Vec::new()).unwrap_or(0), 0, "no answer");
 }
 
-/// With a place for processes of one node to meet.
-fn patient(discovery: SocketAddr, known: &[String]) -> String {
-    node_config_with_console(discovery, known)
-        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
-}
-
 #[test]
 fn client_leaves_while_job_migrates_then_running_attempt_is_withdrawn() {
     let worker = ScriptedServer::start();
-    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let client = node.submit_job("r1", "order", 60.0);
     worker.next_request().accept();
     wait_until("the count is not 1", || node.counter("curlewusher_delivery_attempts_accepted_total") == 1);
-    let mut successor = Other::takes_over(&node);
-    let (seq, _) = successor.moved();
-    leaves(client);
+    let mut successor = ScriptedProcess::take_over(&node);
+    let (seq, _) = successor.next_migrated_job();
+    disconnect_client(client);
     successor.send_frame(seq, Frame::MigrationResult(false));
     let withdrawal = worker.next_request();
     assert_eq!(withdrawal.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
@@ -203,12 +105,12 @@
 #[test]
 fn client_leaves_while_job_migrates_then_pending_job_is_not_sent() {
     let worker = ScriptedServer::start();
-    let (node, watch, _discovery) = Node::start_with_config(&[], patient);
+    let (node, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = node.submit_job("r1", "order", 9.0);
     wait_until("the count is not 1", || node.counter("curlewusher_jobs_taken_total") == 1);
-    let mut successor = Other::takes_over(&node);
-    let (seq, _) = successor.moved();
-    leaves(client);
+    let mut successor = ScriptedProcess::take_over(&node);
+    let (seq, _) = successor.next_migrated_job();
+    disconnect_client(client);
     successor.send_frame(seq, Frame::MigrationResult(false));
     drop(successor);
     node.wait_for_log_line("the other process is gone");
@@ -223,11 +125,11 @@
 #[test]
 fn deadline_is_too_close_for_migration_then_job_stays() {
     let worker = ScriptedServer::start();
-    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let client = node.submit_job("r1", "order", 2.4);
     worker.next_request().accept();
     wait_until("the count is not 1", || node.counter("curlewusher_delivery_attempts_accepted_total") == 1);
-    let mut successor = Other::takes_over(&node);
+    let mut successor = ScriptedProcess::take_over(&node);
     // The successor does not answer; the client gets its answer all the same.
     assert_eq!(read_response(client).status(), 502);
     assert!(worker.next_request().message.start_line.starts_with("DELETE "));
@@ -240,11 +142,11 @@
 #[test]
 fn job_is_unknown_while_other_process_may_hold_it_then_callback_gets_503() {
     let worker = ScriptedServer::start();
-    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], patient);
+    let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let word = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
     assert_eq!(node.callback(word), 204);
     // The successor gives the link up, and runs on: it is the test itself.
-    drop(Other::takes_over(&node));
+    drop(ScriptedProcess::take_over(&node));
     node.wait_for_log_line("the other process is gone");
     assert_eq!(node.callback(word), 503);
     // One that is no more holds nothing.
@@ -257,14 +159,13 @@
 }
 
 /// A job from a new client is the next that the worker gets, and is served.
-fn serves(at: SocketAddr, worker: &ScriptedServer, id: &str) {
+fn assert_serves_next(at: SocketAddr, worker: &ScriptedServer, id: &str) {
     let client = open_request(at, &job_request(id, "view", 9.0, ""));
     let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some(id), "another one goes out");
     got.accept();
-    let told = format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"x"}}"#);
-    let head = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", told.len());
-    assert_eq!(send_request(at, &(head + &told)).status(), 204);
+    let callback = callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#));
+    assert_eq!(send_request(at, &callback).status(), 204);
     assert_eq!(read_response(client).status(), 200);
 }
 
@@ -272,31 +173,32 @@
 fn migration_breaks_off_then_exactly_one_process_holds_the_job() {
     // A job that is out nowhere is to move.
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
-    let (predecessor, watch, _discovery) = Node::start_with_config(&[], patient);
+    let (predecessor, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = predecessor.submit_job("r1", "order", 60.0);
     wait_until("the count is not 1", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
-    let mut to_elder = Other::takes_over(&predecessor);
-    let (_, moved) = to_elder.moved();
+    let mut to_predecessor = ScriptedProcess::take_over(&predecessor);
+    let (_, moved) = to_predecessor.next_migrated_job();
 
     // The successor gets it, and the predecessor has given the link up before it can hear so.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
     let discovery = ScriptedServer::start();
     let known = [workers[1].endpoint_json("s-1", "in_service")];
-    let (mut to_younger, successor) = Other::is_followed(&patient(discovery.address, &known), &listener);
+    let (mut to_successor, successor) =
+        ScriptedProcess::welcome_successor(&node_config_for_handover(discovery.address, &known), &listener);
     ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &known));
-    let (seq, asks) = to_younger.next_frame();
+    let (seq, asks) = to_successor.next_frame();
     assert_eq!(asks, Frame::TakeoverRequest);
-    to_younger.send_frame(seq, Frame::TakeoverGranted("".into()));
+    to_successor.send_frame(seq, Frame::TakeoverGranted("".into()));
     // What it says next does not reach anybody.
-    to_younger.stream.shutdown(Shutdown::Read).expect("it is up");
+    to_successor.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
-    to_younger.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
+    to_successor.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
     successor.wait_for_log_line("the other process is gone");
-    serves(at, &workers[1], "r2");
+    assert_serves_next(at, &workers[1], "r2");
     assert!(!workers[1].has_pending_request(), "it is the elder's");
 
-    drop(to_elder);
+    drop(to_predecessor);
     predecessor.wait_for_log_line("the other process is gone");
     watch.send_line(&endpoint_list_json(43, false, &[workers[0].endpoint_json("s-1", "in_service")]));
     let got = workers[0].next_request();
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -1,6 +1,7 @@
 //! Daily operation, played on the program as a process: drains, maintenance, a version beside another.
 
 mod upgrade;
+mod upgrade_scenario;
 
 use std::io::Read;
 
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -12,10 +12,10 @@
 use curlewusher_control::frame::Frame;
 
 use crate::common::{
-    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator, endpoint_list_json,
-    job_request, node_config_with_console, open_request, read_response, send_request, wait_for_counter,
+    Node, ScriptedProcess, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator,
+    endpoint_list_json, job_request, node_config_for_handover, open_request, read_response, send_request,
+    wait_for_counter,
 };
-use crate::migration::Other;
 
 /// Digits of a moment in microseconds since the Unix epoch.
 const TIME_DIGITS: usize = 16;
@@ -107,17 +107,17 @@
 }
 
 /// The link between both processes at the test's end, and all that is said on it.
-struct Talk<'a> {
-    other: Other,
+struct RecordedExchange<'a> {
+    other: ScriptedProcess,
     names: [&'static str; 2],
     workers: &'a Workers,
     text: String,
 }
 
-impl<'a> Talk<'a> {
+impl<'a> RecordedExchange<'a> {
     /// `names`: what the test plays, and what the program is.
-    fn of(other: Other, names: [&'static str; 2], workers: &'a Workers) -> Talk<'a> {
-        Talk { other, names, workers, text: String::new() }
+    fn new(other: ScriptedProcess, names: [&'static str; 2], workers: &'a Workers) -> RecordedExchange<'a> {
+        RecordedExchange { other, names, workers, text: String::new() }
     }
 
     /// Notes a frame: its bytes, or the header as far as it does not tell of a payload that differs, and what of that
@@ -136,13 +136,13 @@
         self.text += &format!("{}: {line}\n", self.names[by]);
     }
 
-    fn says(&mut self, seq: u64, frame: Frame) {
+    fn send(&mut self, seq: u64, frame: Frame) {
         self.note(0, seq, &frame);
         self.other.send_frame(seq, frame);
     }
 
     /// A job with its client's socket.
-    fn moves(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
+    fn send_job(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
         let frame = Frame::MigrateJob(job);
         self.note(0, seq, &frame);
         self.other.send_with_descriptor(client, &frame.encode(seq).expect("short"));
@@ -154,21 +154,16 @@
         (seq, frame)
     }
 
-    /// What is heard next, which must be this.
+    /// What is received next, which must be this.
     fn expect_frame(&mut self, frame: Frame) -> u64 {
-        let (seq, heard) = self.next_frame();
-        assert_eq!(heard, frame);
+        let (seq, received) = self.next_frame();
+        assert_eq!(received, frame);
         seq
     }
 }
 
-fn patient(discovery: SocketAddr, known: &[String]) -> String {
-    node_config_with_console(discovery, known)
-        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
-}
-
 /// A request to be told on a thread of its own, since it is answered after what the test says on the link.
-fn meanwhile<T: Send + 'static>(ask: impl FnOnce() -> T + Send + 'static) -> std::thread::JoinHandle<T> {
+fn spawn<T: Send + 'static>(ask: impl FnOnce() -> T + Send + 'static) -> std::thread::JoinHandle<T> {
     std::thread::spawn(ask)
 }
 
@@ -198,59 +193,59 @@
 fn newer_process_takes_over_and_gives_back_then_frames_are_as_recorded() {
     let workers = Workers::start();
     let named = [("s-1", &workers.0[0]), ("s-2", &workers.0[1])];
-    let (node, _watch, _discovery) = Node::start_with_config(&named, patient);
+    let (node, _watch, _discovery) = Node::start_with_config(&named, node_config_for_handover);
     let (address, operators) = (node.address, node.operator_address());
     let client = serve_and_hold(&node, operators, &workers);
     let hello = |name: &str| Frame::Hello { node: name.into(), listen: "127.0.0.1:0".into() };
 
-    let mut stranger = Talk::of(Other::comes(&node), ["newer", "older"], &workers);
-    stranger.says(0, hello("another"));
+    let mut stranger = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
+    stranger.send(0, hello("another"));
     stranger.next_frame();
-    let mut newer = Talk::of(Other::comes(&node), ["newer", "older"], &workers);
+    let mut newer = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
     newer.text = stranger.text;
-    newer.says(0, hello("n0"));
+    newer.send(0, hello("n0"));
     newer.other.read_listener();
     let (_, Frame::Accepted(learned)) = newer.next_frame() else { panic!("no welcome") };
     matches_payload("older_welcome.json", &workers.recorded(&learned));
 
     for (seq, id) in [(1, "moved"), (2, "new")] {
-        newer.says(seq, Frame::ClaimJob(id.into()));
+        newer.send(seq, Frame::ClaimJob(id.into()));
         newer.expect_frame(Frame::ClaimResult(id == "new"));
     }
-    newer.says(3, Frame::Command(AdminCommand::Disable("s-9".into())));
+    newer.send(3, Frame::Command(AdminCommand::Disable("s-9".into())));
     newer.expect_frame(Frame::CommandResult(Ok(())));
-    newer.says(4, Frame::Command(AdminCommand::Enable("s-9".into())));
+    newer.send(4, Frame::Command(AdminCommand::Enable("s-9".into())));
     newer.expect_frame(Frame::CommandResult(Ok(())));
-    let asked = meanwhile(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
+    let asked = spawn(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
     let seq = newer.expect_frame(Frame::ClaimJob("copy".into()));
-    newer.says(seq, Frame::ClaimResult(false));
+    newer.send(seq, Frame::ClaimResult(false));
     assert_eq!(asked.join().expect("an answer"), 409);
     let word = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
     let told = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{word}", word.len());
-    let asked = meanwhile(move || send_request(address, &told).status());
+    let asked = spawn(move || send_request(address, &told).status());
     let seq = newer.expect_frame(Frame::Callback(word.into()));
-    newer.says(seq, Frame::CallbackResult(true));
+    newer.send(seq, Frame::CallbackResult(true));
     assert_eq!(asked.join().expect("an answer"), 204);
     for (call_of, said) in
         [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
     {
         let line = format!("{call_of}\n");
-        let asked = meanwhile(move || call_operator(operators, &line));
+        let asked = spawn(move || call_operator(operators, &line));
         let seq = newer.expect_frame(Frame::Command(call_of));
-        newer.says(seq, Frame::CommandResult(said.clone()));
+        newer.send(seq, Frame::CommandResult(said.clone()));
         assert_eq!(asked.join().expect("an answer").starts_with("+OK"), said.is_ok());
     }
 
-    newer.says(5, Frame::TakeoverRequest);
+    newer.send(5, Frame::TakeoverRequest);
     let (5, Frame::TakeoverGranted(learned)) = newer.next_frame() else { panic!("not handed over") };
     matches_payload("older_yours.json", &workers.recorded(&learned));
     let (seq, Frame::MigrateJob(moved)) = newer.next_frame() else { panic!("no job moves") };
     matches_payload("older_move.json", &workers.recorded(without_body(&moved)));
-    newer.says(seq, Frame::MigrationResult(false));
-    newer.says(6, Frame::HandBack);
-    newer.says(7, Frame::Command(AdminCommand::Undrain));
+    newer.send(seq, Frame::MigrationResult(false));
+    newer.send(6, Frame::HandBack);
+    newer.send(7, Frame::Command(AdminCommand::Undrain));
     newer.expect_frame(Frame::CommandResult(Ok(())));
-    newer.says(8, Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    newer.send(8, Frame::Callback(MOVED_JOB_COMPLETED.into()));
     newer.expect_frame(Frame::CallbackResult(true));
     assert_matches_golden("link_newer_played.txt", &newer.text);
     drop(newer);
@@ -265,8 +260,8 @@
 }
 
 /// The program as successor of an older process that says what was recorded, with the recorded job in its hands.
-struct Followed<'a> {
-    older: Talk<'a>,
+struct SuccessorOfRecorded<'a> {
+    older: RecordedExchange<'a>,
     node: Node,
     operators: SocketAddr,
     /// Where the job's client waits for its answer.
@@ -274,49 +269,49 @@
     _discovery: (ScriptedServer, ScriptedWatch),
 }
 
-fn follow(workers: &Workers) -> Followed<'_> {
+fn start_successor(workers: &Workers) -> SuccessorOfRecorded<'_> {
     let discovery = ScriptedServer::start();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let text = patient(discovery.address, &workers.known());
+    let text = node_config_for_handover(discovery.address, &workers.known());
     let welcome = workers.replayed("older_welcome.json");
-    let (other, node) = Other::welcomes(&text, &listener, welcome.into());
+    let (other, node) = ScriptedProcess::welcome_successor_with(&text, &listener, welcome.into());
     let operators = node.operator_address();
-    let mut older = Talk::of(other, ["older", "newer"], workers);
+    let mut older = RecordedExchange::new(other, ["older", "newer"], workers);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_line(&endpoint_list_json(42, true, &workers.known()));
     let seq = older.expect_frame(Frame::TakeoverRequest);
-    older.says(seq, Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
+    older.send(seq, Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
     let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = open_request(clients.local_addr().expect("bound"), "");
     let (served, _) = clients.accept().expect("it has connected");
-    older.moves(1, with_body(&workers.replayed("older_move.json")), &served);
+    older.send_job(1, with_body(&workers.replayed("older_move.json")), &served);
     older.expect_frame(Frame::MigrationResult(true));
     assert_eq!(node.address, listener.local_addr().expect("bound"));
-    Followed { older, node, operators, client, _discovery: (discovery, watch) }
+    SuccessorOfRecorded { older, node, operators, client, _discovery: (discovery, watch) }
 }
 
 #[test]
 fn older_process_recorded_hands_over_then_the_program_serves_with_what_it_had_learned() {
     let workers = Workers::start();
-    let Followed { mut older, node, operators, client, .. } = follow(&workers);
+    let SuccessorOfRecorded { mut older, node, operators, client, .. } = start_successor(&workers);
     // The drain and the worker that is out are known from there.
     assert!(call_operator(operators, "READY\n").starts_with("-ERR drained"));
-    let undrain = meanwhile(move || call_operator(operators, "UNDRAIN\n"));
+    let undrain = spawn(move || call_operator(operators, "UNDRAIN\n"));
     let seq = older.expect_frame(Frame::Command(AdminCommand::Undrain));
-    older.says(seq, Frame::CommandResult(Ok(())));
+    older.send(seq, Frame::CommandResult(Ok(())));
     assert_eq!(undrain.join().expect("an answer"), "+OK");
     assert_eq!(call_operator(operators, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 8.0);
         let seq = older.expect_frame(Frame::ClaimJob(id.into()));
-        older.says(seq, Frame::ClaimResult(true));
+        older.send(seq, Frame::ClaimResult(true));
         workers.0[1].next_request().accept();
         node.post_callback(id, "s-2", r#""state":"done","result":"y""#);
         assert_eq!(read_response(client).status(), 200);
     }
-    older.says(2, Frame::ClaimJob("moved".into()));
+    older.send(2, Frame::ClaimJob("moved".into()));
     older.expect_frame(Frame::ClaimResult(false));
-    older.says(3, Frame::CancelAttempt { worker: workers.0[1].address, job_id: "w".into() });
+    older.send(3, Frame::CancelAttempt { worker: workers.0[1].address, job_id: "w".into() });
     let withdrawal = workers.0[1].next_request();
     assert_eq!(withdrawal.message.start_line, "DELETE /jobs/w HTTP/1.1");
     withdrawal.respond("200 OK");
@@ -330,7 +325,7 @@
 #[test]
 fn older_process_recorded_is_lost_after_its_job_came_then_the_program_answers_it() {
     let workers = Workers::start();
-    let Followed { older, node, client, .. } = follow(&workers);
+    let SuccessorOfRecorded { older, node, client, .. } = start_successor(&workers);
     drop(older);
     // Until the loss is seen a word may be asked for again.
     while node.callback(MOVED_JOB_COMPLETED) == 503 {}
@@ -340,17 +335,17 @@
 #[test]
 fn older_process_recorded_gets_the_node_back_then_the_job_comes_as_it_went() {
     let workers = Workers::start();
-    let Followed { mut older, node, client, .. } = follow(&workers);
+    let SuccessorOfRecorded { mut older, node, client, .. } = start_successor(&workers);
     node.signal("-TERM");
     older.expect_frame(Frame::HandBack);
     let (seq, Frame::MigrateJob(job)) = older.next_frame() else { panic!("no job moves") };
     let went = std::fs::read_to_string("tests/golden/older_move.json").expect("it was recorded");
     assert_eq!(steady(&workers.recorded(without_body(&job))), steady(&went));
-    older.says(seq, Frame::MigrationResult(false));
-    older.says(2, Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    older.send(seq, Frame::MigrationResult(false));
+    older.send(2, Frame::Callback(MOVED_JOB_COMPLETED.into()));
     let mut next = older.next_frame();
     while matches!(next.1, Frame::MigrateJob(_)) {
-        older.says(next.0, Frame::MigrationResult(false));
+        older.send(next.0, Frame::MigrationResult(false));
         next = older.next_frame();
     }
     assert_eq!(next.1, Frame::CallbackResult(true));
