--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -119,8 +119,8 @@
     /// and closes the rendezvous socket.
     pub async fn finish(&self, upstream: &UpstreamClient) {
         if let Some(link) = self.admin.peer.link() {
-            for (address, job_id) in upstream.unacknowledged_cancellations().iter() {
-                link.transfer_cancellation(*address, job_id);
+            for target in upstream.unacknowledged_cancellations() {
+                link.transfer_cancellation(target.address, &target.request_id);
             }
             let _ = timeout(LAST_FRAMES_TIMEOUT, link.flush()).await;
         }
@@ -214,10 +214,13 @@
     async fn follow_predecessor(&mut self, predecessor: Predecessor) {
         self.set_link(Some(predecessor.link));
         if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
-            let learned = transfer.state.learned.take();
-            let maintenance_only = TransferableState { bans: transfer.state.bans.clone(), learned: None };
+            let snapshot = transfer.state.snapshot.take();
+            let maintenance_only = TransferableState {
+                disabled_workers: transfer.state.disabled_workers.clone(),
+                snapshot: None,
+            };
             self.restore(transfer.drained, maintenance_only).await;
-            transfer.state.learned = learned;
+            transfer.state.snapshot = snapshot;
             self.handshake_state = Some(transfer);
         }
     }
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -16,7 +16,7 @@
 
 use curlewusher_core::{Dispatcher, Micros};
 use curlewusher_settings::Site;
-use curlewusher_settings::operator::{Operator, ServerOptions, UpstreamOptions};
+use curlewusher_settings::operator::{OperatorFile, ServerOptions, UpstreamOptions};
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -25,13 +25,13 @@
 use crate::admin::listener::AdminListener;
 use crate::admin::service::AdminService;
 use crate::config::Config;
-use crate::discovery::endpoint_list::EndpointResolver;
+use crate::discovery::endpoint_list::{EndpointResolver, NO_LIST_INDEX};
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
-    self, Clock, DispatchCommand, DispatchMessage, DispatchQueue, DispatchTask, NamedEndpoint,
+    self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
-use crate::handover::{Peer, StartupHandover};
+use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
 use crate::runtime::descriptor_budget::DescriptorBudget;
 use crate::runtime::error::ServeError;
@@ -41,7 +41,7 @@
 use crate::server::{Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::{RequestPayload, UpstreamClient};
+use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
 
 /// Time in which a healthy worker answers a job on an open connection, with a wide margin.
 const ACCEPT_RESPONSE_TIMEOUT: Micros = 400_000;
@@ -49,9 +49,6 @@
 const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Commands to the dispatch task that may wait; each takes microseconds.
 const MAX_PENDING_DISPATCH_COMMANDS: usize = 64;
-/// Version of the endpoint list with which the whole list is requested. A saved list without endpoints counts as
-/// none: with its version, discovery would send later changes only.
-const UNKNOWN_ENDPOINT_INDEX: u64 = 0;
 
 /// Builds the node and spawns its tasks. Returns none if SIGTERM comes while the other process is being contacted.
 pub async fn start_node(
@@ -87,9 +84,9 @@
     fn create(
         metrics: Metrics,
         descriptors: DescriptorBudget,
-        operator: &Operator,
+        operator: &OperatorFile,
     ) -> (Self, mpsc::Receiver<DispatchMessage<RequestPayload>>) {
-        let (dispatch_queue, messages) = dispatch::queue(descriptors.max_connections());
+        let (dispatch_queue, messages) = dispatch::create_queue(descriptors.max_connections());
         let shared = SharedState {
             clock: Clock::new(),
             lifecycle: Lifecycle::new(),
@@ -104,14 +101,13 @@
     }
 
     fn create_upstream(&self, site: &Site) -> UpstreamClient {
-        UpstreamClient::new(
-            self.dispatch_queue.clone(),
-            self.metrics.clone(),
-            Duration::from_micros(site.connect_timeout),
-            Duration::from_micros(site.keepalive),
-            self.upstream_options.clone(),
-            self.descriptors.upstream_connections(),
-        )
+        let config = UpstreamConfig {
+            connect_timeout: Duration::from_micros(site.connect_timeout),
+            keepalive: Duration::from_micros(site.keepalive),
+            options: self.upstream_options.clone(),
+            budget: self.descriptors.upstream_connections(),
+        };
+        UpstreamClient::new(self.dispatch_queue.clone(), self.metrics.clone(), config)
     }
 
     fn create_server(&self, site: &Site) -> Server {
@@ -126,6 +122,16 @@
             options: self.server_options.clone(),
         })
     }
+
+    fn create_reloader(&self, name: String, discovery: watch::Sender<SocketAddr>) -> ConfigReloader {
+        ConfigReloader {
+            name,
+            metrics: self.metrics.clone(),
+            server_options: self.server_options.clone(),
+            upstream_options: self.upstream_options.clone(),
+            discovery,
+        }
+    }
 }
 
 /// The parts of the node, connected to each other, before any of their tasks runs.
@@ -174,28 +180,30 @@
 
 impl NodeParts {
     fn build(config: Config, logging: &Logging) -> Result<Self, ServeError> {
-        let Config { name, listen, discovery, console, seed, limits, known, mut site, operator } = config;
+        let Config { name, listen, discovery, admin, seed, limits, known, mut site, operator } = config;
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
-        let dispatcher = Dispatcher::new(site.decisions.clone(), seed)?;
-        let descriptors = DescriptorBudget::divide(limits.sockets, console.is_some());
+        let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
+        let descriptors = DescriptorBudget::divide(limits.sockets, admin.is_some());
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
 
         let mut resolver = EndpointResolver::new(&site);
         let saved_endpoints = resolver.resolve(&known.endpoints);
-        let saved_index = if saved_endpoints.is_empty() { UNKNOWN_ENDPOINT_INDEX } else { known.index };
+        // With the version of an empty saved list discovery would send later changes only.
+        let saved_index = if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index };
         let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
-        let dispatch_task = DispatchTask::new(
+        let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
-            shared.clock,
-            upstream.clone(),
-            dispatch_messages,
-            received_commands,
-            poll_requester,
-            shared.metrics.clone(),
-        );
+            clock: shared.clock,
+            transport: upstream.clone(),
+            messages: dispatch_messages,
+            commands: received_commands,
+            watch_requests: poll_requester,
+            metrics: shared.metrics.clone(),
+            migration_timeout: MIGRATION_TIMEOUT,
+        });
         let watcher = EndpointWatcher {
             address: discovery,
             resolver,
@@ -203,15 +211,13 @@
             queue: shared.dispatch_queue.clone(),
             list_received: watch::Sender::new(false),
             metrics: shared.metrics.clone(),
-            timing: WatchTiming::new(&site.decisions),
+            timing: WatchTiming::new(&site.dispatcher),
         };
-        let client_timeouts = site.decisions.classes.iter().map(|class| class.client_timeout);
+        let client_timeouts = site.dispatcher.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
-            admin_listener: console
-                .map(|at| AdminListener::open(at, shared.lifecycle.clone()))
-                .transpose()?,
+            admin_listener: admin.map(|at| AdminListener::open(at, shared.lifecycle.clone())).transpose()?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
             name,
             listen,
@@ -245,14 +251,18 @@
         open().map_err(|source| ServeError::ClientListener { listen: self.listen, source })
     }
 
-    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
-        let admin = AdminService {
+    fn create_admin_service(&self) -> AdminService {
+        AdminService {
             name: self.name.as_str().into(),
             lifecycle: self.shared.lifecycle.clone(),
-            dispatch_commands: self.dispatch_commands,
-            peer: self.shared.peer,
+            dispatch_commands: self.dispatch_commands.clone(),
+            peer: self.shared.peer.clone(),
             drain_requested: Rc::default(),
-        };
+        }
+    }
+
+    fn spawn(self, handover: StartupHandover, listener: ClientListener) -> RunningNode {
+        let admin = self.create_admin_service();
         let takeover_parts = TakeoverParts {
             listen: self.listen,
             listener: listener.for_successor,
@@ -260,31 +270,27 @@
             upstream: self.upstream.clone(),
             admin: admin.clone(),
         };
+        let discovery = self.discovery;
         let has_saved_endpoints = !self.saved_endpoints.is_empty();
-        let DiscoveryParts { watcher, poll_requests, address_updates, address_changes, endpoints_available } =
-            self.discovery;
+        let has_predecessor = handover.has_predecessor();
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
-        let endpoint_watcher = spawn_local(watcher.run(poll_requests, address_changes));
+        let endpoint_watcher =
+            spawn_local(discovery.watcher.run(discovery.poll_requests, discovery.address_changes));
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
-        let has_predecessor = handover.has_predecessor();
-        let (takeover_handle, takeover) =
-            TakeoverTask::start(handover, takeover_parts, endpoints_available, has_saved_endpoints);
-        let takeover = spawn_local(takeover);
-        let admin_address = self.admin_listener.as_ref().map(|listener| listener.address);
+        let (takeover_handle, takeover_task) =
+            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available, has_saved_endpoints);
+        let takeover = spawn_local(takeover_task);
+        let (admin_address, admin_commands) =
+            self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
         log_addresses(&self.name, has_predecessor, listener.address, admin_address);
 
+        let reloader = self.shared.create_reloader(self.name.clone(), discovery.address_updates);
         RunningNode {
-            metrics: self.shared.metrics.clone(),
+            metrics: self.shared.metrics,
             tasks: TaskHandles { dispatch, takeover, endpoint_watcher, idle_connection_sweep },
-            reloader: ConfigReloader {
-                name: self.name.clone(),
-                metrics: self.shared.metrics,
-                server_options: self.shared.server_options,
-                upstream_options: self.shared.upstream_options,
-                discovery: address_updates,
-            },
+            reloader,
             shutdown: GracefulShutdown {
                 name: self.name,
                 final_answer_delay: self.final_answer_delay,
@@ -296,24 +302,24 @@
                 accept_task,
             },
             admin,
-            admin_commands: self.admin_listener.map(|listener| listener.commands),
+            admin_commands,
         }
     }
 }
 
-fn create_metrics(site: &Site, operator: &Operator, logging: &Logging) -> Metrics {
+fn create_metrics(site: &Site, operator: &OperatorFile, logging: &Logging) -> Metrics {
     let answer_bounds_s: Vec<f64> =
-        operator.metrics.answer_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
-    Metrics::new(&site.classes, &answer_bounds_s, logging.dropped())
+        operator.metrics.response_time_bounds_ms.iter().map(|bound_ms| *bound_ms as f64 / 1e3).collect();
+    Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped_lines())
 }
 
 /// Sets what decisions on real sockets need otherwise than in a simulator.
 fn adapt_settings_to_sockets(site: &mut Site) {
     // Any rejection may carry Retry-After here; the simulator's clients would not get it.
-    site.decisions.max_retry_after = site.max_retry_after;
+    site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
-    site.decisions.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.decisions.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
+    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
 }
 
 /// Writes where clients and operators reach this process.
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use super::Server;
-use super::connection::discard_and_close;
+use super::connection::{READ_CHUNK_BYTES, discard_and_close};
 use super::migration_record;
 use super::open_job::OpenJob;
 use super::response;
@@ -22,14 +22,13 @@
 use super::state::ServerState;
 use crate::dispatch::{
     DispatchMessage, DispatchQueue, IncomingMigration, JobHandle, JobMigration, JobResponse,
+    OutgoingMigration,
 };
 use crate::handover::PeerLink;
 use crate::upstream::RequestPayload;
 
 /// Pause after a job could not migrate.
 pub const MIGRATION_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes read at once from a client that waits for its response.
-const READ_CHUNK_BYTES: usize = 4096;
 
 /// Migrates a job to the other process of this node, with a duplicate of its client's socket. Whether the
 /// other process holds it now.
@@ -54,15 +53,16 @@
 impl OutgoingJob {
     /// Whether the other process holds the job now; None once the dispatch task has ended or keeps the job.
     async fn hand_over(mut self, link: PeerLink, client: OwnedFd) -> Option<bool> {
-        let (migration_sender, migration) = oneshot::channel();
-        let request = DispatchMessage::MigrateJob(self.job_handle.clone(), migration_sender);
+        let (migration_channel, migration) = oneshot::channel();
+        let request = DispatchMessage::MigrateJob { job_handle: self.job_handle.clone(), migration_channel };
         self.queue.send(request).await.ok()?;
-        let (migration, payload) = migration.await.ok()?;
+        let OutgoingMigration { migration, payload } = migration.await.ok()?;
         let is_held = match migration_record::encode(&migration, &payload) {
             Some(record) => link.migrate_job(record, client).await,
             None => false,
         };
-        let finished = DispatchMessage::MigrationFinished(self.job_handle.clone(), is_held);
+        let finished =
+            DispatchMessage::MigrationFinished { job_handle: self.job_handle.clone(), accepted: is_held };
         self.queue.send(finished).await.ok()?;
         if !is_held && self.client_disconnected.try_recv() == Err(TryRecvError::Closed) {
             // The dispatch task ignores this message while a job migrates; the other process would see it by
@@ -81,15 +81,15 @@
 }
 
 impl Server {
-    /// Takes over a job that the other process of this node migrates here, and answers its client. `accepted`
-    /// reports to the other process whether this one holds the job; `acceptance_read` completes once it has
-    /// read that.
+    /// Takes over a job that the other process of this node migrates here, and answers its client.
+    /// `is_adopted` reports to the other process whether this one holds the job; `response_written` completes
+    /// once the link has written that report.
     pub async fn adopt_job(
         self,
         job: Bytes,
         client: OwnedFd,
-        accepted: oneshot::Sender<bool>,
-        acceptance_read: oneshot::Receiver<()>,
+        is_adopted: oneshot::Sender<bool>,
+        response_written: oneshot::Receiver<()>,
     ) {
         let stream = into_tcp_stream(client);
         // Without a yes the job stays where it was.
@@ -99,10 +99,11 @@
             self.state.connection_budget.try_acquire(),
             self.state.intake_closed.get(),
         ) else {
-            let _ = accepted.send(false);
+            let _ = is_adopted.send(false);
             return;
         };
-        let Some(mut job) = self.confirm_adoption(migration, payload, accepted, acceptance_read).await else {
+        let Some(mut job) = self.confirm_adoption(migration, payload, is_adopted, response_written).await
+        else {
             return;
         };
         let Some(received) = self.await_adopted_response(&mut job, &mut stream).await else { return };
@@ -124,25 +125,26 @@
         &self,
         migration: JobMigration,
         payload: RequestPayload,
-        accepted: oneshot::Sender<bool>,
-        acceptance_read: oneshot::Receiver<()>,
+        is_adopted: oneshot::Sender<bool>,
+        response_written: oneshot::Receiver<()>,
     ) -> Option<AdoptedJob> {
         let queue = &self.state.queue;
         let mut open_job = OpenJob::new(&self.state);
         let job_handle = JobHandle::default();
         let permit = queue.clone().reserve_owned().await.ok()?;
-        let (response_sender, response_receiver) = oneshot::channel();
+        let (response_channel, response_receiver) = oneshot::channel();
         let incoming = IncomingMigration {
-            moved: migration,
+            migration,
             payload,
             job_handle: job_handle.clone(),
-            answer: response_sender,
-            held: accepted,
+            response_channel,
+            accepted: is_adopted,
         };
         queue.send(DispatchMessage::ReceiveMigration(incoming)).await.ok()?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let is_confirmed = acceptance_read.await.is_ok();
-        let confirmed = DispatchMessage::MigrationConfirmed(job_handle.clone(), is_confirmed);
+        let is_confirmed = response_written.await.is_ok();
+        let confirmed =
+            DispatchMessage::MigrationConfirmed { job_handle: job_handle.clone(), confirmed: is_confirmed };
         if queue.send(confirmed).await.is_err() || !is_confirmed {
             open_job.disarm_disconnect_message();
             return None;
--- a/crates/node/src/upstream/cancel_signal.rs
+++ b/crates/node/src/upstream/cancel_signal.rs
@@ -25,14 +25,14 @@
         matches!(self, CancelSignal::Received)
     }
 
-    /// Returns once it is received; pending for ever where it will not be. Cancel-safe.
+    /// Returns once it is received; never returns if it will not be. Cancel-safe.
     pub async fn received(&mut self) {
         if let CancelSignal::Waiting(receiver) = self {
             let received = receiver.await.is_ok();
             *self = if received { CancelSignal::Received } else { CancelSignal::Closed };
         }
         if !self.is_received() {
-            pending().await
+            pending::<()>().await;
         }
     }
 
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The client side of workers: attempts, their cancellation, and the connections that carry them.
 //!
 //! The dispatch task decides which attempt goes to which worker and when it is cancelled; nothing here does.
-//! An attempt is sent at most once. One that may have arrived is never reported as not sent: where that is
+//! An attempt is sent at most once. One that may have arrived is never reported as not sent: if that is
 //! unknown, it is reported as lost.
 //!
 //! - [`send_permit`]: whether the first byte of an attempt may still be sent.
@@ -14,28 +14,27 @@
 mod attempt;
 mod cancel_signal;
 mod cancellation;
+mod config;
 mod exchange;
 mod in_flight;
 mod payload;
 mod pool;
 pub mod send_permit;
 
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
-use curlewusher_settings::operator::UpstreamOptions;
 use tokio::task::spawn_local;
 
-use crate::connection_budget::ConnectionBudget;
 use crate::dispatch::{AttemptRequest, AttemptTransport, DispatchQueue};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::attempt::AttemptRunner;
-use crate::upstream::cancellation::{CancellationTarget, Canceller};
+pub use crate::upstream::cancellation::CancellationTarget;
+use crate::upstream::cancellation::Canceller;
+pub use crate::upstream::config::UpstreamConfig;
 use crate::upstream::in_flight::InFlightCounter;
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
-use crate::upstream::pool::{ConnectionPool, PoolConfig};
+use crate::upstream::pool::ConnectionPool;
 
 /// Makes the attempts at all workers. Clones share one pool of connections.
 #[derive(Clone)]
@@ -56,21 +55,15 @@
         spawn_local(async move { attempts.resume(attempt).await });
     }
 
-    fn forget_endpoint(&self, address: SocketAddr) {
+    fn discard_connections(&self, address: SocketAddr) {
         self.attempts.pool.discard_connections(address);
     }
 }
 
 impl UpstreamClient {
-    pub fn new(
-        queue: DispatchQueue<RequestPayload>,
-        metrics: Metrics,
-        connect_timeout: Duration,
-        keepalive: Duration,
-        options: Rc<Cell<UpstreamOptions>>,
-        budget: ConnectionBudget,
-    ) -> Self {
-        let config = PoolConfig { connect_timeout, keepalive, options: options.clone(), budget };
+    /// A client without connections, which reports to the dispatch task through `queue`.
+    pub fn new(queue: DispatchQueue<RequestPayload>, metrics: Metrics, config: UpstreamConfig) -> Self {
+        let options = config.options.clone();
         let pool = Rc::new(ConnectionPool::new(metrics.clone(), config));
         let canceller = Canceller::new(pool.clone(), metrics, options);
         let in_flight = InFlightCounter::default();
@@ -82,17 +75,15 @@
         self.attempts.pool.set_budget_halved(half);
     }
 
-    /// The cancellations that no worker has acknowledged yet: address of the worker and the client's id of
-    /// the job.
-    pub fn unacknowledged_cancellations(&self) -> Vec<(SocketAddr, String)> {
-        let targets = self.attempts.canceller.unacknowledged();
-        targets.into_iter().map(|target| (target.address, target.request_id)).collect()
+    /// The cancellations that no worker has acknowledged yet, to be handed over to another process of this
+    /// node.
+    pub fn unacknowledged_cancellations(&self) -> Vec<CancellationTarget> {
+        self.attempts.canceller.unacknowledged()
     }
 
     /// Goes on with a cancellation that another process of this node could not complete.
-    pub fn adopt_cancellation(&self, address: SocketAddr, request_id: String) {
+    pub fn adopt_cancellation(&self, target: CancellationTarget) {
         let attempts = self.attempts.clone();
-        let target = CancellationTarget { address, request_id };
         spawn_local(async move { attempts.adopt_cancellation(target).await });
     }
 
@@ -101,7 +92,7 @@
         self.attempts.in_flight.is_idle()
     }
 
-    /// Closes connections that have been idle for too long, for ever.
+    /// Closes connections that have been idle for too long, until the future is dropped.
     pub async fn sweep(self) {
         self.attempts.pool.sweep_idle_connections().await;
     }
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -13,11 +13,11 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 use tracing::{debug, trace};
 
+use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::payload::UpstreamRequest;
@@ -86,8 +86,8 @@
     epoch: Epoch,
     reused: bool,
     idle_since: Instant,
-    /// Its part of the connection budget, free once the connection is dropped.
-    _permit: OwnedSemaphorePermit,
+    /// Returned to the connection budget once the connection is dropped.
+    _permit: ConnectionPermit,
 }
 
 impl Connection {
@@ -95,7 +95,7 @@
     pub async fn dial(
         address: SocketAddr,
         epoch: Epoch,
-        permit: OwnedSemaphorePermit,
+        permit: ConnectionPermit,
         metrics: Metrics,
     ) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
@@ -138,7 +138,7 @@
         now.duration_since(self.idle_since) >= COOL_DOWN
     }
 
-    /// Sends a request and waits for the head of its response. Where the permit is invalid just before the
+    /// Sends a request and waits for the head of its response. If the permit is invalid just before the
     /// first byte, nothing is written and the connection ends.
     pub async fn send(
         &mut self,
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Waits, after the end of a response, until the connection can carry another request. Fails where the
+    /// Waits, after the end of a response, until the connection can carry another request. Fails if the
     /// response says that the connection ends with it.
     pub async fn ready(&mut self) -> hyper::Result<()> {
         self.sender.ready().await
@@ -194,7 +194,7 @@
     if let Err(error) = connection.await
         && !error.source().is_some_and(|source| source.is::<io::Error>())
     {
-        metrics.add(Counter::SpoiltAnswers);
+        metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, %error, "connection closed");
     }
 }
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -16,24 +16,22 @@
 mod idle;
 mod socket;
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher_settings::operator::UpstreamOptions;
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
 use hyper::body::Incoming;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{debug, trace};
 
-use crate::connection_budget::ConnectionBudget;
+use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
+use crate::upstream::config::UpstreamConfig;
 use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
 use crate::upstream::pool::epoch::Epoch;
 use crate::upstream::pool::idle::IdleConnections;
@@ -45,28 +43,16 @@
 /// How often idle connections are checked for expiry.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The bounds of a pool.
-pub struct PoolConfig {
-    /// How long a connection may take to be established.
-    pub connect_timeout: Duration,
-    /// After this time without a request workers close a connection.
-    pub keepalive: Duration,
-    /// The operator's options, which may change.
-    pub options: Rc<Cell<UpstreamOptions>>,
-    /// How many connections there may be.
-    pub budget: ConnectionBudget,
-}
-
 /// The connections to all workers.
 pub struct ConnectionPool {
     metrics: Metrics,
-    config: PoolConfig,
+    config: UpstreamConfig,
     idle: RefCell<HashMap<SocketAddr, IdleConnections>>,
 }
 
 impl ConnectionPool {
     /// An empty pool.
-    pub fn new(metrics: Metrics, config: PoolConfig) -> Self {
+    pub fn new(metrics: Metrics, config: UpstreamConfig) -> Self {
         ConnectionPool { metrics, config, idle: RefCell::default() }
     }
 
@@ -76,7 +62,7 @@
     /// written to it then may or may not have arrived, which costs more than any number of new connections.
     /// Half of the announced time is well before their closing.
     fn max_idle(&self) -> Duration {
-        self.config.options.get().reuse_ms.millis().min(self.config.keepalive / 2)
+        self.config.options.get().max_reuse_idle_ms.millis().min(self.config.keepalive / 2)
     }
 
     /// Uses half of the connection budget or all of it.
@@ -89,8 +75,8 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes expired connections, for ever: the worker closes them too, and a request that is written to one
-    /// in that moment would be lost.
+    /// Closes expired connections, until the future is dropped: the worker closes them too, and a request
+    /// that is written to one in that moment would be lost.
     pub async fn sweep_idle_connections(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -128,8 +114,8 @@
         self.idle.borrow().get(&address).is_some_and(|idle| idle.has_epoch_of(connection))
     }
 
-    /// Puts a connection back on which nothing was written since it was taken. Where the budget is used up
-    /// somebody may wait for its part of it, and it is closed.
+    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, somebody
+    /// may wait for that of this connection, which is closed.
     fn put_back(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
             return;
@@ -141,25 +127,25 @@
     }
 
     async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        self.metrics.add(Counter::Connects);
+        self.metrics.add(Counter::WorkerConnections);
         trace!(target: UPSTREAM, %address, "connecting");
         let epoch = self.idle.borrow_mut().entry(address).or_default().epoch();
         let dialled = timeout(self.config.connect_timeout, self.dial_within_budget(address, epoch)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|error| {
-            self.metrics.add(Counter::ConnectsFailed);
+            self.metrics.add(Counter::WorkerConnectionFailures);
             debug!(target: UPSTREAM, %address, %error, "connection not established");
             ConnectError::from(error)
         })
     }
 
     async fn dial_within_budget(&self, address: SocketAddr, epoch: Epoch) -> io::Result<Connection> {
-        let permit = self.acquire_budget().await.ok_or(ErrorKind::Other)?;
+        let permit = self.acquire_permit().await.ok_or(ErrorKind::Other)?;
         Connection::dial(address, epoch, permit, self.metrics.clone()).await
     }
 
-    /// Waits for the budget of one more connection. Where all is used, an idle connection is closed.
-    async fn acquire_budget(&self) -> Option<OwnedSemaphorePermit> {
+    /// Waits for the permit of one more connection. If none is free, an idle connection is closed.
+    async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.config.budget.free() == 0 {
             drop(self.take_any_idle());
         }
@@ -171,7 +157,7 @@
         self.idle.borrow_mut().values_mut().find(|idle| !idle.is_empty())?.take_oldest()
     }
 
-    /// Reads a response to its end and keeps the connection for another request; closes it where that is not
+    /// Reads a response to its end and keeps the connection for another request; closes it if that is not
     /// possible.
     pub async fn recycle(
         &self,
@@ -195,7 +181,7 @@
 
     /// Counts a response that was none, or not whole.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
-        self.metrics.add(Counter::SpoiltAnswers);
+        self.metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, reason, "malformed response");
     }
 }
--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections in their narrow moments: who leaves, closes or sends just as the node does.
+//! Connections of clients that leave, close or send just as the node does.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery in its narrow moments: silence, pieces, spoilt lines, changes of address.
+//! The endpoint watch: silence, split and malformed lines, and changes of the address of discovery.
 
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -1,5 +1,4 @@
-//! The dispatch task's narrow moments: words that cross, jobs on their way between two processes of a node,
-//! and settings of other customers.
+//! Callbacks that cross each other, migration of jobs between two processes of a node, and extreme settings.
 
 use std::io::{ErrorKind, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The program as a process: clients, workers and discovery are played by the test.
+//! The program as a process, with clients, workers and discovery scripted by the tests.
 
 mod client_connections;
 mod command_line;
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -1,9 +1,9 @@
-//! Owns the hard cases of an upgrade, played with two or three processes of one node: ends in every order, call-backs and
-//! calls at either, and a place to meet that is of no use. It must never say which process answers a job that is held
-//! while both run: that is the node's own affair. Its client gets one right answer, its worker one delivery attempt.
+//! Upgrades with two or three processes of one node: exits in every order, callbacks and operator calls at either process,
+//! and an unusable handover socket. The tests do not assume which process answers a job that is in flight meanwhile, only
+//! that its client gets one right response and its worker one delivery attempt.
 //!
 //! With `CURLEWUSHER_OLDER_PROGRAM` set to the path of a program of an earlier commit, the first process of each scenario is
-//! that one, so that take-over, moves of jobs and the way back are played across versions by hand:
+//! that one, so that takeover, migration and the way back are tested across versions by hand:
 //! `CURLEWUSHER_OLDER_PROGRAM=PATH cargo test -p curlewusher-node --test node upgrade`. The tests wait for log lines of
 //! the older one, which have to be as the newer one writes them.
 
@@ -107,9 +107,9 @@
         newer.startup_lines
     );
     assert_eq!(older.address, newer.address);
-    (0..2).for_each(|_| {
-        ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &scenario.known))
-    });
+    for _ in 0..2 {
+        ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &scenario.known));
+    }
     let newer_at = newer.operator_address();
     older.wait_for_log_line("n0: retired");
     wait_until_ready(newer_at);
@@ -291,9 +291,9 @@
         let newer = text[1].replacen("127.0.0.1:0\",\"d", &format!("{}\",\"d", older.address), 1);
         let newer = Node::start_in(&folder, &newer);
         assert_eq!(older.address, newer.address);
-        discovery.iter().for_each(|discovery| {
-            ScriptedWatch::open(discovery).send_line(&endpoint_list_json(42, true, &scenario.known))
-        });
+        for discovery in &discovery {
+            ScriptedWatch::open(discovery).send_line(&endpoint_list_json(42, true, &scenario.known));
+        }
         for node in [&older, &newer] {
             assert!(
                 node.startup_lines.len() == 1 && node.startup_lines[0].contains(&folder),
--- a/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
@@ -103,10 +103,10 @@
                 Action::Pause => {}
                 Action::RepeatCallback(state) => self.repeat_callback(job, attempt, state),
                 Action::SendCallback(state, times) => {
-                    self.send_callback(job, attempt, state, Delivery::Times(times))
+                    self.send_callback(job, attempt, state, Delivery::Times(times));
                 }
                 Action::SendCallbackInParts(state) => {
-                    self.send_callback(job, attempt, state, Delivery::InTwoParts)
+                    self.send_callback(job, attempt, state, Delivery::InTwoParts);
                 }
                 Action::Reply(_) | Action::Close | Action::Reset => {
                     self.worker_connections[connection_index].connection.read();
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Many of a kind at once: idle clients beyond the descriptors, core workers and nodes by the thousand; and a node that
-//! has no saved list while discovery is down.
+//! Scale: idle clients beyond the descriptors, thousands of workers and nodes; and a start without a saved list while
+//! discovery is down.
 
 use std::net::{SocketAddr, TcpListener};
 
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -1,5 +1,5 @@
-//! The moment in which an attempt leaves: what was decided long before it is looked at once more, just before its
-//! first byte.
+//! The check before the first byte of an attempt: nothing is sent to a draining or disabled worker, or for a client that
+//! has left.
 
 use std::io::Read;
 use std::net::TcpStream;
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::common::{
     Node, ScriptedProcess, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator,
-    endpoint_list_json, job_request, node_config_for_handover, open_request, read_response, send_request,
-    wait_for_counter,
+    callback_request, endpoint_list_json, job_request, node_config_for_handover, open_request, read_response,
+    send_request, wait_for_counter,
 };
 
 /// Digits of a moment in microseconds since the Unix epoch.
@@ -189,6 +189,36 @@
     client
 }
 
+/// Before the takeover, each process answers claims, callbacks and operator commands of the other.
+fn exchange_requests(newer: &mut RecordedExchange<'_>, address: SocketAddr, operators: SocketAddr) {
+    for (seq, id) in [(1, "moved"), (2, "new")] {
+        newer.send(seq, Frame::ClaimJob(id.into()));
+        newer.expect_frame(Frame::ClaimResult(id == "new"));
+    }
+    newer.send(3, Frame::Command(AdminCommand::Disable("s-9".into())));
+    newer.expect_frame(Frame::CommandResult(Ok(())));
+    newer.send(4, Frame::Command(AdminCommand::Enable("s-9".into())));
+    newer.expect_frame(Frame::CommandResult(Ok(())));
+    let response = spawn(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
+    let seq = newer.expect_frame(Frame::ClaimJob("copy".into()));
+    newer.send(seq, Frame::ClaimResult(false));
+    assert_eq!(response.join().expect("an answer"), 409);
+    let callback = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
+    let response = spawn(move || send_request(address, &callback_request(callback)).status());
+    let seq = newer.expect_frame(Frame::Callback(callback.into()));
+    newer.send(seq, Frame::CallbackResult(true));
+    assert_eq!(response.join().expect("an answer"), 204);
+    for (command, result) in
+        [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
+    {
+        let line = format!("{command}\n");
+        let response = spawn(move || call_operator(operators, &line));
+        let seq = newer.expect_frame(Frame::Command(command));
+        newer.send(seq, Frame::CommandResult(result.clone()));
+        assert_eq!(response.join().expect("an answer").starts_with("+OK"), result.is_ok());
+    }
+}
+
 #[test]
 fn newer_process_takes_over_and_gives_back_then_frames_are_as_recorded() {
     let workers = Workers::start();
@@ -208,33 +238,7 @@
     let (_, Frame::Accepted(learned)) = newer.next_frame() else { panic!("no welcome") };
     matches_payload("older_welcome.json", &workers.recorded(&learned));
 
-    for (seq, id) in [(1, "moved"), (2, "new")] {
-        newer.send(seq, Frame::ClaimJob(id.into()));
-        newer.expect_frame(Frame::ClaimResult(id == "new"));
-    }
-    newer.send(3, Frame::Command(AdminCommand::Disable("s-9".into())));
-    newer.expect_frame(Frame::CommandResult(Ok(())));
-    newer.send(4, Frame::Command(AdminCommand::Enable("s-9".into())));
-    newer.expect_frame(Frame::CommandResult(Ok(())));
-    let asked = spawn(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
-    let seq = newer.expect_frame(Frame::ClaimJob("copy".into()));
-    newer.send(seq, Frame::ClaimResult(false));
-    assert_eq!(asked.join().expect("an answer"), 409);
-    let word = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
-    let told = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{word}", word.len());
-    let asked = spawn(move || send_request(address, &told).status());
-    let seq = newer.expect_frame(Frame::Callback(word.into()));
-    newer.send(seq, Frame::CallbackResult(true));
-    assert_eq!(asked.join().expect("an answer"), 204);
-    for (call_of, said) in
-        [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
-    {
-        let line = format!("{call_of}\n");
-        let asked = spawn(move || call_operator(operators, &line));
-        let seq = newer.expect_frame(Frame::Command(call_of));
-        newer.send(seq, Frame::CommandResult(said.clone()));
-        assert_eq!(asked.join().expect("an answer").starts_with("+OK"), said.is_ok());
-    }
+    exchange_requests(&mut newer, address, operators);
 
     newer.send(5, Frame::TakeoverRequest);
     let (5, Frame::TakeoverGranted(learned)) = newer.next_frame() else { panic!("not handed over") };
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -1,5 +1,4 @@
-//! Connections to workers in their narrow moments: late, second, broken and endless answers, resets,
-//! withdrawals.
+//! Connections to workers: late, second, invalid and endless responses, resets, restarts and withdrawals.
 
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,21 +7,21 @@
 use crate::common::{
     FullBacklogWorker, HttpMessage, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, TEST_TIMEOUT,
     call_operator, endpoint_json, endpoint_list_json, next_request_at_either, node_config,
-    node_config_with_console, read_response, wait_for_counter,
+    node_config_with_console, read_response, wait_for_counter, wait_until,
 };
 
 const POST: &str = "POST /api/k1?q=2 HTTP/1.1";
 const SPOILT: &str = "curlewusher_next_hop_answers_spoilt_total";
 const ATTEMPTS: &str = "curlewusher_delivery_attempts_total";
 
-fn withdrawal(worker: &ScriptedServer, id: &str) -> ReceivedRequest {
+fn expect_withdrawal(worker: &ScriptedServer, id: &str) -> ReceivedRequest {
     let got = worker.next_request();
     assert_eq!(got.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
     got
 }
 
 /// A client's job that this worker has, and has not answered.
-fn sent(
+fn submit_to(
     node: &Node,
     worker: &ScriptedServer,
     id: &str,
@@ -44,11 +43,11 @@
     let client = node.submit_job("r1", "view", 8.0);
     let (worker, _silent, other) = next_request_at_either(&one, &two);
     for _ in 0..3 {
-        let call = withdrawal(worker, "r1");
+        let call = expect_withdrawal(worker, "r1");
         assert!(!other.has_pending_request(), "a second copy beside one that may still run");
         call.close();
     }
-    let call = withdrawal(worker, "r1");
+    let call = expect_withdrawal(worker, "r1");
     assert!(!other.has_pending_request(), "a second copy beside one that may still run");
     call.respond("404 Not Found");
     let got = other.next_request();
@@ -57,7 +56,7 @@
 }
 
 /// Two workers whose listeners the test holds, and a node that knows them.
-fn bare_hops() -> (Vec<(&'static str, TcpListener)>, Node, ScriptedWatch) {
+fn start_with_bare_listeners() -> (Vec<(&'static str, TcpListener)>, Node, ScriptedWatch) {
     let listen = || {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.set_nonblocking(true).expect("a listener");
@@ -75,7 +74,7 @@
 }
 
 /// The next connection to one of them, by its place, with the job's request read from it.
-fn accepted(workers: &[(&str, TcpListener)]) -> (usize, TcpStream) {
+fn accept_job(workers: &[(&str, TcpListener)]) -> (usize, TcpStream) {
     let begun = Instant::now();
     loop {
         for (i, worker) in workers.iter().enumerate() {
@@ -97,12 +96,12 @@
 
 #[test]
 fn worker_process_is_gone_then_no_withdrawal_is_needed_before_retry() {
-    let (mut workers, node, _watch) = bare_hops();
+    let (mut workers, node, _watch) = start_with_bare_listeners();
     let client = node.submit_job("r1", "view", 8.0);
     // The first one's process is gone: nobody listens there, and what is open says nothing.
-    let (i, _silent) = accepted(&workers);
+    let (i, _silent) = accept_job(&workers);
     drop(workers.remove(i));
-    let (_, stream) = accepted(&workers);
+    let (_, stream) = accept_job(&workers);
     (&stream).write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("it reads");
     node.complete_job(client, "r1", workers[0].0);
 }
@@ -110,9 +109,9 @@
 #[test]
 fn withdrawal_connection_is_refused_then_accepted_job_is_not_retried() {
     // A worker that holds as many connections as it may refuses others, and runs on.
-    let (mut workers, node, _watch) = bare_hops();
+    let (mut workers, node, _watch) = start_with_bare_listeners();
     let client = node.submit_job("r1", "view", 8.0);
-    let (i, stream) = accepted(&workers);
+    let (i, stream) = accept_job(&workers);
     let taken = b"HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     let (name, full) = workers.remove(i);
     drop(full);
@@ -153,9 +152,9 @@
 #[test]
 fn withdrawal_is_unacknowledged_then_client_is_answered_all_the_same() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let (client, _got) = sent(&node, &worker, "r1", "order", 0.5);
+    let (client, _got) = submit_to(&node, &worker, "r1", "order", 0.5);
     // While the worker still resets every call, the client has its answer.
-    let first = withdrawal(&worker, "r1");
+    let first = expect_withdrawal(&worker, "r1");
     assert_eq!(read_response(client).status(), 502);
     first.close();
 }
@@ -166,7 +165,7 @@
     // next job was written before the stray one, the test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
-        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
         node.serve_job(client, &first, "r1", "s-1");
         let client = node.submit_job("r2", "order", 8.0);
         wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
@@ -191,11 +190,11 @@
 #[test]
 fn second_response_follows_the_first_then_connection_is_closed() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+    let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
     let accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     first.write_raw(&format!("{accepted}HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n"));
     node.complete_job(client, "r1", "s-1");
-    let (client, got) = sent(&node, &worker, "r2", "order", 8.0);
+    let (client, got) = submit_to(&node, &worker, "r2", "order", 8.0);
     assert_ne!(got.connection, first.connection);
     node.serve_job(client, &got, "r2", "s-1");
     assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (2, 1));
@@ -212,15 +211,15 @@
         .map(|status| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
     for (bytes, count) in spoilt.into_iter().map(|s| (s, 1)).chain(strange.iter().map(|s| (s.as_str(), 0))) {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
-        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+        let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
         // A long one may be cut off before its end.
         got.try_write(bytes);
-        withdrawal(&worker, "r1").respond("200 OK");
+        expect_withdrawal(&worker, "r1").respond("200 OK");
         let start = &bytes[..bytes.len().min(40)];
         assert_eq!(read_response(client).status(), 502, "{start}");
         assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (1, count), "{start}");
         // The node serves on.
-        let (client, got) = sent(&node, &worker, "r2", "order", 8.0);
+        let (client, got) = submit_to(&node, &worker, "r2", "order", 8.0);
         node.serve_job(client, &got, "r2", "s-1");
     }
 }
@@ -234,11 +233,11 @@
         let (worker, got, other) = next_request_at_either(&one, &two);
         got.write_raw(bytes);
         for _ in 0..2 {
-            let call = withdrawal(worker, "r1");
+            let call = expect_withdrawal(worker, "r1");
             assert!(!other.has_pending_request(), "a second copy beside one that may still run");
             call.close();
         }
-        withdrawal(worker, "r1").respond("200 OK");
+        expect_withdrawal(worker, "r1").respond("200 OK");
         let got = other.next_request();
         assert_eq!(got.message.start_line, POST);
         node.serve_job(client, &got, "r1", if std::ptr::eq(other, &one) { "s-1" } else { "s-2" });
@@ -249,7 +248,7 @@
 fn partial_response_then_close_counts_as_lost_attempt() {
     for bytes in ["HTTP/1.1 20", "HTTP/1.1 202 Accepted\r\nContent-Le", ""] {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
-        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+        let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
         got.write_raw(bytes);
         got.close();
         assert_eq!(read_response(client).status(), 502, "{bytes}");
@@ -262,16 +261,16 @@
 #[test]
 fn response_head_never_ends_then_attempt_is_given_up_by_deadline() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let (client, got) = sent(&node, &worker, "r1", "order", 0.5);
+    let (client, got) = submit_to(&node, &worker, "r1", "order", 0.5);
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Le");
     assert_eq!(read_response(client).status(), 502);
-    withdrawal(&worker, "r1").respond("200 OK");
+    expect_withdrawal(&worker, "r1").respond("200 OK");
 }
 
 #[test]
 fn informational_responses_precede_202_then_the_202_counts() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+    let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
     got.write_raw("HTTP/1.1 100 Continue\r\n\r\n");
     got.write_raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
     node.serve_job(client, &got, "r1", "s-1");
@@ -290,7 +289,7 @@
     ];
     for body in bodies {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
-        let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+        let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
         got.write_raw(&format!("HTTP/1.1 202 Accepted\r\n{body}"));
         wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
         node.complete_job(client, "r1", "s-1");
@@ -305,28 +304,16 @@
 #[test]
 fn worker_restarts_while_response_is_read_then_its_connection_is_not_reused() {
     let worker = ScriptedServer::start();
-    let discovery = ScriptedServer::start();
-    let known = [worker.endpoint_json("s-1", "in_service")];
-    // Idle connections are of use for longer than this test may take.
-    let node = Node::start_with_operator_file(
-        &node_config(discovery.address, &known),
-        "[next_hop]\nreuse_ms = 600000\n",
-    );
-    let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, &known));
-    let (client, got) = sent(&node, &worker, "r1", "order", 8.0);
+    let (node, watch, known) = start_with_lasting_connections(&worker);
+    let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
     // While its answer is still being read, the worker is started anew.
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
     wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
     node.complete_job(client, "r1", "s-1");
     let before = node.counter("curlewusher_transport_map_changes_total");
-    watch.send_line(&endpoint_list_json(
-        43,
-        false,
-        &[known[0].replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)],
-    ));
+    watch.send_line(&restart_line(&known));
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
-    let (client, second) = sent(&node, &worker, "r2", "order", 8.0);
+    let (client, second) = submit_to(&node, &worker, "r2", "order", 8.0);
     assert_ne!(second.connection, got.connection);
     node.serve_job(client, &second, "r2", "s-1");
     got.write_raw("late");
@@ -342,10 +329,10 @@
     let _operators = older.operator_address();
     let watch = ScriptedWatch::open(&first);
     watch.send_line(&endpoint_list_json(42, true, &known));
-    let (client, got) = sent(&older, &worker, "r1", "order", 0.5);
+    let (client, got) = submit_to(&older, &worker, "r1", "order", 0.5);
     got.accept();
     // The worker never answers, and the job's time is up.
-    let _call = withdrawal(&worker, "r1");
+    let _call = expect_withdrawal(&worker, "r1");
     assert_eq!(read_response(client).status(), 502);
     wait_for_counter(&older, r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#, 1);
     // Whatever the older one wrote has come by the time that the newer one serves.
@@ -354,21 +341,24 @@
     let watch = ScriptedWatch::open(&second);
     watch.send_line(&endpoint_list_json(42, true, &known));
     older.wait_for_log_line("n0: retired");
-    let begun = Instant::now();
-    while call_operator(operators, "READY\n") != "+OK" {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "the newer one does not serve");
-    }
+    wait_until("the newer process does not serve", || call_operator(operators, "READY\n") == "+OK");
     while worker.try_next_request().is_some() {}
     older.signal("-TERM");
     assert_eq!(older.wait_for_exit().status.code(), Some(0));
     for id in ["r2", "r3", "r4", "r5", "r6"] {
-        let (client, got) = sent(&newer, &worker, id, "order", 8.0);
+        let (client, got) = submit_to(&newer, &worker, id, "order", 8.0);
         newer.serve_job(client, &got, id, "s-1");
     }
 }
 
+/// The line that says that the process of this endpoint has restarted.
+fn restart_line(endpoint: &str) -> String {
+    let restarted = endpoint.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#);
+    endpoint_list_json(43, false, &[restarted])
+}
+
 /// A node whose idle connections are of use for longer than any test may take, and one worker.
-fn with_lasting_connections(worker: &ScriptedServer) -> (Node, ScriptedWatch, String) {
+fn start_with_lasting_connections(worker: &ScriptedServer) -> (Node, ScriptedWatch, String) {
     let discovery = ScriptedServer::start();
     let known = worker.endpoint_json("s-1", "in_service");
     let config = node_config(discovery.address, std::slice::from_ref(&known));
@@ -384,16 +374,12 @@
     // was too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let worker = ScriptedServer::start();
-        let (node, watch, known) = with_lasting_connections(&worker);
-        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        let (node, watch, known) = start_with_lasting_connections(&worker);
+        let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
         node.serve_job(client, &first, "r1", "s-1");
         let client = node.submit_job("r2", "order", 8.0);
         wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
-        watch.send_line(&endpoint_list_json(
-            43,
-            false,
-            &[known.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)],
-        ));
+        watch.send_line(&restart_line(&known));
         let second = worker.next_request();
         node.serve_job(client, &second, "r2", "s-1");
         second.connection != first.connection
@@ -407,12 +393,12 @@
     // too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let worker = ScriptedServer::start();
-        let (node, _watch, _known) = with_lasting_connections(&worker);
+        let (node, _watch, _known) = start_with_lasting_connections(&worker);
         // Two connections, since the answer on the first one is not at its end, which then rest.
-        let (client, first) = sent(&node, &worker, "r1", "order", 8.0);
+        let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
         first.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
         node.complete_job(client, "r1", "s-1");
-        let (client, second) = sent(&node, &worker, "r2", "order", 8.0);
+        let (client, second) = submit_to(&node, &worker, "r2", "order", 8.0);
         node.complete_job(client, "r2", "s-1");
         first.write_raw("late");
         second.accept();
@@ -428,7 +414,7 @@
         got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
         node.complete_job(client, "r4", "s-1");
         // Nor that one: the next job, while the answer to the last is not at its end, finds it idle.
-        let (client, got) = sent(&node, &worker, "r5", "order", 8.0);
+        let (client, got) = submit_to(&node, &worker, "r5", "order", 8.0);
         node.serve_job(client, &got, "r5", "s-1");
         node.counter("curlewusher_next_hop_connections_total") == 2
     });
