--- /dev/null
+++ b/crates/node/tests/send_permits/mod.rs
@@ -0,0 +1,143 @@
+//! The check before the first byte of an attempt: nothing is sent to a draining or disabled worker, or for a client that
+//! has left.
+
+use std::io::Read;
+use std::net::TcpStream;
+use std::time::Instant;
+
+use crate::common::{
+    COMPLETED, Client, FullBacklogWorker, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, call_operator,
+    callback_request, endpoint_list_json, node_config_with_console, read_response, wait_for_counter,
+};
+
+const CHANGES: &str = "curlewusher_transport_map_changes_total";
+const CLIENTS_GONE: &str = "curlewusher_clients_gone_total";
+const NEVER_SENT: &str = r#"curlewusher_delivery_attempts_ended_total{outcome="never_sent"}"#;
+
+/// A node with a job that waits for its connection to `worker`, the only worker that it knows. Connections may take
+/// longer to come up than any test, and no run of a job is given up for that.
+fn dialling(worker: &FullBacklogWorker) -> (Node, ScriptedWatch, ScriptedServer, TcpStream) {
+    let discovery = ScriptedServer::start();
+    let known = [worker.endpoint_json("in_service")];
+    let patient =
+        |text: String| text.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":30000000"#);
+    let node = Node::start(&patient(node_config_with_console(discovery.address, &known)));
+    let watch = ScriptedWatch::open(&discovery);
+    watch.send_line(&endpoint_list_json(42, true, &known));
+    let client = node.submit_job("r1", "order", 8.0);
+    wait_for_counter(&node, "curlewusher_next_hop_connections_total", 1);
+    (node, watch, discovery, client)
+}
+
+/// The job reaches `other`, and no connection of it `worker`.
+fn goes_to(other: &ScriptedServer, worker: &FullBacklogWorker, node: &Node, client: TcpStream) {
+    let begun = Instant::now();
+    let got = loop {
+        assert!(worker.try_accept().is_none(), "its connection comes up though nothing may be sent there");
+        if let Some(got) = other.try_next_request() {
+            break got;
+        }
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the job reaches neither");
+        std::thread::yield_now();
+    };
+    assert_eq!(got.message.header("x-request-id"), Some("r1"));
+    node.serve_job(client, &got, "r1", "s-2");
+    assert_eq!(node.counter(NEVER_SENT), 1);
+}
+
+/// A connection that the node knows, so that what comes on it is read in the order in which it came.
+fn known_connection(node: &Node) -> Client {
+    let mut client = Client::connect(node.address);
+    client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(client.read_response().map(|answer| answer.status()), Some(200));
+    client
+}
+
+/// The word of the worker that a job is done.
+fn word(id: &str) -> String {
+    callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#))
+}
+
+#[test]
+fn worker_drains_while_connecting_then_job_goes_elsewhere() {
+    for status in ["terminating", "terminated", "not in the list", "in_service"] {
+        let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
+        let (node, watch, _discovery, client) = dialling(&worker);
+        let changes = node.counter(CHANGES);
+        let second = other.endpoint_json("s-2", "in_service");
+        match status {
+            "not in the list" => watch.send_line(&endpoint_list_json(43, true, &[second])),
+            _ => watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json(status), second])),
+        }
+        wait_for_counter(&node, CHANGES, changes + 1);
+        if status == "in_service" {
+            // It is operators who take it out.
+            assert_eq!(call_operator(node.operator_address(), "DISABLE s-1\n"), "+OK");
+        }
+        worker.drain_backlog();
+        goes_to(&other, &worker, &node, client);
+        // By its end it has made all that it had to make.
+        node.signal("-TERM");
+        assert!(node.wait_for_exit().status.success());
+        assert!(worker.try_accept().is_none(), "{status}");
+    }
+}
+
+#[test]
+fn drain_and_connection_arrive_together_then_nothing_is_sent_to_draining_worker() {
+    // The node handles the connection first: the request is with the connection's task when the list is read.
+    let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
+    let (node, watch, _discovery, client) = dialling(&worker);
+    let held = node.pause();
+    watch.send_line(&endpoint_list_json(
+        43,
+        false,
+        &[worker.endpoint_json("terminating"), other.endpoint_json("s-2", "in_service")],
+    ));
+    worker.drain_backlog();
+    let mut stream = worker.accept();
+    drop(held);
+    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request goes to who drains");
+    goes_to(&other, &worker, &node, client);
+}
+
+#[test]
+fn client_leaves_as_connection_is_established_then_nothing_is_sent() {
+    let worker = FullBacklogWorker::start();
+    let (node, _watch, _discovery, client) = dialling(&worker);
+    let mut crowd: Vec<_> = (0..300).map(|_| known_connection(&node)).collect();
+    let held = node.pause();
+    // The notice that it has gone stands behind more words than the dispatch task hears in one turn.
+    crowd.iter_mut().for_each(|client| client.send(&word("r0")));
+    drop(client);
+    worker.drain_backlog();
+    let mut stream = worker.accept();
+    drop(held);
+    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request goes out for nobody");
+    wait_for_counter(&node, CLIENTS_GONE, 1);
+}
+
+#[test]
+fn client_leaves_as_its_job_is_dequeued_then_no_attempt_begins() {
+    // The worker is at work for the first, and the second waits in line. The word that makes room stands before
+    // the notice that the second's client has gone.
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let first = node.submit_job("r1", "order", 8.0);
+    worker.next_request().accept();
+    node.post_callback("r1", "s-1", r#""state":"started""#);
+    let second = node.submit_job("r2", "order", 8.0);
+    wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
+    let mut words = known_connection(&node);
+    let held = node.pause();
+    words.send(&word("r1"));
+    drop(second);
+    drop(held);
+    assert_eq!(read_response(first).status(), 200);
+    wait_for_counter(&node, CLIENTS_GONE, 1);
+    assert_eq!(
+        (node.counter("curlewusher_delivery_attempts_total"), node.counter(NEVER_SENT)),
+        (1, 1),
+        "an attempt begins for nobody"
+    );
+    assert!(!worker.has_pending_request());
+}
