--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,18 +4,19 @@
 
 mod compare;
 mod console;
-mod drill;
 mod event_log;
 mod fleet;
 mod links;
 mod load;
 mod nodes;
+mod operator_actions;
 mod play;
 mod report;
 mod rules;
 mod scenario;
 mod scripted;
-mod upkeep;
+mod stress_run;
+mod upgrade;
 
 #[cfg(test)]
 #[path = "../../toml-diagnostics/tests/support/golden.rs"]
@@ -89,7 +90,7 @@
     /// Do one thing of daily operation many times on a node under load, and print a table of what came of it
     Drill {
         /// What is done
-        kind: drill::Kind,
+        kind: stress_run::StressKind,
         /// How many times, one after another
         #[arg(long, default_value_t = 20)]
         times: usize,
@@ -151,12 +152,12 @@
             if !(0.0..=scenario::MAX_DELAY_S).contains(&delay) {
                 return Err(format!("--delay: {delay} is not from 0 to {}", scenario::MAX_DELAY_S));
             }
-            let drill = drill::Drill { kind, times, delay_s: delay };
+            let stress = stress_run::StressRun { kind, rounds: times, max_delay_s: delay };
             let program = program_or_scripted(node, scripted, &out)?;
-            runtime(1)?.block_on(run(drill.scenario(seed), program, Some(drill), !quiet)).map(|ran| {
+            runtime(1)?.block_on(run(stress.scenario(seed), program, Some(stress), !quiet)).map(|ran| {
                 print!(
                     "{}",
-                    drill::table(drill, seed, &ran.played, &ran.figures.operations, &ran.violations)
+                    stress_run::table(stress, seed, &ran.played, &ran.figures.operations, &ran.violations)
                 );
                 println!("report: {}", out.join("report.html").display());
                 ran.code
@@ -268,12 +269,12 @@
 async fn run(
     scenario: Scenario,
     program: Program,
-    drill: Option<drill::Drill>,
+    stress: Option<stress_run::StressRun>,
     bar: bool,
 ) -> Result<Ran, String> {
     let out = program.folder.clone();
     std::fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
-    let played = play::play(scenario.clone(), program, drill, bar).await?;
+    let played = play::play(scenario.clone(), program, stress, bar).await?;
     // A run cut short leaves requests open that nobody can be blamed for.
     let mut violations = if played.interrupted {
         Vec::new()
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -17,13 +17,14 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 use crate::console::free_place;
-use crate::drill::Drill;
 use crate::event_log::{Event, EventLog, Record};
 use crate::fleet::{Fleet, NodePlaces, Order, Tries};
 use crate::load::{Clients, Front};
 use crate::nodes::{Node, NodeError, Place, Program, Sample, asked, cost};
+use crate::operator_actions::join_all;
 use crate::scenario::{Fault, FaultKind, Scenario};
-use crate::upkeep::{Plan, join_all};
+use crate::stress_run::StressRun;
+use crate::upgrade::UpgradePlan;
 
 /// The front notices that a node ends or has died after this.
 const FRONT_HEARS_END: Duration = Duration::from_millis(300);
@@ -68,7 +69,7 @@
 }
 
 /// All that a run consists of.
-pub struct Stage {
+pub struct Environment {
     pub scenario: Arc<Scenario>,
     pub program: Program,
     pub fleet: Fleet,
@@ -84,7 +85,7 @@
     temporary: PathBuf,
 }
 
-impl Drop for Stage {
+impl Drop for Environment {
     fn drop(&mut self) {
         // What is left is worth nothing to anybody, and a folder that cannot be removed does no harm.
         let _ = std::fs::remove_dir_all(&self.temporary);
@@ -92,11 +93,11 @@
 }
 
 /// Plays a scenario to its end, or until the process is interrupted: then all children end and what was seen remains.
-/// With a drill, the load ends once that is over.
+/// With a stress run, the load ends once that is over.
 pub async fn play(
     scenario: Scenario,
     program: Program,
-    drill: Option<Drill>,
+    stress: Option<StressRun>,
     bar: bool,
 ) -> Result<Played, String> {
     let scenario = Arc::new(scenario);
@@ -107,9 +108,9 @@
     let front = Arc::new(Front::new(scenario.nodes.count, places.clone(), log.clone()));
     let temporary = std::env::temp_dir().join(format!("curlewusher-testbed-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&temporary);
-    let stage = Arc::new(Stage {
+    let environment = Arc::new(Environment {
         nodes: (0..scenario.nodes.count).map(|_| Mutex::default()).collect(),
-        consoles: drill.is_some() || scenario.needs_admin_addresses(),
+        consoles: stress.is_some() || scenario.needs_admin_addresses(),
         scenario: scenario.clone(),
         program,
         fleet,
@@ -121,7 +122,10 @@
     });
     let starts = async {
         for node in 0..scenario.nodes.count {
-            stage.start_node(node, SocketAddr::from(([127, 0, 0, 1], 0))).await.map_err(|e| e.to_string())?;
+            environment
+                .start_node(node, SocketAddr::from(([127, 0, 0, 1], 0)))
+                .await
+                .map_err(|e| e.to_string())?;
         }
         Ok::<(), String>(())
     };
@@ -135,8 +139,8 @@
     // Upgrades are seen through; of the other faults, some never end.
     let (mut tasks, mut upgrades) = (JoinSet::new(), JoinSet::new());
     for (nth, fault) in scenario.faults.clone().into_iter().enumerate() {
-        let (stage, upgrade) = (stage.clone(), fault.kind.is_upgrade());
-        let task = async move { stage.fault(nth, fault, begin).await };
+        let (environment, upgrade) = (environment.clone(), fault.kind.is_upgrade());
+        let task = async move { environment.fault(nth, fault, begin).await };
         if upgrade {
             upgrades.spawn(task)
         } else {
@@ -147,25 +151,25 @@
         tasks.spawn(front.clone().watch(node));
     }
     let samples = Arc::new(parking_lot::Mutex::new(Vec::new()));
-    let (watched, kept) = (stage.clone(), samples.clone());
+    let (watched, kept) = (environment.clone(), samples.clone());
     let sampling = tokio::spawn(async move { watched.sample(kept).await });
-    let all = drill.map_or(jobs.len(), |drill| drill.times);
+    let all = stress.map_or(jobs.len(), |run| run.rounds);
     let clients = Arc::new(Clients::new(scenario.clone(), jobs, tries, front, log.clone()));
     let shown = if bar { ProgressBar::new(all as u64) } else { ProgressBar::hidden() };
-    let what = if drill.is_some() { "times" } else { "jobs ended" };
+    let what = if stress.is_some() { "times" } else { "jobs ended" };
     let style = &format!("{{elapsed_precise}} {{wide_bar}} {{pos}}/{{len}} {what}");
     let rounds = Arc::new(AtomicUsize::new(0));
-    if let Some(drill) = drill {
-        let (stage, clients, rounds) = (stage.clone(), clients.clone(), rounds.clone());
+    if let Some(run) = stress {
+        let (environment, clients, rounds) = (environment.clone(), clients.clone(), rounds.clone());
         tasks.spawn(async move {
-            stage.drill(drill, begin, &rounds).await;
+            environment.stress(run, begin, &rounds).await;
             clients.enough.store(true, Ordering::Relaxed);
         });
     }
     shown.set_style(ProgressStyle::with_template(style).unwrap_or_else(|_| ProgressStyle::default_bar()));
     let mut load = tokio::spawn(clients.run(begin, done.clone()));
     let interrupted = loop {
-        let count = if drill.is_some() { &rounds } else { &done };
+        let count = if stress.is_some() { &rounds } else { &done };
         shown.set_position(count.load(Ordering::Relaxed) as u64);
         tokio::select! {
             _ = &mut load => break false,
@@ -179,14 +183,14 @@
     while !interrupted && upgrades.join_next().await.is_some() {}
     upgrades.shutdown().await;
     tasks.shutdown().await;
-    stage.end(interrupted).await;
+    environment.end(interrupted).await;
     sampling.abort();
-    let crashes = std::mem::take(&mut *stage.crashes.lock());
+    let crashes = std::mem::take(&mut *environment.crashes.lock());
     let samples = std::mem::take(&mut *samples.lock());
     Ok(Played { records: log.take(), samples, begin, end, crashes, interrupted })
 }
 
-impl Stage {
+impl Environment {
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
         let discovery = self.fleet.discovery_for(number).await.map_err(StartError::Discovery)?;
         let console = self.consoles.then(free_place);
@@ -317,15 +321,16 @@
                 }
             }
             FaultKind::NodeDrain => {
-                join_all(targets.iter().map(|node| self.node_drain(*node, until))).await;
+                join_all(targets.iter().map(|node| self.drain_node(*node, until))).await;
             }
             FaultKind::Maintenance => {
                 let length = Duration::from_secs_f64(fault.for_s.unwrap_or_default());
-                join_all(targets.iter().map(|worker| self.maintain(*worker, length))).await;
+                join_all(targets.iter().map(|worker| self.maintain_worker(*worker, length))).await;
             }
             FaultKind::Upgrade | FaultKind::KillInUpgrade => {
-                let plan =
-                    |node: &usize| Plan::draw(&self.scenario, &fault, &format!("upgrade-{nth}-{node}"));
+                let plan = |node: &usize| {
+                    UpgradePlan::draw(&self.scenario, &fault, &format!("upgrade-{nth}-{node}"))
+                };
                 join_all(targets.iter().map(|node| self.upgrade(*node, plan(node)))).await;
             }
         }
