--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -272,14 +272,20 @@
             *next += 1;
             *next * 1000 + node as u64
         };
-        let (queue, calls, call_time) = (self.queue.clone(), self.calls.clone(), self.call_time);
+        let discovery = DiscoveryService {
+            node,
+            port,
+            queue: self.queue.clone(),
+            calls: self.calls.clone(),
+            call_time: self.call_time,
+        };
         let task = tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
-                let (queue, calls) = (queue.clone(), calls.clone());
+                let discovery = discovery.clone();
                 let service = service_fn(move |request: Request<Incoming>| {
-                    let (queue, calls) = (queue.clone(), calls.clone());
-                    async move { Ok::<_, Infallible>(list(request, node, port, queue, calls, call_time).await) }
+                    let discovery = discovery.clone();
+                    async move { Ok::<_, Infallible>(answer_poll(discovery, request).await) }
                 });
                 tokio::spawn(
                     hyper::server::conn::http1::Builder::new()
@@ -302,15 +308,20 @@
     }
 }
 
-/// A call of discovery.
-async fn list(
-    request: Request<Incoming>,
+/// The discovery service of one node.
+#[derive(Clone)]
+struct DiscoveryService {
     node: usize,
     port: u64,
     queue: UnboundedSender<Notice>,
+    /// Serialises the calls of all nodes.
     calls: Arc<tokio::sync::Mutex<()>>,
     call_time: Duration,
-) -> Reply {
+}
+
+/// Answers a call of discovery.
+async fn answer_poll(service: DiscoveryService, request: Request<Incoming>) -> Reply {
+    let DiscoveryService { node, port, queue, calls, call_time } = service;
     let failed = || reply(StatusCode::SERVICE_UNAVAILABLE, "not now\n");
     let figure = |name: &str| {
         let query = request.uri().query().unwrap_or_default();
@@ -778,19 +789,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test]
-    async fn a_port_refuses_while_its_worker_is_down_and_is_given_to_nobody_else() {
-        let port = Port::reserve().expect("a port");
-        for _ in 0..2 {
-            let refused = tokio::net::TcpStream::connect(port.address).await.expect_err("nothing listens");
-            assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
-            assert!(std::net::TcpListener::bind(port.address).is_err(), "another cannot take it");
-            let listener = port.listen().expect("its own worker can");
-            let (up, _) = tokio::join!(tokio::net::TcpStream::connect(port.address), listener.accept());
-            assert!(up.is_ok());
-        }
-    }
-}
+#[path = "../tests/unit/fleet.rs"]
+mod tests;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -30,6 +30,14 @@
     pub body: Vec<u8>,
 }
 
+/// Where a request goes.
+pub struct Route {
+    pub node: usize,
+    pub address: SocketAddr,
+    /// A connection that was kept, in place of a new one.
+    pub kept_connection: Option<TcpStream>,
+}
+
 /// All connections of all clients, by node.
 pub struct Links(Vec<Mutex<OfNode>>);
 
@@ -72,17 +80,11 @@
 
     /// Sends a request on a connection that was taken, or on a new one, and reads the answer. With `keep` the
     /// connection is held afterwards if the node allows that.
-    pub async fn send(
-        &self,
-        node: usize,
-        place: SocketAddr,
-        taken: Option<TcpStream>,
-        request: &[u8],
-        keep: bool,
-    ) -> Result<Answer, FailureReason> {
-        let mut stream = match taken {
+    pub async fn send(&self, route: Route, request: &[u8], keep: bool) -> Result<Answer, FailureReason> {
+        let Route { node, address, kept_connection } = route;
+        let mut stream = match kept_connection {
             Some(stream) => stream,
-            None => match timeout(CONNECT_TIME, TcpStream::connect(place)).await {
+            None => match timeout(CONNECT_TIME, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => stream,
                 _ => return Err(FailureReason::Unreachable),
             },
@@ -160,59 +162,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::net::{TcpListener, TcpSocket};
-
-    #[tokio::test]
-    async fn what_was_read_and_dropped_is_told_from_what_was_never_read() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let place = listener.local_addr().expect("an address");
-        let links = Links::new(1);
-        let dropped = async {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
-            let mut all = [0; 4];
-            stream.read_exact(&mut all).await.expect("all of it");
-        };
-        let (seen, ()) = tokio::join!(links.send(0, place, None, b"read", true), dropped);
-        assert_eq!(seen, Err(FailureReason::Closed));
-        // A queue that ends with what is in it.
-        let (seen, ()) = tokio::join!(links.send(0, place, None, b"unread", true), async {
-            let (stream, _) = listener.accept().await.expect("a connection");
-            stream.readable().await.expect("something");
-        });
-        assert_eq!(seen, Err(FailureReason::Reset));
-        drop(listener);
-        assert_eq!(links.send(0, place, None, b"none", true).await, Err(FailureReason::Unreachable));
-    }
-
-    #[tokio::test]
-    async fn a_connection_is_held_while_the_node_leaves_it_open() {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(8).expect("a port");
-        let place = listener.local_addr().expect("an address");
-        let links = Links::new(1);
-        let serve = async {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
-            let mut all = [0; 3];
-            stream.read_exact(&mut all).await.expect("all of it");
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").await.expect("an answer");
-            stream
-        };
-        let (seen, mut server) = tokio::join!(links.send(0, place, None, b"ask", true), serve);
-        assert_eq!(seen.map(|a| (a.status, a.body)), Ok((200, b"hi".to_vec())));
-        assert_eq!(links.standing(0), (1, 0));
-        let taken = links.take(0).expect("the same");
-        let again = async {
-            let mut all = [0; 3];
-            server.read_exact(&mut all).await.expect("all of it");
-            let end =
-                b"HTTP/1.1 503 No\r\nConnection: close\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
-            server.write_all(end).await.expect("an answer");
-        };
-        let (seen, ()) = tokio::join!(links.send(0, place, Some(taken), b"ask", true), again);
-        assert_eq!(seen.map(|a| (a.status, a.retry_after)), Ok((503, Some(1.5))));
-        assert_eq!(links.standing(0), (0, 0), "it was told to close it");
-    }
-}
+#[path = "../tests/unit/links.rs"]
+mod tests;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,20 +1,18 @@
 //! Owns the clients: an open loop that sends each job at its intended moment, whatever became of those before, and the
 //! front that spreads them over the nodes. It must never wait for an answer before the next job.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
 use curlewusher_model::workload::PlannedJob;
 use curlewusher_model::{Micros, span};
-use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
 use crate::event_log::{Event, EventLog, FailureReason, Readiness};
 use crate::fleet::{NodePlaces, Tries, result_of};
-use crate::links::Links;
+use crate::links::{Links, Route};
 use crate::nodes::asked;
 use crate::scenario::{Idempotence, Scenario};
 
@@ -42,14 +40,6 @@
     log: EventLog,
 }
 
-/// Where a try goes.
-struct Way {
-    node: usize,
-    place: SocketAddr,
-    /// A connection that was held.
-    held: Option<TcpStream>,
-}
-
 impl Front {
     pub fn new(nodes: usize, places: NodePlaces, log: EventLog) -> Self {
         Front {
@@ -98,14 +88,14 @@
 
     /// The next node in turn that takes new connections, or to which one is held: those stay in use while
     /// they are open.
-    fn pick(&self, new_ones: bool) -> Option<Way> {
+    fn pick(&self, new_ones: bool) -> Option<Route> {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
         let all = self.closes.len();
         (0..all).map(|n| (first + n) % all).find_map(|node| {
             let place = self.places.lock()[node]?;
             let held = if new_ones { None } else { self.links.take(node) };
             let open = self.log.now() < self.closes[node].load(Ordering::Relaxed);
-            (open || held.is_some()).then_some(Way { node, place, held })
+            (open || held.is_some()).then_some(Route { node, address: place, kept_connection: held })
         })
     }
 }
@@ -189,8 +179,8 @@
         let class = &self.scenario.classes[planned.class];
         // By the golden ratio the share is the same in every stretch of jobs.
         let new_ones = (job as f64 * 0.618_033_988_749_895).fract() < self.scenario.load.new_connections;
-        let way = self.front.pick(new_ones);
-        let node = way.as_ref().map_or(0, |way| way.node);
+        let route = self.front.pick(new_ones);
+        let node = route.as_ref().map_or(0, |route| route.node);
         let id = format!("j{job}-{number}");
         self.tries.add(&id, node, job);
         self.log.record(Event::RequestSent {
@@ -201,12 +191,12 @@
             timeout_us: wait,
             late_us,
         });
-        let Some(way) = way else { return self.missing(id, FailureReason::NoNode) };
+        let Some(route) = route else { return self.missing(id, FailureReason::NoNode) };
         let mut request = format!(
             "POST /api/set-{} HTTP/1.1\r\nhost: {}\r\nx-request-id: {id}\r\nx-class: {}\r\nx-deadline: {:.6}\r\n\
              x-cost-hint: {:.0}\r\nx-extras: slots={}\r\n",
             planned.set,
-            way.place,
+            route.address,
             class.name,
             wait as f64 / 1e6,
             planned.hint_seconds * 1e6,
@@ -219,7 +209,7 @@
             request += "x-retry: 1\r\n";
         }
         request += &format!("content-length: {}\r\n\r\n{BODY}", BODY.len());
-        let answer = self.front.links.send(node, way.place, way.held, request.as_bytes(), !new_ones);
+        let answer = self.front.links.send(route, request.as_bytes(), !new_ones);
         let answer = match timeout(Duration::from_micros(wait) + PATIENCE, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(why)) => return self.missing(id, why),
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -332,15 +332,15 @@
                     }
                 }
                 h2 { "Worth in time, by second of asking (mean of 3 s); faults as bands" }
-                (plot(&share, length, Some(1.0), &bands, "s", "share"))
+                (plot(&share, Axes { right: length, top: Some(1.0), x_label: "s", y_label: "share" }, &bands))
                 h2 { "Processor of each node" }
-                (plot(&cpu, length, None, &bands, "s", "cores"))
+                (plot(&cpu, Axes { right: length, top: None, x_label: "s", y_label: "cores" }, &bands))
                 h2 { "Memory of each node" }
-                (plot(&of_nodes(&|s| s.memory_mb), length, None, &bands, "s", "MB"))
+                (plot(&of_nodes(&|s| s.memory_mb), Axes { right: length, top: None, x_label: "s", y_label: "MB" }, &bands))
                 h2 { "Descriptors of each node" }
-                (plot(&of_nodes(&|s| s.descriptors as f64), length, None, &bands, "s", "open"))
+                (plot(&of_nodes(&|s| s.descriptors as f64), Axes { right: length, top: None, x_label: "s", y_label: "open" }, &bands))
                 h2 { "Attempts by worker" }
-                (plot(&[("attempts".into(), load)], figures.attempts_of_worker.len() as f64, None, &[], "worker", "attempts"))
+                (plot(&[("attempts".into(), load)], Axes { right: figures.attempts_of_worker.len() as f64, top: None, x_label: "worker", y_label: "attempts" }, &[]))
                 @if !operation_lines(&figures.operations).is_empty() {
                     h2 { "Operators' work" }
                     ul { @for line in operation_lines(&figures.operations) { li { (line) } } }
@@ -397,14 +397,18 @@
 
 type Line = (String, Vec<(f64, f64)>);
 
-fn plot(
-    lines: &[Line],
+/// The axes of a plot.
+struct Axes<'a> {
+    /// The largest x.
     right: f64,
+    /// The largest y; none if the lines decide it.
     top: Option<f64>,
-    bands: &[(f64, f64, String)],
-    x: &str,
-    y: &str,
-) -> Markup {
+    x_label: &'a str,
+    y_label: &'a str,
+}
+
+fn plot(lines: &[Line], axes: Axes, bands: &[(f64, f64, String)]) -> Markup {
+    let Axes { right, top, x_label, y_label } = axes;
     let highest = lines.iter().flat_map(|(_, line)| line).map(|(_, y)| *y).fold(0.0, f64::max);
     let top = top.unwrap_or(if highest > 0.0 { highest * 1.1 } else { 1.0 });
     let mut svg = String::new();
@@ -415,7 +419,7 @@
             .x_label_area_size(34)
             .y_label_area_size(54)
             .build_cartesian_2d(0.0..right.max(1.0), 0.0..top)?;
-        chart.configure_mesh().x_desc(x).y_desc(y).light_line_style(TRANSPARENT).draw()?;
+        chart.configure_mesh().x_desc(x_label).y_desc(y_label).light_line_style(TRANSPARENT).draw()?;
         for (from, until, _) in bands {
             let corners = [(*from, 0.0), (until.max(from + right / 300.0), top)];
             chart.draw_series([Rectangle::new(corners, RGBColor(200, 60, 40).mix(0.10).filled())])?;
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -127,6 +127,15 @@
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
+/// A client's request as it is forwarded to workers.
+#[derive(Clone)]
+struct ForwardedRequest {
+    id: String,
+    path: String,
+    body: Bytes,
+    head: hyper::HeaderMap,
+}
+
 /// How an attempt ended.
 enum End {
     Done(String),
@@ -440,6 +449,7 @@
         if self.flaw == Flaw::Crash && count / 10 >= 20 {
             std::process::exit(7);
         }
+        let forwarded = ForwardedRequest { id, path, body, head };
         let answer = async {
             let mut not = Vec::new();
             for _ in 0..3 {
@@ -449,11 +459,10 @@
                     && not.is_empty()
                     && let Some(other) = self.next(std::slice::from_ref(&worker.name))
                 {
-                    let (node, id, path, body, head) =
-                        (self.clone(), id.clone(), path.clone(), body.clone(), head.clone());
-                    tokio::spawn(async move { node.attempt(&other, &id, &path, body, &head).await });
+                    let (node, forwarded) = (self.clone(), forwarded.clone());
+                    tokio::spawn(async move { node.attempt(&other, forwarded).await });
                 }
-                match self.attempt(&worker, &id, &path, body.clone(), &head).await {
+                match self.attempt(&worker, forwarded.clone()).await {
                     End::Done(result) => {
                         let forged = self.flaw == Flaw::ForgedResult && eighth;
                         return reply(StatusCode::OK, if forged { "made up".into() } else { result });
@@ -474,16 +483,10 @@
         answer.unwrap_or_else(|_| reply(StatusCode::BAD_GATEWAY, ""))
     }
 
-    async fn attempt(
-        &self,
-        to: &Endpoint,
-        id: &str,
-        path: &str,
-        body: Bytes,
-        head: &hyper::HeaderMap,
-    ) -> End {
+    async fn attempt(&self, to: &Endpoint, forwarded: ForwardedRequest) -> End {
+        let ForwardedRequest { id, path, body, head } = forwarded;
         let (waits, word) = oneshot::channel();
-        self.waiting.lock().insert((id.to_owned(), to.name.clone()), waits);
+        self.waiting.lock().insert((id, to.name.clone()), waits);
         let mut request = Request::post(format!("http://{}{path}", to.address));
         for name in ["x-request-id", "idempotency-key", "x-deadline"] {
             if let Some(value) = head.get(name) {
--- /dev/null
+++ b/crates/testbed/tests/unit/fleet.rs
@@ -0,0 +1,16 @@
+//! Ports of workers.
+
+use super::*;
+
+#[tokio::test]
+async fn port_of_a_worker_that_is_down_then_it_refuses_and_nobody_else_gets_it() {
+    let port = Port::reserve().expect("a port");
+    for _ in 0..2 {
+        let refused = tokio::net::TcpStream::connect(port.address).await.expect_err("nothing listens");
+        assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
+        assert!(std::net::TcpListener::bind(port.address).is_err(), "another cannot take it");
+        let listener = port.listen().expect("its own worker can");
+        let (up, _) = tokio::join!(tokio::net::TcpStream::connect(port.address), listener.accept());
+        assert!(up.is_ok());
+    }
+}
