--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -214,10 +214,13 @@
     async fn follow_predecessor(&mut self, predecessor: Predecessor) {
         self.set_link(Some(predecessor.link));
         if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
-            let learned = transfer.state.learned.take();
-            let maintenance_only = TransferableState { bans: transfer.state.bans.clone(), learned: None };
+            let snapshot = transfer.state.snapshot.take();
+            let maintenance_only = TransferableState {
+                disabled_workers: transfer.state.disabled_workers.clone(),
+                snapshot: None,
+            };
             self.restore(transfer.drained, maintenance_only).await;
-            transfer.state.learned = learned;
+            transfer.state.snapshot = snapshot;
             self.handshake_state = Some(transfer);
         }
     }
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -18,13 +18,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::{Connection, ConnectionState, MAX_HEAD_BYTES};
+use super::{Connection, ConnectionState, MAX_HEAD_BYTES, READ_CHUNK_BYTES};
 use crate::telemetry::metrics::{Counter, Metrics};
 
 /// Most headers of a request, as in hyper.
 const MAX_HEADERS: usize = 100;
-/// Bytes read from the socket at once.
-const READ_CHUNK_BYTES: usize = 4096;
 /// What hyper reads in place of a request that must not be served: it answers 400 and closes.
 const INVALID_REQUEST: &[u8] = b"REFUSED\r\n\r\n";
 /// Value of [`ReadFilter::forwardable_bytes`] for a stream that is passed on to its end.
@@ -127,7 +125,7 @@
             // What has arrived is read first, however late that is: it may be the end of a request, which
             // would be lost. Its length is bounded.
             if self.connection.read_expired.replace(false) && !self.has_unread_input() {
-                self.metrics.add(Counter::Cut);
+                self.metrics.add(Counter::ConnectionsTimedOut);
                 if self.forwardable_bytes > 0 || self.buffered.is_empty() || self.intake_closed.get() {
                     return Poll::Ready(Ok(()));
                 }
@@ -172,7 +170,7 @@
             Ok(httparse::Status::Partial) if self.buffered.len() <= MAX_HEAD_BYTES => return,
             // hyper answers what is wrong with it more precisely; nothing behind it is read.
             Ok(httparse::Status::Partial) | Err(_) => {
-                self.metrics.add(Counter::Rejected);
+                self.metrics.add(Counter::RequestsMalformed);
                 self.forwardable_bytes = UNLIMITED;
                 return;
             }
@@ -192,7 +190,7 @@
 
     /// Has hyper answer 400 in place of serving what is buffered.
     fn substitute_invalid_request(&mut self) {
-        self.metrics.add(Counter::Rejected);
+        self.metrics.add(Counter::RequestsMalformed);
         self.buffered.clear();
         self.buffered.extend_from_slice(INVALID_REQUEST);
         self.forwardable_bytes = UNLIMITED;
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -34,7 +34,7 @@
 /// X-Cost-Hint is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Slots that a job may ask for.
-const SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
+const ALLOWED_SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
 /// Slots of a job that does not ask for any.
 const DEFAULT_SLOTS: f64 = 1.0;
 
@@ -148,25 +148,25 @@
         })
     }
 
-    /// The message with which the job is submitted to the dispatch task, which answers on `answer`.
+    /// The message with which the job is submitted to the dispatch task, which answers on `response_channel`.
     pub fn into_submission(
         self,
         body: Bytes,
         job_handle: JobHandle,
-        answer: oneshot::Sender<JobResponse>,
+        response_channel: oneshot::Sender<JobResponse>,
     ) -> SubmittedJob<RequestPayload> {
         SubmittedJob {
-            id: self.request_id,
+            request_id: self.request_id,
             class: self.class,
             tenant: self.tenant,
             deadline: self.deadline,
-            hint: self.cost_hint,
+            cost_hint: self.cost_hint,
             slots: self.slots,
-            key: self.affinity_key,
-            repeat: self.is_retry,
+            affinity_key: self.affinity_key,
+            is_retry: self.is_retry,
             payload: self.forwarded.into_payload(body),
             job_handle,
-            answer,
+            response_channel,
         }
     }
 }
@@ -227,7 +227,7 @@
 /// How many slots of a worker the job takes.
 fn parse_slots(headers: &HeaderMap) -> Result<f64, RequestError> {
     let slots = parse_extra(headers, "slots")?.unwrap_or(DEFAULT_SLOTS);
-    if SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
+    if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
 }
 
 /// One of the figures of X-Extras, a list of `name=figure`; the last one of that name counts.
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -55,7 +55,7 @@
         spawn_local(async move { attempts.resume(attempt).await });
     }
 
-    fn forget_endpoint(&self, address: SocketAddr) {
+    fn discard_connections(&self, address: SocketAddr) {
         self.attempts.pool.discard_connections(address);
     }
 }
