--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -90,7 +90,11 @@
 }
 
 impl WorkloadSpec {
-    /// Checks the parameters; the error names the first one that is not finite and above 0.
+    /// Checks the parameters.
+    ///
+    /// # Errors
+    ///
+    /// If a parameter is not finite and above 0; the error names the first such one.
     pub fn validate(&self) -> Result<(), InvalidParameter> {
         require_positive(self.rate, "rate")?;
         require_positive(self.length as f64, "length")?;
