--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -93,7 +93,8 @@
     /// Checks the parameters.
     ///
     /// # Errors
-    /// Names the first parameter that is not finite and above 0.
+    ///
+    /// If a parameter is not finite and above 0; the error names the first such one.
     pub fn validate(&self) -> Result<(), InvalidParameter> {
         require_positive(self.rate, "rate")?;
         require_positive(self.length as f64, "length")?;
