--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -139,7 +139,7 @@
             scenario.seed = seed.unwrap_or(scenario.seed);
             let program = program_or_scripted(node, scripted, &out)?;
             runtime(1)?.block_on(run(scenario, program, None, !quiet)).map(|ran| {
-                print!("{}", report::in_short(&ran.figures));
+                print!("{}", report::render_summary(&ran.figures));
                 println!("report: {}", out.join("report.html").display());
                 ran.code
             })
@@ -272,12 +272,12 @@
     let mut breaches =
         if played.interrupted { Vec::new() } else { judge::judge(&played.records, &scenario.rules()) };
     breaches.extend(daily::size(&played.samples, &scenario));
-    let figures = report::figures(&scenario, &played, &breaches);
+    let figures = report::compute_figures(&scenario, &played, &breaches);
     let lines = played.records.iter().map(|record| serde_json::to_string(record).map(|line| line + "\n"));
     let seen: String = lines.collect::<Result<_, _>>().map_err(|e| e.to_string())?;
     write(&out.join("seen.jsonl"), &seen)?;
     write(&out.join("figures.json"), &serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?)?;
-    write(&out.join("report.html"), &report::page(&scenario, &played, &figures, &breaches))?;
+    write(&out.join("report.html"), &report::render_page(&scenario, &played, &figures, &breaches))?;
     for breach in breaches.iter().take(5) {
         eprint!("BROKEN RULE {breach}");
     }
--- /dev/null
+++ b/crates/testbed/src/report/mod.rs
@@ -0,0 +1,13 @@
+//! Report of a run: its figures, the summary for a terminal and the HTML page.
+//!
+//! Everything here is derived from the records and samples of a finished run; nothing is measured.
+
+mod chart;
+mod figures;
+mod page;
+mod series;
+mod summary;
+
+pub use figures::{Figures, compute_figures};
+pub use page::render_page;
+pub use summary::render_summary;
