--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,80 +1,108 @@
-//! Owns the comparison of two sides over the same seeds: paired differences, and how sure they are. It must never run
-//! anything; it is given the figures of both sides.
+//! Paired comparison of two sides over the same seeds: the mean difference and its confidence interval.
+//!
+//! Takes the figures of both sides; it runs nothing itself.
 
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
+use thiserror::Error;
 
 use crate::report::Figures;
 
-/// What a comparison says.
+/// Quantile of Student's t distribution for a two-sided 95 % confidence interval.
+const CONFIDENCE_QUANTILE: f64 = 0.975;
+
+/// Result of a comparison.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
+    /// Number of valid pairs.
     pub pairs: usize,
-    /// Mean of b less a, of the share of worth in time.
+    /// Mean of the differences b - a of the share in time.
     pub mean: f64,
-    /// Half of the interval that holds the true difference nineteen times in twenty, by Student's t.
-    pub half: f64,
-    /// a and b of each pair, in the order of the seeds.
-    pub shares: Vec<(u64, f64, f64)>,
+    /// Half width of the 95 % confidence interval of the mean; infinite for a single pair.
+    #[serde(rename = "half")]
+    pub half_width: f64,
+    /// The valid pairs, in the order in which they were given.
+    pub shares: Vec<PairedShares>,
+}
+
+/// Shares in time of both sides for one seed. Stored as an array `[seed, a, b]`.
+#[derive(Clone, Copy, Debug, Serialize)]
+#[serde(into = "(u64, f64, f64)")]
+pub struct PairedShares {
+    pub seed: u64,
+    pub a: f64,
+    pub b: f64,
+}
+
+impl PairedShares {
+    fn difference(&self) -> f64 {
+        self.b - self.a
+    }
+}
+
+impl From<PairedShares> for (u64, f64, f64) {
+    fn from(shares: PairedShares) -> Self {
+        (shares.seed, shares.a, shares.b)
+    }
+}
+
+/// Why runs cannot be compared.
+#[derive(Debug, Error)]
+pub enum CompareError {
+    /// Both runs of a pair must be of one scenario and one seed.
+    #[error("a pair is no pair: {title_a} seed {seed_a} and {title_b} seed {seed_b}")]
+    MismatchedPair { title_a: String, seed_a: u64, title_b: String, seed_b: u64 },
+    /// In each pair, at least one run is not valid.
+    #[error("no pair of valid runs is left: give the machine to the runs alone, or ask for less load")]
+    NoValidPair,
+    /// The t distribution rejected its parameters.
+    #[error(transparent)]
+    Distribution(#[from] statrs::distribution::StudentsTError),
 }
 
 impl Comparison {
-    /// Whether the interval leaves out nought.
-    pub fn clear(&self) -> bool {
-        self.pairs > 1 && self.mean.abs() > self.half
+    /// Whether the confidence interval excludes zero.
+    pub fn is_significant(&self) -> bool {
+        self.pairs > 1 && self.mean.abs() > self.half_width
     }
 }
 
-/// Compares runs of the same scenario and seeds; each pair must be of one seed, and runs that are not valid do not count.
-pub fn compare(pairs: &[(Figures, Figures)]) -> Result<Comparison, String> {
+/// Compares pairs `(a, b)` of runs of the same scenario; pairs with a run that is not valid are left out.
+pub fn compare(pairs: &[(Figures, Figures)]) -> Result<Comparison, CompareError> {
     if let Some((a, b)) = pairs.iter().find(|(a, b)| a.seed != b.seed || a.title != b.title) {
-        return Err(format!(
-            "a pair is no pair: {} seed {} and {} seed {}",
-            a.title, a.seed, b.title, b.seed
-        ));
+        return Err(CompareError::MismatchedPair {
+            title_a: a.title.clone(),
+            seed_a: a.seed,
+            title_b: b.title.clone(),
+            seed_b: b.seed,
+        });
     }
-    let shares: Vec<(u64, f64, f64)> = pairs
+    let shares: Vec<PairedShares> = pairs
         .iter()
         .filter(|(a, b)| a.valid && b.valid)
-        .map(|(a, b)| (a.seed, a.share_in_time, b.share_in_time))
+        .map(|(a, b)| PairedShares { seed: a.seed, a: a.share_in_time, b: b.share_in_time })
         .collect();
     if shares.is_empty() {
-        return Err(
-            "no pair of valid runs is left: give the machine to the runs alone, or ask for less load".into(),
-        );
+        return Err(CompareError::NoValidPair);
     }
-    let count = shares.len() as f64;
-    let mean = shares.iter().map(|(_, a, b)| b - a).sum::<f64>() / count;
-    let half = if shares.len() < 2 {
-        f64::INFINITY
-    } else {
-        let variance = shares.iter().map(|(_, a, b)| (b - a - mean).powi(2)).sum::<f64>() / (count - 1.0);
-        let student = StudentsT::new(0.0, 1.0, count - 1.0).map_err(|e| e.to_string())?;
-        student.inverse_cdf(0.975) * (variance / count).sqrt()
-    };
-    Ok(Comparison { pairs: shares.len(), mean, half, shares })
+    let mean = shares.iter().map(PairedShares::difference).sum::<f64>() / shares.len() as f64;
+    let half_width = confidence_half_width(&shares, mean)?;
+    Ok(Comparison { pairs: shares.len(), mean, half_width, shares })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn run(seed: u64, share: f64, valid: bool) -> Figures {
-        Figures { title: "t".into(), seed, share_in_time: share, valid, ..Figures::default() }
-    }
-
-    #[test]
-    fn noise_is_not_taken_for_gain_and_a_steady_gain_is_clear() {
-        let pairs = |b: [f64; 4]| {
-            (0..4).map(|n| (run(n as u64, 0.5, true), run(n as u64, b[n], true))).collect::<Vec<_>>()
-        };
-        let noise = compare(&pairs([0.6, 0.4, 0.7, 0.35])).expect("pairs");
-        assert!(!noise.clear() && (noise.mean - 0.0125).abs() < 1e-9, "{noise:?}");
-        let gain = compare(&pairs([0.60, 0.61, 0.59, 0.60])).expect("pairs");
-        // By hand: standard deviation 0.00816, so half of the interval is 3.182 x 0.00816 / 2.
-        assert!(gain.clear() && (gain.half - 0.01299).abs() < 1e-4, "{gain:?}");
-        assert!(!compare(&pairs([0.9; 4])[..1]).expect("a pair").clear(), "one pair shows nothing");
-        assert!(compare(&[(run(1, 0.5, true), run(2, 0.5, true))]).is_err());
-        assert!(compare(&[(run(1, 0.5, false), run(1, 0.5, true))]).is_err());
+/// Half width of the 95 % confidence interval of the mean difference, by Student's t.
+fn confidence_half_width(shares: &[PairedShares], mean: f64) -> Result<f64, CompareError> {
+    if shares.len() < 2 {
+        return Ok(f64::INFINITY);
     }
+    let count = shares.len() as f64;
+    let degrees_of_freedom = count - 1.0;
+    let squares: f64 = shares.iter().map(|pair| (pair.difference() - mean).powi(2)).sum();
+    let variance = squares / degrees_of_freedom;
+    let student = StudentsT::new(0.0, 1.0, degrees_of_freedom)?;
+    Ok(student.inverse_cdf(CONFIDENCE_QUANTILE) * (variance / count).sqrt())
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/compare.rs"]
+mod tests;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -180,12 +180,18 @@
                     (side("a", &a, &operator_a)?, first)
                 });
             }
-            let said = compare::compare(&pairs)?;
-            let text = serde_json::to_string_pretty(&said).map_err(|e| e.to_string())?;
+            let comparison = compare::compare(&pairs).map_err(|error| error.to_string())?;
+            let text = serde_json::to_string_pretty(&comparison).map_err(|e| e.to_string())?;
             write(&out.join("comparison.json"), &text)?;
-            let verdict =
-                if said.clear() { "a difference" } else { "no difference that these runs can show" };
-            println!("b less a: {:+.4} +- {:.4} over {} pairs: {verdict}", said.mean, said.half, said.pairs);
+            let verdict = if comparison.is_significant() {
+                "a difference"
+            } else {
+                "no difference that these runs can show"
+            };
+            println!(
+                "b less a: {:+.4} +- {:.4} over {} pairs: {verdict}",
+                comparison.mean, comparison.half_width, comparison.pairs
+            );
             Ok(u8::from(
                 pairs.iter().any(|(a, b)| a.broken_rules + b.broken_rules + a.crashes + b.crashes > 0),
             ))
--- /dev/null
+++ b/crates/testbed/tests/unit/compare.rs
@@ -0,0 +1,23 @@
+//! Comparison of two sides: noise, a steady difference, and pairs that do not count.
+
+use super::compare;
+use crate::report::Figures;
+
+fn run(seed: u64, share: f64, valid: bool) -> Figures {
+    Figures { title: "t".into(), seed, share_in_time: share, valid, ..Figures::default() }
+}
+
+#[test]
+fn noise_then_not_significant_and_steady_gain_then_significant() {
+    let pairs = |b: [f64; 4]| {
+        (0..4).map(|n| (run(n as u64, 0.5, true), run(n as u64, b[n], true))).collect::<Vec<_>>()
+    };
+    let noise = compare(&pairs([0.6, 0.4, 0.7, 0.35])).expect("pairs");
+    assert!(!noise.is_significant() && (noise.mean - 0.0125).abs() < 1e-9, "{noise:?}");
+    let gain = compare(&pairs([0.60, 0.61, 0.59, 0.60])).expect("pairs");
+    // By hand: standard deviation 0.00816, so half of the interval is 3.182 x 0.00816 / 2.
+    assert!(gain.is_significant() && (gain.half_width - 0.01299).abs() < 1e-4, "{gain:?}");
+    assert!(!compare(&pairs([0.9; 4])[..1]).expect("a pair").is_significant(), "one pair shows nothing");
+    assert!(compare(&[(run(1, 0.5, true), run(2, 0.5, true))]).is_err());
+    assert!(compare(&[(run(1, 0.5, false), run(1, 0.5, true))]).is_err());
+}
