--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -8,11 +8,10 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::daily::{self, Daily};
-use crate::judge::Breach;
+use crate::event_log::{Event, FailureReason, Record};
 use crate::nodes::Sample;
 use crate::play::Played;
-use crate::record::{Missing, Record, What};
+use crate::rules::{OperationFigures, Violation, operation_figures};
 use crate::scenario::Scenario;
 
 /// Upper limit of the 99th percentile of send delays in a valid run, ms. Beyond it the load generator did not keep its
@@ -131,14 +130,14 @@
     /// Number of crashes of nodes.
     pub crashes: usize,
     /// Results of operator actions.
-    #[serde(default)]
-    pub daily: Daily,
+    #[serde(default, rename = "daily")]
+    pub operations: OperationFigures,
     /// For each class, the weights of each second of the load.
     pub seconds: Vec<Vec<SecondWeights>>,
 }
 
 /// Computes the figures of a run from its records, its samples and the violations found in it.
-pub fn compute_figures(scenario: &Scenario, played: &Played, violations: &[Breach]) -> Figures {
+pub fn compute_figures(scenario: &Scenario, played: &Played, violations: &[Violation]) -> Figures {
     let traffic = Traffic::from_records(&played.records, scenario.workers());
     let (classes, seconds): (Vec<_>, Vec<_>) =
         class_totals(scenario, played.begin, &traffic.jobs).into_iter().map(ClassTotals::finish).unzip();
@@ -166,7 +165,7 @@
         attempts_by_worker: traffic.attempts_by_worker,
         broken_rules: violations.len(),
         crashes: played.crashes.len(),
-        daily: daily::look(&played.records, &scenario.rules()).1,
+        operations: operation_figures(&played.records, &scenario.rule_parameters()),
         seconds,
     }
 }
@@ -183,16 +182,16 @@
 }
 
 impl Outcome {
-    fn of_response(at: Micros, status: u16, good: bool) -> Self {
+    fn of_response(at: Micros, status: u16, has_own_result: bool) -> Self {
         match status {
-            200 if good => Outcome::Served { at },
+            200 if has_own_result => Outcome::Served { at },
             429 | 503 => Outcome::Refused,
             _ => Outcome::Failed,
         }
     }
 
-    fn of_missing_response(cause: &Missing) -> Self {
-        if matches!(cause, Missing::Unreachable | Missing::NoNode) {
+    fn of_failure(reason: &FailureReason) -> Self {
+        if matches!(reason, FailureReason::Unreachable | FailureReason::NoNode) {
             Outcome::Refused
         } else {
             Outcome::Failed
@@ -231,15 +230,15 @@
             attempts_by_worker: vec![0; workers],
             send_delays: new_histogram(),
         };
-        for Record { at, what } in records {
-            traffic.add(*at, what);
+        for Record { at, event } in records {
+            traffic.add(*at, event);
         }
         traffic
     }
 
-    fn add(&mut self, at: Micros, what: &'a What) {
-        match what {
-            What::Asked { id, job, class, late_us, .. } => {
+    fn add(&mut self, at: Micros, event: &'a Event) {
+        match event {
+            Event::RequestSent { id, job, class, late_us, .. } => {
                 self.requests += 1;
                 self.job_of_request.insert(id, *job);
                 self.jobs.entry(*job).or_insert_with(|| {
@@ -247,11 +246,11 @@
                     Job { class: *class, intended: at - late_us, outcome: Outcome::Failed }
                 });
             }
-            What::Answered { id, status, good } => {
-                self.set_outcome(id, Outcome::of_response(at, *status, *good));
+            Event::ResponseReceived { id, status, has_own_result } => {
+                self.set_outcome(id, Outcome::of_response(at, *status, *has_own_result));
             }
-            What::Unanswered { id, why } => self.set_outcome(id, Outcome::of_missing_response(why)),
-            What::Arrived { worker, .. } => {
+            Event::RequestFailed { id, reason } => self.set_outcome(id, Outcome::of_failure(reason)),
+            Event::AttemptArrived { worker, .. } => {
                 self.attempts += 1;
                 self.attempts_by_worker[*worker] += 1;
             }
@@ -323,13 +322,13 @@
 /// Totals of each class of the scenario; `begin` is the moment when the load began.
 fn class_totals(scenario: &Scenario, begin: Micros, jobs: &BTreeMap<usize, Job>) -> Vec<ClassTotals> {
     // Records do not contain the work of a job; the same seed draws the same jobs as for the load.
-    let planned_jobs = scenario.wish().draw();
+    let planned_jobs = scenario.workload().draw();
     let seconds = scenario.length_s.ceil() as usize;
     let mut totals: Vec<ClassTotals> =
         scenario.classes.iter().map(|class| ClassTotals::new(&class.name, seconds)).collect();
     for (number, job) in jobs {
         let class = &scenario.classes[job.class];
-        let work_s = planned_jobs[*number].work_s;
+        let work_s = planned_jobs[*number].work_seconds;
         let weight = class.worth * work_s;
         let latency_objective = span(class.aim_s + class.stretch * work_s);
         let second = (job.intended.saturating_sub(begin) / MICROS_PER_SECOND) as usize;
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -8,8 +8,8 @@
     FaultPeriod, Series, cpu_cores_by_node, fault_periods, samples_by_node, share_in_time_by_class,
 };
 use super::summary::operation_lines;
-use crate::judge::Breach;
 use crate::play::Played;
+use crate::rules::Violation;
 use crate::scenario::Scenario;
 
 /// Violations that the page shows in full; of further ones it gives the number.
@@ -35,7 +35,12 @@
 ];
 
 /// Renders the page of a run.
-pub fn render_page(scenario: &Scenario, played: &Played, figures: &Figures, violations: &[Breach]) -> String {
+pub fn render_page(
+    scenario: &Scenario,
+    played: &Played,
+    figures: &Figures,
+    violations: &[Violation],
+) -> String {
     let faults = fault_periods(played);
     let page = html! {
         (DOCTYPE)
@@ -88,7 +93,7 @@
     }
 }
 
-fn findings(crashes: &[String], violations: &[Breach]) -> Markup {
+fn findings(crashes: &[String], violations: &[Violation]) -> Markup {
     html! {
         @if violations.is_empty() && crashes.is_empty() {
             p.good { "No rule was broken, and no node crashed." }
@@ -174,7 +179,7 @@
 }
 
 fn operations(figures: &Figures) -> Markup {
-    let lines = operation_lines(&figures.daily);
+    let lines = operation_lines(&figures.operations);
     html! {
         @if !lines.is_empty() {
             h2 { "Operators' work" }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -1,9 +1,9 @@
 //! Time series of a run and the periods of its faults, as the charts of the report show them.
 
 use super::figures::{Figures, SecondWeights};
+use crate::event_log::{Event, Record};
 use crate::nodes::Sample;
 use crate::play::Played;
-use crate::record::{Record, What};
 
 /// A named line of a chart.
 pub struct Series {
@@ -52,15 +52,15 @@
 pub fn fault_periods(played: &Played) -> Vec<FaultPeriod> {
     let seconds = |at: u64| at.saturating_sub(played.begin) as f64 / 1e6;
     let mut periods: Vec<FaultPeriod> = Vec::new();
-    for Record { at, what } in &played.records {
-        let What::Fault { words } = what else { continue };
-        if let Some(description) = words.strip_suffix(" begins") {
+    for Record { at, event } in &played.records {
+        let Event::Fault { description } = event else { continue };
+        if let Some(description) = description.strip_suffix(" begins") {
             periods.push(FaultPeriod {
                 from_s: seconds(*at),
                 until_s: seconds(played.end),
                 description: description.to_owned(),
             });
-        } else if let Some(description) = words.strip_suffix(" ends")
+        } else if let Some(description) = description.strip_suffix(" ends")
             && let Some(period) = periods.iter_mut().rfind(|period| period.description == description)
         {
             period.until_s = seconds(*at);
--- a/crates/testbed/src/report/summary.rs
+++ b/crates/testbed/src/report/summary.rs
@@ -1,7 +1,7 @@
 //! Short text forms of the figures: the summary for a terminal, and a line for each kind of operator action.
 
 use super::figures::{ClassFigures, Figures, NodeFigures};
-use crate::daily::{Daily, Upgrade};
+use crate::rules::{CommandFigures, OperationFigures, UpgradeFigures};
 
 /// The figures as a few lines of text for a terminal.
 pub fn render_summary(figures: &Figures) -> String {
@@ -12,7 +12,7 @@
     );
     text.extend(figures.classes.iter().map(class_line));
     text.extend(figures.nodes.iter().enumerate().map(|(number, node)| node_line(number, node)));
-    for line in operation_lines(&figures.daily) {
+    for line in operation_lines(&figures.operations) {
         text += &format!("{line}\n");
     }
     if !figures.valid {
@@ -60,14 +60,15 @@
 }
 
 /// Results of operator actions: a line for each upgrade and for each kind of command.
-pub fn operation_lines(daily: &Daily) -> Vec<String> {
-    let commands = daily.calls.iter().map(|(command, (count, slowest_ms))| {
-        format!("{command}: {count} calls, the slowest {slowest_ms:.1} ms")
-    });
-    daily.upgrades.iter().map(upgrade_line).chain(commands).collect()
+pub fn operation_lines(operations: &OperationFigures) -> Vec<String> {
+    let command_line = |(verb, figures): (&String, &CommandFigures)| {
+        format!("{verb}: {} calls, the slowest {:.1} ms", figures.count, figures.slowest_ms)
+    };
+    let commands = operations.commands.iter().map(command_line);
+    operations.upgrades.iter().map(upgrade_line).chain(commands).collect()
 }
 
-fn upgrade_line(upgrade: &Upgrade) -> String {
+fn upgrade_line(upgrade: &UpgradeFigures) -> String {
     let after =
         |seconds: Option<f64>| seconds.map_or("never".into(), |seconds| format!("after {seconds:.2} s"));
     let killed = if upgrade.killed { ", one process killed" } else { "" };
@@ -79,7 +80,7 @@
         after(upgrade.ready_s),
         after(upgrade.ended_s),
         upgrade.harmed,
-        upgrade.refused,
-        upgrade.noes
+        upgrade.rejected,
+        upgrade.not_ready_answers
     )
 }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -1,11 +1,8 @@
 //! A scenario with every field, read: all its values by the names in the file, and what the parts are given of them.
 
 use super::Scenario;
-use crate::judge::Repeats;
-use golden::golden;
-
-#[path = "../../../toml-diagnostics/tests/support/golden.rs"]
-mod golden;
+use crate::golden::{self, golden};
+use crate::rules::RepeatPolicy;
 
 const FULL: &str = include_str!("../golden/scenario_full.toml");
 
@@ -13,28 +10,34 @@
     Scenario::parse(FULL).expect("a good scenario")
 }
 
-fn plan_lines(scenario: &Scenario) -> Vec<String> {
-    let wish = scenario.wish();
-    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", wish.seed, wish.length, wish.rate)];
-    lines.push(format!("sets {}, skew {}, hint spread {}", wish.sets, wish.skew, wish.hint_spread));
-    let tide = |tide: &super::Tide| {
-        format!("tide: from {}, until {}, factor {}", tide.from, tide.until, tide.factor)
+fn workload_lines(scenario: &Scenario) -> Vec<String> {
+    let spec = scenario.workload();
+    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length, spec.rate)];
+    lines.push(format!("sets {}, skew {}, hint spread {}", spec.sets, spec.skew, spec.hint_spread));
+    let segment = |segment: &super::LoadSegment| {
+        format!("tide: from {}, until {}, factor {}", segment.from, segment.until, segment.factor)
     };
-    lines.extend(wish.tides.iter().map(tide));
-    let class = |class: &super::Asking| {
-        format!("class: share {}, mean {}, slots {}", class.share, class.mean_s, class.slots)
+    lines.extend(spec.load_curve.iter().map(segment));
+    let class = |class: &super::JobClass| {
+        format!("class: share {}, mean {}, slots {}", class.share, class.mean_seconds, class.slots)
     };
-    lines.extend(wish.classes.iter().map(class));
+    lines.extend(spec.classes.iter().map(class));
     lines
 }
 
-fn nature_lines(scenario: &Scenario) -> Vec<String> {
-    let nature = scenario.nature();
+fn pool_lines(scenario: &Scenario) -> Vec<String> {
+    let parameters = scenario.pool_parameters();
     vec![
-        format!("cold share {}, warm-up {}", nature.cold_share, nature.warm_up),
-        format!("overload factor {}, fall window {}", nature.overload_factor, nature.fall_window),
-        format!("crowding {}, fetch {}, archive {}", nature.crowding, nature.fetch_s, nature.archive),
-        format!("deduplication window {}, progress {}", nature.dedup_window, nature.progress),
+        format!("cold share {}, warm-up {}", parameters.cold_capacity_fraction, parameters.warm_up),
+        format!("overload factor {}, fall window {}", parameters.overload_factor, parameters.overload_window),
+        format!(
+            "crowding {}, fetch {}, archive {}",
+            parameters.contention_penalty, parameters.fetch_seconds, parameters.archive_concurrency
+        ),
+        format!(
+            "deduplication window {}, progress {}",
+            parameters.deduplication_window, parameters.progress_interval
+        ),
     ]
 }
 
@@ -57,16 +60,16 @@
 }
 
 fn rule_lines(scenario: &Scenario) -> Vec<String> {
-    let rules = scenario.rules();
-    let repeats = |repeats: &Repeats| match repeats {
-        Repeats::Safe => "repeats: safe".to_owned(),
-        Repeats::Keyed { window } => format!("repeats: keyed for {window}"),
-        Repeats::Unsafe => "repeats: unsafe".to_owned(),
+    let rules = scenario.rule_parameters();
+    let repeats = |repeats: &RepeatPolicy| match repeats {
+        RepeatPolicy::Idempotent => "repeats: safe".to_owned(),
+        RepeatPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {window}"),
+        RepeatPolicy::NonIdempotent => "repeats: unsafe".to_owned(),
     };
     let mut lines: Vec<String> = rules.classes.iter().map(repeats).collect();
     lines.push(format!("slack {}, stop within {}", rules.slack, rules.stop_within));
     lines.push(format!("drain grace {}, fall window {}", rules.drain_grace, rules.fall_window));
-    lines.push(format!("newer learns {}", rules.newer_learns));
+    lines.push(format!("newer learns {}", rules.successor_grace));
     lines
 }
 
@@ -89,6 +92,6 @@
 #[test]
 fn a_scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
     let scenario = full();
-    let lines = [plan_lines, nature_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
+    let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
     golden!("scenario_parts.txt").assert_is(&(lines.concat().join("\n") + "\n"));
 }
