--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -143,7 +143,7 @@
             scenario.seed = seed.unwrap_or(scenario.seed);
             let program = program_or_scripted(node, scripted, &out)?;
             runtime(1)?.block_on(run(scenario, program, None, !quiet)).map(|ran| {
-                print!("{}", report::in_short(&ran.figures));
+                print!("{}", report::render_summary(&ran.figures));
                 println!("report: {}", out.join("report.html").display());
                 ran.code
             })
@@ -187,12 +187,18 @@
                     (side("a", &a, &operator_a)?, first)
                 });
             }
-            let said = compare::compare(&pairs)?;
-            let text = serde_json::to_string_pretty(&said).map_err(|e| e.to_string())?;
+            let comparison = compare::compare(&pairs).map_err(|error| error.to_string())?;
+            let text = serde_json::to_string_pretty(&comparison).map_err(|e| e.to_string())?;
             write(&out.join("comparison.json"), &text)?;
-            let verdict =
-                if said.clear() { "a difference" } else { "no difference that these runs can show" };
-            println!("b less a: {:+.4} +- {:.4} over {} pairs: {verdict}", said.mean, said.half, said.pairs);
+            let verdict = if comparison.is_significant() {
+                "a difference"
+            } else {
+                "no difference that these runs can show"
+            };
+            println!(
+                "b less a: {:+.4} +- {:.4} over {} pairs: {verdict}",
+                comparison.mean, comparison.half_width, comparison.pairs
+            );
             Ok(u8::from(
                 pairs.iter().any(|(a, b)| a.broken_rules + b.broken_rules + a.crashes + b.crashes > 0),
             ))
@@ -282,12 +288,12 @@
         rules::check_rules(&played.records, &scenario.rule_parameters())
     };
     violations.extend(rules::check_footprint(&played.samples, &scenario));
-    let figures = report::figures(&scenario, &played, &violations);
+    let figures = report::compute_figures(&scenario, &played, &violations);
     let lines = played.records.iter().map(|record| serde_json::to_string(record).map(|line| line + "\n"));
     let seen: String = lines.collect::<Result<_, _>>().map_err(|e| e.to_string())?;
     write(&out.join("seen.jsonl"), &seen)?;
     write(&out.join("figures.json"), &serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?)?;
-    write(&out.join("report.html"), &report::page(&scenario, &played, &figures, &violations))?;
+    write(&out.join("report.html"), &report::render_page(&scenario, &played, &figures, &violations))?;
     for violation in violations.iter().take(5) {
         eprint!("BROKEN RULE {violation}");
     }
