--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -54,9 +54,8 @@
         }
     }
 
-    fn draw(&self, svg: &mut String) -> Result<(), String> {
+    fn draw(&self, svg: &mut String) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
         self.draw_on(&SVGBackend::with_string(svg, SIZE).into_drawing_area())
-            .map_err(|error| error.to_string())
     }
 
     fn draw_on<Backend: DrawingBackend>(
