--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -185,6 +185,8 @@
 fn reads_nothing(node: &Node) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an option of any socket");
+    // The system holds a few dozen segments for it, which are 64 KiB each on the loopback interface otherwise.
+    socket.set_tcp_mss(1460).expect("an option of any TCP socket");
     socket.connect(&node.address.into()).expect("it listens");
     let mut stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
--- a/crates/node/tests/common/http_message.rs
+++ b/crates/node/tests/common/http_message.rs
@@ -89,6 +89,11 @@
         self.0.get_mut().write_all(request.as_bytes()).expect("it reads");
     }
 
+    /// Its connection.
+    pub fn stream(&self) -> &TcpStream {
+        self.0.get_ref()
+    }
+
     /// The next response; none where the connection has ended instead.
     pub fn read_response(&mut self) -> Option<HttpMessage> {
         HttpMessage::read(&mut self.0)
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -9,6 +9,7 @@
 mod scripted_discovery;
 mod scripted_process;
 mod scripted_server;
+mod system_sockets;
 
 use std::time::{Duration, Instant};
 
@@ -16,12 +17,15 @@
 pub use http_message::{
     Client, HttpMessage, call_operator, job_request, open_request, read_response, send_request,
 };
-pub use node_config::{node_config, node_config_for_handover, node_config_with_console};
+pub use node_config::{
+    node_config, node_config_for_handover, node_config_with_console, node_config_with_long_timeouts,
+};
 pub use node_requests::{COMPLETED, callback_request, counter_value, wait_for_counter};
 pub use process::Node;
 pub use scripted_discovery::{ScriptedWatch, endpoint_json, endpoint_list_json};
 pub use scripted_process::ScriptedProcess;
 pub use scripted_server::{ReceivedRequest, ScriptedServer, next_request_at_either};
+pub use system_sockets::{close_and_wait_for_arrival, wait_for_unread_bytes};
 
 /// Bounds every wait of these tests; nothing takes nearly as long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/node/tests/common/node_config.rs
+++ b/crates/node/tests/common/node_config.rs
@@ -34,3 +34,10 @@
     node_config_with_console(discovery, known)
         .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
+
+/// Like [`node_config`], with a connect timeout and latency objectives that no test reaches, however busy the machine is.
+pub fn node_config_with_long_timeouts(discovery: SocketAddr, known: &[String]) -> String {
+    node_config(discovery, known)
+        .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":30000000"#)
+        .replace("9000000", "900000000")
+}
--- a/crates/node/tests/common/process.rs
+++ b/crates/node/tests/common/process.rs
@@ -5,6 +5,7 @@
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
+use std::time::Instant;
 
 use super::TEST_TIMEOUT;
 
@@ -165,9 +166,18 @@
         }
     }
 
-    /// Skips log lines up to one that contains `part`, and returns that.
+    /// Skips log lines up to one that contains `part`, and returns that. Fails after [`TEST_TIMEOUT`], however many lines
+    /// have come.
     pub fn wait_for_log_line(&self, part: &str) -> String {
-        std::iter::repeat_with(|| self.next_log_line()).find(|line| line.contains(part)).expect("endless")
+        let started = Instant::now();
+        loop {
+            let left = TEST_TIMEOUT.saturating_sub(started.elapsed());
+            let line = self.log_lines.recv_timeout(left);
+            let line = line.unwrap_or_else(|error| panic!("no log line with {part:?}: {error}"));
+            if line.contains(part) {
+                return line;
+            }
+        }
     }
 
     /// Whether it started beside another process of its node.
--- a/crates/node/tests/common/scripted_server.rs
+++ b/crates/node/tests/common/scripted_server.rs
@@ -1,6 +1,8 @@
 //! A server whose requests are handed to the test, which answers them by hand: it stands in for workers and for
 //! discovery.
 
+use std::cell::RefCell;
+use std::collections::VecDeque;
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -50,7 +52,9 @@
 /// A server whose requests the test receives and answers. The end of a connection comes as an empty message.
 pub struct ScriptedServer {
     pub address: SocketAddr,
-    requests: Receiver<ReceivedRequest>,
+    events: Receiver<ReceivedRequest>,
+    /// Events that were received while the end of another connection was awaited.
+    set_aside: RefCell<VecDeque<ReceivedRequest>>,
 }
 
 impl ScriptedServer {
@@ -62,7 +66,7 @@
     /// Starts a server on a listener that is bound already.
     pub fn on(listener: TcpListener) -> ScriptedServer {
         let address = listener.local_addr().expect("an address");
-        let (sender, requests) = channel();
+        let (sender, events) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
                 let sender: Sender<ReceivedRequest> = sender.clone();
@@ -82,7 +86,7 @@
                 });
             }
         });
-        ScriptedServer { address, requests }
+        ScriptedServer { address, events, set_aside: RefCell::default() }
     }
 
     /// This server as an endpoint of that name and status.
@@ -90,9 +94,26 @@
         endpoint_json(name, self.address, status)
     }
 
-    /// The next request or end of a connection.
+    /// The next request or end of a connection. Events of different connections may come in another order than that in
+    /// which the node made them: each connection is read by a thread of its own.
     pub fn next_event(&self) -> ReceivedRequest {
-        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request")
+        let set_aside = self.set_aside.borrow_mut().pop_front();
+        set_aside.unwrap_or_else(|| self.events.recv_timeout(TEST_TIMEOUT).expect("a request"))
+    }
+
+    /// Waits for the end of that connection. Events of other connections stay to be received.
+    pub fn wait_for_connection_end(&self, connection: usize) {
+        let mut others = VecDeque::new();
+        let event = loop {
+            let event = self.next_event();
+            if event.connection == connection {
+                break event;
+            }
+            others.push_back(event);
+        };
+        assert_eq!(event.message.start_line, "", "a request on connection {connection} before its end");
+        others.append(&mut self.set_aside.borrow_mut());
+        self.set_aside.replace(others);
     }
 
     /// The next request; ends of connections are skipped.
@@ -104,12 +125,16 @@
 
     /// The next request, if one has come already.
     pub fn try_next_request(&self) -> Option<ReceivedRequest> {
-        self.requests.try_iter().find(|event| !event.message.start_line.is_empty())
+        std::iter::from_fn(|| self.try_next_event()).find(|event| !event.message.start_line.is_empty())
     }
 
     /// Whether a request has come that the test has not received. Takes what has come off the queue.
     pub fn has_pending_request(&self) -> bool {
-        self.requests.try_iter().any(|event| !event.message.start_line.is_empty())
+        self.try_next_request().is_some()
+    }
+
+    fn try_next_event(&self) -> Option<ReceivedRequest> {
+        self.set_aside.borrow_mut().pop_front().or_else(|| self.events.try_recv().ok())
     }
 }
 
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -69,17 +69,28 @@
         (0..200).map(|i| endpoint_json(&format!(r#"s-{i}\\\"}}]{{["#), nowhere, "terminating")).collect();
     all.push(first.endpoint_json("s-1", "terminating"));
     all.push(second.endpoint_json("s-2", "in_service"));
-    let indented = endpoint_list_json(43, true, &all).replace(",\"", ",\n    \"").replace("{\"", "{\n\n  \"");
+    let indented = |index, snapshot, endpoints: &[String]| {
+        let list = endpoint_list_json(index, snapshot, endpoints);
+        list.replace(",\"", ",\n    \"").replace("{\"", "{\n\n  \"") + "\n"
+    };
+    let byte_by_byte = |text: &str| text.chars().map(|c| chunk(&c.to_string())).collect::<String>();
+    // All endpoints come byte by byte in lists of 20 each, then in one list in larger pieces: a node on a busy machine
+    // could not read that list byte by byte before its watch counts as silent.
+    for (part, index) in all.chunks(20).zip(43..) {
+        watch.write_raw(&byte_by_byte(&indented(index, false, part)));
+    }
+    let whole: Vec<_> = indented(54, true, &all).chars().collect();
+    watch
+        .write_raw(&whole.chunks(20).map(|part| chunk(&part.iter().collect::<String>())).collect::<String>());
     // A line that has whole lists, and no end of its own, comes behind it in the same pieces.
-    let two = endpoint_list_json(44, false, &[]) + &endpoint_list_json(45, false, &all[..1]);
-    let pieces: String = (indented + "\n" + &two).chars().map(|c| chunk(&c.to_string())).collect();
-    watch.write_raw(&pieces);
-    wait_for_counter(&node, CHANGES, 5);
+    let two = endpoint_list_json(55, false, &[]) + &endpoint_list_json(56, false, &all[..1]);
+    watch.write_raw(&byte_by_byte(&two));
+    wait_for_counter(&node, CHANGES, 2 + 11 + 1 + 2);
     all_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
     assert_eq!(node.counter(FAILURES), 0);
     watch.close();
-    assert_eq!(ScriptedWatch::open(&discovery).since(), "45");
+    assert_eq!(ScriptedWatch::open(&discovery).since(), "56");
 }
 
 #[test]
@@ -148,21 +159,10 @@
     let first = discovery.next_request();
     first.write_raw(HEAD);
     first.write_raw(&chunk("\n"));
-    ended(&discovery, 0);
-    // So does a call that is never answered.
-    ended(&discovery, 1);
-}
-
-/// The end of that connection, whatever comes before it.
-fn ended(server: &ScriptedServer, connection: usize) {
-    let end = |got: &ReceivedRequest| got.message.start_line.is_empty() && got.connection == connection;
-    std::iter::repeat_with(|| server.next_event()).find(end).expect("endless");
-}
-
-/// The end of that connection; a request that comes before it fails the test.
-fn ends(server: &ScriptedServer, connection: usize) {
-    let end = std::iter::repeat_with(|| server.next_event()).find(|got| got.connection == connection);
-    assert_eq!(end.expect("endless").message.start_line, "", "of connection {connection}");
+    discovery.wait_for_connection_end(0);
+    // The next poll is never answered.
+    let second = discovery.next_request();
+    discovery.wait_for_connection_end(second.connection);
 }
 
 /// A call beside one that hangs: it comes before that has ended.
@@ -203,7 +203,7 @@
     let hangs = discovery.next_request();
     let next = beside(&discovery, &hangs);
     begin(&next, &endpoint_list_json(43, true, &[first.endpoint_json("s-1", "in_service")]));
-    ends(&discovery, hangs.connection);
+    discovery.wait_for_connection_end(hangs.connection);
     wait_for_counter(&node, CHANGES, 3);
     all_go_to(&node, &first, "s-1", "q");
 }
@@ -219,7 +219,7 @@
     let drains = [worker.endpoint_json("s-1", "terminating"), other.endpoint_json("s-2", "in_service")];
     begin(&next, &endpoint_list_json(43, false, &drains));
     wait_for_counter(&node, CHANGES, 3);
-    ends(&discovery, hangs.connection);
+    discovery.wait_for_connection_end(hangs.connection);
     all_go_to(&node, &other, "s-2", "r");
     assert!(!worker.has_pending_request(), "it drains");
 }
@@ -230,11 +230,11 @@
     let node = Node::start(&node_config(discovery.address, &[]));
     let first = discovery.next_request();
     first.write_raw(HEAD);
-    ends(&discovery, first.connection);
+    discovery.wait_for_connection_end(first.connection);
     let hangs = discovery.next_request();
     let next = beside(&discovery, &hangs);
     begin(&next, &endpoint_list_json(42, true, &[]));
-    ends(&discovery, hangs.connection);
+    discovery.wait_for_connection_end(hangs.connection);
     wait_for_counter(&node, CHANGES, 2);
     // Where neither begins, the module is told, and asks.
     next.close();
@@ -253,8 +253,8 @@
     let next = beside(&moved, &hangs);
     assert_eq!((since(&hangs), since(&next)), ("0", "0"));
     begin(&next, &endpoint_list_json(7, true, &[worker.endpoint_json("s-1", "in_service")]));
-    ends(&moved, hangs.connection);
-    ended(&old, 0);
+    moved.wait_for_connection_end(hangs.connection);
+    old.wait_for_connection_end(0);
     assert!(!old.has_pending_request(), "nothing calls there any more");
     all_go_to(&node, &worker, "s-1", "r");
 }
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::common::{
     COMPLETED, Node, ScriptedProcess, ScriptedServer, ScriptedWatch, callback_request, endpoint_list_json,
-    job_request, next_request_at_either, node_config, node_config_for_handover, open_request, read_response,
-    send_request, wait_for_counter, wait_until,
+    job_request, next_request_at_either, node_config, node_config_for_handover,
+    node_config_with_long_timeouts, open_request, read_response, send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -212,21 +212,20 @@
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let most = getrlimit(Resource::Nofile).maximum;
     setrlimit(Resource::Nofile, Rlimit { current: most, maximum: most }).expect("its own to raise");
-    // They all wait: no worker is there, and nobody says of one.
+    // They all wait: no worker is known, and while discovery is unreachable only first submissions are rejected.
+    let retry = |n: usize| job_request(&n.to_string(), "order", 900.0, "X-Retry: 1\r\n");
     let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let text = node_config(nowhere, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
-    let node = Node::start_with_descriptors(&text.replace("9000000", "900000000"), 5000);
-    let mut clients: Vec<_> = (0..JOBS).map(|n| node.submit_job(&n.to_string(), "order", 900.0)).collect();
-    // On a busy machine that takes long, but it never rests.
-    let mut taken = 0;
-    while taken < JOBS as u64 {
-        let so_far = taken;
-        wait_until("the expected state is not reached", || {
-            taken = node.counter("curlewusher_jobs_taken_total");
-            taken > so_far
-        });
+    let text =
+        node_config_with_long_timeouts(nowhere, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
+    let node = Node::start_with_descriptors(&text, 5000);
+    let mut clients = Vec::new();
+    while clients.len() < JOBS {
+        let batch = clients.len()..clients.len() + JOBS / 65;
+        clients.extend(batch.map(|n| open_request(node.address, &retry(n))));
+        wait_for_counter(&node, "curlewusher_jobs_taken_total", clients.len() as u64);
     }
-    // A call-back is heard, and so is the end of a client.
+    assert_eq!(node.counter(r#"curlewusher_answers_total{kind="deferred"}"#), 0, "not all jobs are open");
+    // A callback is handled, and so is a client's disconnect.
     node.post_callback("0", "s-1", r#""state":"started""#);
     clients.pop();
     wait_until("the count is not 1", || node.counter("curlewusher_clients_gone_total") == 1);
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -19,8 +19,8 @@
 
 use common::{
     HttpMessage, Node, ScriptedServer, ScriptedWatch, endpoint_list_json, job_request,
-    next_request_at_either, node_config, open_request, read_response, send_request, wait_for_counter,
-    wait_until,
+    next_request_at_either, node_config, node_config_with_long_timeouts, open_request, read_response,
+    send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -512,11 +512,15 @@
         r#""overShareWorth":0.01,"#
     );
     let settings = |discovery, known: &[String]| {
-        node_config(discovery, known).replace(r#""settings":{"#, &format!(r#""settings":{{{tenants}"#))
+        node_config_with_long_timeouts(discovery, known)
+            .replace(r#""settings":{"#, &format!(r#""settings":{{{tenants}"#))
     };
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], settings);
-    let of = |id: &str, tenant: &str| job_request(id, "view", 5.0, tenant);
+    // Each counts as long, so that the worker is not expected to be idle however slow the test is.
+    let of = |id: &str, tenant: &str| {
+        job_request(id, "view", 600.0, tenant).replace("X-Cost-Hint: 100000", "X-Cost-Hint: 100000000")
+    };
     assert_eq!(send_request(node.address, &of("r1", "")).status(), 400);
     assert_eq!(send_request(node.address, &of("r2", "X-Tenant: osier\r\n")).status(), 400);
     assert_eq!(send_request(node.address, &of("r3", "X-Tenant: 2\r\n")).status(), 400);
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -7,26 +7,30 @@
 
 use crate::common::{
     COMPLETED, Client, FullBacklogWorker, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, call_operator,
-    callback_request, endpoint_list_json, node_config_with_console, read_response, wait_for_counter,
+    callback_request, close_and_wait_for_arrival, endpoint_list_json, node_config_with_long_timeouts,
+    read_response, wait_for_counter, wait_for_unread_bytes,
 };
 
 const CHANGES: &str = "curlewusher_transport_map_changes_total";
 const CLIENTS_GONE: &str = "curlewusher_clients_gone_total";
 const NEVER_SENT: &str = r#"curlewusher_delivery_attempts_ended_total{outcome="never_sent"}"#;
 
-/// A node with a job that waits for its connection to `worker`, the only worker that it knows. Connections may take
-/// longer to come up than any test, and no run of a job is given up for that.
-fn dialling(worker: &FullBacklogWorker) -> (Node, ScriptedWatch, ScriptedServer, TcpStream) {
+/// A node that knows only `worker`. Connections may take longer to be established than any test, and no attempt is given
+/// up for that.
+fn start_node(worker: &FullBacklogWorker) -> (Node, ScriptedWatch, ScriptedServer) {
     let discovery = ScriptedServer::start();
     let known = [worker.endpoint_json("in_service")];
-    let patient =
-        |text: String| text.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":30000000"#);
-    let node = Node::start(&patient(node_config_with_console(discovery.address, &known)));
-    let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, &known));
-    let client = node.submit_job("r1", "order", 8.0);
-    wait_for_counter(&node, "curlewusher_next_hop_connections_total", 1);
-    (node, watch, discovery, client)
+    let config = node_config_with_long_timeouts(discovery.address, &known);
+    let node = Node::start(&config.replacen('{', r#"{"console":"127.0.0.1:0","#, 1));
+    let watch = ScriptedWatch::answer(&discovery, &known);
+    (node, watch, discovery)
+}
+
+/// Submits a job, and waits until the node connects to its worker.
+fn submit_connecting_job(node: &Node) -> TcpStream {
+    let client = node.submit_job("r1", "order", 600.0);
+    wait_for_counter(node, "curlewusher_next_hop_connections_total", 1);
+    client
 }
 
 /// The job reaches `other`, and no connection of it `worker`.
@@ -62,7 +66,8 @@
 fn worker_drains_while_connecting_then_job_goes_elsewhere() {
     for status in ["terminating", "terminated", "not in the list", "in_service"] {
         let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
-        let (node, watch, _discovery, client) = dialling(&worker);
+        let (node, watch, _discovery) = start_node(&worker);
+        let client = submit_connecting_job(&node);
         let changes = node.counter(CHANGES);
         let second = other.endpoint_json("s-2", "in_service");
         match status {
@@ -87,7 +92,8 @@
 fn drain_and_connection_arrive_together_then_nothing_is_sent_to_draining_worker() {
     // The node handles the connection first: the request is with the connection's task when the list is read.
     let (worker, other) = (FullBacklogWorker::start(), ScriptedServer::start());
-    let (node, watch, _discovery, client) = dialling(&worker);
+    let (node, watch, _discovery) = start_node(&worker);
+    let client = submit_connecting_job(&node);
     let held = node.pause();
     watch.send_line(&endpoint_list_json(
         43,
@@ -104,12 +110,14 @@
 #[test]
 fn client_leaves_as_connection_is_established_then_nothing_is_sent() {
     let worker = FullBacklogWorker::start();
-    let (node, _watch, _discovery, client) = dialling(&worker);
+    let (node, _watch, _discovery) = start_node(&worker);
     let mut crowd: Vec<_> = (0..300).map(|_| known_connection(&node)).collect();
+    let client = submit_connecting_job(&node);
     let held = node.pause();
     // The notice that it has gone stands behind more words than the dispatch task hears in one turn.
     crowd.iter_mut().for_each(|client| client.send(&word("r0")));
-    drop(client);
+    wait_for_unread_bytes(crowd.iter().map(Client::stream));
+    close_and_wait_for_arrival(client);
     worker.drain_backlog();
     let mut stream = worker.accept();
     drop(held);
@@ -122,15 +130,16 @@
     // The worker is at work for the first, and the second waits in line. The word that makes room stands before
     // the notice that the second's client has gone.
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let first = node.submit_job("r1", "order", 8.0);
+    let first = node.submit_job("r1", "order", 600.0);
     worker.next_request().accept();
     node.post_callback("r1", "s-1", r#""state":"started""#);
-    let second = node.submit_job("r2", "order", 8.0);
+    let second = node.submit_job("r2", "order", 600.0);
     wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
     let mut words = known_connection(&node);
     let held = node.pause();
     words.send(&word("r1"));
-    drop(second);
+    wait_for_unread_bytes([words.stream()]);
+    close_and_wait_for_arrival(second);
     drop(held);
     assert_eq!(read_response(first).status(), 200);
     wait_for_counter(&node, CLIENTS_GONE, 1);
