--- a/crates/node/src/upstream/cancel_signal.rs
+++ b/crates/node/src/attempt/cancel_signal.rs
@@ -4,13 +4,16 @@
 
 use tokio::sync::oneshot;
 
-/// Whether the dispatch task has asked to cancel an attempt. It does so once at most.
+/// Whether the dispatch task has requested the cancellation of an attempt. It does so at most once.
+///
+/// It stands in place of `tokio_util::sync::CancellationToken`, because a token cannot represent the third state:
+/// the attempt has ended, and no cancellation will be requested any more.
 pub enum CancelSignal {
-    /// It may still ask.
+    /// A cancellation may still be requested.
     Waiting(oneshot::Receiver<()>),
-    /// It has asked.
+    /// The cancellation has been requested.
     Received,
-    /// It will not ask any more: the attempt has ended.
+    /// No cancellation will be requested: the attempt has ended.
     Closed,
 }
 
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/attempt/send_permit.rs
@@ -1,8 +1,8 @@
 //! Whether the first byte of an attempt may still be sent.
 //!
 //! The party that withdraws the permit and the socket that is about to write look at the same value, in one
-//! thread, so that a permit is never withdrawn too late. It says nothing of an attempt whose first byte has
-//! been sent.
+//! thread, so that a permit is never withdrawn too late. Once the first byte of an attempt has been sent, its
+//! permit has no meaning any more.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -10,54 +10,15 @@
 use std::time::Duration;
 
 use curlewusher_core::permission::Denial;
-use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
+use super::cancel_flag::CancelFlag;
+
 /// A node may be held up for this long between reading its clock and writing; the limits of permits allow for it.
 const MAX_HOLD: Duration = Duration::from_millis(150);
 /// A first byte that leaves later than this after the client has gone counts as an attempt for nobody.
 const MAX_WRITE_AFTER_CLIENT: Duration = Duration::from_millis(100);
 
-/// A flag that is raised once and wakes those who wait for that, in the order in which they began to wait.
-#[derive(Default)]
-pub struct CancelFlag {
-    raised_at: Cell<Option<Instant>>,
-    waiters: Notify,
-}
-
-impl CancelFlag {
-    /// Raises the flag. Does nothing if it is raised already.
-    pub fn raise(&self) {
-        if !self.is_raised() {
-            self.raised_at.set(Some(Instant::now()));
-            self.waiters.notify_waiters();
-        }
-    }
-
-    /// Whether it is raised.
-    pub fn is_raised(&self) -> bool {
-        self.raised_at.get().is_some()
-    }
-
-    /// Whether it was raised longer than `span` before `now`.
-    fn was_raised_before(&self, now: Instant, span: Duration) -> bool {
-        self.raised_at.get().is_some_and(|at| now > at + span)
-    }
-
-    /// Returns once it is raised.
-    pub async fn wait(&self) {
-        loop {
-            // It is woken by each `notify_waiters` from here on, polled or not, so that none is missed
-            // between the check and the wait.
-            let notified = self.waiters.notified();
-            if self.is_raised() {
-                return;
-            }
-            notified.await;
-        }
-    }
-}
-
 /// The lease on the endpoint list, as the permits of all attempts see it. The dispatch task alone changes it.
 #[derive(Default)]
 pub struct SendLease(Cell<Option<Instant>>);
--- a/crates/node/src/dispatch/transport.rs
+++ b/crates/node/src/attempt/transport.rs
@@ -1,20 +1,24 @@
-//! What the dispatch task asks of whatever carries attempts to workers.
+//! The interface between the dispatch task, which decides on attempts, and the transport, which carries them to
+//! workers.
 
+use std::future::Future;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher_core::JobId;
+use curlewusher_core::{JobId, Outcome};
 use tokio::sync::oneshot;
 
-use crate::upstream::send_permit::SendPermit;
+use super::send_permit::SendPermit;
 
 /// Identifies an attempt of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    pub(super) job: JobId,
+    /// The job.
+    pub job: JobId,
     /// Position among the job's attempts, from 0 in the order of sends.
-    pub(super) number: u32,
+    pub number: u32,
 }
 
 /// An attempt that the transport is to make, or to take over.
@@ -37,8 +41,28 @@
     pub send_permit: Rc<SendPermit>,
 }
 
-/// Carries attempts to workers. It reports by [`DispatchMessage`](super::DispatchMessage): either
-/// `AttemptAccepted`, followed by `AttemptCancelled` or nothing; or `AttemptCancelled`; or `AttemptEnded`.
+/// What the transport reports on an attempt: either `Accepted`, followed by `Cancelled` or nothing; or
+/// `Cancelled`; or `Ended`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptReport {
+    /// The worker has accepted the attempt.
+    Accepted(AttemptId),
+    /// The attempt has ended with this outcome.
+    Ended(AttemptId, Outcome),
+    /// The attempt was to be cancelled and has been cancelled.
+    Cancelled(AttemptId),
+}
+
+/// The future of a report; see [`AttemptReporter::report`].
+pub type ReportFuture<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
+
+/// Receives the transport's reports on attempts.
+pub trait AttemptReporter {
+    /// Reports on an attempt. The future completes once the report is queued; a receiver that has ended ignores it.
+    fn report(&self, report: AttemptReport) -> ReportFuture<'_>;
+}
+
+/// Carries attempts to workers, and reports on each to an [`AttemptReporter`].
 pub trait AttemptTransport {
     /// What is sent to workers; the dispatch task never reads it.
     type Payload;
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use crate::upstream::send_permit::SendPermit;
+use crate::attempt::SendPermit;
 
 /// What a worker reports of a job in a callback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 
 use super::attempts::Attempt;
-use super::transport::AttemptId;
-use crate::upstream::send_permit::CancelFlag;
+use crate::attempt::AttemptId;
+use crate::attempt::CancelFlag;
 
 /// The final response to a job.
 #[derive(Debug)]
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -5,7 +5,7 @@
 
 use curlewusher_control::command::CommandResult;
 use curlewusher_control::maintenance::DisabledWorkers;
-use curlewusher_core::{Outcome, StateSnapshot};
+use curlewusher_core::StateSnapshot;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
 use super::endpoints::NamedEndpoint;
 use super::jobs::{JobHandle, JobOwner, SubmittedJob};
 use super::migration::{IncomingMigration, OutgoingMigration};
-use super::transport::AttemptId;
+use crate::attempt::{AttemptReport, AttemptReporter, ReportFuture};
 
 /// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot
 /// reserved for the message that its client has disconnected; without these of their own, jobs could fill the
@@ -29,6 +29,15 @@
     mpsc::channel(QUEUE_CAPACITY + max_connections)
 }
 
+impl<P> AttemptReporter for DispatchQueue<P> {
+    fn report(&self, report: AttemptReport) -> ReportFuture<'_> {
+        Box::pin(async move {
+            // The dispatch task ends last; without it nobody is left to report to.
+            let _ = self.send(DispatchMessage::Attempt(report)).await;
+        })
+    }
+}
+
 /// A message to the dispatch task.
 pub enum DispatchMessage<P> {
     /// A client has sent a job.
@@ -76,12 +85,8 @@
         /// Whether this process owns it now; else the other one does.
         confirmed: bool,
     },
-    /// The worker has accepted an attempt.
-    AttemptAccepted(AttemptId),
-    /// An attempt has ended.
-    AttemptEnded(AttemptId, Outcome),
-    /// An attempt that was to be cancelled has been cancelled.
-    AttemptCancelled(AttemptId),
+    /// The transport reports on an attempt.
+    Attempt(AttemptReport),
     /// Discovery has sent its endpoint list, or a change to it.
     EndpointsChanged {
         /// The entries.
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -8,7 +8,6 @@
 //! | [`migration`] | jobs on their way between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
 //! | [`timers`], [`clock`] | when the task acts by itself |
-//! | [`transport`] | what carries attempts to workers |
 //! | [`outcomes`] | which counters outcomes and responses go to |
 //! | [`task`] | the task itself |
 
@@ -23,7 +22,6 @@
 mod permission_monitor;
 mod task;
 mod timers;
-mod transport;
 
 pub use attempts::CallbackState;
 pub use clock::Clock;
@@ -32,4 +30,3 @@
 pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
 pub use migration::{IncomingMigration, JobMigration, OutgoingMigration};
 pub use task::{DispatchParts, DispatchTask};
-pub use transport::{AttemptId, AttemptRequest, AttemptTransport};
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -8,9 +8,9 @@
 use tracing::{error, info, warn};
 
 use super::clock::Clock;
+use crate::attempt::SendLease;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::send_permit::SendLease;
 
 /// What was last seen of the dispatcher's permissions.
 pub(super) struct PermissionMonitor {
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -9,13 +9,13 @@
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
+use crate::attempt::{SendPermit, SendPermitParts};
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::JobResponse;
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
-use crate::upstream::send_permit::{SendPermit, SendPermitParts};
 
 /// Where and how an attempt is to be sent.
 struct AttemptSpec {
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -4,12 +4,12 @@
 use tracing::{debug, trace};
 
 use super::DispatchTask;
+use crate::attempt::{AttemptId, AttemptTransport};
 use crate::dispatch::attempts::{AttemptState, CallbackState};
 use crate::dispatch::callbacks::{CallbackEffect, find_target, interpret};
 use crate::dispatch::jobs::JobResponse;
 use crate::dispatch::outcomes::outcome_counter;
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -7,9 +7,9 @@
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::AttemptTransport;
 use crate::dispatch::jobs::{Job, JobOwner, JobResponse, SubmittedJob};
 use crate::dispatch::outcomes::response_kind;
-use crate::dispatch::transport::AttemptTransport;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -9,6 +9,8 @@
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::SendPermit;
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::{Job, JobHandle};
 use crate::dispatch::migration::{
@@ -16,10 +18,8 @@
     is_migratable,
 };
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
-use crate::upstream::send_permit::SendPermit;
 
 /// A migrated job whose attempts are being resumed.
 struct ResumedJob<'a, P> {
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -26,7 +26,7 @@
 use super::migration::Migrations;
 use super::permission_monitor::PermissionMonitor;
 use super::timers::{Timer, TimerQueue};
-use super::transport::AttemptTransport;
+use crate::attempt::{AttemptReport, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::{Counter, Metrics};
 
@@ -206,9 +206,9 @@
             DispatchMessage::MigrationConfirmed { job_handle, confirmed } => {
                 self.finish_incoming_migration(&job_handle, confirmed);
             }
-            DispatchMessage::AttemptAccepted(id) => self.handle_attempt_accepted(id),
-            DispatchMessage::AttemptEnded(id, outcome) => self.end_attempt(id, outcome),
-            DispatchMessage::AttemptCancelled(id) => self.handle_attempt_cancelled(id),
+            DispatchMessage::Attempt(AttemptReport::Accepted(id)) => self.handle_attempt_accepted(id),
+            DispatchMessage::Attempt(AttemptReport::Ended(id, outcome)) => self.end_attempt(id, outcome),
+            DispatchMessage::Attempt(AttemptReport::Cancelled(id)) => self.handle_attempt_cancelled(id),
             DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration } => {
                 if let Some(duration) = poll_duration {
                     self.apply_event(Event::PollAnswered { duration: duration.as_micros() as Micros });
--- a/crates/node/src/dispatch/timers.rs
+++ b/crates/node/src/dispatch/timers.rs
@@ -4,7 +4,7 @@
 
 use curlewusher_core::Micros;
 
-use super::transport::AttemptId;
+use crate::attempt::AttemptId;
 
 /// What is to be done when a timer expires. At one moment the dispatcher's timers come before those of
 /// attempts.
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -3,6 +3,7 @@
 #![forbid(unsafe_code)]
 
 mod admin;
+mod attempt;
 mod check;
 mod config;
 mod connection_budget;
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -3,7 +3,7 @@
 //!
 //! | outcome of the exchange | cancelled at the worker | reported as |
 //! | --- | --- | --- |
-//! | 202 | if the dispatch task asks for it | `AttemptAccepted`, and `AttemptCancelled` once cancelled |
+//! | 202 | if the dispatch task requests it | `Accepted`, and `Cancelled` once cancelled |
 //! | 503 or 504 with `X-Not-Run: 1` | no | ended: rejected |
 //! | any other 4xx or 5xx | no | ended: error |
 //! | any other status | yes | ended: error |
@@ -11,7 +11,7 @@
 //! | refused, unreachable | no | ended: unreachable |
 //! | connection lost, timed out | no | ended: lost |
 //! | send permit invalid | no | ended: not sent |
-//! | cancelled by the dispatch task | if a byte was written | `AttemptCancelled` |
+//! | cancelled by the dispatch task | if a byte was written | `Cancelled` |
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,12 +20,12 @@
 use curlewusher_core::Outcome;
 use hyper::StatusCode;
 use tokio::time::Instant;
+use tokio_util::task::TaskTracker;
 
-use crate::dispatch::{AttemptId, AttemptRequest, DispatchMessage, DispatchQueue};
-use crate::upstream::cancel_signal::CancelSignal;
+use crate::attempt::CancelSignal;
+use crate::attempt::{AttemptId, AttemptReport, AttemptReporter, AttemptRequest};
 use crate::upstream::cancellation::{AttemptConnection, CancellationTarget, Canceller};
 use crate::upstream::exchange::{Exchange, ExchangeOutcome};
-use crate::upstream::in_flight::InFlightCounter;
 use crate::upstream::payload::RequestPayload;
 use crate::upstream::pool::ConnectionPool;
 
@@ -34,14 +34,14 @@
 
 /// Makes attempts and reports on them to the dispatch task.
 pub struct AttemptRunner {
-    /// The queue of the dispatch task.
-    pub queue: DispatchQueue<RequestPayload>,
+    /// Receives the reports on attempts.
+    pub reporter: Box<dyn AttemptReporter>,
     /// The connections to workers.
     pub pool: Rc<ConnectionPool>,
     /// Cancels jobs at workers.
     pub canceller: Canceller,
-    /// Attempts and cancellations in flight.
-    pub in_flight: InFlightCounter,
+    /// Counts the attempts and cancellations in flight, so that a shutdown can wait for them.
+    pub in_flight: TaskTracker,
 }
 
 /// An attempt whose request was handed to the transport.
@@ -55,7 +55,7 @@
 impl AttemptRunner {
     /// Makes an attempt.
     pub async fn run(&self, request: AttemptRequest<RequestPayload>) {
-        let _in_flight = self.in_flight.enter();
+        let _in_flight = self.in_flight.token();
         let AttemptRequest { id, request_id, address, payload, timeout, cancel, send_permit } = request;
         let attempt = Attempt { id, request_id, address, deadline: Instant::now() + timeout };
         let mut cancel = CancelSignal::from(cancel);
@@ -81,7 +81,7 @@
     pub async fn resume(&self, request: AttemptRequest<RequestPayload>) {
         let AttemptRequest { id, request_id, address, timeout, cancel, .. } = request;
         if cancel.await.is_ok() {
-            let _in_flight = self.in_flight.enter();
+            let _in_flight = self.in_flight.token();
             let attempt = Attempt { id, request_id, address, deadline: Instant::now() + timeout };
             self.cancel_and_report(&attempt, AttemptConnection::Other).await;
         }
@@ -89,7 +89,7 @@
 
     /// Goes on with a cancellation that another process of this node could not complete.
     pub async fn adopt_cancellation(&self, target: CancellationTarget) {
-        let _in_flight = self.in_flight.enter();
+        let _in_flight = self.in_flight.token();
         self.canceller.adopt(target).await;
     }
 
@@ -126,12 +126,12 @@
                 return self.conclude_cancelled(attempt, request_written).await;
             }
         };
-        self.report(DispatchMessage::AttemptEnded(attempt.id, outcome)).await;
+        self.reporter.report(AttemptReport::Ended(attempt.id, outcome)).await;
     }
 
     /// Reports that the worker has accepted the job, and waits whether it is to be cancelled.
     async fn follow_accepted(&self, attempt: &Attempt, cancel: CancelSignal) {
-        self.report(DispatchMessage::AttemptAccepted(attempt.id)).await;
+        self.reporter.report(AttemptReport::Accepted(attempt.id)).await;
         if cancel.received_before_close().await {
             self.cancel_and_report(attempt, AttemptConnection::Other).await;
         }
@@ -143,12 +143,12 @@
             self.discard_connections(attempt);
             self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
         }
-        self.report(DispatchMessage::AttemptCancelled(attempt.id)).await;
+        self.reporter.report(AttemptReport::Cancelled(attempt.id)).await;
     }
 
     async fn cancel_and_report(&self, attempt: &Attempt, connection: AttemptConnection) {
         self.cancel(attempt, connection).await;
-        self.report(DispatchMessage::AttemptCancelled(attempt.id)).await;
+        self.reporter.report(AttemptReport::Cancelled(attempt.id)).await;
     }
 
     async fn cancel(&self, attempt: &Attempt, connection: AttemptConnection) {
@@ -162,9 +162,4 @@
     fn discard_connections(&self, attempt: &Attempt) {
         self.pool.discard_connections(attempt.address);
     }
-
-    async fn report(&self, message: DispatchMessage<RequestPayload>) {
-        // The dispatch task ends last; without it nobody is left to report to.
-        let _ = self.queue.send(message).await;
-    }
 }
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -18,13 +18,13 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::debug;
 
+use crate::attempt::CancelSignal;
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::cancel_signal::CancelSignal;
 use crate::upstream::exchange::{Exchange, ExchangeOutcome};
 use crate::upstream::payload::UpstreamRequest;
 use crate::upstream::pool::ConnectionPool;
-use crate::upstream::send_permit::SendPermit;
 
 /// The first pause before a cancellation that was not acknowledged is sent again, doubled each time up to
 /// [`MAX_RETRY_DELAY`].
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -14,11 +14,11 @@
 use hyper::{Response, StatusCode};
 use tokio::time::{Instant, timeout};
 
-use crate::upstream::cancel_signal::CancelSignal;
+use crate::attempt::CancelSignal;
+use crate::attempt::SendPermit;
 use crate::upstream::payload::{UpstreamRequest, set_time_left};
 use crate::upstream::pool::ConnectionPool;
 use crate::upstream::pool::connection::{ConnectError, Connection, RequestError};
-use crate::upstream::send_permit::SendPermit;
 
 /// In a rejection: `1` if the worker has not run the job and never will.
 const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -4,7 +4,6 @@
 //! An attempt is sent at most once. One that may have arrived is never reported as not sent: if that is
 //! unknown, it is reported as lost.
 //!
-//! - [`send_permit`]: whether the first byte of an attempt may still be sent.
 //! - [`payload`]: what is sent.
 //! - [`pool`]: the connections.
 //! - [`exchange`]: one request and its response.
@@ -12,27 +11,24 @@
 //! - [`attempt`]: an attempt from its start to the report of its end.
 
 mod attempt;
-mod cancel_signal;
 mod cancellation;
 mod config;
 mod exchange;
-mod in_flight;
 mod payload;
 mod pool;
-pub mod send_permit;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
+use tokio_util::task::TaskTracker;
 
-use crate::dispatch::{AttemptRequest, AttemptTransport, DispatchQueue};
+use crate::attempt::{AttemptReporter, AttemptRequest, AttemptTransport};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::attempt::AttemptRunner;
 pub use crate::upstream::cancellation::CancellationTarget;
 use crate::upstream::cancellation::Canceller;
 pub use crate::upstream::config::UpstreamConfig;
-use crate::upstream::in_flight::InFlightCounter;
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
 use crate::upstream::pool::ConnectionPool;
 
@@ -61,13 +57,14 @@
 }
 
 impl UpstreamClient {
-    /// A client without connections, which reports to the dispatch task through `queue`.
-    pub fn new(queue: DispatchQueue<RequestPayload>, metrics: Metrics, config: UpstreamConfig) -> Self {
+    /// A client without connections, which reports on its attempts to `reporter`.
+    pub fn new(reporter: impl AttemptReporter + 'static, metrics: Metrics, config: UpstreamConfig) -> Self {
         let options = config.options.clone();
         let pool = Rc::new(ConnectionPool::new(metrics.clone(), config));
         let canceller = Canceller::new(pool.clone(), metrics, options);
-        let in_flight = InFlightCounter::default();
-        UpstreamClient { attempts: Rc::new(AttemptRunner { queue, pool, canceller, in_flight }) }
+        let reporter = Box::new(reporter);
+        let in_flight = TaskTracker::new();
+        UpstreamClient { attempts: Rc::new(AttemptRunner { reporter, pool, canceller, in_flight }) }
     }
 
     /// Uses half of the connection budget or all of it.
@@ -89,7 +86,7 @@
 
     /// Whether no attempt and no cancellation is in flight.
     pub fn is_idle(&self) -> bool {
-        self.attempts.in_flight.is_idle()
+        self.attempts.in_flight.is_empty()
     }
 
     /// Closes connections that have been idle for too long, until the future is dropped.
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -17,13 +17,13 @@
 use tokio::time::Instant;
 use tracing::{debug, trace};
 
+use crate::attempt::SendPermit;
 use crate::connection_budget::ConnectionPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::payload::UpstreamRequest;
 use crate::upstream::pool::epoch::Epoch;
 use crate::upstream::pool::socket::{Socket, Traffic};
-use crate::upstream::send_permit::SendPermit;
 
 /// How long a connection pauses after a response before it carries another request.
 ///
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::send_permit::SendPermit;
 
 /// What has passed over a connection since its last request was handed to it.
 #[derive(Default)]
