--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -39,13 +39,22 @@
     commanded_here: BTreeSet<String>,
 }
 
+/// What an operator does about a worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceAction {
+    /// Nothing more is sent to it.
+    Disable,
+    /// It is used again.
+    Enable,
+}
+
 /// A worker that has been disabled or enabled by the state of the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceChange {
     /// The worker's name in the endpoint list.
     pub name: String,
-    /// Whether it is disabled now.
-    pub disabled: bool,
+    /// What has become of it.
+    pub action: MaintenanceAction,
 }
 
 impl DisabledWorkers {
@@ -64,6 +73,17 @@
         self.ever_listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES
     }
 
+    /// Carries out an operator's action on a worker.
+    ///
+    /// # Errors
+    /// Those of [`disable`](Self::disable) and [`enable`](Self::enable).
+    pub fn apply(&mut self, name: &str, action: MaintenanceAction) -> CommandResult {
+        match action {
+            MaintenanceAction::Disable => self.disable(name),
+            MaintenanceAction::Enable => self.enable(name),
+        }
+    }
+
     /// Disables a worker; succeeds as well if it is disabled already.
     ///
     /// # Errors
@@ -118,7 +138,11 @@
             .filter(|name| !self.commanded_here.contains(*name))
             .map(|name| MaintenanceChange {
                 name: name.clone(),
-                disabled: predecessor.disabled.contains(name),
+                action: if predecessor.disabled.contains(name) {
+                    MaintenanceAction::Disable
+                } else {
+                    MaintenanceAction::Enable
+                },
             })
             .collect();
         for change in &changes {
@@ -128,10 +152,9 @@
     }
 
     fn apply_change(&mut self, change: &MaintenanceChange) {
-        if change.disabled {
-            self.disabled.insert(change.name.clone());
-        } else {
-            self.disabled.remove(&change.name);
+        match change.action {
+            MaintenanceAction::Disable => _ = self.disabled.insert(change.name.clone()),
+            MaintenanceAction::Enable => _ = self.disabled.remove(&change.name),
         }
     }
 }
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -40,7 +40,7 @@
         /// An operator has drained the node.
         drained: bool,
     },
-    /// SIGTERM has arrived: it goes on serving until all jobs that it has accepted are answered.
+    /// SIGTERM has arrived: it serves until all jobs that it has accepted are answered.
     #[serde(rename = "Ending")]
     ShuttingDown,
     /// All jobs are answered.
--- a/crates/control/src/takeover/callback_route.rs
+++ b/crates/control/src/takeover/callback_route.rs
@@ -1,5 +1,7 @@
 //! Which of the two processes of a node a callback of a worker is for.
 
+use super::job_claims::LocalOwnership;
+
 /// Where a callback goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallbackRoute {
@@ -11,13 +13,20 @@
     Unknown,
 }
 
-/// Routes a callback. `owned_here` says whether this process owns its job, `linked` whether there is another
-/// process to ask; `linked` is false for a callback that the other process has forwarded, so that it is not
-/// sent back.
-pub fn route_callback(owned_here: bool, linked: bool) -> CallbackRoute {
-    match (owned_here, linked) {
-        (true, _) => CallbackRoute::Local,
-        (false, true) => CallbackRoute::Forward,
-        (false, false) => CallbackRoute::Unknown,
+/// Whether there is another process to which a callback can be forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ForwardingPeer {
+    /// The link to it is connected.
+    Linked,
+    /// There is none, or it has forwarded this callback itself and must not receive it again.
+    None,
+}
+
+/// Routes a callback by whether this process owns its job.
+pub fn route_callback(ownership: LocalOwnership, peer: ForwardingPeer) -> CallbackRoute {
+    match (ownership, peer) {
+        (LocalOwnership::Owned, _) => CallbackRoute::Local,
+        (LocalOwnership::NotOwned, ForwardingPeer::Linked) => CallbackRoute::Forward,
+        (LocalOwnership::NotOwned, ForwardingPeer::None) => CallbackRoute::Unknown,
     }
 }
--- a/crates/control/src/takeover/job_claims.rs
+++ b/crates/control/src/takeover/job_claims.rs
@@ -24,7 +24,16 @@
     Successor,
 }
 
-/// How far a claim has come.
+/// Whether this process owns a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LocalOwnership {
+    /// This process owns it.
+    Owned,
+    /// This process does not own it; the other one may.
+    NotOwned,
+}
+
+/// Progress of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClaimState {
     /// The other process has not answered yet.
@@ -69,10 +78,9 @@
         self.claims.remove(id);
     }
 
-    /// Whether the other process, which claims this id, may have it. `owned_here` says whether this process
-    /// owns the job.
-    pub fn allows_peer_claim(&self, id: &str, owned_here: bool) -> bool {
-        if owned_here {
+    /// Whether the other process, which claims this id, may have it.
+    pub fn allows_peer_claim(&self, id: &str, ownership: LocalOwnership) -> bool {
+        if ownership == LocalOwnership::Owned {
             return false;
         }
         match self.claims.get(id) {
--- a/crates/control/src/takeover/mod.rs
+++ b/crates/control/src/takeover/mod.rs
@@ -10,6 +10,6 @@
 mod job_claims;
 mod state_machine;
 
-pub use callback_route::{CallbackRoute, route_callback};
-pub use job_claims::{JobClaims, LinkRole};
+pub use callback_route::{CallbackRoute, ForwardingPeer, route_callback};
+pub use job_claims::{JobClaims, LinkRole, LocalOwnership};
 pub use state_machine::{DescriptorShare, RejectReason, Role, Takeover, TakeoverCommand, TakeoverEvent};
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -3,7 +3,7 @@
 //! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then
 //! requests the takeover; once that is granted it accepts the new connections of the node and the predecessor
 //! finishes its jobs. A successor that terminates first hands the node back, and a process whose link is lost
-//! goes on alone.
+//! continues alone.
 //!
 //! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own,
 //! whether its phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as
--- a/crates/control/tests/takeover/main.rs
+++ b/crates/control/tests/takeover/main.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 use curlewusher_control::takeover::{
-    CallbackRoute, DescriptorShare, JobClaims, LinkRole, RejectReason, Takeover, TakeoverCommand,
-    TakeoverEvent, route_callback,
+    CallbackRoute, DescriptorShare, ForwardingPeer, JobClaims, LinkRole, LocalOwnership, RejectReason,
+    Takeover, TakeoverCommand, TakeoverEvent, route_callback,
 };
 use network::{JOB_IDS, MAX_PROCESSES, Network};
 use proptest::prelude::*;
@@ -47,9 +47,9 @@
 
 #[test]
 fn callback_then_it_goes_to_its_job_and_is_not_sent_back() {
-    assert_eq!(route_callback(true, true), CallbackRoute::Local);
-    assert_eq!(route_callback(false, true), CallbackRoute::Forward);
-    assert_eq!(route_callback(false, false), CallbackRoute::Unknown);
+    assert_eq!(route_callback(LocalOwnership::Owned, ForwardingPeer::Linked), CallbackRoute::Local);
+    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardingPeer::Linked), CallbackRoute::Forward);
+    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardingPeer::None), CallbackRoute::Unknown);
 }
 
 #[test]
@@ -59,20 +59,23 @@
     let mut responses = BTreeSet::new();
     for claims in [&mut predecessor, &mut successor] {
         assert!(claims.try_claim("a"));
-        responses.insert(claims.allows_peer_claim("a", false));
+        responses.insert(claims.allows_peer_claim("a", LocalOwnership::NotOwned));
         assert!(!claims.try_claim("a"), "a duplicate");
     }
     assert_eq!(
-        (predecessor.allows_peer_claim("a", false), successor.allows_peer_claim("a", false)),
+        (
+            predecessor.allows_peer_claim("a", LocalOwnership::NotOwned),
+            successor.allows_peer_claim("a", LocalOwnership::NotOwned)
+        ),
         (false, true)
     );
     predecessor.confirm("a");
     assert!(
-        !predecessor.allows_peer_claim("a", false)
-            && predecessor.allows_peer_claim("b", false)
-            && !predecessor.allows_peer_claim("b", true)
+        !predecessor.allows_peer_claim("a", LocalOwnership::NotOwned)
+            && predecessor.allows_peer_claim("b", LocalOwnership::NotOwned)
+            && !predecessor.allows_peer_claim("b", LocalOwnership::Owned)
     );
     predecessor.release("a");
     successor.release("a");
-    assert!(predecessor.allows_peer_claim("a", false) && successor.try_claim("a"));
+    assert!(predecessor.allows_peer_claim("a", LocalOwnership::NotOwned) && successor.try_claim("a"));
 }
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -5,7 +5,8 @@
 
 use curlewusher_control::phase::Phase;
 use curlewusher_control::takeover::{
-    DescriptorShare, JobClaims, LinkRole, RejectReason, Role, Takeover, TakeoverCommand, TakeoverEvent,
+    DescriptorShare, JobClaims, LinkRole, LocalOwnership, RejectReason, Role, Takeover, TakeoverCommand,
+    TakeoverEvent,
 };
 use proptest::prelude::*;
 
@@ -269,7 +270,12 @@
             Message::HandBack => _ = self.handle(index, TakeoverEvent::HandedBack),
             Message::Claim(id) => {
                 let process = &self.processes[index];
-                let granted = process.claims.allows_peer_claim(id, process.jobs.contains_key(id));
+                let ownership = if process.jobs.contains_key(id) {
+                    LocalOwnership::Owned
+                } else {
+                    LocalOwnership::NotOwned
+                };
+                let granted = process.claims.allows_peer_claim(id, ownership);
                 self.send(index, Message::ClaimResult { id, granted });
             }
             Message::ClaimResult { id, granted } => {
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin address: a second address, for operators alone, that takes one command a connection.
+//! The admin address: an address for operators alone, which serves one command per connection.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -5,6 +5,7 @@
 use std::rc::Rc;
 
 use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, format_response};
+use curlewusher_control::maintenance::MaintenanceAction;
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
@@ -79,8 +80,12 @@
             AdminCommand::Ready => Ok(()),
             AdminCommand::Drain => self.apply_drain_event(PhaseEvent::Drain),
             AdminCommand::Undrain => self.apply_drain_event(PhaseEvent::Undrain),
-            AdminCommand::Disable(worker) => self.set_worker_disabled(worker, true, origin).await,
-            AdminCommand::Enable(worker) => self.set_worker_disabled(worker, false, origin).await,
+            AdminCommand::Disable(worker) => {
+                self.change_maintenance(worker, MaintenanceAction::Disable, origin).await
+            }
+            AdminCommand::Enable(worker) => {
+                self.change_maintenance(worker, MaintenanceAction::Enable, origin).await
+            }
         }
     }
 
@@ -92,17 +97,17 @@
     }
 
     /// A worker that the other process has accepted is accepted here, even if no endpoint list has named it yet.
-    async fn set_worker_disabled(
+    async fn change_maintenance(
         &self,
         worker: &str,
-        disabled: bool,
+        action: MaintenanceAction,
         origin: CommandOrigin,
     ) -> CommandResult {
         let (reply, result) = oneshot::channel();
         let name = worker.to_owned();
         let command = match origin {
-            CommandOrigin::Operator => DispatchCommand::SetWorkerDisabled { name, disabled, result: reply },
-            CommandOrigin::Peer => DispatchCommand::SetWorkerDisabledByPeer { name, disabled, result: reply },
+            CommandOrigin::Operator => DispatchCommand::ChangeMaintenance { name, action, result: reply },
+            CommandOrigin::Peer => DispatchCommand::ChangeMaintenanceForPeer { name, action, result: reply },
         };
         self.dispatch_commands.send(command).await.map_err(|_| CommandError::TimedOut)?;
         result.await.unwrap_or(Err(CommandError::TimedOut))
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -15,6 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use curlewusher_control::takeover::DescriptorShare;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -70,10 +71,13 @@
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// Halves the budget, or makes it full again. Where it cannot shrink at once, `request_eviction` is called: it
-    /// has one connection end soon.
-    pub fn set_halved(&self, halved: bool, request_eviction: impl Fn()) {
-        self.target_size.set(if halved { self.halved_size } else { self.full_size });
+    /// Resizes the budget to its full size or to half of it. Where it cannot shrink at once, `request_eviction` is
+    /// called: it has one connection end soon.
+    pub fn set_share(&self, share: DescriptorShare, request_eviction: impl Fn()) {
+        self.target_size.set(match share {
+            DescriptorShare::All => self.full_size,
+            DescriptorShare::Half => self.halved_size,
+        });
         self.grow_to_target();
         self.remove_free_permits();
         if self.is_above_target() {
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -167,11 +167,11 @@
 
 impl EndpointWatch {
     async fn open(address: SocketAddr, known_index: u64) -> Result<Self, WatchError> {
-        let (mut sender, mut connection) = connect(address).await?;
+        let (mut requests, mut connection) = connect(address).await?;
         let request = Request::get(format!("/v1/endpoints?follow=1&since={known_index}"))
             .header(header::HOST, address.to_string())
             .body(Empty::<Bytes>::new())?;
-        let mut response = pin!(sender.send_request(request));
+        let mut response = pin!(requests.send_request(request));
         let response = connection.drive(|context| response.as_mut().poll(context)).await;
         let response = response.map_err(WatchError::NoResponse)?;
         if response.status() != StatusCode::OK {
@@ -242,9 +242,9 @@
     };
     // Without it the connection is slower, but works.
     let _ = stream.set_nodelay(true);
-    let (sender, connection) =
+    let (requests, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(WatchError::NoResponse)?;
-    Ok((sender, DrivenConnection { open: Some(Box::new(connection)) }))
+    Ok((requests, DrivenConnection { open: Some(Box::new(connection)) }))
 }
 
 type HttpConnection = http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>;
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -80,7 +80,7 @@
     result: Result<OpenedWatch, WatchError>,
 }
 
-/// What came of the open watch.
+/// What the open watch delivered.
 pub struct WatchOutcome {
     generation: AddressGeneration,
     result: Result<ReceivedEvent, WatchError>,
@@ -90,7 +90,7 @@
 pub enum WatchUpdate {
     /// A list, or a change of it.
     List(ListUpdate),
-    /// The watch at the present address says that nothing has changed up to this moment.
+    /// The watch at the present address confirms that nothing has changed up to this moment.
     Confirmed(Instant),
     /// A watch or a poll has failed. The caller reports it and calls [`WatchState::record_failure`].
     Failed(WatchFailure),
@@ -213,7 +213,7 @@
                         Some(self.accept_change(generation, list, received.current_as_of))
                     }
                     WatchEvent::Heartbeat => {
-                        // The heartbeat of an old address says nothing about the list at the present one.
+                        // The heartbeat of an old address does not confirm the list at the present one.
                         let as_of = received.current_as_of.filter(|_| generation == self.generation);
                         as_of.map(WatchUpdate::Confirmed)
                     }
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -16,7 +16,7 @@
 
 /// Watches discovery whenever the dispatch task requests it or [`WatchTiming`] schedules it.
 pub struct EndpointWatcher {
-    /// Where discovery is until the watcher is told another address.
+    /// Address of discovery until the watcher is notified of another one.
     pub address: SocketAddr,
     /// Turns the names of a list into the numbers of the dispatcher.
     pub resolver: EndpointResolver,
@@ -79,13 +79,13 @@
                     debug!(target: DISCOVERY, "endpoint list confirmed");
                     self.notify(DispatchMessage::EndpointsConfirmed { as_of }).await
                 }
-                Some(WatchUpdate::List(update)) => self.pass_on_list(update).await,
+                Some(WatchUpdate::List(update)) => self.forward_list(update).await,
                 Some(WatchUpdate::Failed(failure)) => self.handle_failure(state, failure).await,
             },
         }
     }
 
-    async fn pass_on_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
+    async fn forward_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
         let ListUpdate { list, current_as_of, poll_duration } = update;
         self.list_received.send_replace(true);
         let endpoints = self.resolver.resolve(&list.endpoints);
--- a/crates/node/src/dispatch/callbacks.rs
+++ b/crates/node/src/dispatch/callbacks.rs
@@ -7,12 +7,21 @@
 
 use super::attempts::{Attempt, CallbackState};
 
+/// Whether a callback may repeat an earlier one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Repetition {
+    /// No equal callback has ended an earlier attempt.
+    Excluded,
+    /// An equal callback has ended an earlier attempt at the same worker.
+    Possible,
+}
+
 /// The attempt that a callback concerns.
 pub(super) struct CallbackTarget {
     /// Position among the job's attempts.
     pub(super) number: u32,
-    /// An earlier attempt at the same worker was ended by an equal callback.
-    pub(super) may_be_repeat: bool,
+    /// Whether the callback may repeat the one that ended an earlier attempt at the same worker.
+    pub(super) repetition: Repetition,
 }
 
 /// What a callback means for its attempt.
@@ -43,19 +52,26 @@
     let may_be_repeat = attempts[..position].iter().any(|earlier| {
         &*earlier.worker_name == worker_name && earlier.last_callback.as_ref() == Some(callback)
     });
+    let repetition = if may_be_repeat { Repetition::Possible } else { Repetition::Excluded };
     let is_stale = may_be_repeat && !attempts[position].accepted;
-    (!is_stale).then_some(CallbackTarget { number: position as u32, may_be_repeat })
+    (!is_stale).then_some(CallbackTarget { number: position as u32, repetition })
 }
 
 /// What a callback means for the attempt that [`find_target`] has found.
-pub(super) fn interpret(attempt: &Attempt, callback: &CallbackState, may_be_repeat: bool) -> CallbackEffect {
+pub(super) fn interpret(
+    attempt: &Attempt,
+    callback: &CallbackState,
+    repetition: Repetition,
+) -> CallbackEffect {
     match callback {
         // A start of an attempt that is being cancelled must not lead to the cancellation of the one that
         // replaces it.
         CallbackState::Started | CallbackState::Running(_) if attempt.is_being_cancelled() => {
             CallbackEffect::Ignored
         }
-        CallbackState::Failed | CallbackState::Returned | CallbackState::Lost if may_be_repeat => {
+        CallbackState::Failed | CallbackState::Returned | CallbackState::Lost
+            if repetition == Repetition::Possible =>
+        {
             CallbackEffect::Ambiguous
         }
         CallbackState::Started => CallbackEffect::Started,
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewusher_control::command::CommandResult;
-use curlewusher_control::maintenance::DisabledWorkers;
+use curlewusher_control::maintenance::{DisabledWorkers, MaintenanceAction};
 use curlewusher_core::StateSnapshot;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
@@ -13,7 +13,7 @@
 use super::attempts::CallbackState;
 use super::endpoints::NamedEndpoint;
 use super::jobs::{JobHandle, JobOwner, SubmittedJob};
-use super::migration::{IncomingMigration, OutgoingMigration};
+use super::migration::{IncomingMigration, MigrationOutcome, OutgoingMigration};
 use crate::attempt::{AttemptReport, AttemptReporter, ReportFuture};
 
 /// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot
@@ -73,17 +73,17 @@
     MigrationFinished {
         /// The job.
         job_handle: JobHandle,
-        /// Whether the other process owns it now; else it is rolled back.
-        accepted: bool,
+        /// Which process owns it now.
+        outcome: MigrationOutcome,
     },
-    /// A job has come from the other process.
+    /// A job has arrived from the other process.
     ReceiveMigration(IncomingMigration<P>),
     /// The answer to the other process about an incoming job has been written, or could not be.
     MigrationConfirmed {
         /// The job.
         job_handle: JobHandle,
-        /// Whether this process owns it now; else the other one does.
-        confirmed: bool,
+        /// Which process owns it now.
+        outcome: MigrationOutcome,
     },
     /// The transport reports on an attempt.
     Attempt(AttemptReport),
@@ -116,22 +116,22 @@
 /// A command of an operator or of the other process of this node. Commands have a queue of their own, which
 /// is read before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
 pub enum DispatchCommand {
-    /// Sends nothing more to the worker of that name, or ends that.
-    SetWorkerDisabled {
+    /// Disables or enables the worker of that name for an operator.
+    ChangeMaintenance {
         /// The worker.
         name: String,
-        /// Whether it is disabled from now on.
-        disabled: bool,
+        /// Whether it is disabled or enabled.
+        action: MaintenanceAction,
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
     /// The same for a worker that the other process of this node knows, whether or not a list here has named
     /// it.
-    SetWorkerDisabledByPeer {
+    ChangeMaintenanceForPeer {
         /// The worker.
         name: String,
-        /// Whether it is disabled from now on.
-        disabled: bool,
+        /// Whether it is disabled or enabled.
+        action: MaintenanceAction,
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
@@ -139,8 +139,11 @@
     TakeSnapshot(oneshot::Sender<TransferableState>),
     /// Adopts what the predecessor of this process knew.
     RestoreSnapshot(Box<TransferableState>),
-    /// Whether the other process of this node has taken over.
-    SetSuccessorActive(bool),
+    /// The successor of this process has taken over, or has ended.
+    SetSuccessorActive {
+        /// Whether it has taken over.
+        active: bool,
+    },
 }
 
 /// What a process passes on to its successor.
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -106,6 +106,15 @@
     !job.is_settled() && has_time && job.attempts.iter().all(is_transferable)
 }
 
+/// How a migration ended, for both processes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MigrationOutcome {
+    /// The receiving process owns the job.
+    Accepted,
+    /// The job stays with the sending process.
+    RolledBack,
+}
+
 /// A job that is to be sent to the other process of this node.
 pub struct OutgoingMigration<P> {
     /// The job.
@@ -114,7 +123,7 @@
     pub payload: Rc<P>,
 }
 
-/// A job that has come from the other process of this node.
+/// A job that has arrived from the other process of this node.
 pub struct IncomingMigration<P> {
     /// The job.
     pub migration: JobMigration,
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -124,7 +124,7 @@
             may_be_written_for_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
             "attempt sent"
         );
-        self.transport.start_attempt(AttemptRequest {
+        self.worker_client.start_attempt(AttemptRequest {
             id,
             request_id,
             address,
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -75,12 +75,12 @@
         let attempts = &self.jobs.get(job)?.attempts;
         let target = find_target(attempts, worker, state)?;
         let attempt = attempts.get(target.number as usize)?;
-        let effect = interpret(attempt, state, target.may_be_repeat);
+        let effect = interpret(attempt, state, target.repetition);
         Some((AttemptId { job, number: target.number }, effect))
     }
 
     /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end only
-    /// once the transport has confirmed the cancellation, or a callback has come before that, so that no two
+    /// once the transport has confirmed the cancellation, or a callback has arrived before that, so that no two
     /// attempts of a job overlap.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -14,8 +14,8 @@
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::{Job, JobHandle};
 use crate::dispatch::migration::{
-    IncomingJob, IncomingMigration, JobMigration, MigratedAttempt, OutgoingJob, OutgoingMigration,
-    is_migratable,
+    IncomingJob, IncomingMigration, JobMigration, MigratedAttempt, MigrationOutcome, OutgoingJob,
+    OutgoingMigration, is_migratable,
 };
 use crate::dispatch::timers::Timer;
 use crate::telemetry::logging::DISPATCH;
@@ -55,24 +55,25 @@
         let receiver_is_gone = migration_channel.send(outgoing).is_err();
         self.migrations.insert_outgoing(id, OutgoingJob { migration, job });
         if receiver_is_gone {
-            self.finish_outgoing_migration(job_handle, false);
+            self.finish_outgoing_migration(job_handle, MigrationOutcome::RolledBack);
         }
     }
 
     /// Ends a migration to the other process: that one owns the job now, or the job is rolled back.
-    pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, accepted: bool) {
+    pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(outgoing) = self.migrations.remove_outgoing(id) else { return };
-        if accepted {
-            self.jobs.release(&outgoing.job.request_id);
-            self.metrics.add(Counter::JobsMigratedAway);
-        } else {
-            self.roll_back_migration(id, outgoing);
+        match outcome {
+            MigrationOutcome::Accepted => {
+                self.jobs.release(&outgoing.job.request_id);
+                self.metrics.add(Counter::JobsMigratedAway);
+            }
+            MigrationOutcome::RolledBack => self.rollback_migration(id, outgoing),
         }
     }
 
     /// Puts a job back into the table that the other process has not accepted.
-    fn roll_back_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
+    fn rollback_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
         let OutgoingJob { migration, job } = outgoing;
         let is_client_gone = job.is_settled();
         if is_client_gone && !migration.has_attempt_in_flight() {
@@ -109,12 +110,12 @@
     }
 
     /// Ends a migration from the other process: this one owns the job now, or the job stays with the other.
-    pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, confirmed: bool) {
+    pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(incoming) = self.migrations.remove_incoming(id) else { return };
         let now = self.clock.now();
-        let is_adopted =
-            confirmed && self.dispatcher.adopt_job(now, id, &incoming.migration.job, &mut self.actions);
+        let is_adopted = outcome == MigrationOutcome::Accepted
+            && self.dispatcher.adopt_job(now, id, &incoming.migration.job, &mut self.actions);
         if is_adopted {
             self.add_migrated_job(id, now, incoming);
         } else {
@@ -168,7 +169,7 @@
             state = AttemptState::InFlight;
             cancel = Some(cancel_channel);
             self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(id));
-            self.transport.resume_attempt(AttemptRequest {
+            self.worker_client.resume_attempt(AttemptRequest {
                 id,
                 request_id: Rc::clone(job.request_id),
                 address,
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use curlewusher_control::command::CommandResult;
-use curlewusher_control::maintenance::DisabledWorkers;
+use curlewusher_control::maintenance::{DisabledWorkers, MaintenanceAction};
 use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Micros, Outcome, WorkerId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
     /// The node's clock.
     pub clock: Clock,
     /// Carries attempts to workers.
-    pub transport: T,
+    pub worker_client: T,
     /// Messages of clients, workers and discovery.
     pub messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
     /// Commands of operators and of the other process of this node.
@@ -54,7 +54,7 @@
 pub struct DispatchTask<T: AttemptTransport> {
     dispatcher: Dispatcher,
     clock: Clock,
-    transport: T,
+    worker_client: T,
     messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
     commands: mpsc::Receiver<DispatchCommand>,
     watch_requests: mpsc::Sender<()>,
@@ -77,7 +77,7 @@
             permissions: PermissionMonitor::new(parts.clock, parts.metrics.clone()),
             dispatcher: parts.dispatcher,
             clock: parts.clock,
-            transport: parts.transport,
+            worker_client: parts.worker_client,
             messages: parts.messages,
             commands: parts.commands,
             watch_requests: parts.watch_requests,
@@ -135,12 +135,12 @@
     /// Carries out a command of an operator or of the other process of this node.
     fn handle_command(&mut self, command: DispatchCommand) {
         match command {
-            DispatchCommand::SetWorkerDisabled { name, disabled, result } => {
-                self.set_worker_disabled(&name, disabled, result);
+            DispatchCommand::ChangeMaintenance { name, action, result } => {
+                self.change_maintenance(&name, action, result);
             }
-            DispatchCommand::SetWorkerDisabledByPeer { name, disabled, result } => {
+            DispatchCommand::ChangeMaintenanceForPeer { name, action, result } => {
                 self.disabled_workers.record_listed([name.as_str()]);
-                self.set_worker_disabled(&name, disabled, result);
+                self.change_maintenance(&name, action, result);
             }
             DispatchCommand::TakeSnapshot(snapshot_channel) => {
                 let snapshot = Some(self.dispatcher.snapshot());
@@ -148,28 +148,38 @@
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
-            DispatchCommand::SetSuccessorActive(active) => {
+            DispatchCommand::SetSuccessorActive { active } => {
                 self.apply_event(Event::SuccessorActive { active });
             }
         }
     }
 
     /// Disables or enables a worker, and answers the operator.
-    fn set_worker_disabled(&mut self, name: &str, disabled: bool, result: oneshot::Sender<CommandResult>) {
-        let changed =
-            if disabled { self.disabled_workers.disable(name) } else { self.disabled_workers.enable(name) };
+    fn change_maintenance(
+        &mut self,
+        name: &str,
+        action: MaintenanceAction,
+        result: oneshot::Sender<CommandResult>,
+    ) {
+        let changed = self.disabled_workers.apply(name, action);
         if changed.is_ok() {
-            self.apply_event(Event::MaintenanceChanged { worker: WorkerId::from_name(name), disabled });
+            self.apply_maintenance(name, action);
         }
         // An operator who does not wait any more may repeat the command.
         let _ = result.send(changed);
     }
 
+    /// Has the dispatcher use a worker no longer, or use it again.
+    fn apply_maintenance(&mut self, name: &str, action: MaintenanceAction) {
+        let worker = WorkerId::from_name(name);
+        let disabled = action == MaintenanceAction::Disable;
+        self.apply_event(Event::MaintenanceChanged { worker, disabled });
+    }
+
     /// Adopts what the predecessor of this process knew.
     fn restore_state(&mut self, state: TransferableState) {
         for change in self.disabled_workers.merge_predecessor(state.disabled_workers) {
-            let worker = WorkerId::from_name(&change.name);
-            self.apply_event(Event::MaintenanceChanged { worker, disabled: change.disabled });
+            self.apply_maintenance(&change.name, change.action);
         }
         if let Some(snapshot) = &state.snapshot {
             self.dispatcher.restore(self.clock.now(), snapshot);
@@ -199,12 +209,12 @@
             DispatchMessage::MigrateJob { job_handle, migration_channel } => {
                 self.start_outgoing_migration(&job_handle, migration_channel);
             }
-            DispatchMessage::MigrationFinished { job_handle, accepted } => {
-                self.finish_outgoing_migration(&job_handle, accepted);
+            DispatchMessage::MigrationFinished { job_handle, outcome } => {
+                self.finish_outgoing_migration(&job_handle, outcome);
             }
             DispatchMessage::ReceiveMigration(incoming) => self.start_incoming_migration(incoming),
-            DispatchMessage::MigrationConfirmed { job_handle, confirmed } => {
-                self.finish_incoming_migration(&job_handle, confirmed);
+            DispatchMessage::MigrationConfirmed { job_handle, outcome } => {
+                self.finish_incoming_migration(&job_handle, outcome);
             }
             DispatchMessage::Attempt(AttemptReport::Accepted(id)) => self.handle_attempt_accepted(id),
             DispatchMessage::Attempt(AttemptReport::Ended(id, outcome)) => self.end_attempt(id, outcome),
@@ -247,7 +257,7 @@
                 "endpoint listed"
             );
             if self.endpoints.apply(listed) == ExistingConnections::Stale {
-                self.transport.discard_connections(address);
+                self.worker_client.discard_connections(address);
             }
         }
         let event = Event::EndpointsChanged { endpoints: &entries, snapshot };
--- a/crates/node/src/handover/link/mod.rs
+++ b/crates/node/src/handover/link/mod.rs
@@ -56,12 +56,12 @@
 impl PeerLink {
     /// Starts a link on a connection whose handshake is done. `decoder` holds what was read after it.
     pub(super) fn start(stream: UnixStream, role: LinkRole, decoder: Decoder) -> LinkEnds {
-        let (request_sender, requests) = mpsc::channel(MAX_PENDING_PEER_REQUESTS + 1);
+        let (request_queue, requests) = mpsc::channel(MAX_PENDING_PEER_REQUESTS + 1);
         // A slot of its own, so that the loss of the link is reported however many requests wait.
-        let link_lost_permit = request_sender.clone().try_reserve_owned().ok();
+        let link_lost_permit = request_queue.clone().try_reserve_owned().ok();
         let state = Rc::new(LinkState::new(stream, role));
         spawn_local(write_frames(Rc::clone(&state)));
-        let reader = FrameReader::new(Rc::clone(&state), request_sender);
+        let reader = FrameReader::new(Rc::clone(&state), request_queue);
         spawn_local(reader.run(decoder, link_lost_permit));
         LinkEnds { link: PeerLink { state }, requests }
     }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -7,6 +7,7 @@
 
 use bytes::Bytes;
 use curlewusher_control::frame::{Decoder, Frame, ReceivedFrame};
+use curlewusher_control::takeover::LocalOwnership;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tracing::{debug, warn};
@@ -112,13 +113,14 @@
 
     /// Refuses a claim of an id that this process is claiming itself; otherwise asks whether it holds the id.
     fn handle_claim(&self, request_id: u64, job_id: String) {
-        if !self.state.claims.borrow().allows_peer_claim(&job_id, false) {
+        if !self.state.claims.borrow().allows_peer_claim(&job_id, LocalOwnership::NotOwned) {
             return self.state.send_response(request_id, &Frame::ClaimResult(false));
         }
         let claimed_id = job_id.clone();
         // Checked again with the answer: this process may have claimed the id in the meantime.
         let respond = move |state: &LinkState, is_unheld: bool| {
-            Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, !is_unheld))
+            let ownership = if is_unheld { LocalOwnership::NotOwned } else { LocalOwnership::Owned };
+            Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, ownership))
         };
         self.forward_request(request_id, |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld }, respond);
     }
@@ -144,8 +146,8 @@
         request: impl FnOnce(oneshot::Sender<T>) -> PeerRequest,
         response: impl FnOnce(&LinkState, T) -> Frame + 'static,
     ) {
-        let (result_sender, result) = oneshot::channel();
-        self.pass_on(request(result_sender));
+        let (result_channel, result) = oneshot::channel();
+        self.pass_on(request(result_channel));
         let state = Rc::clone(&self.state);
         spawn_local(async move {
             if let Ok(result) = result.await {
--- a/crates/node/src/handover/peer.rs
+++ b/crates/node/src/handover/peer.rs
@@ -41,8 +41,8 @@
         self.may_have_unknown_peer.get() || self.lost_process.get().is_some()
     }
 
-    /// Sets whether another process may serve unknown to this one because the rendezvous cannot be used.
-    pub fn set_may_have_unknown_peer(&self, may_have_unknown_peer: bool) {
-        self.may_have_unknown_peer.set(may_have_unknown_peer);
+    /// Records that another process may serve unknown to this one, because the rendezvous cannot be used.
+    pub fn mark_unknown_peer_possible(&self) {
+        self.may_have_unknown_peer.set(true);
     }
 }
--- a/crates/node/src/handover/state_transfer.rs
+++ b/crates/node/src/handover/state_transfer.rs
@@ -6,6 +6,7 @@
 use tracing::warn;
 
 use crate::dispatch::TransferableState;
+use crate::lifecycle::Phase;
 use crate::telemetry::logging::NODE;
 
 /// Version of the record's format; a record of another version is ignored.
@@ -25,8 +26,14 @@
 }
 
 impl StateTransfer {
-    pub(super) fn new(drained: bool, state: TransferableState) -> StateTransfer {
-        StateTransfer { format_version: FORMAT_VERSION, drained, state }
+    /// The state of a process in that phase.
+    pub(super) fn new(phase: Phase, state: TransferableState) -> StateTransfer {
+        StateTransfer { format_version: FORMAT_VERSION, drained: phase.is_drained(), state }
+    }
+
+    /// The same drain with another state of the dispatch task.
+    pub(super) fn with_state(&self, state: TransferableState) -> StateTransfer {
+        StateTransfer { format_version: self.format_version, drained: self.drained, state }
     }
 
     /// Reads a record. None, with a log line that says why, where the process starts without it.
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -24,8 +24,8 @@
                 TakeoverCommand::GrantTakeover => self.grant_takeover().await,
                 TakeoverCommand::HandBack => self.hand_back(),
                 TakeoverCommand::CloseLink => self.close_link(),
-                TakeoverCommand::StartAccepting => self.parts.server.set_accepting(true),
-                TakeoverCommand::StopAccepting => self.parts.server.set_accepting(false),
+                TakeoverCommand::StartAccepting => self.parts.server.start_accepting(),
+                TakeoverCommand::StopAccepting => self.parts.server.stop_accepting(),
                 TakeoverCommand::ApplyPhaseEvent(event) => self.apply_phase_event(event).await,
                 TakeoverCommand::SetDescriptorShare(share) => self.set_descriptor_share(share),
                 TakeoverCommand::ListenForSuccessor => self.listen_for_successor(),
@@ -57,7 +57,7 @@
 
     fn request_takeover(&self) {
         let Some(link) = self.parts.admin.peer.link() else { return };
-        let events = self.local_event_sender.clone();
+        let events = self.local_event_queue.clone();
         spawn_local(async move {
             let response = link.request_takeover().await;
             events.send(LocalEvent::TakeoverResponse(response)).await.is_ok()
@@ -69,14 +69,14 @@
         if let Some(response) = self.takeover_response.take() {
             let _ = response.send(snapshot);
         }
-        self.parts.server.set_migrating(true);
+        self.parts.server.start_migration();
     }
 
     fn hand_back(&self) {
         if let Some(link) = self.parts.admin.peer.link() {
             link.hand_back();
         }
-        self.parts.server.set_migrating(true);
+        self.parts.server.start_migration();
     }
 
     fn close_link(&mut self) {
@@ -93,23 +93,22 @@
             info!(target: NODE, "curlewusher {}: {phase}", admin.name);
         }
         if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
-            let is_successor_active = event == PhaseEvent::HandedOver;
-            self.send_to_dispatch(DispatchCommand::SetSuccessorActive(is_successor_active)).await;
+            let active = event == PhaseEvent::HandedOver;
+            self.send_to_dispatch(DispatchCommand::SetSuccessorActive { active }).await;
         }
     }
 
     fn set_descriptor_share(&self, share: DescriptorShare) {
-        let is_halved = share == DescriptorShare::Half;
-        self.parts.server.set_descriptors_halved(is_halved);
-        self.parts.upstream.set_descriptors_halved(is_halved);
+        self.parts.server.set_descriptor_share(share);
+        self.parts.upstream.set_descriptor_share(share);
     }
 
     fn listen_for_successor(&mut self) {
         let Some(rendezvous) = &self.rendezvous else { return };
-        match RendezvousListener::bind(rendezvous, self.hello_sender.clone()) {
+        match RendezvousListener::bind(rendezvous, self.hello_queue.clone()) {
             Ok(listener) => *self.rendezvous_listener.borrow_mut() = Some(listener),
             Err(error) => {
-                self.parts.admin.peer.set_may_have_unknown_peer(true);
+                self.parts.admin.peer.mark_unknown_peer_possible();
                 warn!(target: NODE, "no successor can find this process: {error}");
             }
         }
@@ -119,10 +118,11 @@
 
     /// The state for a successor, encoded; empty where the dispatch task has ended.
     async fn take_snapshot(&self) -> Bytes {
-        let (state_sender, state) = oneshot::channel();
+        let (state_channel, state) = oneshot::channel();
         let admin = &self.parts.admin;
-        let is_sent = admin.dispatch_commands.send(DispatchCommand::TakeSnapshot(state_sender)).await.is_ok();
+        let is_sent =
+            admin.dispatch_commands.send(DispatchCommand::TakeSnapshot(state_channel)).await.is_ok();
         let Some(state) = state.await.ok().filter(|_| is_sent) else { return Bytes::new() };
-        StateTransfer::new(admin.lifecycle.phase().is_drained(), state).encode()
+        StateTransfer::new(admin.lifecycle.phase(), state).encode()
     }
 }
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -28,7 +28,7 @@
             LocalEvent::TakeoverResponse(Some(snapshot)) => {
                 let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
                 if let Some(transfer) = transfer {
-                    self.restore(transfer.drained, transfer.state).await;
+                    self.restore(transfer).await;
                 }
                 self.handshake_state = None;
                 self.takeover.handle(TakeoverEvent::TakeoverGranted)
@@ -68,7 +68,7 @@
                 return self.takeover.handle(TakeoverEvent::TakeoverRequested);
             }
             PeerRequest::HandBack => {
-                self.parts.server.set_migrating(false);
+                self.parts.server.stop_migration();
                 return self.takeover.handle(TakeoverEvent::HandedBack);
             }
             PeerRequest::LinkLost => return self.handle_link_loss().await,
@@ -92,7 +92,7 @@
         self.parts.admin.peer.mark_lost();
         self.set_link(None);
         if let Some(transfer) = self.handshake_state.take() {
-            self.restore(transfer.drained, transfer.state).await;
+            self.restore(transfer).await;
         }
         info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
         self.takeover.handle(TakeoverEvent::LinkLost)
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -52,6 +52,8 @@
     pub upstream: UpstreamClient,
     /// Carries out operators' commands; has the phase, the peer and the queue of the dispatch task.
     pub admin: AdminService,
+    /// Whether there is an endpoint list of an earlier run.
+    pub has_saved_endpoints: bool,
 }
 
 /// What happens within this process.
@@ -81,8 +83,8 @@
     rendezvous: Option<Rendezvous>,
     start_lock: Option<StartLock>,
     rendezvous_listener: SharedListener,
-    hello_sender: mpsc::Sender<SuccessorHello>,
-    local_event_sender: mpsc::Sender<LocalEvent>,
+    hello_queue: mpsc::Sender<SuccessorHello>,
+    local_event_queue: mpsc::Sender<LocalEvent>,
     peer_requests: Option<mpsc::Receiver<PeerRequest>>,
     /// The hello that the state machine is deciding on.
     pending_hello: Option<SuccessorHello>,
@@ -130,29 +132,32 @@
 
 impl TakeoverTask {
     /// Creates the task and its handle. The task's future ends only if the program cannot go on.
-    /// `has_saved_endpoints`: whether there is an endpoint list of an earlier run.
     pub fn start(
         startup: StartupHandover,
         parts: TakeoverParts,
         endpoints_available: watch::Receiver<bool>,
-        has_saved_endpoints: bool,
     ) -> (TakeoverHandle, impl Future<Output = ()>) {
         let StartupHandover { rendezvous, start_lock, predecessor, may_have_unknown_peer } = startup;
-        parts.admin.peer.set_may_have_unknown_peer(may_have_unknown_peer);
+        if may_have_unknown_peer {
+            parts.admin.peer.mark_unknown_peer_possible();
+        }
         let (node, listen) = (parts.admin.name.clone(), parts.listen.to_string());
         let (takeover, first_commands) = match predecessor {
             Some(_) => Takeover::with_predecessor(&node, &listen),
             None => Takeover::without_predecessor(&node, &listen),
         };
-        let (hello_sender, hellos) = mpsc::channel(HELLO_QUEUE_LENGTH);
-        let (local_event_sender, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_LENGTH);
+        let (hello_queue, hellos) = mpsc::channel(HELLO_QUEUE_LENGTH);
+        let (local_event_queue, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_LENGTH);
         let rendezvous_listener = SharedListener::default();
         let handle = TakeoverHandle {
-            local_events: local_event_sender.clone(),
+            local_events: local_event_queue.clone(),
             rendezvous_listener: Rc::clone(&rendezvous_listener),
             admin: parts.admin.clone(),
         };
-        let permission = ServingPermission { has_saved_endpoints, has_predecessor: predecessor.is_some() };
+        let permission = ServingPermission {
+            has_saved_endpoints: parts.has_saved_endpoints,
+            has_predecessor: predecessor.is_some(),
+        };
         let saved_endpoints_delay = permission.without_answer_after().map(Duration::from_micros);
         let inputs = TakeoverInputs { hellos, local_events, endpoints_available, saved_endpoints_delay };
         let task = TakeoverTask {
@@ -161,8 +166,8 @@
             rendezvous,
             start_lock,
             rendezvous_listener,
-            hello_sender,
-            local_event_sender,
+            hello_queue,
+            local_event_queue,
             peer_requests: None,
             pending_hello: None,
             takeover_response: None,
@@ -218,7 +223,7 @@
                 disabled_workers: transfer.state.disabled_workers.clone(),
                 snapshot: None,
             };
-            self.restore(transfer.drained, maintenance_only).await;
+            self.restore(transfer.with_state(maintenance_only)).await;
             transfer.state.snapshot = snapshot;
             self.handshake_state = Some(transfer);
         }
@@ -226,19 +231,20 @@
 
     /// Replaces the link to the other process, or removes it. A migration of jobs ends with its link.
     fn set_link(&mut self, ends: Option<LinkEnds>) {
-        self.parts.server.set_migrating(false);
+        self.parts.server.stop_migration();
         let (link, requests) = ends.map(|ends| (ends.link, ends.requests)).unzip();
         self.parts.admin.peer.set_link(link);
         self.peer_requests = requests;
     }
 
     /// Takes on the predecessor's state. A drain that was called for here has precedence over its phase.
-    async fn restore(&self, drained: bool, state: TransferableState) {
+    async fn restore(&self, transfer: StateTransfer) {
         let admin = &self.parts.admin;
         if !admin.drain_requested.get() {
-            let _ = admin.lifecycle.apply(if drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
+            let _ =
+                admin.lifecycle.apply(if transfer.drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
         }
-        self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(state))).await;
+        self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(transfer.state))).await;
     }
 
     /// A dispatch task that has ended ends the program, so that a failure needs no handling here.
--- a/crates/node/src/runtime/descriptor_budget.rs
+++ b/crates/node/src/runtime/descriptor_budget.rs
@@ -27,6 +27,15 @@
 /// One connection of this many is for upstream.
 const UPSTREAM_FRACTION: usize = 3;
 
+/// Whether the process has an admin address, whose callers need descriptors.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdminAddress {
+    /// Descriptors are reserved for its callers.
+    Configured,
+    /// No descriptors are needed for it.
+    None,
+}
+
 /// The connections that a process may have open.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorBudget {
@@ -37,10 +46,14 @@
 }
 
 impl DescriptorBudget {
-    /// Divides this many descriptors. `has_admin_address`: descriptors for its callers are set aside.
-    pub fn divide(descriptors: usize, has_admin_address: bool) -> Self {
-        let reserved = (descriptors / 4).clamp(MIN_RESERVED_DESCRIPTORS, MAX_RESERVED_DESCRIPTORS)
-            + if has_admin_address { MAX_ADMIN_DESCRIPTORS } else { 0 };
+    /// Divides this many descriptors.
+    pub fn divide(descriptors: usize, admin_address: AdminAddress) -> Self {
+        let admin_descriptors = match admin_address {
+            AdminAddress::Configured => MAX_ADMIN_DESCRIPTORS,
+            AdminAddress::None => 0,
+        };
+        let reserved =
+            (descriptors / 4).clamp(MIN_RESERVED_DESCRIPTORS, MAX_RESERVED_DESCRIPTORS) + admin_descriptors;
         let max_connections = descriptors.saturating_sub(reserved).max(MIN_CONNECTIONS);
         let max_connections_halved = (descriptors / 2)
             .saturating_sub(reserved / 2 + MAX_ADMIN_DESCRIPTORS / 2)
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -33,12 +33,12 @@
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
 use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
-use crate::runtime::descriptor_budget::DescriptorBudget;
+use crate::runtime::descriptor_budget::{AdminAddress, DescriptorBudget};
 use crate::runtime::error::ServeError;
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
-use crate::server::{Server, ServerParts};
+use crate::server::{PortSharing, Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
@@ -184,7 +184,8 @@
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
         let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
-        let descriptors = DescriptorBudget::divide(limits.sockets, admin.is_some());
+        let admin_address = if admin.is_some() { AdminAddress::Configured } else { AdminAddress::None };
+        let descriptors = DescriptorBudget::divide(limits.sockets, admin_address);
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
 
@@ -197,7 +198,7 @@
         let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
             clock: shared.clock,
-            transport: upstream.clone(),
+            worker_client: upstream.clone(),
             messages: dispatch_messages,
             commands: received_commands,
             watch_requests: poll_requester,
@@ -239,9 +240,9 @@
     /// The listener that the other process passes on, or one of its own.
     fn open_client_listener(&self, handover: &StartupHandover) -> Result<ClientListener, ServeError> {
         let open = || -> io::Result<ClientListener> {
-            let may_be_shared = self.admin_listener.is_some();
-            let listener =
-                handover.listener().unwrap_or_else(|| self.server.listen(self.listen, may_be_shared))?;
+            let sharing =
+                if self.admin_listener.is_some() { PortSharing::Shared } else { PortSharing::Exclusive };
+            let listener = handover.listener().unwrap_or_else(|| self.server.listen(self.listen, sharing))?;
             Ok(ClientListener {
                 address: listener.local_addr()?,
                 for_successor: listener.try_clone()?,
@@ -269,9 +270,9 @@
             server: self.server.clone(),
             upstream: self.upstream.clone(),
             admin: admin.clone(),
+            has_saved_endpoints: !self.saved_endpoints.is_empty(),
         };
         let discovery = self.discovery;
-        let has_saved_endpoints = !self.saved_endpoints.is_empty();
         let has_predecessor = handover.has_predecessor();
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
@@ -280,7 +281,7 @@
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
         let (takeover_handle, takeover_task) =
-            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available, has_saved_endpoints);
+            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available);
         let takeover = spawn_local(takeover_task);
         let (admin_address, admin_commands) =
             self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -2,7 +2,7 @@
 //! this node where that may hold the job.
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{CallbackRoute, route_callback};
+use curlewusher_control::takeover::{CallbackRoute, ForwardingPeer, LocalOwnership, route_callback};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use tokio::sync::oneshot;
@@ -49,15 +49,22 @@
         let link = peer.link();
         let may_have_unknown_peer = peer.may_have_unknown_peer();
         let owner = if link.is_some() || may_have_unknown_peer {
-            let (owner_sender, owner) = oneshot::channel();
-            self.send_to_dispatch(report, Some(owner_sender)).await?;
+            let (owner_channel, owner) = oneshot::channel();
+            self.send_to_dispatch(report, Some(owner_channel)).await?;
             owner.await.unwrap_or(JobOwner::Local)
         } else {
             self.send_to_dispatch(report, None).await?;
             JobOwner::Local
         };
-        let is_linked = link.as_ref().is_some_and(PeerLink::is_connected);
-        Ok(match (owner, route_callback(owner == JobOwner::Local, is_linked), link) {
+        let ownership = match owner {
+            JobOwner::Local => LocalOwnership::Owned,
+            JobOwner::Migrating | JobOwner::Unknown => LocalOwnership::NotOwned,
+        };
+        let forwarding_peer = match &link {
+            Some(link) if link.is_connected() => ForwardingPeer::Linked,
+            _ => ForwardingPeer::None,
+        };
+        Ok(match (owner, route_callback(ownership, forwarding_peer), link) {
             (JobOwner::Migrating, ..) => false,
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
@@ -71,9 +78,9 @@
     async fn send_to_dispatch(
         &self,
         report: CallbackReport,
-        owner_sender: Option<oneshot::Sender<JobOwner>>,
+        owner_channel: Option<oneshot::Sender<JobOwner>>,
     ) -> Result<(), RequestError> {
-        let message = dispatch_message(report, owner_sender);
+        let message = dispatch_message(report, owner_channel);
         self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
     }
 
@@ -96,20 +103,20 @@
 /// dispatch task has ended.
 async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<JobOwner> {
     let Ok(report) = CallbackReport::parse(body) else { return Some(JobOwner::Unknown) };
-    let (owner_sender, owner) = oneshot::channel();
-    state.queue.send(dispatch_message(report, Some(owner_sender))).await.ok()?;
+    let (owner_channel, owner) = oneshot::channel();
+    state.queue.send(dispatch_message(report, Some(owner_channel))).await.ok()?;
     owner.await.ok()
 }
 
-/// The message for the dispatch task; `owner_sender` is there where the owner of the job is asked for.
+/// The message for the dispatch task; `owner_channel` is there where the owner of the job is asked for.
 fn dispatch_message<P>(
     report: CallbackReport,
-    owner_sender: Option<oneshot::Sender<JobOwner>>,
+    owner_channel: Option<oneshot::Sender<JobOwner>>,
 ) -> DispatchMessage<P> {
     DispatchMessage::Callback {
         request_id: report.request_id,
         worker_name: report.worker_name,
         state: report.state,
-        owner: owner_sender,
+        owner: owner_channel,
     }
 }
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -33,7 +33,7 @@
 pub const READ_CHUNK_BYTES: usize = 4096;
 /// Longest head of a request, in bytes; hyper's read buffer has the same bound.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A peer that takes no byte of its response for this long is treated as disconnected.
+/// A peer that reads no byte of its response for this long is treated as disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// State of a connection, in the order in which connections are evicted when descriptors run low.
@@ -69,10 +69,10 @@
     close_requested: Notify,
     /// The reader that waits for the request in progress to be answered.
     read_waker: RefCell<Option<Waker>>,
-    /// Since when the peer has taken nothing of what is written to it.
+    /// Since when the peer has read nothing of what is written to it.
     write_blocked_since: Cell<Option<Instant>>,
     /// The connection ends at once, with nothing more written: the other process of this node serves its
-    /// client, or the peer takes nothing.
+    /// client, or the peer reads nothing.
     aborted: Cell<bool>,
 }
 
@@ -172,7 +172,7 @@
         self.close_requested.notify_one();
     }
 
-    /// Whether the peer has taken nothing of what is written to it for that long.
+    /// Whether the peer has read nothing of what is written to it for that long.
     pub fn is_write_blocked_for(&self, duration: Duration) -> bool {
         self.write_blocked_since.get().is_some_and(|since| since.elapsed() >= duration)
     }
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -60,8 +60,8 @@
         let job_handle = JobHandle::default();
         let permit = state.queue.clone().reserve_owned().await.map_err(|_| RequestError::JobAbandoned)?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let (response_sender, response_receiver) = oneshot::channel();
-        let submission = job_request.into_submission(body, job_handle.clone(), response_sender);
+        let (response_channel, response_receiver) = oneshot::channel();
+        let submission = job_request.into_submission(body, job_handle.clone(), response_channel);
         let submitted = state.queue.send(DispatchMessage::Submit(submission)).await;
         submitted.map_err(|_| RequestError::JobAbandoned)?;
         // From here on the dispatch task knows the id.
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -33,13 +33,22 @@
 /// eviction.
 const ENOUGH_LINGERING_CONNECTIONS: usize = 2;
 
+/// Whether other processes may listen at the address of a listener.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PortSharing {
+    /// No other process may.
+    Exclusive,
+    /// Another process of this node may.
+    Shared,
+}
+
 impl Server {
-    /// Opens the listening socket. `shared`: another process of this node may listen at the address as well.
-    pub fn listen(&self, address: SocketAddr, shared: bool) -> io::Result<std::net::TcpListener> {
+    /// Opens the listening socket.
+    pub fn listen(&self, address: SocketAddr, sharing: PortSharing) -> io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         // A restart must not wait until the kernel has forgotten the old connections.
         socket.set_reuseaddr(true)?;
-        if shared {
+        if sharing == PortSharing::Shared {
             socket.set_reuseport(true)?;
         }
         socket.bind(address)?;
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -22,7 +22,7 @@
 use super::state::ServerState;
 use crate::dispatch::{
     DispatchMessage, DispatchQueue, IncomingMigration, JobHandle, JobMigration, JobResponse,
-    OutgoingMigration,
+    MigrationOutcome, OutgoingMigration,
 };
 use crate::handover::PeerLink;
 use crate::upstream::RequestPayload;
@@ -61,8 +61,8 @@
             Some(record) => link.migrate_job(record, client).await,
             None => false,
         };
-        let finished =
-            DispatchMessage::MigrationFinished { job_handle: self.job_handle.clone(), accepted: is_held };
+        let outcome = if is_held { MigrationOutcome::Accepted } else { MigrationOutcome::RolledBack };
+        let finished = DispatchMessage::MigrationFinished { job_handle: self.job_handle.clone(), outcome };
         self.queue.send(finished).await.ok()?;
         if !is_held && self.client_disconnected.try_recv() == Err(TryRecvError::Closed) {
             // The dispatch task ignores this message while a job migrates; the other process would see it by
@@ -73,7 +73,7 @@
     }
 }
 
-/// A job that has come from the other process. Its fields are dropped in this order.
+/// A job that has arrived from the other process. Its fields are dropped in this order.
 struct AdoptedJob {
     response_receiver: oneshot::Receiver<JobResponse>,
     job_handle: JobHandle,
@@ -142,10 +142,12 @@
         };
         queue.send(DispatchMessage::ReceiveMigration(incoming)).await.ok()?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let is_confirmed = response_written.await.is_ok();
-        let confirmed =
-            DispatchMessage::MigrationConfirmed { job_handle: job_handle.clone(), confirmed: is_confirmed };
-        if queue.send(confirmed).await.is_err() || !is_confirmed {
+        let outcome = match response_written.await {
+            Ok(()) => MigrationOutcome::Accepted,
+            Err(_) => MigrationOutcome::RolledBack,
+        };
+        let confirmed = DispatchMessage::MigrationConfirmed { job_handle: job_handle.clone(), outcome };
+        if queue.send(confirmed).await.is_err() || outcome == MigrationOutcome::RolledBack {
             open_job.disarm_disconnect_message();
             return None;
         }
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -34,10 +34,12 @@
 
 use std::rc::Rc;
 
+use curlewusher_control::takeover::DescriptorShare;
 use tokio::sync::oneshot;
 
 use crate::dispatch::DispatchMessage;
 
+pub use listener::PortSharing;
 pub use state::ServerParts;
 
 use state::ServerState;
@@ -49,30 +51,40 @@
 }
 
 impl Server {
-    /// A server that accepts no connections until [`Server::set_accepting`] says so.
+    /// A server that accepts no connections until [`Server::start_accepting`] is called.
     pub fn new(parts: ServerParts) -> Server {
         Server { state: Rc::new(ServerState::new(parts)) }
     }
 
-    /// Accepts new connections from now on, or leaves them in the queue for the other process of this node.
-    pub fn set_accepting(&self, accepting: bool) {
-        self.state.accepting.send_replace(accepting);
+    /// Accepts new connections from now on.
+    pub fn start_accepting(&self) {
+        self.state.accepting.send_replace(true);
     }
 
-    /// Whether open jobs are to migrate to the other process of this node.
-    pub fn set_migrating(&self, migrating: bool) {
-        self.state.migrating.send_replace(migrating);
+    /// Leaves new connections in the queue of the listener for the other process of this node.
+    pub fn stop_accepting(&self) {
+        self.state.accepting.send_replace(false);
     }
 
-    /// Uses half of the connection budget, or all of it.
-    pub fn set_descriptors_halved(&self, halved: bool) {
-        self.state.connection_budget.set_halved(halved, || listener::evict_connections(&self.state));
+    /// Has open jobs migrate to the other process of this node.
+    pub fn start_migration(&self) {
+        self.state.migrating.send_replace(true);
+    }
+
+    /// Begins no further migration of an open job.
+    pub fn stop_migration(&self) {
+        self.state.migrating.send_replace(false);
+    }
+
+    /// Uses this share of the connection budget.
+    pub fn set_descriptor_share(&self, share: DescriptorShare) {
+        self.state.connection_budget.set_share(share, || listener::evict_connections(&self.state));
     }
 
     /// Whether a job of that id is open.
     pub async fn holds_job(&self, id: String) -> bool {
-        let (held_sender, held) = oneshot::channel();
-        let query = DispatchMessage::QueryJob { request_id: id, held: held_sender };
+        let (held_channel, held) = oneshot::channel();
+        let query = DispatchMessage::QueryJob { request_id: id, held: held_channel };
         self.state.queue.send(query).await.is_ok() && held.await.unwrap_or(false)
     }
 }
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -41,7 +41,7 @@
     /// This process, with a lingering close.
     LingeringClose,
     /// Nobody any more: the peer has closed, the other process of this node has the connection, or the peer
-    /// takes nothing.
+    /// reads nothing.
     Drop,
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -25,7 +25,7 @@
 use crate::attempt::CancelSignal;
 use crate::attempt::{AttemptId, AttemptReport, AttemptReporter, AttemptRequest};
 use crate::upstream::cancellation::{AttemptConnection, CancellationTarget, Canceller};
-use crate::upstream::exchange::{Exchange, ExchangeOutcome};
+use crate::upstream::exchange::{Delivery, Exchange, ExchangeOutcome};
 use crate::upstream::payload::RequestPayload;
 use crate::upstream::pool::ConnectionPool;
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Goes on with a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that another process of this node could not complete.
     pub async fn adopt_cancellation(&self, target: CancellationTarget) {
         let _in_flight = self.in_flight.token();
         self.canceller.adopt(target).await;
@@ -122,8 +122,8 @@
                 Outcome::Lost
             }
             ExchangeOutcome::PermitInvalid => Outcome::NotSent,
-            ExchangeOutcome::Cancelled { request_written } => {
-                return self.conclude_cancelled(attempt, request_written).await;
+            ExchangeOutcome::Cancelled { delivery } => {
+                return self.conclude_cancelled(attempt, delivery).await;
             }
         };
         self.reporter.report(AttemptReport::Ended(attempt.id, outcome)).await;
@@ -137,9 +137,9 @@
         }
     }
 
-    async fn conclude_cancelled(&self, attempt: &Attempt, request_written: bool) {
+    async fn conclude_cancelled(&self, attempt: &Attempt, delivery: Delivery) {
         // If nothing was written, the worker is not to blame: the client has disconnected.
-        if request_written {
+        if delivery == Delivery::MayHaveArrived {
             self.discard_connections(attempt);
             self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
         }
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancels jobs at workers: a `DELETE`, repeated until the worker has acknowledged it.
 //!
-//! A worker that has not acknowledged a cancellation goes on with the job, and another attempt beside it
+//! A worker that has not acknowledged a cancellation continues to run the job, and another attempt beside it
 //! would run the job twice. So the dispatch task learns that an attempt is cancelled only once that is
 //! acknowledged, or once the attempt has no time left. A process that shuts down hands the cancellations over
 //! that are not acknowledged yet.
@@ -25,6 +25,7 @@
 use crate::upstream::exchange::{Exchange, ExchangeOutcome};
 use crate::upstream::payload::UpstreamRequest;
 use crate::upstream::pool::ConnectionPool;
+use crate::upstream::pool::connection::ConnectionOrigin;
 
 /// The first pause before a cancellation that was not acknowledged is sent again, doubled each time up to
 /// [`MAX_RETRY_DELAY`].
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Goes on with a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that another process of this node could not complete.
     pub async fn adopt(&self, target: CancellationTarget) {
         let cancellation = self.cancel_until_acknowledged(&target, AttemptConnection::Other);
         // Nothing else can be done for it after that.
@@ -148,10 +149,10 @@
     let closed = connection == AttemptConnection::ClosedBeforeResponse;
     match outcome {
         ExchangeOutcome::Response { .. } => true,
-        // By itself a refusal says nothing of a job that was accepted: a worker that holds as many
-        // connections as it may refuses others. But it came over a network that carries the closing as well.
+        // By itself a refused connection does not show that an accepted job was cancelled: a worker with as many
+        // connections as it may have refuses others. But it came over a network that carries the closing as well.
         ExchangeOutcome::Refused => closed,
-        ExchangeOutcome::TimedOut { on_new_connection } => closed && *on_new_connection,
+        ExchangeOutcome::TimedOut { connection } => closed && *connection == ConnectionOrigin::Dialled,
         ExchangeOutcome::Unreachable
         | ExchangeOutcome::PermitInvalid
         | ExchangeOutcome::ConnectionLost
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One request to a worker and its response, over a pooled connection.
 //!
-//! A request is sent once. Only if its connection closed before a byte of it was written is it sent on
-//! another connection. If it may have arrived without a response, the outcome says so, and the caller
+//! A request is sent once. It is sent over another connection only if its connection closed before a byte of it
+//! was written. If it may have arrived without a response, the outcome says so, and the caller
 //! decides what that means.
 
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use crate::attempt::SendPermit;
 use crate::upstream::payload::{UpstreamRequest, set_time_left};
 use crate::upstream::pool::ConnectionPool;
-use crate::upstream::pool::connection::{ConnectError, Connection, RequestError};
+use crate::upstream::pool::connection::{ConnectError, Connection, ConnectionOrigin, RequestError};
 
 /// In a rejection: `1` if the worker has not run the job and never will.
 const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
@@ -45,6 +45,15 @@
     pub response_timeout: Duration,
 }
 
+/// Whether a request may have arrived at its worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// No byte of it was written.
+    NotWritten,
+    /// At least one byte of it was written.
+    MayHaveArrived,
+}
+
 /// How an exchange ended.
 pub enum ExchangeOutcome {
     /// A response, whose connection goes back to the pool.
@@ -66,13 +75,13 @@
     MalformedResponse,
     /// No response in time; the connection was closed.
     TimedOut {
-        /// Whether the connection was dialled for this request.
-        on_new_connection: bool,
+        /// Where the connection came from.
+        connection: ConnectionOrigin,
     },
     /// Cancelled before a response; the connection was closed if there was one.
     Cancelled {
-        /// Whether a byte of the request was written, so that it may have arrived.
-        request_written: bool,
+        /// Whether the request may have arrived.
+        delivery: Delivery,
     },
 }
 
@@ -94,14 +103,14 @@
         }
     }
 
-    /// `None` if a reused connection had closed and nothing was written, so that the request may be sent on
-    /// another.
+    /// `None` if a reused connection had closed and nothing was written, so that the request may be sent
+    /// over another.
     async fn try_once(&mut self, pool: &Rc<ConnectionPool>) -> Option<ExchangeOutcome> {
         let mut connection = match self.obtain_connection(pool).await {
             Ok(connection) => connection,
             Err(outcome) => return Some(outcome),
         };
-        let is_new = !connection.is_reused();
+        let origin = connection.origin();
         let traffic = connection.traffic();
         match self.send(&mut connection).await {
             SendOutcome::Response(response) => {
@@ -109,18 +118,20 @@
             }
             SendOutcome::TimedOut => {
                 connection.close().await;
-                Some(ExchangeOutcome::TimedOut { on_new_connection: is_new })
+                Some(ExchangeOutcome::TimedOut { connection: origin })
             }
             SendOutcome::Cancelled => {
                 connection.close().await;
-                Some(ExchangeOutcome::Cancelled { request_written: traffic.request_written() })
+                let delivery =
+                    if traffic.request_written() { Delivery::MayHaveArrived } else { Delivery::NotWritten };
+                Some(ExchangeOutcome::Cancelled { delivery })
             }
             SendOutcome::Failed(error) => {
                 connection.close().await;
                 if error.is_malformed_response(&traffic) {
                     pool.record_malformed_response(self.address, &error.to_string());
                 }
-                self.classify_failure(&error, is_new)
+                self.classify_failure(&error, origin)
             }
         }
     }
@@ -128,7 +139,7 @@
     async fn obtain_connection(&mut self, pool: &ConnectionPool) -> Result<Connection, ExchangeOutcome> {
         tokio::select! {
             biased;
-            () = self.cancel.received() => Err(ExchangeOutcome::Cancelled { request_written: false }),
+            () = self.cancel.received() => Err(ExchangeOutcome::Cancelled { delivery: Delivery::NotWritten }),
             // Ends a dial that is under way, which returns its connection permit.
             () = self.send_permit.invalidated() => Err(ExchangeOutcome::PermitInvalid),
             connection = pool.obtain(self.address) => connection.map_err(|error| match error {
@@ -167,15 +178,21 @@
         }
     }
 
-    fn classify_failure(&self, error: &RequestError, on_new_connection: bool) -> Option<ExchangeOutcome> {
+    fn classify_failure(
+        &self,
+        error: &RequestError,
+        connection: ConnectionOrigin,
+    ) -> Option<ExchangeOutcome> {
         match error {
             RequestError::NothingWritten(_) if self.cancel.is_received() => {
-                Some(ExchangeOutcome::Cancelled { request_written: false })
+                Some(ExchangeOutcome::Cancelled { delivery: Delivery::NotWritten })
             }
             RequestError::NothingWritten(_) if !self.send_permit.is_valid() => {
                 Some(ExchangeOutcome::PermitInvalid)
             }
-            RequestError::NothingWritten(_) if on_new_connection => Some(ExchangeOutcome::Unreachable),
+            RequestError::NothingWritten(_) if connection == ConnectionOrigin::Dialled => {
+                Some(ExchangeOutcome::Unreachable)
+            }
             RequestError::NothingWritten(_) => None,
             RequestError::ConnectionLost(_) => Some(ExchangeOutcome::ConnectionLost),
             RequestError::MalformedResponse(_) => Some(ExchangeOutcome::MalformedResponse),
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -20,6 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use curlewusher_control::takeover::DescriptorShare;
 use tokio::task::spawn_local;
 use tokio_util::task::TaskTracker;
 
@@ -67,9 +68,9 @@
         UpstreamClient { attempts: Rc::new(AttemptRunner { reporter, pool, canceller, in_flight }) }
     }
 
-    /// Uses half of the connection budget or all of it.
-    pub fn set_descriptors_halved(&self, half: bool) {
-        self.attempts.pool.set_budget_halved(half);
+    /// Uses this share of the connection budget.
+    pub fn set_descriptor_share(&self, share: DescriptorShare) {
+        self.attempts.pool.set_budget_share(share);
     }
 
     /// The cancellations that no worker has acknowledged yet, to be handed over to another process of this
@@ -78,7 +79,7 @@
         self.attempts.canceller.unacknowledged()
     }
 
-    /// Goes on with a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that another process of this node could not complete.
     pub fn adopt_cancellation(&self, target: CancellationTarget) {
         let attempts = self.attempts.clone();
         spawn_local(async move { attempts.adopt_cancellation(target).await });
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -22,7 +22,7 @@
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::payload::UpstreamRequest;
-use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::generation::AddressGeneration;
 use crate::upstream::pool::socket::{Socket, Traffic};
 
 /// How long a connection pauses after a response before it carries another request.
@@ -77,24 +77,33 @@
     }
 }
 
+/// Where the connection of a request comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionOrigin {
+    /// It was dialled for this request.
+    Dialled,
+    /// It has carried an earlier request.
+    Reused,
+}
+
 /// A connection to a worker. Dropping it closes it: the task that drives it is aborted, and the socket with
 /// it.
 pub struct Connection {
-    sender: SendRequest<Full<Bytes>>,
+    requests: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
     traffic: Rc<Traffic>,
-    epoch: Epoch,
-    reused: bool,
+    generation: AddressGeneration,
+    origin: ConnectionOrigin,
     idle_since: Instant,
     /// Returned to the connection budget once the connection is dropped.
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Dials a worker. The connection is of the given epoch of its address.
+    /// Dials a worker. The connection is of the given generation of its address.
     pub async fn dial(
         address: SocketAddr,
-        epoch: Epoch,
+        generation: AddressGeneration,
         permit: ConnectionPermit,
         metrics: Metrics,
     ) -> io::Result<Self> {
@@ -102,20 +111,29 @@
         stream.set_nodelay(true)?;
         let traffic = Rc::<Traffic>::default();
         let socket = Socket::new(stream, traffic.clone(), metrics.clone());
-        let (sender, connection) = http1::handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
+        let (requests, connection) =
+            http1::handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
         let driver = spawn_local(drive(connection, address, metrics));
         let idle_since = Instant::now();
-        Ok(Connection { sender, driver, traffic, epoch, reused: false, idle_since, _permit: permit })
+        Ok(Connection {
+            requests,
+            driver,
+            traffic,
+            generation,
+            origin: ConnectionOrigin::Dialled,
+            idle_since,
+            _permit: permit,
+        })
     }
 
-    /// Whether it has carried a request before the present one.
-    pub fn is_reused(&self) -> bool {
-        self.reused
+    /// Whether it was dialled for the present request or has carried one before.
+    pub fn origin(&self) -> ConnectionOrigin {
+        self.origin
     }
 
-    /// The epoch of its address in which it was dialled.
-    pub fn epoch(&self) -> &Epoch {
-        &self.epoch
+    /// The generation of its address in which it was dialled.
+    pub fn generation(&self) -> &AddressGeneration {
+        &self.generation
     }
 
     /// When it was established or its last response ended.
@@ -130,7 +148,7 @@
 
     /// Whether it is open and was not idle for `max_idle` yet.
     pub fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
-        self.sender.is_ready() && now.duration_since(self.idle_since) < max_idle
+        self.requests.is_ready() && now.duration_since(self.idle_since) < max_idle
     }
 
     /// Whether it has paused for [`COOL_DOWN`].
@@ -146,7 +164,7 @@
         send_permit: Rc<SendPermit>,
     ) -> Result<Response<Incoming>, RequestError> {
         self.traffic.begin_request(send_permit);
-        self.sender.send_request(request).await.map_err(|error| {
+        self.requests.send_request(request).await.map_err(|error| {
             trace!(target: UPSTREAM, %error, "no response");
             if !self.traffic.request_written() {
                 RequestError::NothingWritten(error)
@@ -161,12 +179,12 @@
     /// Waits, after the end of a response, until the connection can carry another request. Fails if the
     /// response says that the connection ends with it.
     pub async fn ready(&mut self) -> hyper::Result<()> {
-        self.sender.ready().await
+        self.requests.ready().await
     }
 
     /// Marks it as idle from now on, after a request.
     pub fn mark_idle(&mut self) {
-        self.reused = true;
+        self.origin = ConnectionOrigin::Reused;
         self.idle_since = Instant::now();
     }
 
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -5,25 +5,25 @@
 use tokio::time::Instant;
 
 use crate::upstream::pool::connection::{COOL_DOWN, Connection};
-use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::generation::AddressGeneration;
 
-/// The idle connections to one worker in its present epoch.
+/// The idle connections to one worker in its present generation.
 #[derive(Default)]
 pub struct IdleConnections {
-    epoch: Epoch,
+    generation: AddressGeneration,
     /// In the order in which they were last used.
     connections: Vec<Connection>,
 }
 
 impl IdleConnections {
-    /// The present epoch, for a connection to be dialled.
-    pub fn epoch(&self) -> Epoch {
-        self.epoch.clone()
+    /// The present generation, for a connection to be dialled.
+    pub fn generation(&self) -> AddressGeneration {
+        self.generation.clone()
     }
 
-    /// Whether a connection is of the present epoch.
-    pub fn has_epoch_of(&self, connection: &Connection) -> bool {
-        self.epoch.is_same(connection.epoch())
+    /// Whether a connection is of the present generation.
+    pub fn has_generation_of(&self, connection: &Connection) -> bool {
+        self.generation.is_same(connection.generation())
     }
 
     /// Whether there is none.
@@ -31,9 +31,9 @@
         self.connections.is_empty()
     }
 
-    /// Whether nothing refers to the present epoch, so that the entry can be dropped.
+    /// Whether nothing refers to the present generation, so that the entry can be dropped.
     pub fn is_unused(&self) -> bool {
-        self.is_empty() && !self.epoch.is_in_use()
+        self.is_empty() && !self.generation.is_in_use()
     }
 
     /// Adds a connection that has just become idle.
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -12,7 +12,7 @@
 //! The pool knows nothing of jobs.
 
 pub mod connection;
-mod epoch;
+mod generation;
 mod idle;
 mod socket;
 
@@ -22,6 +22,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use curlewusher_control::takeover::DescriptorShare;
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
 use hyper::body::Incoming;
@@ -33,7 +34,7 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::config::UpstreamConfig;
 use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
-use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::generation::AddressGeneration;
 use crate::upstream::pool::idle::IdleConnections;
 
 /// Upper bound of the body of a worker's response, in bytes. Longer ones count as malformed.
@@ -65,9 +66,9 @@
         self.config.options.get().max_reuse_idle_ms.millis().min(self.config.keepalive / 2)
     }
 
-    /// Uses half of the connection budget or all of it.
-    pub fn set_budget_halved(&self, half: bool) {
-        self.config.budget.set_halved(half, || drop(self.take_any_idle()));
+    /// Uses this share of the connection budget.
+    pub fn set_budget_share(&self, share: DescriptorShare) {
+        self.config.budget.set_share(share, || drop(self.take_any_idle()));
     }
 
     /// Closes the idle connections to a worker, and those in use once they have carried their request.
@@ -83,7 +84,7 @@
             let (now, max_idle) = (Instant::now(), self.max_idle());
             self.idle.borrow_mut().retain(|_, idle| {
                 idle.close_expired(now, max_idle);
-                // The epoch goes on while a connection of it is in use.
+                // The generation lasts for as long as a connection of it is in use.
                 !idle.is_unused()
             });
         }
@@ -109,9 +110,9 @@
         self.idle.borrow_mut().get_mut(&address)?.take(Instant::now(), self.max_idle())
     }
 
-    /// Whether a connection is of the present epoch of its worker's address.
+    /// Whether a connection is of the present generation of its worker's address.
     fn is_current(&self, address: SocketAddr, connection: &Connection) -> bool {
-        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_epoch_of(connection))
+        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_generation_of(connection))
     }
 
     /// Puts a connection back on which nothing was written since it was taken. If no permit is free, somebody
@@ -121,7 +122,7 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
             idle.put_back(connection);
         }
     }
@@ -129,8 +130,9 @@
     async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         self.metrics.add(Counter::WorkerConnections);
         trace!(target: UPSTREAM, %address, "connecting");
-        let epoch = self.idle.borrow_mut().entry(address).or_default().epoch();
-        let dialled = timeout(self.config.connect_timeout, self.dial_within_budget(address, epoch)).await;
+        let generation = self.idle.borrow_mut().entry(address).or_default().generation();
+        let dialled =
+            timeout(self.config.connect_timeout, self.dial_within_budget(address, generation)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|error| {
             self.metrics.add(Counter::WorkerConnectionFailures);
@@ -139,9 +141,13 @@
         })
     }
 
-    async fn dial_within_budget(&self, address: SocketAddr, epoch: Epoch) -> io::Result<Connection> {
+    async fn dial_within_budget(
+        &self,
+        address: SocketAddr,
+        generation: AddressGeneration,
+    ) -> io::Result<Connection> {
         let permit = self.acquire_permit().await.ok_or(ErrorKind::Other)?;
-        Connection::dial(address, epoch, permit, self.metrics.clone()).await
+        Connection::dial(address, generation, permit, self.metrics.clone()).await
     }
 
     /// Waits for the permit of one more connection. If none is free, an idle connection is closed.
@@ -173,7 +179,7 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
             connection.mark_idle();
             idle.push(connection);
         }
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -66,7 +66,7 @@
         Socket { stream, traffic, metrics }
     }
 
-    /// Fails if a request must not begin on this connection. A request that has begun goes on.
+    /// Fails if a request must not begin on this connection. A request that has begun is continued.
     fn check_before_first_byte(&self) -> io::Result<()> {
         if self.traffic.request_written() {
             return Ok(());
--- a/crates/node/tests/unit/connection_budget.rs
+++ b/crates/node/tests/unit/connection_budget.rs
@@ -6,7 +6,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-use super::{ConnectionBudget, SHRINK_CHECK_INTERVAL};
+use super::{ConnectionBudget, DescriptorShare, SHRINK_CHECK_INTERVAL};
 
 #[tokio::test(start_paused = true)]
 async fn permits_are_in_use_then_a_halved_budget_shrinks_as_they_are_returned() {
@@ -15,7 +15,7 @@
         let mut permits: Vec<_> = std::iter::from_fn(|| budget.try_acquire()).collect();
         assert_eq!((permits.len(), budget.free(), budget.target()), (4, 0, 4));
 
-        budget.set_halved(true, || evictions.set(evictions.get() + 1));
+        budget.set_share(DescriptorShare::Half, || evictions.set(evictions.get() + 1));
         assert_eq!((evictions.get(), budget.target()), (1, 2));
         permits.truncate(2);
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
@@ -24,7 +24,7 @@
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
         assert_eq!(budget.free(), 1, "the target is reached");
 
-        budget.set_halved(false, || panic!("a growing budget evicts nothing"));
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget evicts nothing"));
         assert_eq!((budget.free(), budget.target()), (3, 4));
     };
     LocalSet::new().run_until(test).await;
@@ -35,8 +35,8 @@
     let test = async {
         let budget = ConnectionBudget::new(3, 1);
         let permits: Vec<_> = std::iter::from_fn(|| budget.try_acquire()).collect();
-        budget.set_halved(true, || {});
-        budget.set_halved(false, || panic!("a growing budget evicts nothing"));
+        budget.set_share(DescriptorShare::Half, || {});
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget evicts nothing"));
         drop(permits);
         sleep(Duration::from_secs(1)).await;
         assert_eq!((budget.free(), budget.target()), (3, 3));
--- a/crates/node/tests/unit/handover/support.rs
+++ b/crates/node/tests/unit/handover/support.rs
@@ -70,8 +70,8 @@
 }
 
 pub fn listen_for_successor(rendezvous: &Rendezvous) -> (RendezvousListener, mpsc::Receiver<SuccessorHello>) {
-    let (sender, hellos) = mpsc::channel(1);
-    (RendezvousListener::bind(rendezvous, sender).expect("a rendezvous listener"), hellos)
+    let (hello_queue, hellos) = mpsc::channel(1);
+    (RendezvousListener::bind(rendezvous, hello_queue).expect("a rendezvous listener"), hellos)
 }
 
 /// Both ends of a link.
