--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -63,8 +63,8 @@
         let handler = CommandHandler { lifecycle, command_queue };
         let serve = move || {
             // Dropping the handler closes the channel of commands, which ends the program.
-            if let Err(problem) = serve_on_this_thread(listener, handler) {
-                error!(target: NODE, %address, %problem, "the admin address is not served");
+            if let Err(error) = serve_on_this_thread(listener, handler) {
+                error!(target: NODE, %address, %error, "admin listener failed");
             }
         };
         std::thread::Builder::new()
@@ -94,8 +94,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => connections.serve(stream, handler.clone()),
-            Err(problem) => {
-                warn!(target: NODE, %problem, "an admin connection could not be accepted");
+            Err(error) => {
+                warn!(target: NODE, %error, "admin accept failed");
                 connections.abort_oldest();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -46,7 +46,7 @@
         while let Some(PendingCommand { command, reply }) = commands.recv().await {
             let result = self.carry_out(&command).await;
             let response = format_response(&Ok(result.clone()));
-            info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command");
+            info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command completed");
             // An operator who no longer waits may send it again.
             let _ = reply.send(result);
         }
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -248,7 +248,7 @@
     fn start_poll(&mut self) {
         let request =
             PollRequest { address: self.address, known_index: self.known_index, started_at: Instant::now() };
-        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "poll");
+        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "endpoint poll sent");
         let poll = PendingPoll { generation: self.generation, result: Box::pin(request.run()) };
         self.pending_polls.push(poll);
         let may_hedge = self.timing.lists_are_pushed() || self.has_unrequested_polls();
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -90,7 +90,7 @@
         self.list_received.send_replace(true);
         let endpoints = self.resolver.resolve(&list.endpoints);
         let (index, count, snapshot) = (list.index, endpoints.len(), list.snapshot);
-        debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list");
+        debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list received");
         let change = DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration };
         self.notify(change).await
     }
@@ -102,7 +102,8 @@
     ) -> Result<(), DispatchStopped> {
         self.metrics.add(Counter::EndpointWatchFailures);
         let call = if failure.is_poll() { "poll" } else { "watch" };
-        warn!(target: DISCOVERY, call, is_current = failure.is_current, "transport map: {}", failure.error);
+        let (is_current, error) = (failure.is_current, &failure.error);
+        warn!(target: DISCOVERY, call, is_current, %error, "endpoint watch failed");
         if failure.is_current && failure.error.leaves_list_unknown() {
             self.notify(DispatchMessage::EndpointsUnreadable).await?;
         }
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -53,17 +53,17 @@
         }
     }
 
-    /// Counts something that was about to be done without permission, or was done.
+    /// Counts an attempt that was about to be sent without permission.
     pub(super) fn record_violation(&self, reason: Denial, request_id: &str) {
         self.metrics.record_violation(reason);
-        error!(target: DISPATCH, %reason, request_id, "violation: an attempt had no permission");
+        error!(target: DISPATCH, %reason, request_id, "permission violation prevented");
     }
 
     fn report_violations(&mut self, violations: Violations) {
         for reason in Denial::ALL {
             for _ in self.violations.count(reason)..violations.count(reason) {
                 self.metrics.record_violation(reason);
-                error!(target: DISPATCH, %reason, "violation: a send was decided on without permission, and is not made");
+                error!(target: DISPATCH, %reason, "permission violation prevented");
             }
         }
         self.violations = violations;
@@ -72,14 +72,8 @@
 
 fn log_lease(denial: Option<Denial>) {
     match denial {
-        None => info!(target: DISPATCH, "discovery has confirmed the endpoint list: jobs are sent"),
-        Some(Denial::EndpointsUnconfirmed) => {
-            info!(target: DISPATCH, "jobs wait until discovery has answered: the saved endpoint list may be old");
-        }
-        Some(reason) => warn!(
-            target: DISPATCH,
-            %reason,
-            "jobs wait until discovery confirms the endpoint list; see that discovery runs and can be reached"
-        ),
+        None => info!(target: DISPATCH, "endpoint lease confirmed"),
+        Some(Denial::EndpointsUnconfirmed) => info!(target: DISPATCH, "endpoint lease not confirmed yet"),
+        Some(reason) => warn!(target: DISPATCH, %reason, "endpoint lease expired"),
     }
 }
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -121,7 +121,7 @@
             attempt = id.number,
             worker = %worker_name,
             %address,
-            may_be_written_for_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
+            send_window_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
             "attempt sent"
         );
         self.worker_client.start_attempt(AttemptRequest {
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -82,7 +82,7 @@
         let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
         self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
-        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "answered");
+        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "job answered");
         // A client that disconnects in this moment needs no response.
         let _ = response_channel.send(response);
     }
@@ -98,6 +98,6 @@
         cost_hint = ?job.cost_hint,
         slots = job.slots,
         is_retry = job.is_retry,
-        "taken"
+        "job accepted"
     );
 }
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -134,7 +134,7 @@
             .zip(0..)
             .map(|(attempt, number)| self.resume_attempt(&resumed, number, attempt))
             .collect();
-        debug!(target: DISPATCH, %request_id, "job migrated from the other process");
+        debug!(target: DISPATCH, %request_id, "migrated job adopted");
         self.metrics.add(Counter::JobsMigratedHere);
         self.jobs.insert(
             id,
--- a/crates/node/src/handover/link/outbound.rs
+++ b/crates/node/src/handover/link/outbound.rs
@@ -73,6 +73,6 @@
     if length <= MAX_SNAPSHOT_BYTES {
         return snapshot;
     }
-    warn!(target: NODE, reason = %FrameError::TooLong { length }, "state snapshot not transferred");
+    warn!(target: NODE, error = %FrameError::TooLong { length }, "state snapshot not transferred");
     Bytes::new()
 }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -38,7 +38,7 @@
         link_lost_permit: Option<mpsc::OwnedPermit<PeerRequest>>,
     ) {
         if let Err(error) = self.read_frames(decoder).await {
-            warn!(target: NODE, reason = %error, "link to the other process lost");
+            warn!(target: NODE, %error, "peer link failed");
         }
         self.state.close();
         self.state.abandon_pending_requests();
@@ -159,7 +159,7 @@
     /// Passes a request on to the takeover task, which never delays the reader.
     fn pass_on(&self, request: PeerRequest) {
         if self.requests.try_send(request).is_err() {
-            debug!(target: NODE, "too many requests of the other process; one is dropped without a response");
+            debug!(target: NODE, "peer request dropped");
         }
     }
 }
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -142,7 +142,7 @@
     fn send_frame(&self, request_id: u64, frame: &Frame, written: Option<oneshot::Sender<()>>) {
         match frame.encode(request_id) {
             Ok(bytes) => self.enqueue(OutboundFrame { bytes, descriptor: None, written }),
-            Err(error) => warn!(target: NODE, reason = %error, "message to the other process not sent"),
+            Err(error) => warn!(target: NODE, %error, "peer message not sent"),
         }
     }
 
@@ -156,7 +156,7 @@
         let is_over_limit = outbound.is_over_limit();
         drop(outbound);
         if is_over_limit {
-            warn!(target: NODE, "the other process reads nothing; the link is closed");
+            warn!(target: NODE, "peer link stalled");
             return self.close();
         }
         self.outbound_changed.notify_one();
--- a/crates/node/src/handover/rendezvous_listener.rs
+++ b/crates/node/src/handover/rendezvous_listener.rs
@@ -108,7 +108,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                debug!(target: NODE, reason = %error, "accepting a successor failed");
+                debug!(target: NODE, %error, "successor accept failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -119,7 +119,7 @@
             let received = timeout(HELLO_TIMEOUT, SuccessorHello::receive(stream, &rendezvous)).await;
             match received.unwrap_or(Err(HandoverError::TimedOut)) {
                 Ok(hello) => hello.enqueue_or_reject(&hellos).await,
-                Err(error) => warn!(target: NODE, reason = %error, "successor's hello not accepted"),
+                Err(error) => warn!(target: NODE, %error, "successor hello rejected"),
             }
         });
     }
--- a/crates/node/src/handover/startup.rs
+++ b/crates/node/src/handover/startup.rs
@@ -54,7 +54,7 @@
             match search(&rendezvous, node, listen).await {
                 SearchResult::Completed { start_lock, predecessor } => {
                     if predecessor.is_some() {
-                        info!(target: NODE, "curlewusher {node}: goes on for the process that serves");
+                        info!(target: NODE, %node, "predecessor linked");
                     }
                     return StartupHandover {
                         rendezvous: Some(rendezvous),
@@ -64,7 +64,7 @@
                     };
                 }
                 SearchResult::LockUnusable(error) => {
-                    warn!(target: NODE, "curlewusher {node}: {error}");
+                    warn!(target: NODE, %node, %error, "predecessor search failed");
                     // Binding the socket would fail for the same reason, which is logged once.
                     return StartupHandover::without_predecessor(None);
                 }
@@ -74,7 +74,7 @@
                     sleep(BUSY_RETRY_DELAY).await;
                 }
                 SearchResult::Failed(error) => {
-                    warn!(target: NODE, "curlewusher {node}: {error}");
+                    warn!(target: NODE, %node, %error, "predecessor search failed");
                     return StartupHandover::without_predecessor(Some(rendezvous));
                 }
             }
--- a/crates/node/src/handover/state_transfer.rs
+++ b/crates/node/src/handover/state_transfer.rs
@@ -44,12 +44,12 @@
                 target: NODE,
                 format_version = record.format_version,
                 expected = FORMAT_VERSION,
-                "the predecessor's state has another format version: starts cold"
+                "predecessor state ignored"
             ),
             // The predecessor had nothing to transfer, and has logged why.
             Err(_) if bytes.is_empty() => {}
             Err(error) => {
-                warn!(target: NODE, reason = %error, "the predecessor's state cannot be read: starts cold");
+                warn!(target: NODE, %error, "predecessor state unreadable");
             }
         }
         None
@@ -60,7 +60,7 @@
         match serde_json::to_vec(self) {
             Ok(bytes) => bytes.into(),
             Err(error) => {
-                warn!(target: NODE, reason = %error, "state cannot be written: the successor starts cold");
+                warn!(target: NODE, %error, "state snapshot not encoded");
                 Bytes::new()
             }
         }
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -38,11 +38,11 @@
         let Some(hello) = self.pending_hello.take() else { return };
         match hello.accept(&self.parts.listener, snapshot).await {
             Ok(ends) => {
-                info!(target: NODE, "curlewusher {}: a successor has come", self.parts.admin.name);
+                info!(target: NODE, node = %self.parts.admin.name, "successor linked");
                 self.set_link(Some(ends));
             }
             Err(error) => {
-                warn!(target: NODE, reason = %error, "successor not accepted");
+                warn!(target: NODE, %error, "successor not linked");
                 let commands = self.takeover.handle(TakeoverEvent::LinkLost);
                 Box::pin(self.execute(commands)).await;
             }
@@ -90,7 +90,7 @@
         let admin = &self.parts.admin;
         let Some(phase) = admin.lifecycle.apply(event) else { return };
         if event != PhaseEvent::EndpointsAvailable {
-            info!(target: NODE, "curlewusher {}: {phase}", admin.name);
+            info!(target: NODE, node = %admin.name, %phase, "phase changed");
         }
         if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
             let active = event == PhaseEvent::HandedOver;
@@ -109,7 +109,7 @@
             Ok(listener) => *self.rendezvous_listener.borrow_mut() = Some(listener),
             Err(error) => {
                 self.parts.admin.peer.mark_unknown_peer_possible();
-                warn!(target: NODE, "no successor can find this process: {error}");
+                warn!(target: NODE, %error, "rendezvous listener failed");
             }
         }
         // The next start finds this process from here on.
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -94,7 +94,7 @@
         if let Some(transfer) = self.handshake_state.take() {
             self.restore(transfer).await;
         }
-        info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
+        info!(target: NODE, node = %self.parts.admin.name, "peer lost");
         self.takeover.handle(TakeoverEvent::LinkLost)
     }
 }
--- a/crates/node/src/runtime/reload.rs
+++ b/crates/node/src/runtime/reload.rs
@@ -45,15 +45,15 @@
         logging.apply(&config.operator.log);
         self.server_options.set(config.operator.server);
         self.upstream_options.set(config.operator.upstream);
-        info!(target: NODE, discovery = %config.discovery, "configuration read again");
+        info!(target: NODE, discovery = %config.discovery, "configuration reloaded");
         self.discovery.send_if_modified(|current| {
             let previous = std::mem::replace(current, config.discovery);
             previous != config.discovery
         });
     }
 
-    fn reject(&self, problem: &ConfigError) {
+    fn reject(&self, error: &ConfigError) {
         self.metrics.add(Counter::ReloadFailures);
-        error!(target: NODE, node = %self.name, %problem, "reload failed; the old configuration stays");
+        error!(target: NODE, node = %self.name, %error, "configuration reload failed");
     }
 }
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -73,7 +73,7 @@
     pub async fn run(&self, mut terminate: Signal) {
         terminate.recv().await;
         self.takeover.terminate().await;
-        info!(target: NODE, "curlewusher {}: drains", self.name);
+        info!(target: NODE, node = %self.name, "graceful shutdown started");
         self.limit_open_jobs().await;
         sleep(MIN_DRAIN_TIME).await;
         self.server.drain().await;
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -273,7 +273,7 @@
             has_saved_endpoints: !self.saved_endpoints.is_empty(),
         };
         let discovery = self.discovery;
-        let has_predecessor = handover.has_predecessor();
+        let start = if handover.has_predecessor() { StartKind::Successor } else { StartKind::Alone };
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
         let endpoint_watcher =
@@ -285,7 +285,7 @@
         let takeover = spawn_local(takeover_task);
         let (admin_address, admin_commands) =
             self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
-        log_addresses(&self.name, has_predecessor, listener.address, admin_address);
+        log_addresses(&self.name, start, listener.address, admin_address);
 
         let reloader = self.shared.create_reloader(self.name.clone(), discovery.address_updates);
         RunningNode {
@@ -324,10 +324,22 @@
 }
 
 /// Writes where clients and operators reach this process.
-fn log_addresses(name: &str, has_predecessor: bool, clients: SocketAddr, operators: Option<SocketAddr>) {
-    let serves = if has_predecessor { "is to serve on" } else { "serves on" };
-    info!(target: NODE, "curlewusher {name}: {serves} {clients}");
-    if let Some(address) = operators {
-        info!(target: NODE, "curlewusher {name}: operators are answered at {address}");
+fn log_addresses(node: &str, start: StartKind, clients: SocketAddr, admin: Option<SocketAddr>) {
+    // The wording of both is fixed: programs that start nodes read the address from the line.
+    match start {
+        StartKind::Alone => info!(target: NODE, "curlewusher {node}: serves on {clients}"),
+        StartKind::Successor => info!(target: NODE, "curlewusher {node}: is to serve on {clients}"),
     }
+    if let Some(address) = admin {
+        info!(target: NODE, %node, %address, "admin listener started");
+    }
+}
+
+/// Whether another process of the node serves when this one starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StartKind {
+    /// None does: this process serves at once.
+    Alone,
+    /// One does, and this process is to take over from it.
+    Successor,
 }
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -96,7 +96,7 @@
             Ok((stream, _)) => spawn_connection(state, stream, permit),
             // Descriptors have run out, or a client has closed at once: the listener must survive both.
             Err(error) => {
-                warn!(target: SERVER, %error, "a connection could not be accepted");
+                warn!(target: SERVER, %error, "client accept failed");
                 state.metrics.add(Counter::AcceptFailures);
                 evict_connections(state);
                 sleep(ACCEPT_RETRY_PAUSE).await;
--- a/crates/node/src/telemetry/logging/mod.rs
+++ b/crates/node/src/telemetry/logging/mod.rs
@@ -92,7 +92,9 @@
         let lines = match self.format {
             LogFormat::Text => metrics.to_owned(),
             LogFormat::Json => {
-                serde_json::json!({"target": NODE, "message": "ends", "figures": metrics}).to_string() + "\n"
+                serde_json::json!({"target": NODE, "message": "final metrics", "figures": metrics})
+                    .to_string()
+                    + "\n"
             }
         };
         // The queue may be full; nobody is left to be notified of that.
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -87,7 +87,7 @@
         let deadline = deadline.max(Instant::now() + self.response_timeout());
         if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection)).await.is_err() {
             let CancellationTarget { address, request_id } = target;
-            debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned at its deadline");
+            debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned");
         }
     }
 
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -165,7 +165,7 @@
     ) -> Result<Response<Incoming>, RequestError> {
         self.traffic.begin_request(send_permit);
         self.requests.send_request(request).await.map_err(|error| {
-            trace!(target: UPSTREAM, %error, "no response");
+            trace!(target: UPSTREAM, %error, "request failed");
             if !self.traffic.request_written() {
                 RequestError::NothingWritten(error)
             } else if error.is_parse() {
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -129,14 +129,14 @@
 
     async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         self.metrics.add(Counter::WorkerConnections);
-        trace!(target: UPSTREAM, %address, "connecting");
+        trace!(target: UPSTREAM, %address, "connection attempt started");
         let generation = self.idle.borrow_mut().entry(address).or_default().generation();
         let dialled =
             timeout(self.config.connect_timeout, self.dial_within_budget(address, generation)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|error| {
             self.metrics.add(Counter::WorkerConnectionFailures);
-            debug!(target: UPSTREAM, %address, %error, "connection not established");
+            debug!(target: UPSTREAM, %address, %error, "connection attempt failed");
             ConnectError::from(error)
         })
     }
@@ -188,7 +188,7 @@
     /// Counts a response that was none, or not whole.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
         self.metrics.add(Counter::MalformedWorkerResponses);
-        debug!(target: UPSTREAM, %address, reason, "malformed response");
+        debug!(target: UPSTREAM, %address, reason, "malformed response received");
     }
 }
 
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -89,7 +89,7 @@
             Ok(_) => {
                 self.metrics.add(Counter::MalformedWorkerResponses);
                 let address = self.stream.peer_addr().ok();
-                debug!(target: UPSTREAM, ?address, "unsolicited data on an idle connection");
+                debug!(target: UPSTREAM, ?address, "unsolicited data received");
                 Err(ErrorKind::InvalidData.into())
             }
         }
@@ -111,7 +111,7 @@
             self.metrics.record_violation(reason);
             let request_id = send_permit.request_id();
             let address = self.stream.peer_addr().ok();
-            error!(target: UPSTREAM, %reason, request_id, ?address, "violation: an attempt was sent without permission");
+            error!(target: UPSTREAM, %reason, request_id, ?address, "permission violation");
         }
     }
 }
--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -218,7 +218,7 @@
     let client = node.submit_job("r1", "view", 60.0);
     wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") == 1);
     node.signal("-TERM");
-    node.wait_for_log_line("drains");
+    node.wait_for_log_line("graceful shutdown started");
     node.signal("-HUP");
     node.signal("-TERM");
     let answer = read_response(client);
@@ -343,7 +343,7 @@
     node.get("/ready");
     let told = Instant::now();
     node.signal("-TERM");
-    node.wait_for_log_line("drains");
+    node.wait_for_log_line("graceful shutdown started");
     let held = node.pause();
     control.set_nonblocking(true).expect("a stream");
     if control.peek(&mut [0]).is_ok() {
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -96,7 +96,7 @@
     let debug = "[log]\nformat = \"json\"\n[log.parts]\ndispatch = \"debug\"\n";
     let node = Node::start_with_operator_file(&node_config(discovery.address, &known), debug);
     let _watch = ScriptedWatch::answer(&discovery, &known);
-    node.wait_for_log_line("discovery has confirmed");
+    node.wait_for_log_line("endpoint lease confirmed");
     let serve = |id: &str| {
         let client = node.submit_job(id, "view", 5.0);
         node.serve_job(client, &worker.next_request(), id, "s-1");
@@ -112,18 +112,21 @@
         );
         line["message"].as_str().expect("words").to_owned()
     };
-    assert_eq!([(); 4].map(|()| about("r1")), ["taken", "attempt sent", "answered", "attempt ended"]);
+    assert_eq!(
+        [(); 4].map(|()| about("r1")),
+        ["job accepted", "attempt sent", "job answered", "attempt ended"]
+    );
 
     // A bad file changes nothing, and says where it is bad; a good one counts at once.
     node.reload_operator_file("[log.parts]\ndispatch = \"loud\"\n");
     let said = node.next_log_line();
-    assert!(said.contains("line 2: log.parts") && said.contains("the old configuration stays"), "{said}");
+    assert!(said.contains("line 2: log.parts") && said.contains("configuration reload failed"), "{said}");
     node.reload_operator_file("[log]\nlevel = \"error\"\n");
     wait_for_counter(&node, "curlewusher_reloads_total", 1);
     serve("r2");
     node.signal("-TERM");
     let end = node.next_log_line();
-    assert!(end.contains("figures") && !end.contains("r2") && !end.contains("drains"), "{end}");
+    assert!(end.contains("figures") && !end.contains("r2") && !end.contains("graceful shutdown"), "{end}");
 }
 
 #[test]
--- a/crates/node/tests/common/process.rs
+++ b/crates/node/tests/common/process.rs
@@ -172,7 +172,7 @@
 
     /// Whether it started beside another process of its node.
     pub fn is_successor(&self) -> bool {
-        self.startup_lines.iter().any(|line| line.ends_with("goes on for the process that serves"))
+        self.startup_lines.iter().any(|line| line.ends_with("predecessor linked node=n0"))
     }
 
     /// Sends SIGKILL and waits for the exit.
@@ -220,7 +220,7 @@
     /// The operator address, from the next log line.
     pub fn operator_address(&self) -> SocketAddr {
         let line = self.next_log_line();
-        let at = line.split("operators are answered at ").nth(1).and_then(|at| at.parse().ok());
+        let at = line.split("admin listener started node=n0 address=").nth(1).and_then(|at| at.parse().ok());
         at.unwrap_or_else(|| panic!("{line}"))
     }
 
--- a/crates/node/tests/endpoint_lease/mod.rs
+++ b/crates/node/tests/endpoint_lease/mod.rs
@@ -43,7 +43,7 @@
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 2);
     watch.send_line(&endpoint_list_json(40, false, &[worker.endpoint_json("s-1", "in_service")]));
     node.wait_for_log_line("version 40 after version 42");
-    node.wait_for_log_line("jobs wait until discovery confirms");
+    node.wait_for_log_line("endpoint lease expired");
     let client = node.submit_job("r1", "view", 9.0);
     wait_for_counter(&node, SUBMITTED, 1);
     let again = ScriptedWatch::open(&discovery);
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -132,7 +132,7 @@
         watch.write_raw(&(chunk(&format!("{spoilt}\n")) + &chunk(&next)));
         let again = ScriptedWatch::open(&discovery);
         assert_eq!((again.since(), node.counter(FAILURES)), ("42", 1), "{spoilt}");
-        let said = node.wait_for_log_line("transport map: ");
+        let said = node.wait_for_log_line("endpoint watch failed");
         assert!(said.contains("see ") && !said.contains("silent"), "{said}");
         again.send_line(&endpoint_list_json(45, true, &[worker.endpoint_json("s-1", "in_service")]));
         wait_for_counter(&node, CHANGES, 3);
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -97,7 +97,7 @@
     assert_eq!(withdrawal.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
     withdrawal.respond("200 OK");
     drop(successor);
-    node.wait_for_log_line("the other process is gone");
+    node.wait_for_log_line("peer lost");
     assert_eq!(node.counter("curlewusher_clients_gone_total"), 1);
 }
 
@@ -112,7 +112,7 @@
     disconnect_client(client);
     successor.send_frame(seq, Frame::MigrationResult(false));
     drop(successor);
-    node.wait_for_log_line("the other process is gone");
+    node.wait_for_log_line("peer lost");
     watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
     let client = node.submit_job("r2", "view", 9.0);
     let got = worker.next_request();
@@ -146,14 +146,14 @@
     assert_eq!(node.callback(word), 204);
     // The successor gives the link up, and runs on: it is the test itself.
     drop(ScriptedProcess::take_over(&node));
-    node.wait_for_log_line("the other process is gone");
+    node.wait_for_log_line("peer lost");
     assert_eq!(node.callback(word), 503);
     // One that is no more holds nothing.
     let discovery = ScriptedServer::start();
     let successor = Node::wait_until_serving(node.spawn_beside(discovery.address));
-    node.wait_for_log_line("a successor has come");
+    node.wait_for_log_line("successor linked");
     successor.kill();
-    node.wait_for_log_line("the other process is gone");
+    node.wait_for_log_line("peer lost");
     assert_eq!(node.callback(word), 204);
 }
 
@@ -193,12 +193,12 @@
     to_successor.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
     to_successor.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
-    successor.wait_for_log_line("the other process is gone");
+    successor.wait_for_log_line("peer lost");
     assert_serves_next(at, &workers[1], "r2");
     assert!(!workers[1].has_pending_request(), "it is the elder's");
 
     drop(to_predecessor);
-    predecessor.wait_for_log_line("the other process is gone");
+    predecessor.wait_for_log_line("peer lost");
     watch.send_line(&endpoint_list_json(43, false, &[workers[0].endpoint_json("s-1", "in_service")]));
     let got = workers[0].next_request();
     assert_eq!(got.message.header("x-request-id"), Some("r1"));
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -453,7 +453,7 @@
     let (node, old, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
     let client = node.submit_job("r1", "view", 9.0);
     first.next_event().accept();
-    node.wait_for_log_line("discovery has confirmed");
+    node.wait_for_log_line("endpoint lease confirmed");
     for _ in 0..2 {
         node.reload_config("{");
         assert!(node.next_log_line().contains("config: "), "a bad file changes nothing");
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -59,7 +59,7 @@
     worker.next_event().accept();
     assert_eq!(call_operator(operators, "DRAIN\n"), "+OK");
     node.signal("-TERM");
-    while !node.next_log_line().ends_with("n0: drains") {}
+    while !node.next_log_line().ends_with("graceful shutdown started node=n0") {}
     assert!(call_operator(operators, "UNDRAIN\n").starts_with("-ERR this process is ending"));
     node.complete_job(client, "r1", "s-1");
     assert_eq!(node.wait_for_exit().status.code(), Some(0));
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -46,7 +46,7 @@
         let newer = older.start_successor();
         if when != "before" {
             scenario.send_list(&newer);
-            older.node.wait_for_log_line("n0: retired");
+            older.node.wait_for_log_line("phase changed node=n0 phase=retired");
         }
         if when == "after" {
             newer.wait_until_ready();
@@ -75,7 +75,7 @@
         let newer = older.start_successor();
         if handed_over {
             scenario.send_list(&newer);
-            older.node.wait_for_log_line("n0: retired");
+            older.node.wait_for_log_line("phase changed node=n0 phase=retired");
         }
         older.node.kill();
         // What came in between waits in the queue of the listener that both hold.
@@ -112,7 +112,7 @@
         ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &scenario.known));
     }
     let newer_at = newer.operator_address();
-    older.wait_for_log_line("n0: retired");
+    older.wait_for_log_line("phase changed node=n0 phase=retired");
     wait_until_ready(newer_at);
     scenario.assert_serves(&newer, "r1", 0);
     for node in [older, newer] {
@@ -131,7 +131,7 @@
     let third = NodeProcess::of(Node::wait_until_serving(third), discovery);
     assert!(third.node.is_successor(), "{:?}", third.node.startup_lines);
     scenario.send_list(&third);
-    second.node.wait_for_log_line("n0: retired");
+    second.node.wait_for_log_line("phase changed node=n0 phase=retired");
     third.wait_until_ready();
     second.terminate();
     scenario.assert_serves(&third.node, "r1", 0);
@@ -146,7 +146,7 @@
     let newer = scenario.start_next_version(&older);
     let client = scenario.submit_accepted(&newer.node, "r2");
     newer.node.signal("-TERM");
-    older.node.wait_for_log_line("n0: ready");
+    older.node.wait_for_log_line("phase changed node=n0 phase=ready");
     // The job of the one that ends is answered, though its call comes here.
     complete_job(&older.node, "r2");
     assert_eq!(read_response(client).status(), 200);
@@ -167,7 +167,7 @@
     let newer = older.start_successor();
     let (client, got) = scenario.submit_unaccepted(&older.node, "r1");
     scenario.send_list(&newer);
-    older.node.wait_for_log_line("n0: retired");
+    older.node.wait_for_log_line("phase changed node=n0 phase=retired");
     complete_job(&newer.node, "r1");
     post_callback_until_acknowledged(&newer.node, "r1", "s-1", r#""state":"failed""#);
     assert_eq!(read_response(client).body, "x");
@@ -211,7 +211,7 @@
     newer.assert_call_succeeds("DISABLE s-2");
     scenario.assert_serves(&older.node, "r2", 0);
     scenario.send_list(&newer);
-    older.node.wait_for_log_line("n0: retired");
+    older.node.wait_for_log_line("phase changed node=n0 phase=retired");
     newer.wait_until_ready();
     scenario.assert_serves(&newer.node, "r3", 0);
     older.assert_call_succeeds("DISABLE s-1");
@@ -232,7 +232,7 @@
     older.assert_call_succeeds("DRAIN");
     let newer = older.start_successor();
     scenario.send_list(&newer);
-    older.node.wait_for_log_line("n0: retired");
+    older.node.wait_for_log_line("phase changed node=n0 phase=retired");
     wait_until("the expected state is not reached", || {
         newer.call("READY").starts_with("-ERR drained: send UNDRAIN")
     });
@@ -264,7 +264,7 @@
     watch.close();
     // Nobody answers the newer one's discovery: it takes over, and holds its jobs until somebody does.
     let newer = older.start_successor();
-    older.node.wait_for_log_line("n0: retired");
+    older.node.wait_for_log_line("phase changed node=n0 phase=retired");
     newer.wait_until_ready();
     let held = newer.node.submit_job("r0", "view", 8.0);
     wait_for_counter(&newer.node, "curlewusher_jobs_taken_total", 1);
@@ -320,7 +320,7 @@
         older.signal("-TERM");
         // Not another word of it.
         while let line = older.next_log_line()
-            && !line.ends_with("n0: drains")
+            && !line.ends_with("graceful shutdown started node=n0")
         {
             assert!(!line.contains(&folder), "{line}");
         }
@@ -376,7 +376,7 @@
         older.wait_until_ready();
         scenario.assert_serves(&older.node, "r1", 0);
         if what == "folder" {
-            let line = older.node.wait_for_log_line("no successor can find this process");
+            let line = older.node.wait_for_log_line("rendezvous listener failed");
             assert!(line.contains(&place) && line.contains("look at what is there in $TMPDIR"), "{line}");
         } else {
             let newer = scenario.start_next_version(&older);
--- a/crates/node/tests/operation/upgrade_scenario.rs
+++ b/crates/node/tests/operation/upgrade_scenario.rs
@@ -88,7 +88,7 @@
     pub fn start_next_version(&self, older: &NodeProcess) -> NodeProcess {
         let newer = older.start_successor();
         self.send_list(&newer);
-        older.node.wait_for_log_line("n0: retired");
+        older.node.wait_for_log_line("phase changed node=n0 phase=retired");
         newer.wait_until_ready();
         newer
     }
@@ -139,7 +139,7 @@
         let node = Node::wait_until_serving(self.node.spawn_beside(discovery.address));
         assert!(node.is_successor(), "{:?}", node.startup_lines);
         assert_eq!(node.address, self.node.address);
-        self.node.wait_for_log_line("n0: a successor has come");
+        self.node.wait_for_log_line("successor linked node=n0");
         NodeProcess::of(node, discovery)
     }
 
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -340,7 +340,7 @@
     let operators = newer.operator_address();
     let watch = ScriptedWatch::open(&second);
     watch.send_line(&endpoint_list_json(42, true, &known));
-    older.wait_for_log_line("n0: retired");
+    older.wait_for_log_line("phase changed node=n0 phase=retired");
     wait_until("the newer process does not serve", || call_operator(operators, "READY\n") == "+OK");
     while worker.try_next_request().is_some() {}
     older.signal("-TERM");
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -273,7 +273,7 @@
         .spawn()
         .expect("the lab starts");
     let log = |node: u32| std::fs::read_to_string(out.join(format!("n{node}.log"))).unwrap_or_default();
-    while !log(0).contains("taken") {
+    while !log(0).contains("job accepted") {
         let ended = lab.try_wait().expect("a child");
         assert!(ended.is_none(), "it ended before its load began, {ended:?}: is the node built?");
         std::thread::yield_now();
