--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! When a node polls discovery for the endpoint list, and what the result says of the list that it has.
 //!
-//! The schedule knows polls, answers and times only, no jobs and no workers. `docs/design/announced-drains.md` has
+//! The schedule knows polls, answers and times only, no jobs and no workers. `docs/design/endpoint-lease.md` has
 //! the measurements behind it.
 //!
 //! | state | left by | next state, next poll |
