--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -11,3 +11,7 @@
 pub use figures::{Figures, compute_figures};
 pub use page::render_page;
 pub use summary::render_summary;
+
+#[cfg(test)]
+#[path = "../../tests/unit/golden_run.rs"]
+mod golden_run;
--- /dev/null
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -0,0 +1,79 @@
+//! A constructed run that breaks every rule: the checker's verdict, each violation's text, the figures and the report.
+
+use super::*;
+use crate::event_log::Record;
+use crate::golden::{self, golden};
+use crate::nodes::Sample;
+use crate::play::Played;
+use crate::rules::{Violation, check_footprint, check_rules};
+use crate::scenario::Scenario;
+
+fn scenario() -> Scenario {
+    Scenario::parse(include_str!("../golden/run_scenario.toml")).expect("a valid scenario")
+}
+
+fn records() -> Vec<Record> {
+    let lines = include_str!("../golden/run_events.jsonl").lines();
+    lines.map(|line| serde_json::from_str(line).expect("a record")).collect()
+}
+
+/// Samples of three nodes; node 1 is restarted, and nodes 0 and 2 exceed a limit.
+fn samples() -> Vec<Sample> {
+    let sample =
+        |at_s, node, cpu_s, memory_mb, descriptors| Sample { at_s, node, cpu_s, memory_mb, descriptors };
+    vec![
+        sample(0.5, 0, 0.25, 20.0, 40),
+        sample(0.5, 1, 0.5, 21.5, 41),
+        sample(0.5, 2, 0.125, 22.25, 42),
+        sample(1.0, 0, 0.75, 30.0, 301),
+        sample(1.0, 1, 0.0625, 31.5, 300),
+        sample(1.000_001_9, 2, 0.5, 192.5, 55),
+        sample(1.5, 0, 1.25, 25.0, 350),
+        sample(1.5, 1, 0.5, 192.0, 90),
+    ]
+}
+
+fn played() -> Played {
+    Played {
+        records: records(),
+        samples: samples(),
+        begin: 200_000,
+        end: 43_000_000,
+        crashes: vec!["node 1 ended by itself, exit status: 1; its last lines:\n    (none)".into()],
+        interrupted: false,
+    }
+}
+
+fn violations(scenario: &Scenario, played: &Played) -> Vec<Violation> {
+    let mut violations = check_rules(&played.records, &scenario.rule_parameters());
+    violations.extend(check_footprint(&played.samples, scenario));
+    violations
+}
+
+#[test]
+fn constructed_run_then_the_verdict_and_each_violation_are_as_recorded() {
+    let (scenario, played) = (scenario(), played());
+    let violations = violations(&scenario, &played);
+    let mut verdict = format!("{} violations\n", violations.len());
+    for violation in &violations {
+        verdict += &violation.to_string();
+    }
+    golden!("run_verdict.txt").assert_is(&verdict);
+}
+
+#[test]
+fn constructed_run_then_its_figures_and_its_report_are_as_recorded() {
+    let (scenario, played) = (scenario(), played());
+    let violations = violations(&scenario, &played);
+    let figures = compute_figures(&scenario, &played, &violations);
+    let stored = serde_json::to_string_pretty(&figures).expect("JSON");
+    golden!("run_figures.json").assert_is(&(stored + "\n"));
+    golden!("run_summary.txt").assert_is(&render_summary(&figures));
+    golden!("run_page.html").assert_is(&render_page(&scenario, &played, &figures, &violations));
+}
+
+#[test]
+fn recorded_events_of_a_run_then_they_are_written_as_they_were_read() {
+    let lines = records().into_iter().map(|record| serde_json::to_string(&record).expect("JSON") + "\n");
+    golden!("run_events.jsonl").assert_is(&lines.collect::<String>());
+}
