--- a/crates/model/src/endpoint_registry.rs
+++ b/crates/model/src/endpoint_registry.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::Micros;
 use crate::worker_pool::WorkerIndex;
+use crate::{TimeSpan, Timestamp};
 
 /// The published status of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,12 +27,12 @@
     /// Its status.
     pub status: EndpointStatus,
     /// Its last start; none if it started before the driver's clock did.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
 }
 
 #[derive(Debug)]
 struct PendingChange {
-    visible_at: Micros,
+    visible_at: Timestamp,
     entry: EndpointEntry,
 }
 
@@ -54,7 +54,7 @@
 /// The registry, whose changes become visible after a fixed delay.
 #[derive(Debug)]
 pub struct EndpointRegistry {
-    publication_delay: Micros,
+    publication_delay: TimeSpan,
     /// Changes that are not visible yet, oldest first.
     pending: Vec<PendingChange>,
     index: u64,
@@ -64,7 +64,7 @@
 
 impl EndpointRegistry {
     /// A registry in which these workers are visibly in service, under index 1.
-    pub fn new(workers: impl IntoIterator<Item = WorkerIndex>, publication_delay: Micros) -> Self {
+    pub fn new(workers: impl IntoIterator<Item = WorkerIndex>, publication_delay: TimeSpan) -> Self {
         let in_service = |worker| {
             let entry = EndpointEntry { worker, status: EndpointStatus::InService, started_at: None };
             (worker, IndexedEntry { index: 1, entry })
@@ -74,17 +74,17 @@
     }
 
     /// Records a change that happens at `now`; it becomes visible after the delay.
-    pub fn record_change(&mut self, now: Micros, entry: EndpointEntry) {
+    pub fn record_change(&mut self, now: Timestamp, entry: EndpointEntry) {
         self.pending.push(PendingChange { visible_at: now + self.publication_delay, entry });
     }
 
     /// When the next change becomes visible.
-    pub fn next_publication(&self) -> Option<Micros> {
+    pub fn next_publication(&self) -> Option<Timestamp> {
         self.pending.first().map(|change| change.visible_at)
     }
 
     /// Publishes the changes that have become visible by `now`.
-    pub fn publish(&mut self, now: Micros) -> Publication {
+    pub fn publish(&mut self, now: Timestamp) -> Publication {
         let visible = self.pending.iter().take_while(|change| change.visible_at <= now).count();
         let entries: Vec<_> = self.pending.drain(..visible).map(|change| change.entry).collect();
         for entry in &entries {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! Models of what a node works with: the workers, the archive that they fetch data sets from, the registry behind the
 //! discovery service, and the workload that clients submit.
 //!
-//! The models do no I/O and read no clock. Their driver passes in each event with its time, in microseconds of a
+//! The models do no I/O and read no clock. Their driver passes in each event with its [`Timestamp`] on a
 //! monotonic clock, and gets back what follows and when to call again. The testbed drives them by sockets and real time.
 //! The same inputs give the same effects.
 
@@ -10,13 +10,8 @@
 
 pub mod endpoint_registry;
 pub mod processor_sharing;
+mod time;
 pub mod worker_pool;
 pub mod workload;
 
-/// A moment, or a span of time, in microseconds.
-pub type Micros = u64;
-
-/// Converts seconds to a span; a negative number counts as 0.
-pub fn span(seconds: f64) -> Micros {
-    (seconds.max(0.0) * 1e6).round() as Micros
-}
+pub use time::{TimeSpan, Timestamp};
--- a/crates/model/src/processor_sharing.rs
+++ b/crates/model/src/processor_sharing.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::Micros;
+use crate::{TimeSpan, Timestamp};
 
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MICRO: f64 = 1e3;
@@ -26,7 +26,7 @@
     attained_ns: f64,
     /// Seconds of work that each share gets in a second.
     rate: f64,
-    updated_at: Micros,
+    updated_at: Timestamp,
     completions: BTreeSet<Completion>,
     mark_by_share: HashMap<u64, u64>,
 }
@@ -37,11 +37,12 @@
         Self::default()
     }
 
-    fn attained_ns_at(&self, now: Micros) -> f64 {
-        self.attained_ns + now.saturating_sub(self.updated_at) as f64 * NANOS_PER_MICRO * self.rate
+    fn attained_ns_at(&self, now: Timestamp) -> f64 {
+        self.attained_ns
+            + now.saturating_since(self.updated_at).as_micros() as f64 * NANOS_PER_MICRO * self.rate
     }
 
-    fn advance(&mut self, now: Micros) {
+    fn advance(&mut self, now: Timestamp) {
         if now > self.updated_at {
             self.attained_ns = self.attained_ns_at(now);
             self.updated_at = now;
@@ -49,7 +50,7 @@
     }
 
     /// Sets the rate from `now` on, in seconds of work that each share gets in a second; a negative rate counts as 0.
-    pub fn set_rate(&mut self, now: Micros, rate: f64) {
+    pub fn set_rate(&mut self, now: Timestamp, rate: f64) {
         self.advance(now);
         self.rate = rate.max(0.0);
     }
@@ -58,7 +59,7 @@
     ///
     /// # Panics
     /// If a share of that number is in service.
-    pub fn add(&mut self, now: Micros, share: u64, seconds: f64) {
+    pub fn add(&mut self, now: Timestamp, share: u64, seconds: f64) {
         self.advance(now);
         let mark_ns = (self.attained_ns + seconds.max(0.0) * NANOS_PER_SECOND).ceil() as u64;
         let previous = self.mark_by_share.insert(share, mark_ns);
@@ -67,7 +68,7 @@
     }
 
     /// Removes a share and returns the work that it still lacked, in seconds.
-    pub fn remove(&mut self, now: Micros, share: u64) -> Option<f64> {
+    pub fn remove(&mut self, now: Timestamp, share: u64) -> Option<f64> {
         self.advance(now);
         let mark_ns = self.mark_by_share.remove(&share)?;
         self.completions.remove(&Completion { mark_ns, share });
@@ -75,7 +76,7 @@
     }
 
     /// Work that a share still lacks at `now`, in seconds.
-    pub fn remaining_seconds(&self, now: Micros, share: u64) -> Option<f64> {
+    pub fn remaining_seconds(&self, now: Timestamp, share: u64) -> Option<f64> {
         let attained_ns = self.attained_ns_at(now);
         self.mark_by_share.get(&share).map(|mark_ns| seconds_between(attained_ns, *mark_ns))
     }
@@ -91,15 +92,15 @@
     }
 
     /// When the next share completes if neither the shares nor the rate change.
-    pub fn next_completion(&self) -> Option<Micros> {
+    pub fn next_completion(&self) -> Option<Timestamp> {
         let next = self.completions.first()?;
         let remaining_ns = (next.mark_ns as f64 - self.attained_ns).max(0.0);
-        let wait = || (remaining_ns / NANOS_PER_MICRO / self.rate).ceil() as Micros;
+        let wait = || TimeSpan::from_micros((remaining_ns / NANOS_PER_MICRO / self.rate).ceil() as u64);
         (self.rate > 0.0).then(|| self.updated_at + wait())
     }
 
     /// Removes and returns the next share that is complete at `now`.
-    pub fn pop_completed(&mut self, now: Micros) -> Option<u64> {
+    pub fn pop_completed(&mut self, now: Timestamp) -> Option<u64> {
         self.advance(now);
         let next = *self.completions.first()?;
         // The clock resolves microseconds: a share that completes within the present one is complete.
--- a/crates/model/src/worker_pool/archive.rs
+++ b/crates/model/src/worker_pool/archive.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::event::{AttemptNumber, WorkerIndex};
-use crate::Micros;
+use crate::Timestamp;
 use crate::processor_sharing::ProcessorSharing;
 
 /// The fetches in progress.
@@ -27,30 +27,30 @@
         }
     }
 
-    pub(super) fn begin_fetch(&mut self, now: Micros, worker: WorkerIndex, attempt: AttemptNumber) {
+    pub(super) fn begin_fetch(&mut self, now: Timestamp, worker: WorkerIndex, attempt: AttemptNumber) {
         self.worker_by_attempt.insert(attempt, worker);
         self.sharing.add(now, attempt, self.fetch_seconds);
     }
 
     /// Ends the fetch of an attempt, if it has one.
-    pub(super) fn cancel_fetch(&mut self, now: Micros, attempt: AttemptNumber) {
+    pub(super) fn cancel_fetch(&mut self, now: Timestamp, attempt: AttemptNumber) {
         if self.worker_by_attempt.remove(&attempt).is_some() {
             self.sharing.remove(now, attempt);
         }
     }
 
     /// Divides the bandwidth anew: up to `concurrency` fetches run at full speed.
-    pub(super) fn update_rate(&mut self, now: Micros) {
+    pub(super) fn update_rate(&mut self, now: Timestamp) {
         let rate = (self.concurrency / self.sharing.len().max(1) as f64).min(1.0);
         self.sharing.set_rate(now, rate);
     }
 
-    pub(super) fn next_completion(&self) -> Option<Micros> {
+    pub(super) fn next_completion(&self) -> Option<Timestamp> {
         self.sharing.next_completion()
     }
 
     /// Removes and returns the next attempt whose fetch is complete.
-    pub(super) fn pop_completed(&mut self, now: Micros) -> Option<AttemptNumber> {
+    pub(super) fn pop_completed(&mut self, now: Timestamp) -> Option<AttemptNumber> {
         self.sharing.pop_completed(now)
     }
 
--- a/crates/model/src/worker_pool/deduplication.rs
+++ b/crates/model/src/worker_pool/deduplication.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::Micros;
+use crate::{TimeSpan, Timestamp};
 
 /// A job's key within a bay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -14,18 +14,18 @@
 
 #[derive(Debug)]
 pub(super) struct Deduplication {
-    window: Micros,
-    first_arrivals: HashMap<BayKey, Micros>,
+    window: TimeSpan,
+    first_arrivals: HashMap<BayKey, Timestamp>,
     completed: HashSet<BayKey>,
 }
 
 impl Deduplication {
-    pub(super) fn new(window: Micros) -> Self {
+    pub(super) fn new(window: TimeSpan) -> Self {
         Deduplication { window, first_arrivals: HashMap::new(), completed: HashSet::new() }
     }
 
     /// Records an arrival; true if the job is a repeat of one that is complete, within the window.
-    pub(super) fn is_repeat(&mut self, now: Micros, key: BayKey) -> bool {
+    pub(super) fn is_repeat(&mut self, now: Timestamp, key: BayKey) -> bool {
         let first_arrival = *self.first_arrivals.entry(key).or_insert(now);
         now < first_arrival + self.window && self.completed.contains(&key)
     }
--- a/crates/model/src/worker_pool/mod.rs
+++ b/crates/model/src/worker_pool/mod.rs
@@ -19,10 +19,10 @@
 pub use parameters::{Machine, PoolParameters};
 use worker::{Worker, WorkerState};
 
-use crate::Micros;
+use crate::{TimeSpan, Timestamp};
 
 /// The speed of a worker that warms up is updated this often.
-const WARM_UP_STEP: Micros = 250_000;
+const WARM_UP_STEP: TimeSpan = TimeSpan::from_millis(250);
 
 /// The order of the variants is the order in which timers of one moment expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,9 +40,9 @@
     workers: Vec<Worker>,
     archive: Archive,
     deduplication: Deduplication,
-    timers: BinaryHeap<Reverse<(Micros, Timer)>>,
+    timers: BinaryHeap<Reverse<(Timestamp, Timer)>>,
     /// The next completion of each worker as predicted at some time; outdated predictions are skipped.
-    completions: BinaryHeap<Reverse<(Micros, WorkerIndex)>>,
+    completions: BinaryHeap<Reverse<(Timestamp, WorkerIndex)>>,
 }
 
 impl WorkerPool {
@@ -59,14 +59,14 @@
     }
 
     /// When [`WorkerPool::advance_to`] is to be called next, if no event happens before.
-    pub fn next_event(&self) -> Option<Micros> {
+    pub fn next_event(&self) -> Option<Timestamp> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let completion = self.completions.peek().map(|Reverse((at, _))| *at);
         [timer, completion, self.archive.next_completion()].into_iter().flatten().min()
     }
 
     /// Handles an event at `now`, after everything that is due by then.
-    pub fn handle(&mut self, now: Micros, input: PoolInput, effects: &mut Vec<PoolEffect>) {
+    pub fn handle(&mut self, now: Timestamp, input: PoolInput, effects: &mut Vec<PoolEffect>) {
         self.advance_to(now, effects);
         match input {
             PoolInput::Arrive(arrival) => self.handle_arrival(now, arrival, effects),
@@ -82,7 +82,7 @@
     }
 
     /// Lets everything happen that is due by `now`.
-    pub fn advance_to(&mut self, now: Micros, effects: &mut Vec<PoolEffect>) {
+    pub fn advance_to(&mut self, now: Timestamp, effects: &mut Vec<PoolEffect>) {
         while let Some(next) = self.next_event().filter(|next| *next <= now) {
             while let Some(timer) = pop_due(&mut self.timers, next) {
                 self.expire_timer(next, timer, effects);
@@ -96,7 +96,7 @@
         }
     }
 
-    fn expire_timer(&mut self, now: Micros, timer: Timer, effects: &mut Vec<PoolEffect>) {
+    fn expire_timer(&mut self, now: Timestamp, timer: Timer, effects: &mut Vec<PoolEffect>) {
         match timer {
             Timer::Progress { worker, attempt } => {
                 let Some(fraction) = self.workers[worker].progress(now, attempt) else { return };
@@ -113,7 +113,7 @@
         }
     }
 
-    fn complete_fetch(&mut self, now: Micros, attempt: AttemptNumber) {
+    fn complete_fetch(&mut self, now: Timestamp, attempt: AttemptNumber) {
         self.archive.update_rate(now);
         let Some(index) = self.archive.take_worker(attempt) else { return };
         let worker = &mut self.workers[index];
@@ -124,7 +124,7 @@
         self.predict_completion(index);
     }
 
-    fn complete_attempts(&mut self, now: Micros, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+    fn complete_attempts(&mut self, now: Timestamp, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
         while let Some(attempt) = self.workers[worker].computing.pop_completed(now) {
             effects.push(PoolEffect::Completed(attempt));
             if let Some(key) = self.workers[worker].key_of(attempt) {
@@ -136,7 +136,7 @@
         self.predict_completion(worker);
     }
 
-    fn handle_arrival(&mut self, now: Micros, arrival: Arrival, effects: &mut Vec<PoolEffect>) {
+    fn handle_arrival(&mut self, now: Timestamp, arrival: Arrival, effects: &mut Vec<PoolEffect>) {
         let Arrival { worker: index, attempt, demand } = arrival;
         let worker = &mut self.workers[index];
         if worker.state == WorkerState::Down {
@@ -163,7 +163,7 @@
     }
 
     /// Starts jobs from the head of the queue until one does not fit, which all others wait behind.
-    fn start_queued(&mut self, now: Micros, index: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+    fn start_queued(&mut self, now: Timestamp, index: WorkerIndex, effects: &mut Vec<PoolEffect>) {
         let worker = &mut self.workers[index];
         while let Some(attempt) = worker.start_next() {
             effects.push(PoolEffect::Started(attempt));
@@ -183,7 +183,7 @@
     /// Removes an attempt from its worker, and starts what fits then.
     fn remove_attempt(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         worker: WorkerIndex,
         attempt: AttemptNumber,
         effects: &mut Vec<PoolEffect>,
@@ -197,7 +197,7 @@
 
     fn cancel(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         worker: WorkerIndex,
         attempt: AttemptNumber,
         effects: &mut Vec<PoolEffect>,
@@ -207,7 +207,7 @@
         self.remove_attempt(now, worker, attempt, effects);
     }
 
-    fn kill(&mut self, now: Micros, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
+    fn kill(&mut self, now: Timestamp, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
         for attempt in self.workers[worker].kill() {
             self.archive.cancel_fetch(now, attempt);
             effects.push(PoolEffect::Lost(attempt));
@@ -215,18 +215,18 @@
         self.archive.update_rate(now);
     }
 
-    fn start(&mut self, now: Micros, worker: WorkerIndex) {
+    fn start(&mut self, now: Timestamp, worker: WorkerIndex) {
         self.workers[worker].start(now);
         self.timers.push(Reverse((now + WARM_UP_STEP, Timer::WarmUp { worker })));
     }
 
-    fn set_slowdown(&mut self, now: Micros, worker: WorkerIndex, factor: f64) {
+    fn set_slowdown(&mut self, now: Timestamp, worker: WorkerIndex, factor: f64) {
         assert!(factor > 0.0, "a slowdown factor must be above 0");
         self.workers[worker].slowdown = factor;
         self.update_rate(now, worker);
     }
 
-    fn update_rate(&mut self, now: Micros, worker: WorkerIndex) {
+    fn update_rate(&mut self, now: Timestamp, worker: WorkerIndex) {
         self.workers[worker].update_rate(now, &self.parameters);
         self.predict_completion(worker);
     }
@@ -239,7 +239,7 @@
 }
 
 /// Removes and returns the earliest entry that is due by `now`.
-fn pop_due<T: Ord>(heap: &mut BinaryHeap<Reverse<(Micros, T)>>, now: Micros) -> Option<T> {
+fn pop_due<T: Ord>(heap: &mut BinaryHeap<Reverse<(Timestamp, T)>>, now: Timestamp) -> Option<T> {
     if heap.peek().is_none_or(|Reverse((at, _))| *at > now) {
         return None;
     }
--- a/crates/model/src/worker_pool/parameters.rs
+++ b/crates/model/src/worker_pool/parameters.rs
@@ -1,6 +1,6 @@
 //! The fixed figures of the machines and of the model.
 
-use crate::{Micros, span};
+use crate::TimeSpan;
 
 /// Work of a fetch, as a multiple of the mean work of a job. Measurements of the deployment gave 0.71 to 1.4.
 const FETCH_PER_MEAN_JOB: f64 = 1.0;
@@ -32,12 +32,12 @@
     /// Fraction of its capacity that a worker has when it starts; it rises linearly to 1 over `warm_up`.
     pub cold_capacity_fraction: f64,
     /// Duration of the warm-up.
-    pub warm_up: Micros,
+    pub warm_up: TimeSpan,
     /// A worker that is warming up crashes when the work offered to it within `overload_window` exceeds this multiple
     /// of what its present capacity can do in that time.
     pub overload_factor: f64,
     /// Window over which offered work is added up.
-    pub overload_window: Micros,
+    pub overload_window: TimeSpan,
     /// Fraction of capacity lost, in the manner of 1 / (1 + penalty), when twice the cores are in demand.
     pub contention_penalty: f64,
     /// Seconds that a fetch takes at full speed.
@@ -45,9 +45,9 @@
     /// Number of fetches that the archive serves at full speed.
     pub archive_concurrency: f64,
     /// Repeats of a keyed job are dropped in its bay for this long after the first arrival.
-    pub deduplication_window: Micros,
+    pub deduplication_window: TimeSpan,
     /// Interval between two progress reports of a job.
-    pub progress_interval: Micros,
+    pub progress_interval: TimeSpan,
 }
 
 impl Default for PoolParameters {
@@ -55,14 +55,14 @@
     fn default() -> Self {
         PoolParameters {
             cold_capacity_fraction: 0.13,
-            warm_up: span(24.0),
+            warm_up: TimeSpan::from_secs(24),
             overload_factor: 3.0,
-            overload_window: span(2.0),
+            overload_window: TimeSpan::from_secs(2),
             contention_penalty: 0.05,
             fetch_seconds: MEAN_JOB_SECONDS * FETCH_PER_MEAN_JOB,
             archive_concurrency: 24.0,
-            deduplication_window: span(40.0),
-            progress_interval: span(2.0),
+            deduplication_window: TimeSpan::from_secs(40),
+            progress_interval: TimeSpan::from_secs(2),
         }
     }
 }
--- a/crates/model/src/worker_pool/worker.rs
+++ b/crates/model/src/worker_pool/worker.rs
@@ -5,12 +5,14 @@
 use super::deduplication::BayKey;
 use super::event::{AttemptNumber, JobDemand};
 use super::parameters::{Machine, PoolParameters};
-use crate::Micros;
+use crate::Timestamp;
 use crate::processor_sharing::ProcessorSharing;
 
 /// A single job may exceed the whole overload budget; only more arrivals than this count as overload.
 const MAX_ARRIVALS_WITHOUT_OVERLOAD: usize = 4;
 
+const MICROS_PER_SECOND: f64 = 1e6;
+
 /// Up -> Draining by a drain; Up, Draining -> Down by a kill or a crash; any -> Up by a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum WorkerState {
@@ -32,7 +34,7 @@
 
 #[derive(Debug)]
 struct OfferedWork {
-    at: Micros,
+    at: Timestamp,
     seconds: f64,
 }
 
@@ -41,7 +43,7 @@
     pub(super) machine: Machine,
     pub(super) state: WorkerState,
     /// Start of the warm-up; none if it has been up since before the beginning.
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
     /// Divisor of the machine's speed.
     pub(super) slowdown: f64,
     pub(super) jobs: HashMap<AttemptNumber, AcceptedJob>,
@@ -76,7 +78,7 @@
     }
 
     /// Starts the process: it warms up, at the machine's own speed and without data sets.
-    pub(super) fn start(&mut self, now: Micros) {
+    pub(super) fn start(&mut self, now: Timestamp) {
         self.state = WorkerState::Up;
         self.started_at = Some(now);
         self.slowdown = 1.0;
@@ -111,25 +113,26 @@
     }
 
     /// Fraction of the machine's capacity that the warm-up has reached.
-    fn warm_up_fraction(&self, now: Micros, parameters: &PoolParameters) -> f64 {
+    fn warm_up_fraction(&self, now: Timestamp, parameters: &PoolParameters) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let elapsed = now.saturating_sub(started_at) as f64 / parameters.warm_up.max(1) as f64;
+        let warm_up = parameters.warm_up.as_micros().max(1) as f64;
+        let elapsed = now.saturating_since(started_at).as_micros() as f64 / warm_up;
         let cold = parameters.cold_capacity_fraction;
         (cold + (1.0 - cold) * elapsed).min(1.0)
     }
 
-    pub(super) fn is_warming_up(&self, now: Micros, parameters: &PoolParameters) -> bool {
+    pub(super) fn is_warming_up(&self, now: Timestamp, parameters: &PoolParameters) -> bool {
         self.started_at.is_some_and(|started_at| now < started_at + parameters.warm_up)
     }
 
     /// Sets the rate at which each running job advances, from `now` on.
-    pub(super) fn update_rate(&mut self, now: Micros, parameters: &PoolParameters) {
+    pub(super) fn update_rate(&mut self, now: Timestamp, parameters: &PoolParameters) {
         let rate = self.rate_per_job(now, parameters);
         self.computing.set_rate(now, rate);
     }
 
     /// Seconds of work that each running job gets in a second.
-    fn rate_per_job(&self, now: Micros, parameters: &PoolParameters) -> f64 {
+    fn rate_per_job(&self, now: Timestamp, parameters: &PoolParameters) -> f64 {
         let cores = self.machine.cores;
         let demanded_cores = f64::from(self.used_slots).max(1.0);
         let excess = (demanded_cores / cores - 1.0).max(0.0);
@@ -139,7 +142,7 @@
     }
 
     /// Records offered work, also that which will be rejected; true if the worker crashes under it.
-    pub(super) fn offer(&mut self, now: Micros, seconds: f64, parameters: &PoolParameters) -> bool {
+    pub(super) fn offer(&mut self, now: Timestamp, seconds: f64, parameters: &PoolParameters) -> bool {
         self.offered.push_back(OfferedWork { at: now, seconds });
         let window = parameters.overload_window;
         while self.offered.front().is_some_and(|offered| offered.at + window < now) {
@@ -148,9 +151,10 @@
         self.is_warming_up(now, parameters) && self.is_overloaded(now, parameters)
     }
 
-    fn is_overloaded(&self, now: Micros, parameters: &PoolParameters) -> bool {
+    fn is_overloaded(&self, now: Timestamp, parameters: &PoolParameters) -> bool {
         let capacity = self.machine.cores * self.machine.speed * self.warm_up_fraction(now, parameters);
-        let budget = parameters.overload_factor * capacity * parameters.overload_window as f64 / 1e6;
+        let budget = parameters.overload_factor * capacity * parameters.overload_window.as_micros() as f64
+            / MICROS_PER_SECOND;
         let offered = self.offered.iter().map(|offered| offered.seconds).sum::<f64>();
         offered > budget && self.offered.len() > MAX_ARRIVALS_WITHOUT_OVERLOAD
     }
@@ -184,14 +188,14 @@
     }
 
     /// Runs a job whose data set is present; does nothing if the worker does not have the job.
-    pub(super) fn begin_computing(&mut self, now: Micros, attempt: AttemptNumber) {
+    pub(super) fn begin_computing(&mut self, now: Timestamp, attempt: AttemptNumber) {
         if let Some(job) = self.jobs.get(&attempt) {
             self.computing.add(now, attempt, job.demand.work_seconds);
         }
     }
 
     /// Removes a job and frees what it occupies; none if the worker does not have it.
-    pub(super) fn remove(&mut self, now: Micros, attempt: AttemptNumber) -> Option<AcceptedJob> {
+    pub(super) fn remove(&mut self, now: Timestamp, attempt: AttemptNumber) -> Option<AcceptedJob> {
         let job = self.jobs.remove(&attempt)?;
         if job.has_started {
             self.used_slots -= job.demand.slots;
@@ -204,7 +208,7 @@
     }
 
     /// Fraction of a job's work that is done; 0 while it fetches its data set.
-    pub(super) fn progress(&self, now: Micros, attempt: AttemptNumber) -> Option<f64> {
+    pub(super) fn progress(&self, now: Timestamp, attempt: AttemptNumber) -> Option<f64> {
         let work_seconds = self.jobs.get(&attempt)?.demand.work_seconds;
         let remaining = self.computing.remaining_seconds(now, attempt).unwrap_or(work_seconds);
         Some((1.0 - remaining / work_seconds.max(1e-9)).clamp(0.0, 1.0))
--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use thiserror::Error;
 
-use crate::{Micros, span};
+use crate::TimeSpan;
 
 /// Part of a class's jobs that take the class's number of slots; the others take one.
 const LARGE_JOB_FRACTION: f64 = 0.2;
@@ -28,10 +28,10 @@
 /// A segment of the load curve: a span of time in which the arrival rate differs from the base rate.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSegment {
-    /// Its beginning.
-    pub from: Micros,
-    /// Its end, exclusive.
-    pub until: Micros,
+    /// Its beginning, counted from the beginning of the load.
+    pub from: TimeSpan,
+    /// Its end, exclusive, counted in the same way.
+    pub until: TimeSpan,
     /// Multiple of the base rate.
     pub factor: f64,
 }
@@ -42,7 +42,7 @@
     /// The same seed and parameters draw the same jobs.
     pub seed: u64,
     /// The span of time in which jobs arrive.
-    pub length: Micros,
+    pub length: TimeSpan,
     /// Base arrival rate, in jobs a second.
     pub rate: f64,
     /// Where the rate differs from the base; of overlapping segments the last one holds.
@@ -60,8 +60,8 @@
 /// A job of the workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedJob {
-    /// Intended moment of submission, from the beginning of the run.
-    pub submit_at: Micros,
+    /// Intended time of submission, counted from the beginning of the load.
+    pub submit_at: TimeSpan,
     /// Index of its class.
     pub class: usize,
     /// Its work, in seconds on a core of speed 1.
@@ -97,7 +97,7 @@
     /// If a parameter is not finite and above 0; the error names the first such one.
     pub fn validate(&self) -> Result<(), InvalidParameter> {
         require_positive(self.rate, "rate")?;
-        require_positive(self.length as f64, "length")?;
+        require_positive(self.length.as_micros() as f64, "length")?;
         require_positive(self.total_share(), "share of all classes together")?;
         for class in &self.classes {
             require_positive(class.mean_seconds, "mean work of a class")?;
@@ -151,10 +151,10 @@
         }
     }
 
-    fn draw_next(&mut self) -> Option<Micros> {
+    fn draw_next(&mut self) -> Option<TimeSpan> {
         loop {
             self.candidate_seconds += self.gap_seconds.sample(&mut self.random);
-            let candidate = span(self.candidate_seconds);
+            let candidate = TimeSpan::from_secs_f64(self.candidate_seconds);
             if candidate >= self.spec.length {
                 return None;
             }
@@ -164,8 +164,8 @@
         }
     }
 
-    fn factor_at(&self, moment: Micros) -> f64 {
-        let in_segment = |segment: &&LoadSegment| (segment.from..segment.until).contains(&moment);
+    fn factor_at(&self, offset: TimeSpan) -> f64 {
+        let in_segment = |segment: &&LoadSegment| (segment.from..segment.until).contains(&offset);
         self.spec.load_curve.iter().rfind(in_segment).map_or(1.0, |segment| segment.factor)
     }
 }
@@ -199,7 +199,7 @@
         }
     }
 
-    fn draw(&mut self, submit_at: Micros) -> PlannedJob {
+    fn draw(&mut self, submit_at: TimeSpan) -> PlannedJob {
         let class = self.draw_class();
         let JobClass { mean_seconds, slots, .. } = self.spec.classes[class];
         // Half fixed and half drawn, so that no job is next to nothing.
--- a/crates/model/tests/endpoint_registry.rs
+++ b/crates/model/tests/endpoint_registry.rs
@@ -1,16 +1,17 @@
 //! The endpoint registry, driven by set times.
 
 use curlewusher_model::endpoint_registry::{EndpointEntry, EndpointRegistry, EndpointStatus, Publication};
+use curlewusher_model::{TimeSpan, Timestamp};
 
 #[test]
 fn recorded_changes_then_they_are_published_late_in_order_and_once_and_an_unknown_index_gets_none() {
-    let mut registry = EndpointRegistry::new(0..3, 1_000);
+    let mut registry = EndpointRegistry::new(0..3, TimeSpan::from_millis(1));
     let entry = |worker, status| EndpointEntry { worker, status, started_at: None };
-    registry.record_change(10, entry(1, EndpointStatus::Terminating));
-    registry.record_change(20, entry(1, EndpointStatus::Terminated));
-    assert_eq!(registry.publish(1_000), Publication { index: 1, entries: vec![] });
-    assert_eq!(registry.publish(1_020).index, 3);
-    assert_eq!(registry.publish(2_000), Publication { index: 3, entries: vec![] });
+    registry.record_change(Timestamp::from_micros(10), entry(1, EndpointStatus::Terminating));
+    registry.record_change(Timestamp::from_micros(20), entry(1, EndpointStatus::Terminated));
+    assert_eq!(registry.publish(Timestamp::from_micros(1_000)), Publication { index: 1, entries: vec![] });
+    assert_eq!(registry.publish(Timestamp::from_micros(1_020)).index, 3);
+    assert_eq!(registry.publish(Timestamp::from_micros(2_000)), Publication { index: 3, entries: vec![] });
     assert_eq!(registry.snapshot().len(), 2);
     assert_eq!(registry.changes_since(1), Some(vec![entry(1, EndpointStatus::Terminated)]));
     let [newest, unknown, zero] = [3, 9, 0].map(|index| registry.changes_since(index));
--- a/crates/model/tests/workload.rs
+++ b/crates/model/tests/workload.rs
@@ -1,15 +1,19 @@
 //! The workload that is drawn from a seed.
 
-use curlewusher_model::span;
+use curlewusher_model::TimeSpan;
 use curlewusher_model::workload::{JobClass, LoadSegment, PlannedJob, WorkloadSpec};
 
+fn seconds(seconds: f64) -> TimeSpan {
+    TimeSpan::from_secs_f64(seconds)
+}
+
 fn spec() -> WorkloadSpec {
     let class = |share, slots| JobClass { share, mean_seconds: 0.5, slots };
     WorkloadSpec {
         seed: 7,
-        length: span(100.0),
+        length: seconds(100.0),
         rate: 50.0,
-        load_curve: vec![LoadSegment { from: span(50.0), until: span(60.0), factor: 3.0 }],
+        load_curve: vec![LoadSegment { from: seconds(50.0), until: seconds(60.0), factor: 3.0 }],
         classes: vec![class(0.75, 1), class(0.25, 2)],
         sets: 100,
         skew: 1.0,
@@ -25,7 +29,7 @@
     let count = |keep: &dyn Fn(&&PlannedJob) -> bool| jobs.iter().filter(keep).count() as f64;
     // 90 s at 50 and 10 s at 150; bounds are four standard deviations wide.
     assert!((count(&|_| true) - 6000.0).abs() < 4.0 * 78.0);
-    let in_segment = count(&|job| (span(50.0)..span(60.0)).contains(&job.submit_at));
+    let in_segment = count(&|job| (seconds(50.0)..seconds(60.0)).contains(&job.submit_at));
     assert!((in_segment - 1500.0).abs() < 4.0 * 39.0);
     assert!((count(&|job| job.class == 1) / jobs.len() as f64 - 0.25).abs() < 0.03);
     let mean = jobs.iter().map(|job| job.work_seconds).sum::<f64>() / jobs.len() as f64;
--- a/crates/testbed/src/console.rs
+++ b/crates/testbed/src/console.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU16, Ordering::Relaxed};
 use std::time::Duration;
 
-use curlewusher_model::Micros;
+use curlewusher_model::TimeSpan;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
@@ -21,8 +21,8 @@
 pub struct Said {
     /// The line without its end; none where none came.
     pub line: Option<String>,
-    /// Microseconds from the beginning of the connection.
-    pub took_us: Micros,
+    /// From the beginning of the connection.
+    pub took: TimeSpan,
     /// Nobody listened.
     pub refused: bool,
 }
@@ -52,7 +52,7 @@
         line.ends_with('\n').then(|| line.trim_end().to_owned())
     };
     let line = timeout(WAIT + PATIENCE, asks).await.ok().flatten();
-    Said { line, took_us: begin.elapsed().as_micros() as Micros, refused }
+    Said { line, took: begin.elapsed().into(), refused }
 }
 
 /// A free address for a node that must know it before it starts. The loopback address is this lab's own by
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -7,15 +7,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewusher_model::Micros;
+use curlewusher_model::{TimeSpan, Timestamp};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Something that was observed. Times are microseconds from the beginning of the run.
+/// Something that was observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Event {
-    /// A client was due to send a request at this moment; it was sent `late_us` afterwards.
+    /// A client was due to send a request at this moment; it was sent `delay` afterwards.
     #[serde(rename = "asked")]
     RequestSent {
         id: String,
@@ -23,8 +23,9 @@
         node: usize,
         class: usize,
         #[serde(rename = "give_up_us")]
-        timeout_us: Micros,
-        late_us: Micros,
+        timeout: TimeSpan,
+        #[serde(rename = "late_us")]
+        delay: TimeSpan,
     },
     /// A complete response arrived.
     #[serde(rename = "answered")]
@@ -42,7 +43,7 @@
         #[serde(rename = "why")]
         reason: FailureReason,
     },
-    /// The last byte of an attempt arrived at a worker; its head had arrived at `head_us`.
+    /// The last byte of an attempt arrived at a worker; its head had arrived at `head_at`.
     #[serde(rename = "arrived")]
     AttemptArrived {
         attempt: u64,
@@ -50,8 +51,10 @@
         node: usize,
         worker: usize,
         bay: u32,
-        work_s: f64,
-        head_us: Micros,
+        #[serde(rename = "work_s")]
+        work_seconds: f64,
+        #[serde(rename = "head_us")]
+        head_at: Timestamp,
     },
     #[serde(rename = "taken_on")]
     AttemptAccepted {
@@ -82,13 +85,14 @@
     AttemptCancelled {
         attempt: u64,
     },
-    /// Discovery sent a node the entry of a worker; `started_us` is the worker's start, 0 if before the run.
+    /// Discovery sent a node the entry of a worker; `started_at` is the worker's start, zero if it was before the run.
     #[serde(rename = "told")]
     EndpointSent {
         node: usize,
         worker: usize,
         in_service: bool,
-        started_us: Micros,
+        #[serde(rename = "started_us")]
+        started_at: Timestamp,
     },
     /// Discovery has a change of a worker from now on, whoever it reaches.
     #[serde(rename = "published")]
@@ -141,7 +145,8 @@
         /// The answer without its line end.
         #[serde(rename = "said")]
         answer: Option<String>,
-        took_us: Micros,
+        #[serde(rename = "took_us")]
+        took: TimeSpan,
     },
     /// Number of connections that clients hold to a node 4 s after the command to drain it: idle ones, and those with a
     /// job that was sent within the last 2 s.
@@ -220,8 +225,7 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Microseconds from the beginning of the run.
-    pub at: Micros,
+    pub at: Timestamp,
     #[serde(flatten)]
     pub event: Event,
 }
@@ -239,14 +243,14 @@
         EventLog { start: Instant::now(), records: Arc::default() }
     }
 
-    /// Microseconds from the beginning of the run.
-    pub fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+    /// The present moment on the log's clock, which every [`Timestamp`] of a run is read from.
+    pub fn now(&self) -> Timestamp {
+        Timestamp::ZERO + TimeSpan::from(self.start.elapsed())
     }
 
     /// Converts a time of the log to the runtime's clock.
-    pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at)).into()
+    pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
+        (self.start + Duration::from(at - Timestamp::ZERO)).into()
     }
 
     /// Appends an event that happens now.
@@ -255,7 +259,7 @@
     }
 
     /// Appends an event that happened at `at`.
-    pub fn record_at(&self, at: Micros, event: Event) {
+    pub fn record_at(&self, at: Timestamp, event: Event) {
         self.records.lock().push(Record { at, event });
     }
 
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_model::Micros;
 use curlewusher_model::endpoint_registry::{EndpointEntry, EndpointRegistry, EndpointStatus, Publication};
 use curlewusher_model::worker_pool::{
     Arrival, AttemptNumber, JobDemand, PoolEffect, PoolInput, WorkerIndex, WorkerPool,
 };
 use curlewusher_model::workload::PlannedJob;
+use curlewusher_model::{TimeSpan, Timestamp};
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::service::service_fn;
@@ -115,7 +115,7 @@
         id: String,
         node: usize,
         job: usize,
-        head: Micros,
+        head: Timestamp,
         reply: oneshot::Sender<bool>,
     },
     /// By name.
@@ -204,7 +204,7 @@
         serde_json::json!({
             "name": name_of(worker), "address": self.addresses[worker], "zone": "lab", "type": self.kinds[worker],
             "group": self.bays[worker], "status": status, "weight": 1.0,
-            "since_ms": entry.started_at.map_or(0, |since| self.unix_ms + since / 1000),
+            "since_ms": entry.started_at.map_or(0, |since| self.unix_ms + since.as_micros() / 1000),
         })
     }
 
@@ -254,14 +254,14 @@
             addresses,
             kinds: (0..machines.len()).map(|worker| scenario.kind_of(worker).name.clone()).collect(),
             bays: machines.iter().map(|machine| machine.bay).collect(),
-            unix_ms: (unix.as_micros() as u64 - log.now()) / 1000,
+            unix_ms: (unix.as_micros() as u64 - log.now().as_micros()) / 1000,
         };
         let present = (0..machines.len()).filter(|worker| !grown.contains(worker));
         let registry =
-            EndpointRegistry::new(present, curlewusher_model::span(scenario.fleet.publication_delay_s));
+            EndpointRegistry::new(present, TimeSpan::from_secs_f64(scenario.fleet.publication_delay_s));
         let mut pool = WorkerPool::new(machines, scenario.pool_parameters());
         for worker in grown {
-            pool.handle(0, PoolInput::Kill(worker), &mut Vec::new());
+            pool.handle(Timestamp::ZERO, PoolInput::Kill(worker), &mut Vec::new());
         }
         let saved_lists: SavedLists = Arc::new(Mutex::new(vec![None; scenario.nodes.count]));
         let owner = Owner {
@@ -647,8 +647,8 @@
                     node,
                     worker,
                     bay: self.names.bays[worker],
-                    work_s: planned.work_seconds,
-                    head_us: head,
+                    work_seconds: planned.work_seconds,
+                    head_at: head,
                 });
                 let calls = self.caller(node);
                 self.current.insert((worker, id.clone()), attempt);
@@ -736,8 +736,8 @@
         self.saved_lists.lock()[node] = Some(list);
         for entry in entries {
             let in_service = entry.status == EndpointStatus::InService;
-            let started_us = entry.started_at.unwrap_or(0);
-            self.log.record(Event::EndpointSent { node, worker: entry.worker, in_service, started_us });
+            let started_at = entry.started_at.unwrap_or_default();
+            self.log.record(Event::EndpointSent { node, worker: entry.worker, in_service, started_at });
         }
     }
 
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use curlewusher_model::workload::PlannedJob;
-use curlewusher_model::{Micros, span};
+use curlewusher_model::{TimeSpan, Timestamp};
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
@@ -22,10 +22,10 @@
 const LONGEST_ADVICE: f64 = 2.0;
 /// The front asks every node so often.
 const PROBES: Duration = Duration::from_millis(100);
-/// After the first no, new connections still come for this, microseconds; where nothing is said, for longer:
+/// After the first no, new connections still come for this; where nothing is said, for longer:
 /// one probe that is lost is not the end of a node.
-const AFTER_NO: Micros = 200_000;
-const AFTER_SILENCE: Micros = 2_000_000;
+const AFTER_NO: TimeSpan = TimeSpan::from_millis(200);
+const AFTER_SILENCE: TimeSpan = TimeSpan::from_secs(2);
 
 /// What every job bears.
 const BODY: &str = "interval=40-55";
@@ -52,7 +52,7 @@
     }
 
     pub fn admit(&self, node: usize, well: bool) {
-        self.closes[node].store(if well { Micros::MAX } else { self.log.now() }, Ordering::Relaxed);
+        self.closes[node].store(if well { u64::MAX } else { self.log.now().as_micros() }, Ordering::Relaxed);
     }
 
     fn heard(&self, node: usize, said: Readiness) {
@@ -62,7 +62,7 @@
             Readiness::Nothing => AFTER_SILENCE,
         };
         // Counted from the first of them: a later one moves nothing.
-        self.closes[node].fetch_min(self.log.now() + after, Ordering::Relaxed);
+        self.closes[node].fetch_min((self.log.now() + after).as_micros(), Ordering::Relaxed);
     }
 
     /// Asks a node whether it is ready, again and again, and writes down where the answer changes.
@@ -94,7 +94,7 @@
         (0..all).map(|n| (first + n) % all).find_map(|node| {
             let place = self.places.lock()[node]?;
             let held = if new_ones { None } else { self.links.take(node) };
-            let open = self.log.now() < self.closes[node].load(Ordering::Relaxed);
+            let open = self.log.now().as_micros() < self.closes[node].load(Ordering::Relaxed);
             (open || held.is_some()).then_some(Route { node, address: place, kept_connection: held })
         })
     }
@@ -132,7 +132,7 @@
     }
 
     /// Sends every job at its moment, counted from `begin`, and returns once each has come to its end.
-    pub async fn run(self: Arc<Self>, begin: Micros, done: Arc<AtomicUsize>) {
+    pub async fn run(self: Arc<Self>, begin: Timestamp, done: Arc<AtomicUsize>) {
         let mut open = JoinSet::new();
         for job in 0..self.jobs.len() {
             let intended = begin + self.jobs[job].submit_at;
@@ -151,15 +151,15 @@
     }
 
     /// One client with one job, through all its tries.
-    async fn ask(&self, job: usize, intended: Micros) {
+    async fn ask(&self, job: usize, intended: Timestamp) {
         let class = &self.scenario.classes[self.jobs[job].class];
-        let give_up = intended + span(class.timeout_s);
+        let give_up = intended + TimeSpan::from_secs_f64(class.timeout_s);
         for number in 0..=self.scenario.load.retries {
             let now = self.log.now();
             if now >= give_up {
                 return;
             }
-            let late = if number == 0 { now - intended } else { 0 };
+            let late = if number == 0 { now - intended } else { TimeSpan::ZERO };
             let end = self.try_once(job, number, give_up - now, late).await;
             let wait = self.scenario.load.retry_wait_s;
             let wait = match end {
@@ -174,7 +174,7 @@
         }
     }
 
-    async fn try_once(&self, job: usize, number: u32, wait: Micros, late_us: Micros) -> End {
+    async fn try_once(&self, job: usize, number: u32, wait: TimeSpan, delay: TimeSpan) -> End {
         let planned = &self.jobs[job];
         let class = &self.scenario.classes[planned.class];
         // By the golden ratio the share is the same in every stretch of jobs.
@@ -188,8 +188,8 @@
             job,
             node,
             class: planned.class,
-            timeout_us: wait,
-            late_us,
+            timeout: wait,
+            delay,
         });
         let Some(route) = route else { return self.missing(id, FailureReason::NoNode) };
         let mut request = format!(
@@ -198,7 +198,7 @@
             planned.set,
             route.address,
             class.name,
-            wait as f64 / 1e6,
+            wait.as_secs_f64(),
             planned.hint_seconds * 1e6,
             planned.slots
         );
@@ -210,7 +210,7 @@
         }
         request += &format!("content-length: {}\r\n\r\n{BODY}", BODY.len());
         let answer = self.front.links.send(route, request.as_bytes(), !new_ones);
-        let answer = match timeout(Duration::from_micros(wait) + PATIENCE, answer).await {
+        let answer = match timeout(Duration::from(wait) + PATIENCE, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(why)) => return self.missing(id, why),
             Err(_) => return self.missing(id, FailureReason::Late),
--- a/crates/testbed/src/nodes.rs
+++ b/crates/testbed/src/nodes.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewusher_model::span;
+use curlewusher_model::TimeSpan;
 use parking_lot::Mutex;
 use rustix::process::{Pid, Signal, kill_process};
 use serde::Serialize;
@@ -96,12 +96,12 @@
         .iter()
         .map(|class| {
             let (idempotency, scope, window) = match class.idempotence {
-                Idempotence::Idempotent => ("safe", "", 0),
+                Idempotence::Idempotent => ("safe", "", TimeSpan::ZERO),
                 Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
-                Idempotence::NonIdempotent => ("unsafe", "", 0),
+                Idempotence::NonIdempotent => ("unsafe", "", TimeSpan::ZERO),
             };
             json!({"name": class.name, "idempotency": idempotency, "keyScope": scope, "dedupWindowUs": window,
-                "objectiveUs": span(class.objective_s), "aimStretch": class.stretch, "giveUpUs": span(class.timeout_s),
+                "objectiveUs": TimeSpan::from_secs_f64(class.objective_s), "aimStretch": class.stretch, "giveUpUs": TimeSpan::from_secs_f64(class.timeout_s),
                 "worth": class.priority_weight})
         })
         .collect();
@@ -118,7 +118,7 @@
             "limits": {"cancel": true, "mayDuplicate": false, "mayTell": false, "sendCap": 3, "retryAfter": false,
                 "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 150_000, "keepaliveUs": 30_000_000},
             "rules": {"askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_capacity_fraction,
-                "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": OVERLOAD_WINDOW},
+                "warmUpUs": TimeSpan::from_secs_f64(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": OVERLOAD_WINDOW},
         },
     });
     if let Some(console) = console {
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -47,7 +47,7 @@
                 command: line.to_owned(),
                 expected,
                 answer: answer.line.clone(),
-                took_us: answer.took_us,
+                took: answer.took,
             });
         }
         answer
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use curlewusher_model::endpoint_registry::EndpointStatus;
-use curlewusher_model::span;
+use curlewusher_model::{TimeSpan, Timestamp};
 use indicatif::{ProgressBar, ProgressStyle};
 use rustix::process::Signal;
 use thiserror::Error;
@@ -44,9 +44,9 @@
 pub struct Played {
     pub records: Vec<Record>,
     pub samples: Vec<Sample>,
-    /// When the load began and when it was over, microseconds of the records.
-    pub begin: u64,
-    pub end: u64,
+    /// When the load began and when it was over.
+    pub begin: Timestamp,
+    pub end: Timestamp,
     /// What went wrong with a node's process beyond the scenario, with its last lines.
     pub crashes: Vec<String>,
     /// It was ended before its time.
@@ -130,7 +130,7 @@
         // What has started ends with its handle.
         _ = tokio::signal::ctrl_c() => return Err("interrupted before the load began; nothing was seen".into()),
     }
-    let begin = log.now() + 200_000;
+    let begin = log.now() + TimeSpan::from_millis(200);
     let done = Arc::new(AtomicUsize::new(0));
     // Upgrades are seen through; of the other faults, some never end.
     let (mut tasks, mut upgrades) = (JoinSet::new(), JoinSet::new());
@@ -243,7 +243,7 @@
                     self.front.admit(number, false);
                     held.node = None;
                 }
-                let at_s = self.log.now() as f64 / 1e6;
+                let at_s = self.log.now().as_secs_f64();
                 let own = held.node.as_ref().and_then(|node| node.child.id());
                 let processes = held.processes.iter().copied().chain(own);
                 let costs: Vec<Sample> = processes
@@ -265,8 +265,8 @@
         }
     }
 
-    async fn fault(&self, nth: usize, fault: Fault, begin: u64) {
-        let instant = |s: f64| self.log.instant(begin + span(s));
+    async fn fault(&self, nth: usize, fault: Fault, begin: Timestamp) {
+        let instant = |s: f64| self.log.instant(begin + TimeSpan::from_secs_f64(s));
         let targets = self.scenario.targets_of(&fault);
         sleep_until(instant(fault.at_s)).await;
         let words = |moment: &str| format!("{:?} of {targets:?} {moment}", fault.kind);
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use curlewusher_model::{Micros, span};
+use curlewusher_model::{TimeSpan, Timestamp};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +23,7 @@
 /// Significant decimal digits of a histogram's values.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-const MICROS_PER_SECOND: Micros = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// The figures of a request class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -174,7 +174,7 @@
 #[derive(Clone, Copy)]
 enum Outcome {
     /// A response with the worker's result arrived at this moment.
-    Served { at: Micros },
+    Served { at: Timestamp },
     /// The node rejected the request, or no node could be reached.
     Refused,
     /// Any other response, or none.
@@ -182,7 +182,7 @@
 }
 
 impl Outcome {
-    fn of_response(at: Micros, status: u16, has_own_result: bool) -> Self {
+    fn of_response(at: Timestamp, status: u16, has_own_result: bool) -> Self {
         match status {
             200 if has_own_result => Outcome::Served { at },
             429 | 503 => Outcome::Refused,
@@ -203,7 +203,7 @@
 struct Job {
     class: usize,
     /// Moment of the first send according to the schedule.
-    intended: Micros,
+    intended: Timestamp,
     outcome: Outcome,
 }
 
@@ -236,14 +236,14 @@
         traffic
     }
 
-    fn add(&mut self, at: Micros, event: &'a Event) {
+    fn add(&mut self, at: Timestamp, event: &'a Event) {
         match event {
-            Event::RequestSent { id, job, class, late_us, .. } => {
+            Event::RequestSent { id, job, class, delay, .. } => {
                 self.requests += 1;
                 self.job_of_request.insert(id, *job);
                 self.jobs.entry(*job).or_insert_with(|| {
-                    self.send_delays.saturating_record(*late_us);
-                    Job { class: *class, intended: at - late_us, outcome: Outcome::Failed }
+                    self.send_delays.saturating_record(delay.as_micros());
+                    Job { class: *class, intended: at - *delay, outcome: Outcome::Failed }
                 });
             }
             Event::ResponseReceived { id, status, has_own_result } => {
@@ -284,7 +284,7 @@
     }
 
     /// Adds a job that was to be sent in this second of the load; later ones count to the last second.
-    fn add(&mut self, job: &Job, weight: f64, latency_objective: Micros, second: usize) {
+    fn add(&mut self, job: &Job, weight: f64, latency_objective: TimeSpan, second: usize) {
         let last_second = self.seconds.len() - 1;
         let second = &mut self.seconds[second.min(last_second)];
         self.figures.jobs += 1;
@@ -293,7 +293,7 @@
         match job.outcome {
             Outcome::Served { at } => {
                 let response_time = at - job.intended;
-                self.response_times.saturating_record(response_time);
+                self.response_times.saturating_record(response_time.as_micros());
                 if response_time <= latency_objective {
                     self.figures.in_time += 1;
                     self.figures.weight_in_time += weight;
@@ -320,7 +320,7 @@
 }
 
 /// Totals of each class of the scenario; `begin` is the moment when the load began.
-fn class_totals(scenario: &Scenario, begin: Micros, jobs: &BTreeMap<usize, Job>) -> Vec<ClassTotals> {
+fn class_totals(scenario: &Scenario, begin: Timestamp, jobs: &BTreeMap<usize, Job>) -> Vec<ClassTotals> {
     // Records do not contain the work of a job; the same seed draws the same jobs as for the load.
     let planned_jobs = scenario.workload().draw();
     let seconds = scenario.length_s.ceil() as usize;
@@ -330,8 +330,8 @@
         let class = &scenario.classes[job.class];
         let work_s = planned_jobs[*number].work_seconds;
         let weight = class.priority_weight * work_s;
-        let latency_objective = span(class.objective_s + class.stretch * work_s);
-        let second = (job.intended.saturating_sub(begin) / MICROS_PER_SECOND) as usize;
+        let latency_objective = TimeSpan::from_secs_f64(class.objective_s + class.stretch * work_s);
+        let second = (job.intended.saturating_since(begin).as_micros() / MICROS_PER_SECOND) as usize;
         totals[job.class].add(job, weight, latency_objective, second);
     }
     totals
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -1,5 +1,7 @@
 //! Time series of a run and the periods of its faults, as the charts of the report show them.
 
+use curlewusher_model::Timestamp;
+
 use super::figures::{Figures, SecondWeights};
 use crate::event_log::{Event, Record};
 use crate::nodes::Sample;
@@ -31,7 +33,7 @@
 
 /// The value of each sample, a series for each node.
 pub fn samples_by_node(played: &Played, nodes: usize, value: impl Fn(&Sample) -> f64) -> Vec<Series> {
-    let begin_s = played.begin as f64 / 1e6;
+    let begin_s = played.begin.as_secs_f64();
     let series = |node: usize| {
         let samples = played.samples.iter().filter(|sample| sample.node == node);
         let points = samples.map(|sample| (sample.at_s - begin_s, value(sample))).collect();
@@ -50,7 +52,7 @@
 
 /// The periods of all faults of a run, by their begin.
 pub fn fault_periods(played: &Played) -> Vec<FaultPeriod> {
-    let seconds = |at: u64| at.saturating_sub(played.begin) as f64 / 1e6;
+    let seconds = |at: Timestamp| at.saturating_since(played.begin).as_secs_f64();
     let mut periods: Vec<FaultPeriod> = Vec::new();
     for Record { at, event } in &played.records {
         let Event::Fault { description } = event else { continue };
--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 
 use super::{Rule, Violation};
 use crate::nodes::Sample;
@@ -17,7 +17,7 @@
         let Some(excess) = describe_excess(sample, scenario.nodes.descriptors) else { continue };
         if reported.insert(sample.node) {
             let description = format!("node {} holds {excess}, all its processes together", sample.node);
-            let at = (sample.at_s * 1e6) as Micros;
+            let at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
             violations.push(Violation::without_events(Rule::Size, at, description));
         }
     }
--- a/crates/testbed/src/rules/job_rules.rs
+++ b/crates/testbed/src/rules/job_rules.rs
@@ -5,32 +5,32 @@
 
 use std::collections::HashMap;
 
-use curlewusher_model::Micros;
+use curlewusher_model::{TimeSpan, Timestamp};
 
 use super::{RepeatPolicy, Rule, RuleParameters, UPGRADE_AFTERMATH, Violation, timeline};
 use crate::event_log::{Event, FailureReason, Record};
 
 /// Starts that differ by less than this are the same: the registry gives them in milliseconds.
-const START_PRECISION: Micros = 2_000;
+const START_PRECISION: TimeSpan = TimeSpan::from_millis(2);
 /// Later than any event, and far enough from the largest number that limits can be added.
-const NEVER: Micros = Micros::MAX / 2;
+const NEVER: Timestamp = Timestamp::from_micros(u64::MAX / 2);
 
 struct Attempt {
     number: u64,
     bay: u32,
-    arrived_at: Micros,
+    arrived_at: Timestamp,
     is_outstanding: bool,
     may_have_run: bool,
 }
 
 struct Failure {
-    at: Micros,
+    at: Timestamp,
     reason: FailureReason,
 }
 
 struct Request {
-    sent_at: Micros,
-    timeout: Micros,
+    sent_at: Timestamp,
+    timeout: TimeSpan,
     class: usize,
     node: usize,
     responses: usize,
@@ -40,7 +40,7 @@
 
 /// Work that arrived at a worker.
 struct Arrival {
-    at: Micros,
+    at: Timestamp,
     node: usize,
     work_seconds: f64,
 }
@@ -48,25 +48,25 @@
 /// What a node was told of a worker last.
 struct KnownEndpoint {
     /// Since when the node knows that the worker drains or has ended.
-    unavailable_since: Option<Micros>,
-    started_at: Micros,
+    unavailable_since: Option<Timestamp>,
+    started_at: Timestamp,
 }
 
 struct NodeExit {
-    at: Micros,
+    at: Timestamp,
     killed: bool,
 }
 
 /// An upgrade, from its begin over the successor's first yes to its end.
 struct UpgradeWindow {
-    began_at: Micros,
-    ready_at: Option<Micros>,
-    ended_at: Option<Micros>,
+    began_at: Timestamp,
+    ready_at: Option<Timestamp>,
+    ended_at: Option<Timestamp>,
 }
 
 struct Finding<'log> {
     rule: Rule,
-    at: Micros,
+    at: Timestamp,
     description: String,
     request: Option<&'log str>,
 }
@@ -78,7 +78,7 @@
     node: usize,
     worker: usize,
     bay: u32,
-    head_at: Micros,
+    head_at: Timestamp,
 }
 
 struct Checker<'log> {
@@ -88,16 +88,16 @@
     /// By node and worker.
     endpoints: HashMap<(usize, usize), KnownEndpoint>,
     /// By worker that drains or has ended: when discovery had that and was up. None: it has not been up since.
-    published: HashMap<usize, Option<Micros>>,
+    published: HashMap<usize, Option<Timestamp>>,
     is_discovery_down: bool,
     /// By worker.
     arrivals: HashMap<usize, Vec<Arrival>>,
-    worker_starts: HashMap<usize, Micros>,
+    worker_starts: HashMap<usize, Timestamp>,
     /// By node, like all that follow.
     exits: HashMap<usize, Vec<NodeExit>>,
-    sigterms: HashMap<usize, Vec<Micros>>,
+    sigterms: HashMap<usize, Vec<Timestamp>>,
     /// When the testbed killed one of the two processes of an upgrade.
-    kills: HashMap<usize, Vec<Micros>>,
+    kills: HashMap<usize, Vec<Timestamp>>,
     upgrades: HashMap<usize, Vec<UpgradeWindow>>,
     findings: Vec<Finding<'log>>,
 }
@@ -139,15 +139,15 @@
         }
     }
 
-    fn observe(&mut self, at: Micros, event: &'log Event) {
+    fn observe(&mut self, at: Timestamp, event: &'log Event) {
         match event {
             Event::RequestSent { .. } | Event::ResponseReceived { .. } | Event::RequestFailed { .. } => {
                 self.observe_request(at, event);
             }
-            Event::AttemptArrived { attempt, id, node, worker, bay, work_s, head_us } => {
-                let arrival = Arrival { at, node: *node, work_seconds: *work_s };
+            Event::AttemptArrived { attempt, id, node, worker, bay, work_seconds, head_at } => {
+                let arrival = Arrival { at, node: *node, work_seconds: *work_seconds };
                 self.arrivals.entry(*worker).or_default().push(arrival);
-                let (number, node, worker, bay, head_at) = (*attempt, *node, *worker, *bay, *head_us);
+                let (number, node, worker, bay, head_at) = (*attempt, *node, *worker, *bay, *head_at);
                 self.observe_arrival(at, ArrivedAttempt { number, request: id, node, worker, bay, head_at });
             }
             Event::AttemptRejected { attempt } | Event::AttemptReturned { attempt } => {
@@ -156,11 +156,11 @@
             Event::AttemptCompleted { attempt }
             | Event::AttemptLost { attempt }
             | Event::AttemptCancelled { attempt } => self.end_attempt(*attempt, true),
-            Event::EndpointSent { node, worker, in_service, started_us } => {
+            Event::EndpointSent { node, worker, in_service, started_at } => {
                 let known = self.endpoints.get(&(*node, *worker));
                 let since = known.and_then(|known| known.unavailable_since).or(Some(at));
                 let unavailable_since = if *in_service { None } else { since };
-                let known = KnownEndpoint { unavailable_since, started_at: *started_us };
+                let known = KnownEndpoint { unavailable_since, started_at: *started_at };
                 self.endpoints.insert((*node, *worker), known);
             }
             Event::EndpointPublished { worker, in_service: true } => _ = self.published.remove(worker),
@@ -192,12 +192,12 @@
         }
     }
 
-    fn observe_request(&mut self, at: Micros, event: &'log Event) {
+    fn observe_request(&mut self, at: Timestamp, event: &'log Event) {
         match event {
-            Event::RequestSent { id, node, class, timeout_us, .. } => {
+            Event::RequestSent { id, node, class, timeout, .. } => {
                 let request = Request {
                     sent_at: at,
-                    timeout: *timeout_us,
+                    timeout: *timeout,
                     class: *class,
                     node: *node,
                     responses: 0,
@@ -218,7 +218,7 @@
         }
     }
 
-    fn observe_upgrade(&mut self, at: Micros, event: &Event) {
+    fn observe_upgrade(&mut self, at: Timestamp, event: &Event) {
         match event {
             Event::ProcessExited { node, killed: true, .. } => self.kills.entry(*node).or_default().push(at),
             Event::UpgradeBegan { node } => {
@@ -239,7 +239,7 @@
         }
     }
 
-    fn report(&mut self, rule: Rule, at: Micros, request: Option<&'log str>, description: String) {
+    fn report(&mut self, rule: Rule, at: Timestamp, request: Option<&'log str>, description: String) {
         self.findings.push(Finding { rule, at, description, request });
     }
 
@@ -258,13 +258,13 @@
         }
     }
 
-    fn observe_arrival(&mut self, at: Micros, arrived: ArrivedAttempt<'log>) {
+    fn observe_arrival(&mut self, at: Timestamp, arrived: ArrivedAttempt<'log>) {
         self.request_by_attempt.insert(arrived.number, arrived.request);
         self.check_one_effect(at, &arrived);
         self.check_quiet_drain(at, &arrived);
     }
 
-    fn check_one_effect(&mut self, at: Micros, arrived: &ArrivedAttempt<'log>) {
+    fn check_one_effect(&mut self, at: Timestamp, arrived: &ArrivedAttempt<'log>) {
         let ArrivedAttempt { number, request: id, bay, .. } = *arrived;
         let Some(request) = self.requests.get_mut(id) else { return };
         let policy = self.parameters.classes[request.class];
@@ -281,7 +281,7 @@
         }
     }
 
-    fn check_quiet_drain(&mut self, at: Micros, arrived: &ArrivedAttempt<'log>) {
+    fn check_quiet_drain(&mut self, at: Timestamp, arrived: &ArrivedAttempt<'log>) {
         let ArrivedAttempt { request: id, node, worker, head_at, .. } = *arrived;
         let known = self.endpoints.get(&(node, worker));
         let told_at = known.and_then(|known| known.unavailable_since);
@@ -292,7 +292,7 @@
         if head_at <= binding_since + self.parameters.stop_within + self.parameters.slack {
             return;
         }
-        let after = (head_at - binding_since) / 1000;
+        let after = (head_at - binding_since).as_millis();
         let description = format!(
             "node {node} sent {id} to worker {worker} {after} ms after it was told of its drain or end, or counted as told"
         );
@@ -300,7 +300,7 @@
     }
 
     /// From when a node is bound by what it was told: in an upgrade the successor has a grace from its first yes.
-    fn binding_since(&self, node: usize, told_at: Micros) -> Micros {
+    fn binding_since(&self, node: usize, told_at: Timestamp) -> Timestamp {
         let Some(upgrade) = self.upgrades.get(&node).and_then(|upgrades| upgrades.last()) else {
             return told_at;
         };
@@ -314,7 +314,7 @@
         }
     }
 
-    fn check_response(&mut self, at: Micros, id: &'log str, status: u16, has_own_result: bool) {
+    fn check_response(&mut self, at: Timestamp, id: &'log str, status: u16, has_own_result: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.responses += 1;
         let responses = request.responses;
@@ -329,7 +329,7 @@
             self.report(Rule::OneAnswer, at, Some(id), description);
         }
         if at > deadline + self.parameters.answer_slack {
-            let late = (at - deadline) / 1000;
+            let late = (at - deadline).as_millis();
             let description = format!("{id} was answered {late} ms after its time");
             self.report(Rule::OneAnswer, at, Some(id), description);
         }
@@ -340,7 +340,7 @@
     }
 
     /// A crash under overload is the nodes' fault if those that knew of the worker's start sent most of the work.
-    fn check_gentle_start(&mut self, at: Micros, worker: usize) {
+    fn check_gentle_start(&mut self, at: Timestamp, worker: usize) {
         let start = self.worker_starts.get(&worker).copied().unwrap_or_default();
         let window = self.parameters.fall_window;
         let (mut informed_seconds, mut uninformed_seconds) = (0.0, 0.0);
@@ -424,8 +424,8 @@
     request: &Request,
     policy: RepeatPolicy,
     bay: u32,
-    now: Micros,
-    slack: Micros,
+    now: Timestamp,
+    slack: TimeSpan,
 ) -> Option<String> {
     if request.attempts.iter().any(|attempt| attempt.is_outstanding) {
         return Some("while an attempt of it was out".into());
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -9,7 +9,7 @@
 mod timeline;
 mod violation;
 
-use curlewusher_model::Micros;
+use curlewusher_model::TimeSpan;
 use serde::Serialize;
 
 pub use footprint::check_footprint;
@@ -20,7 +20,7 @@
 use crate::event_log::Record;
 
 /// Effects of an upgrade may be observed this long after its end: what was queued then is reported a moment later.
-const UPGRADE_AFTERMATH: Micros = 500_000;
+const UPGRADE_AFTERMATH: TimeSpan = TimeSpan::from_millis(500);
 
 /// Which repeats of a job that may have run a class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// All.
     Idempotent,
     /// Those in the bay of the first attempt that may have run, within the window from its arrival.
-    IdempotentWithKey { window: Micros },
+    IdempotentWithKey { window: TimeSpan },
     /// None.
     NonIdempotent,
 }
@@ -39,19 +39,19 @@
     /// By class.
     pub classes: Vec<RepeatPolicy>,
     /// Tolerance that is added to each time limit.
-    pub slack: Micros,
+    pub slack: TimeSpan,
     /// A response may come this much later than the client's timeout; it earns nothing then.
-    pub answer_slack: Micros,
+    pub answer_slack: TimeSpan,
     /// A change counts as sent to all nodes this long after discovery had it and was up, whether it arrived or not.
-    pub notified_within: Micros,
+    pub notified_within: TimeSpan,
     /// A node must send nothing to a worker from this long after it learned that the worker drains or has ended.
-    pub stop_within: Micros,
+    pub stop_within: TimeSpan,
     /// A request that was sent later than this after SIGTERM may be lost.
-    pub drain_grace: Micros,
+    pub drain_grace: TimeSpan,
     /// Window in which work that was sent to an overloaded worker is added up.
-    pub fall_window: Micros,
+    pub fall_window: TimeSpan,
     /// The successor of an upgrade is bound by the registry's entries this long after its first yes.
-    pub successor_grace: Micros,
+    pub successor_grace: TimeSpan,
 }
 
 /// A rule.
--- a/crates/testbed/src/rules/operations_rules.rs
+++ b/crates/testbed/src/rules/operations_rules.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use curlewusher_model::Micros;
+use curlewusher_model::{TimeSpan, Timestamp};
 
 use super::operation_figures::{OperationFigures, UpgradeFigures};
 use super::{Rule, RuleParameters, UPGRADE_AFTERMATH, Violation};
 use crate::event_log::{Event, ExpectedAnswer, FailureReason, Readiness, Record};
 
 /// An admin command is answered within this; a disabled worker is out of use this long after the command at the latest.
-const ANSWER_WITHIN: Micros = 1_000_000;
+const ANSWER_WITHIN: TimeSpan = TimeSpan::from_secs(1);
 /// A node is ready this long after the end of its drain.
-const READY_AFTER_DRAIN_WITHIN: Micros = 2_000_000;
+const READY_AFTER_DRAIN_WITHIN: TimeSpan = TimeSpan::from_secs(2);
 /// A worker that is enabled again is used within this.
-const USED_WITHIN: Micros = 5_000_000;
+const USED_WITHIN: TimeSpan = TimeSpan::from_secs(5);
 /// Over so many attempts for each worker, each worker should have had one.
 const ATTEMPTS_PER_WORKER: usize = 4;
 /// Number of jobs that an upgrade may harm.
@@ -33,8 +33,8 @@
 
 #[derive(Default)]
 struct UpgradeWindow {
-    began_at: Micros,
-    ended_at: Option<Micros>,
+    began_at: Timestamp,
+    ended_at: Option<Timestamp>,
     harmed_jobs: HashSet<usize>,
     figures: UpgradeFigures,
 }
@@ -42,23 +42,23 @@
 /// Work that a disabled worker got. Its violation stands unless an ENABLE turns out to have begun before; that command
 /// is on record at its end only.
 struct Suspect {
-    head_at: Micros,
+    head_at: Timestamp,
     description: String,
 }
 
 struct EnabledWorker {
-    since: Micros,
+    since: Timestamp,
     /// Attempts since then, by worker.
     attempts: HashMap<usize, usize>,
 }
 
 struct ReadinessSample {
-    at: Micros,
+    at: Timestamp,
     readiness: Readiness,
 }
 
 struct DrainCommand {
-    begun_at: Micros,
+    begun_at: Timestamp,
     /// DRAIN, as opposed to UNDRAIN.
     is_drain: bool,
 }
@@ -69,7 +69,7 @@
     line: &'log str,
     expected: ExpectedAnswer,
     answer: Option<&'log str>,
-    took: Micros,
+    took: TimeSpan,
 }
 
 /// A worker as one node has it.
@@ -87,7 +87,7 @@
     upgrades: BTreeMap<usize, Vec<UpgradeWindow>>,
     requests: HashMap<&'log str, Request>,
     /// From when a disabled worker must get nothing.
-    disabled: HashMap<WorkerAtNode, Micros>,
+    disabled: HashMap<WorkerAtNode, Timestamp>,
     suspects: HashMap<WorkerAtNode, Vec<Suspect>>,
     /// By worker.
     enabled: BTreeMap<usize, EnabledWorker>,
@@ -104,7 +104,7 @@
     for Record { at, event } in records {
         checker.observe(*at, event);
     }
-    checker.finish(records.last().map_or(0, |record| record.at));
+    checker.finish(records.last().map_or(Timestamp::ZERO, |record| record.at));
     let Checker { mut violations, figures, .. } = checker;
     violations.sort_by_key(|violation| violation.at);
     OperationsCheck { violations, figures }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn observe(&mut self, at: Micros, event: &'log Event) {
+    fn observe(&mut self, at: Timestamp, event: &'log Event) {
         match event {
             Event::RequestSent { id, job, node, .. } => {
                 let request = Request { job: *job, node: *node, has_reached_worker: false };
@@ -143,11 +143,11 @@
             }
             Event::RequestFailed { id, reason: FailureReason::NoNode }
             | Event::ResponseReceived { id, status: 429 | 503, .. } => self.count_rejection(at, id),
-            Event::AttemptArrived { id, node, worker, head_us, .. } => {
-                self.observe_arrival(id, WorkerAtNode { node: *node, worker: *worker }, *head_us);
+            Event::AttemptArrived { id, node, worker, head_at, .. } => {
+                self.observe_arrival(id, WorkerAtNode { node: *node, worker: *worker }, *head_at);
             }
-            Event::AdminCommandEnded { node, command, expected, answer, took_us } => {
-                let (node, line, expected, took) = (*node, command.as_str(), *expected, *took_us);
+            Event::AdminCommandEnded { node, command, expected, answer, took } => {
+                let (node, line, expected, took) = (*node, command.as_str(), *expected, *took);
                 let command = AdminCommand { node, line, expected, answer: answer.as_deref(), took };
                 self.observe_command(at, &command);
             }
@@ -156,7 +156,8 @@
                 self.check_drained_connections(at, *node, *idle, *fresh);
             }
             Event::UpgradeBegan { node } => {
-                let figures = UpgradeFigures { node: *node, at_s: seconds(at), ..UpgradeFigures::default() };
+                let figures =
+                    UpgradeFigures { node: *node, at_s: at.as_secs_f64(), ..UpgradeFigures::default() };
                 let window = UpgradeWindow { began_at: at, figures, ..UpgradeWindow::default() };
                 self.upgrades.entry(*node).or_default().push(window);
             }
@@ -167,17 +168,17 @@
         }
     }
 
-    fn report(&mut self, rule: Rule, at: Micros, description: String) {
+    fn report(&mut self, rule: Rule, at: Timestamp, description: String) {
         self.violations.push(Violation::without_events(rule, at, description));
     }
 
     /// The upgrade of a node that was in progress at a moment, or had just ended.
-    fn upgrade_at(&mut self, node: usize, at: Micros) -> Option<&mut UpgradeWindow> {
+    fn upgrade_at(&mut self, node: usize, at: Timestamp) -> Option<&mut UpgradeWindow> {
         let last = self.upgrades.get_mut(&node)?.last_mut()?;
         last.ended_at.is_none_or(|ended_at| at <= ended_at + UPGRADE_AFTERMATH).then_some(last)
     }
 
-    fn count_harmed_job(&mut self, at: Micros, id: &str) {
+    fn count_harmed_job(&mut self, at: Timestamp, id: &str) {
         let Some(Request { job, node, has_reached_worker: false }) = self.requests.get(id) else { return };
         let (job, node) = (*job, *node);
         if let Some(window) = self.upgrade_at(node, at) {
@@ -185,16 +186,16 @@
         }
     }
 
-    fn count_rejection(&mut self, at: Micros, id: &str) {
+    fn count_rejection(&mut self, at: Timestamp, id: &str) {
         let Some(node) = self.requests.get(id).map(|request| request.node) else { return };
         if let Some(window) = self.upgrade_at(node, at) {
             window.figures.rejected += 1;
         }
     }
 
-    fn observe_upgrade_step(&mut self, at: Micros, node: usize, event: &Event) {
+    fn observe_upgrade_step(&mut self, at: Timestamp, node: usize, event: &Event) {
         let Some(window) = self.upgrade_at(node, at) else { return };
-        let elapsed_s = seconds(at - window.began_at);
+        let elapsed_s = (at - window.began_at).as_secs_f64();
         match event {
             Event::SuccessorReady { .. } => window.figures.ready_s = Some(elapsed_s),
             Event::ProcessExited { killed, .. } => window.figures.killed |= killed,
@@ -206,7 +207,7 @@
         }
     }
 
-    fn observe_arrival(&mut self, id: &str, target: WorkerAtNode, head_at: Micros) {
+    fn observe_arrival(&mut self, id: &str, target: WorkerAtNode, head_at: Timestamp) {
         let WorkerAtNode { node, worker } = target;
         if let Some(request) = self.requests.get_mut(id) {
             request.has_reached_worker = true;
@@ -217,17 +218,17 @@
                 *enabled.attempts.entry(worker).or_default() += 1;
             }
         }
-        let Some(since) = self.disabled.get(&target) else { return };
+        let Some(since) = self.disabled.get(&target).copied() else { return };
         let limit = since + self.parameters.stop_within + self.parameters.slack;
         if head_at > limit {
-            let late = (head_at - limit) / 1000;
+            let late = (head_at - limit).as_millis();
             let description =
                 format!("node {node} sent {id} to worker {worker}, which is out, {late} ms too late");
             self.suspects.entry(target).or_default().push(Suspect { head_at, description });
         }
     }
 
-    fn observe_readiness(&mut self, at: Micros, node: usize, readiness: Readiness) {
+    fn observe_readiness(&mut self, at: Timestamp, node: usize, readiness: Readiness) {
         if readiness == Readiness::No
             && let Some(window) = self.upgrade_at(node, at)
         {
@@ -236,13 +237,13 @@
         self.readiness.entry(node).or_default().push(ReadinessSample { at, readiness });
     }
 
-    fn readiness_at(&self, node: usize, at: Micros) -> Readiness {
+    fn readiness_at(&self, node: usize, at: Timestamp) -> Readiness {
         let samples = self.readiness.get(&node).into_iter().flatten();
         let last = samples.take_while(|sample| sample.at <= at).last();
         last.map_or(Readiness::Nothing, |sample| sample.readiness)
     }
 
-    fn check_drained_connections(&mut self, at: Micros, node: usize, idle: usize, fresh: usize) {
+    fn check_drained_connections(&mut self, at: Timestamp, node: usize, idle: usize, fresh: usize) {
         if idle + fresh > 0 {
             let description = format!(
                 "node {node}, 4 s after its drain: {idle} clients' connections idle, \
@@ -256,11 +257,11 @@
         }
     }
 
-    fn observe_command(&mut self, at: Micros, command: &AdminCommand) {
+    fn observe_command(&mut self, at: Timestamp, command: &AdminCommand) {
         let verb = command.verb();
         let figures = self.figures.commands.entry(verb.to_owned()).or_default();
         figures.count += 1;
-        figures.slowest_ms = figures.slowest_ms.max(command.took as f64 / 1e3);
+        figures.slowest_ms = figures.slowest_ms.max(command.took.as_micros() as f64 / 1e3);
         self.check_answer(at, command);
         let (node, begun_at) = (command.node, at - command.took);
         match (verb, command.worker()) {
@@ -281,10 +282,10 @@
         }
     }
 
-    fn check_answer(&mut self, at: Micros, command: &AdminCommand) {
+    fn check_answer(&mut self, at: Timestamp, command: &AdminCommand) {
         let AdminCommand { node, line, expected, answer, took } = *command;
         if answer.is_some() && took > ANSWER_WITHIN + self.parameters.slack {
-            let description = format!("node {node} answered {line} after {} ms", took / 1000);
+            let description = format!("node {node} answered {line} after {} ms", took.as_millis());
             self.report(Rule::Console, at, description);
         }
         if !command.has_expected_answer() {
@@ -295,7 +296,7 @@
     }
 
     /// From its begin on, a command to enable a worker justifies work for it.
-    fn enable_worker(&mut self, begun_at: Micros, target: WorkerAtNode) {
+    fn enable_worker(&mut self, begun_at: Timestamp, target: WorkerAtNode) {
         self.disabled.remove(&target);
         for suspect in self.suspects.remove(&target).unwrap_or_default() {
             if suspect.head_at < begun_at {
@@ -309,7 +310,7 @@
     }
 
     /// Reports what has not happened by the end of the log.
-    fn finish(&mut self, end: Micros) {
+    fn finish(&mut self, end: Timestamp) {
         self.check_readiness_after_drains(end);
         for suspect in std::mem::take(&mut self.suspects).into_values().flatten() {
             self.report(Rule::Maintenance, suspect.head_at, suspect.description);
@@ -318,7 +319,7 @@
         self.finish_upgrades();
     }
 
-    fn check_readiness_after_drains(&mut self, end: Micros) {
+    fn check_readiness_after_drains(&mut self, end: Timestamp) {
         let mut late = Vec::new();
         for (node, commands) in &self.drains {
             for (index, undrain) in commands.iter().enumerate().filter(|(_, command)| !command.is_drain) {
@@ -335,7 +336,7 @@
         }
     }
 
-    fn check_use_of_enabled_workers(&mut self, end: Micros) {
+    fn check_use_of_enabled_workers(&mut self, end: Timestamp) {
         let enough_attempts = ATTEMPTS_PER_WORKER * self.used_workers.len();
         for (worker, EnabledWorker { since, attempts }) in std::mem::take(&mut self.enabled) {
             let limit = since + USED_WITHIN;
@@ -392,7 +393,3 @@
         }
     }
 }
-
-fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
-}
--- a/crates/testbed/src/rules/timeline.rs
+++ b/crates/testbed/src/rules/timeline.rs
@@ -1,11 +1,11 @@
 //! Renders the events around a violation, a line each.
 
-use curlewusher_model::Micros;
+use curlewusher_model::{TimeSpan, Timestamp};
 
 use crate::event_log::{Event, Record};
 
 /// Events about workers this near to a violation belong to its timeline.
-const VICINITY: Micros = 2_000_000;
+const VICINITY: TimeSpan = TimeSpan::from_secs(2);
 
 /// The events of a request and of its attempts.
 pub fn of_request(records: &[Record], id: &str) -> Vec<String> {
@@ -21,19 +21,19 @@
 }
 
 /// The events about workers shortly before and after a moment.
-pub fn of_workers(records: &[Record], around: Micros) -> Vec<String> {
+pub fn of_workers(records: &[Record], around: Timestamp) -> Vec<String> {
     let near = records.iter().filter(|record| record.at.abs_diff(around) < VICINITY);
     near.filter_map(|record| Some(timeline_line(record.at, &worker_event(&record.event)?))).collect()
 }
 
-fn timeline_line(at: Micros, description: &str) -> String {
-    format!("{:9.3} s  {description}", at as f64 / 1e6)
+fn timeline_line(at: Timestamp, description: &str) -> String {
+    format!("{:9.3} s  {description}", at.as_secs_f64())
 }
 
 fn request_event(event: &Event, request: &str) -> Option<String> {
     match event {
-        Event::RequestSent { id, node, class, timeout_us, .. } if id == request => {
-            Some(format!("asked of node {node}, class {class}, for {:.2} s", *timeout_us as f64 / 1e6))
+        Event::RequestSent { id, node, class, timeout, .. } if id == request => {
+            Some(format!("asked of node {node}, class {class}, for {:.2} s", timeout.as_secs_f64()))
         }
         Event::ResponseReceived { id, status, has_own_result } if id == request => {
             let remark = if *status == 200 && !has_own_result { ", not with its result" } else { "" };
--- a/crates/testbed/src/rules/violation.rs
+++ b/crates/testbed/src/rules/violation.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 
 use super::Rule;
 
@@ -10,8 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
-    /// Microseconds from the beginning of the run.
-    pub at: Micros,
+    pub at: Timestamp,
     pub description: String,
     /// The events that belong to it, a line each.
     pub timeline: Vec<String>,
@@ -19,15 +18,15 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{:?} at {:.3} s: {}", self.rule, self.at as f64 / 1e6, self.description)?;
+        writeln!(f, "{:?} at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.description)?;
         self.timeline.iter().try_for_each(|line| writeln!(f, "    {line}"))
     }
 }
 
 impl Violation {
     /// A violation whose timeline only names the rule.
-    pub(super) fn without_events(rule: Rule, at: Micros, description: String) -> Self {
-        let timeline = vec![format!("{:9.3} s  {rule:?}", at as f64 / 1e6)];
+    pub(super) fn without_events(rule: Rule, at: Timestamp, description: String) -> Self {
+        let timeline = vec![format!("{:9.3} s  {rule:?}", at.as_secs_f64())];
         Violation { rule, at, description, timeline }
     }
 }
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -1,31 +1,31 @@
 //! What the parts of the testbed take from a scenario: machines, model parameters, workload and rule parameters.
 
+use curlewusher_model::TimeSpan;
 use curlewusher_model::worker_pool::{Machine, PoolParameters};
 use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
-use curlewusher_model::{Micros, span};
 
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
 use crate::rules::{RepeatPolicy, RuleParameters};
 
 // The rules' own figures; a scenario does not change them.
-const SLACK: Micros = 50_000;
+const SLACK: TimeSpan = TimeSpan::from_millis(50);
 /// The same for answers while links are impaired: the answer of a worker may be held up on its way.
-const IMPAIRED_ANSWER_SLACK: Micros = 500_000;
-const NOTIFIED_WITHIN: Micros = 6_000_000;
-const STOP_WITHIN: Micros = 750_000;
-const DRAIN_GRACE: Micros = 700_000;
-const SUCCESSOR_GRACE: Micros = 2_000_000;
+const IMPAIRED_ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
+const NOTIFIED_WITHIN: TimeSpan = TimeSpan::from_secs(6);
+const STOP_WITHIN: TimeSpan = TimeSpan::from_millis(750);
+const DRAIN_GRACE: TimeSpan = TimeSpan::from_millis(700);
+const SUCCESSOR_GRACE: TimeSpan = TimeSpan::from_secs(2);
 /// Repeats of a keyed job are dropped in a bay for this long.
-pub const DEDUPLICATION_WINDOW: Micros = 40_000_000;
+pub const DEDUPLICATION_WINDOW: TimeSpan = TimeSpan::from_secs(40);
 /// Window in which work that is sent to a worker that warms up is added up.
-pub const OVERLOAD_WINDOW: Micros = 2_000_000;
+pub const OVERLOAD_WINDOW: TimeSpan = TimeSpan::from_secs(2);
 /// Multiple of its capacity at which a worker that warms up crashes.
 pub const OVERLOAD_FACTOR: f64 = 3.0;
 /// Memory of a node, all of its processes together, in MB.
 pub const MEMORY_MB: f64 = 192.0;
 
 /// Interval between two progress reports of a worker.
-const PROGRESS_INTERVAL: Micros = 2_000_000;
+const PROGRESS_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
 /// Units of memory of a machine for each of its slots.
 const MEMORY_PER_SLOT: f64 = 2.0;
 /// Workers are dealt the kinds by this stride, which has no factor in common with most sizes and so mixes the kinds.
@@ -67,7 +67,7 @@
     pub fn pool_parameters(&self) -> PoolParameters {
         PoolParameters {
             cold_capacity_fraction: self.fleet.cold_capacity_fraction,
-            warm_up: span(self.fleet.warm_up_s),
+            warm_up: TimeSpan::from_secs_f64(self.fleet.warm_up_s),
             overload_factor: OVERLOAD_FACTOR,
             overload_window: OVERLOAD_WINDOW,
             contention_penalty: self.fleet.contention_penalty,
@@ -82,7 +82,7 @@
     pub fn workload(&self) -> WorkloadSpec {
         WorkloadSpec {
             seed: self.seed,
-            length: span(self.length_s),
+            length: TimeSpan::from_secs_f64(self.length_s),
             rate: self.load.rate,
             load_curve: self.load.load_curve.iter().map(LoadSegment::from).collect(),
             classes: self.classes.iter().map(JobClass::from).collect(),
@@ -109,7 +109,11 @@
 
 impl From<&LoadCurveSegment> for LoadSegment {
     fn from(segment: &LoadCurveSegment) -> Self {
-        LoadSegment { from: span(segment.from_s), until: span(segment.until_s), factor: segment.factor }
+        LoadSegment {
+            from: TimeSpan::from_secs_f64(segment.from_s),
+            until: TimeSpan::from_secs_f64(segment.until_s),
+            factor: segment.factor,
+        }
     }
 }
 
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -250,7 +250,7 @@
             row,
             "        {:?} at {:.3} s: {}",
             violation.rule,
-            violation.at as f64 / 1e6,
+            violation.at.as_secs_f64(),
             violation.description
         );
     }
--- a/crates/testbed/src/stress_run.rs
+++ b/crates/testbed/src/stress_run.rs
@@ -6,6 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+use curlewusher_model::Timestamp;
 use curlewusher_model::workload::random_stream;
 use rand::Rng;
 use tokio::io::AsyncWriteExt;
@@ -109,7 +110,7 @@
 
 impl Environment {
     /// Does all rounds on the first node, and counts those that are done.
-    pub async fn stress(&self, run: StressRun, begin: u64, rounds_done: &AtomicUsize) {
+    pub async fn stress(&self, run: StressRun, begin: Timestamp, rounds_done: &AtomicUsize) {
         sleep_until(self.log.instant(begin) + LEAD_TIME).await;
         for round in 0..run.rounds {
             match run.kind {
--- a/crates/testbed/tests/unit/event_log.rs
+++ b/crates/testbed/tests/unit/event_log.rs
@@ -10,18 +10,33 @@
         command: "READY".into(),
         expected: owed,
         answer: said.map(str::to_owned),
-        took_us: 9,
+        took: TimeSpan::from_micros(9),
     };
     let missing = |why| Event::RequestFailed { id: "r-1".into(), reason: why };
     vec![
-        Event::RequestSent { id: id(), job: 1, node: 2, class: 3, timeout_us: 4, late_us: 5 },
+        Event::RequestSent {
+            id: id(),
+            job: 1,
+            node: 2,
+            class: 3,
+            timeout: TimeSpan::from_micros(4),
+            delay: TimeSpan::from_micros(5),
+        },
         Event::ResponseReceived { id: id(), status: 200, has_own_result: true },
         missing(FailureReason::NoNode),
         missing(FailureReason::Unreachable),
         missing(FailureReason::Reset),
         missing(FailureReason::Closed),
         missing(FailureReason::Late),
-        Event::AttemptArrived { attempt: 1, id: id(), node: 2, worker: 3, bay: 4, work_s: 0.5, head_us: 6 },
+        Event::AttemptArrived {
+            attempt: 1,
+            id: id(),
+            node: 2,
+            worker: 3,
+            bay: 4,
+            work_seconds: 0.5,
+            head_at: Timestamp::from_micros(6),
+        },
         Event::AttemptAccepted { attempt: 1 },
         Event::AttemptRejected { attempt: 1 },
         Event::AttemptStarted { attempt: 1 },
@@ -29,7 +44,7 @@
         Event::AttemptReturned { attempt: 1 },
         Event::AttemptLost { attempt: 1 },
         Event::AttemptCancelled { attempt: 1 },
-        Event::EndpointSent { node: 1, worker: 2, in_service: true, started_us: 3 },
+        Event::EndpointSent { node: 1, worker: 2, in_service: true, started_at: Timestamp::from_micros(3) },
         Event::WorkerStarted { worker: 1 },
         Event::WorkerOverloaded { worker: 1 },
         Event::NodeReady { node: 1 },
@@ -54,7 +69,7 @@
 fn every_event_then_its_line_is_as_recorded_and_reads_back() {
     let mut lines = String::new();
     for (at, event) in events().into_iter().enumerate() {
-        let record = Record { at: at as Micros, event };
+        let record = Record { at: Timestamp::from_micros(at as u64), event };
         let line = serde_json::to_string(&record).expect("JSON");
         assert_eq!(serde_json::from_str::<Record>(&line).expect("a record"), record);
         lines += &(line + "\n");
--- a/crates/testbed/tests/unit/golden_run.rs
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -1,5 +1,7 @@
 //! A constructed run that breaks every rule: the checker's verdict, each violation's text, the figures and the report.
 
+use curlewusher_model::Timestamp;
+
 use super::*;
 use crate::event_log::Record;
 use crate::golden::{self, golden};
@@ -37,8 +39,8 @@
     Played {
         records: records(),
         samples: samples(),
-        begin: 200_000,
-        end: 43_000_000,
+        begin: Timestamp::from_micros(200_000),
+        end: Timestamp::from_micros(43_000_000),
         crashes: vec!["node 1 ended by itself, exit status: 1; its last lines:\n    (none)".into()],
         interrupted: false,
     }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -15,10 +15,16 @@
 
 fn workload_lines(scenario: &Scenario) -> Vec<String> {
     let spec = scenario.workload();
-    let mut lines = vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length, spec.rate)];
+    let mut lines =
+        vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length.as_micros(), spec.rate)];
     lines.push(format!("sets {}, skew {}, hint spread {}", spec.sets, spec.skew, spec.hint_spread));
     let segment = |segment: &LoadSegment| {
-        format!("tide: from {}, until {}, factor {}", segment.from, segment.until, segment.factor)
+        format!(
+            "tide: from {}, until {}, factor {}",
+            segment.from.as_micros(),
+            segment.until.as_micros(),
+            segment.factor
+        )
     };
     lines.extend(spec.load_curve.iter().map(segment));
     let class = |class: &JobClass| {
@@ -31,15 +37,24 @@
 fn pool_lines(scenario: &Scenario) -> Vec<String> {
     let parameters = scenario.pool_parameters();
     vec![
-        format!("cold share {}, warm-up {}", parameters.cold_capacity_fraction, parameters.warm_up),
-        format!("overload factor {}, fall window {}", parameters.overload_factor, parameters.overload_window),
+        format!(
+            "cold share {}, warm-up {}",
+            parameters.cold_capacity_fraction,
+            parameters.warm_up.as_micros()
+        ),
+        format!(
+            "overload factor {}, fall window {}",
+            parameters.overload_factor,
+            parameters.overload_window.as_micros()
+        ),
         format!(
             "crowding {}, fetch {}, archive {}",
             parameters.contention_penalty, parameters.fetch_seconds, parameters.archive_concurrency
         ),
         format!(
             "deduplication window {}, progress {}",
-            parameters.deduplication_window, parameters.progress_interval
+            parameters.deduplication_window.as_micros(),
+            parameters.progress_interval.as_micros()
         ),
     ]
 }
@@ -66,13 +81,17 @@
     let rules = scenario.rule_parameters();
     let repeats = |repeats: &RepeatPolicy| match repeats {
         RepeatPolicy::Idempotent => "repeats: safe".to_owned(),
-        RepeatPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {window}"),
+        RepeatPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {}", window.as_micros()),
         RepeatPolicy::NonIdempotent => "repeats: unsafe".to_owned(),
     };
     let mut lines: Vec<String> = rules.classes.iter().map(repeats).collect();
-    lines.push(format!("slack {}, stop within {}", rules.slack, rules.stop_within));
-    lines.push(format!("drain grace {}, fall window {}", rules.drain_grace, rules.fall_window));
-    lines.push(format!("newer learns {}", rules.successor_grace));
+    lines.push(format!("slack {}, stop within {}", rules.slack.as_micros(), rules.stop_within.as_micros()));
+    lines.push(format!(
+        "drain grace {}, fall window {}",
+        rules.drain_grace.as_micros(),
+        rules.fall_window.as_micros()
+    ));
+    lines.push(format!("newer learns {}", rules.successor_grace.as_micros()));
     lines
 }
 
--- a/crates/testbed/tests/unit/job_rules.rs
+++ b/crates/testbed/tests/unit/job_rules.rs
@@ -1,4 +1,4 @@
-//! The rules on jobs, checked on short sequences of events.
+//! The rules on jobs, checked on short sequences of events, each with its time in microseconds.
 
 use super::*;
 use crate::event_log::{Event, FailureReason, Record};
@@ -7,37 +7,61 @@
 fn parameters() -> RuleParameters {
     let classes = vec![
         RepeatPolicy::Idempotent,
-        RepeatPolicy::IdempotentWithKey { window: 40_000_000 },
+        RepeatPolicy::IdempotentWithKey { window: TimeSpan::from_secs(40) },
         RepeatPolicy::NonIdempotent,
     ];
     RuleParameters {
-        answer_slack: 50_000,
-        notified_within: 6_000_000,
+        answer_slack: TimeSpan::from_millis(50),
+        notified_within: TimeSpan::from_secs(6),
         classes,
-        slack: 50_000,
-        stop_within: 750_000,
-        drain_grace: 700_000,
-        fall_window: 2_000_000,
-        successor_grace: 2_000_000,
+        slack: TimeSpan::from_millis(50),
+        stop_within: TimeSpan::from_millis(750),
+        drain_grace: TimeSpan::from_millis(700),
+        fall_window: TimeSpan::from_secs(2),
+        successor_grace: TimeSpan::from_secs(2),
     }
 }
 
-fn sent(at: Micros, class: usize) -> (Micros, Event) {
+fn sent(at: u64, class: usize) -> (u64, Event) {
     let id = "r".to_owned();
-    (at, Event::RequestSent { id, job: 0, node: 0, class, timeout_us: 1_000_000, late_us: 0 })
+    (
+        at,
+        Event::RequestSent {
+            id,
+            job: 0,
+            node: 0,
+            class,
+            timeout: TimeSpan::from_secs(1),
+            delay: TimeSpan::ZERO,
+        },
+    )
 }
 
-fn responded(at: Micros, status: u16) -> (Micros, Event) {
+fn responded(at: u64, status: u16) -> (u64, Event) {
     (at, Event::ResponseReceived { id: "r".into(), status, has_own_result: true })
 }
 
-fn arrived(at: Micros, attempt: u64, bay: u32) -> (Micros, Event) {
+fn arrived(at: u64, attempt: u64, bay: u32) -> (u64, Event) {
     let worker = attempt as usize;
-    (at, Event::AttemptArrived { attempt, id: "r".into(), node: 0, worker, bay, work_s: 1.0, head_us: at })
+    (
+        at,
+        Event::AttemptArrived {
+            attempt,
+            id: "r".into(),
+            node: 0,
+            worker,
+            bay,
+            work_seconds: 1.0,
+            head_at: Timestamp::from_micros(at),
+        },
+    )
 }
 
-fn broken_rules(events: &[(Micros, Event)]) -> Vec<Rule> {
-    let records: Vec<_> = events.iter().map(|(at, event)| Record { at: *at, event: event.clone() }).collect();
+fn broken_rules(events: &[(u64, Event)]) -> Vec<Rule> {
+    let records: Vec<_> = events
+        .iter()
+        .map(|(at, event)| Record { at: Timestamp::from_micros(*at), event: event.clone() })
+        .collect();
     check(&records, &parameters()).into_iter().map(|violation| violation.rule).collect()
 }
 
@@ -113,7 +137,8 @@
 
 #[test]
 fn successor_sends_to_a_drained_worker_then_violation_from_2_s_after_its_first_yes() {
-    let endpoint = (100_000, Event::EndpointSent { node: 0, worker: 1, in_service: false, started_us: 0 });
+    let endpoint =
+        (100_000, Event::EndpointSent { node: 0, worker: 1, in_service: false, started_at: Timestamp::ZERO });
     let began = |at| (at, Event::UpgradeBegan { node: 0 });
     let ready = (200_000, Event::SuccessorReady { node: 0 });
     for (events, at, broken) in [
@@ -130,8 +155,9 @@
 
 #[test]
 fn node_sends_to_a_drained_worker_then_violation_until_it_is_in_service_again() {
-    let endpoint =
-        |at, in_service| (at, Event::EndpointSent { node: 0, worker: 1, in_service, started_us: 0 });
+    let endpoint = |at, in_service| {
+        (at, Event::EndpointSent { node: 0, worker: 1, in_service, started_at: Timestamp::ZERO })
+    };
     for (events, broken) in [
         (vec![endpoint(0, false), sent(1, 0), arrived(800_000, 1, 1)], false),
         (vec![endpoint(0, false), sent(1, 0), arrived(800_001, 1, 1)], true),
