--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -103,6 +103,21 @@
     Ok(student.inverse_cdf(CONFIDENCE_QUANTILE) * (variance / count).sqrt())
 }
 
+/// The text of `comparison.json`.
+pub fn comparison_json(comparison: &Comparison) -> Result<String, serde_json::Error> {
+    serde_json::to_string_pretty(comparison)
+}
+
+/// The result in one line for a terminal.
+pub fn summary_line(comparison: &Comparison) -> String {
+    let verdict =
+        if comparison.is_significant() { "a difference" } else { "no difference that these runs can show" };
+    format!(
+        "b less a: {:+.4} +- {:.4} over {} pairs: {verdict}",
+        comparison.mean, comparison.half_width, comparison.pairs
+    )
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/compare.rs"]
 mod tests;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -240,17 +240,9 @@
                 });
             }
             let comparison = compare::compare(&pairs).map_err(|error| error.to_string())?;
-            let text = serde_json::to_string_pretty(&comparison).map_err(|e| e.to_string())?;
+            let text = compare::comparison_json(&comparison).map_err(|e| e.to_string())?;
             write(&out.join("comparison.json"), &text)?;
-            let verdict = if comparison.is_significant() {
-                "a difference"
-            } else {
-                "no difference that these runs can show"
-            };
-            println!(
-                "b less a: {:+.4} +- {:.4} over {} pairs: {verdict}",
-                comparison.mean, comparison.half_width, comparison.pairs
-            );
+            println!("{}", compare::summary_line(&comparison));
             Ok(u8::from(
                 pairs.iter().any(|(a, b)| a.broken_rules + b.broken_rules + a.crashes + b.crashes > 0),
             ))
--- a/crates/testbed/tests/unit/compare.rs
+++ b/crates/testbed/tests/unit/compare.rs
@@ -1,6 +1,7 @@
 //! Comparison of two sides: noise, a steady difference, and pairs that do not count.
 
-use super::compare;
+use super::{compare, comparison_json, summary_line};
+use crate::golden::{self, golden};
 use crate::report::Figures;
 
 fn run(seed: u64, share: f64, valid: bool) -> Figures {
@@ -21,3 +22,32 @@
     assert!(compare(&[(run(1, 0.5, true), run(2, 0.5, true))]).is_err());
     assert!(compare(&[(run(1, 0.5, false), run(1, 0.5, true))]).is_err());
 }
+
+#[test]
+fn pairs_of_runs_then_the_written_and_the_printed_result_are_as_recorded() {
+    let pairs = |differences: &[f64]| {
+        let pair = |(seed, difference): (usize, &f64)| {
+            let seed = seed as u64 + 3;
+            // The third pair does not count.
+            (run(seed, 0.5, seed != 5), run(seed, 0.5 + difference, true))
+        };
+        differences.iter().enumerate().map(pair).collect::<Vec<_>>()
+    };
+    let result = |pairs: &[(Figures, Figures)]| match compare(pairs) {
+        Ok(comparison) => {
+            let json = comparison_json(&comparison).expect("JSON");
+            format!("{}\n{json}\n", summary_line(&comparison))
+        }
+        Err(error) => format!("{error}\n"),
+    };
+    let other_title = Figures { title: "other".into(), ..run(4, 0.5, true) };
+    let results = [
+        result(&pairs(&[0.1, -0.1, 0.3, 0.2, -0.15])),
+        result(&pairs(&[0.1, 0.11, 0.3, 0.09, 0.10])),
+        result(&pairs(&[-0.125])),
+        result(&pairs(&[0.1, 0.11])[..0]),
+        result(&[(run(4, 0.5, true), other_title)]),
+        result(&[(run(1, 0.5, false), run(1, 0.5, true))]),
+    ];
+    golden!("comparisons.txt").assert_is(&results.join("\n"));
+}
--- a/crates/testbed/tests/unit/soak.rs
+++ b/crates/testbed/tests/unit/soak.rs
@@ -1,7 +1,10 @@
 //! The same seed draws the same faults, and all that is drawn is a valid scenario.
 
+use crate::golden::{self, golden};
+use crate::report::Figures;
+use crate::rules::{Rule, Violation};
 use crate::scenario::{FaultKind, Scenario};
-use crate::soak::{MAX_PAUSE_S, Soak};
+use crate::soak::{MAX_PAUSE_S, Soak, table_head, table_row};
 
 fn soak(seed: u64) -> Soak {
     Soak { seed, nodes: 8, workers: 9, length_s: 20.0, faults: 12 }
@@ -23,3 +26,34 @@
         }
     }
 }
+
+#[test]
+fn fixed_seeds_then_the_drawn_scenarios_are_as_recorded() {
+    let drawn = |seed: u64| toml::to_string(&soak(seed).scenario()).expect("a scenario is TOML");
+    let large = Soak { seed: 33, nodes: 24, workers: 24, length_s: 30.0, faults: 14 };
+    let large = toml::to_string(&large.scenario()).expect("a scenario is TOML");
+    let texts = [drawn(1), drawn(2), drawn(5), large];
+    golden!("soak_scenarios.toml").assert_is(&texts.join("\n# Next seed.\n"));
+}
+
+#[test]
+fn results_of_soak_runs_then_the_table_is_as_recorded() {
+    let violation = |rule, at, description: &str| Violation {
+        rule,
+        at,
+        description: description.into(),
+        timeline: vec!["not part of the table".into()],
+    };
+    let violations = [
+        violation(Rule::OneAnswer, 1_234_567, "j7-0 had no answer"),
+        violation(Rule::QuietDrain, 20_000_400, "node 1 sent to worker 2"),
+    ];
+    let crashes = ["node 3 ended by itself, exit status: 7; its last lines:\n    (none)".to_owned()];
+    let figures = Figures { jobs: 675, share_in_time: 0.98765, ..Figures::default() };
+    let table = [
+        table_head(),
+        table_row(&soak(5).scenario(), &figures, &[], &[]),
+        table_row(&soak(123_456).scenario(), &figures, &violations, &crashes),
+    ];
+    golden!("soak_table.txt").assert_is(&table.concat());
+}
--- a/crates/testbed/tests/unit/stress_run.rs
+++ b/crates/testbed/tests/unit/stress_run.rs
@@ -4,6 +4,8 @@
 mod soak;
 
 use super::*;
+use crate::golden::{self, golden};
+use crate::rules::CommandFigures;
 use crate::scenario::UpgradeProcess;
 
 #[test]
@@ -18,3 +20,52 @@
         |plan: &&UpgradePlan| plan.kill.is_some_and(|kill| kill.victim == UpgradeProcess::Predecessor);
     assert!((5..35).contains(&first.iter().filter(kills_predecessor).count()), "both are drawn");
 }
+
+#[test]
+fn kinds_of_stress_runs_then_their_scenarios_are_as_recorded() {
+    let scenario = |kind| {
+        let scenario = StressRun { kind, rounds: 7, max_delay_s: 2.5 }.scenario(11);
+        toml::to_string(&scenario).expect("a scenario is TOML")
+    };
+    let texts = [StressKind::Upgrades, StressKind::Kills, StressKind::Calls].map(scenario);
+    golden!("stress_scenarios.toml").assert_is(&texts.join("\n# Next kind.\n"));
+}
+
+fn operations() -> OperationFigures {
+    let upgrade = |harmed, ready_s, killed| UpgradeFigures {
+        ready_s,
+        ended_s: ready_s.map(|ready_s| ready_s + 3.25),
+        killed,
+        harmed,
+        rejected: 2 * harmed,
+        not_ready_answers: harmed + 1,
+        ..UpgradeFigures::default()
+    };
+    let commands = [("DISABLE", CommandFigures { count: 9, slowest_ms: 12.34 }), ("READY", (3, 0.5).into())];
+    OperationFigures {
+        upgrades: vec![upgrade(0, Some(1.5), false), upgrade(2, Some(0.25), true), upgrade(1, None, false)],
+        commands: commands.map(|(command, figures)| (command.to_owned(), figures)).into(),
+    }
+}
+
+#[test]
+fn results_of_stress_runs_then_their_tables_are_as_recorded() {
+    let run = |kind| StressRun { kind, rounds: 7, max_delay_s: 2.5 };
+    let played = |crashes: usize| Played {
+        records: Vec::new(),
+        samples: Vec::new(),
+        begin: 0,
+        end: 0,
+        crashes: vec!["node 0 ended by itself".to_owned(); crashes],
+        interrupted: false,
+    };
+    let violation = |rule| Violation { rule, at: 0, description: String::new(), timeline: Vec::new() };
+    let violations = [Rule::OneAnswer, Rule::Upgrade, Rule::OneAnswer, Rule::Console].map(violation);
+    let commands_only = OperationFigures { upgrades: Vec::new(), ..operations() };
+    let tables = [
+        table(run(StressKind::Kills), 11, &played(2), &operations(), &violations),
+        table(run(StressKind::Upgrades), 1, &played(0), &operations(), &[]),
+        table(run(StressKind::Calls), 3, &played(0), &commands_only, &violations[3..]),
+    ];
+    golden!("stress_tables.txt").assert_is(&tables.join("\n"));
+}
