--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/client_connections.rs
@@ -38,8 +38,17 @@
     pub kept_connection: Option<TcpStream>,
 }
 
+/// Open connections of all clients to one node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Connections without a request.
+    pub idle: usize,
+    /// Connections with a request that was sent within the last two seconds.
+    pub fresh: usize,
+}
+
 /// All connections of all clients, by node.
-pub struct Links(Vec<Mutex<OfNode>>);
+pub struct ClientConnections(Vec<Mutex<OfNode>>);
 
 #[derive(Default)]
 struct OfNode {
@@ -59,9 +68,9 @@
     }
 }
 
-impl Links {
+impl ClientConnections {
     pub fn new(nodes: usize) -> Self {
-        Links((0..nodes).map(|_| Mutex::default()).collect())
+        ClientConnections((0..nodes).map(|_| Mutex::default()).collect())
     }
 
     /// Takes the connection to a node that was used last and is still open.
@@ -71,11 +80,12 @@
         of.idle.pop().map(|(_, stream)| stream)
     }
 
-    /// How many connections to a node are held idle, and how many bear a job that was sent a moment ago.
-    pub fn standing(&self, node: usize) -> (usize, usize) {
+    /// Counts the open connections to a node.
+    pub fn count(&self, node: usize) -> ConnectionCounts {
         let mut of = self.0[node].lock();
         of.idle.retain(|(_, stream)| is_open(stream));
-        (of.idle.len(), of.busy.values().filter(|sent| sent.elapsed() < FRESH).count())
+        let fresh = of.busy.values().filter(|sent| sent.elapsed() < FRESH).count();
+        ConnectionCounts { idle: of.idle.len(), fresh }
     }
 
     /// Sends a request on a connection that was taken, or on a new one, and reads the answer. With `keep` the
@@ -162,5 +172,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/links.rs"]
+#[path = "../tests/unit/client_connections.rs"]
 mod tests;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -46,25 +46,34 @@
 /// After a move the old discovery's watches live on for this.
 const OLD_WATCH: Duration = Duration::from_millis(1500);
 
-/// What the clients sent, by the id of each try: to which node, and for which job.
+/// The node that a client sent a request to, and the job that it is for.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestOrigin {
+    /// Number of the node.
+    pub node: usize,
+    /// Index of the job in the workload.
+    pub job: usize,
+}
+
+/// The requests that clients have sent, by their ids.
 #[derive(Clone, Default)]
-pub struct Tries(Arc<Mutex<HashMap<String, (usize, usize)>>>);
+pub struct SentRequests(Arc<Mutex<HashMap<String, RequestOrigin>>>);
 
-impl Tries {
-    pub fn add(&self, id: &str, node: usize, job: usize) {
-        self.0.lock().insert(id.to_owned(), (node, job));
+impl SentRequests {
+    pub fn record(&self, id: &str, origin: RequestOrigin) {
+        self.0.lock().insert(id.to_owned(), origin);
     }
 
-    fn get(&self, id: &str) -> Option<(usize, usize)> {
+    fn origin_of(&self, id: &str) -> Option<RequestOrigin> {
         self.0.lock().get(id).copied()
     }
 }
 
 /// Where the nodes listen, by their number; known once each has started.
-pub type NodePlaces = Arc<Mutex<Vec<Option<SocketAddr>>>>;
+pub type NodeAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 /// What a worker's result is for a request.
-pub fn result_of(id: &str) -> String {
+pub fn expected_result(id: &str) -> String {
     format!("result of {id}")
 }
 
@@ -80,15 +89,17 @@
 
 /// What is done to the fleet.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum FleetCommand {
     Kill(WorkerIndex),
     Start(WorkerIndex),
-    Slow(WorkerIndex, f64),
+    SetSlowdown(WorkerIndex, f64),
     Drain(WorkerIndex),
     /// Lists a worker as draining, or as in service again, and does nothing to it.
-    List(WorkerIndex, EndpointStatus),
-    Silent(WorkerIndex, bool),
-    DiscoveryDown(bool),
+    SetListedStatus(WorkerIndex, EndpointStatus),
+    Silence(WorkerIndex),
+    Unsilence(WorkerIndex),
+    StopDiscovery,
+    StartDiscovery,
 }
 
 /// The endpoint list that each node was sent last, as discovery writes it.
@@ -137,7 +148,7 @@
     OldPort {
         port: u64,
     },
-    Order(Order),
+    FleetCommand(FleetCommand),
 }
 
 /// A body that is written as it comes.
@@ -202,7 +213,7 @@
         };
         let worker = entry.worker;
         serde_json::json!({
-            "name": name_of(worker), "address": self.addresses[worker], "zone": "lab", "type": self.kinds[worker],
+            "name": worker_name(worker), "address": self.addresses[worker], "zone": "lab", "type": self.kinds[worker],
             "group": self.bays[worker], "status": status, "weight": 1.0,
             "since_ms": entry.started_at.map_or(0, |since| self.unix_ms + since / 1000),
         })
@@ -216,7 +227,7 @@
 }
 
 /// A worker's name on discovery's list.
-pub fn name_of(worker: WorkerIndex) -> String {
+pub fn worker_name(worker: WorkerIndex) -> String {
     format!("w-{worker:05}")
 }
 
@@ -225,8 +236,8 @@
     pub async fn start(
         scenario: &Scenario,
         jobs: Arc<Vec<PlannedJob>>,
-        tries: Tries,
-        nodes: NodePlaces,
+        tries: SentRequests,
+        nodes: NodeAddresses,
         log: EventLog,
     ) -> Result<Fleet, String> {
         let machines = scenario.machines();
@@ -307,8 +318,8 @@
         self.call_time.send_replace(call_time);
     }
 
-    pub fn order(&self, order: Order) {
-        let _ = self.queue.send(Notice::Order(order));
+    pub fn apply(&self, order: FleetCommand) {
+        let _ = self.queue.send(Notice::FleetCommand(order));
     }
 
     /// Opens a discovery for a node; an older one of it takes no new calls, and its watches end a little later.
@@ -451,7 +462,7 @@
 struct Hall {
     worker: WorkerIndex,
     queue: UnboundedSender<Notice>,
-    tries: Tries,
+    tries: SentRequests,
     log: EventLog,
     state: watch::Receiver<Sockets>,
 }
@@ -520,7 +531,7 @@
             return reply(StatusCode::NOT_FOUND, "nothing is here\n");
         }
         let Some(id) = id else { return reply(StatusCode::NOT_FOUND, "no id\n") };
-        let Some((node, job)) = self.tries.get(&id) else {
+        let Some(RequestOrigin { node, job }) = self.tries.origin_of(&id) else {
             return reply(StatusCode::BAD_REQUEST, "no client sent this\n");
         };
         if request.into_body().collect().await.is_err() {
@@ -580,7 +591,7 @@
     registry: EndpointRegistry,
     names: Names,
     jobs: Arc<Vec<PlannedJob>>,
-    nodes: NodePlaces,
+    nodes: NodeAddresses,
     log: EventLog,
     sockets: Arc<Vec<watch::Sender<Sockets>>>,
     attempts: HashMap<AttemptNumber, Out>,
@@ -681,48 +692,56 @@
                 }
             }
             Notice::OldPort { port } => self.watches.retain(|(_, of, _)| *of != port),
-            Notice::Order(order) => self.obey(order),
+            Notice::FleetCommand(order) => self.obey(order),
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn obey(&mut self, order: FleetCommand) {
         let now = self.log.now();
         let change = |registry: &mut EndpointRegistry, worker, status, started_at| {
             registry.record_change(now, EndpointEntry { worker, status, started_at })
         };
         match order {
-            Order::Kill(worker) => {
+            FleetCommand::Kill(worker) => {
                 self.drive(PoolInput::Kill(worker));
                 self.sockets[worker].send_replace(Sockets::Closed);
                 change(&mut self.registry, worker, EndpointStatus::Terminated, None);
             }
-            Order::Start(worker) => {
+            FleetCommand::Start(worker) => {
                 self.drive(PoolInput::Start(worker));
                 self.silent[worker] = false;
                 self.log.record_at(now, Event::WorkerStarted { worker });
                 self.sockets[worker].send_replace(Sockets::Open);
                 change(&mut self.registry, worker, EndpointStatus::InService, Some(now));
             }
-            Order::Slow(worker, times) => self.drive(PoolInput::SetSlowdown { worker, factor: times }),
-            Order::Drain(worker) => {
+            FleetCommand::SetSlowdown(worker, times) => {
+                self.drive(PoolInput::SetSlowdown { worker, factor: times })
+            }
+            FleetCommand::Drain(worker) => {
                 self.drive(PoolInput::Drain(worker));
                 change(&mut self.registry, worker, EndpointStatus::Terminating, None);
             }
-            Order::List(worker, status) => change(&mut self.registry, worker, status, None),
-            Order::Silent(worker, silent) => {
-                self.silent[worker] = silent;
-                self.sockets[worker].send_replace(if silent { Sockets::Silent } else { Sockets::Open });
-            }
-            Order::DiscoveryDown(down) => {
-                self.discovery_down = down;
-                self.log.record(Event::DiscoveryChanged { is_down: down });
-                if down {
-                    self.watches.clear();
-                }
+            FleetCommand::SetListedStatus(worker, status) => change(&mut self.registry, worker, status, None),
+            FleetCommand::Silence(worker) => self.set_silent(worker, true),
+            FleetCommand::Unsilence(worker) => self.set_silent(worker, false),
+            FleetCommand::StopDiscovery => {
+                self.set_discovery_down(true);
+                self.watches.clear();
             }
+            FleetCommand::StartDiscovery => self.set_discovery_down(false),
         }
     }
 
+    fn set_silent(&mut self, worker: WorkerIndex, silent: bool) {
+        self.silent[worker] = silent;
+        self.sockets[worker].send_replace(if silent { Sockets::Silent } else { Sockets::Open });
+    }
+
+    fn set_discovery_down(&mut self, down: bool) {
+        self.discovery_down = down;
+        self.log.record(Event::DiscoveryChanged { is_down: down });
+    }
+
     fn told(&self, node: usize, entries: &[EndpointEntry]) {
         let link = *self.links.discovery[node].borrow();
         if link.is_cut || link.is_refusing {
@@ -783,7 +802,7 @@
                 }
                 PoolEffect::Completed(attempt) => {
                     self.log.record(Event::AttemptCompleted { attempt });
-                    let result = self.attempts.get(&attempt).map(|out| result_of(&out.id));
+                    let result = self.attempts.get(&attempt).map(|out| expected_result(&out.id));
                     self.call(
                         attempt,
                         &format!(r#""state":"done","result":"{}""#, result.unwrap_or_default()),
@@ -835,7 +854,7 @@
 
     fn call(&self, attempt: AttemptNumber, rest: &str) {
         let Some(out) = self.attempts.get(&attempt) else { return };
-        let from = name_of(out.worker);
+        let from = worker_name(out.worker);
         let _ = out.calls.send(format!(r#"{{"id":"{}","from":"{from}",{rest}}}"#, out.id));
     }
 
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
+use crate::client_connections::{ClientConnections, Route};
 use crate::event_log::{Event, EventLog, FailureReason, Readiness};
-use crate::fleet::{NodePlaces, Tries, result_of};
-use crate::links::{Links, Route};
-use crate::nodes::asked;
+use crate::fleet::{NodeAddresses, RequestOrigin, SentRequests, expected_result};
+use crate::nodes::check_readiness;
 use crate::scenario::{Idempotence, Scenario};
 
 /// A client waits a little beyond its time, to see how late a late answer is.
@@ -35,18 +35,18 @@
     /// From when each takes no new connections.
     closes: Vec<AtomicU64>,
     next: AtomicUsize,
-    places: NodePlaces,
-    pub links: Links,
+    places: NodeAddresses,
+    pub connections: ClientConnections,
     log: EventLog,
 }
 
 impl Front {
-    pub fn new(nodes: usize, places: NodePlaces, log: EventLog) -> Self {
+    pub fn new(nodes: usize, places: NodeAddresses, log: EventLog) -> Self {
         Front {
             closes: (0..nodes).map(|_| AtomicU64::new(0)).collect(),
             next: AtomicUsize::new(0),
             places,
-            links: Links::new(nodes),
+            connections: ClientConnections::new(nodes),
             log,
         }
     }
@@ -73,11 +73,7 @@
         loop {
             ticks.tick().await;
             let Some(place) = self.places.lock()[node] else { continue };
-            let said = match asked(place).await {
-                Some(true) => Readiness::Yes,
-                Some(false) => Readiness::No,
-                None => Readiness::Nothing,
-            };
+            let said = check_readiness(place).await;
             self.heard(node, said);
             if said != last {
                 self.log.record(Event::ReadinessChanged { node, readiness: said });
@@ -93,7 +89,7 @@
         let all = self.closes.len();
         (0..all).map(|n| (first + n) % all).find_map(|node| {
             let place = self.places.lock()[node]?;
-            let held = if new_ones { None } else { self.links.take(node) };
+            let held = if new_ones { None } else { self.connections.take(node) };
             let open = self.log.now() < self.closes[node].load(Ordering::Relaxed);
             (open || held.is_some()).then_some(Route { node, address: place, kept_connection: held })
         })
@@ -104,7 +100,7 @@
 pub struct Clients {
     pub scenario: Arc<Scenario>,
     pub jobs: Arc<Vec<PlannedJob>>,
-    pub tries: Tries,
+    pub tries: SentRequests,
     pub front: Arc<Front>,
     pub log: EventLog,
     /// Nobody asks any more: the run has seen what it wanted.
@@ -124,7 +120,7 @@
     pub fn new(
         scenario: Arc<Scenario>,
         jobs: Arc<Vec<PlannedJob>>,
-        tries: Tries,
+        tries: SentRequests,
         front: Arc<Front>,
         log: EventLog,
     ) -> Self {
@@ -182,7 +178,7 @@
         let route = self.front.pick(new_ones);
         let node = route.as_ref().map_or(0, |route| route.node);
         let id = format!("j{job}-{number}");
-        self.tries.add(&id, node, job);
+        self.tries.record(&id, RequestOrigin { node, job });
         self.log.record(Event::RequestSent {
             id: id.clone(),
             job,
@@ -209,13 +205,13 @@
             request += "x-retry: 1\r\n";
         }
         request += &format!("content-length: {}\r\n\r\n{BODY}", BODY.len());
-        let answer = self.front.links.send(route, request.as_bytes(), !new_ones);
+        let answer = self.front.connections.send(route, request.as_bytes(), !new_ones);
         let answer = match timeout(Duration::from_micros(wait) + PATIENCE, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(why)) => return self.missing(id, why),
             Err(_) => return self.missing(id, FailureReason::Late),
         };
-        let good = answer.body == result_of(&id).as_bytes();
+        let good = answer.body == expected_result(&id).as_bytes();
         self.log.record(Event::ResponseReceived { id, status: answer.status, has_own_result: good });
         match answer.status {
             200 if good => End::Served,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,11 +2,11 @@
 
 #![forbid(unsafe_code)]
 
+mod client_connections;
 mod compare;
 mod console;
 mod event_log;
 mod fleet;
-mod links;
 mod load;
 mod nodes;
 mod operator_actions;
--- a/crates/testbed/src/nodes.rs
+++ b/crates/testbed/src/nodes.rs
@@ -19,6 +19,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::event_log::Readiness;
 use crate::scenario::{
     DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
 };
@@ -42,16 +43,16 @@
 
 /// What a process is started with beyond its program.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ProcessSpec {
     pub number: usize,
     /// Counts the processes of a node that were started beside an older one.
     pub version: usize,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// Its second address, where the scenario needs one.
-    pub console: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The endpoint list that the process starts with.
-    pub known: Option<serde_json::Value>,
+    pub saved_list: Option<serde_json::Value>,
     /// The node's own folder for what lasts a short time; both processes of a node share it.
     pub temporary: PathBuf,
 }
@@ -78,7 +79,7 @@
 
 /// A node's process.
 pub struct Node {
-    pub place: Place,
+    pub spec: ProcessSpec,
     /// Where it serves; before it has said so, where it was told to listen.
     pub address: SocketAddr,
     pub child: Child,
@@ -89,8 +90,8 @@
 }
 
 /// The platform's file for a node.
-pub fn config(scenario: &Scenario, place: &Place) -> String {
-    let Place { number, listen, discovery, console, known, .. } = place;
+pub fn config(scenario: &Scenario, spec: &ProcessSpec) -> String {
+    let ProcessSpec { number, listen, discovery, admin_address, saved_list, .. } = spec;
     let services: Vec<_> = scenario
         .classes
         .iter()
@@ -110,7 +111,7 @@
         "name": format!("n{number}"), "listen": listen, "discovery": discovery,
         "seed": format!("{:016x}", scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ *number as u64),
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB as u64, "sockets": scenario.nodes.descriptors},
-        "known": known.clone().unwrap_or_else(|| json!({"index": 0, "snapshot": true, "endpoints": []})),
+        "known": saved_list.clone().unwrap_or_else(|| json!({"index": 0, "snapshot": true, "endpoints": []})),
         "settings": {
             "balancers": scenario.nodes.count, "rank": number, "zone": 0, "discovery": "subscribe",
             "localities": ["lab"], "kinds": kinds, "services": services,
@@ -121,16 +122,16 @@
                 "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": OVERLOAD_WINDOW},
         },
     });
-    if let Some(console) = console {
-        file["console"] = json!(console);
+    if let Some(admin_address) = admin_address {
+        file["console"] = json!(admin_address);
     }
     file.to_string()
 }
 
 impl Node {
     /// Starts a node, and returns once it is ready to serve.
-    pub async fn start(program: &Program, scenario: &Scenario, place: Place) -> Result<Node, NodeError> {
-        let mut node = Node::spawn(program, scenario, place)?;
+    pub async fn start(program: &Program, scenario: &Scenario, spec: ProcessSpec) -> Result<Node, NodeError> {
+        let mut node = Node::spawn(program, scenario, spec)?;
         let serves = node.serves.take().map(|serves| timeout(SERVES_WITHIN, serves));
         node.address = match serves.expect("just spawned").await {
             Ok(Ok(address)) => address,
@@ -138,7 +139,7 @@
             Err(_) => return Err(node.failed("did not say where it serves")),
         };
         let until = Instant::now() + READY_WITHIN;
-        while asked(node.address).await != Some(true) {
+        while check_readiness(node.address).await != Readiness::Yes {
             if Instant::now() > until {
                 return Err(node.failed("did not become ready"));
             }
@@ -148,17 +149,17 @@
     }
 
     /// Starts a process, and returns at once.
-    pub fn spawn(program: &Program, scenario: &Scenario, place: Place) -> Result<Node, NodeError> {
-        let number = place.number;
+    pub fn spawn(program: &Program, scenario: &Scenario, spec: ProcessSpec) -> Result<Node, NodeError> {
+        let number = spec.number;
         // The first keeps the plain name; those beside it have files of their own.
-        let name = match place.version {
+        let name = match spec.version {
             0 => format!("n{number}"),
             version => format!("n{number}-v{version}"),
         };
         let config = program.folder.join(format!("{name}.json"));
-        write(&config, &self::config(scenario, &place))?;
-        std::fs::create_dir_all(&place.temporary)
-            .map_err(|problem| NodeError::Write { file: place.temporary.clone(), problem })?;
+        write(&config, &self::config(scenario, &spec))?;
+        std::fs::create_dir_all(&spec.temporary)
+            .map_err(|problem| NodeError::Write { file: spec.temporary.clone(), problem })?;
         // The shell lowers its own limit and then becomes the program, so that signals reach that.
         let mut command = Command::new("/bin/sh");
         command
@@ -166,7 +167,7 @@
             .arg(&program.path)
             .args(&program.arguments)
             .env("RELAY_CONFIG", &config)
-            .env("TMPDIR", &place.temporary)
+            .env("TMPDIR", &spec.temporary)
             .env_remove("RELAY_NAME")
             .env_remove("RELAY_LISTEN")
             .env_remove("RELAY_DISCOVERY")
@@ -189,14 +190,14 @@
             let log = program.folder.join(format!("{name}.log"));
             tokio::spawn(keep_lines(stderr, log, lines.clone(), said));
         }
-        Ok(Node { address: place.listen, place, child, serves: Some(serves), config, lines })
+        Ok(Node { address: spec.listen, spec, child, serves: Some(serves), config, lines })
     }
 
     /// That it does not run, with its last lines.
     pub fn failed(&self, why: &'static str) -> NodeError {
         let lines = self.last_lines().join("\n    ");
         let lines = if lines.is_empty() { "(none)".into() } else { lines };
-        NodeError::Failed { node: self.place.number, why, lines }
+        NodeError::Failed { node: self.spec.number, why, lines }
     }
 
     /// The last lines that it wrote.
@@ -214,8 +215,8 @@
 
     /// Writes its configuration anew with another discovery, and has it read.
     pub fn move_discovery(&mut self, scenario: &Scenario, discovery: SocketAddr) -> Result<(), NodeError> {
-        self.place = Place { discovery, listen: self.address, ..self.place.clone() };
-        write(&self.config, &config(scenario, &self.place))?;
+        self.spec = ProcessSpec { discovery, listen: self.address, ..self.spec.clone() };
+        write(&self.config, &config(scenario, &self.spec))?;
         self.signal(Signal::HUP);
         Ok(())
     }
@@ -253,21 +254,21 @@
     }
 }
 
-/// Whether a node says that it is ready; none where it says nothing.
-pub async fn asked(address: SocketAddr) -> Option<bool> {
+/// Result of a readiness check of a node.
+pub async fn check_readiness(address: SocketAddr) -> Readiness {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let ask = async {
         let mut stream = tokio::net::TcpStream::connect(address).await.ok()?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await.ok()?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await.ok()?;
-        Some(head == *b"HTTP/1.1 200")
+        Some(if head == *b"HTTP/1.1 200" { Readiness::Yes } else { Readiness::No })
     };
-    timeout(Duration::from_secs(1), ask).await.ok().flatten()
+    timeout(Duration::from_secs(1), ask).await.ok().flatten().unwrap_or(Readiness::Nothing)
 }
 
 /// The series of violations that a node has counted itself, where one is not zero.
-pub async fn counted_violations(address: SocketAddr) -> Vec<String> {
+pub async fn nonzero_violation_counters(address: SocketAddr) -> Vec<String> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let ask = async {
         let mut stream = tokio::net::TcpStream::connect(address).await.ok()?;
@@ -283,7 +284,7 @@
 }
 
 /// What a process has cost, as the system tells it; none once it is gone.
-pub fn cost(process: u32, node: usize, at_s: f64) -> Option<Sample> {
+pub fn sample_cost(process: u32, node: usize, at_s: f64) -> Option<Sample> {
     let read = |what: &str| std::fs::read_to_string(format!("/proc/{process}/{what}")).ok();
     let stat = read("stat")?;
     // The name in brackets may hold anything; figures come behind it.
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -5,9 +5,10 @@
 
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::client_connections::ConnectionCounts;
 use crate::console::{Said, call};
 use crate::event_log::{Event, ExpectedAnswer};
-use crate::fleet::{Order, name_of};
+use crate::fleet::{FleetCommand, worker_name};
 use crate::play::Environment;
 
 /// Clients have left a node this long after the command to drain it.
@@ -59,7 +60,7 @@
         self.send_command(node, "DRAIN", ExpectedAnswer::Yes).await;
         if until.is_some_and(|until| until > begin + CLIENTS_LEAVE_WITHIN) {
             sleep_until(begin + CLIENTS_LEAVE_WITHIN).await;
-            let (idle, fresh) = self.front.links.standing(node);
+            let ConnectionCounts { idle, fresh } = self.front.connections.count(node);
             self.log.record(Event::ConnectionsCounted { node, idle, fresh });
         }
         wait_until(until).await;
@@ -69,15 +70,15 @@
     /// Disables a worker on all nodes, twice since the command may be repeated; restarts it half way; enables it.
     pub async fn maintain_worker(&self, worker: usize, length: Duration) {
         let begin = Instant::now();
-        let name = name_of(worker);
+        let name = worker_name(worker);
         let disable = format!("DISABLE {name}");
         self.send_to_all_nodes(&disable).await;
         sleep_until(begin + length / 4).await;
         self.send_to_all_nodes(&disable).await;
         sleep_until(begin + length / 2).await;
-        self.fleet.order(Order::Kill(worker));
+        self.fleet.apply(FleetCommand::Kill(worker));
         sleep(MAINTENANCE_DOWNTIME.min(length / 4)).await;
-        self.fleet.order(Order::Start(worker));
+        self.fleet.apply(FleetCommand::Start(worker));
         sleep_until(begin + length).await;
         self.send_to_all_nodes(&format!("ENABLE {name}")).await;
     }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -18,10 +18,12 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 use crate::console::free_place;
-use crate::event_log::{Event, EventLog, Record};
-use crate::fleet::{Fleet, NodePlaces, Order, Tries};
+use crate::event_log::{Event, EventLog, Readiness, Record};
+use crate::fleet::{Fleet, FleetCommand, NodeAddresses, SentRequests};
 use crate::load::{Clients, Front};
-use crate::nodes::{Node, NodeError, Place, Program, Sample, asked, cost, counted_violations};
+use crate::nodes::{
+    Node, NodeError, ProcessSpec, Program, Sample, check_readiness, nonzero_violation_counters, sample_cost,
+};
 use crate::operator_actions::join_all;
 use crate::proxy::LinkState;
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -78,7 +80,7 @@
     pub program: Program,
     pub fleet: Fleet,
     pub front: Arc<Front>,
-    places: NodePlaces,
+    places: NodeAddresses,
     pub log: EventLog,
     pub nodes: Vec<Mutex<Held>>,
     crashes: parking_lot::Mutex<Vec<String>>,
@@ -106,8 +108,8 @@
 ) -> Result<Played, String> {
     let scenario = Arc::new(scenario);
     let jobs = Arc::new(scenario.workload().draw());
-    let (log, tries) = (EventLog::new(), Tries::default());
-    let places: NodePlaces = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
+    let (log, tries) = (EventLog::new(), SentRequests::default());
+    let places: NodeAddresses = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
     let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone()).await?;
     let front = Arc::new(Front::new(scenario.nodes.count, places.clone(), log.clone()));
     let temporary = std::env::temp_dir().join(format!("curlewusher-testbed-{}", std::process::id()));
@@ -189,15 +191,17 @@
 impl Environment {
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
         let discovery = self.fleet.discovery_for(number).await.map_err(StartError::Discovery)?;
-        let console = self.consoles.then(free_place);
+        let admin_address = self.consoles.then(free_place);
         // Both processes of an upgrade are told the same address, so that it cannot be left to the system.
         let listen = if self.consoles && listen.port() == 0 { free_place() } else { listen };
         let temporary = self.temporary.join(format!("n{number}"));
-        let known = self.fleet.saved_list(number).filter(|_| self.scenario.nodes.saved_lists);
-        let place = Place { number, version: 0, listen, discovery, console, known, temporary };
-        let node = Node::start(&self.program, &self.scenario, place).await?;
+        let saved_list = self.fleet.saved_list(number).filter(|_| self.scenario.nodes.saved_lists);
+        let spec =
+            ProcessSpec { number, version: 0, listen, discovery, admin_address, saved_list, temporary };
+        let node = Node::start(&self.program, &self.scenario, spec).await?;
         self.places.lock()[number] = Some(node.address);
-        *self.nodes[number].lock().await = Held { node: Some(node), console, processes: Vec::new() };
+        *self.nodes[number].lock().await =
+            Held { node: Some(node), console: admin_address, processes: Vec::new() };
         self.log.record(Event::NodeReady { node: number });
         self.front.admit(number, true);
         Ok(())
@@ -248,7 +252,7 @@
                 let processes = held.processes.iter().copied().chain(own);
                 let costs: Vec<Sample> = processes
                     .filter_map(|id| {
-                        let sample = cost(id, number, at_s)?;
+                        let sample = sample_cost(id, number, at_s)?;
                         spent[number].insert(id, sample.cpu_s);
                         Some(sample)
                     })
@@ -278,41 +282,42 @@
                 None => std::future::pending().await,
             }
         };
-        let order = |order: fn(usize) -> Order| targets.iter().for_each(|w| self.fleet.order(order(*w)));
+        let order =
+            |order: fn(usize) -> FleetCommand| targets.iter().for_each(|w| self.fleet.apply(order(*w)));
         match fault.kind {
             FaultKind::Kill => {
-                order(Order::Kill);
+                order(FleetCommand::Kill);
                 ends.await;
-                order(Order::Start);
+                order(FleetCommand::Start);
             }
             FaultKind::Silent => {
-                order(|w| Order::Silent(w, true));
+                order(FleetCommand::Silence);
                 ends.await;
-                order(|w| Order::Silent(w, false));
+                order(FleetCommand::Unsilence);
             }
             FaultKind::Slow => {
                 let factor = fault.factor.unwrap_or(1.0);
-                targets.iter().for_each(|w| self.fleet.order(Order::Slow(*w, factor)));
+                targets.iter().for_each(|w| self.fleet.apply(FleetCommand::SetSlowdown(*w, factor)));
                 ends.await;
-                order(|w| Order::Slow(w, 1.0));
+                order(|w| FleetCommand::SetSlowdown(w, 1.0));
             }
             FaultKind::Drain => {
-                order(Order::Drain);
+                order(FleetCommand::Drain);
                 sleep(WORKER_DRAINS).await;
-                order(Order::Kill);
+                order(FleetCommand::Kill);
                 ends.await;
-                order(Order::Start);
+                order(FleetCommand::Start);
             }
             FaultKind::AnnouncedDrain => {
-                order(|worker| Order::List(worker, EndpointStatus::Terminating));
+                order(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::Terminating));
                 ends.await;
-                order(|worker| Order::List(worker, EndpointStatus::InService));
+                order(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::InService));
             }
-            FaultKind::Grow => order(Order::Start),
+            FaultKind::Grow => order(FleetCommand::Start),
             FaultKind::DiscoveryDown => {
-                self.fleet.order(Order::DiscoveryDown(true));
+                self.fleet.apply(FleetCommand::StopDiscovery);
                 ends.await;
-                self.fleet.order(Order::DiscoveryDown(false));
+                self.fleet.apply(FleetCommand::StartDiscovery);
             }
             FaultKind::Reload => {
                 for node in targets.iter().copied() {
@@ -412,7 +417,7 @@
 
     /// Ends a node; the front hears of it in its own time.
     async fn end_node(&self, mut node: Node, kill: bool, heard: bool) {
-        let number = node.place.number;
+        let number = node.spec.number;
         let hears = async {
             sleep(if kill { FRONT_HEARS_DEATH } else { FRONT_HEARS_END }).await;
             self.front.admit(number, false);
@@ -460,10 +465,10 @@
 
     async fn end_checked(&self, number: usize, interrupted: bool) {
         let Some(node) = self.nodes[number].lock().await.node.take() else { return };
-        if !interrupted && asked(node.address).await != Some(true) {
+        if !interrupted && check_readiness(node.address).await != Readiness::Yes {
             self.crashed(format!("node {number} is not ready at the end of the load"));
         }
-        for violation in counted_violations(node.address).await {
+        for violation in nonzero_violation_counters(node.address).await {
             self.crashed(format!("node {number} has counted a violation: {violation}"));
         }
         let _ = timeout(Duration::from_secs(40), self.end_node(node, interrupted, false)).await;
--- a/crates/testbed/src/stress_run.rs
+++ b/crates/testbed/src/stress_run.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::event_log::ExpectedAnswer;
-use crate::fleet::name_of;
+use crate::fleet::worker_name;
 use crate::play::{Environment, Played};
 use crate::rules::{OperationFigures, Rule, UpgradeFigures, Violation};
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -138,7 +138,7 @@
                 tokio::spawn(stall(admin_address, client));
             }
         }
-        let worker = name_of(round % self.scenario.worker_count());
+        let worker = worker_name(round % self.scenario.worker_count());
         for (command, expected) in [
             ("READY".to_owned(), ExpectedAnswer::Yes),
             (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
--- a/crates/testbed/src/upgrade.rs
+++ b/crates/testbed/src/upgrade.rs
@@ -22,7 +22,7 @@
 
 use crate::console::free_place;
 use crate::event_log::{Event, ExpectedAnswer};
-use crate::nodes::{Node, Place};
+use crate::nodes::{Node, ProcessSpec};
 use crate::operator_actions::wait_until;
 use crate::play::{Environment, KILL_AT_LEAST, KILL_GRACE};
 use crate::scenario::{Fault, FaultKind, MAX_DELAY_S, Scenario, UpgradeProcess};
@@ -162,14 +162,14 @@
         };
         self.log.record(Event::UpgradeBegan { node });
         let address = predecessor.address;
-        let place = Place {
-            known: None,
-            version: predecessor.place.version + 1,
+        let spec = ProcessSpec {
+            saved_list: None,
+            version: predecessor.spec.version + 1,
             listen: address,
-            console: Some(free_place()),
-            ..predecessor.place.clone()
+            admin_address: Some(free_place()),
+            ..predecessor.spec.clone()
         };
-        let started = Node::spawn(&self.program, &self.scenario, place);
+        let started = Node::spawn(&self.program, &self.scenario, spec);
         let successor = started.map_err(|error| self.crashed(error)).ok();
         let successor_id = successor.as_ref().and_then(|successor| successor.child.id());
         self.nodes[node].lock().await.processes.extend(successor_id);
@@ -207,7 +207,7 @@
         let has_process = remaining.is_some();
         let mut held = self.nodes[node].lock().await;
         held.processes.clear();
-        held.console = remaining.as_ref().and_then(|process| process.place.console);
+        held.console = remaining.as_ref().and_then(|process| process.spec.admin_address);
         held.node = remaining;
         drop(held);
         if !has_process {
@@ -220,7 +220,7 @@
     }
 
     async fn next_upgrade_event(&self, node: usize, upgrade: &mut Upgrade) -> UpgradeEvent {
-        let successor_address = upgrade.successor.as_ref().and_then(|successor| successor.place.console);
+        let successor_address = upgrade.successor.as_ref().and_then(|successor| successor.spec.admin_address);
         let ready_poll = async {
             match successor_address {
                 Some(address) if !upgrade.is_ready => {
@@ -268,7 +268,8 @@
                 upgrade.ready_deadline = None;
                 upgrade.sigterm_at = upgrade.predecessor.as_ref().map(|_| Instant::now() + plan.delay);
                 let successor = upgrade.successor.as_ref();
-                self.nodes[node].lock().await.console = successor.and_then(|process| process.place.console);
+                self.nodes[node].lock().await.console =
+                    successor.and_then(|process| process.spec.admin_address);
             }
             UpgradeEvent::KillDue => upgrade.carry_out_kill(),
             UpgradeEvent::SigtermDue => upgrade.terminate_predecessor(),
@@ -299,7 +300,7 @@
         upgrade.ready_deadline = None;
         upgrade.sigterm_at = None;
         let predecessor = upgrade.predecessor.as_ref();
-        self.nodes[node].lock().await.console = predecessor.and_then(|process| process.place.console);
+        self.nodes[node].lock().await.console = predecessor.and_then(|process| process.spec.admin_address);
     }
 
     /// Kills a process that failed; false if there is none.
--- a/crates/testbed/tests/unit/links.rs
+++ b/crates/testbed/tests/unit/client_connections.rs
@@ -11,22 +11,22 @@
 async fn closed_or_reset_connection_then_read_and_unread_requests_are_told_apart() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let place = listener.local_addr().expect("an address");
-    let links = Links::new(1);
+    let connections = ClientConnections::new(1);
     let dropped = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut all = [0; 4];
         stream.read_exact(&mut all).await.expect("all of it");
     };
-    let (seen, ()) = tokio::join!(links.send(route(place, None), b"read", true), dropped);
+    let (seen, ()) = tokio::join!(connections.send(route(place, None), b"read", true), dropped);
     assert_eq!(seen, Err(FailureReason::Closed));
     // A queue that ends with what is in it.
-    let (seen, ()) = tokio::join!(links.send(route(place, None), b"unread", true), async {
+    let (seen, ()) = tokio::join!(connections.send(route(place, None), b"unread", true), async {
         let (stream, _) = listener.accept().await.expect("a connection");
         stream.readable().await.expect("something");
     });
     assert_eq!(seen, Err(FailureReason::Reset));
     drop(listener);
-    assert_eq!(links.send(route(place, None), b"none", true).await, Err(FailureReason::Unreachable));
+    assert_eq!(connections.send(route(place, None), b"none", true).await, Err(FailureReason::Unreachable));
 }
 
 #[tokio::test]
@@ -35,7 +35,7 @@
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(8).expect("a port");
     let place = listener.local_addr().expect("an address");
-    let links = Links::new(1);
+    let connections = ClientConnections::new(1);
     let serve = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut all = [0; 3];
@@ -43,17 +43,17 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").await.expect("an answer");
         stream
     };
-    let (seen, mut server) = tokio::join!(links.send(route(place, None), b"ask", true), serve);
+    let (seen, mut server) = tokio::join!(connections.send(route(place, None), b"ask", true), serve);
     assert_eq!(seen.map(|a| (a.status, a.body)), Ok((200, b"hi".to_vec())));
-    assert_eq!(links.standing(0), (1, 0));
-    let taken = links.take(0).expect("the same");
+    assert_eq!(connections.count(0), ConnectionCounts { idle: 1, fresh: 0 });
+    let taken = connections.take(0).expect("the same");
     let again = async {
         let mut all = [0; 3];
         server.read_exact(&mut all).await.expect("all of it");
         let end = b"HTTP/1.1 503 No\r\nConnection: close\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
         server.write_all(end).await.expect("an answer");
     };
-    let (seen, ()) = tokio::join!(links.send(route(place, Some(taken)), b"ask", true), again);
+    let (seen, ()) = tokio::join!(connections.send(route(place, Some(taken)), b"ask", true), again);
     assert_eq!(seen.map(|a| (a.status, a.retry_after)), Ok((503, Some(1.5))));
-    assert_eq!(links.standing(0), (0, 0), "it was told to close it");
+    assert_eq!(connections.count(0), ConnectionCounts { idle: 0, fresh: 0 }, "it was told to close it");
 }
