--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -148,12 +148,12 @@
     command: &'static str,
     mut arguments: impl Iterator<Item = &'a str>,
 ) -> Result<String, CommandParseError> {
-    let id = arguments.next().ok_or(CommandParseError::MissingWorkerId(command))?;
+    let worker_id = arguments.next().ok_or(CommandParseError::MissingWorkerId(command))?;
     expect_no_argument(command, arguments)?;
-    if id.len() > MAX_WORKER_ID_BYTES {
+    if worker_id.len() > MAX_WORKER_ID_BYTES {
         return Err(CommandParseError::WorkerIdTooLong);
     }
-    Ok(id.to_owned())
+    Ok(worker_id.to_owned())
 }
 
 /// The line that [`AdminCommand::parse`] reads as this command, without its end.
--- a/crates/control/src/frame/header.rs
+++ b/crates/control/src/frame/header.rs
@@ -102,6 +102,7 @@
     Ok(())
 }
 
+/// The checksum of a frame: CRC-32 over its kind, its sequence number and its payload.
 pub(super) fn checksum(kind: u8, sequence: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
--- a/crates/control/src/frame/kind.rs
+++ b/crates/control/src/frame/kind.rs
@@ -84,6 +84,7 @@
 }
 
 impl Frame {
+    /// The kind that the header of this frame names.
     pub(super) fn kind(&self) -> FrameKind {
         match self {
             Frame::Hello { .. } => FrameKind::Hello,
--- a/crates/control/src/frame/payload.rs
+++ b/crates/control/src/frame/payload.rs
@@ -9,6 +9,7 @@
 use crate::frame::message::Frame;
 
 impl Frame {
+    /// The payload of this frame as bytes.
     pub(super) fn encode_payload(&self) -> Bytes {
         match self {
             Frame::Hello { node, listen } => to_json(&(node, listen)),
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -40,6 +40,7 @@
 impl CommandHandler {
     /// Serves a connection to its end.
     pub async fn serve_connection(self, mut stream: TcpStream) {
+        // Without it the response may be delayed, but arrives.
         let _ = stream.set_nodelay(true);
         let Ok(Some(line)) = timeout(READ_LINE_TIMEOUT, read_line(&mut stream)).await else { return };
         let result = match AdminCommand::parse(&line) {
--- a/crates/node/src/attempt/cancel_flag.rs
+++ b/crates/node/src/attempt/cancel_flag.rs
@@ -32,7 +32,7 @@
 
     /// Whether it was raised more than `span` before `now`.
     pub(super) fn was_raised_before(&self, now: Instant, span: Duration) -> bool {
-        self.raised_at.get().is_some_and(|at| now > at + span)
+        self.raised_at.get().is_some_and(|raised_at| now > raised_at + span)
     }
 
     /// Returns once it is raised.
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -333,7 +333,7 @@
         if self.timing.lists_are_pushed() {
             let retry_at = now + WatchTiming::retry_delay(self.consecutive_failures);
             self.consecutive_failures += 1;
-            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |at| at.min(retry_at)));
+            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |scheduled| scheduled.min(retry_at)));
         } else if self.has_unrequested_polls() && !self.has_pending_poll() {
             let delay = if failure.is_poll { Duration::ZERO } else { self.timing.slot_delay() };
             self.next_poll_at.get_or_insert(now + delay);
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -9,7 +9,7 @@
 use crate::discovery::endpoint_list::EndpointResolver;
 use crate::discovery::watch_state::{ListUpdate, StateEvent, WatchFailure, WatchState, WatchUpdate};
 use crate::discovery::watch_timing::WatchTiming;
-use crate::dispatch::{DispatchMessage, DispatchQueue};
+use crate::dispatch::{DispatchMessage, DispatchQueue, EndpointChange};
 use crate::telemetry::logging::DISCOVERY;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::RequestPayload;
@@ -91,8 +91,8 @@
         let endpoints = self.resolver.resolve(&list.endpoints);
         let (index, count, snapshot) = (list.index, endpoints.len(), list.snapshot);
         debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list received");
-        let change = DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration };
-        self.notify(change).await
+        let change = EndpointChange { endpoints, snapshot, current_as_of, poll_duration };
+        self.notify(DispatchMessage::EndpointsChanged(change)).await
     }
 
     async fn handle_failure(
--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -17,6 +17,7 @@
 }
 
 /// A worker's name and address.
+#[derive(Clone)]
 pub(super) struct WorkerAddress {
     pub(super) name: Rc<str>,
     pub(super) address: SocketAddr,
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -152,10 +152,10 @@
 
     /// Puts a request id in use, for a job with a new id.
     pub(super) fn reserve(&mut self, request_id: Rc<str>) -> JobId {
-        let id = JobId(self.next_id);
+        let job_id = JobId(self.next_id);
         self.next_id += 1;
-        self.ids_by_request.insert(request_id, id);
-        id
+        self.ids_by_request.insert(request_id, job_id);
+        job_id
     }
 
     /// Ends the use of a request id.
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -88,16 +88,7 @@
     /// The transport reports on an attempt.
     Attempt(AttemptReport),
     /// Discovery has sent its endpoint list, or a change to it.
-    EndpointsChanged {
-        /// The entries.
-        endpoints: Vec<NamedEndpoint>,
-        /// Whether these are all endpoints, rather than a change.
-        snapshot: bool,
-        /// With it, the whole list is known to have been current at this moment; none if that is not known.
-        current_as_of: Option<Instant>,
-        /// How long the poll took that it answers.
-        poll_duration: Option<Duration>,
-    },
+    EndpointsChanged(EndpointChange),
     /// The open watch reports that nothing has changed.
     EndpointsConfirmed {
         /// Up to this moment.
@@ -113,6 +104,18 @@
     ShutdownStarted(Duration),
 }
 
+/// An endpoint list that discovery has sent, or a change to it.
+pub struct EndpointChange {
+    /// The entries.
+    pub endpoints: Vec<NamedEndpoint>,
+    /// Whether these are all endpoints, rather than a change.
+    pub snapshot: bool,
+    /// With it, the whole list is known to have been current at this moment; none if that is not known.
+    pub current_as_of: Option<Instant>,
+    /// How long the poll took that it answers.
+    pub poll_duration: Option<Duration>,
+}
+
 /// A command of an operator or of the other process of this node. Commands have a queue of their own, which
 /// is read before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
 pub enum DispatchCommand {
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -27,6 +27,8 @@
 pub use clock::Clock;
 pub use endpoints::NamedEndpoint;
 pub use jobs::{JobHandle, JobOwner, JobResponse, SubmittedJob};
-pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
+pub use messages::{
+    DispatchCommand, DispatchMessage, DispatchQueue, EndpointChange, TransferableState, create_queue,
+};
 pub use migration::{IncomingMigration, JobMigration, MigrationOutcome, OutgoingMigration};
 pub use task::{DispatchParts, DispatchTask};
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -9,9 +9,9 @@
 use tracing::debug;
 
 use super::DispatchTask;
-use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
-use crate::attempt::{SendPermit, SendPermitParts};
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport, SendPermit, SendPermitParts};
 use crate::dispatch::attempts::{Attempt, AttemptState};
+use crate::dispatch::endpoints::WorkerAddress;
 use crate::dispatch::jobs::JobResponse;
 use crate::dispatch::timers::Timer;
 use crate::telemetry::logging::DISPATCH;
@@ -35,6 +35,18 @@
     NoJob,
 }
 
+/// An attempt that is recorded and not yet handed to the transport.
+struct RecordedAttempt<P> {
+    id: AttemptId,
+    request_id: Rc<str>,
+    payload: Rc<P>,
+    expires_at: Micros,
+    cancel: oneshot::Receiver<()>,
+    send_permit: Rc<SendPermit>,
+    /// Another attempt of the job at the same worker has not ended.
+    is_duplicate: bool,
+}
+
 impl<T: AttemptTransport> DispatchTask<T> {
     /// Performs what the dispatcher wants done, in its order. Attempts that could not be sent are reported to
     /// it afterwards.
@@ -79,63 +91,81 @@
 
     /// Records an attempt and hands it to the transport, where it can still be sent.
     fn send_attempt(&mut self, spec: AttemptSpec) -> SendResult {
-        let Some(job) = self.jobs.get_mut(spec.job) else { return SendResult::NoJob };
-        let id = AttemptId { job: spec.job, number: job.attempts.len() as u32 };
-        let expires_at = self.clock.now() + spec.timeout;
-        let (cancel, cancel_receiver) = oneshot::channel();
-        let worker = self.endpoints.get(spec.worker);
-        let send_by = spec.send_by.map(|moment| self.clock.instant_at(moment));
-        let request_id = Rc::clone(&job.request_id);
-        let send_permit = SendPermit::new(SendPermitParts {
-            request_id: Rc::clone(&request_id),
-            client_gone: job.job_handle.client_gone_flag(),
-            deadline: send_by,
-            lease: self.permissions.lease(),
-        });
-        let worker_name = worker.map_or_else(|| "".into(), |worker| Rc::clone(&worker.name));
-        // The dispatcher knows of its attempts by their reports; what is recorded here was seen on sockets.
-        let is_duplicate =
-            job.attempts.iter().any(|other| !other.has_ended() && other.worker_name == worker_name);
-        job.attempts.push(Attempt {
-            worker_name: Rc::clone(&worker_name),
-            address: worker.map(|worker| worker.address),
-            state: AttemptState::InFlight,
-            accepted: false,
-            progress: 0.0,
-            last_callback: None,
-            cancel: Some(cancel),
-            send_permit: Rc::clone(&send_permit),
-            expires_at,
-        });
+        let worker = self.endpoints.get(spec.worker).cloned();
+        let Some(recorded) = self.record_attempt(&spec, worker.as_ref()) else { return SendResult::NoJob };
+        let RecordedAttempt { id, request_id, payload, expires_at, cancel, send_permit, is_duplicate } =
+            recorded;
         if is_duplicate {
             self.permissions.record_violation(Denial::AttemptInFlight, &request_id);
             return SendResult::NotSent(id);
         }
         let Some(worker) = worker.filter(|_| send_permit.is_valid()) else { return SendResult::NotSent(id) };
-        let address = worker.address;
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::AttemptsStarted);
         debug!(
             target: DISPATCH,
             %request_id,
             attempt = id.number,
-            worker = %worker_name,
-            %address,
+            worker = %worker.name,
+            address = %worker.address,
             send_window_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
             "attempt sent"
         );
         self.worker_client.start_attempt(AttemptRequest {
             id,
             request_id,
-            address,
-            payload: Rc::clone(&job.payload),
+            address: worker.address,
+            payload,
             timeout: Duration::from_micros(spec.timeout),
-            cancel: cancel_receiver,
+            cancel,
             send_permit,
         });
         SendResult::Sent
     }
 
+    /// Records an attempt as in flight. None where there is no such job.
+    fn record_attempt(
+        &mut self,
+        spec: &AttemptSpec,
+        worker: Option<&WorkerAddress>,
+    ) -> Option<RecordedAttempt<T::Payload>> {
+        let job = self.jobs.get_mut(spec.job)?;
+        let expires_at = self.clock.now() + spec.timeout;
+        let (cancel_channel, cancel) = oneshot::channel();
+        let send_permit = SendPermit::new(SendPermitParts {
+            request_id: Rc::clone(&job.request_id),
+            client_gone: job.job_handle.client_gone_flag(),
+            deadline: spec.send_by.map(|moment| self.clock.instant_at(moment)),
+            lease: self.permissions.lease(),
+        });
+        let worker_name = worker.map_or_else(|| "".into(), |worker| Rc::clone(&worker.name));
+        let recorded = RecordedAttempt {
+            id: AttemptId { job: spec.job, number: job.attempts.len() as u32 },
+            request_id: Rc::clone(&job.request_id),
+            payload: Rc::clone(&job.payload),
+            expires_at,
+            cancel,
+            send_permit: Rc::clone(&send_permit),
+            // The dispatcher knows of its attempts by their reports; what is recorded here was seen on sockets.
+            is_duplicate: job
+                .attempts
+                .iter()
+                .any(|other| !other.has_ended() && other.worker_name == worker_name),
+        };
+        job.attempts.push(Attempt {
+            worker_name,
+            address: worker.map(|worker| worker.address),
+            state: AttemptState::InFlight,
+            accepted: false,
+            progress: 0.0,
+            last_callback: None,
+            cancel: Some(cancel_channel),
+            send_permit,
+            expires_at,
+        });
+        Some(recorded)
+    }
+
     /// Forbids that the first byte of an attempt is written, where that has not happened.
     fn revoke_send_permit(&mut self, id: AttemptId) {
         if let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) {
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -4,7 +4,7 @@
 use tracing::{debug, trace};
 
 use super::DispatchTask;
-use crate::attempt::{AttemptId, AttemptTransport};
+use crate::attempt::{AttemptId, AttemptReport, AttemptTransport};
 use crate::dispatch::attempts::{AttemptState, CallbackState};
 use crate::dispatch::callbacks::{CallbackEffect, find_target, interpret};
 use crate::dispatch::jobs::JobResponse;
@@ -14,8 +14,17 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
+    /// Records what the transport reports on an attempt.
+    pub(super) fn handle_attempt_report(&mut self, report: AttemptReport) {
+        match report {
+            AttemptReport::Accepted(id) => self.handle_attempt_accepted(id),
+            AttemptReport::Ended(id, outcome) => self.end_attempt(id, outcome),
+            AttemptReport::Cancelled(id) => self.handle_attempt_cancelled(id),
+        }
+    }
+
     /// Records that a worker has accepted an attempt, whatever became of it meanwhile.
-    pub(super) fn handle_attempt_accepted(&mut self, id: AttemptId) {
+    fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
         self.metrics.add(Counter::AttemptsAccepted);
@@ -23,7 +32,7 @@
     }
 
     /// Ends an attempt that was to be cancelled, with the outcome that was recorded at that time.
-    pub(super) fn handle_attempt_cancelled(&mut self, id: AttemptId) {
+    fn handle_attempt_cancelled(&mut self, id: AttemptId) {
         if let Some(AttemptState::Cancelling(outcome)) =
             self.jobs.attempt_mut(id).map(|attempt| attempt.state)
         {
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -17,6 +17,7 @@
     /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
+            // A client that has disconnected needs no response.
             let _ = submitted.response_channel.send(JobResponse::Duplicate);
             return;
         }
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -9,8 +9,7 @@
 use tracing::debug;
 
 use super::DispatchTask;
-use crate::attempt::SendPermit;
-use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport, SendPermit};
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::{Job, JobHandle};
 use crate::dispatch::migration::{
@@ -93,19 +92,21 @@
         }
     }
 
-    /// Reserves the request id of a job that comes from the other process, and says whether it can be taken.
+    /// Reserves the request id of a job that comes from the other process, and reports whether it can be accepted.
     pub(super) fn start_incoming_migration(&mut self, incoming: IncomingMigration<T::Payload>) {
         let IncomingMigration { migration, payload, job_handle, response_channel, accepted } = incoming;
         let request_id = Rc::<str>::from(migration.request_id());
         let is_in_use = self.jobs.find(&request_id).is_some();
         if is_in_use || !self.dispatcher.accepts_migrated_job(&migration.job) {
+            // Fails where the link is lost: the other process keeps the job in either case.
             let _ = accepted.send(false);
             return;
         }
-        let id = self.jobs.reserve(Rc::clone(&request_id));
-        job_handle.set_job_id(id);
+        let job_id = self.jobs.reserve(Rc::clone(&request_id));
+        job_handle.set_job_id(job_id);
         let incoming = IncomingJob { request_id, migration, payload, response_channel, job_handle };
-        self.migrations.insert_incoming(id, incoming);
+        self.migrations.insert_incoming(job_id, incoming);
+        // Fails where the link is lost: `MigrationConfirmed` then reports that the job was rolled back.
         let _ = accepted.send(true);
     }
 
@@ -164,13 +165,13 @@
         // Its first byte was written by the other process.
         let send_permit = Rc::<SendPermit>::default();
         if let (true, Some(address)) = (migrated.in_flight, migrated.address) {
-            let id = AttemptId { job: job.id, number };
+            let attempt_id = AttemptId { job: job.id, number };
             let (cancel_channel, cancel_receiver) = oneshot::channel();
             state = AttemptState::InFlight;
             cancel = Some(cancel_channel);
-            self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(id));
+            self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(attempt_id));
             self.worker_client.resume_attempt(AttemptRequest {
-                id,
+                id: attempt_id,
                 request_id: Rc::clone(job.request_id),
                 address,
                 payload: Rc::clone(job.payload),
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -22,11 +22,11 @@
 use super::clock::Clock;
 use super::endpoints::{EndpointTable, ExistingConnections, NamedEndpoint};
 use super::jobs::{JobOwner, JobTable};
-use super::messages::{DispatchCommand, DispatchMessage, TransferableState};
+use super::messages::{DispatchCommand, DispatchMessage, EndpointChange, TransferableState};
 use super::migration::Migrations;
 use super::permission_monitor::PermissionMonitor;
 use super::timers::{Timer, TimerQueue};
-use crate::attempt::{AttemptReport, AttemptTransport};
+use crate::attempt::AttemptTransport;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::{Counter, Metrics};
 
@@ -145,6 +145,7 @@
             DispatchCommand::TakeSnapshot(snapshot_channel) => {
                 let snapshot = Some(self.dispatcher.snapshot());
                 let disabled_workers = self.disabled_workers.clone();
+                // Fails where the link to the successor was lost meanwhile: nobody needs the snapshot.
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
@@ -204,6 +205,7 @@
                 self.handle_callback(&request_id, &worker_name, state);
             }
             DispatchMessage::QueryJob { request_id, held } => {
+                // A caller that has stopped waiting needs no answer.
                 let _ = held.send(self.job_owner(&request_id) != JobOwner::Unknown);
             }
             DispatchMessage::MigrateJob { job_handle, migration_channel } => {
@@ -216,18 +218,8 @@
             DispatchMessage::MigrationConfirmed { job_handle, outcome } => {
                 self.finish_incoming_migration(&job_handle, outcome);
             }
-            DispatchMessage::Attempt(AttemptReport::Accepted(id)) => self.handle_attempt_accepted(id),
-            DispatchMessage::Attempt(AttemptReport::Ended(id, outcome)) => self.end_attempt(id, outcome),
-            DispatchMessage::Attempt(AttemptReport::Cancelled(id)) => self.handle_attempt_cancelled(id),
-            DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration } => {
-                if let Some(duration) = poll_duration {
-                    self.apply_event(Event::PollAnswered { duration: duration.as_micros() as Micros });
-                }
-                self.update_endpoints(self.clock.now(), endpoints, snapshot);
-                if let Some(as_of) = current_as_of {
-                    self.confirm_endpoints(as_of);
-                }
-            }
+            DispatchMessage::Attempt(report) => self.handle_attempt_report(report),
+            DispatchMessage::EndpointsChanged(change) => self.handle_endpoint_change(change),
             DispatchMessage::EndpointsConfirmed { as_of } => self.confirm_endpoints(as_of),
             DispatchMessage::EndpointsUnreadable => self.apply_event(Event::EndpointsUnreadable),
             DispatchMessage::DiscoveryMoved => self.apply_event(Event::DiscoveryMoved),
@@ -239,6 +231,18 @@
         }
     }
 
+    /// Applies what discovery has sent in answer to a poll, or over the open watch.
+    fn handle_endpoint_change(&mut self, change: EndpointChange) {
+        let EndpointChange { endpoints, snapshot, current_as_of, poll_duration } = change;
+        if let Some(duration) = poll_duration {
+            self.apply_event(Event::PollAnswered { duration: duration.as_micros() as Micros });
+        }
+        self.update_endpoints(self.clock.now(), endpoints, snapshot);
+        if let Some(as_of) = current_as_of {
+            self.confirm_endpoints(as_of);
+        }
+    }
+
     /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
     fn update_endpoints(&mut self, now: Micros, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
         self.metrics.add(Counter::EndpointListUpdates);
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -156,6 +156,7 @@
 /// Where the rejection cannot be written, the closed connection has the same effect.
 async fn send_rejection(stream: &UnixStream, reason: RejectReason) {
     if let Ok(frame) = Frame::Rejected(reason).encode(0) {
+        // The connection is closed next, which rejects the hello as well.
         let _ = timeout(HELLO_TIMEOUT, write_all(stream, frame)).await;
     }
 }
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -127,6 +127,7 @@
         if let (Some(job_id), Frame::ClaimResult(true)) = (&request.claimed_job, &response) {
             self.claims.borrow_mut().confirm(job_id);
         }
+        // A request that has timed out no longer needs its response.
         let _ = request.response.send(response);
     }
 
--- a/crates/node/src/handover/rendezvous_listener.rs
+++ b/crates/node/src/handover/rendezvous_listener.rs
@@ -62,6 +62,7 @@
         let socket_path = rendezvous.short_unpublished_path().map_err(file_error)?;
         let listener = UnixListener::bind(&socket_path.path).map_err(file_error)?;
         let file_id = publish(&unpublished, &path).map_err(|error| {
+            // The error of publishing is returned; a file that stays is replaced at the next start.
             let _ = fs::remove_file(&unpublished);
             file_error(error)
         })?;
@@ -72,6 +73,7 @@
     /// Stops listening and removes the socket's file, unless another process has replaced it.
     pub fn close(self) {
         if FileId::of_path(&self.path).is_ok_and(|file_id| file_id == self.file_id) {
+            // A file that stays is stale: the next process replaces it.
             let _ = fs::remove_file(&self.path);
         }
     }
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -36,6 +36,7 @@
             LocalEvent::Terminate(done) => {
                 let commands = self.takeover.handle(TakeoverEvent::Terminate);
                 self.execute(commands).await;
+                // Nobody waits any more where the program is being ended by another task.
                 let _ = done.send(());
                 Vec::new()
             }
@@ -79,6 +80,7 @@
     fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
         let server = self.parts.server.clone();
         spawn_local(async move {
+            // Sending fails where the link is lost; the worker then repeats the callback.
             let _ = match server.handle_forwarded_callback(body).await {
                 Some(JobOwner::Local) => is_handled.send(true),
                 Some(JobOwner::Unknown) => is_handled.send(false),
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -106,6 +106,7 @@
     pub async fn terminate(&self) {
         let (done, is_done) = oneshot::channel();
         if self.local_events.send(LocalEvent::Terminate(done)).await.is_ok() {
+            // Fails only where the task has ended, which ends the program by itself.
             let _ = is_done.await;
         }
     }
@@ -122,6 +123,7 @@
             for target in upstream.unacknowledged_cancellations() {
                 link.transfer_cancellation(target.address, &target.request_id);
             }
+            // A peer that reads nothing must not keep the process from ending.
             let _ = timeout(LAST_FRAMES_TIMEOUT, link.flush()).await;
         }
         if let Some(listener) = self.rendezvous_listener.take() {
@@ -241,14 +243,15 @@
     async fn restore(&self, transfer: StateTransfer) {
         let admin = &self.parts.admin;
         if !admin.drain_requested.get() {
-            let _ =
-                admin.lifecycle.apply(if transfer.drained { PhaseEvent::Drain } else { PhaseEvent::Undrain });
+            let event = if transfer.drained { PhaseEvent::Drain } else { PhaseEvent::Undrain };
+            // Without a transition the node is in that state already, or shuts down.
+            let _ = admin.lifecycle.apply(event);
         }
         self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(transfer.state))).await;
     }
 
-    /// A dispatch task that has ended ends the program, so that a failure needs no handling here.
     async fn send_to_dispatch(&self, command: DispatchCommand) {
+        // Sending fails only where the dispatch task has ended, which ends the program by itself.
         let _ = self.parts.admin.dispatch_commands.send(command).await;
     }
 }
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -99,6 +99,7 @@
                 sleep(CANCELLATION_CHECK_INTERVAL).await;
             }
         };
+        // Those that are not acknowledged in time are transferred to the other process or abandoned.
         let _ = timeout(limit, idle).await;
     }
 
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -218,7 +218,9 @@
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
-            admin_listener: admin.map(|at| AdminListener::open(at, shared.lifecycle.clone())).transpose()?,
+            admin_listener: admin
+                .map(|address| AdminListener::open(address, shared.lifecycle.clone()))
+                .transpose()?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
             name,
             listen,
--- a/crates/node/src/server/connection/filtered_stream.rs
+++ b/crates/node/src/server/connection/filtered_stream.rs
@@ -21,25 +21,29 @@
 }
 
 impl AsyncRead for FilteredStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        self.0.borrow_mut().poll_read(cx, out)
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        out: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        self.0.borrow_mut().poll_read(context, out)
     }
 }
 
 impl AsyncWrite for FilteredStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut filter = self.0.borrow_mut();
-        let written = Pin::new(&mut filter.stream).poll_write(cx, bytes);
+        let written = Pin::new(&mut filter.stream).poll_write(context, bytes);
         filter.connection.track_write(written)
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let mut filter = self.0.borrow_mut();
-        let written = Pin::new(&mut filter.stream).poll_write_vectored(cx, slices);
+        let written = Pin::new(&mut filter.stream).poll_write_vectored(context, slices);
         filter.connection.track_write(written)
     }
 
@@ -47,11 +51,11 @@
         self.0.borrow().stream.is_write_vectored()
     }
 
-    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0.borrow_mut().stream).poll_flush(cx)
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_flush(context)
     }
 
-    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx)
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(context)
     }
 }
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -78,11 +78,11 @@
 
     /// Reads on while a request is being answered: the end of the stream lies behind all that was sent before
     /// it. Ready once the peer has closed.
-    pub fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.connection.state() == ConnectionState::Busy {
             let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
             let mut chunk = ReadBuf::uninit(&mut chunk);
-            let read = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut chunk));
+            let read = ready!(Pin::new(&mut self.stream).poll_read(context, &mut chunk));
             if read.is_err() || chunk.filled().is_empty() {
                 return Poll::Ready(());
             }
@@ -100,14 +100,18 @@
     }
 
     /// Reads for hyper: passes on what was inspected, and nothing while a request is being answered.
-    pub(super) fn poll_read(&mut self, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    pub(super) fn poll_read(
+        &mut self,
+        context: &mut Context<'_>,
+        out: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             if self.forwardable_bytes > 0 && !self.buffered.is_empty() {
                 self.forward_buffered(out);
                 return Poll::Ready(Ok(()));
             }
             // hyper expects that only the socket can wake what is pending here.
-            self.connection.read_waker.replace(Some(cx.waker().clone()));
+            self.connection.read_waker.replace(Some(context.waker().clone()));
             if self.connection.state() == ConnectionState::Busy {
                 // What follows is inspected once this request is answered; `poll_disconnected` reads until
                 // then.
@@ -132,7 +136,7 @@
                 self.substitute_invalid_request();
                 continue;
             }
-            if ready!(self.poll_fill_buffer(cx))? == 0 {
+            if ready!(self.poll_fill_buffer(context))? == 0 {
                 return Poll::Ready(Ok(()));
             }
         }
@@ -149,10 +153,10 @@
     }
 
     /// Reads from the socket into the buffer. The number of bytes, 0 at the end of the stream.
-    fn poll_fill_buffer(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_fill_buffer(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
         let mut chunk = ReadBuf::uninit(&mut chunk);
-        ready!(Pin::new(&mut self.stream).poll_read(cx, &mut chunk))?;
+        ready!(Pin::new(&mut self.stream).poll_read(context, &mut chunk))?;
         let read = chunk.filled().len();
         if read > 0 {
             self.connection.last_progress.set(Instant::now());
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -92,13 +92,14 @@
         response_written: oneshot::Receiver<()>,
     ) {
         let stream = into_tcp_stream(client);
-        // Without a yes the job stays where it was.
+        // Unless this process reports that it has adopted the job, the job stays with the other one.
         let (Some((migration, payload)), Ok(mut stream), Some(_connection_permit), false) = (
             migration_record::decode(&job),
             stream,
             self.state.connection_budget.try_acquire(),
             self.state.intake_closed.get(),
         ) else {
+            // The link may have been lost meanwhile; the other process keeps the job in either case.
             let _ = is_adopted.send(false);
             return;
         };
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -187,14 +187,14 @@
 
 /// The id of a job. It must stand in a path as it is: the request that cancels the job has it there.
 fn parse_request_id(headers: &HeaderMap) -> Result<Rc<str>, RequestError> {
-    let id = required_text(headers, X_REQUEST_ID)?;
+    let request_id = required_text(headers, X_REQUEST_ID)?;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || REQUEST_ID_PUNCTUATION.contains(&byte);
-    let is_valid = !id.is_empty()
-        && id.len() <= MAX_REQUEST_ID_BYTES
-        && id.bytes().all(is_allowed)
-        && id != "."
-        && id != "..";
-    if is_valid { Ok(id.into()) } else { Err(RequestError::MalformedHeader(X_REQUEST_ID)) }
+    let is_valid = !request_id.is_empty()
+        && request_id.len() <= MAX_REQUEST_ID_BYTES
+        && request_id.bytes().all(is_allowed)
+        && request_id != "."
+        && request_id != "..";
+    if is_valid { Ok(request_id.into()) } else { Err(RequestError::MalformedHeader(X_REQUEST_ID)) }
 }
 
 /// The idempotency key, which jobs of some classes need.
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -47,7 +47,7 @@
 
 /// Serves an accepted connection until it is closed.
 pub async fn serve_connection(state: Rc<ServerState>, connection: Rc<Connection>, stream: TcpStream) {
-    // Without it a response could wait for the peer's delayed acknowledgement.
+    // Without it a response could wait for the peer's delayed acknowledgement, but would arrive.
     let _ = stream.set_nodelay(true);
     let read_filter =
         ReadFilter::new(stream, connection.clone(), state.metrics.clone(), state.intake_closed.clone());
@@ -93,7 +93,7 @@
                     }
                 },
                 // Last, because a peer that floods the connection uses up the task's budget here.
-                () = poll_fn(|cx| read_filter.borrow_mut().poll_disconnected(cx)) => return CloseBy::Drop,
+                () = poll_fn(|context| read_filter.borrow_mut().poll_disconnected(context)) => return CloseBy::Drop,
             }
         }
     }
