--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -1,21 +1,21 @@
 //! Gossip: the nodes of a subset report to each other their own work at its workers.
 
-use crate::state::{PeerBacklog, seconds_between};
-use crate::{Action, Dispatcher, Micros, gossip};
+use crate::state::PeerBacklog;
+use crate::{Action, Dispatcher, Timestamp, gossip};
 
 /// Work at a worker is reported again after this though it has not changed, in seconds.
 const GOSSIP_REFRESH_S: f64 = 0.5;
 
 impl Dispatcher {
     /// Reports this node's own work to the other nodes of its subset, at workers where it has changed.
-    pub(super) fn send_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn send_gossip(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         self.gossip.has_changes = false;
         let mut data = Vec::new();
         let mut free_entries = gossip::MAX_ENTRIES;
         for position in 0..self.fleet.subset.len() {
             let index = self.fleet.subset[position];
             let worker = &self.fleet.workers[index];
-            let is_old = seconds_between(worker.gossiped_at, now) > GOSSIP_REFRESH_S;
+            let is_old = now.seconds_since(worker.gossiped_at) > GOSSIP_REFRESH_S;
             let is_due = worker.gossip_pending || is_old && !worker.in_flight.is_empty();
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
@@ -44,7 +44,7 @@
     }
 
     /// Takes in another node's report. Entries of workers that are not in this node's subset are ignored.
-    pub(super) fn receive_gossip(&mut self, now: Micros, node: u32, data: &[u8]) {
+    pub(super) fn receive_gossip(&mut self, now: Timestamp, node: u32, data: &[u8]) {
         // Bounds the memory: one record for each worker and node.
         if node >= self.settings.nodes {
             return;
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -4,13 +4,13 @@
 mod timers;
 
 use crate::state::AttemptRef;
-use crate::{Action, Event, JobId, Micros, Outcome};
+use crate::{Action, Event, JobId, Outcome, Timestamp};
 
 pub use crate::state::Dispatcher;
 
 impl Dispatcher {
     /// Takes an event in and appends the actions that are to be carried out.
-    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged { endpoints, snapshot } => {
                 self.poll_schedule.record_endpoints(now);
@@ -60,7 +60,7 @@
     }
 
     /// An attempt has started to run, or to answer.
-    fn handle_start(&mut self, now: Micros, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
+    fn handle_start(&mut self, now: Timestamp, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
         if !self.record_start(now, job, attempt) {
             return;
         }
@@ -71,7 +71,7 @@
     }
 
     /// An attempt has ended, by what its worker or its connection reported.
-    fn handle_end(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
+    fn handle_end(&mut self, now: Timestamp, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { job, attempt, outcome, settled } = end;
         let was_held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
         let is_first_report = self.record_outcome(job, attempt, outcome);
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -1,6 +1,6 @@
 //! Actions: what the dispatcher asks the embedder to do.
 
-use super::{JobId, Micros, WorkerId};
+use super::{JobId, TimeSpan, Timestamp, WorkerId};
 
 /// Something to be done. Carry out the actions of one event in their order.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,17 +13,17 @@
         /// Which worker.
         worker: WorkerId,
         /// End the attempt with [`Outcome::TimedOut`](crate::Outcome::TimedOut) after this long.
-        timeout: Micros,
+        timeout: TimeSpan,
         /// The first byte must be written before this moment, else the attempt ends with
         /// [`Outcome::NotSent`](crate::Outcome::NotSent). None: only the timeout applies.
-        send_by: Option<Micros>,
+        send_by: Option<Timestamp>,
     },
     /// End the job without a result; it has not run, so the client may safely retry.
     Reject {
         /// Which job.
         job: JobId,
         /// Advise the client not to retry before this long; 0: no advice.
-        retry_after: Micros,
+        retry_after: TimeSpan,
     },
     /// End the job with an error; it may have run, so a retry may run it twice.
     Fail {
@@ -58,7 +58,7 @@
     /// expires later; an earlier timer that still expires does no harm.
     SetTimer {
         /// Time span from now.
-        after: Micros,
+        after: TimeSpan,
     },
     /// Poll discovery for the endpoint list and watch it for changes.
     WatchEndpoints,
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -1,6 +1,6 @@
 //! Entries of the endpoint list: which workers there are, and in what state.
 
-use super::{CellId, KindId, Micros, WorkerId, ZoneId};
+use super::{CellId, KindId, Timestamp, WorkerId, ZoneId};
 
 /// State of a worker according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// Whether the worker accepts new jobs.
     pub status: WorkerStatus,
     /// When the worker's process started; 0: long ago.
-    pub started_at: Micros,
+    pub started_at: Timestamp,
     /// Approximate number of slots; used only where [`Settings::sizes_listed`](crate::Settings::sizes_listed).
     pub size: f64,
 }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! Events: what the embedder reports to the dispatcher.
 
-use super::{Endpoint, JobId, JobSubmission, Micros, Outcome, WorkerId};
+use super::{Endpoint, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId};
 
 /// Something that has happened. Pass each to [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
 ///
@@ -20,12 +20,12 @@
     EndpointsConfirmed {
         /// The list is known to have been current at this moment: when the line of the watch was read, or when the
         /// poll was sent. A moment after that of the event counts as that of the event.
-        as_of: Micros,
+        as_of: Timestamp,
     },
     /// Discovery answered a poll.
     PollAnswered {
         /// Time from the request to the answer.
-        duration: Micros,
+        duration: TimeSpan,
     },
     /// Discovery sent something that could not be parsed as an endpoint list.
     EndpointsUnreadable,
@@ -106,7 +106,7 @@
     /// A graceful shutdown of this node has begun.
     ShutdownStarted {
         /// The moment by which all submitted jobs must be answered.
-        deadline: Micros,
+        deadline: Timestamp,
     },
     /// The timer of [`Action::SetTimer`](crate::Action::SetTimer) expired. Send it once right after the start
     /// too.
--- a/crates/core/src/interface/ids.rs
+++ b/crates/core/src/interface/ids.rs
@@ -1,10 +1,7 @@
-//! Identifiers of jobs, workers and their properties, and the unit of time.
+//! Identifiers of jobs, workers and their properties.
 
 use std::hash::Hasher;
 
-/// A moment on the embedder's clock, or a time span, in microseconds. The clock never goes backwards.
-pub type Micros = u64;
-
 /// A job, numbered by the embedder. A number is never used for a second job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
--- a/crates/core/src/interface/job.rs
+++ b/crates/core/src/interface/job.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ClassId, JobId, Micros, TenantId};
+use super::{ClassId, JobId, TenantId, Timestamp};
 
 /// A job that this node has taken from a client.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// The tenant whose quota it counts against.
     pub tenant: TenantId,
     /// The moment at which the client stops waiting.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Estimate of its work, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
     /// Number of slots that it occupies at a worker.
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,7 @@
 //! The interface between a [`Dispatcher`](crate::Dispatcher) and its embedder: identifiers, settings, events and
 //! actions.
 //!
-//! All times are microseconds of one clock that never goes backwards; work is in seconds on a core of speed 1.
+//! All moments are of one clock that never goes backwards; work is in seconds on a core of speed 1.
 
 mod action;
 mod endpoint;
@@ -9,10 +9,12 @@
 mod ids;
 mod job;
 mod settings;
+mod time;
 
 pub use action::Action;
 pub use endpoint::{Endpoint, WorkerStatus};
 pub use event::Event;
-pub use ids::{CellId, ClassId, JobId, KindId, Micros, TenantId, WorkerId, ZoneId, stable_hash};
+pub use ids::{CellId, ClassId, JobId, KindId, TenantId, WorkerId, ZoneId, stable_hash};
 pub use job::{JobSubmission, Outcome};
 pub use settings::{DeduplicationScope, Idempotency, JobClass, Settings, SettingsError};
+pub use time::{TimeSpan, Timestamp};
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{KindId, Micros, ZoneId};
+use super::{KindId, TimeSpan, ZoneId};
 
 /// Which workers discard a second attempt that carries the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
         /// Which workers discard it.
         scope: DeduplicationScope,
         /// For how long they do, from the first attempt that might have run.
-        window: Micros,
+        window: TimeSpan,
     },
     /// A second run does harm: no further attempt once one might have run.
     NonIdempotent,
@@ -37,13 +37,13 @@
     /// What a second run of a job does.
     pub idempotency: Idempotency,
     /// A response is in time within `latency_objective + latency_objective_stretch x work`.
-    pub latency_objective: Micros,
+    pub latency_objective: TimeSpan,
     /// Factor of a job's own work in its latency objective.
     pub latency_objective_stretch: f64,
     /// Value of a response in time, relative to other classes; where the work of jobs differs, per unit of work.
     pub priority_weight: f64,
     /// How long a client waits in total.
-    pub client_timeout: Micros,
+    pub client_timeout: TimeSpan,
     /// The only kind of machine that can run jobs of this class, if there is such a restriction.
     pub required_kind: Option<KindId>,
 }
@@ -69,17 +69,17 @@
     pub endpoints_on_request: bool,
     /// A node without a watch polls at least this often: after a silence this long it counts as notified of
     /// every change of the endpoint list.
-    pub max_poll_interval: Micros,
+    pub max_poll_interval: TimeSpan,
     /// A node counts as notified of a change this long after the change was available to it, whether its polls
     /// succeeded or not. A node whose list may be older than that sends nothing by it. 0: no such limit.
-    pub assumed_notified_after: Micros,
+    pub assumed_notified_after: TimeSpan,
     /// The endpoint list says how large the workers are, see [`Endpoint::size`](crate::Endpoint::size).
     pub sizes_listed: bool,
     /// Workers report when a job starts to run.
     pub reports_start: bool,
     /// A worker that has not accepted an attempt after this long counts as unresponsive; 0: workers do not
     /// report acceptance.
-    pub accept_timeout: Micros,
+    pub accept_timeout: TimeSpan,
     /// [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
     pub may_cancel: bool,
     /// A job may have two attempts in flight at once (a hedged request).
@@ -91,17 +91,17 @@
     /// Maximum number of attempts for a job.
     pub max_attempts: u32,
     /// Maximum of the retry delay that a rejection can advise; 0: rejections carry no advice.
-    pub max_retry_after: Micros,
+    pub max_retry_after: TimeSpan,
     /// Price of sending a job to a worker in another zone.
     pub cross_zone_price: f64,
     /// Fraction of its capacity that a worker has at its start, while it warms up.
     pub warm_up_floor: f64,
     /// Time from a worker's start until it has its full capacity.
-    pub warm_up: Micros,
+    pub warm_up: TimeSpan,
     /// A worker that is warming up fails when it is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... within this time span, by all nodes together.
-    pub overload_window: Micros,
+    pub overload_window: TimeSpan,
 }
 
 /// Settings that a dispatcher cannot work with: names one field and what is wrong with its value.
@@ -137,7 +137,7 @@
         )?;
         require(all_classes(|class| is_non_negative(class.priority_weight)), "classes.worth", "is negative")?;
         require(is_fraction(self.over_quota_weight), "over_quota_worth", "is no share")?;
-        require(all_classes(|class| class.client_timeout > 0), "classes.give_up", "is zero")?;
+        require(all_classes(|class| !class.client_timeout.is_zero()), "classes.give_up", "is zero")?;
         require(self.nodes > 0, "nodes", "is zero")?;
         require(self.max_attempts > 0, "max_attempts", "is zero")?;
         let quotas_valid = self.tenant_quotas.iter().all(|quota| is_non_negative(*quota));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,15 +15,17 @@
 //! ```
 //! use curlewusher_core::{
 //!     Action, CellId, ClassId, Dispatcher, Endpoint, Event, Idempotency, JobClass, JobId, JobSubmission, KindId,
-//!     Outcome, Settings, TenantId, WorkerId, WorkerStatus, ZoneId,
+//!     Outcome, Settings, TenantId, TimeSpan, Timestamp, WorkerId, WorkerStatus, ZoneId,
 //! };
 //!
+//! let at = Timestamp::from_micros;
+//!
 //! let class = JobClass {
 //!     idempotency: Idempotency::Idempotent,
-//!     latency_objective: 200_000,
+//!     latency_objective: TimeSpan::from_millis(200),
 //!     latency_objective_stretch: 2.0,
 //!     priority_weight: 1.0,
-//!     client_timeout: 5_000_000,
+//!     client_timeout: TimeSpan::from_secs(5),
 //!     required_kind: None,
 //! };
 //! let settings = Settings {
@@ -34,27 +36,27 @@
 //!     tenant_quotas: vec![],
 //!     over_quota_weight: 0.1,
 //!     endpoints_on_request: false,
-//!     max_poll_interval: 10_000_000,
-//!     assumed_notified_after: 0,
+//!     max_poll_interval: TimeSpan::from_secs(10),
+//!     assumed_notified_after: TimeSpan::ZERO,
 //!     sizes_listed: false,
 //!     reports_start: true,
-//!     accept_timeout: 0,
+//!     accept_timeout: TimeSpan::ZERO,
 //!     may_cancel: true,
 //!     may_hedge: true,
 //!     may_gossip: false,
 //!     gossip_price: 0.0,
 //!     max_attempts: 3,
-//!     max_retry_after: 0,
+//!     max_retry_after: TimeSpan::ZERO,
 //!     cross_zone_price: 0.0,
 //!     warm_up_floor: 0.2,
-//!     warm_up: 20_000_000,
+//!     warm_up: TimeSpan::from_secs(20),
 //!     overload_factor: 3.0,
-//!     overload_window: 1_000_000,
+//!     overload_window: TimeSpan::from_secs(1),
 //! };
 //! let random_seed = 42;
 //! let mut dispatcher = Dispatcher::new(settings, random_seed)?;
 //! let mut actions = Vec::new();
-//! dispatcher.handle(1_000, Event::TimerExpired, &mut actions);
+//! dispatcher.handle(at(1_000), Event::TimerExpired, &mut actions);
 //!
 //! // The endpoint list, from wherever the embedder has it.
 //! let endpoint = Endpoint {
@@ -63,41 +65,41 @@
 //!     kind: KindId(0),
 //!     cell: CellId(0),
 //!     status: WorkerStatus::Ready,
-//!     started_at: 0,
+//!     started_at: Timestamp::ORIGIN,
 //!     size: 1.0,
 //! };
 //! let endpoints = Event::EndpointsChanged { endpoints: &[endpoint], snapshot: true };
-//! dispatcher.handle(2_000, endpoints, &mut actions);
+//! dispatcher.handle(at(2_000), endpoints, &mut actions);
 //!
 //! // A client submits a job.
 //! let submission = JobSubmission {
 //!     job: JobId(1),
 //!     class: ClassId(0),
 //!     tenant: TenantId(0),
-//!     deadline: 5_003_000,
+//!     deadline: at(5_003_000),
 //!     cost_hint: Some(0.05),
 //!     slots: 1.0,
 //!     key: None,
 //!     is_retry: false,
 //! };
-//! dispatcher.handle(3_000, Event::JobSubmitted(submission), &mut actions);
+//! dispatcher.handle(at(3_000), Event::JobSubmitted(submission), &mut actions);
 //!
 //! // The embedder carries out the actions in their order.
 //! let mut sent = Vec::new();
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::SendAttempt { job, worker, timeout, .. } => sent.push((job, worker, timeout)),
-//!         Action::SetTimer { after } => println!("send Event::TimerExpired in {after} microseconds"),
+//!         Action::SetTimer { after } => println!("send Event::TimerExpired in {} s", after.as_secs_f64()),
 //!         other => println!("carry out {other:?}"),
 //!     }
 //! }
-//! assert_eq!(sent, [(JobId(1), WorkerId(7), 5_000_000)]);
+//! assert_eq!(sent, [(JobId(1), WorkerId(7), TimeSpan::from_secs(5))]);
 //!
 //! // It reports what becomes of each attempt.
 //! let (job, attempt) = (JobId(1), 0);
-//! dispatcher.handle(3_500, Event::AttemptStarted { job, attempt }, &mut actions);
+//! dispatcher.handle(at(3_500), Event::AttemptStarted { job, attempt }, &mut actions);
 //! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, settled: true };
-//! dispatcher.handle(60_000, ended, &mut actions);
+//! dispatcher.handle(at(60_000), ended, &mut actions);
 //! # Ok::<(), curlewusher_core::SettingsError>(())
 //! ```
 
@@ -118,8 +120,8 @@
 pub use dispatcher::Dispatcher;
 pub use interface::{
     Action, CellId, ClassId, DeduplicationScope, Endpoint, Event, Idempotency, JobClass, JobId,
-    JobSubmission, KindId, Micros, Outcome, Settings, SettingsError, TenantId, WorkerId, WorkerStatus,
-    ZoneId, stable_hash,
+    JobSubmission, KindId, Outcome, Settings, SettingsError, TenantId, TimeSpan, Timestamp, WorkerId,
+    WorkerStatus, ZoneId, stable_hash,
 };
 pub use migration::MigratedJob;
 pub use snapshot::StateSnapshot;
--- a/crates/core/src/migration.rs
+++ b/crates/core/src/migration.rs
@@ -15,7 +15,7 @@
 use crate::state::{Attempt, InFlightAttempt, Job, MAX_ATTEMPTS, Progress};
 use crate::untrusted::{bounded_seconds, bounded_slots};
 use crate::{
-    Action, CellId, ClassId, Dispatcher, JobId, JobSubmission, Micros, Outcome, TenantId, WorkerId, ZoneId,
+    Action, CellId, ClassId, Dispatcher, JobId, JobSubmission, Outcome, TenantId, Timestamp, WorkerId, ZoneId,
 };
 
 /// A job that moves to another process of the node. Fields as in the record of a job.
@@ -32,8 +32,8 @@
     slots: f64,
     key: Option<u64>,
     #[serde(rename = "aim_at")]
-    objective_at: Micros,
-    deadline: Micros,
+    objective_at: Timestamp,
+    deadline: Timestamp,
     attempts: Vec<MigratedAttempt>,
 }
 
@@ -45,7 +45,7 @@
     zone: u32,
     cell: u32,
     #[serde(rename = "sent")]
-    sent_at: Micros,
+    sent_at: Timestamp,
     #[serde(rename = "end")]
     outcome: Option<Outcome>,
     #[serde(rename = "flight")]
@@ -62,18 +62,18 @@
     #[serde(rename = "foreseen")]
     predicted_wait: f64,
     #[serde(rename = "started")]
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
     progress: Option<MigratedProgress>,
 }
 
 /// The last progress report of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
+#[serde(from = "(f64, Timestamp)", into = "(f64, Timestamp)")]
 struct MigratedProgress {
     /// Completed fraction, from 0 to 1.
     share: f64,
     /// When it was reported.
-    at: Micros,
+    at: Timestamp,
 }
 
 impl MigratedJob {
@@ -83,7 +83,7 @@
     }
 
     /// The moment at which the client stops waiting.
-    pub fn deadline(&self) -> Micros {
+    pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
@@ -166,7 +166,7 @@
     /// changes nothing where the job cannot be adopted or the number is in use.
     pub fn adopt_job(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: JobId,
         migrated: &MigratedJob,
         actions: &mut Vec<Action>,
@@ -190,7 +190,7 @@
     }
 
     /// Records an attempt in flight at its worker, if it has no outcome and the worker is known here.
-    fn restore_in_flight(&mut self, now: Micros, job: &Job, attempt: &MigratedAttempt, number: u32) {
+    fn restore_in_flight(&mut self, now: Timestamp, job: &Job, attempt: &MigratedAttempt, number: u32) {
         let Some(in_flight) = &attempt.in_flight else { return };
         let Some(index) = self.fleet.find(WorkerId(attempt.worker)) else { return };
         if attempt.outcome.is_some() {
@@ -244,7 +244,7 @@
 }
 
 impl MigratedProgress {
-    fn restore(self, now: Micros) -> Progress {
+    fn restore(self, now: Timestamp) -> Progress {
         Progress { share: self.share.clamp(0.0, 1.0), at: self.at.min(now) }
     }
 }
@@ -255,13 +255,13 @@
     }
 }
 
-impl From<(f64, Micros)> for MigratedProgress {
-    fn from((share, at): (f64, Micros)) -> Self {
+impl From<(f64, Timestamp)> for MigratedProgress {
+    fn from((share, at): (f64, Timestamp)) -> Self {
         MigratedProgress { share, at }
     }
 }
 
-impl From<MigratedProgress> for (f64, Micros) {
+impl From<MigratedProgress> for (f64, Timestamp) {
     fn from(progress: MigratedProgress) -> Self {
         (progress.share, progress.at)
     }
--- a/crates/core/src/permission/answering.rs
+++ b/crates/core/src/permission/answering.rs
@@ -1,12 +1,12 @@
 //! Permission to answer a job that was not served, and so to end it.
 
 use crate::state::{Dispatcher, Job};
-use crate::{Action, DeduplicationScope, Idempotency, Micros};
+use crate::{Action, DeduplicationScope, Idempotency, TimeSpan};
 
 use super::Denial;
 
 /// Delay that a rejection advises to the client.
-const REJECT_RETRY_AFTER: Micros = 500_000;
+const REJECT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 impl Dispatcher {
     /// Rule 2: a job is rejected only if a retry by its client does no harm.
@@ -38,7 +38,7 @@
     /// Rejects a job that no worker has seen, for its client to try another node at once.
     pub(crate) fn redirect(&mut self, job: &mut Job, actions: &mut Vec<Action>) {
         match self.may_reject(job) {
-            Ok(()) => actions.push(Action::Reject { job: job.id, retry_after: 0 }),
+            Ok(()) => actions.push(Action::Reject { job: job.id, retry_after: TimeSpan::ZERO }),
             Err(_) => actions.push(Action::Fail { job: job.id }),
         }
         self.close_job(job, actions);
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -17,33 +17,33 @@
 //! that moment; every other method can only shorten the lease.
 
 use crate::permission::Denial;
-use crate::{Micros, Settings};
+use crate::{Settings, TimeSpan, Timestamp};
 
 /// New attempts stop this long, in microseconds, after an unknown change would count as notified; the attempts
 /// decided on before are on their way by [`SEND_GRACE`].
-const DECISION_GRACE: Micros = 100_000;
+const DECISION_GRACE: TimeSpan = TimeSpan::from_millis(100);
 /// No attempt is written later than this, in microseconds, after an unknown change would count as notified. The rule
 /// is 0.75 s; a node may be held up for 0.15 s between reading its clock and writing, and what confirms the list may
 /// have been on its way for 0.2 s.
-const SEND_GRACE: Micros = 400_000;
+const SEND_GRACE: TimeSpan = TimeSpan::from_millis(400);
 /// How long a process without any confirmation holds jobs before others do better without it: it says that it is ready
 /// after 5 s.
-const MAX_HOLD_BEFORE_CONFIRMATION: Micros = 7_000_000;
+const MAX_HOLD_BEFORE_CONFIRMATION: TimeSpan = TimeSpan::from_secs(7);
 /// The same once the lease has expired. A hold of less is worth waiting for.
-const MAX_HOLD_AFTER_EXPIRY: Micros = 2_000_000;
+const MAX_HOLD_AFTER_EXPIRY: TimeSpan = TimeSpan::from_secs(2);
 /// The service that discovery moved to counts as having had a change this much earlier, in microseconds.
-const MOVE_ALLOWANCE: Micros = 2_000_000;
+const MOVE_ALLOWANCE: TimeSpan = TimeSpan::from_secs(2);
 
 /// The moment up to which the endpoint list is known to be current, and the limits that follow from it.
 pub(crate) struct EndpointLease {
     /// See [`Settings::assumed_notified_after`]; none where changes count as notified by an event only, so that the
     /// list needs no lease.
-    assumed_notified_after: Option<Micros>,
+    assumed_notified_after: Option<TimeSpan>,
     /// No change that this node does not know was available to it before this moment. None before the first
     /// confirmation.
-    confirmed_at: Option<Micros>,
+    confirmed_at: Option<Timestamp>,
     /// The moment of the first event.
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
 }
 
 impl EndpointLease {
@@ -51,47 +51,47 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         let limit = settings.assumed_notified_after;
         EndpointLease {
-            assumed_notified_after: (limit > 0).then_some(limit),
+            assumed_notified_after: (!limit.is_zero()).then_some(limit),
             confirmed_at: None,
             started_at: None,
         }
     }
 
     /// The process runs; no effect after the first event. It says nothing of the list.
-    pub(crate) fn record_start(&mut self, now: Micros) {
+    pub(crate) fn record_start(&mut self, now: Timestamp) {
         self.started_at.get_or_insert(now);
     }
 
     /// Discovery has confirmed that the list was current at this moment. Nothing else renews the lease.
-    pub(crate) fn renew(&mut self, confirmed_at: Micros) {
+    pub(crate) fn renew(&mut self, confirmed_at: Timestamp) {
         self.confirmed_at = Some(self.confirmed_at.map_or(confirmed_at, |at| at.max(confirmed_at)));
     }
 
     /// A list that could not be parsed may contain any change, so every change counts as notified now.
-    pub(crate) fn record_unreadable(&mut self, now: Micros) {
+    pub(crate) fn record_unreadable(&mut self, now: Timestamp) {
         self.limit_to(now.saturating_sub(self.assumed_notified_after.unwrap_or_default()));
     }
 
     /// Discovery moved: the new service may have had changes for [`MOVE_ALLOWANCE`].
-    pub(crate) fn record_move(&mut self, now: Micros) {
+    pub(crate) fn record_move(&mut self, now: Timestamp) {
         self.limit_to(now.saturating_sub(MOVE_ALLOWANCE));
     }
 
     /// Whether new attempts may be decided on by the list.
-    pub(crate) fn check(&self, now: Micros) -> Result<(), Denial> {
+    pub(crate) fn check(&self, now: Timestamp) -> Result<(), Denial> {
         let Some(limit) = self.assumed_notified_after else { return Ok(()) };
         let confirmed_at = self.confirmed_at.ok_or(Denial::EndpointsUnconfirmed)?;
         if now < confirmed_at + limit + DECISION_GRACE { Ok(()) } else { Err(Denial::EndpointsExpired) }
     }
 
     /// The moment before which an attempt decided on by the list must be written. None: the lease does not bound it.
-    pub(crate) fn write_by(&self) -> Option<Micros> {
+    pub(crate) fn write_by(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
-        Some(self.confirmed_at.map_or(0, |at| at + limit + SEND_GRACE))
+        Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |at| at + limit + SEND_GRACE))
     }
 
     /// Whether jobs have been held for so long that clients are better off at other nodes, which may have been confirmed.
-    pub(crate) fn is_hold_long(&self, now: Micros) -> bool {
+    pub(crate) fn is_hold_long(&self, now: Timestamp) -> bool {
         let Some(limit) = self.assumed_notified_after else { return false };
         let long_at = match self.confirmed_at {
             Some(at) => at + limit + DECISION_GRACE + MAX_HOLD_AFTER_EXPIRY,
@@ -100,7 +100,7 @@
         now >= long_at
     }
 
-    fn limit_to(&mut self, latest: Micros) {
+    fn limit_to(&mut self, latest: Timestamp) {
         self.confirmed_at = self.confirmed_at.map(|at| at.min(latest));
     }
 }
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -1,31 +1,31 @@
 //! Permission to send: first attempts, retries and hedged requests.
 
 use crate::state::{Dispatcher, Job, Worker};
-use crate::{Idempotency, Micros};
+use crate::{Idempotency, TimeSpan, Timestamp};
 
 use super::Denial;
 
 /// A repeat with an idempotency key goes out at least this long before its window closes.
-const DEDUPLICATION_MARGIN: Micros = 200_000;
+const DEDUPLICATION_MARGIN: TimeSpan = TimeSpan::from_millis(200);
 
 impl Dispatcher {
     /// Whether new attempts may be decided on by the endpoint list. If not, jobs wait for the next confirmation.
     ///
     /// # Errors
     /// Why the list may not be used: discovery has not confirmed it, or too long ago.
-    pub fn check_endpoint_lease(&self, now: Micros) -> Result<(), Denial> {
+    pub fn check_endpoint_lease(&self, now: Timestamp) -> Result<(), Denial> {
         self.poll_schedule.check_lease(now)
     }
 
     /// Whether this attempt may be sent now. Every send is checked by this, whatever led to it.
-    pub(crate) fn check_send(&self, now: Micros, worker: &Worker, job: &Job) -> Result<(), Denial> {
+    pub(crate) fn check_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         self.check_endpoint_lease(now)?;
         self.may_send(now, worker, job)
     }
 
     /// Whether a job may be sent to a worker, if the endpoint list may be used: by the four rules and the limits of
     /// the settings.
-    pub(crate) fn may_send(&self, now: Micros, worker: &Worker, job: &Job) -> Result<(), Denial> {
+    pub(crate) fn may_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         self.check_job(now, job)?;
         self.check_worker(worker, job)?;
         if !self.settings.may_hedge && !job.is_idle() {
@@ -40,7 +40,7 @@
     }
 
     /// Rule 1: nothing after the final answer or the deadline; and no more attempts than the settings allow.
-    fn check_job(&self, now: Micros, job: &Job) -> Result<(), Denial> {
+    fn check_job(&self, now: Timestamp, job: &Job) -> Result<(), Denial> {
         if !job.is_open() {
             return Err(Denial::JobAnswered);
         }
@@ -69,7 +69,7 @@
     }
 
     /// Rule 2: whether a job may go to a worker without its effect happening twice.
-    pub(crate) fn may_repeat(&self, now: Micros, worker: &Worker, job: &Job) -> Result<(), Denial> {
+    pub(crate) fn may_repeat(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         let Some(first) = job.first_possible_run() else { return Ok(()) };
         match self.settings.classes[job.class].idempotency {
             Idempotency::Idempotent => Ok(()),
@@ -92,7 +92,7 @@
 
     /// Latest time at which the next attempt of a job may leave: while this node may rely on its endpoint
     /// list and, if the job may have run, while workers still discard repeats.
-    pub(crate) fn latest_send(&self, job: &Job) -> Option<Micros> {
+    pub(crate) fn latest_send(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
                 job.first_possible_run().map(|first| first.deduplicated_until(window))
@@ -106,7 +106,7 @@
     /// The moment before which all attempts that were decided on so far must be written, by the lease on the endpoint
     /// list as it is now. None: the lease does not bound them. An attempt that is not written by then is ended with
     /// [`Outcome::NotSent`](crate::Outcome::NotSent).
-    pub fn endpoints_write_by(&self) -> Option<Micros> {
+    pub fn endpoints_write_by(&self) -> Option<Timestamp> {
         self.poll_schedule.write_by()
     }
 }
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,15 +1,20 @@
 //! Admission: what a submitted job may claim, and whether it is taken at all.
 
 use super::deadlines::ANSWER_MARGIN;
-use crate::state::{Dispatcher, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work, to_micros};
-use crate::{Action, JobSubmission, Micros};
+use crate::state::{Dispatcher, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work};
+use crate::{Action, JobSubmission, TimeSpan, Timestamp};
 
 /// A job that has waited no longer than this, on its way here, is a first submission.
-const MAX_TRANSIT: Micros = 15_000;
+const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(15);
 
 impl Dispatcher {
     /// Takes a submitted job into the queue, or answers it at once.
-    pub(crate) fn admit_job(&mut self, now: Micros, submission: &JobSubmission, actions: &mut Vec<Action>) {
+    pub(crate) fn admit_job(
+        &mut self,
+        now: Timestamp,
+        submission: &JobSubmission,
+        actions: &mut Vec<Action>,
+    ) {
         if submission.class.0 >= self.settings.classes.len() {
             return actions.push(Action::Fail { job: submission.job });
         }
@@ -36,17 +41,17 @@
 
     /// Derives a job's work, weight and latency objective from its submission, and charges its tenant's
     /// quota.
-    fn assess_job(&mut self, now: Micros, submission: &JobSubmission) -> Job {
+    fn assess_job(&mut self, now: Timestamp, submission: &JobSubmission) -> Job {
         let class_index = submission.class.0;
         let class = &self.settings.classes[class_index];
         let hint = submission.cost_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
         let estimate = self.fleet.estimate_unhinted_work(class_index);
         let work = hint.map_or(estimate, clamp_job_work);
         // A client's retry has less time left than a first submission: its objective counts from the latter.
-        let time_left = submission.deadline.saturating_sub(now).min(class.client_timeout);
+        let time_left = submission.deadline.saturating_since(now).min(class.client_timeout);
         let waited = self.admission.time_waited(class_index, time_left);
         let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
-        let stretch = to_micros(class.latency_objective_stretch * work * RELIABLE_HINT_SHARE);
+        let stretch = TimeSpan::from_secs_f64(class.latency_objective_stretch * work * RELIABLE_HINT_SHARE);
         let objective_at = (now + class.latency_objective + stretch).saturating_sub(waited);
         let slots =
             if submission.slots.is_finite() { submission.slots.clamp(1.0, MAX_JOB_SLOTS) } else { 1.0 };
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: which workers are avoided, and for how long after failures.
 
-use crate::state::{Dispatcher, EndedAttempt, Job, Worker, to_micros};
-use crate::{Micros, Outcome};
+use crate::state::{Dispatcher, EndedAttempt, Job, Worker};
+use crate::{Outcome, TimeSpan, Timestamp};
 
 /// Mean time of a first ejection, in seconds; it doubles with each failure in a row.
 const BASE_EJECTION_S: f64 = 0.1;
@@ -11,7 +11,7 @@
 impl Dispatcher {
     /// Whether a worker is avoided: while it does not accept what it was sent, while it is ejected, and then
     /// until an idempotent job has been served there. A late start counts in w instead.
-    pub(super) fn is_avoided(&self, now: Micros, worker: &Worker, job: &Job) -> bool {
+    pub(super) fn is_avoided(&self, now: Timestamp, worker: &Worker, job: &Job) -> bool {
         let may_probe = self.is_idempotent(job) && worker.in_flight.is_empty();
         let on_trial = worker.health.consecutive_failures > 1 && !may_probe;
         now < worker.health.ejected_until
@@ -20,7 +20,7 @@
     }
 
     /// Updates a worker's health and estimates by the end of an attempt there.
-    pub(crate) fn assess_worker(&mut self, now: Micros, ended: &EndedAttempt) {
+    pub(crate) fn assess_worker(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let (index, attempt) = (ended.worker_index, &ended.attempt);
         match ended.outcome {
             Outcome::Done => self.record_success(now, index, attempt),
@@ -41,11 +41,11 @@
 
     /// Ejects a worker, with exponential backoff so that a dead one costs few attempts, and with jitter so
     /// that nodes do not return in step.
-    fn eject_worker(&mut self, now: Micros, index: usize) {
+    fn eject_worker(&mut self, now: Timestamp, index: usize) {
         let jitter = 0.75 + 0.5 * self.rng.f64();
         let health = &mut self.fleet.workers[index].health;
         let factor = f64::from(1u32 << health.consecutive_failures.min(MAX_EJECTION_DOUBLINGS));
-        health.ejected_until = now + to_micros(BASE_EJECTION_S * factor * jitter);
+        health.ejected_until = now + TimeSpan::from_secs_f64(BASE_EJECTION_S * factor * jitter);
         health.consecutive_failures += 1;
     }
 }
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -4,8 +4,8 @@
 use std::ops::Bound;
 
 use super::placement::{MAX_WORKER_QUEUE_S, ZONE_CROSSING_S};
-use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementTier, QueueKey, seconds_between, to_micros};
-use crate::{Action, Micros};
+use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementTier, QueueKey};
+use crate::{Action, TimeSpan, Timestamp};
 
 /// A job that can still meet its objective is sent at the latest this long before it no longer can, in
 /// seconds.
@@ -23,13 +23,13 @@
 impl Dispatcher {
     /// Puts a job that has no attempt in flight into the queue.
     pub(crate) fn enqueue_job(&mut self, job: Job) {
-        let start_by = job.objective_at.saturating_sub(to_micros(self.reliable_run(&job)));
+        let start_by = job.objective_at.saturating_sub(TimeSpan::from_secs_f64(self.reliable_run(&job)));
         self.queue.insert(QueueKey { over_quota: job.over_quota, start_by, job: job.id });
         self.jobs.insert(job.id, job);
     }
 
     /// Sends queued jobs while workers are free for them.
-    pub(crate) fn dispatch_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(crate) fn dispatch_pending(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         // Rule 3: a node whose list may be out of date sends nothing by it. Jobs wait for the next.
         if self.queue.is_empty() || self.check_endpoint_lease(now).is_err() {
             return;
@@ -47,7 +47,7 @@
     }
 
     /// Sends a queued job if a worker is free for it. Returns whether it has left the queue.
-    fn dispatch_job(&mut self, now: Micros, key: QueueKey, actions: &mut Vec<Action>) -> bool {
+    fn dispatch_job(&mut self, now: Timestamp, key: QueueKey, actions: &mut Vec<Action>) -> bool {
         let is_held_back = |job| self.yields_capacity(job) || self.is_capacity_exhausted(now, job);
         if self.jobs.get(&key.job).is_some_and(is_held_back) {
             return false;
@@ -67,8 +67,8 @@
 
     /// Whether a job is sent now: a slot is about to be free, or waiting longer would miss its objective. A
     /// job that looks late everywhere is still sent when it is the only one queued, since hints are rough.
-    fn is_timely(&self, now: Micros, job: &Job, placement: &PlacementEstimate) -> bool {
-        let spare = seconds_between(now, job.objective_at) - placement.reliable_run - placement.wait;
+    fn is_timely(&self, now: Timestamp, job: &Job, placement: &PlacementEstimate) -> bool {
+        let spare = job.objective_at.seconds_since(now) - placement.reliable_run - placement.wait;
         match placement.rating.tier {
             PlacementTier::Immediate => true,
             PlacementTier::Queued => !job.over_quota && spare < LAST_START_MARGIN_S,
@@ -85,8 +85,8 @@
     }
 
     /// Whether no worker could take the job now: in overload, rating all for each job costs too much CPU.
-    fn is_capacity_exhausted(&self, now: Micros, job: &Job) -> bool {
-        let spare = seconds_between(now, job.objective_at) - self.capacity.shortest_wait;
+    fn is_capacity_exhausted(&self, now: Timestamp, job: &Job) -> bool {
+        let spare = job.objective_at.seconds_since(now) - self.capacity.shortest_wait;
         let is_due = spare > 0.0 && spare - self.reliable_run(job) < 2.0 * LAST_START_MARGIN_S;
         let max_wait = MAX_WORKER_QUEUE_S + self.settings.cross_zone_price * ZONE_CROSSING_S;
         self.capacity.shortest_wait > max_wait && (job.over_quota || !is_due)
@@ -96,7 +96,7 @@
     /// permission is counted as a violation and not made.
     pub(super) fn send_attempt(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         job: &mut Job,
         placement: &PlacementEstimate,
     ) -> Option<Action> {
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which worker gets a job, by the cost of Algorithm 5 of the paper that `docs/design.md` names.
 
-use crate::Micros;
-use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementRating, PlacementTier, seconds_between};
+use crate::Timestamp;
+use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementRating, PlacementTier};
 
 /// Costs within this share of the lowest ...
 const NEAR_TIE_RATIO: f64 = 0.03;
@@ -23,7 +23,7 @@
 
     /// Chooses a worker of this node's subset or, when none of those may take the job, one of as many others.
     /// Not before: their load is not known, and in overload many nodes would flood the few that look best.
-    pub(super) fn choose_worker(&mut self, now: Micros, job: &mut Job) -> Option<PlacementEstimate> {
+    pub(super) fn choose_worker(&mut self, now: Timestamp, job: &mut Job) -> Option<PlacementEstimate> {
         job.affinity_threshold = self.fleet.affinity_threshold(job.key, job.cancelled_attempts());
         let mut candidates = std::mem::take(&mut self.buffers.candidates);
         candidates.clone_from(&self.fleet.subset);
@@ -42,7 +42,12 @@
     }
 
     /// The cheapest worker of the best tier that may take the job, near ties at random.
-    fn cheapest_worker(&mut self, now: Micros, job: &Job, candidates: &[usize]) -> Option<PlacementEstimate> {
+    fn cheapest_worker(
+        &mut self,
+        now: Timestamp,
+        job: &Job,
+        candidates: &[usize],
+    ) -> Option<PlacementEstimate> {
         let mut best = PlacementRating::INELIGIBLE;
         for &index in candidates {
             let worker = &self.fleet.workers[index];
@@ -65,13 +70,13 @@
     }
 
     /// Rates a worker for a job, whether or not the job may be sent there.
-    fn rate_worker(&self, now: Micros, index: usize, job: &Job) -> PlacementRating {
+    fn rate_worker(&self, now: Timestamp, index: usize, job: &Job) -> PlacementRating {
         let worker = &self.fleet.workers[index];
         let estimate = self.estimate_placement(now, index, job);
         let crossing = self.settings.cross_zone_price * ZONE_CROSSING_S;
         let is_local = worker.zone == self.settings.zone;
         let max_wait = if is_local { MAX_WORKER_QUEUE_S + crossing } else { MAX_WORKER_QUEUE_S };
-        let meets_objective = estimate.reliable_run + estimate.wait <= seconds_between(now, job.objective_at);
+        let meets_objective = estimate.reliable_run + estimate.wait <= job.objective_at.seconds_since(now);
         let tier = match (meets_objective, estimate.wait <= max_wait) {
             (true, true) => PlacementTier::Immediate,
             (true, false) => PlacementTier::Queued,
@@ -80,8 +85,8 @@
         // Enabled again by operators and not used since: only an attempt shows whether it serves.
         let is_probe = |reenabled_at| {
             tier == PlacementTier::Immediate
-                || seconds_between(reenabled_at, now) > REENABLED_PROBE_DELAY_S
-                    && estimate.run + estimate.wait < seconds_between(now, job.deadline)
+                || now.seconds_since(reenabled_at) > REENABLED_PROBE_DELAY_S
+                    && estimate.run + estimate.wait < job.deadline.seconds_since(now)
         };
         if worker.reenabled_at.is_some_and(is_probe) && self.is_idempotent(job) {
             return PlacementRating { tier: PlacementTier::Immediate, cost: 0.0 };
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,7 +1,7 @@
 //! Retries: what may run again, and what follows an attempt that has ended or does not start.
 
 use crate::state::{Dispatcher, Job, PlacementTier, Worker};
-use crate::{Action, JobId, Micros, Outcome};
+use crate::{Action, JobId, Outcome, Timestamp};
 
 /// A job whose start is this late, in seconds, may be placed elsewhere: reports of starts arrive sooner than
 /// that.
@@ -9,7 +9,7 @@
 
 impl Dispatcher {
     /// Decides what follows the end of an attempt: the job is over, retried, or answered.
-    pub(crate) fn follow_up(&mut self, now: Micros, id: JobId, settled: bool, actions: &mut Vec<Action>) {
+    pub(crate) fn follow_up(&mut self, now: Timestamp, id: JobId, settled: bool, actions: &mut Vec<Action>) {
         let Some(mut job) = self.jobs.remove(&id) else { return };
         if settled && !job.is_answered {
             self.close_job(&mut job, actions);
@@ -30,7 +30,7 @@
 
     /// Finds an attempt to take back from a worker that does not accept it, if another worker may run the
     /// job. If none may, the job waits on, since the worker may only be slow.
-    pub(super) fn find_unaccepted_attempt(&self, now: Micros, job: &Job) -> Option<u32> {
+    pub(super) fn find_unaccepted_attempt(&self, now: Timestamp, job: &Job) -> Option<u32> {
         let attempt = job.in_flight().next().filter(|_| self.settings.may_cancel)?;
         let in_flight = self.in_flight_attempt(job.id, attempt)?;
         let is_overdue = in_flight.is_acceptance_overdue(now, self.settings.accept_timeout);
@@ -45,7 +45,7 @@
     /// Finds an attempt to cancel because the job would now cost less elsewhere: it has not started, and the
     /// unpredicted wait so far is taken as the wait still to come. Other nodes' work at a worker shows only
     /// in such late starts.
-    pub(super) fn find_attempt_to_relocate(&mut self, now: Micros, job: &mut Job) -> Option<u32> {
+    pub(super) fn find_attempt_to_relocate(&mut self, now: Timestamp, job: &mut Job) -> Option<u32> {
         if !self.is_idempotent(job)
             || !self.budgets.allow_retry()
             || !self.settings.may_cancel
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -3,8 +3,8 @@
 //! Such a worker fails when all nodes together send too much within a window, so they share a budget. An even
 //! part would be too small for any job where nodes are many; instead they take turns by the clock.
 
-use crate::Micros;
-use crate::state::{DEMAND_SPAN_S, Dispatcher, Worker, seconds_between, to_micros, to_seconds};
+use crate::state::{DEMAND_SPAN_S, Dispatcher, Worker};
+use crate::{TimeSpan, Timestamp};
 
 /// Share of the budget that a node without others uses: hints are rough.
 const SINGLE_NODE_SHARE: f64 = 0.4;
@@ -26,30 +26,30 @@
 impl Dispatcher {
     /// Seconds for which work sent to a worker that is warming up counts.
     pub(super) fn warm_up_window(&self) -> f64 {
-        to_seconds(self.settings.overload_window) * WINDOW_STRETCH
+        self.settings.overload_window.as_secs_f64() * WINDOW_STRETCH
     }
 
     /// Rule 4: work that this node may send to a worker now; infinite for a warm one. Rejected work counts
     /// too.
-    pub(crate) fn warm_up_budget(&self, now: Micros, worker: &Worker) -> f64 {
+    pub(crate) fn warm_up_budget(&self, now: Timestamp, worker: &Worker) -> f64 {
         let warm_up_fraction = self.warm_up_fraction(now, worker);
         if warm_up_fraction >= 1.0 {
             return f64::INFINITY;
         }
-        let window = to_seconds(self.settings.overload_window);
+        let window = self.settings.overload_window.as_secs_f64();
         let speed = self.fleet.learned_speed(worker);
         let slot_budget = self.settings.overload_factor * speed * warm_up_fraction * window;
         let slots = self.fleet.learned_slots(worker);
         let share = self.budget_share(now, worker, slot_budget * slots);
         // The extrapolated slots are right on average, but too many for a node that is busier than others.
         let reliable_slots = slots.min(MAX_SLOT_EXTRAPOLATION * self.fleet.observed_slots(worker));
-        let is_recent = |at| seconds_between(at, now) < self.warm_up_window();
+        let is_recent = |at| now.seconds_since(at) < self.warm_up_window();
         let recent = worker.warm_up_sends.iter().filter(|send| is_recent(send.at));
         slot_budget * reliable_slots * share - recent.map(|send| send.work).sum::<f64>()
     }
 
     /// The share of a worker's whole budget that this node may use now.
-    fn budget_share(&self, now: Micros, worker: &Worker, budget: f64) -> f64 {
+    fn budget_share(&self, now: Timestamp, worker: &Worker, budget: f64) -> f64 {
         match (self.subset_nodes(), self.concurrent_turns(now, budget)) {
             // Both processes of a node share one budget: the rest of it is the successor's.
             _ if self.lifecycle.is_superseded => 0.0,
@@ -65,8 +65,8 @@
     /// Number of nodes that have a turn at a worker at once: as many as are likely to use up their share of
     /// its budget, by the work that this node sends in a window. When warm workers are saturated, more work
     /// goes to those that are warming up, and fewer nodes have a turn.
-    fn concurrent_turns(&self, now: Micros, budget: f64) -> u64 {
-        let known_for = seconds_between(self.demand.first_at, now).min(DEMAND_SPAN_S);
+    fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
+        let known_for = now.seconds_since(self.demand.first_at).min(DEMAND_SPAN_S);
         if known_for < self.warm_up_window() {
             return 1;
         }
@@ -81,8 +81,8 @@
 
     /// The slow-start rotation: whether this node has one of the turns at a worker. A window overlaps at most
     /// two turns. Nodes may differ in the number of turns that they compute; it is right on average.
-    fn has_turn(&self, now: Micros, worker: &Worker, nodes: u32, turns: u64) -> bool {
-        let round = now / to_micros(self.warm_up_window()).max(1);
+    fn has_turn(&self, now: Timestamp, worker: &Worker, nodes: u32, turns: u64) -> bool {
+        let round = now.as_micros() / TimeSpan::from_secs_f64(self.warm_up_window()).as_micros().max(1);
         let position = u64::from(self.settings.node_index / self.fleet.subset_count as u32);
         let first = worker.id.0.wrapping_add(round.wrapping_mul(turns)) % u64::from(nodes);
         (position + u64::from(nodes) - first) % u64::from(nodes) < turns
--- a/crates/core/src/policy/unsent_attempts.rs
+++ b/crates/core/src/policy/unsent_attempts.rs
@@ -2,12 +2,17 @@
 //! back.
 
 use crate::state::{Dispatcher, Job};
-use crate::{Action, JobId, Micros};
+use crate::{Action, JobId, Timestamp};
 
 impl Dispatcher {
     /// Queues a job again whose revoked attempt was never sent, if no other attempt may have run: that was no
     /// failure and costs no retry. Returns whether it was queued.
-    pub(crate) fn requeue_unsent_job(&mut self, now: Micros, id: JobId, actions: &mut Vec<Action>) -> bool {
+    pub(crate) fn requeue_unsent_job(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let is_as_submitted = |job: &Job| {
             !job.is_answered
                 && job.is_idle()
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::{MAX_WORKER_KEYS, MachineKind, SpeedEstimate, SpeedRatio, WarmUpSend, Worker, to_micros};
+use crate::state::{MAX_WORKER_KEYS, MachineKind, SpeedEstimate, SpeedRatio, WarmUpSend, Worker};
 use crate::untrusted::{bounded_hint_error, bounded_log_speed, bounded_seconds, bounded_slots};
-use crate::{Dispatcher, KindId, Micros, WorkerId};
+use crate::{Dispatcher, KindId, TimeSpan, Timestamp, WorkerId};
 
 /// Maximum number of workers that a snapshot holds, and that are restored from one.
 const MAX_WORKERS: usize = 4096;
@@ -41,7 +41,7 @@
     recent_keys: Vec<u64>,
     /// When the first job was submitted.
     #[serde(rename = "first_came")]
-    first_submission_at: Micros,
+    first_submission_at: Timestamp,
 }
 
 /// What is known of one worker. Fields as in [`Worker`].
@@ -56,14 +56,14 @@
     #[serde(rename = "seen_slots")]
     max_concurrent_slots: f64,
     #[serde(rename = "started")]
-    started_at: Micros,
+    started_at: Timestamp,
     #[serde(rename = "strikes")]
     consecutive_failures: u32,
     #[serde(rename = "avoid_until")]
-    ejected_until: Micros,
+    ejected_until: Timestamp,
     unreachable: bool,
     #[serde(rename = "owed")]
-    reenabled_at: Option<Micros>,
+    reenabled_at: Option<Timestamp>,
     #[serde(rename = "keys")]
     recent_keys: Vec<u64>,
     #[serde(rename = "cold_sent")]
@@ -72,9 +72,9 @@
 
 /// Work that was sent to a worker while it was warming up, which counts against its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(from = "(Micros, f64)", into = "(Micros, f64)")]
+#[serde(from = "(Timestamp, f64)", into = "(Timestamp, f64)")]
 struct WarmUpSendSnapshot {
-    at: Micros,
+    at: Timestamp,
     /// In seconds on a core of speed 1, all slots together.
     work: f64,
 }
@@ -117,7 +117,7 @@
 
     /// Adds what the predecessor has learned of workers that this process's endpoint list names too. Estimates for
     /// which this process has samples of its own are kept.
-    pub fn restore(&mut self, now: Micros, snapshot: &StateSnapshot) {
+    pub fn restore(&mut self, now: Timestamp, snapshot: &StateSnapshot) {
         self.restore_speeds(snapshot);
         self.restore_fleet_estimates(snapshot);
         for worker in snapshot.workers.iter().take(MAX_WORKERS) {
@@ -150,7 +150,7 @@
 }
 
 impl WorkerSnapshot {
-    fn restore_to(&self, now: Micros, worker: &mut Worker) {
+    fn restore_to(&self, now: Timestamp, worker: &mut Worker) {
         self.restore_speed(worker);
         self.restore_health(now, worker);
         for key in self.recent_keys.iter().rev().take(MAX_WORKER_KEYS) {
@@ -171,11 +171,11 @@
         worker.max_concurrent_slots = worker.max_concurrent_slots.max(slots);
     }
 
-    fn restore_health(&self, now: Micros, worker: &mut Worker) {
+    fn restore_health(&self, now: Timestamp, worker: &mut Worker) {
         worker.started_at = worker.started_at.max(self.started_at.min(now));
         let failures = self.consecutive_failures.min(MAX_CONSECUTIVE_FAILURES);
         worker.health.consecutive_failures = worker.health.consecutive_failures.max(failures);
-        let latest_ejection_end = now + to_micros(MAX_EJECTION_S);
+        let latest_ejection_end = now + TimeSpan::from_secs_f64(MAX_EJECTION_S);
         worker.health.ejected_until =
             worker.health.ejected_until.max(self.ejected_until.min(latest_ejection_end));
         worker.health.unreachable |= self.unreachable;
@@ -183,7 +183,7 @@
     }
 
     /// The predecessor's sends come before this process's own, as they were sent.
-    fn restore_warm_up_sends(&self, now: Micros, worker: &mut Worker) {
+    fn restore_warm_up_sends(&self, now: Timestamp, worker: &mut Worker) {
         let is_valid =
             |send: &&WarmUpSendSnapshot| send.at <= now && send.work.is_finite() && send.work >= 0.0;
         let restored = self.warm_up_sends.iter().filter(is_valid).take(MAX_WARM_UP_SENDS);
@@ -214,13 +214,13 @@
     }
 }
 
-impl From<(Micros, f64)> for WarmUpSendSnapshot {
-    fn from((at, work): (Micros, f64)) -> Self {
+impl From<(Timestamp, f64)> for WarmUpSendSnapshot {
+    fn from((at, work): (Timestamp, f64)) -> Self {
         WarmUpSendSnapshot { at, work }
     }
 }
 
-impl From<WarmUpSendSnapshot> for (Micros, f64) {
+impl From<WarmUpSendSnapshot> for (Timestamp, f64) {
     fn from(send: WarmUpSendSnapshot) -> Self {
         (send.at, send.work)
     }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,16 +1,15 @@
 //! Records of attempts: what is updated when one is sent, starts, progresses and ends.
 
 use super::estimates::SEND_RATE_SPAN_S;
-use super::time::{seconds_between, to_micros};
 use super::worker::{EXCESS_WAIT_SPAN_S, Progress, UnhintedWork, WarmUpSend};
 use super::{Attempt, Dispatcher, InFlightAttempt, Job, LATE_START_S, PlacementEstimate};
-use crate::{Action, JobId, Micros, Outcome};
+use crate::{Action, JobId, Outcome, TimeSpan, Timestamp};
 
 /// Shortest run that a speed is learned from, in seconds.
 const MIN_MEASURED_RUN_S: f64 = 1e-3;
 /// Time after which a start counts for the slots in use: the report of a start can overtake that of the end
 /// before it, and slots would be overestimated for good.
-const START_SETTLING_TIME: Micros = 30_000;
+const START_SETTLING_TIME: TimeSpan = TimeSpan::from_millis(30);
 
 /// An attempt that has ended.
 pub(crate) struct EndedAttempt {
@@ -27,13 +26,13 @@
     /// `window` seconds.
     pub(crate) fn record_send(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         job: &mut Job,
         placement: &PlacementEstimate,
         window: f64,
     ) {
         let worker = &mut self.fleet.workers[placement.worker_index];
-        worker.warm_up_sends.retain(|send| seconds_between(send.at, now) < window);
+        worker.warm_up_sends.retain(|send| now.seconds_since(send.at) < window);
         if worker.estimates.warm_up_fraction < 1.0 {
             worker.warm_up_sends.push_back(WarmUpSend { at: now, work: job.load() });
         }
@@ -52,7 +51,8 @@
             revoked: false,
             predicted_wait: placement.wait,
             // Workers that do not report starts are assumed to start as predicted.
-            started_at: (!self.settings.reports_start).then_some(now + to_micros(placement.wait)),
+            started_at: (!self.settings.reports_start)
+                .then_some(now + TimeSpan::from_secs_f64(placement.wait)),
             progress: None,
             unhinted: job.is_unhinted.then_some(UnhintedWork { class: job.class, work: job.work }),
         });
@@ -61,7 +61,7 @@
     }
 
     /// Records that a worker has accepted an attempt. Any other report on it implies that.
-    pub(crate) fn record_acceptance(&mut self, now: Micros, job: JobId, attempt: u32) {
+    pub(crate) fn record_acceptance(&mut self, now: Timestamp, job: JobId, attempt: u32) {
         let Some(index) = self.worker_index_of(job, attempt) else { return };
         let worker = &mut self.fleet.workers[index];
         if let Some(attempt) = worker.attempt_mut(job, attempt).filter(|attempt| !attempt.accepted) {
@@ -71,7 +71,7 @@
     }
 
     /// Records the start of an attempt. Returns whether it was not known before.
-    pub(crate) fn record_start(&mut self, now: Micros, job: JobId, attempt: u32) -> bool {
+    pub(crate) fn record_start(&mut self, now: Timestamp, job: JobId, attempt: u32) -> bool {
         let Some(index) = self.worker_index_of(job, attempt) else { return false };
         let worker = &mut self.fleet.workers[index];
         let known_excess = worker.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
@@ -86,7 +86,7 @@
     }
 
     /// Records progress: `share` of the attempt is done.
-    pub(crate) fn record_progress(&mut self, now: Micros, job: JobId, attempt: u32, share: f64) {
+    pub(crate) fn record_progress(&mut self, now: Timestamp, job: JobId, attempt: u32, share: f64) {
         let Some(index) = self.worker_index_of(job, attempt) else { return };
         let worker = &mut self.fleet.workers[index];
         if let Some(attempt) = worker.attempt_mut(job, attempt) {
@@ -96,19 +96,19 @@
     }
 
     /// Records a served attempt. Only a warm worker's speed is learned from it.
-    pub(crate) fn record_success(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
+    pub(crate) fn record_success(&mut self, now: Timestamp, index: usize, attempt: &InFlightAttempt) {
         self.fleet.workers[index].record_contact(now);
         let is_warm = self.warm_up_fraction(now, &self.fleet.workers[index]) >= 1.0;
         self.fleet.workers[index].health.consecutive_failures /= 2;
         if is_warm {
-            let run = seconds_between(attempt.started_at.unwrap_or(attempt.sent_at), now);
+            let run = now.seconds_since(attempt.started_at.unwrap_or(attempt.sent_at));
             self.fleet.record_speed(index, attempt, run.max(MIN_MEASURED_RUN_S));
         }
     }
 
     /// Records an attempt that was cancelled before it started, because another one of its job did: this
     /// worker is at least as late as that shows.
-    pub(crate) fn record_cancelled_wait(&mut self, now: Micros, index: usize, attempt: &InFlightAttempt) {
+    pub(crate) fn record_cancelled_wait(&mut self, now: Timestamp, index: usize, attempt: &InFlightAttempt) {
         let delay = attempt.start_delay(now);
         self.fleet.record_start_delay(now, index, delay.max(LATE_START_S));
         let excess_wait = &mut self.fleet.workers[index].excess_wait;
@@ -147,7 +147,7 @@
     }
 
     /// Updates how many slots each worker of the subset runs at once.
-    pub(crate) fn observe_slots(&mut self, now: Micros) {
+    pub(crate) fn observe_slots(&mut self, now: Timestamp) {
         for index in &self.fleet.subset {
             let worker = &mut self.fleet.workers[*index];
             let running = worker.slots_running_since(now.saturating_sub(START_SETTLING_TIME));
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -2,7 +2,7 @@
 
 use super::estimators::TokenBucket;
 use super::job::Job;
-use crate::{Micros, Settings};
+use crate::{Settings, TimeSpan, Timestamp};
 
 /// Burst of a tenant, in seconds of its quota.
 const QUOTA_BURST_S: f64 = 1.5;
@@ -23,7 +23,7 @@
     quotas: Vec<TokenBucket>,
     /// For each class, the longest time to its deadline that a job had when it was submitted: that of a first
     /// submission.
-    longest_time_left: Vec<Micros>,
+    longest_time_left: Vec<TimeSpan>,
     /// Highest priority weight of a class.
     pub max_priority_weight: f64,
 }
@@ -34,13 +34,13 @@
         let burst = |quota: &f64| TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST_S);
         Admission {
             quotas: settings.tenant_quotas.iter().map(burst).collect(),
-            longest_time_left: vec![0; settings.classes.len()],
+            longest_time_left: vec![TimeSpan::ZERO; settings.classes.len()],
             max_priority_weight: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
         }
     }
 
     /// Time that a client has waited already when it submits a job, by the time that the job has left.
-    pub fn time_waited(&mut self, class: usize, time_left: Micros) -> Micros {
+    pub fn time_waited(&mut self, class: usize, time_left: TimeSpan) -> TimeSpan {
         let longest = &mut self.longest_time_left[class];
         *longest = time_left.max(*longest);
         *longest - time_left
@@ -48,7 +48,13 @@
 
     /// Charges a job to its tenant's quota, if it is a first submission. Returns whether the job is beyond
     /// this node's part of the quota.
-    pub fn charge_quota(&mut self, now: Micros, settings: &Settings, tenant: usize, is_first: bool) -> bool {
+    pub fn charge_quota(
+        &mut self,
+        now: Timestamp,
+        settings: &Settings,
+        tenant: usize,
+        is_first: bool,
+    ) -> bool {
         let Some(bucket) = self.quotas.get_mut(tenant) else { return false };
         let rate = settings.tenant_quotas[tenant] / f64::from(settings.nodes);
         bucket.refill(now, rate, rate * QUOTA_BURST_S + QUOTA_BURST_JOBS);
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -4,12 +4,11 @@
 
 use arrayvec::ArrayVec;
 
-use super::time::{seconds_between, to_seconds};
 use super::{AttemptRef, Dispatcher, InFlightAttempt, Job, PlacementEstimate, Worker, WorkerEstimates};
-use crate::{JobId, Micros, gossip};
+use crate::{JobId, TimeSpan, Timestamp, gossip};
 
 /// Time for which the estimates of a worker hold, unless something happens there.
-const ESTIMATE_LIFETIME: Micros = 4_000;
+const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
 /// Upper bound of r: beyond it, 1 / (1 - r) would outweigh x.
 const MAX_UTILISATION: f64 = 0.9;
 /// Time constant over which the rate of work sent is averaged, in seconds.
@@ -57,7 +56,7 @@
 
 impl Dispatcher {
     /// Refreshes the estimates of the subset's workers that have aged, and all that is derived from them.
-    pub(crate) fn refresh_estimates(&mut self, now: Micros) {
+    pub(crate) fn refresh_estimates(&mut self, now: Timestamp) {
         let (mut ready_workers, mut free_workers) = (0.0, 0.0);
         self.capacity.shortest_wait = f64::INFINITY;
         self.capacity.warming_up = 0;
@@ -80,7 +79,7 @@
     }
 
     /// Refreshes the estimates of one worker.
-    pub(crate) fn refresh_worker(&mut self, now: Micros, index: usize) {
+    pub(crate) fn refresh_worker(&mut self, now: Timestamp, index: usize) {
         let nodes = f64::from(self.subset_nodes());
         let worker = &self.fleet.workers[index];
         let warm_up_fraction = self.warm_up_fraction(now, worker);
@@ -95,7 +94,7 @@
 
     /// Refreshes the estimates of kinds, for what a node of many cannot see of each worker: r by this node's
     /// part of the traffic, and w by the waits beyond the predicted ones that its own jobs had.
-    fn refresh_kinds(&mut self, now: Micros) {
+    fn refresh_kinds(&mut self, now: Timestamp) {
         let nodes = f64::from(self.subset_nodes());
         let observes_all_work = self.observes_all_work();
         for kind in &mut self.fleet.kinds {
@@ -108,18 +107,18 @@
 
     /// Lower bound of the share of its capacity that a worker has now, growing evenly with its age; 1 when
     /// warm.
-    pub(crate) fn warm_up_fraction(&self, now: Micros, worker: &Worker) -> f64 {
-        if worker.started_at == 0 || self.settings.warm_up == 0 {
+    pub(crate) fn warm_up_fraction(&self, now: Timestamp, worker: &Worker) -> f64 {
+        if worker.started_at == Timestamp::ORIGIN || self.settings.warm_up.is_zero() {
             return 1.0;
         }
         let floor = self.settings.warm_up_floor;
-        let age = seconds_between(worker.started_at, now) / to_seconds(self.settings.warm_up);
+        let age = now.seconds_since(worker.started_at) / self.settings.warm_up.as_secs_f64();
         (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
     /// w: seconds that a job of that many slots waits at a worker, by this node's attempts there and peers'
     /// reports.
-    pub(crate) fn estimate_wait(&self, now: Micros, worker: &Worker, slots: f64) -> f64 {
+    pub(crate) fn estimate_wait(&self, now: Timestamp, worker: &Worker, slots: f64) -> f64 {
         let unobserved_wait = worker.unobserved_wait(now);
         if worker.in_flight.is_empty() && worker.peer_backlogs.is_empty() {
             return unobserved_wait;
@@ -131,10 +130,9 @@
         }
         let (mut peer_work, mut peer_slots) = (0.0, 0.0);
         let is_recent = |age: f64| age < PEER_BACKLOG_LIFETIME_S;
-        for backlog in
-            worker.peer_backlogs.iter().filter(|backlog| is_recent(seconds_between(backlog.at, now)))
+        for backlog in worker.peer_backlogs.iter().filter(|backlog| is_recent(now.seconds_since(backlog.at)))
         {
-            peer_work += (backlog.work - seconds_between(backlog.at, now) * backlog.slots * speed).max(0.0);
+            peer_work += (backlog.work - now.seconds_since(backlog.at) * backlog.slots * speed).max(0.0);
             peer_slots += backlog.slots;
         }
         for _ in 0..(peer_slots as u32).min(MAX_PEER_SLOTS) {
@@ -144,12 +142,12 @@
     }
 
     /// Work that an attempt has left, in seconds at speed 1: by its progress if reported, else by its hint.
-    pub(crate) fn remaining_work(&self, now: Micros, speed: f64, attempt: &InFlightAttempt) -> f64 {
+    pub(crate) fn remaining_work(&self, now: Timestamp, speed: f64, attempt: &InFlightAttempt) -> f64 {
         let Some(started_at) = attempt.started_at else { return attempt.work };
-        let ran = seconds_between(started_at, now);
+        let ran = now.seconds_since(started_at);
         match attempt.progress {
             Some(progress) if progress.share > 0.0 => {
-                (seconds_between(started_at, progress.at) / progress.share - ran).max(0.0) * speed
+                (progress.at.seconds_since(started_at) / progress.share - ran).max(0.0) * speed
             }
             _ => (attempt.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
         }
@@ -158,7 +156,7 @@
     /// What a job would meet at a worker.
     pub(crate) fn estimate_placement(
         &self,
-        now: Micros,
+        now: Timestamp,
         worker_index: usize,
         job: &Job,
     ) -> PlacementEstimate {
@@ -176,8 +174,8 @@
     }
 
     /// Seconds that an attempt in flight is likely to run on; only known while this node shuts down.
-    pub(crate) fn remaining_run(&self, now: Micros, job: JobId, attempt: AttemptRef) -> Option<f64> {
-        let is_shutting_down = self.lifecycle.shutdown_at < Micros::MAX;
+    pub(crate) fn remaining_run(&self, now: Timestamp, job: JobId, attempt: AttemptRef) -> Option<f64> {
+        let is_shutting_down = self.lifecycle.shutdown_at < Timestamp::MAX;
         let index = self.fleet.find(attempt.worker).filter(|_| is_shutting_down)?;
         let speed = self.fleet.workers[index].estimates.speed;
         Some(self.remaining_work(now, speed, self.in_flight_attempt(job, attempt)?) / speed)
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -4,8 +4,7 @@
 //! The results must be the same on every machine: the order of the floating-point operations is part of the
 //! code.
 
-use super::time::{seconds_between, to_seconds};
-use crate::{JobClass, Micros};
+use crate::{JobClass, Timestamp};
 
 /// Work of a job without a hint while its class has no samples, in seconds at speed 1. The class then starts
 /// from its latency objective, clamped to between this and ten times this.
@@ -27,32 +26,32 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     value: f64,
-    updated_at: Micros,
+    updated_at: Timestamp,
 }
 
 impl DecayingSum {
     /// The sum now, with a time constant of `tau` seconds.
-    pub fn get(&self, now: Micros, tau: f64) -> f64 {
+    pub fn get(&self, now: Timestamp, tau: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * (-seconds_between(self.updated_at, now) / tau).exp()
+        self.value * (-now.seconds_since(self.updated_at) / tau).exp()
     }
 
     /// Replaces the sum.
-    pub fn set(&mut self, now: Micros, value: f64) {
+    pub fn set(&mut self, now: Timestamp, value: f64) {
         *self = DecayingSum { value, updated_at: now };
     }
 
     /// Adds a part.
-    pub fn add(&mut self, now: Micros, value: f64, tau: f64) {
+    pub fn add(&mut self, now: Timestamp, value: f64, tau: f64) {
         self.set(now, self.get(now, tau) + value);
     }
 
     /// What is left of the sum if it shrinks by 1 a second, as a wait does while it is worked off. May be
     /// negative.
-    pub fn worked_off(&self, now: Micros) -> f64 {
-        self.value - seconds_between(self.updated_at, now)
+    pub fn worked_off(&self, now: Timestamp) -> f64 {
+        self.value - now.seconds_since(self.updated_at)
     }
 }
 
@@ -61,14 +60,14 @@
 pub(crate) struct TimeWeightedAverage {
     average: f64,
     current: f64,
-    updated_at: Micros,
+    updated_at: Timestamp,
 }
 
 impl TimeWeightedAverage {
     /// The quantity is `current` from now on. Returns the average up to now, with a time constant of `tau`
     /// seconds.
-    pub fn set(&mut self, now: Micros, current: f64, tau: f64) -> f64 {
-        let old = (-seconds_between(self.updated_at, now) / tau).exp();
+    pub fn set(&mut self, now: Timestamp, current: f64, tau: f64) -> f64 {
+        let old = (-now.seconds_since(self.updated_at) / tau).exp();
         self.average = self.average * old + self.current * (1.0 - old);
         (self.current, self.updated_at) = (current, now);
         self.average
@@ -84,13 +83,13 @@
 
 impl WindowedMean {
     /// Adds a sample.
-    pub fn add(&mut self, now: Micros, value: f64) {
+    pub fn add(&mut self, now: Timestamp, value: f64) {
         self.sum.add(now, value, START_DELAY_SPAN_S);
         self.count.add(now, 1.0, START_DELAY_SPAN_S);
     }
 
     /// The mean now.
-    pub fn get(&self, now: Micros) -> f64 {
+    pub fn get(&self, now: Timestamp) -> f64 {
         self.sum.get(now, START_DELAY_SPAN_S)
             / (self.count.get(now, START_DELAY_SPAN_S) + START_DELAY_PRIOR_COUNT)
     }
@@ -100,18 +99,18 @@
 #[derive(Clone, Copy)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    refilled_at: Micros,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
     /// A bucket with so many tokens in it.
     pub fn with_tokens(tokens: f64) -> Self {
-        TokenBucket { tokens, refilled_at: 0 }
+        TokenBucket { tokens, refilled_at: Timestamp::ORIGIN }
     }
 
     /// Adds the tokens of the time since the last refill: `rate` a second, up to `burst` in all.
-    pub fn refill(&mut self, now: Micros, rate: f64, burst: f64) {
-        self.tokens = (self.tokens + seconds_between(self.refilled_at, now) * rate).min(burst);
+    pub fn refill(&mut self, now: Timestamp, rate: f64, burst: f64) {
+        self.tokens = (self.tokens + now.seconds_since(self.refilled_at) * rate).min(burst);
         self.refilled_at = now;
     }
 
@@ -199,7 +198,7 @@
 impl WorkEstimate {
     /// The estimate without samples: the latency objective gives the order of magnitude.
     pub fn from_latency_objective(class: &JobClass) -> Self {
-        let mean = to_seconds(class.latency_objective).clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
+        let mean = class.latency_objective.as_secs_f64().clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
         WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
     }
 
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -11,7 +11,7 @@
 };
 use super::job::{AttemptId, clamp_job_work};
 use super::worker::{InFlightAttempt, UnhintedWork, Worker};
-use crate::{KindId, Micros, Settings, WorkerId};
+use crate::{KindId, Settings, Timestamp, WorkerId};
 
 /// A start that is this late counts as delayed, in seconds.
 pub(crate) const LATE_START_S: f64 = 0.02;
@@ -78,9 +78,9 @@
     pub workers: Vec<Worker>,
     /// Workers that operators have disabled, and when. Kept apart from the workers, since the list may drop
     /// one and name it again.
-    pub disabled: BTreeMap<WorkerId, Micros>,
+    pub disabled: BTreeMap<WorkerId, Timestamp>,
     /// Workers that were enabled again and that the list does not name at present, and when.
-    pub(super) reenabled_unlisted: BTreeMap<WorkerId, Micros>,
+    pub(super) reenabled_unlisted: BTreeMap<WorkerId, Timestamp>,
     /// Attempts to revoke, for which no action has been given yet: their worker takes no new work.
     pub pending_revocations: Vec<AttemptId>,
     /// Indices of the ready workers of this node's subset, in ascending order.
@@ -191,7 +191,7 @@
 
     /// Records how late an attempt started, in seconds: a sign of other nodes' work at all workers of that
     /// kind, and of how full the fleet is.
-    pub fn record_start_delay(&mut self, now: Micros, index: usize, delay: f64) {
+    pub fn record_start_delay(&mut self, now: Timestamp, index: usize, delay: f64) {
         let is_prompt = f64::from(u8::from(delay < LATE_START_S));
         self.prompt_start_share += PROMPT_START_GAIN * (is_prompt - self.prompt_start_share);
         self.kinds[self.workers[index].kind_index].start_delay.add(now, delay);
@@ -225,7 +225,7 @@
     /// Refreshes the median of the slots seen at the subset's workers, and the slots that all `nodes`
     /// together use. A node of many seldom has two jobs at one worker; what it has running at all workers is
     /// an even part of what they run at once.
-    pub fn refresh_slots(&mut self, now: Micros, nodes: f64) {
+    pub fn refresh_slots(&mut self, now: Timestamp, nodes: f64) {
         let running = self.subset.iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
         let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
         self.slots.extrapolated = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -2,7 +2,7 @@
 
 use arrayvec::ArrayVec;
 
-use crate::{CellId, JobId, JobSubmission, Micros, Outcome, WorkerId, ZoneId};
+use crate::{CellId, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId, ZoneId};
 
 /// Most attempts of one job; settings that allow more are cut to this.
 pub(crate) const MAX_ATTEMPTS: usize = 8;
@@ -28,14 +28,14 @@
     /// The worker's cell when it was sent.
     pub cell: CellId,
     /// When it was sent.
-    pub sent_at: Micros,
+    pub sent_at: Timestamp,
     /// How it ended; none while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
     /// When repeats of what it ran are no longer discarded, given the length of that window.
-    pub fn deduplicated_until(&self, window: Micros) -> Micros {
+    pub fn deduplicated_until(&self, window: TimeSpan) -> Timestamp {
         self.sent_at.saturating_add(window)
     }
 
@@ -86,9 +86,9 @@
     /// Least rendezvous weight of the owners of its key.
     pub affinity_threshold: u64,
     /// An answer after this misses its latency objective.
-    pub objective_at: Micros,
+    pub objective_at: Timestamp,
     /// When its client stops waiting.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Its attempts in the order of sends.
     pub attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
     /// Its answer has begun to flow; nothing more is to be decided.
@@ -111,7 +111,7 @@
             slots: 1.0,
             key: submission.key,
             affinity_threshold: u64::MAX,
-            objective_at: 0,
+            objective_at: Timestamp::ORIGIN,
             deadline: submission.deadline,
             attempts: ArrayVec::new(),
             is_streaming: false,
@@ -171,7 +171,7 @@
     /// The job is beyond its tenant's quota.
     pub over_quota: bool,
     /// Latest start with which its objective can be met.
-    pub start_by: Micros,
+    pub start_by: Timestamp,
     /// Which job.
     pub job: JobId,
 }
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -2,7 +2,7 @@
 
 use super::estimators::DecayingSum;
 use super::job::Job;
-use crate::Micros;
+use crate::Timestamp;
 
 /// Time constant over which demand is summed up, in seconds.
 pub(crate) const DEMAND_SPAN_S: f64 = 10.0;
@@ -16,19 +16,19 @@
     /// Of that, what was shed.
     shed: DecayingSum,
     /// When the first job was admitted.
-    pub first_at: Micros,
+    pub first_at: Timestamp,
 }
 
 impl Default for Demand {
     fn default() -> Self {
         let none = DecayingSum::default();
-        Demand { submitted: none, within_quota: none, shed: none, first_at: Micros::MAX }
+        Demand { submitted: none, within_quota: none, shed: none, first_at: Timestamp::MAX }
     }
 }
 
 impl Demand {
     /// Records an admitted job.
-    pub fn record_submitted(&mut self, now: Micros, job: &Job) {
+    pub fn record_submitted(&mut self, now: Timestamp, job: &Job) {
         self.first_at = self.first_at.min(now);
         self.submitted.add(now, job.load(), DEMAND_SPAN_S);
         if job.is_first_submission && !job.over_quota {
@@ -37,19 +37,19 @@
     }
 
     /// Records a job that was given up for lack of capacity.
-    pub fn record_shed(&mut self, now: Micros, job: &Job) {
+    pub fn record_shed(&mut self, now: Timestamp, job: &Job) {
         if job.is_first_submission && !job.over_quota {
             self.shed.add(now, job.load(), DEMAND_SPAN_S);
         }
     }
 
     /// Work admitted lately.
-    pub fn submitted(&self, now: Micros) -> f64 {
+    pub fn submitted(&self, now: Timestamp) -> f64 {
         self.submitted.get(now, DEMAND_SPAN_S)
     }
 
     /// Share of the work within quotas that was shed lately.
-    pub fn shed_share(&self, now: Micros) -> f64 {
+    pub fn shed_share(&self, now: Timestamp) -> f64 {
         self.shed.get(now, DEMAND_SPAN_S) / self.within_quota.get(now, DEMAND_SPAN_S).max(1e-9)
     }
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -5,7 +5,6 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | `time` | conversions between microseconds and seconds |
 //! | `estimators` | decaying sum, averages, token bucket, estimates of speed and work |
 //! | `worker`, `job`, `fleet` | the records of a worker, a job, and all workers together |
 //! | `subset` | which workers this node uses |
@@ -24,14 +23,13 @@
 mod job;
 mod load;
 mod subset;
-mod time;
 mod worker;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::permission::Violations;
 use crate::poll_schedule::PollSchedule;
-use crate::{Idempotency, JobId, Micros, Settings, SettingsError};
+use crate::{Idempotency, JobId, Settings, SettingsError, Timestamp};
 
 pub(crate) use attempts::EndedAttempt;
 pub(crate) use budgets::{Admission, Budgets};
@@ -40,7 +38,6 @@
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
 pub(crate) use job::{Attempt, AttemptRef, Job, MAX_ATTEMPTS, MAX_JOB_SLOTS, QueueKey, clamp_job_work};
 pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
-pub(crate) use time::{seconds_between, to_micros, to_seconds};
 pub(crate) use worker::{
     InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, PlacementEstimate, PlacementRating, PlacementTier,
     Progress, WarmUpSend, Worker, WorkerEstimates,
@@ -71,7 +68,7 @@
 /// Where this process is in the life of its node.
 pub(crate) struct Lifecycle {
     /// All jobs must be answered by then.
-    pub shutdown_at: Micros,
+    pub shutdown_at: Timestamp,
     /// Another process of this node has taken over.
     pub is_superseded: bool,
 }
@@ -80,7 +77,7 @@
 #[derive(Default)]
 pub(crate) struct Timer {
     /// When it expires; none where it is not set.
-    pub expires_at: Option<Micros>,
+    pub expires_at: Option<Timestamp>,
 }
 
 /// When this node's work is gossiped.
@@ -89,7 +86,7 @@
     /// This node's work at some worker has changed since it was last gossiped.
     pub has_changes: bool,
     /// When the next messages are due.
-    pub due_at: Option<Micros>,
+    pub due_at: Option<Timestamp>,
 }
 
 /// Scratch lists, kept between calls to save allocations.
@@ -118,7 +115,7 @@
             demand: Demand::default(),
             capacity: Capacity::default(),
             budgets: Budgets::default(),
-            lifecycle: Lifecycle { shutdown_at: Micros::MAX, is_superseded: false },
+            lifecycle: Lifecycle { shutdown_at: Timestamp::MAX, is_superseded: false },
             timer: Timer::default(),
             gossip: GossipState::default(),
             poll_schedule: PollSchedule::new(&settings),
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -5,7 +5,7 @@
 
 use super::fleet::{Fleet, MAX_SLOTS};
 use super::worker::Worker;
-use crate::{Endpoint, Micros, Settings, WorkerId, WorkerStatus};
+use crate::{Endpoint, Settings, Timestamp, WorkerId, WorkerStatus};
 
 /// Fewest nodes of a subset.
 const MIN_SUBSET_NODES: u32 = 8;
@@ -24,7 +24,7 @@
 impl Fleet {
     /// Takes over an endpoint list, or changes to it. A snapshot is whole: workers that it does not name are
     /// gone.
-    pub fn apply_endpoints(&mut self, now: Micros, endpoints: &[Endpoint], snapshot: bool) {
+    pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], snapshot: bool) {
         if snapshot {
             self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
         }
@@ -42,7 +42,7 @@
     }
 
     /// Takes over the new entry of a known worker.
-    fn update_worker(&mut self, now: Micros, index: usize, endpoint: &Endpoint) {
+    fn update_worker(&mut self, now: Timestamp, index: usize, endpoint: &Endpoint) {
         let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
         let started_at = endpoint.started_at.min(now);
         let worker = &mut self.workers[index];
@@ -73,7 +73,7 @@
     }
 
     /// Disables a worker: nothing is sent to it until it is enabled again.
-    pub fn disable_worker(&mut self, now: Micros, id: WorkerId) {
+    pub fn disable_worker(&mut self, now: Timestamp, id: WorkerId) {
         self.reenabled_unlisted.remove(&id);
         self.disabled.entry(id).or_insert(now);
         if let Some(index) = self.find(id) {
@@ -83,7 +83,7 @@
     }
 
     /// Enables a worker again, with its failures forgotten.
-    pub fn reenable_worker(&mut self, now: Micros, id: WorkerId) {
+    pub fn reenable_worker(&mut self, now: Timestamp, id: WorkerId) {
         let Some(disabled_at) = self.disabled.remove(&id) else { return };
         match self.find(id) {
             Some(index) => self.workers[index].reenable(disabled_at, now),
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -4,8 +4,9 @@
 
 use super::estimators::{DecayingSum, SpeedRatio};
 use super::job::{Attempt, AttemptId};
-use super::time::seconds_between;
-use crate::{CellId, DeduplicationScope, Endpoint, JobId, KindId, Micros, WorkerId, WorkerStatus, ZoneId};
+use crate::{
+    CellId, DeduplicationScope, Endpoint, JobId, KindId, TimeSpan, Timestamp, WorkerId, WorkerStatus, ZoneId,
+};
 
 /// Most keys that are remembered of one worker.
 pub(crate) const MAX_WORKER_KEYS: usize = 16;
@@ -23,7 +24,7 @@
     /// Slots that it takes.
     pub slots: f64,
     /// When it was sent.
-    pub sent_at: Micros,
+    pub sent_at: Timestamp,
     /// The worker has accepted it.
     pub accepted: bool,
     /// Its revocation was requested, which is done once.
@@ -31,7 +32,7 @@
     /// Wait that was predicted when it was sent, in seconds.
     pub predicted_wait: f64,
     /// When it started to run.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
     /// The last progress report.
     pub progress: Option<Progress>,
     /// Set where the job came without a hint.
@@ -44,7 +45,7 @@
     /// Share done, from 0 to 1.
     pub share: f64,
     /// When the report came.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
 /// The estimate that stood in for a missing hint.
@@ -59,8 +60,8 @@
 impl InFlightAttempt {
     /// Whether the worker should have accepted it by now and has not. A timeout of 0 stands for workers that
     /// do not report it.
-    pub fn is_acceptance_overdue(&self, now: Micros, timeout: Micros) -> bool {
-        timeout > 0 && !self.accepted && now > self.sent_at + timeout
+    pub fn is_acceptance_overdue(&self, now: Timestamp, timeout: TimeSpan) -> bool {
+        !timeout.is_zero() && !self.accepted && now > self.sent_at + timeout
     }
 
     /// Whether it runs, as far as that is known.
@@ -69,8 +70,8 @@
     }
 
     /// Seconds since the predicted start; negative before it.
-    pub fn start_delay(&self, now: Micros) -> f64 {
-        seconds_between(self.sent_at, now) - self.predicted_wait
+    pub fn start_delay(&self, now: Timestamp) -> f64 {
+        now.seconds_since(self.sent_at) - self.predicted_wait
     }
 }
 
@@ -83,14 +84,14 @@
     /// Slots that its attempts take there.
     pub slots: f64,
     /// When the report came.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
 /// Work that was sent to a worker while that was warming up.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmUpSend {
     /// When.
-    pub at: Micros,
+    pub at: Timestamp,
     /// How much, in seconds at speed 1, all slots together.
     pub work: f64,
 }
@@ -144,7 +145,7 @@
     /// Failures in a row, halved by each success.
     pub consecutive_failures: u32,
     /// Ejected for its failures until then.
-    pub ejected_until: Micros,
+    pub ejected_until: Timestamp,
     /// The last attempt could not connect.
     pub unreachable: bool,
 }
@@ -153,7 +154,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct WorkerEstimates {
     /// When they were derived; 0: something has happened there since.
-    pub derived_at: Micros,
+    pub derived_at: Timestamp,
     /// Least share of its capacity that it has, by its age; 1 when warm.
     pub warm_up_fraction: f64,
     /// Present speed of a slot.
@@ -166,7 +167,13 @@
 
 impl Default for WorkerEstimates {
     fn default() -> Self {
-        WorkerEstimates { derived_at: 0, warm_up_fraction: 1.0, speed: 1.0, utilisation: 0.0, wait: 0.0 }
+        WorkerEstimates {
+            derived_at: Timestamp::ORIGIN,
+            warm_up_fraction: 1.0,
+            speed: 1.0,
+            utilisation: 0.0,
+            wait: 0.0,
+        }
     }
 }
 
@@ -185,7 +192,7 @@
     /// It belongs to this node's subset: see [`Fleet::subset`](super::Fleet::subset).
     pub in_subset: bool,
     /// Last start as listed or inferred; 0: long ago.
-    pub started_at: Micros,
+    pub started_at: Timestamp,
     /// Listed size in slots; 1 where the list has no sizes.
     pub listed_slots: f64,
     /// Index of its kind in [`Fleet::kinds`](super::Fleet::kinds).
@@ -209,11 +216,11 @@
     /// Its health.
     pub health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
-    pub reenabled_at: Option<Micros>,
+    pub reenabled_at: Option<Timestamp>,
     /// This node's work there has changed since it was last gossiped.
     pub gossip_pending: bool,
     /// When it was last gossiped.
-    pub gossiped_at: Micros,
+    pub gossiped_at: Timestamp,
     /// Estimates derived from all that.
     pub estimates: WorkerEstimates,
     /// Its rating for the job that was placed last.
@@ -244,14 +251,14 @@
             health: WorkerHealth::default(),
             reenabled_at: None,
             gossip_pending: false,
-            gossiped_at: 0,
+            gossiped_at: Timestamp::ORIGIN,
             estimates: WorkerEstimates::default(),
             rating: PlacementRating::INELIGIBLE,
         }
     }
 
     /// Slots of the attempts that were running at that time and still are.
-    pub fn slots_running_since(&self, time: Micros) -> f64 {
+    pub fn slots_running_since(&self, time: Timestamp) -> f64 {
         let running = |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|at| at <= time);
         self.in_flight.iter().filter(running).map(|attempt| attempt.slots).sum()
     }
@@ -266,7 +273,7 @@
     }
 
     /// Seconds by which the longest waiting attempt is past its predicted start.
-    fn longest_start_delay(&self, now: Micros) -> f64 {
+    fn longest_start_delay(&self, now: Timestamp) -> f64 {
         let waiting = self.in_flight.iter().filter(|attempt| !attempt.has_started());
         waiting.map(|attempt| attempt.start_delay(now)).fold(0.0, f64::max)
     }
@@ -274,7 +281,7 @@
     /// Seconds of waiting at it that no node has reported: the excess wait of late starts, as it decays, but
     /// not less than what cannot have been worked off yet, since a node of many may not send there again
     /// before that.
-    pub fn unobserved_wait(&self, now: Micros) -> f64 {
+    pub fn unobserved_wait(&self, now: Timestamp) -> f64 {
         let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
         decayed.max(self.excess_wait.worked_off(now)).max(self.longest_start_delay(now))
     }
@@ -298,17 +305,17 @@
     }
 
     /// Whether an attempt there should have been accepted by now and was not.
-    pub fn has_overdue_acceptance(&self, now: Micros, timeout: Micros) -> bool {
+    pub fn has_overdue_acceptance(&self, now: Timestamp, timeout: TimeSpan) -> bool {
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
     /// Something has happened there: its estimates have to be derived again before they are used.
     pub fn invalidate_estimates(&mut self) {
-        self.estimates.derived_at = 0;
+        self.estimates.derived_at = Timestamp::ORIGIN;
     }
 
     /// Records a sign that it can be reached.
-    pub fn record_contact(&mut self, now: Micros) {
+    pub fn record_contact(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
             // It may have restarted and be cold, long before the list shows that.
@@ -319,8 +326,8 @@
 
     /// Operators have enabled it, having disabled it at `disabled_at`. They usually restart it meanwhile and
     /// the list is late: unless the list shows a start since then, it is assumed to start now.
-    pub fn reenable(&mut self, disabled_at: Micros, now: Micros) {
-        if self.started_at < disabled_at || self.started_at == 0 {
+    pub fn reenable(&mut self, disabled_at: Timestamp, now: Timestamp) {
+        if self.started_at < disabled_at || self.started_at == Timestamp::ORIGIN {
             self.started_at = now;
         }
         self.health = WorkerHealth::default();
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,26 +1,60 @@
-//! Shared fixtures: settings, endpoints, job submissions, and a dispatcher with a virtual clock.
+//! Shared fixtures: times, settings, endpoints, job submissions, and a dispatcher with a virtual clock.
 #![allow(dead_code)]
 
+use std::ops::RangeBounds;
+
 pub use curlewusher_core::*;
 
 pub mod golden;
 
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: TimeSpan = seconds(1);
+/// When the clock of a [`TestNode`] starts.
+pub const START: Timestamp = at(seconds(10));
+
+pub const fn micros(count: u64) -> TimeSpan {
+    TimeSpan::from_micros(count)
+}
+
+pub const fn millis(count: u64) -> TimeSpan {
+    TimeSpan::from_millis(count)
+}
+
+pub const fn seconds(count: u64) -> TimeSpan {
+    TimeSpan::from_secs(count)
+}
+
+/// The moment that is so long after the origin of the clock.
+pub const fn at(since_origin: TimeSpan) -> Timestamp {
+    Timestamp::ORIGIN.saturating_add(since_origin)
+}
+
+/// The moments from `begin` to before `end`, one every `step`.
+pub fn moments(begin: Timestamp, end: Timestamp, step: TimeSpan) -> impl Iterator<Item = Timestamp> {
+    let step = step.as_micros() as usize;
+    (begin.as_micros()..end.as_micros()).step_by(step).map(Timestamp::from_micros)
+}
+
+/// A random span within a range.
+pub fn random_span(rng: &mut fastrand::Rng, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
+    let min = range.start_bound().map(|span| span.as_micros());
+    let max = range.end_bound().map(|span| span.as_micros());
+    micros(rng.u64((min, max)))
+}
 
 pub fn class(idempotency: Idempotency) -> JobClass {
     JobClass {
         idempotency,
-        latency_objective: 200_000,
+        latency_objective: millis(200),
         latency_objective_stretch: 2.0,
         priority_weight: 1.0,
-        client_timeout: 5 * SECOND,
+        client_timeout: seconds(5),
         required_kind: None,
     }
 }
 
 /// Class 0 is idempotent, class 1 idempotent with a key within a cell, class 2 not idempotent.
 pub fn settings() -> Settings {
-    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: 5 * SECOND };
+    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: seconds(5) };
     Settings {
         nodes: 1,
         node_index: 0,
@@ -28,21 +62,21 @@
         classes: vec![class(Idempotency::Idempotent), class(with_key), class(Idempotency::NonIdempotent)],
         tenant_quotas: Vec::new(),
         endpoints_on_request: false,
-        max_poll_interval: 10 * SECOND,
-        assumed_notified_after: 0,
+        max_poll_interval: seconds(10),
+        assumed_notified_after: TimeSpan::ZERO,
         reports_start: true,
         sizes_listed: false,
-        accept_timeout: 0,
+        accept_timeout: TimeSpan::ZERO,
         may_cancel: true,
         may_hedge: true,
         may_gossip: false,
         gossip_price: 0.0,
         max_attempts: 4,
-        max_retry_after: 2 * SECOND,
+        max_retry_after: seconds(2),
         over_quota_weight: 0.1,
         cross_zone_price: 0.0,
         warm_up_floor: 0.2,
-        warm_up: 20 * SECOND,
+        warm_up: seconds(20),
         overload_factor: 3.0,
         overload_window: SECOND,
     }
@@ -60,7 +94,7 @@
         kind: KindId(0),
         cell: CellId(worker as u32 / 2),
         status: WorkerStatus::Ready,
-        started_at: 0,
+        started_at: Timestamp::ORIGIN,
         size: 1.0,
     }
 }
@@ -71,12 +105,12 @@
 }
 
 /// A job of so many seconds of work whose client waits for 5 s.
-pub fn submission(job: u64, class: usize, work: f64, now: Micros) -> JobSubmission {
+pub fn submission(job: u64, class: usize, work: f64, now: Timestamp) -> JobSubmission {
     JobSubmission {
         job: JobId(job),
         class: ClassId(class),
         tenant: TenantId(0),
-        deadline: now + 5 * SECOND,
+        deadline: now + seconds(5),
         cost_hint: Some(work),
         slots: 1.0,
         key: None,
@@ -87,20 +121,20 @@
 /// A dispatcher with a virtual clock.
 pub struct TestNode {
     pub dispatcher: Dispatcher,
-    pub now: Micros,
+    pub now: Timestamp,
 }
 
 impl TestNode {
     /// A node that has just started and has no endpoint list yet.
     pub fn starting(settings: Settings, seed: u64) -> Self {
-        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("good settings"), now: 10 * SECOND }
+        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("good settings"), now: START }
     }
 
     /// A node with an endpoint list.
     pub fn new(settings: Settings, workers: &[Endpoint]) -> Self {
         let mut node = TestNode::starting(settings, 7);
         node.handle(Event::TimerExpired);
-        node.now += 1;
+        node.now += micros(1);
         node.list(workers);
         node
     }
@@ -121,11 +155,11 @@
     }
 
     /// Advances the clock with a timer expiry every 10 ms. Returns all actions but `SetTimer`.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, span: TimeSpan) -> Vec<Action> {
         let mut all = Vec::new();
         let end = self.now + span;
         while self.now < end {
-            self.now += 10_000.min(end - self.now);
+            self.now += millis(10).min(end - self.now);
             all.extend(self.handle(Event::TimerExpired));
         }
         all.retain(|action| !matches!(action, Action::SetTimer { .. }));
@@ -178,7 +212,7 @@
         self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, settled })
     }
 
-    pub fn end_after(&mut self, span: Micros, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_after(&mut self, span: TimeSpan, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         self.now += span;
         self.end(job, attempt, outcome)
     }
@@ -190,13 +224,13 @@
     }
 
     /// The first attempt of a job starts and is done after a time.
-    pub fn serve(&mut self, job: u64, duration: Micros) -> Vec<Action> {
+    pub fn serve(&mut self, job: u64, duration: TimeSpan) -> Vec<Action> {
         self.start(job, 0);
         self.end_after(duration, job, 0, Outcome::Done)
     }
 
     /// Submits a job and serves it. Returns its worker.
-    pub fn run_job(&mut self, job: u64, class: usize, work: f64, duration: Micros) -> Option<u64> {
+    pub fn run_job(&mut self, job: u64, class: usize, work: f64, duration: TimeSpan) -> Option<u64> {
         let worker = self.place(job, class, work);
         self.serve(job, duration);
         worker
@@ -209,10 +243,10 @@
         others.for_each(|other| other.status = WorkerStatus::Draining);
         self.list(&drained);
         for job in first_job..first_job + 12 {
-            self.run_job(job, 0, 0.1, (0.1 / speed * 1e6) as Micros);
+            self.run_job(job, 0, 0.1, TimeSpan::from_secs_f64(0.1 / speed));
         }
         self.list(workers);
-        self.advance(20 * SECOND);
+        self.advance(seconds(20));
     }
 }
 
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -3,14 +3,14 @@
 mod external_events;
 
 use std::collections::BTreeMap;
+use std::ops::RangeBounds;
 
 use crate::common::*;
 use crate::recorder::Recorder;
 
-pub const MILLISECOND: Micros = 1_000;
 /// External events of one fleet, but for those of its shutdown.
 const EVENTS: u64 = 3_000;
-const SHUTDOWN_TIMEOUT: Micros = 3 * SECOND;
+const SHUTDOWN_TIMEOUT: TimeSpan = seconds(3);
 /// Load in the parts of a run, in percent of the usual.
 const LOADS: [u64; 5] = [60, 100, 220, 90, 150];
 
@@ -21,15 +21,15 @@
     pub driven_nodes: u32,
     pub workers: u64,
     /// Mean time between events at usual load.
-    pub mean_gap: Micros,
+    pub mean_gap: TimeSpan,
     /// Most time that other nodes' work takes of a worker before each attempt.
-    pub max_other_work: Micros,
+    pub max_other_work: TimeSpan,
 }
 
 enum Scheduled {
     Timer { process: usize },
     Gossip { to: usize, from: u32, data: Vec<u8> },
-    PollEnd { process: usize, begin: Micros, is_answered: bool },
+    PollEnd { process: usize, begin: Timestamp, is_answered: bool },
     Attempt { job: JobId, attempt: u32, event: Event<'static> },
 }
 
@@ -51,12 +51,12 @@
     fleet: Fleet,
     seed: u64,
     rng: fastrand::Rng,
-    now: Micros,
+    now: Timestamp,
     processes: Vec<Process>,
     endpoints: Vec<Endpoint>,
-    workers_free_at: Vec<Micros>,
+    workers_free_at: Vec<Timestamp>,
     /// By time, then in the order in which they were scheduled.
-    schedule: BTreeMap<(Micros, u64), Scheduled>,
+    schedule: BTreeMap<(Timestamp, u64), Scheduled>,
     scheduled: u64,
     jobs: BTreeMap<JobId, Job>,
     recorder: Recorder,
@@ -77,14 +77,14 @@
             .map(|id| Endpoint {
                 zone: ZoneId(id as u32 % 2),
                 kind: KindId(id as u32 / 2 % 3),
-                started_at: if id % 5 == 4 { 9 * SECOND } else { 0 },
+                started_at: if id % 5 == 4 { at(seconds(9)) } else { Timestamp::ORIGIN },
                 size: f64::from(rng.u32(1..4)),
                 ..endpoint(id)
             })
             .collect();
         let mut driver = Driver {
-            workers_free_at: vec![0; endpoints.len()],
-            now: 10 * SECOND,
+            workers_free_at: vec![Timestamp::ORIGIN; endpoints.len()],
+            now: START,
             processes: Vec::new(),
             schedule: BTreeMap::new(),
             scheduled: 0,
@@ -103,7 +103,7 @@
     fn play_events(&mut self) {
         for event in 0..EVENTS {
             let load = LOADS[(event * LOADS.len() as u64 / EVENTS) as usize];
-            let gap = self.rng.u64(1..2 * self.fleet.mean_gap) * 100 / load;
+            let gap = self.random_span(micros(1)..self.fleet.mean_gap * 2) * 100 / load;
             self.advance(self.now + gap);
             self.play_external_event();
             if event == EVENTS / 2 {
@@ -141,16 +141,20 @@
         self.deliver_list(process, true);
     }
 
-    fn schedule(&mut self, at: Micros, event: Scheduled) {
+    fn random_span(&mut self, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
+        random_span(&mut self.rng, range)
+    }
+
+    fn schedule(&mut self, at: Timestamp, event: Scheduled) {
         self.scheduled += 1;
         self.schedule.insert((at, self.scheduled), event);
     }
 
-    fn schedule_attempt_event(&mut self, at: Micros, job: JobId, attempt: u32, event: Event<'static>) {
+    fn schedule_attempt_event(&mut self, at: Timestamp, job: JobId, attempt: u32, event: Event<'static>) {
         self.schedule(at, Scheduled::Attempt { job, attempt, event });
     }
 
-    fn schedule_end(&mut self, at: Micros, job: JobId, attempt: u32, outcome: Outcome) {
+    fn schedule_end(&mut self, at: Timestamp, job: JobId, attempt: u32, outcome: Outcome) {
         let settled = outcome == Outcome::Done;
         self.schedule_attempt_event(at, job, attempt, Event::AttemptEnded { job, attempt, outcome, settled });
     }
@@ -183,7 +187,7 @@
                 Action::SendGossip { to, data } => self.send_gossip(process, to, &data),
                 Action::SetTimer { after } => self.schedule(self.now + after, Scheduled::Timer { process }),
                 Action::WatchEndpoints => {
-                    let at = self.now + self.rng.u64(5 * MILLISECOND..200 * MILLISECOND);
+                    let at = self.now + self.random_span(millis(5)..millis(200));
                     let is_answered = self.rng.u8(0..3) > 0;
                     self.schedule(at, Scheduled::PollEnd { process, begin: self.now, is_answered });
                 }
@@ -192,7 +196,7 @@
     }
 
     fn send_gossip(&mut self, process: usize, to_node: u32, data: &[u8]) {
-        let at = self.now + self.rng.u64(1..4 * MILLISECOND);
+        let at = self.now + self.random_span(micros(1)..millis(4));
         let from = self.processes[process].node_index;
         for to in 0..self.processes.len() {
             if self.processes[to].node_index == to_node {
@@ -202,18 +206,18 @@
     }
 
     /// An attempt waits for its worker, runs there for about its hint, and ends in any way.
-    fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: Micros) {
+    fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: TimeSpan) {
         let state = self.jobs.get_mut(&job).expect("a submitted job");
         let attempt = state.attempts;
         state.attempts += 1;
         state.in_flight.insert(attempt, false);
         let worker = worker.0 as usize;
-        let other_work = self.rng.u64(0..=self.fleet.max_other_work);
-        let begin = self.now.max(self.workers_free_at[worker]) + other_work + MILLISECOND;
-        let end = begin + self.rng.u64(5 * MILLISECOND..220 * MILLISECOND);
+        let other_work = self.random_span(..=self.fleet.max_other_work);
+        let begin = self.now.max(self.workers_free_at[worker]) + other_work + millis(1);
+        let end = begin + self.random_span(millis(5)..millis(220));
         let middle = begin + (end - begin) / 2;
         let timeout_at = self.now + timeout;
-        let accepted_at = self.now + self.rng.u64(1..20 * MILLISECOND);
+        let accepted_at = self.now + self.random_span(micros(1)..millis(20));
         let early =
             [Outcome::Rejected, Outcome::Unreachable, Outcome::NotSent, Outcome::Lost, Outcome::Error];
         let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
@@ -257,13 +261,13 @@
     fn call_off(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
         let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
         if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
-            let at = self.now + self.rng.u64(0..2 * MILLISECOND);
+            let at = self.now + self.random_span(..millis(2));
             self.schedule_end(at, job, attempt, outcome);
         }
     }
 
     /// Plays all that is scheduled until a time.
-    fn advance(&mut self, until: Micros) {
+    fn advance(&mut self, until: Timestamp) {
         while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
--- a/crates/core/tests/decision_lock/driver/external_events.rs
+++ b/crates/core/tests/decision_lock/driver/external_events.rs
@@ -63,8 +63,8 @@
         let job = JobId(self.jobs.len() as u64);
         let work = 0.01 + self.rng.f64() * 0.2;
         // Less than the usual time left: a client's retry.
-        let time_left =
-            if self.rng.u8(0..5) == 0 { self.rng.u64(SECOND / 10..5 * SECOND) } else { 5 * SECOND };
+        let is_short = self.rng.u8(0..5) == 0;
+        let time_left = if is_short { self.random_span(millis(100)..seconds(5)) } else { seconds(5) };
         let usual = submission(job.0, self.rng.usize(0..self.fleet.settings.classes.len()), work, self.now);
         let submission = JobSubmission {
             tenant: TenantId(self.rng.usize(0..3)),
--- a/crates/core/tests/decision_lock/main.rs
+++ b/crates/core/tests/decision_lock/main.rs
@@ -14,12 +14,12 @@
 
 use common::golden::assert_golden;
 use common::*;
-use driver::{Driver, Fleet, MILLISECOND};
+use driver::{Driver, Fleet};
 
 /// One node with few workers and tenants, which may hedge.
 fn few_workers() -> Fleet {
     let settings = Settings { tenant_quotas: vec![6.0, 20.0, 40.0], ..settings() };
-    Fleet { settings, driven_nodes: 1, workers: 5, mean_gap: 20_000, max_other_work: 0 }
+    Fleet { settings, driven_nodes: 1, workers: 5, mean_gap: millis(20), max_other_work: TimeSpan::ZERO }
 }
 
 /// A node of many that polls for its endpoint list, and cancels what would be better elsewhere. Its workers report
@@ -27,8 +27,8 @@
 fn many_nodes() -> Fleet {
     let mut settings = Settings {
         endpoints_on_request: true,
-        assumed_notified_after: 6 * SECOND,
-        accept_timeout: 100 * MILLISECOND,
+        assumed_notified_after: seconds(6),
+        accept_timeout: millis(100),
         may_hedge: false,
         sizes_listed: true,
         may_gossip: true,
@@ -39,8 +39,8 @@
     settings.classes[1].idempotency =
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
     settings.classes.push(JobClass { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
-    let max_other_work = 40 * MILLISECOND;
-    Fleet { settings, driven_nodes: 1, workers: 40, mean_gap: 14_000, max_other_work }
+    let max_other_work = millis(40);
+    Fleet { settings, driven_nodes: 1, workers: 40, mean_gap: millis(14), max_other_work }
 }
 
 /// Three nodes that gossip about their work at workers of two zones, which do not report starts.
@@ -53,8 +53,8 @@
         ..node_settings(3, 0)
     };
     settings.classes[1].idempotency =
-        Idempotency::WithKey { scope: DeduplicationScope::All, window: 2 * SECOND };
-    Fleet { settings, driven_nodes: 3, workers: 9, mean_gap: 14_000, max_other_work: 0 }
+        Idempotency::WithKey { scope: DeduplicationScope::All, window: seconds(2) };
+    Fleet { settings, driven_nodes: 3, workers: 9, mean_gap: millis(14), max_other_work: TimeSpan::ZERO }
 }
 
 #[test]
--- a/crates/core/tests/decision_lock/recorder.rs
+++ b/crates/core/tests/decision_lock/recorder.rs
@@ -18,21 +18,22 @@
 
 impl Recorder {
     /// Hashes an action field by field, with numbers that are this test's own.
-    pub fn record(&mut self, now: Micros, process: usize, action: &Action) {
+    pub fn record(&mut self, now: Timestamp, process: usize, action: &Action) {
         let (kind, fields) = match action {
             Action::SendAttempt { job, worker, timeout, send_by } => {
-                (0, [job.0, worker.0, *timeout, send_by.unwrap_or(NO_FIELD)])
+                let send_by = send_by.map_or(NO_FIELD, Timestamp::as_micros);
+                (0, [job.0, worker.0, timeout.as_micros(), send_by])
             }
-            Action::Reject { job, retry_after } => (1, [job.0, *retry_after, NO_FIELD, NO_FIELD]),
+            Action::Reject { job, retry_after } => (1, [job.0, retry_after.as_micros(), NO_FIELD, NO_FIELD]),
             Action::Fail { job } => (2, [job.0, NO_FIELD, NO_FIELD, NO_FIELD]),
             Action::RevokeAttempt { job, attempt } => (3, [job.0, u64::from(*attempt), NO_FIELD, NO_FIELD]),
             Action::CancelAttempt { job, attempt } => (4, [job.0, u64::from(*attempt), NO_FIELD, NO_FIELD]),
             Action::SendGossip { to, data } => (5, [u64::from(*to), data.len() as u64, NO_FIELD, NO_FIELD]),
-            Action::SetTimer { after } => (6, [*after, NO_FIELD, NO_FIELD, NO_FIELD]),
+            Action::SetTimer { after } => (6, [after.as_micros(), NO_FIELD, NO_FIELD, NO_FIELD]),
             Action::WatchEndpoints => (7, [NO_FIELD; 4]),
         };
         self.counts[kind] += 1;
-        for number in [now, process as u64, kind as u64].into_iter().chain(fields) {
+        for number in [now.as_micros(), process as u64, kind as u64].into_iter().chain(fields) {
             self.hash.write(&number.to_le_bytes());
         }
         if let Action::SendGossip { data, .. } = action {
--- a/crates/core/tests/decisions/admission.rs
+++ b/crates/core/tests/decisions/admission.rs
@@ -17,11 +17,11 @@
     let mut node = TestNode::new(settings_with_quotas(vec![1.4, 50.0]), &endpoints(1));
     node.start_job(9, 0, 0.5);
     let mut aged = submission(1, 0, 3.0, node.now);
-    aged.deadline -= 3_000;
+    aged.deadline = aged.deadline - millis(3);
     node.submit_job(aged);
     node.submit(3, 0, 0.5);
     node.place_for_tenant(2, 0, 2.0, 1);
-    assert_first_sent(&node.end_after(500_000, 9, 0, Outcome::Done), 2);
+    assert_first_sent(&node.end_after(millis(500), 9, 0, Outcome::Done), 2);
 }
 
 #[test]
@@ -30,11 +30,11 @@
     // before the other tenant's, which is less urgent.
     let settings = Settings { nodes: 10, ..settings_with_quotas(vec![1.0, 50.0]) };
     let mut node = TestNode::new(settings, &endpoints(1));
-    node.now += 60 * SECOND;
+    node.now += seconds(60);
     node.start_job(9, 0, 0.5);
     node.place_for_tenant(2, 0, 2.0, 1);
     node.submit(3, 0, 1.6);
-    assert_first_sent(&node.end_after(500_000, 9, 0, Outcome::Done), 3);
+    assert_first_sent(&node.end_after(millis(500), 9, 0, Outcome::Done), 3);
 }
 
 /// Two workers of one slot: one has just become free, and much work of tenant 1, within its quota, was lost.
@@ -48,7 +48,7 @@
     }
     (0..2).for_each(|job| _ = node.start(job, 0));
     let rejections =
-        node.advance(500_000).into_iter().filter(|action| matches!(action, Action::Reject { .. }));
+        node.advance(millis(500)).into_iter().filter(|action| matches!(action, Action::Reject { .. }));
     assert!(rejections.count() > 10);
     node.end(0, 0, Outcome::Done);
     node
@@ -76,7 +76,7 @@
     assert!(node.place(1, 0, 0.5).is_some());
     node.start(1, 0);
     assert!(node.place(2, 0, 1.0).is_none(), "enqueued while the worker is busy");
-    node.now += 500_000;
+    node.now += millis(500);
     assert!(sent_to(&node.end(1, 0, Outcome::Done)).is_some(), "sent as the slot becomes free");
 }
 
--- a/crates/core/tests/decisions/affinity.rs
+++ b/crates/core/tests/decisions/affinity.rs
@@ -13,7 +13,7 @@
         let key = job % 3;
         let worker = node.place_with_key(job, 0, 0.1, key).expect("all are free");
         assert_eq!(*worker_of_key.entry(key).or_insert(worker), worker, "key {key}");
-        node.serve(job, 100_000);
+        node.serve(job, millis(100));
     }
 }
 
@@ -23,9 +23,9 @@
     // The nodes' earlier jobs differ.
     for job in 100..140 + u64::from(node_index) {
         node.place_with_key(job, 0, 0.1, job);
-        node.serve(job, 100_000);
+        node.serve(job, millis(100));
     }
-    node.now += 60 * SECOND;
+    node.now += seconds(60);
     node.place_with_key(1, 0, 0.1, key)
 }
 
@@ -57,14 +57,14 @@
             if key == POPULAR_KEY {
                 workers[worker as usize].status = WorkerStatus::Draining;
             }
-            node.serve(job, 100_000);
+            node.serve(job, millis(100));
         }
         node.list(&workers);
         // Nodes differ in what they drew at random before.
         for job in 100..100 + u64::from(node_index) {
-            node.run_job(job, 0, 0.1, 100_000);
+            node.run_job(job, 0, 0.1, millis(100));
         }
-        node.now += 60 * SECOND;
+        node.now += seconds(60);
         chosen.extend(node.place_with_key(1, 0, 0.1, POPULAR_KEY));
     }
     chosen.len()
--- a/crates/core/tests/decisions/deadlines.rs
+++ b/crates/core/tests/decisions/deadlines.rs
@@ -7,7 +7,7 @@
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.start_job(1, 0, 4.0);
     assert!(!has_rejection(&node.submit(2, 0, 0.05)));
-    let actions = node.advance(300_000);
+    let actions = node.advance(millis(300));
     assert!(has_rejection(&actions), "{actions:?}");
 }
 
@@ -15,13 +15,13 @@
 fn attempt_waits_past_any_start_in_time_then_it_is_cancelled() {
     let mut node = TestNode::new(settings(), &endpoints(1));
     assert!(node.place(1, 0, 0.1).is_some());
-    let actions = node.advance(4 * SECOND);
+    let actions = node.advance(seconds(4));
     assert!(has_rejection(&actions), "{actions:?}");
     assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
     // One that runs is left alone.
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.start_job(1, 0, 0.1);
-    assert!(!has_rejection(&node.advance(4 * SECOND)));
+    assert!(!has_rejection(&node.advance(seconds(4))));
 }
 
 #[test]
@@ -30,7 +30,7 @@
     node.submit(1, 0, 0.1);
     node.submit(2, 2, 0.1);
     node.start(1, 0);
-    let actions = node.advance(5 * SECOND - 10_000);
+    let actions = node.advance(seconds(5) - millis(10));
     assert!(has_rejection(&actions) && has_failure(&actions), "{actions:?}");
 }
 
@@ -38,7 +38,7 @@
 fn no_time_left_on_arrival_then_the_job_is_answered_at_once() {
     // A client's last retry can come with no time left: the next periodic sweep would be too late.
     let mut node = TestNode::new(settings(), &endpoints(1));
-    let deadline = node.now + 5_000;
+    let deadline = node.now + millis(5);
     let last = JobSubmission { deadline, is_retry: true, ..submission(1, 0, 0.1, node.now) };
     assert!(has_rejection(&node.submit_job(last)));
     assert!(node.advance(SECOND).is_empty());
@@ -55,14 +55,14 @@
     // Neither can be sent: one could still be served in time, one could not.
     node.submit(1, 2, 0.5);
     node.submit(2, 2, 4.0);
-    let deadline = node.now + 3 * SECOND;
+    let deadline = node.now + seconds(3);
     let actions = node.handle(Event::ShutdownStarted { deadline });
     assert!(rejects(&actions, 2) && !rejects(&actions, 1), "{actions:?}");
     assert!(rejects(&node.submit(3, 2, 4.0), 3), "another node is its better chance");
     node.list(&endpoints(1));
-    assert!(sent_to(&node.advance(20_000)).is_some());
+    assert!(sent_to(&node.advance(millis(20))).is_some());
     // What may have run fails before the end, however long its client would wait.
-    assert!(has_failure(&node.advance(3 * SECOND - 40_000)));
+    assert!(has_failure(&node.advance(seconds(3) - millis(40))));
 }
 
 #[test]
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -10,7 +10,7 @@
     node.handle(Event::EndpointsChanged { endpoints: &workers[..1], snapshot: false });
     for job in 0..20 {
         assert_ne!(node.place(job, 0, 0.01), Some(0));
-        node.advance(100_000);
+        node.advance(millis(100));
     }
     // A whole list that no longer names a worker removes it.
     node.list(&[]);
@@ -28,8 +28,8 @@
     restarted[0].started_at = node.now;
     for (job, list) in [&workers[1..], &workers[..], &restarted[..]].into_iter().enumerate() {
         node.list(list);
-        assert_eq!(node.run_job(job as u64, 0, 0.1, 0), Some(1));
-        node.now += 10_000;
+        assert_eq!(node.run_job(job as u64, 0, 0.1, TimeSpan::ZERO), Some(1));
+        node.now += millis(10);
     }
     // Its only other worker being gone, a job waits.
     node.list(&restarted[..1]);
@@ -45,7 +45,7 @@
     for job in 0..8 {
         let worker = node.place(job, 2, 0.05);
         node.start(job, 0);
-        node.end_after(50_000, job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
+        node.end_after(millis(50), job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
     }
     node.set_disabled(0, true);
     node.advance(SECOND);
@@ -74,7 +74,7 @@
                 actions.extend(node.end(job.0, attempt, outcome));
             }
         }
-        node.advance(20_000);
+        node.advance(millis(20));
     }
     assert!(attempts < 40, "{attempts} attempts at unreachable workers in 4 s");
 }
@@ -82,7 +82,7 @@
 #[test]
 fn attempt_not_accepted_in_time_then_its_worker_loses_it_and_gets_no_other() {
     // A silent worker would cost a job its whole deadline, and the next ones would follow it.
-    let settings = Settings { accept_timeout: SECOND / 2, ..settings() };
+    let settings = Settings { accept_timeout: millis(500), ..settings() };
     for (class, is_cancelled) in [(0, true), (1, true), (2, false)] {
         let mut node = TestNode::new(settings.clone(), &endpoints(2));
         let silent = node.place(1, class, 2.0).expect("both are free");
--- a/crates/core/tests/decisions/endpoint_lease.rs
+++ b/crates/core/tests/decisions/endpoint_lease.rs
@@ -2,12 +2,12 @@
 
 use crate::common::*;
 
-const NOTIFIED_WITHIN: Micros = 6 * SECOND;
+const NOTIFIED_WITHIN: TimeSpan = seconds(6);
 /// After a drain counts as notified nothing may be sent to that worker later than this.
-const STOP_SENDING_WITHIN: Micros = 750_000;
-const POLL_DURATION: Micros = 5_000;
-const FAILING_POLL_DURATION: Micros = 2 * SECOND;
-const OBSERVED: Micros = 40 * SECOND;
+const STOP_SENDING_WITHIN: TimeSpan = millis(750);
+const POLL_DURATION: TimeSpan = millis(5);
+const FAILING_POLL_DURATION: TimeSpan = seconds(2);
+const OBSERVED: TimeSpan = seconds(40);
 
 fn lease_settings(nodes: u32) -> Settings {
     Settings {
@@ -28,7 +28,7 @@
 /// A node whose first poll was answered by a list at this moment.
 fn watching_node(nodes: u32) -> TestNode {
     let mut node = starting_process(nodes);
-    while !node.advance(10_000).contains(&Action::WatchEndpoints) {}
+    while !node.advance(millis(10)).contains(&Action::WatchEndpoints) {}
     node.now += POLL_DURATION;
     node.handle(Event::PollAnswered { duration: POLL_DURATION });
     node.list(&endpoints(4));
@@ -38,11 +38,11 @@
 }
 
 /// The times of all sends while each poll fails and a job is submitted every 0.2 s. Each job is served at once.
-fn sends_while_polls_fail(node: &mut TestNode) -> Vec<Micros> {
+fn sends_while_polls_fail(node: &mut TestNode) -> Vec<Timestamp> {
     let (end, mut sends, mut fails_at) = (node.now + OBSERVED, Vec::new(), None);
     for job in 1.. {
         let mut actions = node.submit(job, 0, 0.02);
-        actions.extend(node.advance(200_000));
+        actions.extend(node.advance(millis(200)));
         if fails_at.is_some_and(|at| at <= node.now) {
             fails_at = None;
             actions.extend(node.handle(Event::WatchFailed));
@@ -84,14 +84,14 @@
 
 #[test]
 fn watch_ends_then_the_list_is_as_old_as_the_last_event_of_the_watch() {
-    for silence in [500_000, 1_900_000] {
+    for silence in [millis(500), millis(1_900)] {
         let mut node = watching_node(300);
         let confirmed_at = node.now;
         node.advance(silence);
         node.handle(Event::WatchFailed);
         let sends = sends_while_polls_fail(&mut node);
         let limit = confirmed_at + NOTIFIED_WITHIN + STOP_SENDING_WITHIN;
-        assert!(sends.iter().all(|at| *at <= limit), "{silence}: {sends:?} after {limit}");
+        assert!(sends.iter().all(|at| *at <= limit), "{silence:?}: {sends:?} after {limit:?}");
     }
 }
 
@@ -108,27 +108,27 @@
 fn confirmation_is_handled_late_then_the_lease_counts_from_when_it_was_read() {
     let mut node = starting_process(3);
     let read_at = node.now;
-    node.advance(4 * SECOND);
+    node.advance(seconds(4));
     node.handle(Event::EndpointsConfirmed { as_of: read_at });
-    assert_eq!(node.dispatcher.endpoints_write_by(), Some(read_at + NOTIFIED_WITHIN + 400_000));
+    assert_eq!(node.dispatcher.endpoints_write_by(), Some(read_at + NOTIFIED_WITHIN + millis(400)));
     // An earlier one that comes last takes nothing back, and one of the future counts as one of now.
     node.handle(Event::EndpointsConfirmed { as_of: read_at - SECOND });
     assert!(node.dispatcher.check_endpoint_lease(node.now).is_ok());
     node.handle(Event::EndpointsConfirmed { as_of: node.now + SECOND });
-    assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + NOTIFIED_WITHIN + 400_000));
+    assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + NOTIFIED_WITHIN + millis(400)));
 }
 
 #[test]
 fn list_cannot_be_read_or_discovery_moves_then_the_lease_is_shortened_and_not_renewed() {
-    for (event, left) in [(Event::EndpointsUnreadable, 0), (Event::DiscoveryMoved, 4 * SECOND)] {
+    for (event, left) in [(Event::EndpointsUnreadable, TimeSpan::ZERO), (Event::DiscoveryMoved, seconds(4))] {
         let mut node = watching_node(3);
         node.handle(event.clone());
-        assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + left + 400_000), "{event:?}");
-        node.advance(left + 100_000);
+        assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + left + millis(400)), "{event:?}");
+        node.advance(left + millis(100));
         assert_eq!(node.place(1, 0, 0.1), None, "{event:?}: it waits");
         let as_of = node.now;
         node.handle(Event::EndpointsConfirmed { as_of });
-        assert_eq!(count_sends(&node.advance(20_000)), 1, "{event:?}: it is sent");
+        assert_eq!(count_sends(&node.advance(millis(20))), 1, "{event:?}: it is sent");
         assert_eq!(node.dispatcher.violations().total(), 0);
     }
 }
@@ -138,12 +138,12 @@
     let mut node = watching_node(3);
     node.advance(NOTIFIED_WITHIN + SECOND);
     assert!(!has_rejection(&node.submit(1, 2, 0.1)), "it is worth waiting for");
-    node.advance(2 * SECOND);
+    node.advance(seconds(2));
     assert!(has_rejection(&node.submit(2, 2, 0.1)), "another node may have an answer");
     let retry = JobSubmission { is_retry: true, ..submission(3, 2, 0.1, node.now) };
     assert!(!has_rejection(&node.submit_job(retry)), "none may have one");
     let as_of = node.now;
     node.handle(Event::EndpointsConfirmed { as_of });
-    assert_eq!(count_sends(&node.advance(20_000)), 1);
+    assert_eq!(count_sends(&node.advance(millis(20))), 1);
     assert!(!has_rejection(&node.submit(4, 2, 0.1)));
 }
--- a/crates/core/tests/decisions/estimates.rs
+++ b/crates/core/tests/decisions/estimates.rs
@@ -28,11 +28,11 @@
     for job in 0..5 {
         assert_eq!(node.place(job, 2, 0.5), Some(1));
         node.start(job, 0);
-        assert!(has_failure(&node.end_after(10_000, job, 0, Outcome::Error)));
-        node.advance(10 * SECOND);
+        assert!(has_failure(&node.end_after(millis(10), job, 0, Outcome::Error)));
+        node.advance(seconds(10));
         // It has to serve one idempotent job before it gets others.
-        node.run_job(50 + job, 0, 0.5, 250_000);
-        node.advance(10 * SECOND);
+        node.run_job(50 + job, 0, 0.5, millis(250));
+        node.advance(seconds(10));
     }
     assert_eq!(node.place(90, 0, 1.0), Some(1));
 }
@@ -44,9 +44,9 @@
     node.start_job(0, 0, 0.05);
     for job in 1..20 {
         node.submit(job, 0, 0.05);
-        node.advance(50_000);
+        node.advance(millis(50));
         node.start(job, 0);
-        node.now += 2_000;
+        node.now += millis(2);
         node.handle(Event::TimerExpired);
         node.end(job - 1, 0, Outcome::Done);
     }
@@ -66,7 +66,7 @@
     let mut run_round = |first: u64, work: f64, speed: f64, ends: bool| {
         (first..first + 20).for_each(|job| _ = node.submit(job, 0, work));
         (first..first + 20).for_each(|job| _ = node.start(job, 0));
-        node.now += (work / speed * 1e6) as Micros;
+        node.now += TimeSpan::from_secs_f64(work / speed);
         (first..first + 20).filter(|_| ends).for_each(|job| _ = node.end(job, 0, Outcome::Done));
         node.advance(SECOND);
     };
@@ -76,7 +76,7 @@
     run_round(400, 8.0, 1e9, false);
     // All are busy. At the speeds learned, a job of 0.5 s could wait for 0.07 s.
     node.submit(1, 3, 0.5);
-    let actions = node.advance(40_000);
+    let actions = node.advance(millis(40));
     assert!(has_rejection(&actions), "{actions:?}");
 }
 
@@ -84,12 +84,12 @@
 fn long_wait_observed_then_the_worker_is_avoided_until_it_can_be_worked_off() {
     let mut node = TestNode::new(node_settings(2, 0), &endpoints(2));
     let first = node.place(1, 0, 0.05);
-    node.now += 4_400_000;
-    node.serve(1, 50_000);
+    node.now += millis(4_400);
+    node.serve(1, millis(50));
     // It counts for half of that wait, which takes 2.2 s to work off; the other worker is as good but for it.
-    node.now += 2_000_000;
+    node.now += millis(2_000);
     for job in 2..12 {
-        assert_ne!(node.run_job(job, 0, 0.001, 1_000), first, "job {job}");
+        assert_ne!(node.run_job(job, 0, 0.001, millis(1)), first, "job {job}");
     }
 }
 
--- a/crates/core/tests/decisions/gossip.rs
+++ b/crates/core/tests/decisions/gossip.rs
@@ -13,7 +13,7 @@
     let mut node = TestNode::new(gossiping(32, node_index), &endpoints(32));
     let mut used = [false; 32];
     for job in 0..60 {
-        used[node.run_job(job, 0, 0.01, 10_000).expect("sent") as usize] = true;
+        used[node.run_job(job, 0, 0.01, millis(10)).expect("sent") as usize] = true;
     }
     used
 }
@@ -33,7 +33,7 @@
     let settings = Settings { gossip_price, ..gossiping(nodes, 1) };
     let mut node = TestNode::new(settings, &endpoints(nodes.into()));
     node.submit(1, 0, 3.0);
-    let actions = node.advance(SECOND / 5).into_iter();
+    let actions = node.advance(millis(200)).into_iter();
     actions
         .filter_map(|action| if let Action::SendGossip { to, .. } = action { Some(to) } else { None })
         .collect()
@@ -54,7 +54,7 @@
     let mut node = TestNode::new(settings, &workers);
     // Two workers of that kind in four subsets: most subsets have none.
     let mut actions = node.submit(1, 0, 0.01);
-    actions.extend(node.advance(300_000));
+    actions.extend(node.advance(millis(300)));
     assert!(matches!(sent_to(&actions), Some(7 | 23)), "{actions:?}");
 }
 
@@ -63,7 +63,7 @@
     let workers = endpoints(2);
     let mut busy_node = TestNode::new(gossiping(2, 0), &workers[..1]);
     busy_node.submit(1, 0, 3.0);
-    let actions = busy_node.advance(20_000);
+    let actions = busy_node.advance(millis(20));
     let gossip = actions.iter().find_map(|action| match action {
         Action::SendGossip { data, .. } => Some(data),
         _ => None,
@@ -74,13 +74,13 @@
     let mut node = TestNode::new(gossiping(2, 0), &workers);
     node.handle(Event::GossipReceived { from: 1, data });
     for job in 0..8 {
-        assert_eq!(node.run_job(job, 0, 0.01, 10_000), Some(1));
+        assert_eq!(node.run_job(job, 0, 0.01, millis(10)), Some(1));
     }
-    node.advance(20 * SECOND);
+    node.advance(seconds(20));
     let mut used = [false; 2];
     for job in 20..60 {
-        used[node.run_job(job, 0, 0.01, 10_000).expect("sent") as usize] = true;
-        node.advance(10 * SECOND);
+        used[node.run_job(job, 0, 0.01, millis(10)).expect("sent") as usize] = true;
+        node.advance(seconds(10));
     }
     assert_eq!(used, [true; 2]);
 }
--- a/crates/core/tests/decisions/hedging.rs
+++ b/crates/core/tests/decisions/hedging.rs
@@ -5,14 +5,14 @@
 /// Serves jobs 10 to 39, which pay for a hedged request.
 fn serve_thirty_jobs(node: &mut TestNode) {
     for job in 10..40 {
-        node.run_job(job, 0, 0.1, 100_000);
+        node.run_job(job, 0, 0.1, millis(100));
     }
 }
 
 /// One of so many nodes that may hedge, and has then sent job 1 to the worker returned.
 fn node_with_a_waiting_job(nodes: u32, class: usize) -> (TestNode, Option<u64>) {
     let mut settings = node_settings(nodes, 0);
-    settings.classes.iter_mut().for_each(|class| class.latency_objective = 2 * SECOND);
+    settings.classes.iter_mut().for_each(|class| class.latency_objective = seconds(2));
     let mut node = TestNode::new(settings, &endpoints(4));
     serve_thirty_jobs(&mut node);
     node.advance(SECOND);
@@ -23,7 +23,7 @@
 #[test]
 fn lone_node_with_a_waiting_job_then_it_hedges_once_and_only_after_a_second() {
     let (mut node, first) = node_with_a_waiting_job(1, 0);
-    assert_eq!(sent_to(&node.advance(SECOND / 2)), None, "all work there is its own: it must be slow");
+    assert_eq!(sent_to(&node.advance(millis(500))), None, "all work there is its own: it must be slow");
     let actions = node.advance(SECOND);
     assert_eq!(count_sends(&actions), 1, "{actions:?}");
     assert_ne!(sent_to(&actions), first);
@@ -32,7 +32,7 @@
 #[test]
 fn nodes_without_gossip_then_a_late_start_is_hedged_and_the_loser_cancelled() {
     let (mut node, first) = node_with_a_waiting_job(3, 0);
-    let actions = node.advance(50_000);
+    let actions = node.advance(millis(50));
     assert!(sent_to(&actions).is_some_and(|hedged| Some(hedged) != first), "{actions:?}");
     // The hedged request starts: the attempt that still waits must not run as well.
     let actions = node.start(1, 1);
@@ -53,7 +53,7 @@
     serve_thirty_jobs(&mut node);
     node.start_job(1, 0, 0.1);
     node.submit(2, 2, 0.1);
-    assert_eq!(sent_to(&node.advance(2 * SECOND)), None);
+    assert_eq!(sent_to(&node.advance(seconds(2))), None);
 }
 
 #[test]
@@ -61,10 +61,10 @@
     let mut node = TestNode::new(Settings { reports_start: false, ..settings() }, &endpoints(2));
     for job in 10..40 {
         node.submit(job, 0, 0.1);
-        node.end_after(100_000, job, 0, Outcome::Done);
+        node.end_after(millis(100), job, 0, Outcome::Done);
     }
     node.submit(1, 0, 0.1);
-    assert_eq!(sent_to(&node.advance(2 * SECOND)), None, "no hedged request");
+    assert_eq!(sent_to(&node.advance(seconds(2))), None, "no hedged request");
     assert!(node.place(2, 2, 0.1).is_some(), "the other worker is used");
 }
 
@@ -72,10 +72,10 @@
 /// which has accepted it.
 fn node_with_an_accepted_job(nodes: u32, class: usize) -> (TestNode, Option<u64>) {
     let mut settings = Settings { may_hedge: false, ..node_settings(nodes, 0) };
-    settings.classes.iter_mut().for_each(|class| class.latency_objective = 2 * SECOND);
+    settings.classes.iter_mut().for_each(|class| class.latency_objective = seconds(2));
     let mut node = TestNode::new(settings, &endpoints(12));
     let first = node.place_with_key(1, class, 0.1, 7);
-    node.now += 10_000;
+    node.now += millis(10);
     node.accept(1, 0);
     (node, first)
 }
@@ -85,14 +85,14 @@
     let cancel = Action::CancelAttempt { job: JobId(1), attempt: 0 };
     for nodes in [3, 300] {
         let (mut node, first) = node_with_an_accepted_job(nodes, 0);
-        assert_eq!(node.advance(130_000), [], "its start may yet be reported");
-        let actions = node.advance(30_000);
+        assert_eq!(node.advance(millis(130)), [], "its start may yet be reported");
+        let actions = node.advance(millis(30));
         assert!(!actions.is_empty() && actions.iter().all(|action| *action == cancel), "{actions:?}");
         let second = sent_to(&node.end(1, 0, Outcome::Cancelled));
         assert!(second.is_some() && second != first, "{first:?}, {second:?}");
         node.accept(1, 1);
         node.start(1, 1);
-        assert_eq!(node.advance(SECOND / 2), [], "what runs stays");
+        assert_eq!(node.advance(millis(500)), [], "what runs stays");
     }
     for class in [1, 2] {
         let (mut node, _) = node_with_an_accepted_job(300, class);
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -16,7 +16,11 @@
     node.handle(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
     assert!(has_failure(&node.submit(5, 9, 0.1)), "an unknown class");
     for (job, hint, slots) in [(6, f64::NAN, f64::NAN), (7, -1.0, -3.0), (8, f64::INFINITY, 1e300)] {
-        node.submit_job(JobSubmission { slots, deadline: 0, ..submission(job, 0, hint, node.now) });
+        node.submit_job(JobSubmission {
+            slots,
+            deadline: Timestamp::ORIGIN,
+            ..submission(job, 0, hint, node.now)
+        });
     }
     node.advance(SECOND);
 }
@@ -28,7 +32,7 @@
         let mut all = Vec::new();
         for job in 0..50 {
             all.extend(node.submit(job, (job % 3) as usize, 0.02));
-            all.extend(node.advance(15_000));
+            all.extend(node.advance(millis(15)));
             all.extend(node.end(job, 0, if job % 7 == 0 { Outcome::Lost } else { Outcome::Done }));
         }
         all
--- a/crates/core/tests/decisions/migration.rs
+++ b/crates/core/tests/decisions/migration.rs
@@ -43,10 +43,10 @@
     // The predecessor sends nothing more there while the successor is active.
     older.handle(Event::SuccessorActive { active: true });
     older.list(&workers[2..]);
-    assert_eq!(sent_to(&older.advance(2 * SECOND)), None);
+    assert_eq!(sent_to(&older.advance(seconds(2))), None);
     assert_eq!(older.place(200, 2, 0.05), None);
     older.handle(Event::SuccessorActive { active: false });
-    assert_eq!(sent_to(&older.advance(SECOND / 10)), Some(2));
+    assert_eq!(sent_to(&older.advance(millis(100))), Some(2));
 }
 
 #[test]
@@ -65,7 +65,7 @@
         assert!(newer.dispatcher.adopt_job(newer.now, JobId(new_id), &migrated, &mut actions));
     }
     assert_eq!(sent_to(&actions), None, "the attempts in flight are known");
-    assert!(older.advance(6 * SECOND).is_empty(), "nothing is known of them any more");
+    assert!(older.advance(seconds(6)).is_empty(), "nothing is known of them any more");
     assert_eq!(older.dispatcher.release_job(JobId(1)), None);
     // The first one broke off: it may have run. The enqueued one goes where there is capacity now.
     assert!(has_failure(&newer.end(11, 0, Outcome::Lost)));
--- a/crates/core/tests/decisions/placement.rs
+++ b/crates/core/tests/decisions/placement.rs
@@ -23,9 +23,9 @@
     let mut node = TestNode::new(settings(), &endpoints(4));
     let mut chosen = [false; 4];
     for job in 0..40 {
-        let worker = node.run_job(job, 0, 0.01, 10_000).expect("sent");
+        let worker = node.run_job(job, 0, 0.01, millis(10)).expect("sent");
         chosen[worker as usize] = true;
-        node.advance(20 * SECOND);
+        node.advance(seconds(20));
     }
     assert_eq!(chosen, [true; 4]);
 }
--- a/crates/core/tests/decisions/poll_schedule.rs
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -10,34 +10,34 @@
     let mut polls = Vec::new();
     node.handle(Event::WatchFailed);
     for _ in 0..2_000 {
-        if node.advance(10_000).contains(&Action::WatchEndpoints) {
+        if node.advance(millis(10)).contains(&Action::WatchEndpoints) {
             polls.push(node.now);
-            node.now += 1;
+            node.now += micros(1);
             node.handle(Event::WatchFailed);
         }
     }
     let gaps: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(polls.len() >= 3 && polls.len() < 12, "{gaps:?}");
-    assert!(gaps.iter().all(|gap| *gap < 10 * SECOND), "never silent beyond the limit: {gaps:?}");
+    assert!(gaps.iter().all(|gap| *gap < seconds(10)), "never silent beyond the limit: {gaps:?}");
     assert!(gaps[1] > gaps[0]);
 }
 
-const STEP: Micros = 10_000;
-const POLL_TIMEOUT: Micros = 2 * SECOND;
+const STEP: TimeSpan = millis(10);
+const POLL_TIMEOUT: TimeSpan = seconds(2);
 /// Time that discovery takes for each poll, also for one that has timed out.
-const SERVICE_TIME: Micros = 65_000;
+const SERVICE_TIME: TimeSpan = millis(65);
 
 /// How long it takes until all nodes, which start together, have a list from a discovery that answers one poll after
 /// another.
-fn time_until_all_have_a_list(nodes: u32) -> Option<Micros> {
+fn time_until_all_have_a_list(nodes: u32) -> Option<TimeSpan> {
     let start = |node_index| {
         let settings = Settings { endpoints_on_request: true, ..node_settings(nodes, node_index) };
         TestNode::starting(settings, u64::from(node_index))
     };
     let mut all: Vec<TestNode> = (0..nodes).map(start).collect();
-    let mut poll_begins: Vec<Option<Micros>> = vec![None; all.len()];
-    let (mut queue, mut free_at, mut without_list) = (VecDeque::new(), 0, nodes);
-    for now in (10 * SECOND..60 * SECOND).step_by(STEP as usize) {
+    let mut poll_begins: Vec<Option<Timestamp>> = vec![None; all.len()];
+    let (mut queue, mut free_at, mut without_list) = (VecDeque::new(), Timestamp::ORIGIN, nodes);
+    for now in moments(START, at(seconds(60)), STEP) {
         for (index, node) in all.iter_mut().enumerate() {
             node.now = now;
             if poll_begins[index].is_some_and(|begin| now >= begin + POLL_TIMEOUT) {
@@ -56,7 +56,7 @@
             }
         }
         if without_list == 0 {
-            return Some(now - 10 * SECOND);
+            return Some(now - START);
         }
     }
     None
@@ -65,6 +65,6 @@
 #[test]
 fn nodes_start_together_and_polls_are_served_serially_then_all_get_a_list() {
     let (many, few) = (time_until_all_have_a_list(100), time_until_all_have_a_list(3));
-    assert!(many.is_some_and(|span| span < 30 * SECOND), "{many:?}");
-    assert!(few.is_some_and(|span| span < SECOND / 2), "{few:?}");
+    assert!(many.is_some_and(|span| span < seconds(30)), "{many:?}");
+    assert!(few.is_some_and(|span| span < millis(500)), "{few:?}");
 }
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -4,7 +4,7 @@
 
 /// Until when the attempt that the actions send may leave.
 #[track_caller]
-fn send_by(actions: &[Action]) -> Option<Micros> {
+fn send_by(actions: &[Action]) -> Option<Timestamp> {
     let sent = actions.iter().find_map(|action| match action {
         Action::SendAttempt { send_by, .. } => Some(*send_by),
         _ => None,
@@ -18,11 +18,11 @@
         let mut node = TestNode::new(settings(), &endpoints(2));
         let begin = node.now;
         assert_eq!(send_by(&node.submit(1, class, 0.1)), None);
-        node.now += 100_000;
+        node.now += millis(100);
         let outcome = if may_have_run { Outcome::Lost } else { Outcome::Rejected };
         let retry_by = send_by(&node.end(1, 0, outcome));
         // The window is counted from the first that may have run, and some of it is left for the way.
-        let window_end = (class == 1 && may_have_run).then_some(begin + 5 * SECOND);
+        let window_end = (class == 1 && may_have_run).then_some(begin + seconds(5));
         assert_eq!(retry_by.is_some(), window_end.is_some(), "class {class}, may have run: {may_have_run}");
         assert!(retry_by.zip(window_end).is_none_or(|(by, end)| by < end && by > node.now), "{retry_by:?}");
     }
@@ -32,8 +32,10 @@
 fn worker_takes_no_new_job_then_its_unaccepted_attempts_are_revoked_once() {
     let workers = endpoints(1);
     let listed = |status, started_at| [Endpoint { status, started_at, ..endpoint(0) }];
-    let (draining, gone) = (listed(WorkerStatus::Draining, 0), listed(WorkerStatus::Gone, 0));
-    let (restarted, unchanged) = (listed(WorkerStatus::Ready, 9 * SECOND), listed(WorkerStatus::Ready, 0));
+    let (draining, gone) =
+        (listed(WorkerStatus::Draining, Timestamp::ORIGIN), listed(WorkerStatus::Gone, Timestamp::ORIGIN));
+    let (restarted, unchanged) =
+        (listed(WorkerStatus::Ready, at(seconds(9))), listed(WorkerStatus::Ready, Timestamp::ORIGIN));
     let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, snapshot };
     let disabled = |worker| Event::MaintenanceChanged { worker: WorkerId(worker), disabled: true };
     for (is_revoked, event) in [
--- a/crates/core/tests/decisions/retries.rs
+++ b/crates/core/tests/decisions/retries.rs
@@ -17,26 +17,31 @@
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Unreachable);
-    node.advance(20_000);
+    node.advance(millis(20));
     for _ in 0..5 {
         assert_eq!(sent_to(&node.end(1, 0, Outcome::Unreachable)), None);
     }
-    let actions = node.advance(200_000);
+    let actions = node.advance(millis(200));
     assert_eq!(count_sends(&actions), 1, "{actions:?}");
 }
 
 #[test]
 fn idempotent_with_a_key_then_it_is_retried_only_in_its_cell_and_window() {
     // On sockets a retry whose connection comes up late must still reach its worker within the window.
-    let (slow, late) = (900_000, 4_300_000);
-    for (wait, accept_timeout, is_retried) in
-        [(0, 0, true), (5 * SECOND, 0, false), (late, 0, true), (late, slow, false), (0, slow, true)]
-    {
+    const ZERO: TimeSpan = TimeSpan::ZERO;
+    let (slow, late) = (millis(900), millis(4_300));
+    for (wait, accept_timeout, is_retried) in [
+        (ZERO, ZERO, true),
+        (seconds(5), ZERO, false),
+        (late, ZERO, true),
+        (late, slow, false),
+        (ZERO, slow, true),
+    ] {
         let mut settings = Settings { accept_timeout, ..settings() };
-        settings.classes[1].client_timeout = 60 * SECOND;
-        settings.classes[1].latency_objective = 40 * SECOND;
+        settings.classes[1].client_timeout = seconds(60);
+        settings.classes[1].latency_objective = seconds(40);
         let mut node = TestNode::new(settings, &endpoints(6));
-        let deadline = node.now + 60 * SECOND;
+        let deadline = node.now + seconds(60);
         let actions = node.submit_job(JobSubmission { deadline, ..submission(1, 1, 0.1, node.now) });
         let first = sent_to(&actions).expect("sent");
         node.start(1, 0);
@@ -57,7 +62,7 @@
         let second = sent_to(&node.end(0, 0, outcome)).expect("the other");
         assert_ne!(first, second, "{outcome:?}");
         assert_eq!(sent_to(&node.end(0, 1, outcome)), None, "{outcome:?}");
-        assert_eq!(sent_to(&node.advance(4 * SECOND)), None, "{outcome:?}");
+        assert_eq!(sent_to(&node.advance(seconds(4))), None, "{outcome:?}");
     }
 }
 
@@ -78,7 +83,7 @@
             let is_open = sent_to(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions);
             assert!(is_open, "job {job}: {actions:?}");
             node.list(&workers[other..=other]);
-            actions = node.advance(20_000);
+            actions = node.advance(millis(20));
         }
         assert_eq!(sent_to(&actions), Some(1 - first), "job {job}");
         node.end(job, 1, Outcome::Done);
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -5,7 +5,7 @@
 /// Work sent to a worker that is warming up, in thousandths of a second of work.
 struct Sent {
     worker: u64,
-    at: Micros,
+    at: Timestamp,
     work: u64,
 }
 
@@ -14,28 +14,28 @@
 #[track_caller]
 fn assert_within_budget(sends: &[Sent]) {
     for Sent { worker, at, .. } in sends {
-        let window = *at..at + SECOND;
+        let window = *at..*at + SECOND;
         let in_window = sends.iter().filter(|other| other.worker == *worker && window.contains(&other.at));
         let sum = in_window.map(|other| other.work).sum::<u64>() as f64 / 1e3;
-        let warm_up_fraction = 0.2 + 0.8 * (at - 10 * SECOND) as f64 / 20e6;
-        assert!(sum <= 3.0 * warm_up_fraction, "{sum} s of work to worker {worker} from {at} on");
+        let warm_up_fraction = 0.2 + 0.8 * at.seconds_since(START) / 20.0;
+        assert!(sum <= 3.0 * warm_up_fraction, "{sum} s of work to worker {worker} from {at:?} on");
     }
 }
 
 /// What nodes, each with a job of 50 ms every `interval`, send to the only worker, which has just started.
-fn sends_to_one_worker(nodes: u32, interval: Micros, span: Micros) -> Vec<Sent> {
+fn sends_to_one_worker(nodes: u32, interval: TimeSpan, span: TimeSpan) -> Vec<Sent> {
     let mut sends = Vec::new();
     for node_index in 0..nodes {
         let mut node = TestNode::new(node_settings(nodes, node_index), &endpoints(1));
         node.list(&[Endpoint { started_at: node.now, ..endpoint(0) }]);
         let end = node.now + span;
         node.now += interval * u64::from(node_index) / u64::from(nodes);
-        for job in 0..(end - node.now).div_ceil(interval) {
+        for job in 0..(end - node.now).as_micros().div_ceil(interval.as_micros()) {
             if let Some(worker) = node.place(job, 0, 0.05) {
                 sends.push(Sent { worker, at: node.now, work: 50 });
             }
-            node.serve(job, 10_000);
-            node.now += interval - 10_000;
+            node.serve(job, millis(10));
+            node.now += interval - millis(10);
         }
     }
     sends
@@ -44,13 +44,13 @@
 #[test]
 fn one_worker_warms_up_then_all_nodes_together_keep_its_budget_and_use_it() {
     // A hundred nodes with a job each 2 s: by the rotation alone one would send six jobs in 12 s.
-    let rare = (100, 2 * SECOND, 12 * SECOND, 1_000);
-    let frequent = [1, 2, 9, 50].map(|nodes| (nodes, 10_000, 3 * SECOND, 300));
+    let rare = (100, seconds(2), seconds(12), 1_000);
+    let frequent = [1, 2, 9, 50].map(|nodes| (nodes, millis(10), seconds(3), 300));
     for (nodes, interval, span, least) in frequent.into_iter().chain([rare]) {
         let sends = sends_to_one_worker(nodes, interval, span);
         assert_within_budget(&sends);
         let sum: u64 = sends.iter().map(|sent| sent.work).sum();
-        assert!(sum > least, "{sum} ms of work in {span} us from {nodes} nodes");
+        assert!(sum > least, "{sum} ms of work in {span:?} from {nodes} nodes");
     }
 }
 
@@ -66,7 +66,7 @@
         let mut node = TestNode::new(settings, &workers);
         workers[..6].iter_mut().for_each(|worker| worker.started_at = node.now);
         node.list(&workers);
-        node.now += u64::from(node_index) * 600;
+        node.now += micros(600) * u64::from(node_index);
         for job in 0..60 {
             // Jobs that waited for the rotation are sent with the next one that comes.
             let actions = node.submit(job, usize::from(job % 10 > 0), 0.02);
@@ -74,9 +74,9 @@
             let few = attempts.iter().filter(|(_, worker)| *worker < 6);
             sends.extend(few.map(|(_, worker)| Sent { worker: *worker, at: node.now, work: 20 }));
             attempts.iter().for_each(|(job, _)| _ = node.start(*job, 0));
-            node.now += 20_000;
+            node.now += millis(20);
             attempts.iter().for_each(|(job, _)| _ = node.end(*job, 0, Outcome::Done));
-            node.now += 80_000;
+            node.now += millis(80);
         }
     }
     sends
@@ -108,19 +108,19 @@
     settings.classes[0].required_kind = Some(KindId(1));
     let mut node = TestNode::new(settings, &workers);
     for job in 0..10 {
-        let deadline = node.now + 99 * SECOND;
+        let deadline = node.now + seconds(99);
         node.submit_job(JobSubmission { deadline, ..submission(job, 2, 0.1, node.now) });
         node.start(job, 0);
     }
-    node.advance(10 * SECOND);
+    node.advance(seconds(10));
     (workers[10].status, workers[10].started_at) = (WorkerStatus::Ready, node.now);
     node.list(&workers);
     let mut sum = 0.0;
     for job in 10..30 {
-        if node.run_job(job, 0, 0.1, 0) == Some(10) {
+        if node.run_job(job, 0, 0.1, TimeSpan::ZERO) == Some(10) {
             sum += 0.1;
         }
-        node.advance(50_000);
+        node.advance(millis(50));
     }
     sum
 }
@@ -135,16 +135,16 @@
 
 /// The worker of a job of one of two nodes, after jobs that waited for long at warm workers.
 fn worker_after_long_waits(node_index: u32) -> Option<u64> {
-    let workers = [endpoint(0), Endpoint { started_at: 1, ..endpoint(1) }];
-    let warm_up = 1_000 * SECOND;
+    let workers = [endpoint(0), Endpoint { started_at: at(micros(1)), ..endpoint(1) }];
+    let warm_up = seconds(1_000);
     let settings = Settings { warm_up_floor: 0.4, warm_up, ..node_settings(2, node_index) };
     let mut node = TestNode::new(settings, &workers);
     for job in 0..3 {
         node.submit(job, 0, 0.2);
         node.now += SECOND;
-        node.serve(job, 200_000);
+        node.serve(job, millis(200));
     }
-    node.now += 2 * SECOND;
+    node.now += seconds(2);
     node.place(3, 0, 0.2)
 }
 
@@ -160,10 +160,10 @@
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Unreachable);
-    assert!(sent_to(&node.advance(200_000)).is_some(), "it is tried again after a pause");
+    assert!(sent_to(&node.advance(millis(200))).is_some(), "it is tried again after a pause");
     node.start(1, 1);
-    node.end_after(100_000, 1, 1, Outcome::Done);
-    node.advance(300_000);
+    node.end_after(millis(100), 1, 1, Outcome::Done);
+    node.advance(millis(300));
     assert!(node.place(3, 0, 2.0).is_none(), "a large job would overload it");
 }
 
@@ -173,9 +173,9 @@
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Lost);
-    node.advance(200_000);
-    assert!(node.run_job(2, 0, 0.1, 100_000).is_some(), "it is tried with another job after a pause");
-    node.advance(300_000);
+    node.advance(millis(200));
+    assert!(node.run_job(2, 0, 0.1, millis(100)).is_some(), "it is tried with another job after a pause");
+    node.advance(millis(300));
     assert!(node.place(3, 0, 2.0).is_some());
 }
 
@@ -186,18 +186,18 @@
     let mut node = TestNode::new(settings(), &endpoints(1));
     for job in 0..200 {
         node.submit_job(unhinted(job, node.now));
-        node.serve(job, if job % 10 == 9 { 2 * SECOND } else { 50_000 });
+        node.serve(job, if job % 10 == 9 { seconds(2) } else { millis(50) });
     }
     let draining = Endpoint { status: WorkerStatus::Draining, ..endpoint(0) };
     node.list(&[draining, Endpoint { started_at: node.now, ..endpoint(1) }]);
     let mut sends = 0;
     for job in 1_000..1_040 {
         let actions = node.submit_job(unhinted(job, node.now));
-        for action in actions.into_iter().chain(node.advance(10_000)) {
+        for action in actions.into_iter().chain(node.advance(millis(10))) {
             let Some((job, worker)) = sent_attempt(&action) else { continue };
             assert_eq!(worker, 1);
             sends += 1;
-            node.serve(job, 0);
+            node.serve(job, TimeSpan::ZERO);
         }
     }
     // 0.4 s have passed: all of it lies within one window of a second, for which three times a fifth is allowed.
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -10,43 +10,41 @@
 
 use common::*;
 
-const MILLISECOND: Micros = 1_000;
-const STEP: Micros = 10 * MILLISECOND;
-const BEGIN: Micros = 10 * SECOND;
-const LENGTH: Micros = 45 * SECOND;
-const NOTIFIED_WITHIN: Micros = 6 * SECOND;
-const STOP_SENDING_WITHIN: Micros = 750 * MILLISECOND;
-const POLL_TIMEOUT: Micros = 2 * SECOND;
+const STEP: TimeSpan = millis(10);
+const LENGTH: TimeSpan = seconds(45);
+const NOTIFIED_WITHIN: TimeSpan = seconds(6);
+const STOP_SENDING_WITHIN: TimeSpan = millis(750);
+const POLL_TIMEOUT: TimeSpan = seconds(2);
 /// A watch without an event for so long counts as failed.
-const WATCH_TIMEOUT: Micros = 3 * SECOND;
-const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
+const WATCH_TIMEOUT: TimeSpan = seconds(3);
+const HEARTBEAT_INTERVAL: TimeSpan = seconds(2);
 
 /// What happens to a fleet.
 #[derive(Debug)]
 struct Scenario {
     nodes: u32,
     /// Time that discovery takes to serve a poll.
-    poll_duration: Micros,
+    poll_duration: TimeSpan,
     /// The same before discovery goes down for the first time: there is nothing to tell.
-    quiet_poll_duration: Micros,
+    quiet_poll_duration: TimeSpan,
     /// A poll that has timed out takes that time as well.
     serves_timed_out_polls: bool,
-    down_from: Micros,
-    down_until: Micros,
+    down_from: Timestamp,
+    down_until: Timestamp,
     /// All watches are closed.
-    watches_close: Option<Micros>,
+    watches_close: Option<Timestamp>,
     /// All watches fall silent.
-    watches_fall_silent: Option<Micros>,
+    watches_fall_silent: Option<Timestamp>,
     /// Most nodes are killed and restart.
-    nodes_restart: Option<Micros>,
+    nodes_restart: Option<Timestamp>,
     /// When each of the first workers begins to drain.
-    drains: Vec<Micros>,
+    drains: Vec<Timestamp>,
 }
 
 impl Scenario {
     fn draw(seed: u64) -> Scenario {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut draw_time = |from, to| BEGIN + rng.u64(from * SECOND..to * SECOND);
+        let mut draw_time = |from, to| START + random_span(&mut rng, seconds(from)..seconds(to));
         let down_from = draw_time(8, 14);
         let [closed_at, silent_at, killed_at] =
             [(2, 34), (2, 34), (5, 30)].map(|(from, to)| draw_time(from, to));
@@ -55,11 +53,11 @@
         Scenario {
             nodes,
             // The whole list of a fleet takes no longer than 10 s, as on the sites that are known.
-            poll_duration: (rng.u64(5..70) * MILLISECOND).min(10 * SECOND / u64::from(nodes)),
-            quiet_poll_duration: 0,
+            poll_duration: millis(rng.u64(5..70)).min(seconds(10) / u64::from(nodes)),
+            quiet_poll_duration: TimeSpan::ZERO,
             serves_timed_out_polls: rng.bool(),
             down_from,
-            down_until: down_from + rng.u64(0..15) * SECOND,
+            down_until: down_from + seconds(rng.u64(0..15)),
             watches_close: rng.bool().then_some(closed_at),
             watches_fall_silent: rng.bool().then_some(silent_at),
             nodes_restart: rng.bool().then_some(killed_at),
@@ -67,25 +65,25 @@
         }
     }
 
-    fn is_discovery_up(&self, now: Micros) -> bool {
+    fn is_discovery_up(&self, now: Timestamp) -> bool {
         !(self.down_from..self.down_until).contains(&now)
     }
 
     /// When a change of that time counts as notified to a node that has not received it.
-    fn notified_at(&self, changed: Micros) -> Micros {
+    fn notified_at(&self, changed: Timestamp) -> Timestamp {
         (if self.is_discovery_up(changed) { changed } else { self.down_until }) + NOTIFIED_WITHIN
     }
 }
 
 /// Whether something that was drawn for a time happens in this step.
-fn happens(at: Option<Micros>, now: Micros) -> bool {
-    at.is_some_and(|at| now == at / STEP * STEP)
+fn happens(at: Option<Timestamp>, now: Timestamp) -> bool {
+    at.is_some_and(|at| (now..now + STEP).contains(&at))
 }
 
 #[derive(Clone, Copy, PartialEq)]
 struct Poll {
     node_index: usize,
-    begin: Micros,
+    begin: Timestamp,
 }
 
 /// Discovery serves polls one after another.
@@ -93,12 +91,12 @@
 struct Discovery {
     queue: VecDeque<Poll>,
     serving: Option<Poll>,
-    free_at: Micros,
+    free_at: Timestamp,
 }
 
 impl Discovery {
     /// Serves until now. Returns the node whose poll is answered, if one is.
-    fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Micros) -> Option<usize> {
+    fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Timestamp) -> Option<usize> {
         let is_up = scenario.is_discovery_up(now);
         if !is_up {
             // The polls that it has are never served.
@@ -110,7 +108,7 @@
             let Some(poll) = self.queue.pop_front() else { break };
             let in_time = is_waiting(&poll) && now < poll.begin + POLL_TIMEOUT;
             if in_time || scenario.serves_timed_out_polls {
-                let is_quiet = now < scenario.down_from && scenario.quiet_poll_duration > 0;
+                let is_quiet = now < scenario.down_from && !scenario.quiet_poll_duration.is_zero();
                 self.free_at =
                     now + if is_quiet { scenario.quiet_poll_duration } else { scenario.poll_duration };
             }
@@ -125,17 +123,17 @@
 enum Connection {
     Closed,
     Polling(Poll),
-    Watching { last_event: Micros, is_silent: bool },
+    Watching { last_event: Timestamp, is_silent: bool },
 }
 
 struct SimulatedNode {
     node: TestNode,
     index: usize,
     connection: Connection,
-    timer: Micros,
+    timer: Timestamp,
     /// When it received each worker's drain.
-    drains_received: Vec<Option<Micros>>,
-    started: Micros,
+    drains_received: Vec<Option<Timestamp>>,
+    started: Timestamp,
     submitted: u64,
     sent: u64,
     /// Actions of this step that are not carried out yet.
@@ -143,7 +141,7 @@
 }
 
 impl SimulatedNode {
-    fn start(scenario: &Scenario, node_index: u32, now: Micros, seed: u64) -> Self {
+    fn start(scenario: &Scenario, node_index: u32, now: Timestamp, seed: u64) -> Self {
         let settings = Settings {
             endpoints_on_request: true,
             assumed_notified_after: NOTIFIED_WITHIN,
@@ -217,7 +215,7 @@
     }
 
     fn expire_timer(&mut self, workers: &[Endpoint]) {
-        self.timer = Micros::MAX;
+        self.timer = Timestamp::MAX;
         self.handle(Event::TimerExpired);
         if self.node.now == self.started {
             // The saved list is read at the first timer expiry.
@@ -248,7 +246,7 @@
     }
 
     /// When the node counts as notified of the drain of a worker that drains.
-    fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Micros> {
+    fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Timestamp> {
         let begin = *scenario.drains.get(worker).filter(|begin| **begin < self.node.now)?;
         // A process that has just started is held to it like all others.
         Some(self.drains_received[worker].unwrap_or_else(|| scenario.notified_at(begin)))
@@ -260,7 +258,7 @@
 struct Report {
     /// Sends that came too late after a drain counted as notified, and the latest of them.
     late_sends: u64,
-    latest_send: Micros,
+    latest_send: TimeSpan,
     /// Jobs, and those sent within the step, but for those of processes that were killed.
     submitted: u64,
     sent: u64,
@@ -268,10 +266,9 @@
 }
 
 impl Report {
-    fn check_send(&mut self, notified_at: Option<Micros>, now: Micros) {
-        if let Some(late) =
-            notified_at.and_then(|at| now.checked_sub(at)).filter(|late| *late > STOP_SENDING_WITHIN)
-        {
+    fn check_send(&mut self, notified_at: Option<Timestamp>, now: Timestamp) {
+        let late = notified_at.map_or(TimeSpan::ZERO, |at| now.saturating_since(at));
+        if late > STOP_SENDING_WITHIN {
             self.late_sends += 1;
             self.latest_send = self.latest_send.max(late);
         }
@@ -282,9 +279,9 @@
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let workers = endpoints(scenario.drains.len() as u64 + 4);
     let mut start = |node_index, now| SimulatedNode::start(scenario, node_index, now, rng.u64(..));
-    let mut nodes: Vec<_> = (0..scenario.nodes).map(|node_index| start(node_index, BEGIN)).collect();
+    let mut nodes: Vec<_> = (0..scenario.nodes).map(|node_index| start(node_index, START)).collect();
     let (mut discovery, mut report, mut last_job) = (Discovery::default(), Report::default(), 0);
-    for now in (BEGIN..BEGIN + LENGTH).step_by(STEP as usize) {
+    for (step, now) in moments(START, START + LENGTH, STEP).enumerate() {
         if happens(scenario.nodes_restart, now) {
             (0..scenario.nodes * 7 / 10).for_each(|index| nodes[index as usize] = start(index, now));
         }
@@ -297,7 +294,7 @@
             if now >= node.timer {
                 node.expire_timer(&workers);
             }
-            if (now / STEP + index as u64).is_multiple_of(20) {
+            if (step + index).is_multiple_of(20) {
                 last_job += 1;
                 node.submitted += 1;
                 node.actions.extend(node.node.submit(last_job, 0, 0.02));
@@ -333,15 +330,15 @@
     for nodes in [60, 100, 140] {
         let scenario = Scenario {
             nodes,
-            poll_duration: 70 * MILLISECOND,
-            quiet_poll_duration: MILLISECOND,
+            poll_duration: millis(70),
+            quiet_poll_duration: millis(1),
             serves_timed_out_polls: true,
-            down_from: BEGIN + 8 * SECOND,
-            down_until: BEGIN + 14 * SECOND,
+            down_from: START + seconds(8),
+            down_until: START + seconds(14),
             watches_close: None,
             watches_fall_silent: None,
             nodes_restart: None,
-            drains: vec![BEGIN + 16 * SECOND],
+            drains: vec![START + seconds(16)],
         };
         let report = run(&scenario, 1);
         println!("{nodes} nodes: {report:?}");
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -16,7 +16,7 @@
     for (index, worker) in workers.iter_mut().enumerate() {
         (worker.zone, worker.kind) = (ZoneId(7), KindId(index as u32 / 2 % 2));
     }
-    workers[3].started_at = 9 * SECOND;
+    workers[3].started_at = at(seconds(9));
     workers
 }
 
@@ -28,9 +28,9 @@
         let submission = JobSubmission { key, slots, ..submission(job, 0, 0.05, node.now) };
         let actions = node.submit_job(submission);
         let worker = sent_to(&actions).expect("a free worker");
-        node.advance(1_000);
+        node.advance(millis(1));
         node.start(job, 0);
-        node.advance(40_000 + 9_000 * worker);
+        node.advance(millis(40 + 9 * worker));
         let outcome = match job {
             22 => Outcome::Unreachable,
             20 | 23 => Outcome::Error,
@@ -38,13 +38,13 @@
         };
         node.end(job, 0, outcome);
         if outcome != Outcome::Done {
-            node.advance(50_000);
+            node.advance(millis(50));
             node.end(job, 1, Outcome::Done);
         }
     }
     for disabled in [true, false] {
         node.set_disabled(4, disabled);
-        node.advance(SECOND / 2);
+        node.advance(millis(500));
     }
     node
 }
@@ -55,12 +55,12 @@
     let submission = submission(MIGRATED_JOB, 0, 0.4, node.now);
     node.submit_job(JobSubmission { key: Some(77), slots: 2.0, ..submission });
     for (attempt, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Error)] {
-        node.advance(20_000);
+        node.advance(millis(20));
         node.end(MIGRATED_JOB, attempt, outcome);
     }
-    node.advance(3_000);
+    node.advance(millis(3));
     node.start(MIGRATED_JOB, 2);
-    node.advance(100_000);
+    node.advance(millis(100));
     node.handle(Event::AttemptProgressed { job: JobId(MIGRATED_JOB), attempt: 2, fraction_done: 0.5 });
     node
 }
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 
 /// A final answer may come so long after the deadline.
-const ANSWER_TOLERANCE: Micros = 20_000;
+const ANSWER_TOLERANCE: TimeSpan = millis(20);
 const MAX_GOSSIP_BYTES: usize = 256;
 
 #[derive(Debug, PartialEq)]
@@ -43,7 +43,7 @@
 pub struct Attempt {
     /// The worker as it was listed when the attempt was sent.
     pub endpoint: Endpoint,
-    sent_at: Micros,
+    sent_at: Timestamp,
     pub outcome: Option<Outcome>,
 }
 
@@ -87,11 +87,11 @@
         self.jobs.insert(submission.job, Job { submission, attempts: Vec::new(), is_answered: false });
     }
 
-    pub fn check(&mut self, now: Micros, action: &Action) -> Checked {
+    pub fn check(&mut self, now: Timestamp, action: &Action) -> Checked {
         match action {
             Action::SendAttempt { job, worker, timeout, send_by } => {
                 let endpoint = self.endpoints.get(worker).cloned().ok_or(Violation::UnavailableWorker)?;
-                self.check_in_time(*job, now + timeout)?;
+                self.check_in_time(*job, now + *timeout)?;
                 self.check_send(now, &self.jobs[job], &endpoint, *send_by)?;
                 self.job(*job)?.attempts.push(Attempt { endpoint, sent_at: now, outcome: None });
                 Ok(())
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn check_all_answered(&self, now: Micros) -> Checked {
+    pub fn check_all_answered(&self, now: Timestamp) -> Checked {
         let is_overdue = |job: &Job| !job.is_answered && now > job.submission.deadline + ANSWER_TOLERANCE;
         let overdue = self.jobs.iter().find(|(_, job)| is_overdue(job));
         overdue.map_or(Ok(()), |(id, _)| Err(Violation::NoAnswer(*id)))
@@ -128,7 +128,7 @@
         self.jobs.get_mut(&job).ok_or(Violation::UnknownJob)
     }
 
-    fn check_answer(&mut self, now: Micros, job: JobId) -> Checked {
+    fn check_answer(&mut self, now: Timestamp, job: JobId) -> Checked {
         let job = self.job(job)?;
         let is_late = now > job.submission.deadline + ANSWER_TOLERANCE;
         require(!job.is_answered && !is_late, Violation::SecondOrLateAnswer)?;
@@ -145,12 +145,12 @@
         require(!may_have_run || may_run_anywhere, Violation::UnsafeRejection)
     }
 
-    fn check_in_time(&mut self, job: JobId, timeout_at: Micros) -> Checked {
+    fn check_in_time(&mut self, job: JobId, timeout_at: Timestamp) -> Checked {
         let job = self.job(job)?;
         require(!job.is_answered && timeout_at <= job.submission.deadline, Violation::LateAttempt)
     }
 
-    fn check_send(&self, now: Micros, job: &Job, to: &Endpoint, send_by: Option<Micros>) -> Checked {
+    fn check_send(&self, now: Timestamp, job: &Job, to: &Endpoint, send_by: Option<Timestamp>) -> Checked {
         let is_available = to.status == WorkerStatus::Ready && !self.disabled.contains(&to.worker);
         require(is_available, Violation::UnavailableWorker)?;
         let has_attempt_in_flight = job.attempts.iter().any(|attempt| attempt.outcome.is_none());
@@ -165,7 +165,7 @@
         self.settings.classes[job.submission.class.0].idempotency
     }
 
-    fn check_retry(&self, job: &Job, to: &Endpoint, now: Micros, send_by: Option<Micros>) -> Checked {
+    fn check_retry(&self, job: &Job, to: &Endpoint, now: Timestamp, send_by: Option<Timestamp>) -> Checked {
         let may_follow = |earlier: &Attempt| match self.idempotency(job) {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
@@ -182,18 +182,18 @@
         require(may_have_run.all(may_follow), Violation::UnsafeRetry)
     }
 
-    fn is_warming_up(&self, endpoint: &Endpoint, now: Micros) -> bool {
-        endpoint.started_at > 0 && now < endpoint.started_at + self.settings.warm_up
+    fn is_warming_up(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
+        endpoint.started_at > Timestamp::ORIGIN && now < endpoint.started_at + self.settings.warm_up
     }
 
-    fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Micros) -> Checked {
+    fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Timestamp) -> Checked {
         if !self.is_warming_up(to, now) {
             return Ok(());
         }
         let settings = &self.settings;
-        let age = (now - to.started_at) as f64 / settings.warm_up as f64;
+        let age = now.seconds_since(to.started_at) / settings.warm_up.as_secs_f64();
         let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * age;
-        let window = settings.overload_window as f64 / 1e6;
+        let window = settings.overload_window.as_secs_f64();
         // One of many nodes may have its turn, but never the whole budget.
         let share = f64::from(settings.nodes.min(2));
         let budget = settings.overload_factor * warm_up_fraction * self.slots * window / share;
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -4,14 +4,14 @@
 use crate::checker::{Checked, Checker};
 use crate::common::*;
 
-const STEP: Micros = 5_000;
+const STEP: TimeSpan = millis(5);
 
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     job: JobId,
     attempt: u32,
     /// When its start was reported.
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
 }
 
 pub struct Environment {
@@ -26,7 +26,7 @@
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     let scope = scopes[rng.usize(0..3)];
     let mut settings = settings();
-    settings.classes[1].idempotency = Idempotency::WithKey { scope, window: rng.u64(0..8) * SECOND };
+    settings.classes[1].idempotency = Idempotency::WithKey { scope, window: seconds(rng.u64(0..8)) };
     settings.nodes = if rng.bool() { rng.u32(1..4) } else { rng.u32(8..40) };
     settings.node_index = rng.u32(0..settings.nodes);
     settings.may_cancel = rng.bool();
@@ -70,7 +70,8 @@
             let statuses = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone];
             let kinds = if snapshot { 2 } else { 3 };
             entry.status = statuses[self.rng.usize(0..kinds).min(self.rng.usize(0..3))];
-            let started_at = self.checker.endpoints.get(&entry.worker).map_or(0, |known| known.started_at);
+            let started_at =
+                self.checker.endpoints.get(&entry.worker).map_or(Timestamp::ORIGIN, |known| known.started_at);
             entry.started_at = if self.rng.u8(0..4) == 0 { self.node.now } else { started_at };
             endpoints.push(entry);
         }
@@ -111,7 +112,7 @@
         let class = self.rng.usize(0..3);
         let work = 0.02 + self.rng.f64() * 0.3;
         let mut submission = submission(self.submitted_jobs, class, work, self.node.now);
-        submission.deadline = self.node.now + self.rng.u64(0..6 * SECOND);
+        submission.deadline = self.node.now + random_span(&mut self.rng, ..seconds(6));
         submission.slots = f64::from(self.rng.u32(1..3));
         self.submitted_jobs += 1;
         self.checker.record_submission(submission.clone());
@@ -159,7 +160,7 @@
     fn draw_outcome(&mut self, in_flight: InFlightAttempt) -> Option<Outcome> {
         let (now, job) = (self.node.now, &self.checker.jobs[&in_flight.job]);
         match (in_flight.started_at, self.rng.u32(0..1000)) {
-            (Some(at), _) if now >= at + (job.load() * 1e6) as Micros => Some(Outcome::Done),
+            (Some(at), _) if now >= at + TimeSpan::from_secs_f64(job.load()) => Some(Outcome::Done),
             _ if now >= job.submission.deadline => Some(Outcome::TimedOut),
             (_, 0..4) => Some(Outcome::Lost),
             (_, 4..8) => Some(Outcome::Error),
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -27,7 +27,7 @@
     result.unwrap();
 }
 
-const NOW: Micros = 10 * SECOND;
+const NOW: Timestamp = START;
 const FAIL: Action = Action::Fail { job: JobId(1) };
 
 /// A checker with four workers and job 1.
@@ -38,7 +38,7 @@
     checker
 }
 
-fn send_by(worker: u64, send_by: Option<Micros>) -> Action {
+fn send_by(worker: u64, send_by: Option<Timestamp>) -> Action {
     Action::SendAttempt { job: JobId(1), worker: WorkerId(worker), timeout: SECOND, send_by }
 }
 
@@ -52,7 +52,7 @@
     assert_eq!(checker.check(NOW, &FAIL), Ok(()));
     assert_eq!(checker.check(NOW, &FAIL), Err(Violation::SecondOrLateAnswer));
     assert_eq!(checker.check(NOW, &send(0)), Err(Violation::LateAttempt));
-    let (mut checker, late) = (checker_with_job(0), NOW + 6 * SECOND);
+    let (mut checker, late) = (checker_with_job(0), NOW + seconds(6));
     assert_eq!(checker.check_all_answered(late), Err(Violation::NoAnswer(JobId(1))));
     assert_eq!(checker.check(late, &FAIL), Err(Violation::SecondOrLateAnswer));
 }
@@ -62,12 +62,12 @@
     let mut checker = checker_with_job(2);
     assert_eq!(checker.check(NOW, &send(0)), Ok(()));
     assert_eq!(checker.check(NOW, &send(1)), Err(Violation::UnsafeRetry));
-    let reject = Action::Reject { job: JobId(1), retry_after: 0 };
+    let reject = Action::Reject { job: JobId(1), retry_after: TimeSpan::ZERO };
     assert_eq!(checker.check(NOW, &reject), Err(Violation::UnsafeRejection));
     let mut checker = checker_with_job(1);
     assert_eq!(checker.check(NOW, &send(0)), Ok(()));
     assert_eq!(checker.check(NOW, &send(2)), Err(Violation::UnsafeRetry));
-    for late in [None, Some(NOW), Some(NOW + 5 * SECOND)] {
+    for late in [None, Some(NOW), Some(NOW + seconds(5))] {
         assert_eq!(checker.check(NOW, &send_by(1, late)), Err(Violation::UnsafeRetry));
     }
     assert_eq!(checker.check(NOW, &send(1)), Ok(()));
@@ -86,7 +86,7 @@
 #[test]
 fn large_job_to_a_warming_worker_then_rule_4_is_violated() {
     let mut checker = checker_with_job(0);
-    checker.endpoints.get_mut(&WorkerId(0)).unwrap().started_at = NOW - 1;
+    checker.endpoints.get_mut(&WorkerId(0)).unwrap().started_at = NOW - micros(1);
     checker.record_submission(submission(1, 0, 2.0, NOW));
     let checked = checker.check(NOW, &send(0));
     assert!(matches!(checked, Err(Violation::WarmUpBudgetExceeded { .. })), "{checked:?}");
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use curlewusher_core::{CellId, Endpoint, KindId, WorkerId, WorkerStatus, ZoneId};
+use curlewusher_core::{CellId, Endpoint, KindId, Timestamp, WorkerId, WorkerStatus, ZoneId};
 use curlewusher_settings::Site;
 use serde::Deserialize;
 
@@ -109,7 +109,7 @@
             kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
             cell: CellId(record.group),
             status: record.status.into(),
-            started_at: record.since_ms.saturating_mul(MICROS_PER_MILLISECOND),
+            started_at: Timestamp::from_micros(record.since_ms.saturating_mul(MICROS_PER_MILLISECOND)),
             size: record.weight,
         };
         NamedEndpoint { name: record.name.as_str().into(), address: record.address, endpoint }
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use curlewusher_core::{Micros, Outcome};
+use curlewusher_core::{Outcome, Timestamp};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
@@ -66,7 +66,7 @@
     /// Whether its first byte may still be written.
     pub(super) send_permit: Rc<SendPermit>,
     /// When it times out.
-    pub(super) expires_at: Micros,
+    pub(super) expires_at: Timestamp,
 }
 
 impl Attempt {
--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use curlewusher_core::{Endpoint, Micros, WorkerId, WorkerStatus};
+use curlewusher_core::{Endpoint, Timestamp, WorkerId, WorkerStatus};
 
 /// An entry of discovery's endpoint list, with what the dispatcher does not need to know.
 pub struct NamedEndpoint {
@@ -37,7 +37,7 @@
     workers: HashMap<WorkerId, WorkerAddress>,
     /// When each worker was last listed to have started. Kept when the table is cleared, so that a worker
     /// that was restarted is recognized in the next list.
-    started_at: HashMap<WorkerId, Micros>,
+    started_at: HashMap<WorkerId, Timestamp>,
 }
 
 impl EndpointTable {
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_core::{ClassId, JobId, Micros, TenantId};
+use curlewusher_core::{ClassId, JobId, TenantId, Timestamp};
 use tokio::sync::oneshot;
 
 use super::attempts::Attempt;
@@ -50,7 +50,7 @@
     /// Whose quota it counts against.
     pub tenant: TenantId,
     /// The moment at which the client stops waiting.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// The client's guess of its work, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
     /// Slots that it takes at a worker.
@@ -108,8 +108,8 @@
     pub(super) request_id: Rc<str>,
     pub(super) class: ClassId,
     /// When its last byte was read from the client, in whichever process of this node that was.
-    pub(super) submitted_at: Micros,
-    pub(super) deadline: Micros,
+    pub(super) submitted_at: Timestamp,
+    pub(super) deadline: Timestamp,
     pub(super) payload: Rc<P>,
     /// Taken when the job is answered or its client disconnects.
     pub(super) response_channel: Option<oneshot::Sender<JobResponse>>,
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use curlewusher_core::{JobId, Micros, MigratedJob};
+use curlewusher_core::{JobId, MigratedJob, TimeSpan, Timestamp};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
@@ -26,7 +26,7 @@
 use super::jobs::{Job, JobHandle, JobResponse};
 
 /// Time that a job needs after its migration has timed out, to be answered by this process after all.
-const TIME_TO_ANSWER_AFTER_ROLLBACK: Micros = 500_000;
+const TIME_TO_ANSWER_AFTER_ROLLBACK: TimeSpan = TimeSpan::from_millis(500);
 
 /// A job on its way from one process of this node to the other, without its payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     #[serde(rename = "id")]
     pub(super) request_id: String,
     #[serde(rename = "taken")]
-    pub(super) submitted_at: Micros,
+    pub(super) submitted_at: Timestamp,
     pub(super) attempts: Vec<MigratedAttempt>,
     /// What the dispatcher knows of it.
     pub(super) job: MigratedJob,
@@ -79,7 +79,7 @@
     #[serde(rename = "last")]
     pub(super) last_callback: Option<CallbackState>,
     #[serde(rename = "times_out")]
-    pub(super) expires_at: Micros,
+    pub(super) expires_at: Timestamp,
 }
 
 impl MigratedAttempt {
@@ -99,7 +99,7 @@
 /// Whether a job can be migrated: somebody waits for its response, it could still be answered in time after a
 /// migration that times out, and each attempt has ended or was accepted. Until a worker has accepted an attempt,
 /// its answer goes to a connection of this process.
-pub(super) fn is_migratable<P>(job: &Job<P>, now: Micros, migration_timeout: Micros) -> bool {
+pub(super) fn is_migratable<P>(job: &Job<P>, now: Timestamp, migration_timeout: TimeSpan) -> bool {
     let is_transferable =
         |attempt: &Attempt| attempt.has_ended() || attempt.is_in_flight() && attempt.accepted;
     let has_time = job.deadline > now + migration_timeout + TIME_TO_ANSWER_AFTER_ROLLBACK;
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -26,7 +26,7 @@
 mod transport;
 
 pub use attempts::CallbackState;
-pub use clock::Clock;
+pub use clock::{Clock, time_span};
 pub use endpoints::NamedEndpoint;
 pub use jobs::{JobHandle, JobOwner, JobResponse, SubmittedJob};
 pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use curlewusher_core::permission::{Denial, Violations};
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, Timestamp};
 use tracing::{error, info, warn};
 
 use super::clock::Clock;
@@ -40,7 +40,7 @@
     }
 
     /// To be called after each event that the dispatcher has handled, and before its actions are performed.
-    pub(super) fn observe(&mut self, now: Micros, dispatcher: &Dispatcher) {
+    pub(super) fn observe(&mut self, now: Timestamp, dispatcher: &Dispatcher) {
         let write_by = dispatcher.endpoints_write_by();
         self.lease.set_deadline(write_by.map(|moment| self.clock.instant_at(moment)));
         let denial = dispatcher.check_endpoint_lease(now).err();
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -1,10 +1,9 @@
 //! Performs the dispatcher's actions.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use curlewusher_core::permission::Denial;
-use curlewusher_core::{Action, JobId, Micros, Outcome, WorkerId};
+use curlewusher_core::{Action, JobId, Outcome, TimeSpan, Timestamp, WorkerId};
 use tokio::sync::oneshot;
 use tracing::debug;
 
@@ -21,9 +20,9 @@
 struct AttemptSpec {
     job: JobId,
     worker: WorkerId,
-    timeout: Micros,
+    timeout: TimeSpan,
     /// The first byte may be written until then; None where only the timeout bounds it.
-    send_by: Option<Micros>,
+    send_by: Option<Timestamp>,
 }
 
 /// Whether an attempt was handed to the transport.
@@ -49,8 +48,7 @@
                     }
                 }
                 Action::Reject { job, retry_after } => {
-                    let retry_after = Duration::from_micros(retry_after);
-                    self.respond(job, JobResponse::Rejected { retry_after });
+                    self.respond(job, JobResponse::Rejected { retry_after: retry_after.into() });
                     self.jobs.remove_if_finished(job);
                 }
                 Action::Fail { job } => {
@@ -115,13 +113,14 @@
         let address = worker.address;
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::AttemptsStarted);
+        let writable_for = spec.send_by.map(|moment| moment.saturating_since(self.clock.now()));
         debug!(
             target: DISPATCH,
             %request_id,
             attempt = id.number,
             worker = %worker_name,
             %address,
-            may_be_written_for_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
+            may_be_written_for_us = writable_for.map(TimeSpan::as_micros),
             "attempt sent"
         );
         self.transport.start_attempt(AttemptRequest {
@@ -129,7 +128,7 @@
             request_id,
             address,
             payload: Rc::clone(&job.payload),
-            timeout: Duration::from_micros(spec.timeout),
+            timeout: spec.timeout.into(),
             cancel: cancel_receiver,
             send_permit,
         });
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -79,7 +79,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(response_channel) = job.response_channel.take() else { return };
         let kind = response_kind(&response);
-        let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
+        let elapsed = Duration::from(self.clock.now().saturating_since(job.submitted_at));
         self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
         debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "answered");
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -2,9 +2,8 @@
 //! [`migration`](crate::dispatch::migration).
 
 use std::rc::Rc;
-use std::time::Duration;
 
-use curlewusher_core::{Event, JobId, Micros};
+use curlewusher_core::{Event, JobId, Timestamp};
 use tokio::sync::oneshot;
 use tracing::debug;
 
@@ -26,7 +25,7 @@
     id: JobId,
     request_id: &'a Rc<str>,
     payload: &'a Rc<P>,
-    now: Micros,
+    now: Timestamp,
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
@@ -123,7 +122,7 @@
     }
 
     /// Adds a job to the table that the dispatcher has adopted, and resumes its attempts.
-    fn add_migrated_job(&mut self, id: JobId, now: Micros, incoming: IncomingJob<T::Payload>) {
+    fn add_migrated_job(&mut self, id: JobId, now: Timestamp, incoming: IncomingJob<T::Payload>) {
         let IncomingJob { request_id, migration, payload, response_channel, job_handle } = incoming;
         let payload = Rc::new(payload);
         let resumed = ResumedJob { id, request_id: &request_id, payload: &payload, now };
@@ -173,7 +172,7 @@
                 request_id: Rc::clone(job.request_id),
                 address,
                 payload: Rc::clone(job.payload),
-                timeout: Duration::from_micros(migrated.expires_at.saturating_sub(job.now)),
+                timeout: migrated.expires_at.saturating_since(job.now).into(),
                 cancel: cancel_receiver,
                 send_permit: Rc::clone(&send_permit),
             });
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -14,12 +14,12 @@
 
 use curlewusher_control::command::CommandResult;
 use curlewusher_control::maintenance::DisabledWorkers;
-use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Micros, Outcome, WorkerId};
+use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Outcome, TimeSpan, Timestamp, WorkerId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use tracing::trace;
 
-use super::clock::Clock;
+use super::clock::{Clock, time_span};
 use super::endpoints::{EndpointTable, ExistingConnections, NamedEndpoint};
 use super::jobs::{JobOwner, JobTable};
 use super::messages::{DispatchCommand, DispatchMessage, TransferableState};
@@ -59,7 +59,7 @@
     commands: mpsc::Receiver<DispatchCommand>,
     watch_requests: mpsc::Sender<()>,
     metrics: Metrics,
-    migration_timeout: Micros,
+    migration_timeout: TimeSpan,
     jobs: JobTable<T::Payload>,
     migrations: Migrations<T::Payload>,
     endpoints: EndpointTable,
@@ -82,7 +82,7 @@
             commands: parts.commands,
             watch_requests: parts.watch_requests,
             metrics: parts.metrics,
-            migration_timeout: parts.migration_timeout.as_micros() as Micros,
+            migration_timeout: time_span(parts.migration_timeout),
             jobs: JobTable::default(),
             migrations: Migrations::default(),
             endpoints: EndpointTable::default(),
@@ -211,7 +211,7 @@
             DispatchMessage::AttemptCancelled(id) => self.handle_attempt_cancelled(id),
             DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration } => {
                 if let Some(duration) = poll_duration {
-                    self.apply_event(Event::PollAnswered { duration: duration.as_micros() as Micros });
+                    self.apply_event(Event::PollAnswered { duration: time_span(duration) });
                 }
                 self.update_endpoints(self.clock.now(), endpoints, snapshot);
                 if let Some(as_of) = current_as_of {
@@ -223,14 +223,14 @@
             DispatchMessage::DiscoveryMoved => self.apply_event(Event::DiscoveryMoved),
             DispatchMessage::WatchFailed => self.apply_event(Event::WatchFailed),
             DispatchMessage::ShutdownStarted(time_left) => {
-                let deadline = self.clock.now() + time_left.as_micros() as Micros;
+                let deadline = self.clock.now() + time_span(time_left);
                 self.apply_event(Event::ShutdownStarted { deadline });
             }
         }
     }
 
     /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
-    fn update_endpoints(&mut self, now: Micros, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
+    fn update_endpoints(&mut self, now: Timestamp, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
         self.metrics.add(Counter::EndpointListUpdates);
         self.disabled_workers.record_listed(endpoints.iter().map(|listed| &*listed.name));
         let entries: Vec<Endpoint> = endpoints.iter().map(|listed| listed.endpoint.clone()).collect();
@@ -265,7 +265,7 @@
         self.decide(self.clock.now(), event);
     }
 
-    fn decide(&mut self, now: Micros, event: Event) {
+    fn decide(&mut self, now: Timestamp, event: Event) {
         self.dispatcher.handle(now, event, &mut self.actions);
         self.permissions.observe(now, &self.dispatcher);
         self.perform_actions();
--- a/crates/node/src/dispatch/timers.rs
+++ b/crates/node/src/dispatch/timers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use curlewusher_core::Micros;
+use curlewusher_core::Timestamp;
 
 use super::transport::AttemptId;
 
@@ -19,7 +19,7 @@
 /// A timer and its moment; the order of the fields is the order of expiry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
-    expires_at: Micros,
+    expires_at: Timestamp,
     timer: Timer,
 }
 
@@ -29,22 +29,22 @@
 
 impl TimerQueue {
     /// Adds a timer.
-    pub(super) fn schedule(&mut self, expires_at: Micros, timer: Timer) {
+    pub(super) fn schedule(&mut self, expires_at: Timestamp, timer: Timer) {
         self.0.insert(ScheduledTimer { expires_at, timer });
     }
 
     /// Removes a timer; one that has expired or was never scheduled is no error.
-    pub(super) fn cancel(&mut self, expires_at: Micros, timer: Timer) {
+    pub(super) fn cancel(&mut self, expires_at: Timestamp, timer: Timer) {
         self.0.remove(&ScheduledTimer { expires_at, timer });
     }
 
     /// The moment at which the next timer expires.
-    pub(super) fn next_expiry(&self) -> Option<Micros> {
+    pub(super) fn next_expiry(&self) -> Option<Timestamp> {
         self.0.first().map(|next| next.expires_at)
     }
 
     /// Removes the next timer that has expired at `now`.
-    pub(super) fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
+    pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<Timer> {
         let next = *self.0.first().filter(|next| next.expires_at <= now)?;
         self.0.remove(&next);
         Some(next.timer)
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -153,7 +153,7 @@
             admin: parts.admin.clone(),
         };
         let permission = ServingPermission { has_saved_endpoints, has_predecessor: predecessor.is_some() };
-        let saved_endpoints_delay = permission.without_answer_after().map(Duration::from_micros);
+        let saved_endpoints_delay = permission.without_answer_after().map(Duration::from);
         let inputs = TakeoverInputs { hellos, local_events, endpoints_available, saved_endpoints_delay };
         let task = TakeoverTask {
             parts,
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -14,7 +14,7 @@
 
 use std::time::Duration;
 
-use curlewusher_core::Micros;
+use curlewusher_core::TimeSpan;
 use tokio::signal::unix::Signal;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
@@ -43,8 +43,8 @@
 const CANCELLATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long after SIGTERM the last answers are sent, with these client timeouts of the classes.
-pub fn final_answer_delay(client_timeouts: impl Iterator<Item = Micros>) -> Duration {
-    let longest = client_timeouts.map(Duration::from_micros).max().unwrap_or_default();
+pub fn final_answer_delay(client_timeouts: impl Iterator<Item = TimeSpan>) -> Duration {
+    let longest = client_timeouts.map(Duration::from).max().unwrap_or_default();
     MAX_JOB_COMPLETION_TIME.min(longest) + MIN_DRAIN_TIME - FINAL_ANSWER_MARGIN
 }
 
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, TimeSpan};
 use curlewusher_settings::Site;
 use curlewusher_settings::operator::{OperatorFile, ServerOptions, UpstreamOptions};
 use tokio::signal::unix::Signal;
@@ -29,6 +29,7 @@
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
+    time_span,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
 use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
@@ -44,7 +45,7 @@
 use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
 
 /// Time in which a healthy worker answers a job on an open connection, with a wide margin.
-const ACCEPT_RESPONSE_TIMEOUT: Micros = 400_000;
+const ACCEPT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
 /// Discovery counts as having notified this node of a change this long after it had it and could be reached.
 const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Commands to the dispatch task that may wait; each takes microseconds.
@@ -102,8 +103,8 @@
 
     fn create_upstream(&self, site: &Site) -> UpstreamClient {
         let config = UpstreamConfig {
-            connect_timeout: Duration::from_micros(site.connect_timeout),
-            keepalive: Duration::from_micros(site.keepalive),
+            connect_timeout: site.connect_timeout.into(),
+            keepalive: site.keepalive.into(),
             options: self.upstream_options.clone(),
             budget: self.descriptors.upstream_connections(),
         };
@@ -319,7 +320,7 @@
     site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.dispatcher.assumed_notified_after = time_span(ENDPOINT_NOTIFICATION_TIMEOUT);
 }
 
 /// Writes where clients and operators reach this process.
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use curlewusher_core::{ClassId, Idempotency, Micros, TenantId, stable_hash};
+use curlewusher_core::{ClassId, Idempotency, TenantId, TimeSpan, Timestamp, stable_hash};
 use curlewusher_settings::Site;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -92,7 +92,7 @@
     pub request_id: Rc<str>,
     class: ClassId,
     tenant: TenantId,
-    deadline: Micros,
+    deadline: Timestamp,
     /// The client's estimate of the work, in seconds.
     cost_hint: Option<f64>,
     slots: f64,
@@ -115,7 +115,11 @@
 
 impl JobRequest {
     /// Parses the head of a job that was received at that time.
-    pub fn parse(head: Parts, catalog: &JobCatalog, received_at: Micros) -> Result<JobRequest, RequestError> {
+    pub fn parse(
+        head: Parts,
+        catalog: &JobCatalog,
+        received_at: Timestamp,
+    ) -> Result<JobRequest, RequestError> {
         let headers = &head.headers;
         let request_id = parse_request_id(headers)?;
         let class = catalog.class(required_text(headers, X_CLASS)?)?;
@@ -212,10 +216,10 @@
 }
 
 /// When the client stops waiting. X-Deadline counts in seconds from the arrival of the head.
-fn parse_deadline(headers: &HeaderMap, received_at: Micros) -> Result<Micros, RequestError> {
+fn parse_deadline(headers: &HeaderMap, received_at: Timestamp) -> Result<Timestamp, RequestError> {
     let seconds = optional_number(headers, &X_DEADLINE, MAX_DEADLINE_SECONDS)?;
     let seconds = seconds.ok_or(RequestError::MissingHeader(X_DEADLINE))?;
-    Ok(received_at + (seconds * MICROS_PER_SECOND) as Micros)
+    Ok(received_at + TimeSpan::from_secs_f64(seconds))
 }
 
 /// The client's estimate of the work, in seconds.
