--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,15 +1,15 @@
 //! The settings of a site in the terms of this project, made from the object that the platform writes.
 
-use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros, Settings, ZoneId};
+use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Settings, TimeSpan, ZoneId};
 
 use crate::error::ReadError;
 use crate::wire::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, Wire};
 
 /// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a point in
 /// time is computed from it.
-const MAX_TIME_SPAN: Micros = 365 * 86_400 * 1_000_000;
+const MAX_TIME_SPAN: TimeSpan = TimeSpan::from_secs(365 * 86_400);
 /// Lower bound of the poll interval that the platform gives, so that discovery is not polled too often.
-const MIN_POLL_INTERVAL: Micros = 100_000;
+const MIN_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
 /// The settings of a site.
 #[derive(Clone, Debug)]
@@ -25,11 +25,11 @@
     /// Names of the kinds of machine, by index.
     pub kind_names: Vec<String>,
     /// A connection that is not up after this long counts as refused.
-    pub connect_timeout: Micros,
+    pub connect_timeout: TimeSpan,
     /// Workers close a connection that was idle for this long.
-    pub keepalive: Micros,
+    pub keepalive: TimeSpan,
     /// The longest `Retry-After` that a client follows.
-    pub max_retry_after: Micros,
+    pub max_retry_after: TimeSpan,
 }
 
 impl TryFrom<Wire> for Site {
@@ -38,8 +38,8 @@
     fn try_from(wire: Wire) -> Result<Self, ReadError> {
         let dispatcher = dispatcher_settings(&wire)?;
         dispatcher.validate().map_err(ReadError::from_dispatcher)?;
-        let connect_timeout = match wire.limits.connect_timeout_us {
-            0 => DEFAULT_CONNECT_TIMEOUT,
+        let connect_timeout = match wire.limits.connect_timeout {
+            TimeSpan::ZERO => DEFAULT_CONNECT_TIMEOUT,
             given => given.min(MAX_TIME_SPAN),
         };
         Ok(Site {
@@ -49,8 +49,8 @@
             zone_names: wire.zone_names,
             kind_names: wire.kind_names,
             connect_timeout,
-            keepalive: wire.limits.keepalive_us.min(MAX_TIME_SPAN),
-            max_retry_after: wire.limits.max_retry_after_us.min(MAX_TIME_SPAN),
+            keepalive: wire.limits.keepalive.min(MAX_TIME_SPAN),
+            max_retry_after: wire.limits.max_retry_after.min(MAX_TIME_SPAN),
         })
     }
 }
@@ -59,8 +59,11 @@
 fn dispatcher_settings(wire: &Wire) -> Result<Settings, ReadError> {
     let Wire { limits, prices, rules, family_info, .. } = wire;
     let services = wire.services.iter().enumerate();
-    let max_retry_after =
-        if limits.clients_follow_retry_after { limits.max_retry_after_us.min(MAX_TIME_SPAN) } else { 0 };
+    let max_retry_after = if limits.clients_follow_retry_after {
+        limits.max_retry_after.min(MAX_TIME_SPAN)
+    } else {
+        TimeSpan::ZERO
+    };
     Ok(Settings {
         nodes: wire.nodes,
         node_index: wire.node_index,
@@ -71,14 +74,14 @@
         tenant_quotas: wire.customers.iter().map(|Customer { quota_per_s, .. }| *quota_per_s).collect(),
         over_quota_weight: wire.over_quota_weight,
         endpoints_on_request: endpoints_on_request(&wire.discovery_mode)?,
-        max_poll_interval: rules.max_poll_interval_us.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
+        max_poll_interval: rules.max_poll_interval.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
         // The node sets it: only real connections acknowledge.
-        assumed_notified_after: 0,
+        assumed_notified_after: TimeSpan::ZERO,
         // A size that changes with the load, or is the same for all workers, says nothing about slots.
         sizes_listed: matches!(wire.size_meaning.as_str(), "nominal" | "rough"),
         reports_start: family_info.reports_start,
         // The node sets it: only real connections time out.
-        accept_timeout: 0,
+        accept_timeout: TimeSpan::ZERO,
         may_cancel: limits.may_cancel,
         may_hedge: limits.may_hedge,
         may_gossip: limits.may_gossip,
@@ -87,9 +90,9 @@
         max_retry_after,
         cross_zone_price: prices.cross_zone,
         warm_up_floor: rules.warm_up_floor,
-        warm_up: rules.warm_up_us.min(MAX_TIME_SPAN),
+        warm_up: rules.warm_up.min(MAX_TIME_SPAN),
         overload_factor: rules.overload_factor,
-        overload_window: rules.overload_window_us.min(MAX_TIME_SPAN),
+        overload_window: rules.overload_window.min(MAX_TIME_SPAN),
     })
 }
 
@@ -98,9 +101,9 @@
     let family_kind = family_info.class_kinds.get(index);
     Ok(JobClass {
         idempotency: idempotency(service)?,
-        latency_objective: service.latency_objective_us.min(MAX_TIME_SPAN),
+        latency_objective: service.latency_objective.min(MAX_TIME_SPAN),
         latency_objective_stretch: service.latency_objective_stretch.or(family_stretch).unwrap_or(0.0),
-        client_timeout: service.client_timeout_us.min(MAX_TIME_SPAN),
+        client_timeout: service.client_timeout.min(MAX_TIME_SPAN),
         priority_weight: service.priority_weight,
         required_kind: family_kind.and_then(|kind| u32::try_from(*kind).ok()).map(KindId),
     })
@@ -114,7 +117,7 @@
         "all" | "" => DeduplicationScope::All,
         _ => return Err(ReadError::UnknownKeyScope),
     };
-    let window = service.deduplication_window_us.min(MAX_TIME_SPAN);
+    let window = service.deduplication_window.min(MAX_TIME_SPAN);
     match service.idempotency.as_str() {
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::WithKey { scope, window }),
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -4,13 +4,13 @@
 //! messages show the names of the types and the number of their fields. Unknown fields are accepted: the platform may
 //! add some.
 
-use curlewusher_core::Micros;
+use curlewusher_core::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 /// Time in which a connection must be up where the settings do not say, or say 0, with which nothing could be sent.
-pub(crate) const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
+pub(crate) const DEFAULT_CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 /// Idle time for which workers keep a connection open where the settings do not say.
-const DEFAULT_KEEPALIVE: Micros = 1_000_000;
+const DEFAULT_KEEPALIVE: TimeSpan = TimeSpan::from_secs(1);
 
 /// The settings object, as a whole.
 #[derive(Deserialize, Serialize)]
@@ -53,13 +53,13 @@
     #[serde(default)]
     pub(crate) key_scope: String,
     #[serde(default, rename = "dedupWindowUs")]
-    pub(crate) deduplication_window_us: Micros,
+    pub(crate) deduplication_window: TimeSpan,
     #[serde(rename = "objectiveUs")]
-    pub(crate) latency_objective_us: Micros,
+    pub(crate) latency_objective: TimeSpan,
     #[serde(default, rename = "aimStretch")]
     pub(crate) latency_objective_stretch: Option<f64>,
     #[serde(rename = "giveUpUs")]
-    pub(crate) client_timeout_us: Micros,
+    pub(crate) client_timeout: TimeSpan,
     #[serde(default = "default_weight", rename = "worth")]
     pub(crate) priority_weight: f64,
 }
@@ -88,12 +88,12 @@
     pub(crate) max_attempts: u32,
     #[serde(default, rename = "retryAfter")]
     pub(crate) clients_follow_retry_after: bool,
-    #[serde(default)]
-    pub(crate) max_retry_after_us: Micros,
-    #[serde(default = "default_connect_timeout")]
-    pub(crate) connect_timeout_us: Micros,
-    #[serde(default = "default_keepalive")]
-    pub(crate) keepalive_us: Micros,
+    #[serde(default, rename = "maxRetryAfterUs")]
+    pub(crate) max_retry_after: TimeSpan,
+    #[serde(default = "default_connect_timeout", rename = "connectTimeoutUs")]
+    pub(crate) connect_timeout: TimeSpan,
+    #[serde(default = "default_keepalive", rename = "keepaliveUs")]
+    pub(crate) keepalive: TimeSpan,
 }
 
 /// What a message costs.
@@ -111,13 +111,14 @@
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Rules {
     #[serde(rename = "askWithinUs")]
-    pub(crate) max_poll_interval_us: Micros,
+    pub(crate) max_poll_interval: TimeSpan,
     #[serde(rename = "coldShare")]
     pub(crate) warm_up_floor: f64,
-    pub(crate) warm_up_us: Micros,
+    #[serde(rename = "warmUpUs")]
+    pub(crate) warm_up: TimeSpan,
     pub(crate) overload_factor: f64,
     #[serde(rename = "fallUs")]
-    pub(crate) overload_window_us: Micros,
+    pub(crate) overload_window: TimeSpan,
 }
 
 /// What only some families of sites say of their classes, by the index of the class.
@@ -139,10 +140,10 @@
     1.0
 }
 
-fn default_connect_timeout() -> Micros {
+fn default_connect_timeout() -> TimeSpan {
     DEFAULT_CONNECT_TIMEOUT
 }
 
-fn default_keepalive() -> Micros {
+fn default_keepalive() -> TimeSpan {
     DEFAULT_KEEPALIVE
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The operator's file and the settings object: every value of full ones, and the exact message of every mistake.
 
-use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Micros};
+use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, TimeSpan};
 use curlewusher_settings::operator::{FIELDS, LogTarget, OperatorFile, TakesEffect};
 use curlewusher_settings::{Site, effective, read};
 use golden::golden;
@@ -65,9 +65,15 @@
 fn idempotency_text(idempotency: &Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "safe".to_owned(),
-        Idempotency::WithKey { scope: DeduplicationScope::All, window } => format!("keyed all {window}"),
-        Idempotency::WithKey { scope: DeduplicationScope::Zone, window } => format!("keyed zone {window}"),
-        Idempotency::WithKey { scope: DeduplicationScope::Cell, window } => format!("keyed cell {window}"),
+        Idempotency::WithKey { scope: DeduplicationScope::All, window } => {
+            format!("keyed all {}", window.as_micros())
+        }
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window } => {
+            format!("keyed zone {}", window.as_micros())
+        }
+        Idempotency::WithKey { scope: DeduplicationScope::Cell, window } => {
+            format!("keyed cell {}", window.as_micros())
+        }
         Idempotency::NonIdempotent => "unsafe".to_owned(),
     }
 }
@@ -83,8 +89,9 @@
     } = class;
     let (idempotency, kind) = (idempotency_text(idempotency), required_kind.map(|KindId(number)| number));
     format!(
-        "class {index}: {idempotency}, aim {latency_objective}, stretch {stretch}, worth {priority_weight}, \
-         give up {client_timeout}, kind {kind:?}"
+        "class {index}: {idempotency}, aim {}, stretch {stretch}, worth {priority_weight}, give up {}, kind {kind:?}",
+        latency_objective.as_micros(),
+        client_timeout.as_micros()
     )
 }
 
@@ -100,29 +107,29 @@
         format!("tenant quotas: {:?}", dispatcher.tenant_quotas),
         format!("over-quota worth: {}", dispatcher.over_quota_weight),
         format!("list on request: {}", dispatcher.endpoints_on_request),
-        format!("ask within: {}", dispatcher.max_poll_interval),
-        format!("told within: {}", dispatcher.assumed_notified_after),
+        format!("ask within: {}", dispatcher.max_poll_interval.as_micros()),
+        format!("told within: {}", dispatcher.assumed_notified_after.as_micros()),
         format!("sizes told: {}", dispatcher.sizes_listed),
         format!("tells start: {}", dispatcher.reports_start),
-        format!("accepts within: {}", dispatcher.accept_timeout),
+        format!("accepts within: {}", dispatcher.accept_timeout.as_micros()),
         format!("may cancel: {}", dispatcher.may_cancel),
         format!("may duplicate: {}", dispatcher.may_hedge),
         format!("may tell: {}", dispatcher.may_gossip),
         format!("tell price: {}", dispatcher.gossip_price),
         format!("max attempts: {}", dispatcher.max_attempts),
-        format!("max advice: {}", dispatcher.max_retry_after),
+        format!("max advice: {}", dispatcher.max_retry_after.as_micros()),
         format!("cross-zone price: {}", dispatcher.cross_zone_price),
         format!("cold share: {}", dispatcher.warm_up_floor),
-        format!("warm-up: {}", dispatcher.warm_up),
+        format!("warm-up: {}", dispatcher.warm_up.as_micros()),
         format!("overload factor: {}", dispatcher.overload_factor),
-        format!("fall window: {}", dispatcher.overload_window),
+        format!("fall window: {}", dispatcher.overload_window.as_micros()),
         format!("names of classes: {:?}", site.class_names),
         format!("names of tenants: {:?}", site.tenant_names),
         format!("names of zones: {:?}", site.zone_names),
         format!("names of kinds: {:?}", site.kind_names),
-        format!("connect timeout: {}", site.connect_timeout),
-        format!("keep-alive: {}", site.keepalive),
-        format!("max retry-after: {}", site.max_retry_after),
+        format!("connect timeout: {}", site.connect_timeout.as_micros()),
+        format!("keep-alive: {}", site.keepalive.as_micros()),
+        format!("max retry-after: {}", site.max_retry_after.as_micros()),
     ]);
     lines
 }
@@ -188,7 +195,7 @@
 
 #[test]
 fn a_time_span_beyond_a_year_then_it_is_a_year() {
-    const YEAR: Micros = 365 * 86_400 * 1_000_000;
+    const YEAR: TimeSpan = TimeSpan::from_secs(365 * 86_400);
     let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
     let spans = [
         "/services/1/dedupWindowUs",
@@ -204,7 +211,7 @@
     spans.iter().for_each(|path| *object.pointer_mut(path).expect("a span") = json!(u64::MAX));
     let values = values_of(&object.to_string()).join("\n");
     // The longest wait that a client follows is also the longest that a refusal advises.
-    assert_eq!(values.matches(&YEAR.to_string()).count(), spans.len() + 1, "{values}");
+    assert_eq!(values.matches(&YEAR.as_micros().to_string()).count(), spans.len() + 1, "{values}");
 }
 
 #[test]
--- a/crates/simulator-adapter/src/catalog.rs
+++ b/crates/simulator-adapter/src/catalog.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use curlewusher_core::{CellId, Endpoint, KindId, WorkerId, WorkerStatus, ZoneId};
+use curlewusher_core::{CellId, Endpoint, KindId, Timestamp, WorkerId, WorkerStatus, ZoneId};
 
 use crate::error::{FieldError, LineError};
 use crate::fields::{Fields, malformed};
@@ -66,7 +66,7 @@
         kind: KindId(fields.value_or("classOfHost", 0)?),
         cell: CellId(fields.value_or("unitGroup", 0)?),
         status,
-        started_at: fields.value_or("cameUpUs", 0)?,
+        started_at: Timestamp::from_micros(fields.value_or("cameUpUs", 0)?),
         size: fields.value_or("scale", 1.0)?,
     })
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -2,6 +2,8 @@
 
 use std::str::FromStr;
 
+use curlewusher_core::Timestamp;
+
 use crate::error::FieldError;
 
 /// Value of a field that stands for an empty sequence of bytes.
@@ -38,6 +40,11 @@
         Ok(self.value_or(field, 0u8)? == 1)
     }
 
+    /// The moment that a required field names in microseconds.
+    pub fn moment(&self, field: &'static str) -> Result<Timestamp, FieldError> {
+        self.required(field).map(Timestamp::from_micros)
+    }
+
     /// The text of a required field.
     pub fn text(&self, field: &'static str) -> Result<&'a str, FieldError> {
         self.find(field).ok_or(FieldError::Missing { field })
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, Timestamp};
 
 use crate::catalog::Catalogs;
 use crate::error::LineError;
@@ -22,7 +22,7 @@
 /// All nodes of a simulation. They share only the catalogs, which the wire sends once for all.
 #[derive(Default)]
 pub struct Host {
-    now: Micros,
+    now: Timestamp,
     instances: BTreeMap<u64, Instance>,
     /// The instance that the following messages are for.
     selected: Option<u64>,
@@ -63,7 +63,7 @@
     }
 
     fn begin_batch(&mut self, fields: Fields) -> Result<(), LineError> {
-        self.now = fields.required("simTimeUs")?;
+        self.now = fields.moment("simTimeUs")?;
         self.selected = None;
         Ok(())
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,7 +4,8 @@
 use std::fmt::{self, Write};
 
 use curlewusher_core::{
-    Action, ClassId, Dispatcher, Event, JobId, JobSubmission, Micros, Outcome, TenantId, WorkerId,
+    Action, ClassId, Dispatcher, Event, JobId, JobSubmission, Outcome, TenantId, TimeSpan, Timestamp,
+    WorkerId,
 };
 
 use crate::catalog::Catalogs;
@@ -36,7 +37,7 @@
 
 impl Instance {
     /// Starts a node.
-    pub fn start(now: Micros, dispatcher: Dispatcher) -> Self {
+    pub fn start(now: Timestamp, dispatcher: Dispatcher) -> Self {
         let mut instance = Instance {
             dispatcher,
             jobs: JobNames::default(),
@@ -51,7 +52,7 @@
     /// wire add some, and probes are never requested.
     pub fn handle_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         message: &str,
         fields: Fields,
         catalogs: &Catalogs,
@@ -88,11 +89,11 @@
         Ok(())
     }
 
-    fn dispatch(&mut self, now: Micros, event: Event) {
+    fn dispatch(&mut self, now: Timestamp, event: Event) {
         self.dispatcher.handle(now, event, &mut self.actions);
     }
 
-    fn handle_sync(&mut self, now: Micros, fields: Fields, catalogs: &Catalogs) -> Result<(), FieldError> {
+    fn handle_sync(&mut self, now: Timestamp, fields: Fields, catalogs: &Catalogs) -> Result<(), FieldError> {
         let snapshot = match fields.text("form")? {
             "X" => {
                 self.dispatch(now, Event::WatchFailed);
@@ -110,12 +111,12 @@
         Ok(())
     }
 
-    fn handle_new_request(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_new_request(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let submission = JobSubmission {
             job: self.jobs.add(fields.text("corr")?),
             class: ClassId(fields.required("type")?),
             tenant: TenantId(fields.value_or("team", 0)?),
-            deadline: fields.required("dropDeadUs")?,
+            deadline: fields.moment("dropDeadUs")?,
             cost_hint: fields.optional::<f64>("workUs")?.map(|work| work / MICROS_PER_SECOND),
             slots: fields.value_or("coresNeeded", 1.0)?,
             key: fields.optional("affinity")?,
@@ -125,7 +126,7 @@
         Ok(())
     }
 
-    fn handle_attempt_end(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_attempt_end(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         let outcome = parse_outcome(fields.text("outcome")?)?;
         let settled = fields.flag("settled")?;
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    fn handle_progress(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_progress(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         match fields.required("topic")? {
             TOPIC_STARTED => self.dispatch(now, Event::AttemptStarted { job, attempt }),
@@ -148,13 +149,13 @@
         Ok(())
     }
 
-    fn handle_first_byte(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_first_byte(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         self.dispatch(now, Event::AttemptStreaming { job, attempt });
         Ok(())
     }
 
-    fn handle_client_abort(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_client_abort(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let Some(job) = self.jobs.id(fields.text("corr")?) else { return Ok(()) };
         self.jobs.record_end(job);
         self.dispatch(now, Event::ClientDisconnected { job });
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    fn handle_gossip(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_gossip(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let data = fields.bytes("data")?;
         let from = fields.required("sender")?;
         self.dispatch(now, Event::GossipReceived { from, data: &data });
@@ -183,7 +184,7 @@
             }
             Action::Reject { job, retry_after } => {
                 if let Some(name) = self.jobs.name(job) {
-                    writeln!(out, "shed corr={name} waitUs={retry_after}")?;
+                    writeln!(out, "shed corr={name} waitUs={}", retry_after.as_micros())?;
                 }
                 self.end_job(job);
                 Ok(())
@@ -202,7 +203,7 @@
                 None => Ok(()),
             },
             Action::SendGossip { to, data } => write_gossip(to, &data, out),
-            Action::SetTimer { after } => writeln!(out, "wake_me name=w spanUs={after}"),
+            Action::SetTimer { after } => writeln!(out, "wake_me name=w spanUs={}", after.as_micros()),
             Action::WatchEndpoints => writeln!(out, "watch enable=1"),
         }
     }
@@ -211,12 +212,12 @@
         &mut self,
         job: JobId,
         worker: WorkerId,
-        timeout: Micros,
+        timeout: TimeSpan,
         out: &mut String,
     ) -> fmt::Result {
         let Some(executor) = self.worker_names.get(&worker) else { return Ok(()) };
         let Some(name) = self.jobs.record_attempt(job) else { return Ok(()) };
-        writeln!(out, "try corr={name} executor={executor} timeoutUs={timeout}")
+        writeln!(out, "try corr={name} executor={executor} timeoutUs={}", timeout.as_micros())
     }
 
     fn end_job(&mut self, job: JobId) {
