--- a/crates/core/src/interface/time.rs
+++ b/crates/core/src/interface/time.rs
@@ -2,6 +2,9 @@
 //!
 //! Both count whole microseconds in a `u64`. [`std::time::Duration`] is not used for spans: it is twice as large, and its
 //! conversion to seconds rounds differently, whereas all nodes and versions must compute the same estimates.
+//!
+//! The operators `+` and `-` require a result within the bounds of the type; where it may be out of bounds, use the
+//! `saturating_` methods.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
@@ -14,11 +17,25 @@
 
 /// A moment on the embedder's clock: microseconds since an origin that the embedder chooses. The clock never goes
 /// backwards. Moments of different clocks must not be mixed; an embedder converts a foreign one where it enters.
+///
+/// Two moments have no sum, and a span is no moment:
+///
+/// ```compile_fail
+/// use curlewusher_core::Timestamp;
+///
+/// let sum = Timestamp::ORIGIN + Timestamp::ORIGIN;
+/// ```
+///
+/// ```compile_fail
+/// use curlewusher_core::{TimeSpan, Timestamp};
+///
+/// let deadline: Timestamp = TimeSpan::ZERO;
+/// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(u64);
 
-/// A span of time, in microseconds.
+/// A span of time: a whole number of microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeSpan(u64);
@@ -26,10 +43,10 @@
 impl Timestamp {
     /// The origin of the clock.
     pub const ORIGIN: Self = Timestamp(0);
-    /// A moment after all others, for what never happens.
+    /// The latest moment.
     pub const MAX: Self = Timestamp(u64::MAX);
 
-    /// The moment that is so many microseconds after the origin.
+    /// The moment at a number of microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
@@ -49,29 +66,29 @@
         self.saturating_since(earlier).as_secs_f64()
     }
 
-    /// The moment that is so long after this one, at most [`Timestamp::MAX`].
+    /// The moment that follows this one by a span, at most [`Timestamp::MAX`].
     pub const fn saturating_add(self, span: TimeSpan) -> Self {
         Timestamp(self.0.saturating_add(span.0))
     }
 
-    /// The moment that is so long before this one, at least [`Timestamp::ORIGIN`].
+    /// The moment that precedes this one by a span, at least [`Timestamp::ORIGIN`].
     pub const fn saturating_sub(self, span: TimeSpan) -> Self {
         Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
 impl TimeSpan {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Self = TimeSpan(0);
     /// The longest span.
     pub const MAX: Self = TimeSpan(u64::MAX);
 
-    /// A span of microseconds.
+    /// A span of whole microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         TimeSpan(micros)
     }
 
-    /// A span of milliseconds.
+    /// A span of whole milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         TimeSpan(millis * 1_000)
     }
@@ -87,12 +104,12 @@
         TimeSpan((seconds.max(0.0) * MICROS_PER_SECOND) as u64)
     }
 
-    /// Microseconds of the span.
+    /// The span in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Seconds of the span.
+    /// The span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,8 +18,6 @@
 //!     Outcome, Settings, TenantId, TimeSpan, Timestamp, WorkerId, WorkerStatus, ZoneId,
 //! };
 //!
-//! let at = Timestamp::from_micros;
-//!
 //! let class = JobClass {
 //!     idempotency: Idempotency::Idempotent,
 //!     latency_objective: TimeSpan::from_millis(200),
@@ -56,7 +54,9 @@
 //! let random_seed = 42;
 //! let mut dispatcher = Dispatcher::new(settings, random_seed)?;
 //! let mut actions = Vec::new();
-//! dispatcher.handle(at(1_000), Event::TimerExpired, &mut actions);
+//! // The embedder's clock, here in milliseconds since its origin.
+//! let at = |millis| Timestamp::ORIGIN + TimeSpan::from_millis(millis);
+//! dispatcher.handle(at(1), Event::TimerExpired, &mut actions);
 //!
 //! // The endpoint list, from wherever the embedder has it.
 //! let endpoint = Endpoint {
@@ -69,20 +69,20 @@
 //!     size: 1.0,
 //! };
 //! let endpoints = Event::EndpointsChanged { endpoints: &[endpoint], snapshot: true };
-//! dispatcher.handle(at(2_000), endpoints, &mut actions);
+//! dispatcher.handle(at(2), endpoints, &mut actions);
 //!
 //! // A client submits a job.
 //! let submission = JobSubmission {
 //!     job: JobId(1),
 //!     class: ClassId(0),
 //!     tenant: TenantId(0),
-//!     deadline: at(5_003_000),
+//!     deadline: at(5_003),
 //!     cost_hint: Some(0.05),
 //!     slots: 1.0,
 //!     key: None,
 //!     is_retry: false,
 //! };
-//! dispatcher.handle(at(3_000), Event::JobSubmitted(submission), &mut actions);
+//! dispatcher.handle(at(3), Event::JobSubmitted(submission), &mut actions);
 //!
 //! // The embedder carries out the actions in their order.
 //! let mut sent = Vec::new();
@@ -97,9 +97,9 @@
 //!
 //! // It reports what becomes of each attempt.
 //! let (job, attempt) = (JobId(1), 0);
-//! dispatcher.handle(at(3_500), Event::AttemptStarted { job, attempt }, &mut actions);
+//! dispatcher.handle(at(4), Event::AttemptStarted { job, attempt }, &mut actions);
 //! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, settled: true };
-//! dispatcher.handle(at(60_000), ended, &mut actions);
+//! dispatcher.handle(at(60), ended, &mut actions);
 //! # Ok::<(), curlewusher_core::SettingsError>(())
 //! ```
 
