--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,6 +1,7 @@
 //! What can be wrong with a line of the simulator's wire.
 
-use std::error::Error;
+use curlewusher_core::SettingsError;
+use curlewusher_settings::ReadError;
 
 /// A field that is missing or cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -25,10 +26,10 @@
         /// Name of the field.
         field: &'static str,
     },
-    /// The number is that of no catalog which the simulator has sent.
+    /// The simulator has sent no catalog of this number.
     #[error("field table names no list: {table}")]
     UnknownCatalog {
-        /// The number.
+        /// The number of the catalog.
         table: u64,
     },
 }
@@ -43,9 +44,9 @@
     /// A field of a message to an instance is wrong.
     #[error("{message}: {source}")]
     MessageField {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// What is wrong.
+        /// Which field, and what is wrong with it.
         source: FieldError,
     },
     /// An endpoint outside a catalog, or one more than the catalog announced.
@@ -54,18 +55,21 @@
     /// No `on` line selected an instance in this batch.
     #[error("{message}: no instance named")]
     NoInstanceSelected {
-        /// The message.
+        /// Name of the message.
         message: String,
     },
     /// The selected instance was not started, or has exited.
     #[error("{message}: instance {instance} is not running")]
     InstanceNotRunning {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// The selected instance.
+        /// Number of the selected instance.
         instance: u64,
     },
-    /// The settings of a new instance cannot be used.
+    /// The settings object of a new instance cannot be used.
     #[error("field bootInfo: {0}")]
-    Settings(#[source] Box<dyn Error + Send + Sync>),
+    Settings(#[source] ReadError),
+    /// The dispatcher rejects the settings of a new instance.
+    #[error("field bootInfo: {0}")]
+    Dispatcher(#[source] SettingsError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -10,10 +10,10 @@
 use crate::fields::Fields;
 use crate::instance::Instance;
 
-/// Whether a batch of lines goes on after a line.
+/// Whether a batch of lines is complete after a line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Batch {
-    /// More lines follow.
+    /// More lines follow before the actions are written.
     Continues,
     /// The line ended the batch: the simulator waits for the actions.
     Ended,
@@ -24,7 +24,7 @@
 pub struct Host {
     now: Timestamp,
     instances: BTreeMap<u64, Instance>,
-    /// The instance that the following messages are for.
+    /// Number of the instance that the following messages are for.
     selected: Option<u64>,
     catalogs: Catalogs,
 }
@@ -73,9 +73,8 @@
         let number = self.selected_instance(message)?;
         let seed = fields.required("prng")?;
         let text = fields.rest_of_line("bootInfo")?;
-        let site = curlewusher_settings::read(text).map_err(|error| LineError::Settings(error.into()))?;
-        let dispatcher =
-            Dispatcher::new(site.dispatcher, seed).map_err(|error| LineError::Settings(error.into()))?;
+        let site = curlewusher_settings::read(text).map_err(LineError::Settings)?;
+        let dispatcher = Dispatcher::new(site.dispatcher, seed).map_err(LineError::Dispatcher)?;
         self.instances.insert(number, Instance::start(self.now, dispatcher));
         Ok(())
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -17,7 +17,7 @@
 const TOPIC_STARTED: u32 = 1;
 /// Value of the field `topic` of a progress report: a fraction of the attempt's work is done.
 const TOPIC_FRACTION_DONE: u32 = 2;
-/// Microseconds in a second, for the work of jobs.
+/// Microseconds in a second; the wire has the work of jobs in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// One simulated node.
@@ -48,8 +48,7 @@
         instance
     }
 
-    /// Handles a message to this node. Messages that this adapter does not know are ignored: later versions of the
-    /// wire add some, and probes are never requested.
+    /// Handles a message to this node. Unknown messages are ignored: later versions of the wire add some.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
@@ -73,12 +72,12 @@
         }
     }
 
-    /// Whether actions wait to be written.
+    /// Whether there are actions to be written.
     pub fn has_actions(&self) -> bool {
         !self.actions.is_empty()
     }
 
-    /// Writes the actions that wait, one a line.
+    /// Writes the actions that have not been written yet, one a line.
     pub fn write_actions(&mut self, out: &mut String) -> fmt::Result {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -157,7 +156,7 @@
 
     fn handle_client_abort(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let Some(job) = self.jobs.id(fields.text("corr")?) else { return Ok(()) };
-        self.jobs.record_end(job);
+        self.jobs.record_settled(job);
         self.dispatch(now, Event::ClientDisconnected { job });
         self.jobs.remove_if_finished(job);
         Ok(())
@@ -175,8 +174,7 @@
         Ok(AttemptRef { job, attempt: fields.required("copy")? })
     }
 
-    /// Writes one action as a line. Actions on jobs that are forgotten, and on workers that were never listed, are
-    /// left out.
+    /// Writes one action as a line. Nothing is written for jobs that were removed and workers that were never listed.
     fn write_action(&mut self, action: Action, out: &mut String) -> fmt::Result {
         match action {
             Action::SendAttempt { job, worker, timeout, send_by: _ } => {
@@ -196,7 +194,7 @@
                 self.end_job(job);
                 Ok(())
             }
-            // The simulator sends an attempt at the moment of the line: none is left to be revoked.
+            // The simulator sends an attempt as soon as it reads the line: none can be revoked.
             Action::RevokeAttempt { .. } => Ok(()),
             Action::CancelAttempt { job, attempt } => match self.jobs.name(job) {
                 Some(name) => writeln!(out, "undo_send corr={name} copy={attempt}"),
@@ -221,7 +219,7 @@
     }
 
     fn end_job(&mut self, job: JobId) {
-        self.jobs.record_end(job);
+        self.jobs.record_settled(job);
         self.jobs.remove_if_finished(job);
     }
 }
--- a/crates/simulator-adapter/src/job_names.rs
+++ b/crates/simulator-adapter/src/job_names.rs
@@ -1,21 +1,21 @@
-//! The names that jobs have on the wire, and how long each is needed.
+//! The names of jobs on the wire, each kept until nothing more can be reported of the job.
 
 use std::collections::HashMap;
 
 use curlewusher_core::JobId;
 
-/// A number that no job has: attempts of jobs that are not known any more are reported with it, so that the
-/// dispatcher ignores them.
+/// A number that no job has. Events of jobs that were removed are reported with it, so that the dispatcher ignores
+/// them.
 pub const UNKNOWN_JOB: JobId = JobId(u64::MAX);
 
 struct NamedJob {
     name: String,
     attempts_in_flight: u32,
-    /// The client has its response, or needs none.
-    is_over: bool,
+    /// Whether the client has its response, or needs none.
+    is_settled: bool,
 }
 
-/// The jobs of one instance. A job is forgotten when it is over and none of its attempts is in flight.
+/// The jobs of one instance. A job is removed when it is settled and none of its attempts is in flight.
 #[derive(Default)]
 pub struct JobNames {
     jobs: HashMap<JobId, NamedJob>,
@@ -24,12 +24,12 @@
 }
 
 impl JobNames {
-    /// Numbers a new job.
+    /// Adds a new job under the next number.
     pub fn add(&mut self, name: &str) -> JobId {
         let job = JobId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.to_owned(), job);
-        self.jobs.insert(job, NamedJob { name: name.to_owned(), attempts_in_flight: 0, is_over: false });
+        self.jobs.insert(job, NamedJob { name: name.to_owned(), attempts_in_flight: 0, is_settled: false });
         job
     }
 
@@ -43,7 +43,7 @@
         self.jobs.get(&job).map(|named| named.name.as_str())
     }
 
-    /// Counts an attempt that is being sent; returns the job's name.
+    /// Counts an attempt that is being sent. Returns the job's name.
     pub fn record_attempt(&mut self, job: JobId) -> Option<&str> {
         let named = self.jobs.get_mut(&job)?;
         named.attempts_in_flight += 1;
@@ -54,21 +54,21 @@
     pub fn record_attempt_end(&mut self, job: JobId, settled: bool) {
         if let Some(named) = self.jobs.get_mut(&job) {
             named.attempts_in_flight = named.attempts_in_flight.saturating_sub(1);
-            named.is_over |= settled;
+            named.is_settled |= settled;
         }
     }
 
-    /// Marks a job as over.
-    pub fn record_end(&mut self, job: JobId) {
+    /// Marks a job as settled.
+    pub fn record_settled(&mut self, job: JobId) {
         if let Some(named) = self.jobs.get_mut(&job) {
-            named.is_over = true;
+            named.is_settled = true;
         }
     }
 
-    /// Forgets a job if nothing more can be reported of it.
+    /// Removes a job if nothing more can be reported of it.
     pub fn remove_if_finished(&mut self, job: JobId) {
         let is_finished =
-            self.jobs.get(&job).is_some_and(|named| named.is_over && named.attempts_in_flight == 0);
+            self.jobs.get(&job).is_some_and(|named| named.is_settled && named.attempts_in_flight == 0);
         if is_finished && let Some(named) = self.jobs.remove(&job) {
             self.ids.remove(&named.name);
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -48,12 +48,22 @@
 /// Why the adapter stopped before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// The input could not be read, or is not UTF-8.
+    /// A line of the input could not be read, or is not UTF-8.
     #[error("line {line}: {source}")]
-    Read { line: u64, source: io::Error },
+    Read {
+        /// Number of the line, from 1 on.
+        line: u64,
+        /// The error of standard input.
+        source: io::Error,
+    },
     /// A line could not be carried out.
     #[error("line {line}: {source}")]
-    Line { line: u64, source: LineError },
+    Line {
+        /// Number of the line, from 1 on.
+        line: u64,
+        /// What is wrong with it.
+        source: LineError,
+    },
     /// The actions could not be encoded.
     #[error(transparent)]
     Encode(#[from] fmt::Error),
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -1,8 +1,8 @@
 //! A recorded run of a small simulation: what the adapter reads, and what it must write, byte for byte.
 
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
 
+use common::run_adapter;
 use golden::golden;
 
 #[path = "../../toml-diagnostics/tests/support/golden.rs"]
@@ -10,7 +10,7 @@
 
 const TRANSCRIPT: &str = include_str!("golden/transcript_in.txt");
 
-/// Messages of the wire, with a field where one word of it counts, that the transcript must hold.
+/// Texts that must occur in the transcript: each message, and each value of a field that names one of a few.
 const MESSAGES: [&str; 35] = [
     "round ",
     "commit",
@@ -52,40 +52,25 @@
 const ANSWERS: [&str; 9] =
     ["source ", "next", "try ", "shed ", "abort ", "undo_send ", "announce ", "wake_me ", "watch "];
 
-fn adapter(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewusher-drill"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
-    std::thread::scope(|scope| {
-        // An adapter that has stopped at a bad line no longer reads.
-        scope.spawn(move || _ = stdin.write_all(input.as_bytes()));
-        child.wait_with_output().expect("the adapter ends")
-    })
-}
-
 #[test]
-fn a_recorded_transcript_then_the_answer_is_as_recorded() {
-    let answer = golden!("transcript_out.txt");
+fn recorded_transcript_is_read_then_the_answer_is_as_recorded() {
+    let recorded = golden!("transcript_out.txt");
     MESSAGES.iter().for_each(|part| assert!(TRANSCRIPT.contains(part), "no {part} in the transcript"));
-    let output = adapter(TRANSCRIPT);
+    let output = run_adapter(TRANSCRIPT);
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
-    let found = String::from_utf8(output.stdout).expect("text");
-    let begins = |part: &&str| found.lines().any(|line| format!("{line} ").starts_with(part));
-    ANSWERS.iter().for_each(|part| assert!(begins(part), "no {part} in the answer"));
-    answer.assert_is(&found);
+    let written = String::from_utf8(output.stdout).expect("text");
+    let is_written = |part: &&str| written.lines().any(|line| format!("{line} ").starts_with(part));
+    ANSWERS.iter().for_each(|part| assert!(is_written(part), "no {part} in the answer"));
+    recorded.assert_is(&written);
 }
 
 #[test]
-fn a_bad_line_then_the_words_and_the_exit_code_are_as_recorded() {
+fn invalid_line_is_read_then_the_message_and_the_exit_code_are_as_recorded() {
     // The first batch starts instances and fills a list; the line under test follows.
     let (first_batch, _) = TRANSCRIPT.split_once("commit\n").expect("a batch");
     golden!("bad_lines.txt").assert_answers(|line| {
-        let output = adapter(&format!("{first_batch}{line}\ncommit\n"));
-        let said = String::from_utf8(output.stderr).expect("text");
-        format!("{} {}", output.status.code().expect("it ends by itself"), said.trim_end())
+        let output = run_adapter(&format!("{first_batch}{line}\ncommit\n"));
+        let message = String::from_utf8(output.stderr).expect("text");
+        format!("{} {}", output.status.code().expect("it ends by itself"), message.trim_end())
     });
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,41 +1,34 @@
 //! Transcripts through the built binary.
 
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
 
-const BOOT: &str = r#"{"balancers":1,"zone":0,"discovery":"automatic","unheardOf":[1],"localities":["a"],
+use std::process::Output;
+
+use common::run_adapter;
+
+/// A settings object, with fields that the adapter does not know.
+const SETTINGS: &str = r#"{"balancers":1,"zone":0,"discovery":"automatic","unknownField":[1],"localities":["a"],
 "services":[{"idempotency":"safe","keyScope":"all","objectiveUs":100000,"giveUpUs":1000000,"worth":1.0,"newKey":2}],
 "limits":{"cancel":true,"mayDuplicate":true,"mayTell":false,"sendCap":3},
 "rules":{"askWithinUs":10000000,"coldShare":0.2,"warmUpUs":1000000,"overloadFactor":3.0,"fallUs":1000000}}"#;
 
-fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewusher-drill"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    // An adapter that has stopped at a bad line no longer reads.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
-}
-
-fn out(output: &Output) -> &str {
+fn stdout(output: &Output) -> &str {
     std::str::from_utf8(&output.stdout).expect("text")
 }
 
+/// The lines that start an instance with an endpoint list of one worker.
 fn hello(instance: u32) -> String {
-    let boot = BOOT.replace('\n', "");
+    let settings = SETTINGS.replace('\n', "");
     format!(
-        "on i={instance}\nhello prng=1 bootInfo={boot}\ncatalog table=0 nodesList=1\n\
+        "on i={instance}\nhello prng=1 bootInfo={settings}\ncatalog table=0 nodesList=1\n\
          executor executor=10.0.0.1:5000 area=0 classOfHost=0 unitGroup=0 lifecycle=live scale=1 extra=1\n\
          sync serial=1 table=0 form=C\n"
     )
 }
 
 #[test]
-fn job_submitted_then_attempt_sent_and_its_end_accepted() {
-    let output = run(&format!(
+fn job_is_submitted_then_an_attempt_is_sent_and_its_end_accepted() {
+    let output = run_adapter(&format!(
         "round simTimeUs=5\n{}commit\nround simTimeUs=1000\non i=3\n\
          new_request corr=rq_a type=0 dropDeadUs=900000 workUs=10000 coresNeeded=1 unknown=x\ncommit\n\
          round simTimeUs=2000\non i=3\nprogress corr=rq_a copy=0 executor=10.0.0.1:5000 topic=1\n\
@@ -43,16 +36,16 @@
         hello(3)
     ));
     assert!(output.status.success());
-    let text = out(&output);
+    let text = stdout(&output);
     assert!(text.contains("source i=3\ntry corr=rq_a executor=10.0.0.1:5000 timeoutUs=899000\n"), "{text}");
-    assert_eq!(text.lines().filter(|l| *l == "next").count(), 3);
+    assert_eq!(text.lines().filter(|line| *line == "next").count(), 3);
     assert!(output.stderr.is_empty());
 }
 
 #[test]
-fn instance_restarted_beside_another_then_each_sends_its_own_job() {
+fn instance_restarts_beside_another_then_each_sends_its_own_job() {
     let job = "new_request corr=rq_a type=0 dropDeadUs=900000 workUs=10000\n";
-    let output = run(&format!(
+    let output = run_adapter(&format!(
         "round simTimeUs=5\n{}{}commit\nround simTimeUs=1000\non i=1\n{job}commit\n\
          round simTimeUs=1001\non i=1\nexit\n{}on i=2\n{job}commit\n",
         hello(1),
@@ -60,7 +53,7 @@
         hello(1)
     ));
     assert!(output.status.success());
-    let text = out(&output);
+    let text = stdout(&output);
     assert!(
         text.contains("source i=1\ntry corr=rq_a") && text.contains("source i=2\ntry corr=rq_a"),
         "{text}"
@@ -68,13 +61,13 @@
 }
 
 #[test]
-fn input_empty_then_success_without_output() {
-    let output = run("");
+fn input_is_empty_then_the_adapter_succeeds_without_output() {
+    let output = run_adapter("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn line_malformed_then_failure_with_one_line_on_stderr() {
+fn line_is_malformed_then_the_adapter_fails_with_one_line_on_stderr() {
     let hello = hello(1);
     let cases = [
         ("round\n".to_owned(), "line 1: field simTimeUs is missing"),
@@ -96,20 +89,20 @@
         ("round simTimeUs=1\non i=4\nwakeup name=w\n".to_owned(), "instance 4 is not running"),
     ];
     for (input, problem) in cases {
-        let output = run(&input);
+        let output = run_adapter(&input);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{input}");
         assert!(stderr.contains(problem) && stderr.lines().count() == 1, "{input} -> {stderr}");
-        assert!(!out(&output).contains("panic"));
+        assert!(!stdout(&output).contains("panic"));
     }
-    let bad = hello.replace("\"coldShare\":0.2", "\"coldShare\":7");
-    let output = run(&format!("round simTimeUs=1\n{bad}commit\n"));
+    let invalid = hello.replace("\"coldShare\":0.2", "\"coldShare\":7");
+    let output = run_adapter(&format!("round simTimeUs=1\n{invalid}commit\n"));
     assert!(String::from_utf8_lossy(&output.stderr).contains("cold_share is no share"));
 }
 
 #[test]
-fn messages_about_unknown_jobs_then_ignored() {
-    let output = run(&format!(
+fn messages_name_unknown_jobs_then_they_are_ignored() {
+    let output = run_adapter(&format!(
         "round simTimeUs=5\n{}commit\nround simTimeUs=9\non i=1\n\
          attempt_end corr=rq_gone outcome=overdue executor=10.0.0.1:5000 copy=0 waitTimeUs=1\n\
          aborted corr=rq_gone\nprogress corr=rq_gone copy=0 topic=2 amount=0.5\nnovelty a=1\ncommit\n",
