--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, Timestamp};
 
 use crate::catalog::Catalogs;
 use crate::error::LineError;
 use crate::fields::Fields;
 use crate::instance::Instance;
 
-/// Whether a batch of lines goes on after a line.
+/// Whether a batch of lines is complete after a line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Batch {
-    /// More lines follow.
+    /// More lines follow before the actions are written.
     Continues,
     /// The line ended the batch: the simulator waits for the actions.
     Ended,
@@ -22,9 +22,9 @@
 /// All nodes of a simulation. They share only the catalogs, which the wire sends once for all.
 #[derive(Default)]
 pub struct Host {
-    now: Micros,
+    now: Timestamp,
     instances: BTreeMap<u64, Instance>,
-    /// The instance that the following messages are for.
+    /// Number of the instance that the following messages are for.
     selected: Option<u64>,
     catalogs: Catalogs,
 }
@@ -63,7 +63,7 @@
     }
 
     fn begin_batch(&mut self, fields: Fields) -> Result<(), LineError> {
-        self.now = fields.required("simTimeUs")?;
+        self.now = fields.moment("simTimeUs")?;
         self.selected = None;
         Ok(())
     }
@@ -73,9 +73,8 @@
         let number = self.selected_instance(message)?;
         let seed = fields.required("prng")?;
         let text = fields.rest_of_line("bootInfo")?;
-        let site = curlewusher_settings::read(text).map_err(|error| LineError::Settings(error.into()))?;
-        let dispatcher =
-            Dispatcher::new(site.dispatcher, seed).map_err(|error| LineError::Settings(error.into()))?;
+        let site = curlewusher_settings::read(text).map_err(LineError::Settings)?;
+        let dispatcher = Dispatcher::new(site.dispatcher, seed).map_err(LineError::Dispatcher)?;
         self.instances.insert(number, Instance::start(self.now, dispatcher));
         Ok(())
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,7 +4,8 @@
 use std::fmt::{self, Write};
 
 use curlewusher_core::{
-    Action, ClassId, Dispatcher, Event, JobId, JobSubmission, Micros, Outcome, TenantId, WorkerId,
+    Action, ClassId, Dispatcher, Event, JobId, JobSubmission, Outcome, TenantId, TimeSpan, Timestamp,
+    WorkerId,
 };
 
 use crate::catalog::Catalogs;
@@ -16,7 +17,7 @@
 const TOPIC_STARTED: u32 = 1;
 /// Value of the field `topic` of a progress report: a fraction of the attempt's work is done.
 const TOPIC_FRACTION_DONE: u32 = 2;
-/// Microseconds in a second, for the work of jobs.
+/// Microseconds in a second; the wire has the work of jobs in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// One simulated node.
@@ -36,7 +37,7 @@
 
 impl Instance {
     /// Starts a node.
-    pub fn start(now: Micros, dispatcher: Dispatcher) -> Self {
+    pub fn start(now: Timestamp, dispatcher: Dispatcher) -> Self {
         let mut instance = Instance {
             dispatcher,
             jobs: JobNames::default(),
@@ -47,11 +48,10 @@
         instance
     }
 
-    /// Handles a message to this node. Messages that this adapter does not know are ignored: later versions of the
-    /// wire add some, and probes are never requested.
+    /// Handles a message to this node. Unknown messages are ignored: later versions of the wire add some.
     pub fn handle_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         message: &str,
         fields: Fields,
         catalogs: &Catalogs,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Whether actions wait to be written.
+    /// Whether there are actions to be written.
     pub fn has_actions(&self) -> bool {
         !self.actions.is_empty()
     }
 
-    /// Writes the actions that wait, one a line.
+    /// Writes the actions that have not been written yet, one a line.
     pub fn write_actions(&mut self, out: &mut String) -> fmt::Result {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -88,11 +88,11 @@
         Ok(())
     }
 
-    fn dispatch(&mut self, now: Micros, event: Event) {
+    fn dispatch(&mut self, now: Timestamp, event: Event) {
         self.dispatcher.handle(now, event, &mut self.actions);
     }
 
-    fn handle_sync(&mut self, now: Micros, fields: Fields, catalogs: &Catalogs) -> Result<(), FieldError> {
+    fn handle_sync(&mut self, now: Timestamp, fields: Fields, catalogs: &Catalogs) -> Result<(), FieldError> {
         let snapshot = match fields.text("form")? {
             "X" => {
                 self.dispatch(now, Event::WatchFailed);
@@ -110,12 +110,12 @@
         Ok(())
     }
 
-    fn handle_new_request(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_new_request(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let submission = JobSubmission {
             job: self.jobs.add(fields.text("corr")?),
             class: ClassId(fields.required("type")?),
             tenant: TenantId(fields.value_or("team", 0)?),
-            deadline: fields.required("dropDeadUs")?,
+            deadline: fields.moment("dropDeadUs")?,
             cost_hint: fields.optional::<f64>("workUs")?.map(|work| work / MICROS_PER_SECOND),
             slots: fields.value_or("coresNeeded", 1.0)?,
             key: fields.optional("affinity")?,
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    fn handle_attempt_end(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_attempt_end(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         let outcome = parse_outcome(fields.text("outcome")?)?;
         let settled = fields.flag("settled")?;
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    fn handle_progress(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_progress(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         match fields.required("topic")? {
             TOPIC_STARTED => self.dispatch(now, Event::AttemptStarted { job, attempt }),
@@ -148,21 +148,21 @@
         Ok(())
     }
 
-    fn handle_first_byte(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_first_byte(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         self.dispatch(now, Event::AttemptStreaming { job, attempt });
         Ok(())
     }
 
-    fn handle_client_abort(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_client_abort(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let Some(job) = self.jobs.id(fields.text("corr")?) else { return Ok(()) };
-        self.jobs.record_end(job);
+        self.jobs.record_settled(job);
         self.dispatch(now, Event::ClientDisconnected { job });
         self.jobs.remove_if_finished(job);
         Ok(())
     }
 
-    fn handle_gossip(&mut self, now: Micros, fields: Fields) -> Result<(), FieldError> {
+    fn handle_gossip(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let data = fields.bytes("data")?;
         let from = fields.required("sender")?;
         self.dispatch(now, Event::GossipReceived { from, data: &data });
@@ -174,8 +174,7 @@
         Ok(AttemptRef { job, attempt: fields.required("copy")? })
     }
 
-    /// Writes one action as a line. Actions on jobs that are forgotten, and on workers that were never listed, are
-    /// left out.
+    /// Writes one action as a line. Nothing is written for jobs that were removed and workers that were never listed.
     fn write_action(&mut self, action: Action, out: &mut String) -> fmt::Result {
         match action {
             Action::SendAttempt { job, worker, timeout, send_by: _ } => {
@@ -183,7 +182,7 @@
             }
             Action::Reject { job, retry_after } => {
                 if let Some(name) = self.jobs.name(job) {
-                    writeln!(out, "shed corr={name} waitUs={retry_after}")?;
+                    writeln!(out, "shed corr={name} waitUs={}", retry_after.as_micros())?;
                 }
                 self.end_job(job);
                 Ok(())
@@ -195,14 +194,14 @@
                 self.end_job(job);
                 Ok(())
             }
-            // The simulator sends an attempt at the moment of the line: none is left to be revoked.
+            // The simulator sends an attempt as soon as it reads the line: none can be revoked.
             Action::RevokeAttempt { .. } => Ok(()),
             Action::CancelAttempt { job, attempt } => match self.jobs.name(job) {
                 Some(name) => writeln!(out, "undo_send corr={name} copy={attempt}"),
                 None => Ok(()),
             },
             Action::SendGossip { to, data } => write_gossip(to, &data, out),
-            Action::SetTimer { after } => writeln!(out, "wake_me name=w spanUs={after}"),
+            Action::SetTimer { after } => writeln!(out, "wake_me name=w spanUs={}", after.as_micros()),
             Action::WatchEndpoints => writeln!(out, "watch enable=1"),
         }
     }
@@ -211,16 +210,16 @@
         &mut self,
         job: JobId,
         worker: WorkerId,
-        timeout: Micros,
+        timeout: TimeSpan,
         out: &mut String,
     ) -> fmt::Result {
         let Some(executor) = self.worker_names.get(&worker) else { return Ok(()) };
         let Some(name) = self.jobs.record_attempt(job) else { return Ok(()) };
-        writeln!(out, "try corr={name} executor={executor} timeoutUs={timeout}")
+        writeln!(out, "try corr={name} executor={executor} timeoutUs={}", timeout.as_micros())
     }
 
     fn end_job(&mut self, job: JobId) {
-        self.jobs.record_end(job);
+        self.jobs.record_settled(job);
         self.jobs.remove_if_finished(job);
     }
 }
