--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -6,17 +6,15 @@
 
 use std::net::SocketAddr;
 
-use curlewusher_core::{CellId, Endpoint, KindId, Timestamp, WorkerId, WorkerStatus, ZoneId};
+use curlewusher_core::{CellId, Endpoint, KindId, WorkerId, WorkerStatus, ZoneId};
 use curlewusher_settings::Site;
 use serde::Deserialize;
 
-use crate::dispatch::NamedEndpoint;
+use crate::dispatch::{NamedEndpoint, WallTime};
 
 /// Version of the endpoint list by which the whole list is requested.
 pub const NO_LIST_INDEX: u64 = 0;
 
-const MICROS_PER_MILLISECOND: u64 = 1000;
-
 /// A whole endpoint list, or the endpoints that changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListMessage {
@@ -109,7 +107,7 @@
             kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
             cell: CellId(record.group),
             status: record.status.into(),
-            started_at: Timestamp::from_micros(record.since_ms.saturating_mul(MICROS_PER_MILLISECOND)),
+            started_at: WallTime::from_unix_millis(record.since_ms).moment(),
             size: record.weight,
         };
         NamedEndpoint { name: record.name.as_str().into(), address: record.address, endpoint }
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -23,6 +23,7 @@
 use tokio::sync::oneshot;
 
 use super::attempts::{Attempt, CallbackState};
+use super::clock::WallTime;
 use super::jobs::{Job, JobHandle, JobResponse};
 
 /// Time that a job needs after its migration has timed out, to be answered by this process after all.
@@ -35,7 +36,7 @@
     #[serde(rename = "id")]
     pub(super) request_id: String,
     #[serde(rename = "taken")]
-    pub(super) submitted_at: Timestamp,
+    pub(super) submitted_at: WallTime,
     pub(super) attempts: Vec<MigratedAttempt>,
     /// What the dispatcher knows of it.
     pub(super) job: MigratedJob,
@@ -51,7 +52,7 @@
     pub(super) fn new<P>(job: &Job<P>, released: MigratedJob) -> Self {
         JobMigration {
             request_id: job.request_id.to_string(),
-            submitted_at: job.submitted_at,
+            submitted_at: WallTime::of(job.submitted_at),
             attempts: job.attempts.iter().map(MigratedAttempt::new).collect(),
             job: released,
         }
@@ -79,7 +80,7 @@
     #[serde(rename = "last")]
     pub(super) last_callback: Option<CallbackState>,
     #[serde(rename = "times_out")]
-    pub(super) expires_at: Timestamp,
+    pub(super) expires_at: WallTime,
 }
 
 impl MigratedAttempt {
@@ -91,7 +92,7 @@
             in_flight: attempt.is_in_flight(),
             progress: attempt.progress,
             last_callback: attempt.last_callback.clone(),
-            expires_at: attempt.expires_at,
+            expires_at: WallTime::of(attempt.expires_at),
         }
     }
 }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -7,7 +7,8 @@
 //! | [`jobs`], [`attempts`], [`callbacks`] | jobs in hand, their attempts, what callbacks mean for these |
 //! | [`migration`] | jobs on their way between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
-//! | [`timers`], [`clock`] | when the task acts by itself |
+//! | [`timers`] | when the task acts by itself |
+//! | [`clock`] | the node's clock, and conversions between its moments and those of other clocks |
 //! | [`outcomes`] | which counters outcomes and responses go to |
 //! | [`task`] | the task itself |
 
@@ -24,7 +25,7 @@
 mod timers;
 
 pub use attempts::CallbackState;
-pub use clock::{Clock, time_span};
+pub use clock::{Clock, WallTime};
 pub use endpoints::NamedEndpoint;
 pub use jobs::{JobHandle, JobOwner, JobResponse, SubmittedJob};
 pub use messages::{
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -81,7 +81,8 @@
         self.jobs.insert(id, job);
         let in_flight = migration.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.in_flight);
         for (attempt, number) in in_flight {
-            self.timers.schedule(attempt.expires_at, Timer::AttemptTimeout(AttemptId { job: id, number }));
+            let timer = Timer::AttemptTimeout(AttemptId { job: id, number });
+            self.timers.schedule(attempt.expires_at.moment(), timer);
         }
         // The dispatcher accepts what it has released a moment ago.
         self.dispatcher.adopt_job(self.clock.now(), id, &migration.job, &mut self.actions);
@@ -141,7 +142,7 @@
             Job {
                 request_id,
                 class: migration.job.class(),
-                submitted_at: migration.submitted_at,
+                submitted_at: migration.submitted_at.moment(),
                 deadline: migration.job.deadline(),
                 payload,
                 response_channel: Some(response_channel),
@@ -159,6 +160,7 @@
         number: u32,
         migrated: MigratedAttempt,
     ) -> Attempt {
+        let expires_at = migrated.expires_at.moment();
         let mut state = AttemptState::Ended;
         let mut cancel = None;
         // Its first byte was written by the other process.
@@ -168,13 +170,13 @@
             let (cancel_channel, cancel_receiver) = oneshot::channel();
             state = AttemptState::InFlight;
             cancel = Some(cancel_channel);
-            self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(attempt_id));
+            self.timers.schedule(expires_at, Timer::AttemptTimeout(attempt_id));
             self.worker_client.resume_attempt(AttemptRequest {
                 id: attempt_id,
                 request_id: Rc::clone(job.request_id),
                 address,
                 payload: Rc::clone(job.payload),
-                timeout: migrated.expires_at.saturating_since(job.now).into(),
+                timeout: expires_at.saturating_since(job.now).into(),
                 cancel: cancel_receiver,
                 send_permit: Rc::clone(&send_permit),
             });
@@ -188,7 +190,7 @@
             last_callback: migrated.last_callback,
             cancel,
             send_permit,
-            expires_at: migrated.expires_at,
+            expires_at,
         }
     }
 }
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -29,7 +29,6 @@
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
-    time_span,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
 use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
@@ -47,7 +46,7 @@
 /// Time in which a healthy worker answers a job on an open connection, with a wide margin.
 const ACCEPT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
 /// Discovery counts as having notified this node of a change this long after it had it and could be reached.
-const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
+const ENDPOINT_NOTIFICATION_TIMEOUT: TimeSpan = TimeSpan::from_secs(6);
 /// Commands to the dispatch task that may wait; each takes microseconds.
 const MAX_PENDING_DISPATCH_COMMANDS: usize = 64;
 
@@ -323,7 +322,7 @@
     site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.dispatcher.assumed_notified_after = time_span(ENDPOINT_NOTIFICATION_TIMEOUT);
+    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT;
 }
 
 /// Writes where clients and operators reach this process.
