--- /dev/null
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -0,0 +1,117 @@
+//! What workers and connections report on attempts, from acceptance to the end.
+
+use super::Dispatcher;
+use super::job_lifecycle::cancellations;
+use crate::policy::ejection::{EndAssessment, assess_end, ejection_time};
+use crate::state::{AttemptId, EndedAttempt};
+use crate::{Action, Outcome, Timestamp};
+
+/// How an attempt ended.
+pub(super) struct AttemptEnd {
+    /// Which attempt.
+    pub id: AttemptId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The client has its answer: the job needs no further attempt.
+    pub settled: bool,
+}
+
+impl Dispatcher {
+    /// A worker has accepted an attempt, or reported something on it that implies that.
+    pub(super) fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
+        if let Some(index) = self.worker_index_of(id) {
+            self.fleet.worker_mut(index).record_acceptance(now, id);
+        }
+    }
+
+    /// An attempt has started to run, or to answer.
+    pub(super) fn handle_start(&mut self, now: Timestamp, id: AttemptId) {
+        let Some(index) = self.worker_index_of(id) else { return };
+        let Some(delay) = self.fleet.worker_mut(index).record_start(now, id) else { return };
+        self.fleet.record_start_delay(now, index, delay);
+        // The first attempt to start is kept: a hedged request must not run as well.
+        if let Some(job) = self.jobs.get(id.job) {
+            self.outbox.extend(cancellations(&self.settings, job, Some(id.number)));
+        }
+    }
+
+    /// A worker has reported the progress of an attempt.
+    pub(super) fn handle_progress(&mut self, now: Timestamp, id: AttemptId, fraction_done: f64) {
+        self.record_acceptance(now, id);
+        if let Some(index) = self.worker_index_of(id) {
+            self.fleet.worker_mut(index).record_progress(now, id, fraction_done);
+        }
+    }
+
+    /// The answer of an attempt has begun to stream to the client.
+    pub(super) fn handle_stream(&mut self, now: Timestamp, id: AttemptId) {
+        self.handle_start(now, id);
+        if let Some(job) = self.jobs.get_mut(id.job) {
+            job.mark_streaming();
+        }
+    }
+
+    /// An attempt has ended, by what its worker or its connection reported.
+    pub(super) fn handle_end(&mut self, now: Timestamp, end: AttemptEnd) {
+        let AttemptEnd { id, outcome, settled } = end;
+        let was_held_back = outcome == Outcome::NotSent && self.is_revoked(id);
+        let is_first_report = self.jobs.record_outcome(id, outcome);
+        if is_first_report && let Some(ended) = self.remove_ended(id, outcome) {
+            self.assess_worker(now, &ended);
+        }
+        if !is_first_report && !settled {
+            return;
+        }
+        let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, id.job);
+        if !is_requeued {
+            self.follow_up(now, id.job, settled);
+        }
+    }
+
+    /// Revokes attempts whose worker accepts no new ones any more.
+    pub(super) fn revoke_attempts(&mut self) {
+        let revoked = self.fleet.take_revocations();
+        self.outbox.extend(revoked.map(|id| Action::RevokeAttempt { job: id.job, attempt: id.number }));
+    }
+
+    /// Removes an attempt that has ended from its worker.
+    fn remove_ended(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
+        let worker_index = self.worker_index_of(id)?;
+        let attempt = self.fleet.worker_mut(worker_index).remove_attempt(id)?;
+        self.gossip.record_change();
+        Some(EndedAttempt { worker_index, attempt, outcome })
+    }
+
+    /// Updates a worker's health and estimates by the end of an attempt there.
+    fn assess_worker(&mut self, now: Timestamp, ended: &EndedAttempt) {
+        match assess_end(now, &self.settings, ended) {
+            EndAssessment::Success => self.fleet.record_success(now, &self.settings, ended),
+            EndAssessment::ConnectFailure => {
+                self.fleet.worker_mut(ended.worker_index).record_unreachable();
+                self.eject_worker(now, ended.worker_index);
+            }
+            EndAssessment::Failure => self.eject_worker(now, ended.worker_index),
+            EndAssessment::CancelledWait => self.fleet.record_cancelled_wait(now, ended),
+            EndAssessment::Inconclusive => {}
+        }
+    }
+
+    /// Ejects a worker that has failed.
+    fn eject_worker(&mut self, now: Timestamp, index: usize) {
+        let draw = self.rng.f64();
+        let worker = self.fleet.worker_mut(index);
+        let ejected_until = now + ejection_time(worker.health().consecutive_failures, draw);
+        worker.record_failure(ejected_until);
+    }
+
+    /// Whether an attempt that is in flight was revoked.
+    fn is_revoked(&self, id: AttemptId) -> bool {
+        let worker = self.worker_index_of(id).map(|index| self.fleet.worker(index));
+        worker.and_then(|worker| worker.attempt(id)).is_some_and(|attempt| attempt.revoked)
+    }
+
+    /// Index of the worker that has an attempt, in flight or ended.
+    fn worker_index_of(&self, id: AttemptId) -> Option<usize> {
+        self.fleet.find(self.jobs.attempt(id)?.worker)
+    }
+}
--- /dev/null
+++ b/crates/core/src/dispatcher/job_lifecycle.rs
@@ -0,0 +1,115 @@
+//! A job from its submission to its final answer.
+
+use super::Dispatcher;
+use crate::permission::{answer_unserved, redirect};
+use crate::policy::admission::{self, AdmissionDecision};
+use crate::policy::pending_queue::queue_key;
+use crate::policy::retries::may_be_retried;
+use crate::policy::unsent_attempts::is_as_submitted;
+use crate::state::Job;
+use crate::{Action, JobId, JobSubmission, Settings, Timestamp};
+
+impl Dispatcher {
+    /// Takes a submitted job into the queue, or answers it at once.
+    pub(super) fn admit_job(&mut self, now: Timestamp, submission: &JobSubmission) {
+        if submission.class.0 >= self.settings.classes.len() {
+            self.outbox.push(Action::Fail { job: submission.job });
+            return;
+        }
+        if self.jobs.contains(submission.job) {
+            return;
+        }
+        let mut job =
+            admission::assess_job(now, &self.settings, &self.fleet, &mut self.admission, submission);
+        match admission::decide(&self.deadline_context(now), self.poll_schedule.lease(), &job) {
+            AdmissionDecision::Queue => self.accept_job(now, job),
+            AdmissionDecision::AnswerUnserved => self.answer_unserved(&mut job),
+            AdmissionDecision::Redirect => {
+                self.outbox.push(redirect(&self.settings, &job));
+                self.close_job(&mut job);
+            }
+        }
+    }
+
+    /// Takes a job that is admitted into the queue and into the estimates of demand.
+    fn accept_job(&mut self, now: Timestamp, job: Job) {
+        self.budgets.earn(&job, self.fleet.prompt_start_share());
+        self.demand.record_submitted(now, &job);
+        self.fleet.record_key(job.key);
+        self.fleet.record_work(job.work);
+        self.enqueue_job(job);
+        self.dispatch_pending(now);
+    }
+
+    /// Puts a job that has no attempt in flight into the queue.
+    pub(super) fn enqueue_job(&mut self, job: Job) {
+        let key = queue_key(&self.fleet, &job);
+        self.jobs.enqueue(key, job);
+    }
+
+    /// Carries out what follows the end of an attempt: the job is over, retried, or answered unserved. `settled`: its
+    /// client has its answer.
+    pub(super) fn follow_up(&mut self, now: Timestamp, id: JobId, settled: bool) {
+        let Some(mut job) = self.jobs.take(id) else { return };
+        if settled && !job.is_answered() {
+            self.close_job(&mut job);
+        }
+        if !job.is_answered() && job.is_idle() {
+            // Retries are bounded: when much fails, more attempts would only add to the load.
+            if self.budgets.allow_retry() && may_be_retried(now, &self.send_rules(), &job) {
+                self.budgets.spend_retry();
+                self.enqueue_job(job);
+                self.dispatch_pending(now);
+                return;
+            }
+            self.answer_unserved(&mut job);
+        }
+        self.jobs.store(job);
+        self.dispatch_pending(now);
+    }
+
+    /// Queues a job again whose revoked attempt was not sent, if that is no retry. Returns whether it was queued.
+    pub(super) fn requeue_unsent_job(&mut self, now: Timestamp, id: JobId) -> bool {
+        if !self.jobs.get(id).is_some_and(|job| is_as_submitted(&self.settings, job)) {
+            return false;
+        }
+        if let Some(job) = self.jobs.take(id) {
+            self.enqueue_job(job);
+            self.dispatch_pending(now);
+        }
+        true
+    }
+
+    /// The client of a job has disconnected: no answer is needed any more.
+    pub(super) fn disconnect_client(&mut self, id: JobId) {
+        let Some(mut job) = self.jobs.take(id) else { return };
+        if !job.is_answered() {
+            self.close_job(&mut job);
+        }
+        self.jobs.store(job);
+    }
+
+    /// Answers a job that will not be served.
+    pub(super) fn answer_unserved(&mut self, job: &mut Job) {
+        self.outbox.push(answer_unserved(&self.settings, job));
+        self.close_job(job);
+    }
+
+    /// Marks a job as answered and cancels what is still in flight for it.
+    fn close_job(&mut self, job: &mut Job) {
+        job.mark_answered();
+        self.outbox.extend(cancellations(&self.settings, job, None));
+    }
+}
+
+/// The cancellations of a job's attempts in flight, but for the one that is to continue.
+pub(super) fn cancellations(
+    settings: &Settings,
+    job: &Job,
+    except: Option<u32>,
+) -> impl Iterator<Item = Action> {
+    let cancelled = job.in_flight().filter(move |attempt| Some(attempt.number) != except);
+    cancelled
+        .filter(|_| settings.may_cancel)
+        .map(|attempt| Action::CancelAttempt { job: job.id, attempt: attempt.number })
+}
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -1,119 +1,203 @@
-//! Event handlers: each event updates the records in `state` and calls the decisions in `policy` that follow.
+//! The dispatcher: owns the state, passes each event to the records in `state`, asks the decisions in `policy` and
+//! `permission` in their order, and carries out what they return. `docs/design/decisions.md` shows that order.
+//!
+//! | module | what it does |
+//! | --- | --- |
+//! | `job_lifecycle` | a job from its submission to its final answer |
+//! | `attempt_lifecycle` | what workers and connections report on attempts |
+//! | `sending` | the queue, the choice of a worker, and each send |
+//! | `review` | the sweep over open jobs: deadlines, relocation, hedging |
+//! | `timers` | the one timer |
+//! | `gossip` | reports from and to other nodes |
+//! | `migration`, `snapshot` | what moves to another process of this node |
 
+mod attempt_lifecycle;
 mod gossip;
+mod job_lifecycle;
+mod migration;
+mod review;
+mod sending;
+mod snapshot;
 mod timers;
 
-use crate::state::AttemptRef;
-use crate::{Action, Event, JobId, Outcome, Timestamp};
+use self::attempt_lifecycle::AttemptEnd;
+use self::gossip::GossipSchedule;
+use self::timers::Timer;
+use crate::permission::{Denial, SendRules, SlowStart, Violations};
+use crate::policy::deadlines::DeadlineContext;
+use crate::poll_schedule::PollSchedule;
+use crate::state::{AdmissionState, AttemptId, Budgets, Capacity, Demand, Fleet, JobTable};
+use crate::{Action, Event, Settings, SettingsError, Timestamp};
 
-pub use crate::state::Dispatcher;
+/// The dispatcher of one node: give it events, carry out its actions.
+pub struct Dispatcher {
+    settings: Settings,
+    rng: fastrand::Rng,
+    /// All workers.
+    fleet: Fleet,
+    /// Jobs that are open, or that have an attempt in flight, and the queue.
+    jobs: JobTable,
+    admission: AdmissionState,
+    demand: Demand,
+    /// The capacity of the subset's workers, as estimated last.
+    capacity: Capacity,
+    budgets: Budgets,
+    lifecycle: Lifecycle,
+    timer: Timer,
+    gossip: GossipSchedule,
+    poll_schedule: PollSchedule,
+    violations: Violations,
+    /// Actions that were decided on for the present event, in their order.
+    outbox: Vec<Action>,
+}
+
+/// Where this process is in the lifecycle of its node.
+struct Lifecycle {
+    /// All jobs must be answered by then; [`Timestamp::MAX`] while the node does not shut down.
+    shutdown_at: Timestamp,
+    /// Another process of this node has taken over.
+    is_superseded: bool,
+}
 
 impl Dispatcher {
+    /// A dispatcher that knows nothing but its settings. Give it
+    /// [`Event::TimerExpired`] first.
+    ///
+    /// # Errors
+    /// Where the settings contradict themselves; the error names the field.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        Ok(Dispatcher {
+            rng: fastrand::Rng::with_seed(seed),
+            fleet: Fleet::new(&settings),
+            jobs: JobTable::default(),
+            admission: AdmissionState::new(&settings),
+            demand: Demand::default(),
+            capacity: Capacity::default(),
+            budgets: Budgets::default(),
+            lifecycle: Lifecycle { shutdown_at: Timestamp::MAX, is_superseded: false },
+            timer: Timer::default(),
+            gossip: GossipSchedule::default(),
+            poll_schedule: PollSchedule::new(&settings),
+            violations: Violations::default(),
+            outbox: Vec::new(),
+            settings,
+        })
+    }
+
     /// Takes an event in and appends the actions that are to be carried out.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        self.apply(now, event);
+        self.set_timer(now);
+        actions.append(&mut self.outbox);
+    }
+
+    /// Whether new attempts may be decided on by the endpoint list. If not, jobs wait for the next confirmation.
+    ///
+    /// # Errors
+    /// Why the list may not be used: discovery has not confirmed it, or too long ago.
+    pub fn check_endpoint_lease(&self, now: Timestamp) -> Result<(), Denial> {
+        self.poll_schedule.lease().check(now)
+    }
+
+    /// The moment before which all attempts that were decided on so far must be written, by the lease on the endpoint
+    /// list as it is now. None: the lease does not bound them. An attempt that is not written by then is ended with
+    /// [`Outcome::NotSent`](crate::Outcome::NotSent).
+    pub fn endpoints_write_by(&self) -> Option<Timestamp> {
+        self.poll_schedule.lease().write_by()
+    }
+
+    /// What was decided without permission and therefore not done, by reason.
+    pub fn violations(&self) -> &Violations {
+        &self.violations
+    }
+
+    fn apply(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::EndpointsChanged { endpoints, snapshot } => {
-                self.poll_schedule.record_endpoints(now);
-                self.fleet.apply_endpoints(now, endpoints, snapshot);
-                self.revoke_attempts(actions);
+            Event::EndpointsChanged { .. }
+            | Event::EndpointsConfirmed { .. }
+            | Event::EndpointsUnreadable
+            | Event::PollAnswered { .. }
+            | Event::DiscoveryMoved
+            | Event::WatchFailed => self.apply_discovery_event(now, event),
+            Event::JobSubmitted(submission) => self.admit_job(now, &submission),
+            Event::ClientDisconnected { job } => self.disconnect_client(job),
+            Event::AttemptAccepted { job, attempt } => {
+                self.record_acceptance(now, AttemptId { job, number: attempt });
             }
-            Event::EndpointsConfirmed { as_of } => self.poll_schedule.record_confirmation(as_of.min(now)),
-            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
-            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
-            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
-            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
-            Event::JobSubmitted(submission) => self.admit_job(now, &submission, actions),
-            Event::AttemptAccepted { job, attempt } => self.record_acceptance(now, job, attempt),
             Event::AttemptStarted { job, attempt } => {
-                self.record_acceptance(now, job, attempt);
-                self.handle_start(now, job, attempt, actions);
+                let id = AttemptId { job, number: attempt };
+                self.record_acceptance(now, id);
+                self.handle_start(now, id);
             }
             Event::AttemptProgressed { job, attempt, fraction_done } => {
-                self.record_acceptance(now, job, attempt);
-                self.record_progress(now, job, attempt, fraction_done);
+                self.handle_progress(now, AttemptId { job, number: attempt }, fraction_done);
             }
             Event::AttemptStreaming { job, attempt } => {
-                self.handle_start(now, job, attempt, actions);
-                self.jobs.entry(job).and_modify(|job| job.is_streaming = true);
+                self.handle_stream(now, AttemptId { job, number: attempt });
             }
             Event::AttemptEnded { job, attempt, outcome, settled } => {
-                self.handle_end(now, AttemptEnd { job, attempt, outcome, settled }, actions);
+                let id = AttemptId { job, number: attempt };
+                self.handle_end(now, AttemptEnd { id, outcome, settled });
             }
-            Event::ClientDisconnected { job } => self.disconnect_client(job, actions),
             Event::GossipReceived { from, data } => self.receive_gossip(now, from, data),
             Event::MaintenanceChanged { worker, disabled: true } => {
                 self.fleet.disable_worker(now, worker);
-                self.revoke_attempts(actions);
+                self.revoke_attempts();
             }
             Event::MaintenanceChanged { worker, disabled: false } => {
                 self.fleet.reenable_worker(now, worker);
-                self.dispatch_pending(now, actions);
+                self.dispatch_pending(now);
             }
             Event::SuccessorActive { active } => self.lifecycle.is_superseded = active,
             Event::ShutdownStarted { deadline } => {
                 self.lifecycle.shutdown_at = deadline;
-                self.handle_timer(now, actions);
+                self.handle_timer(now);
             }
-            Event::TimerExpired => self.handle_timer(now, actions),
+            Event::TimerExpired => self.handle_timer(now),
         }
-        self.set_timer(now, actions);
     }
 
-    /// An attempt has started to run, or to answer.
-    fn handle_start(&mut self, now: Timestamp, job: JobId, attempt: u32, actions: &mut Vec<Action>) {
-        if !self.record_start(now, job, attempt) {
-            return;
-        }
-        // The first attempt to start is kept: a hedged request must not run as well.
-        if let Some(job) = self.jobs.get(&job) {
-            self.cancel_in_flight(job, Some(attempt), actions);
+    /// Takes in what discovery reported, or that it could not be reached.
+    fn apply_discovery_event(&mut self, now: Timestamp, event: Event) {
+        match event {
+            Event::EndpointsChanged { endpoints, snapshot } => {
+                self.poll_schedule.record_endpoints(now);
+                self.fleet.apply_endpoints(now, endpoints, snapshot);
+                self.revoke_attempts();
+            }
+            Event::EndpointsConfirmed { as_of } => self.poll_schedule.record_confirmation(as_of.min(now)),
+            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
+            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
+            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
+            _ => {}
         }
     }
 
-    /// An attempt has ended, by what its worker or its connection reported.
-    fn handle_end(&mut self, now: Timestamp, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let AttemptEnd { job, attempt, outcome, settled } = end;
-        let was_held_back = outcome == Outcome::NotSent && self.is_revoked(job, attempt);
-        let is_first_report = self.record_outcome(job, attempt, outcome);
-        if is_first_report && let Some(ended) = self.remove_ended(job, attempt, outcome) {
-            self.assess_worker(now, &ended);
-        }
-        if !is_first_report && !settled {
-            return;
+    /// What permission to send depends on, as it is now.
+    fn send_rules(&self) -> SendRules<'_> {
+        SendRules {
+            settings: &self.settings,
+            fleet: &self.fleet,
+            lease: self.poll_schedule.lease(),
+            slow_start: SlowStart {
+                settings: &self.settings,
+                fleet: &self.fleet,
+                demand: &self.demand,
+                warming_up_workers: self.capacity.warming_up,
+                is_superseded: self.lifecycle.is_superseded,
+            },
         }
-        let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, job, actions);
-        if !is_requeued {
-            self.follow_up(now, job, settled, actions);
-        }
-    }
-
-    /// Revokes attempts whose worker takes nothing new any more.
-    fn revoke_attempts(&mut self, actions: &mut Vec<Action>) {
-        let pending = self.fleet.pending_revocations.drain(..);
-        actions.extend(pending.map(|id| Action::RevokeAttempt { job: id.job, attempt: id.number }));
-    }
-
-    /// Whether an attempt that is in flight was revoked.
-    fn is_revoked(&self, job: JobId, number: u32) -> bool {
-        let worker = self.worker_index_of(job, number).map(|index| self.fleet.workers[index].id);
-        let attempt = worker.and_then(|worker| self.in_flight_attempt(job, AttemptRef { number, worker }));
-        attempt.is_some_and(|attempt| attempt.revoked)
     }
 
-    /// The client of a job has gone: no answer is needed any more.
-    fn disconnect_client(&mut self, job: JobId, actions: &mut Vec<Action>) {
-        let Some(mut job) = self.jobs.remove(&job) else { return };
-        if !job.is_answered {
-            self.close_job(&mut job, actions);
+    /// What decisions on deadlines depend on, as it is now.
+    fn deadline_context(&self, now: Timestamp) -> DeadlineContext<'_> {
+        DeadlineContext {
+            now,
+            settings: &self.settings,
+            fleet: &self.fleet,
+            shutdown_at: self.lifecycle.shutdown_at,
         }
-        self.store_job(job);
     }
 }
-
-/// The fields of [`Event::AttemptEnded`].
-struct AttemptEnd {
-    job: JobId,
-    attempt: u32,
-    outcome: Outcome,
-    settled: bool,
-}
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -123,6 +123,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
+    /// Whether jobs of a class may run any number of times, anywhere.
+    pub(crate) fn is_idempotent(&self, class: usize) -> bool {
+        self.classes[class].idempotency == Idempotency::Idempotent
+    }
+
     /// Checks every field that has a restricted range.
     ///
     /// # Errors
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -109,13 +109,10 @@
 mod dispatcher;
 mod gossip;
 mod interface;
-mod migration;
 pub mod permission;
 mod policy;
 mod poll_schedule;
-mod snapshot;
 mod state;
-mod untrusted;
 
 pub use dispatcher::Dispatcher;
 pub use interface::{
@@ -123,5 +120,4 @@
     JobSubmission, KindId, Outcome, Settings, SettingsError, TenantId, TimeSpan, Timestamp, WorkerId,
     WorkerStatus, ZoneId, stable_hash,
 };
-pub use migration::MigratedJob;
-pub use snapshot::StateSnapshot;
+pub use state::{MigratedJob, StateSnapshot};
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -24,10 +24,14 @@
 mod endpoint_lease;
 mod sending;
 mod serving;
+mod slow_start;
 mod violations;
 
+pub(crate) use answering::{answer_unserved, redirect};
 pub use closing::{CloseReason, ConnectionUse, READ_TIMEOUT, STALLED_AFTER, may_close_connection};
 pub use denial::Denial;
 pub(crate) use endpoint_lease::EndpointLease;
+pub(crate) use sending::{SendRules, max_attempts};
 pub use serving::ServingPermission;
+pub(crate) use slow_start::{SlowStart, window as slow_start_window};
 pub use violations::Violations;
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -1,75 +1,70 @@
 //! Permission to send: first attempts, retries and hedged requests.
 
-use crate::state::{Dispatcher, Job, Worker};
-use crate::{Idempotency, TimeSpan, Timestamp};
-
-use super::Denial;
+use super::slow_start::SlowStart;
+use super::{Denial, EndpointLease};
+use crate::state::{Fleet, Job, MAX_ATTEMPTS, Worker};
+use crate::{Idempotency, Settings, TimeSpan, Timestamp};
 
 /// A repeat with an idempotency key goes out at least this long before its window closes.
 const DEDUPLICATION_MARGIN: TimeSpan = TimeSpan::from_millis(200);
 
-impl Dispatcher {
-    /// Whether new attempts may be decided on by the endpoint list. If not, jobs wait for the next confirmation.
-    ///
-    /// # Errors
-    /// Why the list may not be used: discovery has not confirmed it, or too long ago.
-    pub fn check_endpoint_lease(&self, now: Timestamp) -> Result<(), Denial> {
-        self.poll_schedule.check_lease(now)
-    }
+/// Most attempts of a job.
+pub(crate) fn max_attempts(settings: &Settings) -> usize {
+    (settings.max_attempts as usize).min(MAX_ATTEMPTS)
+}
 
+/// What permission to send depends on.
+pub(crate) struct SendRules<'a> {
+    /// The settings of this node.
+    pub settings: &'a Settings,
+    /// All workers.
+    pub fleet: &'a Fleet,
+    /// The lease on the endpoint list.
+    pub lease: &'a EndpointLease,
+    /// The budgets of workers that are warming up.
+    pub slow_start: SlowStart<'a>,
+}
+
+impl SendRules<'_> {
     /// Whether this attempt may be sent now. Every send is checked by this, whatever led to it.
-    pub(crate) fn check_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
-        self.check_endpoint_lease(now)?;
+    pub fn check_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
+        self.lease.check(now)?;
         self.may_send(now, worker, job)
     }
 
     /// Whether a job may be sent to a worker, if the endpoint list may be used: by the four rules and the limits of
     /// the settings.
-    pub(crate) fn may_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
-        self.check_job(now, job)?;
+    pub fn may_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
+        check_job(now, self.settings, job)?;
         self.check_worker(worker, job)?;
         if !self.settings.may_hedge && !job.is_idle() {
             return Err(Denial::AttemptInFlight);
         }
         self.may_repeat(now, worker, job)?;
         // Rule 4: nothing beyond what a worker that is warming up can take.
-        if job.load() > self.warm_up_budget(now, worker) {
+        if job.load() > self.slow_start.budget(now, worker) {
             return Err(Denial::WarmUpBudgetExhausted);
         }
         Ok(())
     }
 
-    /// Rule 1: nothing after the final answer or the deadline; and no more attempts than the settings allow.
-    fn check_job(&self, now: Timestamp, job: &Job) -> Result<(), Denial> {
-        if !job.is_open() {
-            return Err(Denial::JobAnswered);
-        }
-        if now >= job.deadline {
-            return Err(Denial::DeadlinePassed);
-        }
-        if job.attempts.len() >= self.max_attempts() {
-            return Err(Denial::NoAttemptsLeft);
-        }
-        Ok(())
-    }
-
     /// Rule 3: nothing new to a worker that drains or is gone, or that operators have disabled.
     fn check_worker(&self, worker: &Worker, job: &Job) -> Result<(), Denial> {
         if !self.fleet.takes_work(worker) {
             return Err(Denial::WorkerUnavailable);
         }
         let required_kind = self.settings.classes[job.class].required_kind;
-        if required_kind.is_some_and(|kind| kind != worker.kind) {
+        if required_kind.is_some_and(|kind| kind != worker.kind()) {
             return Err(Denial::WorkerUnsuitable);
         }
-        if job.may_receive_stale_callback(worker.id) {
+        if job.may_receive_stale_callback(worker.id()) {
             return Err(Denial::StaleCallbackPossible);
         }
         Ok(())
     }
 
     /// Rule 2: whether a job may go to a worker without its effect happening twice.
-    pub(crate) fn may_repeat(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
+    pub fn may_repeat(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         let Some(first) = job.first_possible_run() else { return Ok(()) };
         match self.settings.classes[job.class].idempotency {
             Idempotency::Idempotent => Ok(()),
@@ -92,7 +87,7 @@
 
     /// Latest time at which the next attempt of a job may leave: while this node may rely on its endpoint
     /// list and, if the job may have run, while workers still discard repeats.
-    pub(crate) fn latest_send(&self, job: &Job) -> Option<Timestamp> {
+    pub fn latest_send(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
                 job.first_possible_run().map(|first| first.deduplicated_until(window))
@@ -100,13 +95,20 @@
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         };
         let last_repeat = deduplicated_until.map(|until| until.saturating_sub(DEDUPLICATION_MARGIN));
-        last_repeat.into_iter().chain(self.poll_schedule.write_by()).min()
+        last_repeat.into_iter().chain(self.lease.write_by()).min()
     }
+}
 
-    /// The moment before which all attempts that were decided on so far must be written, by the lease on the endpoint
-    /// list as it is now. None: the lease does not bound them. An attempt that is not written by then is ended with
-    /// [`Outcome::NotSent`](crate::Outcome::NotSent).
-    pub fn endpoints_write_by(&self) -> Option<Timestamp> {
-        self.poll_schedule.write_by()
+/// Rule 1: nothing after the final answer or the deadline; and no more attempts than the settings allow.
+fn check_job(now: Timestamp, settings: &Settings, job: &Job) -> Result<(), Denial> {
+    if !job.is_open() {
+        return Err(Denial::JobAnswered);
+    }
+    if now >= job.deadline {
+        return Err(Denial::DeadlinePassed);
+    }
+    if job.attempt_count() >= max_attempts(settings) {
+        return Err(Denial::NoAttemptsLeft);
     }
+    Ok(())
 }
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -3,8 +3,8 @@
 //! Such a worker fails when all nodes together send too much within a window, so they share a budget. An even
 //! part would be too small for any job where nodes are many; instead they take turns by the clock.
 
-use crate::state::{DEMAND_SPAN_S, Dispatcher, Worker};
-use crate::{TimeSpan, Timestamp};
+use crate::state::{DEMAND_SPAN_S, Demand, Fleet, Worker};
+use crate::{Settings, TimeSpan, Timestamp};
 
 /// Share of the budget that a node without others uses: hints are rough.
 const SINGLE_NODE_SHARE: f64 = 0.4;
@@ -23,40 +23,52 @@
 /// Factor by which the window is taken longer: work does not arrive in the moment it is sent.
 const WINDOW_STRETCH: f64 = 1.25;
 
-impl Dispatcher {
-    /// Seconds for which work sent to a worker that is warming up counts.
-    pub(super) fn warm_up_window(&self) -> f64 {
-        self.settings.overload_window.as_secs_f64() * WINDOW_STRETCH
-    }
+/// Seconds for which work sent to a worker that is warming up counts.
+pub(crate) fn window(settings: &Settings) -> f64 {
+    settings.overload_window.as_secs_f64() * WINDOW_STRETCH
+}
+
+/// What the budget of a worker that is warming up depends on.
+pub(crate) struct SlowStart<'a> {
+    /// The settings of this node.
+    pub settings: &'a Settings,
+    /// All workers.
+    pub fleet: &'a Fleet,
+    /// The work that this node's clients submitted lately.
+    pub demand: &'a Demand,
+    /// Number of workers of the subset that are warming up.
+    pub warming_up_workers: usize,
+    /// Another process of this node has taken over.
+    pub is_superseded: bool,
+}
 
+impl SlowStart<'_> {
     /// Rule 4: work that this node may send to a worker now; infinite for a warm one. Rejected work counts
     /// too.
-    pub(crate) fn warm_up_budget(&self, now: Timestamp, worker: &Worker) -> f64 {
-        let warm_up_fraction = self.warm_up_fraction(now, worker);
+    pub fn budget(&self, now: Timestamp, worker: &Worker) -> f64 {
+        let warm_up_fraction = worker.warm_up_fraction(now, self.settings);
         if warm_up_fraction >= 1.0 {
             return f64::INFINITY;
         }
-        let window = self.settings.overload_window.as_secs_f64();
+        let overload_window = self.settings.overload_window.as_secs_f64();
         let speed = self.fleet.learned_speed(worker);
-        let slot_budget = self.settings.overload_factor * speed * warm_up_fraction * window;
+        let slot_budget = self.settings.overload_factor * speed * warm_up_fraction * overload_window;
         let slots = self.fleet.learned_slots(worker);
         let share = self.budget_share(now, worker, slot_budget * slots);
         // The extrapolated slots are right on average, but too many for a node that is busier than others.
         let reliable_slots = slots.min(MAX_SLOT_EXTRAPOLATION * self.fleet.observed_slots(worker));
-        let is_recent = |at| now.seconds_since(at) < self.warm_up_window();
-        let recent = worker.warm_up_sends.iter().filter(|send| is_recent(send.at));
-        slot_budget * reliable_slots * share - recent.map(|send| send.work).sum::<f64>()
+        slot_budget * reliable_slots * share - worker.recent_warm_up_work(now, window(self.settings))
     }
 
     /// The share of a worker's whole budget that this node may use now.
     fn budget_share(&self, now: Timestamp, worker: &Worker, budget: f64) -> f64 {
-        match (self.subset_nodes(), self.concurrent_turns(now, budget)) {
+        match (self.fleet.subset().nodes(), self.concurrent_turns(now, budget)) {
             // Both processes of a node share one budget: the rest of it is the successor's.
-            _ if self.lifecycle.is_superseded => 0.0,
+            _ if self.is_superseded => 0.0,
             (1, _) => SINGLE_NODE_SHARE,
             // Operators have enabled it and wait to see it used: any node may send one job.
-            _ if worker.reenabled_at.is_some() => SINGLE_TURN_SHARE,
-            (nodes, turns) if !worker.in_subset || !self.has_turn(now, worker, nodes, turns) => 0.0,
+            _ if worker.reenabled_at().is_some() => SINGLE_TURN_SHARE,
+            (nodes, turns) if !worker.is_in_subset() || !self.has_turn(now, worker, nodes, turns) => 0.0,
             (_, 1) => SINGLE_TURN_SHARE,
             _ => SHARED_TURN_SHARE,
         }
@@ -67,13 +79,13 @@
     /// goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
         let known_for = now.seconds_since(self.demand.first_at).min(DEMAND_SPAN_S);
-        if known_for < self.warm_up_window() {
+        if known_for < window(self.settings) {
             return 1;
         }
-        let own_work = self.demand.submitted(now) / known_for * self.warm_up_window();
-        let (nodes, share) = (self.subset_nodes(), SHARED_TURN_SHARE * budget);
-        let mut drawn = own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset.len().max(1) as f64).min(1.0);
-        if JAMMED_DRAW_SHARE * own_work * f64::from(nodes) > share * self.capacity.warming_up as f64 {
+        let own_work = self.demand.submitted(now) / known_for * window(self.settings);
+        let (nodes, share) = (self.fleet.subset().nodes(), SHARED_TURN_SHARE * budget);
+        let mut drawn = own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset().len().max(1) as f64).min(1.0);
+        if JAMMED_DRAW_SHARE * own_work * f64::from(nodes) > share * self.warming_up_workers as f64 {
             drawn = drawn.max(JAMMED_DRAW_SHARE * own_work);
         }
         (share / drawn.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
@@ -82,9 +94,9 @@
     /// The slow-start rotation: whether this node has one of the turns at a worker. A window overlaps at most
     /// two turns. Nodes may differ in the number of turns that they compute; it is right on average.
     fn has_turn(&self, now: Timestamp, worker: &Worker, nodes: u32, turns: u64) -> bool {
-        let round = now.as_micros() / TimeSpan::from_secs_f64(self.warm_up_window()).as_micros().max(1);
-        let position = u64::from(self.settings.node_index / self.fleet.subset_count as u32);
-        let first = worker.id.0.wrapping_add(round.wrapping_mul(turns)) % u64::from(nodes);
+        let round = now.as_micros() / TimeSpan::from_secs_f64(window(self.settings)).as_micros().max(1);
+        let position = u64::from(self.fleet.subset().node_position());
+        let first = worker.id().0.wrapping_add(round.wrapping_mul(turns)) % u64::from(nodes);
         (position + u64::from(nodes) - first) % u64::from(nodes) < turns
     }
 }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -1,7 +1,9 @@
 //! Placement: which worker gets a job, by the cost of Algorithm 5 of the paper that `docs/design.md` names.
 
+use super::ejection::is_avoided;
 use crate::Timestamp;
-use crate::state::{Dispatcher, Job, PlacementEstimate, PlacementRating, PlacementTier};
+use crate::permission::SendRules;
+use crate::state::{Fleet, Job, RunEstimate, Worker};
 
 /// Costs within this share of the lowest ...
 const NEAR_TIE_RATIO: f64 = 0.03;
@@ -9,99 +11,157 @@
 const NEAR_TIE_S: f64 = 0.002;
 /// Longest wait at a worker for which a job is sent there, in seconds.
 pub(super) const MAX_WORKER_QUEUE_S: f64 = 0.02;
-/// Seconds of waiting that a zone crossing of price 1 is worth.
+/// Seconds of waiting to which a zone crossing of price 1 is equivalent.
 pub(super) const ZONE_CROSSING_S: f64 = 2.0;
 /// A worker enabled again is tried with any idempotent job that can end in time after this, in seconds.
 const REENABLED_PROBE_DELAY_S: f64 = 1.5;
 
-impl Dispatcher {
-    /// The cost of a worker in seconds: x, the job's own run there, plus the wait w, which weighs the more
-    /// the higher the utilisation r, since the job delays those that come after it.
-    pub(crate) fn cost(x: f64, w: f64, r: f64) -> f64 {
-        x + w / (1.0 - r)
+/// How well a worker suits a job, best first.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub(crate) enum PlacementTier {
+    /// A slot is about to be free, and the job would meet its objective.
+    Immediate,
+    /// The job would meet its objective after a wait.
+    Queued,
+    /// The job would miss its objective.
+    Late,
+}
+
+/// A worker's rating for a job: the lower one is better, by tier first and then by cost.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub(crate) struct PlacementRating {
+    /// See [`PlacementTier`].
+    pub tier: PlacementTier,
+    /// x + w / (1 - r), in seconds.
+    pub cost: f64,
+}
+
+impl PlacementRating {
+    /// Whether it is about as good as the best one, or better.
+    fn is_near_tie(self, best: PlacementRating) -> bool {
+        self.tier == best.tier && self.cost <= best.cost * (1.0 + NEAR_TIE_RATIO) + NEAR_TIE_S
     }
+}
 
-    /// Chooses a worker of this node's subset or, when none of those may take the job, one of as many others.
-    /// Not before: their load is not known, and in overload many nodes would flood the few that look best.
-    pub(super) fn choose_worker(&mut self, now: Timestamp, job: &mut Job) -> Option<PlacementEstimate> {
-        job.affinity_threshold = self.fleet.affinity_threshold(job.key, job.cancelled_attempts());
-        let mut candidates = std::mem::take(&mut self.buffers.candidates);
-        candidates.clone_from(&self.fleet.subset);
-        let mut best = self.cheapest_worker(now, job, &candidates);
-        if self.fleet.subset_count > 1 && best.is_none() {
-            let (workers, count) = (&self.fleet.workers, candidates.len());
-            let first = self.rng.usize(0..workers.len());
-            let drawn = (first..first + count).map(|index| index % workers.len());
-            candidates.clear();
-            candidates.extend(drawn.filter(|index| !workers[*index].in_subset));
-            candidates.iter().for_each(|index| self.refresh_worker(now, *index));
-            best = self.cheapest_worker(now, job, &candidates);
-        }
-        self.buffers.candidates = candidates;
-        best
+/// A worker that was rated for a job.
+#[derive(Clone, Copy)]
+pub(crate) struct RatedWorker {
+    /// Index of the worker.
+    index: usize,
+    rating: PlacementRating,
+}
+
+/// A choice of a worker for a job.
+#[derive(Clone, Copy)]
+pub(crate) struct Placement {
+    /// How well the worker suits the job.
+    pub rating: PlacementRating,
+    /// What the job would meet there.
+    pub estimate: RunEstimate,
+}
+
+/// The cost of a worker in seconds: x, the job's own run there, plus the wait w, which weighs the more
+/// the higher the utilisation r, since the job delays those that come after it.
+pub(super) fn cost(x: f64, w: f64, r: f64) -> f64 {
+    x + w / (1.0 - r)
+}
+
+/// A job for which a worker is wanted.
+pub(crate) struct PlacementRequest<'a> {
+    now: Timestamp,
+    job: &'a Job,
+    /// Least rendezvous weight of the owners of its key.
+    affinity_threshold: u64,
+}
+
+impl<'a> PlacementRequest<'a> {
+    /// The request to place a job now.
+    pub fn new(now: Timestamp, fleet: &Fleet, job: &'a Job) -> Self {
+        let affinity_threshold = fleet.affinity_threshold(job.key, job.cancelled_attempts());
+        PlacementRequest { now, job, affinity_threshold }
     }
 
-    /// The cheapest worker of the best tier that may take the job, near ties at random.
-    fn cheapest_worker(
-        &mut self,
-        now: Timestamp,
-        job: &Job,
-        candidates: &[usize],
-    ) -> Option<PlacementEstimate> {
-        let mut best = PlacementRating::INELIGIBLE;
+    /// The moment of the request.
+    pub fn now(&self) -> Timestamp {
+        self.now
+    }
+
+    /// The workers that tie for the lowest cost in the best tier, among the candidates that may take the job. Indices
+    /// are those of the fleet; the order is that of the candidates.
+    pub fn cheapest_workers(&self, rules: &SendRules, candidates: &[usize]) -> Vec<RatedWorker> {
+        let mut rated = Vec::with_capacity(candidates.len());
+        let mut best: Option<PlacementRating> = None;
         for &index in candidates {
-            let worker = &self.fleet.workers[index];
-            let mut rating = self.rate_worker(now, index, job);
-            let may_win = rating.tier < best.tier || is_near_tie(rating, best);
-            if !may_win || self.may_send(now, worker, job).is_err() || self.is_avoided(now, worker, job) {
-                rating = PlacementRating::INELIGIBLE;
-            }
-            self.fleet.workers[index].rating = rating;
-            if rating < best {
-                best = rating;
+            let rating = self.rate_worker(rules, index);
+            let may_win = best.is_none_or(|best| rating.tier < best.tier || rating.is_near_tie(best));
+            if may_win && self.may_take(rules, rules.fleet.worker(index)) {
+                rated.push(RatedWorker { index, rating });
+                if best.is_none_or(|best| rating < best) {
+                    best = Some(rating);
+                }
             }
         }
-        let is_tied = |index: &&usize| {
-            let rating = self.fleet.workers[**index].rating;
-            rating.tier != PlacementTier::Ineligible && is_near_tie(rating, best)
-        };
-        let nth = self.rng.usize(0..candidates.iter().filter(is_tied).count().max(1));
-        candidates.iter().filter(is_tied).nth(nth).map(|index| self.estimate_placement(now, *index, job))
+        rated.retain(|worker| best.is_some_and(|best| worker.rating.is_near_tie(best)));
+        rated
     }
 
-    /// Rates a worker for a job, whether or not the job may be sent there.
-    fn rate_worker(&self, now: Timestamp, index: usize, job: &Job) -> PlacementRating {
-        let worker = &self.fleet.workers[index];
-        let estimate = self.estimate_placement(now, index, job);
-        let crossing = self.settings.cross_zone_price * ZONE_CROSSING_S;
-        let is_local = worker.zone == self.settings.zone;
+    /// The choice of a worker that was rated.
+    pub fn place(&self, fleet: &Fleet, worker: RatedWorker) -> Placement {
+        Placement { rating: worker.rating, estimate: self.estimate(fleet, worker.index) }
+    }
+
+    /// What the job would meet at a worker.
+    pub fn estimate(&self, fleet: &Fleet, index: usize) -> RunEstimate {
+        fleet.estimate_run(self.now, index, self.job, self.affinity_threshold)
+    }
+
+    fn may_take(&self, rules: &SendRules, worker: &Worker) -> bool {
+        rules.may_send(self.now, worker, self.job).is_ok()
+            && !is_avoided(self.now, rules.settings, worker, self.job)
+    }
+
+    /// Rates a worker, whether or not the job may be sent there.
+    fn rate_worker(&self, rules: &SendRules, index: usize) -> PlacementRating {
+        let (settings, fleet) = (rules.settings, rules.fleet);
+        let worker = fleet.worker(index);
+        let estimate = self.estimate(fleet, index);
+        let crossing = settings.cross_zone_price * ZONE_CROSSING_S;
+        let is_local = worker.zone() == settings.zone;
         let max_wait = if is_local { MAX_WORKER_QUEUE_S + crossing } else { MAX_WORKER_QUEUE_S };
-        let meets_objective = estimate.reliable_run + estimate.wait <= job.objective_at.seconds_since(now);
+        let time_left = self.job.objective_at.seconds_since(self.now);
+        let meets_objective = estimate.reliable_run + estimate.wait <= time_left;
         let tier = match (meets_objective, estimate.wait <= max_wait) {
             (true, true) => PlacementTier::Immediate,
             (true, false) => PlacementTier::Queued,
             (false, _) => PlacementTier::Late,
         };
-        // Enabled again by operators and not used since: only an attempt shows whether it serves.
-        let is_probe = |reenabled_at| {
-            tier == PlacementTier::Immediate
-                || now.seconds_since(reenabled_at) > REENABLED_PROBE_DELAY_S
-                    && estimate.run + estimate.wait < job.deadline.seconds_since(now)
-        };
-        if worker.reenabled_at.is_some_and(is_probe) && self.is_idempotent(job) {
+        if settings.is_idempotent(self.job.class) && self.is_probe_due(worker, tier, &estimate) {
             return PlacementRating { tier: PlacementTier::Immediate, cost: 0.0 };
         }
-        let kind = &self.fleet.kinds[worker.kind_index];
-        // Warm-up budgets keep queues from cold workers: waits at warm ones of the same kind do not apply to
-        // them.
-        let kind_wait = if worker.estimates.warm_up_fraction < 1.0 { 0.0 } else { kind.wait };
-        let (w, r) = (estimate.wait.max(kind_wait), worker.estimates.utilisation.max(kind.utilisation));
+        let kind = fleet.kind_of(worker);
+        // Warm-up budgets keep queues from workers that are warming up: waits at warm ones of the same kind do not
+        // apply to them.
+        let kind_wait = if worker.estimates().warm_up_fraction < 1.0 { 0.0 } else { kind.wait };
+        let (w, r) = (estimate.wait.max(kind_wait), worker.estimates().utilisation.max(kind.utilisation));
         let crossing = if is_local { 0.0 } else { crossing };
-        PlacementRating { tier, cost: Self::cost(estimate.run, w, r) + crossing }
+        PlacementRating { tier, cost: cost(estimate.run, w, r) + crossing }
+    }
+
+    /// Whether an idempotent job is to show whether a worker serves that operators have enabled again and that was not
+    /// used since: only an attempt can.
+    fn is_probe_due(&self, worker: &Worker, tier: PlacementTier, estimate: &RunEstimate) -> bool {
+        let Some(reenabled_at) = worker.reenabled_at() else { return false };
+        let ends_in_time = estimate.run + estimate.wait < self.job.deadline.seconds_since(self.now);
+        let has_waited = self.now.seconds_since(reenabled_at) > REENABLED_PROBE_DELAY_S;
+        tier == PlacementTier::Immediate || has_waited && ends_in_time
     }
 }
 
-/// Whether a rating is about as good as the best one, or better.
-fn is_near_tie(rating: PlacementRating, best: PlacementRating) -> bool {
-    rating.tier == best.tier && rating.cost <= best.cost * (1.0 + NEAR_TIE_RATIO) + NEAR_TIE_S
+/// Workers outside this node's subset, as many as it has itself, from a random one on. They are tried when none of the
+/// subset may take the job, and not before: their load is not known, and in overload many nodes would flood the few
+/// that look best.
+pub(crate) fn workers_outside_subset(fleet: &Fleet, rng: &mut fastrand::Rng) -> Vec<usize> {
+    let first = rng.usize(0..fleet.workers().len());
+    let drawn = (first..first + fleet.subset().len()).map(|index| index % fleet.workers().len());
+    drawn.filter(|index| !fleet.worker(*index).is_in_subset()).collect()
 }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,74 +1,67 @@
-//! Retries: what may run again, and what follows an attempt that has ended or does not start.
+//! Retries: what may run again, and what follows an attempt that does not start.
 
-use crate::state::{Dispatcher, Job, PlacementTier, Worker};
-use crate::{Action, JobId, Outcome, Timestamp};
+use super::placement::{Placement, PlacementRequest, PlacementTier, cost};
+use crate::permission::SendRules;
+use crate::state::{Fleet, Job, Worker};
+use crate::{Settings, Timestamp};
 
 /// A job whose start is this late, in seconds, may be placed elsewhere: reports of starts arrive sooner than
 /// that.
 const RELOCATION_DELAY_S: f64 = 0.15;
 
-impl Dispatcher {
-    /// Decides what follows the end of an attempt: the job is over, retried, or answered.
-    pub(crate) fn follow_up(&mut self, now: Timestamp, id: JobId, settled: bool, actions: &mut Vec<Action>) {
-        let Some(mut job) = self.jobs.remove(&id) else { return };
-        if settled && !job.is_answered {
-            self.close_job(&mut job, actions);
-        }
-        if !job.is_answered && job.is_idle() {
-            // Retries are bounded: when much fails, more attempts would only add to the load.
-            let may_send = |worker| self.may_send(now, worker, &job).is_ok();
-            if self.budgets.allow_retry() && self.fleet.workers.iter().any(may_send) {
-                self.budgets.spend_retry();
-                self.enqueue_job(job);
-                return self.dispatch_pending(now, actions);
-            }
-            self.reject_or_fail(&mut job, actions);
-        }
-        self.store_job(job);
-        self.dispatch_pending(now, actions);
-    }
+/// Whether any worker may take a job whose attempts have all ended.
+pub(crate) fn may_be_retried(now: Timestamp, rules: &SendRules, job: &Job) -> bool {
+    rules.fleet.workers().iter().any(|worker| rules.may_send(now, worker, job).is_ok())
+}
 
-    /// Finds an attempt to take back from a worker that does not accept it, if another worker may run the
-    /// job. If none may, the job waits on, since the worker may only be slow.
-    pub(super) fn find_unaccepted_attempt(&self, now: Timestamp, job: &Job) -> Option<u32> {
-        let attempt = job.in_flight().next().filter(|_| self.settings.may_cancel)?;
-        let in_flight = self.in_flight_attempt(job.id, attempt)?;
-        let is_overdue = in_flight.is_acceptance_overdue(now, self.settings.accept_timeout);
-        let may_take = |worker: &Worker| {
-            worker.id != attempt.worker
-                && self.fleet.takes_work(worker)
-                && self.may_repeat(now, worker, job).is_ok()
-        };
-        (is_overdue && self.fleet.workers.iter().any(may_take)).then_some(attempt.number)
-    }
+/// Finds an attempt to cancel because its worker does not accept it, if another worker may run the
+/// job. If none may, the job waits on, since the worker may only be slow.
+pub(crate) fn find_unaccepted_attempt(now: Timestamp, rules: &SendRules, job: &Job) -> Option<u32> {
+    let (settings, fleet) = (rules.settings, rules.fleet);
+    let attempt = job.in_flight().next().filter(|_| settings.may_cancel)?;
+    let in_flight = fleet.in_flight_attempt(job.id, attempt)?;
+    let is_overdue = in_flight.is_acceptance_overdue(now, settings.accept_timeout);
+    let may_take = |worker: &Worker| {
+        worker.id() != attempt.worker
+            && fleet.takes_work(worker)
+            && rules.may_repeat(now, worker, job).is_ok()
+    };
+    (is_overdue && fleet.workers().iter().any(may_take)).then_some(attempt.number)
+}
+
+/// An attempt that waits at its worker for longer than predicted.
+#[derive(Clone, Copy)]
+pub(crate) struct LateAttempt {
+    /// Its number among the job's attempts.
+    pub number: u32,
+    worker_index: usize,
+    /// Seconds since its predicted start.
+    delay: f64,
+}
 
-    /// Finds an attempt to cancel because the job would now cost less elsewhere: it has not started, and the
-    /// unpredicted wait so far is taken as the wait still to come. Other nodes' work at a worker shows only
-    /// in such late starts.
-    pub(super) fn find_attempt_to_relocate(&mut self, now: Timestamp, job: &mut Job) -> Option<u32> {
-        if !self.is_idempotent(job)
-            || !self.budgets.allow_retry()
-            || !self.settings.may_cancel
-            || self.settings.may_hedge
-            || self.check_endpoint_lease(now).is_err()
-        {
+impl LateAttempt {
+    /// The attempt of a job that may be relocated: it was accepted, has not started and is late.
+    pub fn find(now: Timestamp, settings: &Settings, fleet: &Fleet, job: &Job) -> Option<Self> {
+        if !settings.is_idempotent(job.class) || !settings.may_cancel || settings.may_hedge {
             return None;
         }
         let attempt = job.in_flight().next()?;
-        let in_flight = self.in_flight_attempt(job.id, attempt)?;
+        let in_flight = fleet.in_flight_attempt(job.id, attempt)?;
         let delay = in_flight.start_delay(now);
         if in_flight.has_started() || !in_flight.accepted || delay < RELOCATION_DELAY_S {
             return None;
         }
-        self.refresh_estimates(now);
-        let index = attempt.number as usize;
-        job.attempts[index].outcome = Some(Outcome::Cancelled);
-        let found = self.choose_worker(now, job);
-        job.attempts[index].outcome = None;
-        let here = self.fleet.find(attempt.worker)?;
-        let there = found.filter(|found| found.rating.tier == PlacementTier::Immediate)?;
-        let run = self.estimate_placement(now, here, job).run;
-        let cost_here = Self::cost(run, delay, self.fleet.workers[here].estimates.utilisation);
-        (there.worker_index != here && there.rating.cost < cost_here).then_some(attempt.number)
+        Some(LateAttempt { number: attempt.number, worker_index: fleet.find(attempt.worker)?, delay })
+    }
+
+    /// Whether the job would now cost less at another worker. The wait so far that was not predicted is taken as the
+    /// wait still to come: other nodes' work at a worker shows only in such late starts.
+    pub fn costs_less_at(&self, fleet: &Fleet, request: &PlacementRequest, there: &Placement) -> bool {
+        let here = fleet.worker(self.worker_index);
+        let run_here = request.estimate(fleet, self.worker_index).run;
+        let cost_here = cost(run_here, self.delay, here.estimates().utilisation);
+        there.rating.tier == PlacementTier::Immediate
+            && there.estimate.worker_index != self.worker_index
+            && there.rating.cost < cost_here
     }
 }
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -16,7 +16,7 @@
 //! each node estimates that from the polls that were answered. A poll that fails says nothing about the list: discovery
 //! may have been unavailable, overloaded, or not reachable for this node alone.
 
-use crate::permission::{Denial, EndpointLease};
+use crate::permission::EndpointLease;
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Initial time between the beginnings of two polls after a failure; it doubles with each further failure.
@@ -147,19 +147,9 @@
         }
     }
 
-    /// Whether new attempts may be decided on by the present endpoint list.
-    pub(crate) fn check_lease(&self, now: Timestamp) -> Result<(), Denial> {
-        self.lease.check(now)
-    }
-
-    /// Whether jobs have been held for the list for so long that clients are better off at other nodes.
-    pub(crate) fn is_hold_long(&self, now: Timestamp) -> bool {
-        self.lease.is_hold_long(now)
-    }
-
-    /// The moment before which an attempt decided on by the present endpoint list must be written.
-    pub(crate) fn write_by(&self) -> Option<Timestamp> {
-        self.lease.write_by()
+    /// The lease on the endpoint list.
+    pub(crate) fn lease(&self) -> &EndpointLease {
+        &self.lease
     }
 
     /// All nodes may have started at once, so each polls at a random moment.
--- a/crates/core/src/state/affinity.rs
+++ b/crates/core/src/state/affinity.rs
@@ -4,7 +4,6 @@
 //! exchange nothing agree on them and each worker holds few keys.
 
 use super::fleet::Fleet;
-use super::job::Job;
 use super::worker::Worker;
 
 /// Number of recent jobs by which the share of a key is estimated.
@@ -33,7 +32,7 @@
         let wanted = self.key_share(key) * self.subset.len() as f64 * SPARE_OWNER_FACTOR;
         let owners = (wanted.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
         let weight = |index: &usize| self.workers[*index].rendezvous_weight(key);
-        let mut weights: Vec<u64> = self.subset.iter().map(weight).collect();
+        let mut weights: Vec<u64> = self.subset.members().iter().map(weight).collect();
         if weights.is_empty() {
             return u64::MAX;
         }
@@ -60,13 +59,14 @@
         }
     }
 
-    /// Seconds that a job is likely to spend at a worker on fetching what its key stands for.
-    pub fn estimate_fetch(&self, worker: &Worker, job: &Job) -> f64 {
-        let Some(key) = job.key else { return 0.0 };
+    /// Seconds that a job is likely to spend at a worker on fetching what its key stands for. Workers with a rendezvous
+    /// weight of at least `affinity_threshold` are owners of the key.
+    pub(super) fn estimate_fetch(&self, worker: &Worker, key: Option<u64>, affinity_threshold: u64) -> f64 {
+        let Some(key) = key else { return 0.0 };
         let sent_hit_rate = worker.keys_sent_since(key).map_or(0.0, |others| {
             RECENT_KEY_HIT_RATE * (1.0 - others as f64 / RECENT_KEYS_RETAINED).max(0.0)
         });
-        let is_owner = worker.rendezvous_weight(key) >= job.affinity_threshold;
+        let is_owner = worker.rendezvous_weight(key) >= affinity_threshold;
         let owner_hit_rate = if is_owner { OWNER_HIT_RATE } else { 0.0 };
         FETCH_WORK_RATIO * self.mean_work * (1.0 - sent_hit_rate) * (1.0 - owner_hit_rate)
     }
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -18,7 +18,7 @@
 const MAX_HEDGE_WORK_S: f64 = 5.0;
 
 /// What admission knows of tenants and classes.
-pub(crate) struct Admission {
+pub(crate) struct AdmissionState {
     /// For each tenant the jobs that this node may admit within its quota.
     quotas: Vec<TokenBucket>,
     /// For each class, the longest time to its deadline that a job had when it was submitted: that of a first
@@ -28,11 +28,11 @@
     pub max_priority_weight: f64,
 }
 
-impl Admission {
+impl AdmissionState {
     /// Full quotas.
     pub fn new(settings: &Settings) -> Self {
         let burst = |quota: &f64| TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST_S);
-        Admission {
+        AdmissionState {
             quotas: settings.tenant_quotas.iter().map(burst).collect(),
             longest_time_left: vec![TimeSpan::ZERO; settings.classes.len()],
             max_priority_weight: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -10,13 +10,14 @@
     WorkEstimate,
 };
 use super::job::{AttemptId, clamp_job_work};
+use super::subset::Subset;
 use super::worker::{InFlightAttempt, UnhintedWork, Worker};
 use crate::{KindId, Settings, Timestamp, WorkerId};
 
 /// A start that is this late counts as delayed, in seconds.
 pub(crate) const LATE_START_S: f64 = 0.02;
 /// Most slots that one worker counts as.
-pub(super) const MAX_SLOTS: f64 = 16.0;
+pub(super) const MAX_WORKER_SLOTS: usize = 16;
 /// Weight of one attempt in the share of those that start promptly.
 const PROMPT_START_GAIN: f64 = 0.1;
 /// Time constant of the average of running slots, in seconds.
@@ -75,26 +76,20 @@
 /// All workers that the endpoint list has named.
 pub(crate) struct Fleet {
     /// Ordered by id. A worker that is gone stays until its attempts have ended.
-    pub workers: Vec<Worker>,
+    pub(super) workers: Vec<Worker>,
     /// Workers that operators have disabled, and when. Kept apart from the workers, since the list may drop
     /// one and name it again.
-    pub disabled: BTreeMap<WorkerId, Timestamp>,
+    pub(super) disabled: BTreeMap<WorkerId, Timestamp>,
     /// Workers that were enabled again and that the list does not name at present, and when.
     pub(super) reenabled_unlisted: BTreeMap<WorkerId, Timestamp>,
     /// Attempts to revoke, for which no action has been given yet: their worker takes no new work.
-    pub pending_revocations: Vec<AttemptId>,
-    /// Indices of the ready workers of this node's subset, in ascending order.
-    pub subset: Vec<usize>,
-    /// Number of subsets that nodes and workers are parted into.
-    pub subset_count: usize,
-    /// Most subsets that the settings allow.
-    pub(super) max_subsets: usize,
-    /// This node's number.
-    pub(super) node_index: usize,
+    pub(super) pending_revocations: Vec<AttemptId>,
+    /// The workers that this node uses.
+    pub(super) subset: Subset,
     /// Kinds of machine in the order in which they were met.
-    pub kinds: Vec<MachineKind>,
+    pub(super) kinds: Vec<MachineKind>,
     /// The speed of the fleet as a whole, for kinds of which nothing is known.
-    pub overall_speed: SpeedEstimate,
+    pub(super) overall_speed: SpeedEstimate,
     /// Slots of workers that have not shown theirs.
     slots: SlotEstimates,
     /// Keys of the jobs that were submitted last, the oldest first.
@@ -102,11 +97,11 @@
     /// The endpoint list has sizes.
     pub(super) sizes_listed: bool,
     /// Mean distance (of logarithms) between the speeds that jobs showed and those learned of their workers.
-    pub hint_error: f64,
+    pub(super) hint_error: f64,
     /// Share of the attempts that started promptly, lately.
-    pub prompt_start_share: f64,
+    pub(super) prompt_start_share: f64,
     /// Mean hinted work of a job, in seconds at speed 1.
-    pub mean_work: f64,
+    pub(super) mean_work: f64,
     /// Work of the jobs of each class that came without a hint.
     unhinted_work: Vec<WorkEstimate>,
 }
@@ -119,10 +114,7 @@
             disabled: BTreeMap::new(),
             reenabled_unlisted: BTreeMap::new(),
             pending_revocations: Vec::new(),
-            subset: Vec::new(),
-            subset_count: 1,
-            max_subsets: super::subset::max_subsets(settings),
-            node_index: settings.node_index as usize,
+            subset: Subset::new(settings),
             kinds: Vec::new(),
             overall_speed: SpeedEstimate::UNKNOWN,
             slots: SlotEstimates::default(),
@@ -140,6 +132,56 @@
         self.workers.binary_search_by_key(&id, |worker| worker.id).ok()
     }
 
+    /// A worker by its index.
+    pub fn worker(&self, index: usize) -> &Worker {
+        &self.workers[index]
+    }
+
+    /// A worker by its index, to record something there.
+    pub fn worker_mut(&mut self, index: usize) -> &mut Worker {
+        &mut self.workers[index]
+    }
+
+    /// All workers, in the order of their ids.
+    pub fn workers(&self) -> &[Worker] {
+        &self.workers
+    }
+
+    /// The workers that this node uses.
+    pub fn subset(&self) -> &Subset {
+        &self.subset
+    }
+
+    /// Index of a worker of this node's subset.
+    pub fn find_in_subset(&self, is_wanted: impl Fn(&Worker) -> bool) -> Option<usize> {
+        self.subset.members().iter().copied().find(|index| is_wanted(&self.workers[*index]))
+    }
+
+    /// What is known of all workers of a worker's kind.
+    pub fn kind_of(&self, worker: &Worker) -> &MachineKind {
+        &self.kinds[worker.kind_index]
+    }
+
+    /// Speed of a typical worker.
+    pub fn typical_speed(&self) -> f64 {
+        self.overall_speed.speed
+    }
+
+    /// Mean distance (of logarithms) between the speeds that jobs showed and those learned of their workers.
+    pub fn hint_error(&self) -> f64 {
+        self.hint_error
+    }
+
+    /// Share of the attempts that started promptly, lately.
+    pub fn prompt_start_share(&self) -> f64 {
+        self.prompt_start_share
+    }
+
+    /// The attempts that are to be revoked and were not returned by an earlier call.
+    pub fn take_revocations(&mut self) -> impl Iterator<Item = AttemptId> {
+        self.pending_revocations.drain(..)
+    }
+
     /// Index of a kind. One that was not seen before is added.
     pub fn kind_index(&mut self, id: KindId) -> usize {
         self.kinds.iter().position(|kind| kind.id == id).unwrap_or_else(|| {
@@ -222,14 +264,17 @@
         slots.max(1.0)
     }
 
-    /// Refreshes the median of the slots seen at the subset's workers, and the slots that all `nodes`
+    /// Refreshes the median of the slots seen at the subset's workers, and the slots that all of its nodes
     /// together use. A node of many seldom has two jobs at one worker; what it has running at all workers is
     /// an even part of what they run at once.
-    pub fn refresh_slots(&mut self, now: Timestamp, nodes: f64) {
-        let running = self.subset.iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
+    pub fn refresh_slots(&mut self, now: Timestamp) {
+        let nodes = f64::from(self.subset.nodes());
+        let running =
+            self.subset.members().iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
         let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
-        self.slots.extrapolated = (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_SLOTS);
-        let sampled = self.subset.iter().map(|index| &self.workers[*index]);
+        self.slots.extrapolated =
+            (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_WORKER_SLOTS as f64);
+        let sampled = self.subset.members().iter().map(|index| &self.workers[*index]);
         let sampled = sampled.filter(|worker| worker.speed_ratio.samples > 0).take(MAX_SLOT_SAMPLES);
         let mut slots: ArrayVec<f64, MAX_SLOT_SAMPLES> =
             sampled.map(|worker| worker.max_concurrent_slots.max(1.0)).collect();
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -46,7 +46,7 @@
 }
 
 /// Names an attempt of any job.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     /// Its job.
     pub job: JobId,
@@ -64,6 +64,7 @@
 }
 
 /// A job that this node has taken.
+#[derive(Clone)]
 pub(crate) struct Job {
     /// Its number.
     pub id: JobId,
@@ -73,7 +74,7 @@
     pub over_quota: bool,
     /// Priority weight of a slot's work, as a share of the highest.
     pub weight: f64,
-    /// It is no retry of its client's.
+    /// It is not a retry by its client.
     pub is_first_submission: bool,
     /// Hinted work, in seconds at speed 1.
     pub work: f64,
@@ -83,18 +84,16 @@
     pub slots: f64,
     /// Affinity key: what it concerns.
     pub key: Option<u64>,
-    /// Least rendezvous weight of the owners of its key.
-    pub affinity_threshold: u64,
     /// An answer after this misses its latency objective.
     pub objective_at: Timestamp,
     /// When its client stops waiting.
     pub deadline: Timestamp,
     /// Its attempts in the order of sends.
-    pub attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
+    pub(super) attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
     /// Its answer has begun to flow; nothing more is to be decided.
-    pub is_streaming: bool,
+    pub(super) is_streaming: bool,
     /// Its final answer is out.
-    pub is_answered: bool,
+    pub(super) is_answered: bool,
 }
 
 impl Job {
@@ -110,7 +109,6 @@
             is_unhinted: false,
             slots: 1.0,
             key: submission.key,
-            affinity_threshold: u64::MAX,
             objective_at: Timestamp::ORIGIN,
             deadline: submission.deadline,
             attempts: ArrayVec::new(),
@@ -124,6 +122,31 @@
         self.work * self.slots
     }
 
+    /// Records an attempt that is being sent.
+    pub fn record_attempt(&mut self, attempt: Attempt) {
+        self.attempts.push(attempt);
+    }
+
+    /// Number of attempts so far.
+    pub fn attempt_count(&self) -> usize {
+        self.attempts.len()
+    }
+
+    /// Its answer has begun to stream to the client.
+    pub fn mark_streaming(&mut self) {
+        self.is_streaming = true;
+    }
+
+    /// It has its final answer, or needs none any more.
+    pub fn mark_answered(&mut self) {
+        self.is_answered = true;
+    }
+
+    /// Whether it has its final answer, or needs none any more.
+    pub fn is_answered(&self) -> bool {
+        self.is_answered
+    }
+
     /// Whether its answer has not begun.
     pub fn is_open(&self) -> bool {
         !self.is_answered && !self.is_streaming
@@ -145,6 +168,15 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
+    /// The job as it would be if one of its attempts were cancelled.
+    pub fn with_cancelled_attempt(&self, number: u32) -> Job {
+        let mut job = self.clone();
+        if let Some(attempt) = job.attempts.get_mut(number as usize) {
+            attempt.outcome = Some(Outcome::Cancelled);
+        }
+        job
+    }
+
     /// Number of its attempts that were cancelled: those waited at their worker, unlike ones that failed or
     /// could not connect.
     pub fn cancelled_attempts(&self) -> usize {
@@ -164,7 +196,7 @@
     }
 }
 
-/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers are worth little; the
+/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers have little value; the
 /// others are ordered by the latest start that meets their objective.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Records a job that was given up for lack of capacity.
+    /// Records a job that was shed for lack of capacity.
     pub fn record_shed(&mut self, now: Timestamp, job: &Job) {
         if job.is_first_submission && !job.over_quota {
             self.shed.add(now, job.load(), DEMAND_SPAN_S);
@@ -58,8 +58,6 @@
 pub(crate) struct Capacity {
     /// Share of the workers that have a slot free or about to be.
     pub free_share: f64,
-    /// Share of the workers that is reserved for jobs of high weight.
-    pub reserved_share: f64,
     /// Shortest wait for one slot at any worker, in seconds.
     pub shortest_wait: f64,
     /// Number of workers that are warming up.
@@ -68,6 +66,6 @@
 
 impl Default for Capacity {
     fn default() -> Self {
-        Capacity { free_share: 1.0, reserved_share: 0.0, shortest_wait: 0.0, warming_up: 0 }
+        Capacity { free_share: 1.0, shortest_wait: 0.0, warming_up: 0 }
     }
 }
--- a/crates/core/src/migration.rs
+++ b/crates/core/src/state/migration.rs
@@ -2,9 +2,9 @@
 //!
 //! | step | process | call |
 //! | --- | --- | --- |
-//! | release | the one that gives the job up | [`Dispatcher::release_job`] |
-//! | check | the one that takes it | [`Dispatcher::accepts_migrated_job`] |
-//! | adopt | the one that takes it | [`Dispatcher::adopt_job`] |
+//! | release | the one that releases the job | [`Dispatcher::release_job`](crate::Dispatcher::release_job) |
+//! | check | the one that takes it | [`Dispatcher::accepts_migrated_job`](crate::Dispatcher::accepts_migrated_job) |
+//! | adopt | the one that takes it | [`Dispatcher::adopt_job`](crate::Dispatcher::adopt_job) |
 //!
 //! The attempts in flight continue; the embedder reports their further events to the process that adopted the job. The
 //! record is not trusted: every figure is checked and bounded when the job is adopted. The serialized names are those
@@ -12,10 +12,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::{Attempt, InFlightAttempt, Job, MAX_ATTEMPTS, Progress};
-use crate::untrusted::{bounded_seconds, bounded_slots};
+use super::untrusted::{bounded_seconds, bounded_slots};
+use super::{Attempt, AttemptId, InFlightAttempt, Job, MAX_ATTEMPTS, Progress};
 use crate::{
-    Action, CellId, ClassId, Dispatcher, JobId, JobSubmission, Outcome, TenantId, Timestamp, WorkerId, ZoneId,
+    CellId, ClassId, JobId, JobSubmission, Outcome, Settings, TenantId, Timestamp, WorkerId, ZoneId,
 };
 
 /// A job that moves to another process of the node. Fields as in the record of a job.
@@ -77,7 +77,7 @@
 }
 
 impl MigratedJob {
-    /// JobClass of the job.
+    /// Class of the job.
     pub fn class(&self) -> ClassId {
         ClassId(self.class)
     }
@@ -87,22 +87,39 @@
         self.deadline
     }
 
-    fn submission(&self, id: JobId) -> JobSubmission {
-        JobSubmission {
-            job: id,
-            class: ClassId(self.class),
-            // Unused: the quota was charged by the process that the client submitted the job to.
-            tenant: TenantId(0),
-            deadline: self.deadline,
-            cost_hint: None,
-            slots: self.slots,
-            key: self.key,
-            is_retry: !self.is_first_submission,
+    /// The record of a job that is released. `remove_in_flight` removes an attempt in flight from its worker.
+    pub(crate) fn release(
+        job: &Job,
+        mut remove_in_flight: impl FnMut(WorkerId, AttemptId) -> Option<InFlightAttempt>,
+    ) -> Self {
+        let numbered = job.attempts.iter().zip(0..);
+        let attempts = numbered.map(|(attempt, number)| {
+            MigratedAttempt::new(attempt, remove_in_flight(attempt.worker, AttemptId { job: job.id, number }))
+        });
+        MigratedJob {
+            class: job.class,
+            over_quota: job.over_quota,
+            weight: job.weight,
+            is_first_submission: job.is_first_submission,
+            work: job.work,
+            slots: job.slots,
+            key: job.key,
+            objective_at: job.objective_at,
+            deadline: job.deadline,
+            attempts: attempts.collect(),
         }
     }
 
-    /// The job without its attempts.
-    fn restore(&self, id: JobId) -> Job {
+    /// Whether the job can be adopted: its class exists, and its figures are in range.
+    pub(crate) fn is_valid(&self, settings: &Settings) -> bool {
+        let figures = [self.work, self.slots, self.weight];
+        self.class < settings.classes.len()
+            && figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0)
+            && self.attempts.len() <= MAX_ATTEMPTS
+    }
+
+    /// The job under its new number.
+    pub(crate) fn restore(&self, id: JobId) -> Job {
         Job {
             over_quota: self.over_quota,
             weight: self.weight,
@@ -110,40 +127,42 @@
             work: self.work,
             slots: self.slots,
             objective_at: self.objective_at,
+            attempts: self.attempts.iter().map(MigratedAttempt::restore).collect(),
             ..Job::new(&self.submission(id))
         }
     }
-}
 
-impl Dispatcher {
-    /// Removes a job that has no response yet, so that another process can adopt it. Its attempts in flight are not
-    /// cancelled. None where there is no such job, or its response has begun.
-    pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
-        if !self.jobs.get(&job)?.is_open() {
-            return None;
-        }
-        let job = self.jobs.remove(&job)?;
-        self.queue.retain(|key| key.job != job.id);
-        let numbered = job.attempts.iter().zip(0..);
-        let attempts =
-            numbered.map(|(attempt, number)| self.release_attempt(job.id, attempt, number)).collect();
-        Some(MigratedJob {
-            class: job.class,
-            over_quota: job.over_quota,
-            weight: job.weight,
-            is_first_submission: job.is_first_submission,
-            work: job.work,
-            slots: job.slots,
-            key: job.key,
-            objective_at: job.objective_at,
-            deadline: job.deadline,
-            attempts,
+    /// The attempts that are in flight, each with its worker.
+    pub(crate) fn restore_in_flight(
+        &self,
+        now: Timestamp,
+        id: JobId,
+    ) -> impl Iterator<Item = (WorkerId, InFlightAttempt)> {
+        let numbered = self.attempts.iter().zip(0..);
+        numbered.filter_map(move |(attempt, number)| {
+            let in_flight = attempt.in_flight.as_ref().filter(|_| attempt.outcome.is_none())?;
+            let id = AttemptId { job: id, number };
+            Some((WorkerId(attempt.worker), in_flight.restore(now, id, attempt.sent_at)))
         })
     }
 
-    fn release_attempt(&mut self, job: JobId, attempt: &Attempt, number: u32) -> MigratedAttempt {
-        let index = self.fleet.find(attempt.worker);
-        let in_flight = index.and_then(|index| self.fleet.workers[index].remove_attempt(job, number));
+    fn submission(&self, id: JobId) -> JobSubmission {
+        JobSubmission {
+            job: id,
+            class: ClassId(self.class),
+            // Unused: the quota was charged by the process that the client submitted the job to.
+            tenant: TenantId(0),
+            deadline: self.deadline,
+            cost_hint: None,
+            slots: self.slots,
+            key: self.key,
+            is_retry: !self.is_first_submission,
+        }
+    }
+}
+
+impl MigratedAttempt {
+    fn new(attempt: &Attempt, in_flight: Option<InFlightAttempt>) -> Self {
         MigratedAttempt {
             worker: attempt.worker.0,
             zone: attempt.zone.0,
@@ -154,71 +173,6 @@
         }
     }
 
-    /// Whether a job can be adopted here: its class exists, and its figures are in range.
-    pub fn accepts_migrated_job(&self, migrated: &MigratedJob) -> bool {
-        let figures = [migrated.work, migrated.slots, migrated.weight];
-        migrated.class < self.settings.classes.len()
-            && figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0)
-            && migrated.attempts.len() <= MAX_ATTEMPTS
-    }
-
-    /// Adopts a job that another process of this node released, under a new number of this process. Returns false and
-    /// changes nothing where the job cannot be adopted or the number is in use.
-    pub fn adopt_job(
-        &mut self,
-        now: Timestamp,
-        id: JobId,
-        migrated: &MigratedJob,
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        if !self.accepts_migrated_job(migrated) || self.jobs.contains_key(&id) {
-            return false;
-        }
-        let mut job = migrated.restore(id);
-        for (attempt, number) in migrated.attempts.iter().zip(0..) {
-            job.attempts.push(attempt.restore());
-            self.restore_in_flight(now, &job, attempt, number);
-        }
-        if job.is_idle() {
-            self.enqueue_job(job);
-            self.dispatch_pending(now, actions);
-        } else {
-            self.store_job(job);
-        }
-        self.set_timer(now, actions);
-        true
-    }
-
-    /// Records an attempt in flight at its worker, if it has no outcome and the worker is known here.
-    fn restore_in_flight(&mut self, now: Timestamp, job: &Job, attempt: &MigratedAttempt, number: u32) {
-        let Some(in_flight) = &attempt.in_flight else { return };
-        let Some(index) = self.fleet.find(WorkerId(attempt.worker)) else { return };
-        if attempt.outcome.is_some() {
-            return;
-        }
-        let worker = &mut self.fleet.workers[index];
-        if let Some(key) = job.key {
-            worker.record_key(key);
-        }
-        worker.in_flight.push(InFlightAttempt {
-            job: job.id,
-            attempt: number,
-            work: bounded_seconds(in_flight.work).unwrap_or(0.0),
-            slots: bounded_slots(in_flight.slots).unwrap_or(1.0),
-            sent_at: attempt.sent_at.min(now),
-            accepted: in_flight.accepted,
-            revoked: false,
-            predicted_wait: bounded_seconds(in_flight.predicted_wait).unwrap_or(0.0),
-            started_at: in_flight.started_at.map(|at| at.min(now)),
-            progress: in_flight.progress.map(|progress| progress.restore(now)),
-            unhinted: None,
-        });
-        worker.gossip_pending = true;
-        worker.invalidate_estimates();
-    }
-}
-
-impl MigratedAttempt {
     fn restore(&self) -> Attempt {
         Attempt {
             worker: WorkerId(self.worker),
@@ -230,6 +184,24 @@
     }
 }
 
+impl MigratedInFlight {
+    fn restore(&self, now: Timestamp, id: AttemptId, sent_at: Timestamp) -> InFlightAttempt {
+        InFlightAttempt {
+            job: id.job,
+            number: id.number,
+            work: bounded_seconds(self.work).unwrap_or(0.0),
+            slots: bounded_slots(self.slots).unwrap_or(1.0),
+            sent_at: sent_at.min(now),
+            accepted: self.accepted,
+            revoked: false,
+            predicted_wait: bounded_seconds(self.predicted_wait).unwrap_or(0.0),
+            started_at: self.started_at.map(|at| at.min(now)),
+            progress: self.progress.map(|progress| progress.restore(now)),
+            unhinted: None,
+        }
+    }
+}
+
 impl From<InFlightAttempt> for MigratedInFlight {
     fn from(attempt: InFlightAttempt) -> Self {
         MigratedInFlight {
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::state::{MAX_WORKER_KEYS, MachineKind, SpeedEstimate, SpeedRatio, WarmUpSend, Worker};
-use crate::untrusted::{bounded_hint_error, bounded_log_speed, bounded_seconds, bounded_slots};
-use crate::{Dispatcher, KindId, TimeSpan, Timestamp, WorkerId};
+use super::untrusted::{bounded_hint_error, bounded_log_speed, bounded_seconds, bounded_slots};
+use super::{Demand, Fleet, MAX_WORKER_KEYS, MachineKind, SpeedEstimate, SpeedRatio, WarmUpSend, Worker};
+use crate::{KindId, TimeSpan, Timestamp, WorkerId};
 
 /// Maximum number of workers that a snapshot holds, and that are restored from one.
 const MAX_WORKERS: usize = 4096;
@@ -100,10 +100,9 @@
     samples: u32,
 }
 
-impl Dispatcher {
-    /// What is known now, for a successor.
-    pub fn snapshot(&self) -> StateSnapshot {
-        let fleet = &self.fleet;
+impl StateSnapshot {
+    /// What is known of the workers and of the demand.
+    pub(crate) fn capture(fleet: &Fleet, demand: &Demand) -> Self {
         StateSnapshot {
             workers: fleet.workers.iter().take(MAX_WORKERS).map(WorkerSnapshot::from).collect(),
             kinds: fleet.kinds.iter().map(KindSnapshot::from).collect(),
@@ -111,40 +110,39 @@
             hint_error: fleet.hint_error,
             mean_work: fleet.mean_work,
             recent_keys: fleet.recent_keys().collect(),
-            first_submission_at: self.demand.first_at,
+            first_submission_at: demand.first_at,
         }
     }
 
-    /// Adds what the predecessor has learned of workers that this process's endpoint list names too. Estimates for
-    /// which this process has samples of its own are kept.
-    pub fn restore(&mut self, now: Timestamp, snapshot: &StateSnapshot) {
-        self.restore_speeds(snapshot);
-        self.restore_fleet_estimates(snapshot);
-        for worker in snapshot.workers.iter().take(MAX_WORKERS) {
-            if let Some(index) = self.fleet.find(WorkerId(worker.id)) {
-                worker.restore_to(now, &mut self.fleet.workers[index]);
+    /// Adds what it contains to what is known of workers that the present endpoint list names too.
+    pub(crate) fn restore_to(&self, now: Timestamp, fleet: &mut Fleet, demand: &mut Demand) {
+        self.restore_speeds(fleet);
+        self.restore_fleet_estimates(fleet);
+        demand.first_at = demand.first_at.min(self.first_submission_at);
+        for worker in self.workers.iter().take(MAX_WORKERS) {
+            if let Some(index) = fleet.find(WorkerId(worker.id)) {
+                worker.restore_to(now, &mut fleet.workers[index]);
             }
         }
     }
 
-    fn restore_speeds(&mut self, snapshot: &StateSnapshot) {
-        for kind in &snapshot.kinds {
-            let index = self.fleet.kind_index(KindId(kind.id));
-            kind.speed().restore_to(&mut self.fleet.kinds[index].speed);
+    fn restore_speeds(&self, fleet: &mut Fleet) {
+        for kind in &self.kinds {
+            let index = fleet.kind_index(KindId(kind.id));
+            kind.speed().restore_to(&mut fleet.kinds[index].speed);
         }
-        snapshot.overall_speed.restore_to(&mut self.fleet.overall_speed);
+        self.overall_speed.restore_to(&mut fleet.overall_speed);
     }
 
-    fn restore_fleet_estimates(&mut self, snapshot: &StateSnapshot) {
-        if let Some(error) = bounded_hint_error(snapshot.hint_error) {
-            self.fleet.hint_error = error;
+    fn restore_fleet_estimates(&self, fleet: &mut Fleet) {
+        if let Some(error) = bounded_hint_error(self.hint_error) {
+            fleet.hint_error = error;
         }
-        if let Some(work) = bounded_seconds(snapshot.mean_work) {
-            self.fleet.mean_work = work;
+        if let Some(work) = bounded_seconds(self.mean_work) {
+            fleet.mean_work = work;
         }
-        self.demand.first_at = self.demand.first_at.min(snapshot.first_submission_at);
-        for key in &snapshot.recent_keys {
-            self.fleet.record_key(Some(*key));
+        for key in &self.recent_keys {
+            fleet.record_key(Some(*key));
         }
     }
 }
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -1,119 +1,101 @@
-//! Which workers a node uses: the endpoint list, what operators have disabled, and the subset of this node.
+//! The subset of the workers that this node uses.
 //!
 //! Many nodes with many workers are split into subsets, each of which works like a small deployment: its
 //! nodes know their workers' load, and can afford gossip. Nodes with the same list compute the same subsets.
 
-use super::fleet::{Fleet, MAX_SLOTS};
-use super::worker::Worker;
-use crate::{Endpoint, Settings, Timestamp, WorkerId, WorkerStatus};
+use crate::{KindId, Settings, ZoneId};
 
 /// Fewest nodes of a subset.
 const MIN_SUBSET_NODES: u32 = 8;
 /// Fewest workers of a subset.
 const MIN_SUBSET_WORKERS: usize = 8;
 
-/// Most subsets that the nodes can be split into; one without gossip, since each subset would fetch the keys
-/// that others hold already.
-pub(super) fn max_subsets(settings: &Settings) -> usize {
-    if !settings.may_gossip {
-        return 1;
-    }
-    (settings.nodes / MIN_SUBSET_NODES).max(1) as usize
+/// A worker that takes new work.
+#[derive(Clone, Copy)]
+pub(super) struct Candidate {
+    /// Its zone.
+    pub zone: ZoneId,
+    /// Its kind of machine.
+    pub kind: KindId,
+    /// Its index in the fleet.
+    pub index: usize,
 }
 
-impl Fleet {
-    /// Takes over an endpoint list, or changes to it. A snapshot is whole: workers that it does not name are
-    /// gone.
-    pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], snapshot: bool) {
-        if snapshot {
-            self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
-        }
-        for endpoint in endpoints {
-            match self.workers.binary_search_by_key(&endpoint.worker, |worker| worker.id) {
-                Ok(index) => self.update_worker(now, index, endpoint),
-                Err(index) => self.insert_worker(index, endpoint),
-            }
-        }
-        self.workers.retain(|worker| worker.status != WorkerStatus::Gone || !worker.in_flight.is_empty());
-        for worker in self.workers.iter_mut().filter(|worker| worker.status != WorkerStatus::Ready) {
-            self.pending_revocations.extend(worker.revoke_unaccepted());
+/// The workers that this node uses, and the nodes that use the same.
+pub(crate) struct Subset {
+    /// Number of nodes that dispatch to the same workers.
+    nodes: u32,
+    /// This node's index among them.
+    node_index: u32,
+    /// Most subsets that the settings allow.
+    max_count: usize,
+    /// Number of subsets that nodes and workers are parted into.
+    count: usize,
+    /// Indices of the workers in the fleet, in ascending order.
+    members: Vec<usize>,
+}
+
+impl Subset {
+    /// A subset without workers.
+    pub(super) fn new(settings: &Settings) -> Self {
+        Subset {
+            nodes: settings.nodes,
+            node_index: settings.node_index,
+            max_count: max_subsets(settings),
+            count: 1,
+            members: Vec::new(),
         }
-        self.rebuild_subset();
     }
 
-    /// Takes over the new entry of a known worker.
-    fn update_worker(&mut self, now: Timestamp, index: usize, endpoint: &Endpoint) {
-        let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
-        let started_at = endpoint.started_at.min(now);
-        let worker = &mut self.workers[index];
-        (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
-        worker.status = endpoint.status;
-        if started_at > worker.started_at {
-            // What has not been accepted was meant for the process before the restart.
-            self.pending_revocations.extend(worker.revoke_unaccepted());
-        }
-        worker.started_at = worker.started_at.max(started_at);
-        (worker.kind_index, worker.listed_slots) = (kind_index, listed_slots);
+    /// Indices of its workers in the fleet, in ascending order.
+    pub fn members(&self) -> &[usize] {
+        &self.members
     }
 
-    /// Adds a worker at its place in the order of ids.
-    fn insert_worker(&mut self, index: usize, endpoint: &Endpoint) {
-        let mut worker = Worker::new(endpoint, self.kind_index(endpoint.kind));
-        worker.listed_slots = self.listed_slots(endpoint);
-        if let Some(reenabled_at) = self.reenabled_unlisted.remove(&endpoint.worker) {
-            worker.reenable(reenabled_at, reenabled_at);
-        }
-        self.workers.insert(index, worker);
+    /// Number of its workers.
+    pub fn len(&self) -> usize {
+        self.members.len()
     }
 
-    /// The size of a worker in the list, in slots; 1 where the list has no sizes.
-    fn listed_slots(&self, endpoint: &Endpoint) -> f64 {
-        let is_listed = self.sizes_listed && endpoint.size.is_finite();
-        if is_listed { endpoint.size.round().clamp(1.0, MAX_SLOTS) } else { 1.0 }
+    /// Whether there are workers that take new work outside this subset.
+    pub fn has_others(&self) -> bool {
+        self.count > 1
     }
 
-    /// Disables a worker: nothing is sent to it until it is enabled again.
-    pub fn disable_worker(&mut self, now: Timestamp, id: WorkerId) {
-        self.reenabled_unlisted.remove(&id);
-        self.disabled.entry(id).or_insert(now);
-        if let Some(index) = self.find(id) {
-            self.pending_revocations.extend(self.workers[index].revoke_unaccepted());
-        }
-        self.rebuild_subset();
+    /// Number of nodes that share this subset.
+    pub fn nodes(&self) -> u32 {
+        self.nodes.div_ceil(self.count as u32)
     }
 
-    /// Enables a worker again, with its failures forgotten.
-    pub fn reenable_worker(&mut self, now: Timestamp, id: WorkerId) {
-        let Some(disabled_at) = self.disabled.remove(&id) else { return };
-        match self.find(id) {
-            Some(index) => self.workers[index].reenable(disabled_at, now),
-            // One for each id that was disabled: those are bounded.
-            None => _ = self.reenabled_unlisted.insert(id, now),
-        }
-        self.rebuild_subset();
+    /// This node's position among the nodes that share this subset.
+    pub fn node_position(&self) -> u32 {
+        self.node_index / self.count as u32
     }
 
-    /// Whether a worker takes new work: ready by the list, and not disabled by operators.
-    pub fn takes_work(&self, worker: &Worker) -> bool {
-        worker.status == WorkerStatus::Ready && !self.disabled.contains_key(&worker.id)
+    /// Indices of the other nodes that share this subset.
+    pub fn peers(&self) -> impl Iterator<Item = u32> {
+        let count = self.count as u32;
+        let nodes = (self.node_index % count..self.nodes).step_by(count as usize);
+        nodes.filter(|node| *node != self.node_index)
     }
 
-    /// Assigns the ready workers to the subsets, each zone's and kind's evenly, and keeps this node's.
-    fn rebuild_subset(&mut self) {
-        let mut subset = std::mem::take(&mut self.subset);
-        subset.clear();
-        subset.extend((0..self.workers.len()).filter(|index| self.takes_work(&self.workers[*index])));
-        self.subset_count = self.max_subsets.min(subset.len() / MIN_SUBSET_WORKERS).max(1);
-        let workers = &self.workers;
-        subset.sort_by_key(|index| (workers[*index].zone.0, workers[*index].kind.0, *index));
-        let mut position = 0;
-        subset.retain(|_| {
-            position += 1;
-            position % self.subset_count == self.node_index % self.subset_count
-        });
-        subset.sort_unstable();
-        self.workers.iter_mut().for_each(|worker| worker.in_subset = false);
-        subset.iter().for_each(|index| self.workers[*index].in_subset = true);
-        self.subset = subset;
+    /// Assigns the workers to the subsets, each zone's and kind's evenly, and keeps this node's.
+    pub(super) fn rebuild(&mut self, mut candidates: Vec<Candidate>) {
+        self.count = self.max_count.min(candidates.len() / MIN_SUBSET_WORKERS).max(1);
+        candidates.sort_by_key(|worker| (worker.zone.0, worker.kind.0, worker.index));
+        let own = self.node_index as usize % self.count;
+        let numbered = candidates.iter().zip(1..);
+        let own_workers = numbered.filter(|(_, position)| position % self.count == own);
+        self.members = own_workers.map(|(worker, _)| worker.index).collect();
+        self.members.sort_unstable();
     }
 }
+
+/// Most subsets that the nodes can be split into; one without gossip, since each subset would fetch the keys
+/// that others hold already.
+fn max_subsets(settings: &Settings) -> usize {
+    if !settings.may_gossip {
+        return 1;
+    }
+    (settings.nodes / MIN_SUBSET_NODES).max(1) as usize
+}
--- a/crates/core/src/untrusted.rs
+++ b/crates/core/src/state/untrusted.rs
@@ -1,12 +1,12 @@
 //! Bounds on figures that another process of this node sent. That process may run another version or have a fault, so
 //! its figures are checked before they enter the state.
 
+use super::job::MAX_JOB_SLOTS;
+
 /// Maximum of the absolute value of a natural logarithm of a speed, and of the error of hints.
 const MAX_LOG: f64 = 10.0;
 /// Maximum of a job's work and of a wait, in seconds.
 const MAX_SECONDS: f64 = 1e4;
-/// Maximum number of slots.
-const MAX_SLOTS: f64 = 64.0;
 
 /// A natural logarithm of a speed, clamped; None where it is infinite or NaN.
 pub(crate) fn bounded_log_speed(value: f64) -> Option<f64> {
@@ -25,7 +25,7 @@
 
 /// A number of slots; None where it is not a positive number.
 pub(crate) fn bounded_slots(value: f64) -> Option<f64> {
-    bounded_positive(value, MAX_SLOTS)
+    bounded_positive(value, MAX_JOB_SLOTS)
 }
 
 fn bounded_positive(value: f64, max: f64) -> Option<f64> {
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -4,8 +4,10 @@
 
 use super::estimators::{DecayingSum, SpeedRatio};
 use super::job::{Attempt, AttemptId};
+use super::subset::Candidate;
 use crate::{
-    CellId, DeduplicationScope, Endpoint, JobId, KindId, TimeSpan, Timestamp, WorkerId, WorkerStatus, ZoneId,
+    CellId, DeduplicationScope, Endpoint, JobId, KindId, Settings, TimeSpan, Timestamp, WorkerId,
+    WorkerStatus, ZoneId,
 };
 
 /// Most keys that are remembered of one worker.
@@ -13,12 +15,21 @@
 /// Time constant with which an unpredicted wait is forgotten, in seconds.
 pub(crate) const EXCESS_WAIT_SPAN_S: f64 = 0.3;
 
+/// Time for which the estimates of a worker hold, unless something happens there.
+const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
+/// Total work of a running attempt, as a multiple of its hint: hints are rough ...
+const RUNNING_HINT_FACTOR: f64 = 1.1;
+/// ... and least work that it has left, as a share of what it has done: work has a long tail.
+const MIN_REMAINING_SHARE: f64 = 0.35;
+/// Lower bound of the warm-up fraction, whatever the settings are, so that speeds stay above zero.
+const MIN_WARM_UP_FRACTION: f64 = 0.01;
+
 /// An attempt that was sent to a worker and has not ended.
 pub(crate) struct InFlightAttempt {
     /// Its job.
     pub job: JobId,
     /// Its number among the job's attempts, from 0.
-    pub attempt: u32,
+    pub number: u32,
     /// Hinted work, fetch included, in seconds at speed 1.
     pub work: f64,
     /// Slots that it takes.
@@ -58,6 +69,11 @@
 }
 
 impl InFlightAttempt {
+    /// Its name.
+    pub fn id(&self) -> AttemptId {
+        AttemptId { job: self.job, number: self.number }
+    }
+
     /// Whether the worker should have accepted it by now and has not. A timeout of 0 stands for workers that
     /// do not report it.
     pub fn is_acceptance_overdue(&self, now: Timestamp, timeout: TimeSpan) -> bool {
@@ -69,6 +85,18 @@
         self.started_at.is_some()
     }
 
+    /// Work that it has left, in seconds at speed 1: by its progress if reported, else by its hint.
+    pub fn remaining_work(&self, now: Timestamp, speed: f64) -> f64 {
+        let Some(started_at) = self.started_at else { return self.work };
+        let ran = now.seconds_since(started_at);
+        match self.progress {
+            Some(progress) if progress.share > 0.0 => {
+                (progress.at.seconds_since(started_at) / progress.share - ran).max(0.0) * speed
+            }
+            _ => (self.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
+        }
+    }
+
     /// Seconds since the predicted start; negative before it.
     pub fn start_delay(&self, now: Timestamp) -> f64 {
         now.seconds_since(self.sent_at) - self.predicted_wait
@@ -96,49 +124,6 @@
     pub work: f64,
 }
 
-/// How well a worker suits the job that is being placed, best first.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub(crate) enum PlacementTier {
-    /// A slot is about to be free, and the job would meet its objective.
-    Immediate,
-    /// The job would meet its objective after a wait.
-    Queued,
-    /// The job would miss its objective.
-    Late,
-    /// The job may not be sent there.
-    Ineligible,
-}
-
-/// A worker's rating for the job that is being placed: the lower one is better, by tier first and then by
-/// cost.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub(crate) struct PlacementRating {
-    /// See [`PlacementTier`].
-    pub tier: PlacementTier,
-    /// x + w / (1 - r), in seconds.
-    pub cost: f64,
-}
-
-impl PlacementRating {
-    /// The worst rating.
-    pub const INELIGIBLE: Self = PlacementRating { tier: PlacementTier::Ineligible, cost: f64::INFINITY };
-}
-
-/// What a job would meet at a worker.
-#[derive(Clone, Copy)]
-pub(crate) struct PlacementEstimate {
-    /// Index of the worker.
-    pub worker_index: usize,
-    /// The worker's rating for the job, where it has been rated.
-    pub rating: PlacementRating,
-    /// x: seconds of running there, fetch included.
-    pub run: f64,
-    /// The part of those that is relied on: see [`RELIABLE_HINT_SHARE`](super::RELIABLE_HINT_SHARE).
-    pub reliable_run: f64,
-    /// w: seconds of waiting there before.
-    pub wait: f64,
-}
-
 /// Health of a worker, by its recent failures.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkerHealth {
@@ -180,51 +165,49 @@
 /// One worker.
 pub(crate) struct Worker {
     /// The same number at every node.
-    pub id: WorkerId,
+    pub(super) id: WorkerId,
     /// Its zone.
-    pub zone: ZoneId,
+    pub(super) zone: ZoneId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub(super) kind: KindId,
     /// Its cell.
-    pub cell: CellId,
+    pub(super) cell: CellId,
     /// Whether it takes work, by the endpoint list.
-    pub status: WorkerStatus,
+    pub(super) status: WorkerStatus,
     /// It belongs to this node's subset: see [`Fleet::subset`](super::Fleet::subset).
-    pub in_subset: bool,
+    pub(super) in_subset: bool,
     /// Last start as listed or inferred; 0: long ago.
-    pub started_at: Timestamp,
+    pub(super) started_at: Timestamp,
     /// Listed size in slots; 1 where the list has no sizes.
-    pub listed_slots: f64,
+    pub(super) listed_slots: f64,
     /// Index of its kind in [`Fleet::kinds`](super::Fleet::kinds).
-    pub kind_index: usize,
+    pub(super) kind_index: usize,
     /// Its speed over its kind's.
-    pub speed_ratio: SpeedRatio,
+    pub(super) speed_ratio: SpeedRatio,
     /// Most slots seen running at once.
-    pub max_concurrent_slots: f64,
+    pub(super) max_concurrent_slots: f64,
     /// Hinted work sent there.
-    pub sent_work: DecayingSum,
+    pub(super) sent_work: DecayingSum,
     /// Attempts sent there that have not ended, in the order of sends.
-    pub in_flight: Vec<InFlightAttempt>,
+    pub(super) in_flight: Vec<InFlightAttempt>,
     /// Keys of the jobs sent there, the last one first.
-    pub recent_keys: VecDeque<u64>,
+    pub(super) recent_keys: VecDeque<u64>,
     /// Work sent there while it was warming up, as far as a budget counts it.
-    pub warm_up_sends: VecDeque<WarmUpSend>,
+    pub(super) warm_up_sends: VecDeque<WarmUpSend>,
     /// Wait beyond the predicted one that starts there showed, in seconds.
-    pub excess_wait: DecayingSum,
+    pub(super) excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
-    pub peer_backlogs: Vec<PeerBacklog>,
+    pub(super) peer_backlogs: Vec<PeerBacklog>,
     /// Its health.
-    pub health: WorkerHealth,
+    pub(super) health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
-    pub reenabled_at: Option<Timestamp>,
+    pub(super) reenabled_at: Option<Timestamp>,
     /// This node's work there has changed since it was last gossiped.
-    pub gossip_pending: bool,
+    pub(super) gossip_pending: bool,
     /// When it was last gossiped.
-    pub gossiped_at: Timestamp,
+    pub(super) gossiped_at: Timestamp,
     /// Estimates derived from all that.
-    pub estimates: WorkerEstimates,
-    /// Its rating for the job that was placed last.
-    pub rating: PlacementRating,
+    pub(super) estimates: WorkerEstimates,
 }
 
 impl Worker {
@@ -253,16 +236,77 @@
             gossip_pending: false,
             gossiped_at: Timestamp::ORIGIN,
             estimates: WorkerEstimates::default(),
-            rating: PlacementRating::INELIGIBLE,
         }
     }
 
+    /// Its number, the same at every node.
+    pub fn id(&self) -> WorkerId {
+        self.id
+    }
+
+    /// Its zone.
+    pub fn zone(&self) -> ZoneId {
+        self.zone
+    }
+
+    /// Its kind of machine.
+    pub fn kind(&self) -> KindId {
+        self.kind
+    }
+
+    /// Whether it belongs to this node's subset.
+    pub fn is_in_subset(&self) -> bool {
+        self.in_subset
+    }
+
+    /// Its health.
+    pub fn health(&self) -> &WorkerHealth {
+        &self.health
+    }
+
+    /// What was estimated of it last.
+    pub fn estimates(&self) -> &WorkerEstimates {
+        &self.estimates
+    }
+
+    /// When operators enabled it again, while nothing has been sent there since.
+    pub fn reenabled_at(&self) -> Option<Timestamp> {
+        self.reenabled_at
+    }
+
+    /// Whether this node has no attempt in flight there.
+    pub fn is_idle(&self) -> bool {
+        self.in_flight.is_empty()
+    }
+
+    /// Work that was sent there while it was warming up, in the last `window` seconds.
+    pub fn recent_warm_up_work(&self, now: Timestamp, window: f64) -> f64 {
+        let is_recent = |send: &&WarmUpSend| now.seconds_since(send.at) < window;
+        self.warm_up_sends.iter().filter(is_recent).map(|send| send.work).sum()
+    }
+
+    /// As a candidate for a subset, with its index in the fleet.
+    pub(super) fn candidate(&self, index: usize) -> Candidate {
+        Candidate { zone: self.zone, kind: self.kind, index }
+    }
+
     /// Slots of the attempts that were running at that time and still are.
     pub fn slots_running_since(&self, time: Timestamp) -> f64 {
         let running = |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|at| at <= time);
         self.in_flight.iter().filter(running).map(|attempt| attempt.slots).sum()
     }
 
+    /// Work that its attempts have left, in seconds at speed 1, all slots together.
+    pub fn remaining_load(&self, now: Timestamp) -> f64 {
+        let speed = self.estimates.speed;
+        self.in_flight.iter().map(|attempt| attempt.remaining_work(now, speed) * attempt.slots).sum()
+    }
+
+    /// Slots that its attempts take or wait for.
+    pub fn used_slots(&self) -> f64 {
+        self.in_flight.iter().map(|attempt| attempt.slots).sum()
+    }
+
     /// Whether it discards repeats of what that attempt ran.
     pub fn deduplicates(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
         match scope {
@@ -309,6 +353,21 @@
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
+    /// Whether its estimates have to be derived again before they are used.
+    pub fn are_estimates_old(&self, now: Timestamp) -> bool {
+        now >= self.estimates.derived_at.saturating_add(ESTIMATE_LIFETIME)
+    }
+
+    /// Lower bound of the share of its capacity that it has now, growing evenly with its age; 1 when warm.
+    pub fn warm_up_fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
+        if self.started_at == Timestamp::ORIGIN || settings.warm_up.is_zero() {
+            return 1.0;
+        }
+        let floor = settings.warm_up_floor;
+        let age = now.seconds_since(self.started_at) / settings.warm_up.as_secs_f64();
+        (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
+    }
+
     /// Something has happened there: its estimates have to be derived again before they are used.
     pub fn invalidate_estimates(&mut self) {
         self.estimates.derived_at = Timestamp::ORIGIN;
@@ -324,6 +383,74 @@
         }
     }
 
+    /// Whether this node's work there is to be gossiped: it has changed, or was reported more than `refresh` seconds
+    /// ago.
+    pub fn is_gossip_due(&self, now: Timestamp, refresh: f64) -> bool {
+        let is_old = now.seconds_since(self.gossiped_at) > refresh;
+        self.gossip_pending || is_old && !self.is_idle()
+    }
+
+    /// Records that this node's work there was gossiped.
+    pub fn record_gossiped(&mut self, now: Timestamp) {
+        (self.gossip_pending, self.gossiped_at) = (false, now);
+    }
+
+    /// Replaces what another node reported of its own work there.
+    pub fn record_peer_backlog(&mut self, backlog: PeerBacklog) {
+        self.peer_backlogs.retain(|known| known.node != backlog.node);
+        if backlog.slots > 0.0 {
+            self.peer_backlogs.push(backlog);
+        }
+    }
+
+    /// Records a failure, for which it is ejected.
+    pub fn record_failure(&mut self, ejected_until: Timestamp) {
+        self.health.ejected_until = ejected_until;
+        self.health.consecutive_failures += 1;
+    }
+
+    /// Records that no connection could be made.
+    pub fn record_unreachable(&mut self) {
+        self.health.unreachable = true;
+    }
+
+    /// Records that it has accepted an attempt. Any other report on the attempt implies that.
+    pub fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
+        if let Some(attempt) = self.attempt_mut(id).filter(|attempt| !attempt.accepted) {
+            attempt.accepted = true;
+            self.record_contact(now);
+        }
+    }
+
+    /// Records progress: `share` of the attempt is done.
+    pub fn record_progress(&mut self, now: Timestamp, id: AttemptId, share: f64) {
+        if let Some(attempt) = self.attempt_mut(id) {
+            attempt.progress = Some(Progress { share: share.clamp(0.0, 1.0), at: now });
+        }
+        self.record_contact(now);
+    }
+
+    /// Records the start of an attempt. Returns by how many seconds it was later than predicted; none if the start
+    /// was known before.
+    pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
+        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
+        let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
+        attempt.started_at = Some(now);
+        let delay = attempt.start_delay(now).max(0.0);
+        self.excess_wait.set(now, (known_excess + delay) / 2.0);
+        self.record_contact(now);
+        Some(delay)
+    }
+
+    /// Records work that is being sent while it may be warming up. Sends of more than `window` seconds ago are
+    /// forgotten.
+    pub fn record_warm_up_send(&mut self, now: Timestamp, work: f64, window: f64) {
+        self.warm_up_sends.retain(|send| now.seconds_since(send.at) < window);
+        if self.estimates.warm_up_fraction < 1.0 {
+            self.warm_up_sends.push_back(WarmUpSend { at: now, work });
+        }
+    }
+
     /// Operators have enabled it, having disabled it at `disabled_at`. They usually restart it meanwhile and
     /// the list is late: unless the list shows a start since then, it is assumed to start now.
     pub fn reenable(&mut self, disabled_at: Timestamp, now: Timestamp) {
@@ -340,20 +467,34 @@
     pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
-            AttemptId { job: attempt.job, number: attempt.attempt }
+            attempt.id()
         })
     }
 
+    /// Takes over an attempt of another process of this node, for a job with that key.
+    pub fn adopt_attempt(&mut self, attempt: InFlightAttempt, key: Option<u64>) {
+        if let Some(key) = key {
+            self.record_key(key);
+        }
+        self.in_flight.push(attempt);
+        self.gossip_pending = true;
+        self.invalidate_estimates();
+    }
+
     /// Removes an attempt that has ended.
-    pub fn remove_attempt(&mut self, job: JobId, attempt: u32) -> Option<InFlightAttempt> {
-        let index = self.in_flight.iter().position(|known| known.job == job && known.attempt == attempt)?;
+    pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
+        let index = self.in_flight.iter().position(|known| known.id() == id)?;
         self.gossip_pending = true;
         self.invalidate_estimates();
         Some(self.in_flight.remove(index))
     }
 
     /// An attempt that is in flight there.
-    pub fn attempt_mut(&mut self, job: JobId, attempt: u32) -> Option<&mut InFlightAttempt> {
-        self.in_flight.iter_mut().find(|known| known.job == job && known.attempt == attempt)
+    pub fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
+        self.in_flight.iter().find(|known| known.id() == id)
+    }
+
+    fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
+        self.in_flight.iter_mut().find(|known| known.id() == id)
     }
 }
