--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -33,7 +33,7 @@
             if !intake_closed {
                 state.metrics.add(Counter::RequestsShed);
             }
-            return Ok(response::rejected(state.options.get().overload_retry_ms.millis()));
+            return Ok(response::rejected(state.options.get().overload_retry_after.duration()));
         }
         let body = body?;
         let open_job = OpenJob::new(state);
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -57,7 +57,7 @@
 async fn close_timed_out_connections(state: &ServerState) -> Infallible {
     loop {
         sleep(TIMEOUT_CHECK_INTERVAL).await;
-        let idle_timeout = state.options.get().idle_timeout_ms.millis();
+        let idle_timeout = state.options.get().idle_timeout.duration();
         // A node that shuts down keeps idle connections a little longer: clients use them until then.
         let phase = state.lifecycle.phase();
         let redirects = phase.redirects_clients() && !phase.is_shutting_down();
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -131,7 +131,7 @@
     }
 
     fn response_timeout(&self) -> Duration {
-        self.options.get().cancellation_timeout_ms.millis()
+        self.options.get().cancellation_timeout.duration()
     }
 }
 
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -62,7 +62,7 @@
     /// written to it then may or may not have arrived, which costs more than any number of new connections.
     /// Half of the announced time is well before their closing.
     fn max_idle(&self) -> Duration {
-        self.config.options.get().max_reuse_idle_ms.millis().min(self.config.keepalive / 2)
+        self.config.options.get().max_reuse_idle.duration().min(self.config.keepalive / 2)
     }
 
     /// Uses half of the connection budget or all of it.
--- a/crates/settings/src/operator/bounded_integer.rs
+++ b/crates/settings/src/operator/bounded_integer.rs
@@ -1,4 +1,4 @@
-//! An integer whose type holds its bounds, so that a value out of bounds is an error where the file is read.
+//! Numbers whose types hold their bounds, so that a value out of bounds is an error where the file is read.
 
 use std::fmt;
 use std::time::Duration;
@@ -26,10 +26,26 @@
     pub fn get(self) -> u64 {
         self.0
     }
+}
+
+/// A time span of `MIN` to `MAX` milliseconds, both allowed. The file has it as a whole number of milliseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct BoundedMillis<const MIN: u64, const MAX: u64>(BoundedInteger<MIN, MAX>);
+
+impl<const MIN: u64, const MAX: u64> BoundedMillis<MIN, MAX> {
+    /// A span of milliseconds.
+    ///
+    /// # Panics
+    ///
+    /// As [`BoundedInteger::new`].
+    pub const fn new(millis: u64) -> Self {
+        BoundedMillis(BoundedInteger::new(millis))
+    }
 
-    /// The value as a duration, for a field in milliseconds.
-    pub fn millis(self) -> Duration {
-        Duration::from_millis(self.0)
+    /// The span.
+    pub fn duration(self) -> Duration {
+        Duration::from_millis(self.0.get())
     }
 }
 
--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -9,7 +9,7 @@
 pub use curlewusher_toml_diagnostics::ParseError;
 use serde::{Deserialize, Serialize};
 
-pub use self::bounded_integer::BoundedInteger;
+pub use self::bounded_integer::{BoundedInteger, BoundedMillis};
 pub use self::options::{
     LogFormat, LogLevel, LogOptions, LogTarget, MetricsOptions, ServerOptions, UpstreamOptions,
 };
--- a/crates/settings/src/operator/options.rs
+++ b/crates/settings/src/operator/options.rs
@@ -1,14 +1,15 @@
 //! The sections of the operator's file: their fields, bounds and defaults.
 //!
-//! The name of a field ends in its unit where it has one. Where a Rust name differs from the name in the file, the
-//! latter stands in `serde(rename)`; how error messages call a section of another type stands in `serde(expecting)`.
+//! The name of a field ends in its unit where its type does not say it. Where a Rust name differs from the name in the
+//! file, the latter stands in `serde(rename)`; how error messages name a section that has another type stands in
+//! `serde(expecting)`.
 
 use std::collections::BTreeMap;
 
 use serde::de::{self, Deserializer};
 use serde::{Deserialize, Serialize};
 
-use super::bounded_integer::BoundedInteger;
+use super::bounded_integer::{BoundedInteger, BoundedMillis};
 
 /// Form of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -117,17 +118,17 @@
 pub struct ServerOptions {
     /// A connection without a request for this long is closed.
     #[serde(rename = "idle_ms")]
-    pub idle_timeout_ms: BoundedInteger<1_000, 3_600_000>,
+    pub idle_timeout: BoundedMillis<1_000, 3_600_000>,
     /// `Retry-After` of a request that is rejected because the node has no capacity for another job.
     #[serde(rename = "crowded_retry_ms")]
-    pub overload_retry_ms: BoundedInteger<10, 60_000>,
+    pub overload_retry_after: BoundedMillis<10, 60_000>,
 }
 
 impl Default for ServerOptions {
     fn default() -> Self {
         ServerOptions {
-            idle_timeout_ms: BoundedInteger::new(60_000),
-            overload_retry_ms: BoundedInteger::new(500),
+            idle_timeout: BoundedMillis::new(60_000),
+            overload_retry_after: BoundedMillis::new(500),
         }
     }
 }
@@ -138,17 +139,17 @@
 pub struct UpstreamOptions {
     /// A connection that was idle for longer is not reused.
     #[serde(rename = "reuse_ms")]
-    pub max_reuse_idle_ms: BoundedInteger<0, 600_000>,
+    pub max_reuse_idle: BoundedMillis<0, 600_000>,
     /// A cancellation that a worker does not acknowledge within this is sent again, until the job's deadline.
     #[serde(rename = "withdrawal_ms")]
-    pub cancellation_timeout_ms: BoundedInteger<50, 10_000>,
+    pub cancellation_timeout: BoundedMillis<50, 10_000>,
 }
 
 impl Default for UpstreamOptions {
     fn default() -> Self {
         UpstreamOptions {
-            max_reuse_idle_ms: BoundedInteger::new(300),
-            cancellation_timeout_ms: BoundedInteger::new(400),
+            max_reuse_idle: BoundedMillis::new(300),
+            cancellation_timeout: BoundedMillis::new(400),
         }
     }
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -5,8 +5,8 @@
 use crate::error::ReadError;
 use crate::wire::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, Wire};
 
-/// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a point in
-/// time is computed from it.
+/// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a moment is
+/// computed from it.
 const MAX_TIME_SPAN: TimeSpan = TimeSpan::from_secs(365 * 86_400);
 /// Lower bound of the poll interval that the platform gives, so that discovery is not polled too often.
 const MIN_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
@@ -77,7 +77,7 @@
         max_poll_interval: rules.max_poll_interval.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
         // The node sets it: only real connections acknowledge.
         assumed_notified_after: TimeSpan::ZERO,
-        // A size that changes with the load, or is the same for all workers, says nothing about slots.
+        // A size that changes with the load, or is the same for all workers, does not show how many slots there are.
         sizes_listed: matches!(wire.size_meaning.as_str(), "nominal" | "rough"),
         reports_start: family_info.reports_start,
         // The node sets it: only real connections time out.
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -7,12 +7,13 @@
 use curlewusher_core::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Time in which a connection must be up where the settings do not say, or say 0, with which nothing could be sent.
+/// Time within which a connection must be established where the settings give none or 0, with which no attempt could be
+/// sent.
 pub(crate) const DEFAULT_CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
-/// Idle time for which workers keep a connection open where the settings do not say.
+/// Idle time for which workers keep a connection open where the settings give none.
 const DEFAULT_KEEPALIVE: TimeSpan = TimeSpan::from_secs(1);
 
-/// The settings object, as a whole.
+/// The complete settings object.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Wire {
@@ -96,7 +97,7 @@
     pub(crate) keepalive: TimeSpan,
 }
 
-/// What a message costs.
+/// Prices of sending a job to another zone and of a gossip message.
 #[derive(Deserialize, Serialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Prices {
@@ -121,14 +122,14 @@
     pub(crate) overload_window: TimeSpan,
 }
 
-/// What only some families of sites say of their classes, by the index of the class.
+/// Properties of classes that only some families of sites give, by the index of the class.
 #[derive(Deserialize, Serialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct FamilyInfo {
     /// Kind of machine that a class requires; negative for any.
     #[serde(default, rename = "classKind")]
     pub(crate) class_kinds: Vec<i64>,
-    /// Stretch of the latency objective of a class that does not say it itself.
+    /// Stretch of the latency objective of a class that does not give its own.
     #[serde(default, rename = "classStretch")]
     pub(crate) class_stretches: Vec<f64>,
     /// Whether workers report that they have started a job.
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,4 +1,6 @@
-//! The operator's file and the settings object: every value of full ones, and the exact message of every mistake.
+//! The operator's file and the settings object: all values of complete ones, and the exact message of each error.
+//!
+//! The recorded files are older than the terms of the code, and so are the labels of the values in them.
 
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, TimeSpan};
 use curlewusher_settings::operator::{FIELDS, LogTarget, OperatorFile, TakesEffect};
@@ -11,7 +13,7 @@
 
 const FULL_FILE: &str = include_str!("golden/operator_full.toml");
 const FULL_OBJECT: &str = include_str!("golden/settings_full.json");
-const LEAST_OBJECT: &str = include_str!("golden/settings_least.json");
+const MINIMAL_OBJECT: &str = include_str!("golden/settings_least.json");
 
 /// The values of an operator's file, one a line.
 fn operator_values(file: &OperatorFile) -> String {
@@ -22,10 +24,10 @@
         format!("log.parts: {} entries", log.target_levels.len()),
         format!("log.lines_per_s: {}", log.lines_per_s.get()),
         format!("log.waiting_lines: {}", log.max_queued_lines.get()),
-        format!("sender_side.idle_ms: {:?}", file.server.idle_timeout_ms.millis()),
-        format!("sender_side.crowded_retry_ms: {:?}", file.server.overload_retry_ms.millis()),
-        format!("next_hop.reuse_ms: {:?}", file.upstream.max_reuse_idle_ms.millis()),
-        format!("next_hop.withdrawal_ms: {:?}", file.upstream.cancellation_timeout_ms.millis()),
+        format!("sender_side.idle_ms: {:?}", file.server.idle_timeout.duration()),
+        format!("sender_side.crowded_retry_ms: {:?}", file.server.overload_retry_after.duration()),
+        format!("next_hop.reuse_ms: {:?}", file.upstream.max_reuse_idle.duration()),
+        format!("next_hop.withdrawal_ms: {:?}", file.upstream.cancellation_timeout.duration()),
         format!("metrics.answer_bounds_ms: {:?}", metrics.response_time_bounds_ms),
     ];
     lines.extend(
@@ -35,12 +37,12 @@
 }
 
 #[test]
-fn an_operator_file_with_every_field_then_every_value_is_as_recorded() {
+fn operator_file_sets_every_field_then_every_value_is_as_recorded() {
     assert!(
         FIELDS.iter().all(|field| OperatorFile::sets(FULL_FILE, field)),
-        "the full file sets every field"
+        "the complete file sets every field"
     );
-    let file = OperatorFile::parse(FULL_FILE).expect("a good file");
+    let file = OperatorFile::parse(FULL_FILE).expect("a valid file");
     let defaults = OperatorFile::default().values();
     for ((field, value), (_, default)) in file.values().iter().zip(&defaults) {
         assert_ne!(value, default, "{} has another value than its default", field.path);
@@ -55,10 +57,10 @@
 }
 
 #[test]
-fn a_mistake_in_an_operator_file_then_the_message_is_as_recorded() {
+fn operator_file_is_invalid_then_the_message_is_as_recorded() {
     golden!("operator_mistakes.txt").assert_answers(|text| match OperatorFile::parse(text) {
         Ok(_) => "accepted".to_owned(),
-        Err(problem) => problem.to_string(),
+        Err(error) => error.to_string(),
     });
 }
 
@@ -136,19 +138,19 @@
 
 /// The values of a settings object, one a line.
 fn values_of(object: &str) -> Vec<String> {
-    site_values(&read(object).expect("a good object"))
+    site_values(&read(object).expect("a valid object"))
 }
 
 #[test]
-fn a_settings_object_with_every_field_or_none_that_may_lack_then_every_value_is_as_recorded() {
+fn settings_object_has_all_fields_or_the_required_ones_then_every_value_is_as_recorded() {
     golden!("settings_full.txt").assert_is(&(values_of(FULL_OBJECT).join("\n") + "\n"));
-    golden!("settings_least.txt").assert_is(&(values_of(LEAST_OBJECT).join("\n") + "\n"));
+    golden!("settings_least.txt").assert_is(&(values_of(MINIMAL_OBJECT).join("\n") + "\n"));
     let shown = |object: &str| {
         let written = serde_json::from_str(object).expect("JSON");
-        serde_json::to_string_pretty(&effective(written).expect("a good object")).expect("JSON") + "\n"
+        serde_json::to_string_pretty(&effective(written).expect("a valid object")).expect("JSON") + "\n"
     };
     golden!("settings_full_effective.json").assert_is(&shown(FULL_OBJECT));
-    golden!("settings_least_effective.json").assert_is(&shown(LEAST_OBJECT));
+    golden!("settings_least_effective.json").assert_is(&shown(MINIMAL_OBJECT));
 }
 
 /// The full object after an edit: `/path/of/field = value`, or `/path/of/field removed`.
@@ -163,15 +165,15 @@
     let (path, value) = edit.split_once(" = ").expect("an edit");
     let value = serde_json::from_str(value).expect("JSON");
     let (parent, name) = path.rsplit_once('/').expect("a path");
-    match object.pointer_mut(parent).expect("a place") {
-        Value::Array(list) => list[name.parse::<usize>().expect("a place")] = value,
+    match object.pointer_mut(parent).expect("a field") {
+        Value::Array(list) => list[name.parse::<usize>().expect("a field")] = value,
         table => table[name] = value,
     }
     object
 }
 
 #[test]
-fn a_settings_object_with_one_field_changed_then_the_changed_values_or_the_message_are_as_recorded() {
+fn settings_object_has_one_field_changed_then_the_changed_values_or_the_message_are_as_recorded() {
     let unchanged = values_of(FULL_OBJECT);
     golden!("settings_edits.txt").assert_answers(|edit| {
         let object = edited(edit);
@@ -181,20 +183,20 @@
                 let changed: Vec<_> = values.into_iter().filter(|line| !unchanged.contains(line)).collect();
                 if changed.is_empty() { "no change".to_owned() } else { changed.join("; ") }
             }
-            // Its form is right, so that it can be shown.
-            (Err(problem), Ok(_)) => problem.to_string(),
-            (site, Err(form_problem)) => {
-                let problem = site.expect_err("its form is wrong").to_string();
-                let place = problem.rfind(" at line ").expect("a place");
-                assert_eq!(form_problem.to_string(), format!("config: settings.{}", &problem[..place]));
-                problem
+            // A value is out of bounds; the form is right, so that the values can be shown.
+            (Err(error), Ok(_)) => error.to_string(),
+            (site, Err(form_error)) => {
+                let message = site.expect_err("its form is wrong").to_string();
+                let (without_position, _) = message.rsplit_once(" at line ").expect("a position");
+                assert_eq!(form_error.to_string(), format!("config: settings.{without_position}"));
+                message
             }
         }
     });
 }
 
 #[test]
-fn a_time_span_beyond_a_year_then_it_is_a_year() {
+fn time_span_exceeds_a_year_then_it_is_limited_to_a_year() {
     const YEAR: TimeSpan = TimeSpan::from_secs(365 * 86_400);
     let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
     let spans = [
@@ -210,12 +212,12 @@
     ];
     spans.iter().for_each(|path| *object.pointer_mut(path).expect("a span") = json!(u64::MAX));
     let values = values_of(&object.to_string()).join("\n");
-    // The longest wait that a client follows is also the longest that a refusal advises.
+    // `maxRetryAfterUs` counts twice: it also limits the `Retry-After` of the dispatcher's rejections.
     assert_eq!(values.matches(&YEAR.as_micros().to_string()).count(), spans.len() + 1, "{values}");
 }
 
 #[test]
-fn a_settings_object_that_is_a_list_then_the_message_shows_the_number_of_fields() {
+fn settings_object_is_a_list_then_the_message_shows_the_number_of_fields() {
     let message = read("[]").expect_err("a list").to_string();
     assert_eq!(message, "invalid length 0, expected struct Wire with 14 elements at line 1 column 2");
 }
--- a/crates/settings/tests/operator_file.rs
+++ b/crates/settings/tests/operator_file.rs
@@ -1,9 +1,9 @@
-//! The operator's file against its reference page and the file that is shipped, and the shape of its error messages.
+//! The operator's file: its reference page, the file that is shipped, and the form of error messages.
 
 use curlewusher_settings::operator::{FIELDS, OperatorFile, reference_table};
 
 #[test]
-fn the_reference_page_then_it_shows_every_field_and_nothing_else() {
+fn reference_page_is_read_then_it_shows_every_field_and_no_other() {
     let page = include_str!("../../../docs/operator-file.md");
     assert!(page.contains(&reference_table()), "docs/operator-file.md should hold:\n{}", reference_table());
     // A field that FIELDS lacks would be read and never shown.
@@ -14,13 +14,13 @@
 }
 
 #[test]
-fn the_shipped_file_then_it_sets_the_defaults() {
+fn shipped_file_is_parsed_then_it_gives_the_defaults() {
     let shipped = include_str!("../../../deploy/operator.toml");
     assert_eq!(OperatorFile::parse(shipped), Ok(OperatorFile::default()));
 }
 
 #[test]
-fn a_mistake_then_the_message_names_line_field_and_remedy() {
+fn field_is_invalid_then_the_message_names_line_field_and_remedy() {
     for (text, parts) in [
         ("[log]\nformat = \"xml\"", ["line 2", "log.format", "`text` or `json`"]),
         ("\n[log]\nlevle = \"info\"", ["line 3", "levle", "`level`"]),
