--- a/crates/settings/src/operator/reference.rs
+++ b/crates/settings/src/operator/reference.rs
@@ -47,13 +47,13 @@
         path: "log.lines_per_s",
         shape: "lines a second, 1 to 100000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "most lines of one part; more are dropped and counted",
+        meaning: "maximum of lines of one part; more are dropped and counted",
     },
     Field {
         path: "log.waiting_lines",
         shape: "lines, 16 to 65536",
         takes_effect: TakesEffect::AtNextStart,
-        meaning: "most lines that wait for a slow standard error; more are dropped and counted",
+        meaning: "maximum of lines that are queued for standard error; more are dropped and counted",
     },
     Field {
         path: "sender_side.idle_ms",
@@ -65,19 +65,19 @@
         path: "sender_side.crowded_retry_ms",
         shape: "ms, 10 to 60000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "`Retry-After` while all places for jobs are taken",
+        meaning: "`Retry-After` of a job that is rejected because the node has no capacity for it",
     },
     Field {
         path: "next_hop.reuse_ms",
         shape: "ms, 0 to 600000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "a connection to a worker that was idle for longer carries no job; never over half of the platform's `keepaliveUs`",
+        meaning: "a connection to a worker that was idle for longer is not reused; at most half of the platform's `keepaliveUs`",
     },
     Field {
         path: "next_hop.withdrawal_ms",
         shape: "ms, 50 to 10000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "a withdrawal that a worker does not answer within this is made again, until it is heard or the job's time is up",
+        meaning: "a cancellation that a worker does not acknowledge within this is sent again, until it is acknowledged or the job's deadline passes",
     },
     Field {
         path: "metrics.answer_bounds_ms",
