--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::send_permit::SendPermit;
 
 /// What has passed over a connection since its last request was handed to it.
 #[derive(Default)]
@@ -66,7 +66,7 @@
         Socket { stream, traffic, metrics }
     }
 
-    /// Fails if a request must not begin on this connection. A request that has begun goes on.
+    /// Fails if a request must not begin on this connection. A request that has begun is continued.
     fn check_before_first_byte(&self) -> io::Result<()> {
         if self.traffic.request_written() {
             return Ok(());
