--- a/crates/testbed/tests/unit/job_rules.rs
+++ b/crates/testbed/tests/unit/job_rules.rs
@@ -1,5 +1,7 @@
 //! The rules on jobs, checked on short sequences of events, each with its time in microseconds.
 
+use curlewusher_model::TimeSpan;
+
 use super::*;
 use crate::event_log::{Event, FailureReason, Record};
 use crate::rules::{RepeatPolicy, Rule, RuleParameters};
