--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -128,7 +128,7 @@
             td { (class.jobs) }
             td { (class.in_time) }
             td { (class.late) }
-            td { (class.refused) }
+            td { (class.rejected) }
             td { (class.failed) }
             td { (format!("{:.3}", class.share_in_time())) }
             td { (format!("{:.0}", class.p50_ms)) }
--- a/crates/testbed/src/report/summary.rs
+++ b/crates/testbed/src/report/summary.rs
@@ -44,7 +44,7 @@
         class.jobs,
         class.in_time,
         class.late,
-        class.refused,
+        class.rejected,
         class.failed,
         class.p50_ms,
         class.p90_ms,
