--- a/crates/model/src/worker_pool/parameters.rs
+++ b/crates/model/src/worker_pool/parameters.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct PoolParameters {
     /// Fraction of its capacity that a worker has when it starts; it rises linearly to 1 over `warm_up`.
-    pub cold_capacity_fraction: f64,
+    pub initial_capacity_fraction: f64,
     /// Duration of the warm-up.
     pub warm_up: TimeSpan,
     /// A worker that is warming up crashes when the work offered to it within `overload_window` exceeds this multiple
@@ -54,7 +54,7 @@
     /// The operators' deployment, the middle of each stated range.
     fn default() -> Self {
         PoolParameters {
-            cold_capacity_fraction: 0.13,
+            initial_capacity_fraction: 0.13,
             warm_up: TimeSpan::from_secs(24),
             overload_factor: 3.0,
             overload_window: TimeSpan::from_secs(2),
--- a/crates/model/src/worker_pool/worker.rs
+++ b/crates/model/src/worker_pool/worker.rs
@@ -117,8 +117,8 @@
         let Some(started_at) = self.started_at else { return 1.0 };
         let warm_up = parameters.warm_up.as_micros().max(1) as f64;
         let elapsed = now.saturating_since(started_at).as_micros() as f64 / warm_up;
-        let cold = parameters.cold_capacity_fraction;
-        (cold + (1.0 - cold) * elapsed).min(1.0)
+        let initial = parameters.initial_capacity_fraction;
+        (initial + (1.0 - initial) * elapsed).min(1.0)
     }
 
     pub(super) fn is_warming_up(&self, now: Timestamp, parameters: &PoolParameters) -> bool {
--- a/crates/model/tests/worker_pool.rs
+++ b/crates/model/tests/worker_pool.rs
@@ -56,7 +56,7 @@
 }
 
 fn is_near(at: Option<Timestamp>, seconds: f64) -> bool {
-    at.is_some_and(|at| at.abs_diff(after(seconds)) <= TimeSpan::from_micros(20))
+    at.is_some_and(|moment| moment.abs_diff(after(seconds)) <= TimeSpan::from_micros(20))
 }
 
 #[test]
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn killed_worker_then_its_jobs_are_lost_and_it_starts_cold() {
+fn killed_worker_then_its_jobs_are_lost_and_it_warms_up_after_its_start() {
     let mut driver = Driver::new(1);
     driver.arrive(Timestamp::ZERO, 0, 1, job(1));
     driver.arrive(Timestamp::ZERO, 0, 2, job(1));
@@ -127,11 +127,11 @@
     assert_eq!(driver.arrive(after(0.6), 0, 3, job(1)), [PoolEffect::Rejected(3)]);
     driver.handle(after(1.0), PoolInput::Start(0));
     driver.arrive(after(1.0), 0, 4, job(1));
-    assert!(driver.completion_of(4).is_some_and(|at| at > after(6.0)), "it fetches again and is cold");
+    assert!(driver.completion_of(4).is_some_and(|at| at > after(6.0)), "it fetches again and warms up");
 }
 
 #[test]
-fn too_much_work_offered_then_a_cold_worker_crashes_and_a_warm_one_does_not() {
+fn too_much_work_offered_then_a_worker_that_warms_up_crashes_and_a_warm_one_does_not() {
     let mut driver = Driver::new(1);
     // A warm one rejects what it cannot take, however much.
     for attempt in 1..=12 {
--- a/crates/testbed/src/nodes.rs
+++ b/crates/testbed/src/nodes.rs
@@ -117,7 +117,7 @@
             "familyInfo": {"classKind": vec![-1; services.len()], "tellsStart": true},
             "limits": {"cancel": true, "mayDuplicate": false, "mayTell": false, "sendCap": 3, "retryAfter": false,
                 "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 150_000, "keepaliveUs": 30_000_000},
-            "rules": {"askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_capacity_fraction,
+            "rules": {"askWithinUs": 10_000_000, "coldShare": scenario.fleet.initial_capacity_fraction,
                 "warmUpUs": TimeSpan::from_secs_f64(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR, "fallUs": OVERLOAD_WINDOW},
         },
     });
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -66,7 +66,7 @@
     /// The parameters of the worker pool.
     pub fn pool_parameters(&self) -> PoolParameters {
         PoolParameters {
-            cold_capacity_fraction: self.fleet.cold_capacity_fraction,
+            initial_capacity_fraction: self.fleet.initial_capacity_fraction,
             warm_up: TimeSpan::from_secs_f64(self.fleet.warm_up_s),
             overload_factor: OVERLOAD_FACTOR,
             overload_window: OVERLOAD_WINDOW,
--- a/crates/testbed/src/scenario/fault.rs
+++ b/crates/testbed/src/scenario/fault.rs
@@ -1,8 +1,8 @@
-//! Faults: what goes wrong in a run, or is done to the system.
+//! Faults of a scenario: failures of workers, nodes, links and discovery, and actions of operators.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest wait between the successor's first yes and SIGTERM for its predecessor, in seconds.
+/// The longest delay between the first readiness of a successor and SIGTERM for its predecessor, in seconds.
 pub const MAX_DELAY_S: f64 = 6.0;
 
 /// A fault.
@@ -23,7 +23,7 @@
     /// The slowdown, for `slow`.
     #[serde(default)]
     pub factor: Option<f64>,
-    /// The longest wait between the successor's first yes and SIGTERM, of which a drawn part is waited.
+    /// The longest delay between the first readiness of the successor and SIGTERM; the delay is drawn up to it.
     #[serde(default)]
     pub delay_s: Option<f64>,
     /// The process that dies, for `kill_in_upgrade`; drawn if none is named.
@@ -61,17 +61,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A worker's process dies; after `for_s` it starts again, cold.
+    /// A worker's process dies; after `for_s` it starts again and warms up.
     Kill,
-    /// A worker accepts connections and requests, and answers nothing.
+    /// A worker accepts connections and requests, and sends no responses.
     Silent,
     /// A worker runs slower by `factor`.
     Slow,
-    /// A worker completes what is running and ends; after `for_s` it starts again, cold.
+    /// A worker completes what is running and ends; after `for_s` it starts again and warms up.
     Drain,
-    /// Discovery lists a worker as draining, and as in service again after `for_s`; it goes on taking all that it is sent.
+    /// Discovery lists a worker as draining, and as in service again after `for_s`; the worker accepts jobs all the while.
     AnnouncedDrain,
-    /// Workers that were not there start, cold.
+    /// Workers that did not exist before start and warm up.
     Grow,
     /// Discovery fails its polls and ends its watches.
     DiscoveryDown,
@@ -84,30 +84,31 @@
     NodeKill,
     /// An operator drains a node, and ends the drain after `for_s`.
     NodeDrain,
-    /// An operator disables a worker on all nodes, and enables it after `for_s`; half way it is started again, cold.
+    /// An operator disables a worker on all nodes, and enables it after `for_s`; half way through, the worker is
+    /// restarted and warms up.
     Maintenance,
     /// The successor of a node's process is started beside it; the predecessor gets SIGTERM a drawn time after the
     /// successor is ready.
     Upgrade,
     /// The same, and one of both processes is killed at a drawn moment.
     KillInUpgrade,
-    /// A node's process is stopped by a signal, and goes on after `for_s`.
+    /// A node's process is paused by SIGSTOP, and continued after `for_s`.
     NodePause,
-    /// Discovery takes longer for each call, by `factor`, so that calls wait for each other and are dropped.
+    /// Discovery takes longer for each call, by `factor`, so that calls queue behind each other and are dropped.
     DiscoverySlow,
-    /// Nothing passes between a node and discovery, in silence; at the end open connections are reset.
+    /// The link between a node and discovery drops all bytes without an error; at the end open connections are reset.
     DiscoveryLinkCut,
-    /// Connections between a node and discovery are reset, new ones too.
+    /// Connections between a node and discovery are reset, also those that are opened meanwhile.
     DiscoveryLinkRefused,
     /// All connections of a node to discovery are reset, once.
     DiscoveryLinkReset,
     /// What discovery sends to a node arrives late and in small pieces.
     DiscoveryLinkSlow,
-    /// Nothing passes between the nodes and a worker, in silence; at the end open connections are reset.
+    /// The links between the nodes and a worker drop all bytes without an error; at the end open connections are reset.
     WorkerLinkCut,
     /// All connections of the nodes to a worker are reset, once.
     WorkerLinkReset,
-    /// What a worker sends arrives late and in small pieces, and so does what is sent to it, in time.
+    /// What a worker sends arrives late and in small pieces; what is sent to it arrives in small pieces, without delay.
     WorkerLinkSlow,
 }
 
@@ -155,6 +156,7 @@
         )
     }
 
+    /// Whether it is an upgrade of nodes.
     pub fn is_upgrade(self) -> bool {
         matches!(self, FaultKind::Upgrade | FaultKind::KillInUpgrade)
     }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -83,7 +83,7 @@
     pub contention_penalty: f64,
     /// Fraction of its capacity that a worker has when it starts.
     #[serde(rename = "cold_share")]
-    pub cold_capacity_fraction: f64,
+    pub initial_capacity_fraction: f64,
     pub warm_up_s: f64,
     /// Delay between a change and its publication by discovery.
     #[serde(rename = "list_late_s")]
@@ -131,7 +131,7 @@
             fetch_s: 1.4,
             archive_concurrency: 24.0,
             contention_penalty: 0.05,
-            cold_capacity_fraction: 0.13,
+            initial_capacity_fraction: 0.13,
             warm_up_s: 24.0,
             publication_delay_s: 2.0,
             discovery_call_s: 0.01,
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -75,7 +75,7 @@
             Bound::single("fleet", "fetch_s", fleet.fetch_s, 0.0, 3_600.0),
             Bound::single("fleet", "archive", fleet.archive_concurrency, 0.1, 1e6),
             Bound::single("fleet", "crowding", fleet.contention_penalty, 0.0, 100.0),
-            Bound::single("fleet", "cold_share", fleet.cold_capacity_fraction, 0.01, 1.0),
+            Bound::single("fleet", "cold_share", fleet.initial_capacity_fraction, 0.01, 1.0),
             Bound::single("fleet", "warm_up_s", fleet.warm_up_s, 0.0, 3_600.0),
             Bound::single("fleet", "list_late_s", fleet.publication_delay_s, 0.0, 5.0),
             Bound::single("fleet", "list_call_s", fleet.discovery_call_s, 0.0, 2.0),
--- a/crates/testbed/tests/unit/event_log.rs
+++ b/crates/testbed/tests/unit/event_log.rs
@@ -3,40 +3,41 @@
 use super::*;
 use crate::golden::{self, golden};
 
-fn events() -> Vec<Event> {
-    let id = || "r-1".to_owned();
-    let call = |owed, said: Option<&str>| Event::AdminCommandEnded {
-        node: 1,
-        command: "READY".into(),
-        expected: owed,
-        answer: said.map(str::to_owned),
-        took: TimeSpan::from_micros(9),
+const REQUEST: &str = "r-1";
+
+fn client_events() -> Vec<Event> {
+    let sent = Event::RequestSent {
+        id: REQUEST.into(),
+        job: 1,
+        node: 2,
+        class: 3,
+        timeout: TimeSpan::from_micros(4),
+        delay: TimeSpan::from_micros(5),
+    };
+    let failed = |reason| Event::RequestFailed { id: REQUEST.into(), reason };
+    vec![
+        sent,
+        Event::ResponseReceived { id: REQUEST.into(), status: 200, has_own_result: true },
+        failed(FailureReason::NoNode),
+        failed(FailureReason::Unreachable),
+        failed(FailureReason::Reset),
+        failed(FailureReason::Closed),
+        failed(FailureReason::Late),
+    ]
+}
+
+fn worker_events() -> Vec<Event> {
+    let arrived = Event::AttemptArrived {
+        attempt: 1,
+        id: REQUEST.into(),
+        node: 2,
+        worker: 3,
+        bay: 4,
+        work_seconds: 0.5,
+        head_at: Timestamp::from_micros(6),
     };
-    let missing = |why| Event::RequestFailed { id: "r-1".into(), reason: why };
     vec![
-        Event::RequestSent {
-            id: id(),
-            job: 1,
-            node: 2,
-            class: 3,
-            timeout: TimeSpan::from_micros(4),
-            delay: TimeSpan::from_micros(5),
-        },
-        Event::ResponseReceived { id: id(), status: 200, has_own_result: true },
-        missing(FailureReason::NoNode),
-        missing(FailureReason::Unreachable),
-        missing(FailureReason::Reset),
-        missing(FailureReason::Closed),
-        missing(FailureReason::Late),
-        Event::AttemptArrived {
-            attempt: 1,
-            id: id(),
-            node: 2,
-            worker: 3,
-            bay: 4,
-            work_seconds: 0.5,
-            head_at: Timestamp::from_micros(6),
-        },
+        arrived,
         Event::AttemptAccepted { attempt: 1 },
         Event::AttemptRejected { attempt: 1 },
         Event::AttemptStarted { attempt: 1 },
@@ -47,15 +48,27 @@
         Event::EndpointSent { node: 1, worker: 2, in_service: true, started_at: Timestamp::from_micros(3) },
         Event::WorkerStarted { worker: 1 },
         Event::WorkerOverloaded { worker: 1 },
+    ]
+}
+
+fn node_events() -> Vec<Event> {
+    let command = |expected, answer: Option<&str>| Event::AdminCommandEnded {
+        node: 1,
+        command: "READY".into(),
+        expected,
+        answer: answer.map(str::to_owned),
+        took: TimeSpan::from_micros(9),
+    };
+    vec![
         Event::NodeReady { node: 1 },
         Event::NodeTerminated { node: 1 },
         Event::NodeExited { node: 1, killed: true },
         Event::ReadinessChanged { node: 1, readiness: Readiness::Yes },
         Event::ReadinessChanged { node: 1, readiness: Readiness::No },
         Event::ReadinessChanged { node: 1, readiness: Readiness::Nothing },
-        call(ExpectedAnswer::Yes, Some("yes")),
-        call(ExpectedAnswer::No, None),
-        call(ExpectedAnswer::Either, Some("no")),
+        command(ExpectedAnswer::Yes, Some("yes")),
+        command(ExpectedAnswer::No, None),
+        command(ExpectedAnswer::Either, Some("no")),
         Event::ConnectionsCounted { node: 1, idle: 2, fresh: 3 },
         Event::UpgradeBegan { node: 1 },
         Event::SuccessorReady { node: 1 },
@@ -68,7 +81,8 @@
 #[test]
 fn every_event_then_its_line_is_as_recorded_and_reads_back() {
     let mut lines = String::new();
-    for (at, event) in events().into_iter().enumerate() {
+    let events = [client_events(), worker_events(), node_events()].concat();
+    for (at, event) in events.into_iter().enumerate() {
         let record = Record { at: Timestamp::from_micros(at as u64), event };
         let line = serde_json::to_string(&record).expect("JSON");
         assert_eq!(serde_json::from_str::<Record>(&line).expect("a record"), record);
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -10,7 +10,7 @@
 const FULL: &str = include_str!("../golden/scenario_full.toml");
 
 fn full() -> Scenario {
-    Scenario::parse(FULL).expect("a good scenario")
+    Scenario::parse(FULL).expect("a valid scenario")
 }
 
 fn workload_lines(scenario: &Scenario) -> Vec<String> {
@@ -39,7 +39,7 @@
     vec![
         format!(
             "cold share {}, warm-up {}",
-            parameters.cold_capacity_fraction,
+            parameters.initial_capacity_fraction,
             parameters.warm_up.as_micros()
         ),
         format!(
@@ -110,7 +110,7 @@
 fn a_scenario_with_every_field_then_every_value_is_as_recorded() {
     let values = serde_json::to_string_pretty(&full()).expect("JSON");
     golden!("scenario_values.json").assert_is(&(values + "\n"));
-    let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a good scenario");
+    let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a valid scenario");
     let values = serde_json::to_string_pretty(&least).expect("JSON");
     golden!("scenario_least_values.json").assert_is(&(values + "\n"));
 }
@@ -118,6 +118,7 @@
 #[test]
 fn a_scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
     let scenario = full();
-    let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines].map(|of| of(&scenario));
+    let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines]
+        .map(|lines_of| lines_of(&scenario));
     golden!("scenario_parts.txt").assert_is(&(lines.concat().join("\n") + "\n"));
 }
--- a/crates/testbed/tests/unit/job_rules.rs
+++ b/crates/testbed/tests/unit/job_rules.rs
@@ -71,7 +71,7 @@
 fn missing_response_then_violation_unless_the_node_was_killed_or_the_request_came_late_in_a_drain() {
     let exited = |at, killed| (at, Event::NodeExited { node: 0, killed });
     let sigterm = |at| (at, Event::NodeTerminated { node: 0 });
-    let failed = |why| (900_000, Event::RequestFailed { id: "r".into(), reason: why });
+    let failed = |reason| (900_000, Event::RequestFailed { id: "r".into(), reason });
     for (events, broken) in [
         (vec![sent(0, 0), responded(1_050_000, 200)], false),
         (vec![sent(0, 0), responded(1_050_001, 200)], true),
@@ -91,7 +91,7 @@
 #[test]
 fn repeated_attempt_then_violation_unless_the_class_allows_it_and_no_attempt_is_outstanding() {
     let (lost, returned) =
-        (|n| (1, Event::AttemptLost { attempt: n }), |n| (1, Event::AttemptReturned { attempt: n }));
+        (|attempt| (1, Event::AttemptLost { attempt }), |attempt| (1, Event::AttemptReturned { attempt }));
     for (class, end, bay, at, broken) in [
         (0, Some(lost(1)), 2, 2, false),
         (0, None, 1, 2, true),
@@ -118,7 +118,7 @@
 
 #[test]
 fn connection_lost_in_an_upgrade_then_violation_unless_unread_or_its_process_was_killed() {
-    let failed = |at, why| (at, Event::RequestFailed { id: "r".into(), reason: why });
+    let failed = |at, reason| (at, Event::RequestFailed { id: "r".into(), reason });
     let began = (5, Event::UpgradeBegan { node: 0 });
     let ended = |at| (at, Event::UpgradeEnded { node: 0 });
     let killed = (200_000, Event::ProcessExited { node: 0, is_successor: false, killed: true });
