--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -8,7 +8,6 @@
 //! | [`migration`] | jobs on their way between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
 //! | [`timers`], [`clock`] | when the task acts by itself |
-//! | [`transport`] | what carries attempts to workers |
 //! | [`outcomes`] | which counters outcomes and responses go to |
 //! | [`task`] | the task itself |
 
@@ -23,13 +22,11 @@
 mod permission_monitor;
 mod task;
 mod timers;
-mod transport;
 
 pub use attempts::CallbackState;
-pub use clock::Clock;
+pub use clock::{Clock, time_span};
 pub use endpoints::NamedEndpoint;
 pub use jobs::{JobHandle, JobOwner, JobResponse, SubmittedJob};
 pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
-pub use migration::{IncomingMigration, JobMigration, OutgoingMigration};
+pub use migration::{IncomingMigration, JobMigration, MigrationOutcome, OutgoingMigration};
 pub use task::{DispatchParts, DispatchTask};
-pub use transport::{AttemptId, AttemptRequest, AttemptTransport};
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -2,31 +2,30 @@
 //! [`migration`](crate::dispatch::migration).
 
 use std::rc::Rc;
-use std::time::Duration;
 
-use curlewusher_core::{Event, JobId, Micros};
+use curlewusher_core::{Event, JobId, Timestamp};
 use tokio::sync::oneshot;
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::SendPermit;
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::{Job, JobHandle};
 use crate::dispatch::migration::{
-    IncomingJob, IncomingMigration, JobMigration, MigratedAttempt, OutgoingJob, OutgoingMigration,
-    is_migratable,
+    IncomingJob, IncomingMigration, JobMigration, MigratedAttempt, MigrationOutcome, OutgoingJob,
+    OutgoingMigration, is_migratable,
 };
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
-use crate::upstream::send_permit::SendPermit;
 
 /// A migrated job whose attempts are being resumed.
 struct ResumedJob<'a, P> {
     id: JobId,
     request_id: &'a Rc<str>,
     payload: &'a Rc<P>,
-    now: Micros,
+    now: Timestamp,
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
@@ -55,24 +54,25 @@
         let receiver_is_gone = migration_channel.send(outgoing).is_err();
         self.migrations.insert_outgoing(id, OutgoingJob { migration, job });
         if receiver_is_gone {
-            self.finish_outgoing_migration(job_handle, false);
+            self.finish_outgoing_migration(job_handle, MigrationOutcome::RolledBack);
         }
     }
 
     /// Ends a migration to the other process: that one owns the job now, or the job is rolled back.
-    pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, accepted: bool) {
+    pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(outgoing) = self.migrations.remove_outgoing(id) else { return };
-        if accepted {
-            self.jobs.release(&outgoing.job.request_id);
-            self.metrics.add(Counter::JobsMigratedAway);
-        } else {
-            self.roll_back_migration(id, outgoing);
+        match outcome {
+            MigrationOutcome::Accepted => {
+                self.jobs.release(&outgoing.job.request_id);
+                self.metrics.add(Counter::JobsMigratedAway);
+            }
+            MigrationOutcome::RolledBack => self.rollback_migration(id, outgoing),
         }
     }
 
     /// Puts a job back into the table that the other process has not accepted.
-    fn roll_back_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
+    fn rollback_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
         let OutgoingJob { migration, job } = outgoing;
         let is_client_gone = job.is_settled();
         if is_client_gone && !migration.has_attempt_in_flight() {
@@ -109,12 +109,12 @@
     }
 
     /// Ends a migration from the other process: this one owns the job now, or the job stays with the other.
-    pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, confirmed: bool) {
+    pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(incoming) = self.migrations.remove_incoming(id) else { return };
         let now = self.clock.now();
-        let is_adopted =
-            confirmed && self.dispatcher.adopt_job(now, id, &incoming.migration.job, &mut self.actions);
+        let is_adopted = outcome == MigrationOutcome::Accepted
+            && self.dispatcher.adopt_job(now, id, &incoming.migration.job, &mut self.actions);
         if is_adopted {
             self.add_migrated_job(id, now, incoming);
         } else {
@@ -123,7 +123,7 @@
     }
 
     /// Adds a job to the table that the dispatcher has adopted, and resumes its attempts.
-    fn add_migrated_job(&mut self, id: JobId, now: Micros, incoming: IncomingJob<T::Payload>) {
+    fn add_migrated_job(&mut self, id: JobId, now: Timestamp, incoming: IncomingJob<T::Payload>) {
         let IncomingJob { request_id, migration, payload, response_channel, job_handle } = incoming;
         let payload = Rc::new(payload);
         let resumed = ResumedJob { id, request_id: &request_id, payload: &payload, now };
@@ -168,12 +168,12 @@
             state = AttemptState::InFlight;
             cancel = Some(cancel_channel);
             self.timers.schedule(migrated.expires_at, Timer::AttemptTimeout(id));
-            self.transport.resume_attempt(AttemptRequest {
+            self.worker_client.resume_attempt(AttemptRequest {
                 id,
                 request_id: Rc::clone(job.request_id),
                 address,
                 payload: Rc::clone(job.payload),
-                timeout: Duration::from_micros(migrated.expires_at.saturating_sub(job.now)),
+                timeout: migrated.expires_at.saturating_since(job.now).into(),
                 cancel: cancel_receiver,
                 send_permit: Rc::clone(&send_permit),
             });
