--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -248,7 +248,7 @@
     fn start_poll(&mut self) {
         let request =
             PollRequest { address: self.address, known_index: self.known_index, started_at: Instant::now() };
-        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "poll");
+        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "endpoint poll sent");
         let poll = PendingPoll { generation: self.generation, result: Box::pin(request.run()) };
         self.pending_polls.push(poll);
         let may_hedge = self.timing.lists_are_pushed() || self.has_unrequested_polls();
@@ -333,7 +333,7 @@
         if self.timing.lists_are_pushed() {
             let retry_at = now + WatchTiming::retry_delay(self.consecutive_failures);
             self.consecutive_failures += 1;
-            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |at| at.min(retry_at)));
+            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |scheduled| scheduled.min(retry_at)));
         } else if self.has_unrequested_polls() && !self.has_pending_poll() {
             let delay = if failure.is_poll { Duration::ZERO } else { self.timing.slot_delay() };
             self.next_poll_at.get_or_insert(now + delay);
