--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -1,29 +1,28 @@
 //! Performs the dispatcher's actions.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use curlewusher_core::permission::Denial;
-use curlewusher_core::{Action, JobId, Micros, Outcome, WorkerId};
+use curlewusher_core::{Action, JobId, Outcome, TimeSpan, Timestamp, WorkerId};
 use tokio::sync::oneshot;
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::{AttemptId, AttemptRequest, AttemptTransport};
+use crate::attempt::{SendPermit, SendPermitParts};
 use crate::dispatch::attempts::{Attempt, AttemptState};
 use crate::dispatch::jobs::JobResponse;
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptRequest, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
-use crate::upstream::send_permit::{SendPermit, SendPermitParts};
 
 /// Where and how an attempt is to be sent.
 struct AttemptSpec {
     job: JobId,
     worker: WorkerId,
-    timeout: Micros,
+    timeout: TimeSpan,
     /// The first byte may be written until then; None where only the timeout bounds it.
-    send_by: Option<Micros>,
+    send_by: Option<Timestamp>,
 }
 
 /// Whether an attempt was handed to the transport.
@@ -49,8 +48,7 @@
                     }
                 }
                 Action::Reject { job, retry_after } => {
-                    let retry_after = Duration::from_micros(retry_after);
-                    self.respond(job, JobResponse::Rejected { retry_after });
+                    self.respond(job, JobResponse::Rejected { retry_after: retry_after.into() });
                     self.jobs.remove_if_finished(job);
                 }
                 Action::Fail { job } => {
@@ -115,21 +113,22 @@
         let address = worker.address;
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::AttemptsStarted);
+        let writable_for = spec.send_by.map(|moment| moment.saturating_since(self.clock.now()));
         debug!(
             target: DISPATCH,
             %request_id,
             attempt = id.number,
             worker = %worker_name,
             %address,
-            may_be_written_for_us = spec.send_by.map(|moment| moment.saturating_sub(self.clock.now())),
+            may_be_written_for_us = writable_for.map(TimeSpan::as_micros),
             "attempt sent"
         );
-        self.transport.start_attempt(AttemptRequest {
+        self.worker_client.start_attempt(AttemptRequest {
             id,
             request_id,
             address,
             payload: Rc::clone(&job.payload),
-            timeout: Duration::from_micros(spec.timeout),
+            timeout: spec.timeout.into(),
             cancel: cancel_receiver,
             send_permit,
         });
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, TimeSpan};
 use curlewusher_settings::Site;
 use curlewusher_settings::operator::{OperatorFile, ServerOptions, UpstreamOptions};
 use tokio::signal::unix::Signal;
@@ -29,22 +29,23 @@
 use crate::discovery::{EndpointWatcher, WatchTiming};
 use crate::dispatch::{
     self, Clock, DispatchCommand, DispatchMessage, DispatchParts, DispatchQueue, DispatchTask, NamedEndpoint,
+    time_span,
 };
 use crate::handover::takeover::{TakeoverParts, TakeoverTask};
 use crate::handover::{MIGRATION_TIMEOUT, Peer, StartupHandover};
 use crate::lifecycle::Lifecycle;
-use crate::runtime::descriptor_budget::DescriptorBudget;
+use crate::runtime::descriptor_budget::{AdminAddress, DescriptorBudget};
 use crate::runtime::error::ServeError;
 use crate::runtime::reload::ConfigReloader;
 use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
-use crate::server::{Server, ServerParts};
+use crate::server::{PortSharing, Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
 
 /// Time in which a healthy worker answers a job on an open connection, with a wide margin.
-const ACCEPT_RESPONSE_TIMEOUT: Micros = 400_000;
+const ACCEPT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
 /// Discovery counts as having notified this node of a change this long after it had it and could be reached.
 const ENDPOINT_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Commands to the dispatch task that may wait; each takes microseconds.
@@ -102,8 +103,8 @@
 
     fn create_upstream(&self, site: &Site) -> UpstreamClient {
         let config = UpstreamConfig {
-            connect_timeout: Duration::from_micros(site.connect_timeout),
-            keepalive: Duration::from_micros(site.keepalive),
+            connect_timeout: site.connect_timeout.into(),
+            keepalive: site.keepalive.into(),
             options: self.upstream_options.clone(),
             budget: self.descriptors.upstream_connections(),
         };
@@ -184,7 +185,8 @@
         let metrics = create_metrics(&site, &operator, logging);
         adapt_settings_to_sockets(&mut site);
         let dispatcher = Dispatcher::new(site.dispatcher.clone(), seed)?;
-        let descriptors = DescriptorBudget::divide(limits.sockets, admin.is_some());
+        let admin_address = if admin.is_some() { AdminAddress::Configured } else { AdminAddress::None };
+        let descriptors = DescriptorBudget::divide(limits.sockets, admin_address);
         let (shared, dispatch_messages) = SharedState::create(metrics, descriptors, &operator);
         let upstream = shared.create_upstream(&site);
 
@@ -197,7 +199,7 @@
         let dispatch_task = DispatchTask::new(DispatchParts {
             dispatcher,
             clock: shared.clock,
-            transport: upstream.clone(),
+            worker_client: upstream.clone(),
             messages: dispatch_messages,
             commands: received_commands,
             watch_requests: poll_requester,
@@ -239,9 +241,9 @@
     /// The listener that the other process passes on, or one of its own.
     fn open_client_listener(&self, handover: &StartupHandover) -> Result<ClientListener, ServeError> {
         let open = || -> io::Result<ClientListener> {
-            let may_be_shared = self.admin_listener.is_some();
-            let listener =
-                handover.listener().unwrap_or_else(|| self.server.listen(self.listen, may_be_shared))?;
+            let sharing =
+                if self.admin_listener.is_some() { PortSharing::Shared } else { PortSharing::Exclusive };
+            let listener = handover.listener().unwrap_or_else(|| self.server.listen(self.listen, sharing))?;
             Ok(ClientListener {
                 address: listener.local_addr()?,
                 for_successor: listener.try_clone()?,
@@ -269,9 +271,9 @@
             server: self.server.clone(),
             upstream: self.upstream.clone(),
             admin: admin.clone(),
+            has_saved_endpoints: !self.saved_endpoints.is_empty(),
         };
         let discovery = self.discovery;
-        let has_saved_endpoints = !self.saved_endpoints.is_empty();
         let has_predecessor = handover.has_predecessor();
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
@@ -280,7 +282,7 @@
         let idle_connection_sweep = spawn_local(self.upstream.clone().sweep());
         let accept_task = spawn_local(self.server.clone().accept(listener.accepting));
         let (takeover_handle, takeover_task) =
-            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available, has_saved_endpoints);
+            TakeoverTask::start(handover, takeover_parts, discovery.endpoints_available);
         let takeover = spawn_local(takeover_task);
         let (admin_address, admin_commands) =
             self.admin_listener.map(|listener| (listener.address, listener.commands)).unzip();
@@ -319,7 +321,7 @@
     site.dispatcher.max_retry_after = site.max_retry_after;
     // A worker acknowledges an attempt with a 202 long before the job starts.
     site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
-    site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT.as_micros() as Micros;
+    site.dispatcher.assumed_notified_after = time_span(ENDPOINT_NOTIFICATION_TIMEOUT);
 }
 
 /// Writes where clients and operators reach this process.
--- a/crates/testbed/src/stress_run.rs
+++ b/crates/testbed/src/stress_run.rs
@@ -6,6 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+use curlewusher_model::Timestamp;
 use curlewusher_model::workload::random_stream;
 use rand::Rng;
 use tokio::io::AsyncWriteExt;
@@ -13,7 +14,7 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::event_log::ExpectedAnswer;
-use crate::fleet::name_of;
+use crate::fleet::worker_name;
 use crate::play::{Environment, Played};
 use crate::rules::{OperationFigures, Rule, UpgradeFigures, Violation};
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -109,7 +110,7 @@
 
 impl Environment {
     /// Does all rounds on the first node, and counts those that are done.
-    pub async fn stress(&self, run: StressRun, begin: u64, rounds_done: &AtomicUsize) {
+    pub async fn stress(&self, run: StressRun, begin: Timestamp, rounds_done: &AtomicUsize) {
         sleep_until(self.log.instant(begin) + LEAD_TIME).await;
         for round in 0..run.rounds {
             match run.kind {
@@ -138,7 +139,7 @@
                 tokio::spawn(stall(admin_address, client));
             }
         }
-        let worker = name_of(round % self.scenario.worker_count());
+        let worker = worker_name(round % self.scenario.worker_count());
         for (command, expected) in [
             ("READY".to_owned(), ExpectedAnswer::Yes),
             (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
