--- /dev/null
+++ b/crates/testbed/src/fleet/callback.rs
@@ -0,0 +1,119 @@
+//! Callbacks of workers to the node that sent an attempt.
+
+use std::fmt;
+use std::time::Duration;
+
+use bytes::Bytes;
+use curlewusher_model::worker_pool::WorkerIndex;
+use http_body_util::{BodyExt, Full};
+use hyper::{Request, StatusCode};
+use hyper_util::client::legacy::Client;
+use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::rt::TokioExecutor;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
+use tokio::time::{sleep, timeout};
+
+use super::NodeAddresses;
+use super::endpoint_encoder::worker_name;
+
+/// How often a callback is sent at most.
+const MAX_DELIVERY_ATTEMPTS: usize = 10;
+/// Wait before a callback is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time that one delivery attempt may take.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A report of a worker on an attempt.
+pub(super) struct Callback {
+    pub(super) request_id: String,
+    pub(super) worker: WorkerIndex,
+    pub(super) report: AttemptReport,
+}
+
+/// The state of an attempt in a callback.
+pub(super) enum AttemptReport {
+    Started,
+    /// The job has run to this fraction.
+    Running {
+        fraction: f64,
+    },
+    Done {
+        result: String,
+    },
+    /// A draining worker returned the job; it has not run.
+    Returned,
+    /// The worker's process died with the job; sent by the agent on its machine.
+    Lost,
+}
+
+impl fmt::Display for AttemptReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            AttemptReport::Started => f.write_str(r#""state":"started""#),
+            AttemptReport::Running { fraction } => write!(f, r#""state":"running","share":{fraction:.3}"#),
+            AttemptReport::Done { result } => write!(f, r#""state":"done","result":"{result}""#),
+            AttemptReport::Returned => f.write_str(r#""state":"returned""#),
+            AttemptReport::Lost => f.write_str(r#""state":"lost""#),
+        }
+    }
+}
+
+/// The JSON form of a callback. The order of its fields is fixed.
+impl fmt::Display for Callback {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Callback { request_id, worker, report } = self;
+        let from = worker_name(*worker);
+        write!(f, r#"{{"id":"{request_id}","from":"{from}",{report}}}"#)
+    }
+}
+
+/// Delivers callbacks to nodes.
+#[derive(Clone)]
+pub(super) struct CallbackSender {
+    client: Client<HttpConnector, Full<Bytes>>,
+    nodes: NodeAddresses,
+}
+
+impl CallbackSender {
+    pub(super) fn new(nodes: NodeAddresses) -> Self {
+        let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
+        CallbackSender { client, nodes }
+    }
+
+    /// Opens the queue of one attempt's callbacks to a node: each is sent after the one before was acknowledged, or has
+    /// failed for good.
+    pub(super) fn open_queue(&self, node: usize) -> UnboundedSender<Callback> {
+        let (queue, callbacks) = unbounded_channel();
+        tokio::spawn(self.clone().deliver_all(node, callbacks));
+        queue
+    }
+
+    async fn deliver_all(self, node: usize, mut callbacks: UnboundedReceiver<Callback>) {
+        while let Some(callback) = callbacks.recv().await {
+            self.deliver(node, Bytes::from(callback.to_string())).await;
+        }
+    }
+
+    /// Sends a callback until the node acknowledges it, or the last attempt has failed.
+    async fn deliver(&self, node: usize, body: Bytes) {
+        for _ in 0..MAX_DELIVERY_ATTEMPTS {
+            let delivery = self.try_deliver(node, body.clone());
+            if timeout(DELIVERY_TIMEOUT, delivery).await == Ok(true) {
+                return;
+            }
+            sleep(RETRY_INTERVAL).await;
+        }
+    }
+
+    /// Sends a callback once; whether the node acknowledged it.
+    async fn try_deliver(&self, node: usize, body: Bytes) -> bool {
+        let Some(address) = self.nodes.lock()[node] else { return false };
+        let request = Request::post(format!("http://{address}/callback")).body(Full::new(body));
+        let Ok(request) = request else { return false };
+        let Ok(response) = self.client.request(request).await else { return false };
+        let is_acknowledged = matches!(response.status(), StatusCode::OK | StatusCode::NO_CONTENT);
+        // The body is read to its end so that the connection can be reused; its content has no meaning.
+        let _ = response.into_body().collect().await;
+        is_acknowledged
+    }
+}
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -19,7 +19,7 @@
 
 use crate::console::free_place;
 use crate::event_log::{Event, EventLog, Readiness, Record};
-use crate::fleet::{Fleet, FleetCommand, NodeAddresses, SentRequests};
+use crate::fleet::{Fleet, FleetCommand, FleetError, NodeAddresses, SentRequests};
 use crate::load::{Clients, Front};
 use crate::nodes::{
     Node, NodeError, ProcessSpec, Program, Sample, check_readiness, nonzero_violation_counters, sample_cost,
@@ -71,7 +71,7 @@
     #[error(transparent)]
     Node(#[from] NodeError),
     #[error("{0}")]
-    Discovery(String),
+    Discovery(FleetError),
 }
 
 /// All that a run consists of.
@@ -110,7 +110,9 @@
     let jobs = Arc::new(scenario.workload().draw());
     let (log, tries) = (EventLog::new(), SentRequests::default());
     let places: NodeAddresses = Arc::new(parking_lot::Mutex::new(vec![None; scenario.nodes.count]));
-    let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone()).await?;
+    let fleet = Fleet::start(&scenario, jobs.clone(), tries.clone(), places.clone(), log.clone())
+        .await
+        .map_err(|error| error.to_string())?;
     let front = Arc::new(Front::new(scenario.nodes.count, places.clone(), log.clone()));
     let temporary = std::env::temp_dir().join(format!("curlewusher-testbed-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&temporary);
@@ -190,7 +192,7 @@
 
 impl Environment {
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
-        let discovery = self.fleet.discovery_for(number).await.map_err(StartError::Discovery)?;
+        let discovery = self.fleet.start_discovery(number).await.map_err(StartError::Discovery)?;
         let admin_address = self.consoles.then(free_place);
         // Both processes of an upgrade are told the same address, so that it cannot be left to the system.
         let listen = if self.consoles && listen.port() == 0 { free_place() } else { listen };
@@ -321,7 +323,7 @@
             }
             FaultKind::Reload => {
                 for node in targets.iter().copied() {
-                    let Ok(discovery) = self.fleet.discovery_for(node).await else { continue };
+                    let Ok(discovery) = self.fleet.start_discovery(node).await else { continue };
                     if let Some(node) = &mut self.nodes[node].lock().await.node
                         && let Err(problem) = node.move_discovery(&self.scenario, discovery)
                     {
@@ -352,9 +354,9 @@
             }
             FaultKind::DiscoverySlow => {
                 let usual = Duration::from_secs_f64(self.scenario.fleet.discovery_call_s);
-                self.fleet.set_call_time(usual.mul_f64(fault.factor.unwrap_or(1.0)));
+                self.fleet.set_poll_duration(usual.mul_f64(fault.factor.unwrap_or(1.0)));
                 ends.await;
-                self.fleet.set_call_time(usual);
+                self.fleet.set_poll_duration(usual);
             }
             FaultKind::DiscoveryLinkCut
             | FaultKind::DiscoveryLinkRefused
--- a/crates/testbed/tests/unit/fleet.rs
+++ b/crates/testbed/tests/unit/fleet.rs
@@ -3,11 +3,11 @@
 #[path = "proxy.rs"]
 mod proxy;
 
-use super::*;
+use super::reserved_port::ReservedPort;
 
 #[tokio::test]
 async fn port_of_a_worker_that_is_down_then_it_refuses_and_nobody_else_gets_it() {
-    let port = Port::reserve().expect("a port");
+    let port = ReservedPort::reserve().expect("a port");
     for _ in 0..2 {
         let refused = tokio::net::TcpStream::connect(port.address).await.expect_err("nothing listens");
         assert_eq!(refused.kind(), std::io::ErrorKind::ConnectionRefused);
