--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -92,7 +92,7 @@
     #[error("this process is ending; ask its successor at that one's second address")]
     #[serde(rename = "Ending")]
     ShuttingDown,
-    /// The command was not carried out in time, or the task that carries it out is gone.
+    /// The command was not carried out in time, or the task that carries it out has ended.
     #[error("not done in time; call again, and restart the node if that does not help")]
     #[serde(rename = "NotDone")]
     TimedOut,
--- a/crates/control/src/frame/codec.rs
+++ b/crates/control/src/frame/codec.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// A frame that came from the other process.
+/// A frame that was received from the other process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedFrame {
     /// Sequence number of the request; a response carries that of the request it answers.
@@ -44,7 +44,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next frame out; `None` if more bytes must come first.
+    /// Removes the next frame; `None` if more bytes must arrive first.
     ///
     /// # Errors
     /// Says why the bytes are no frame, and the same again on every later call.
--- a/crates/control/src/frame/header.rs
+++ b/crates/control/src/frame/header.rs
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Parses the header at the beginning of `bytes`; `None` if more of it is to come. Bytes that cannot
+    /// Parses the header at the beginning of `bytes`; `None` if more of it has to arrive. Bytes that cannot
     /// become a header fail as early as they show it.
     pub(super) fn parse(bytes: &[u8]) -> Result<Option<FrameHeader>, FrameError> {
         check_magic(bytes)?;
--- a/crates/control/src/frame/message.rs
+++ b/crates/control/src/frame/message.rs
@@ -10,7 +10,7 @@
 /// A message from one process of a node to the other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A new process asks to be the successor; answered by `Accepted` or `Rejected`.
+    /// A new process requests to be the successor; answered by `Accepted` or `Rejected`.
     Hello {
         /// Name of its node.
         node: String,
@@ -21,7 +21,7 @@
     Accepted(Bytes),
     /// The receiver is not the successor, for this reason.
     Rejected(RejectReason),
-    /// The successor is ready and asks for the new connections; answered by `TakeoverGranted`.
+    /// The successor is ready and requests the new connections; answered by `TakeoverGranted`.
     TakeoverRequest,
     /// The new connections are the successor's; with the predecessor's state up to now.
     TakeoverGranted(Bytes),
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -1,6 +1,6 @@
 //! Workers that operators have disabled for maintenance, and the names that discovery has ever listed.
 //!
-//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list says of it in between
+//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list states in between
 //! and however often the process of the node is replaced. Only a name that was listed once can be disabled or
 //! enabled, so that a mistyped name is rejected.
 
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -24,14 +24,14 @@
 /// The phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has no endpoint list yet, or waits for its predecessor to hand over.
+    /// It has no endpoint list yet, or waits for the handover by its predecessor.
     Starting {
         /// An operator has drained the node.
         drained: bool,
     },
     /// It serves.
     Ready,
-    /// An operator has drained the node: it serves what still comes, and redirects clients to other nodes.
+    /// An operator has drained the node: it serves requests that still arrive, and redirects clients to other nodes.
     Drained,
     /// Its successor serves: it finishes the jobs that it has accepted, and takes the node back if the
     /// successor ends.
@@ -170,7 +170,7 @@
         if drained { Phase::Drained } else { Phase::Ready }
     }
 
-    /// Whether the node that this process belongs to wants new clients: what the load balancer in front is
+    /// Whether the node that this process belongs to accepts new clients: what the load balancer in front is
     /// answered.
     pub fn accepts_new_clients(self) -> bool {
         match self {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Whether clients on open connections are to connect anew: to another node, or to the successor.
+    /// Whether clients on open connections are to reconnect: to another node, or to the successor.
     pub fn redirects_clients(self) -> bool {
         match self {
             Phase::Starting { drained: false } | Phase::Ready => false,
--- a/crates/control/src/takeover/job_claims.rs
+++ b/crates/control/src/takeover/job_claims.rs
@@ -66,7 +66,7 @@
         true
     }
 
-    /// The id is this process's: the other process granted it, does not answer, or is gone.
+    /// The id is this process's: the other process granted it, does not answer, or has ended.
     pub fn confirm(&mut self, id: &str) {
         if let Some(state) = self.claims.get_mut(id) {
             *state = ClaimState::Granted;
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -55,7 +55,7 @@
 /// What happens to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverEvent {
-    /// Another process asks to be the successor.
+    /// Another process requests to be the successor.
     Hello {
         /// Name of its node.
         node: String,
@@ -64,11 +64,11 @@
     },
     /// This process has an endpoint list of its own.
     EndpointsAvailable,
-    /// The successor is ready and asks for the new connections.
+    /// The successor is ready and requests the new connections.
     TakeoverRequested,
     /// The predecessor has answered: the new connections are this process's.
     TakeoverGranted,
-    /// The successor, which had taken over, terminates and gives the node back.
+    /// The successor, which had taken over, terminates and hands the node over to this process.
     HandedBack,
     /// The link to the other process is lost.
     LinkLost,
@@ -113,7 +113,7 @@
     ListenForSuccessor,
 }
 
-/// Why a process that asks to be the successor is rejected. Each text says what an operator can do.
+/// Why a process that requests to be the successor is rejected. Each text says what an operator can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum RejectReason {
     /// The node has two processes already; a later request may succeed.
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -20,11 +20,11 @@
 /// Longest time for writing the response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A command on its way to [`AdminService`](crate::admin::service::AdminService).
+/// A command that is sent to [`AdminService`](crate::admin::service::AdminService).
 pub struct PendingCommand {
     /// What an operator has sent.
     pub command: AdminCommand,
-    /// Where the result goes.
+    /// Receives the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
 
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Carries out a command that came to the other process of this node.
+    /// Carries out a command that the other process of this node has received.
     pub async fn apply_peer_command(&self, command: &AdminCommand) -> CommandResult {
         self.carry_out_here(command, CommandOrigin::Peer).await
     }
--- a/crates/node/src/attempt/cancel_signal.rs
+++ b/crates/node/src/attempt/cancel_signal.rs
@@ -18,7 +18,7 @@
 }
 
 impl CancelSignal {
-    /// A signal that never comes.
+    /// A signal that is never received.
     pub fn never() -> Self {
         CancelSignal::Closed
     }
--- a/crates/node/src/attempt/send_permit.rs
+++ b/crates/node/src/attempt/send_permit.rs
@@ -14,9 +14,9 @@
 
 use super::cancel_flag::CancelFlag;
 
-/// A node may be held up for this long between reading its clock and writing; the limits of permits allow for it.
+/// A node may be stalled for this long between reading its clock and writing; the limits of permits allow for it.
 const MAX_HOLD: Duration = Duration::from_millis(150);
-/// A first byte that leaves later than this after the client has gone counts as an attempt for nobody.
+/// A first byte that is written later than this after the client's disconnection counts as a violation.
 const MAX_WRITE_AFTER_CLIENT: Duration = Duration::from_millis(100);
 
 /// The lease on the endpoint list, as the permits of all attempts see it. The dispatch task alone changes it.
--- a/crates/node/src/attempt/transport.rs
+++ b/crates/node/src/attempt/transport.rs
@@ -73,6 +73,6 @@
     /// Takes over an attempt that a worker has accepted from another process of this node.
     fn resume_attempt(&self, attempt: AttemptRequest<Self::Payload>);
 
-    /// Closes the idle connections to a worker: the process that they lead to is gone.
+    /// Closes the idle connections to a worker: the process that they lead to has ended.
     fn discard_connections(&self, address: SocketAddr);
 }
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -11,7 +11,7 @@
     Config, ConfigError, ConfigFile, ConfigSources, DEFAULT_SOCKETS, Override, parse_operator_file,
 };
 
-/// Source of a value that nobody configured.
+/// Source of a value that is not configured.
 const DEFAULT: &str = "default";
 
 /// Prints all values, or returns the error that a start would end with.
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -10,10 +10,10 @@
 
 use super::MIN_SOCKETS;
 
-/// Why the configuration cannot be used. Each text names the place and says what would be right.
+/// Why the configuration cannot be used. Each text names the place and a correct form.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment does not say where the platform's file is.
+    /// The environment does not name the platform's file.
     #[error("RELAY_CONFIG is not set; set it to the path of the platform's JSON file")]
     PlatformFileUnset,
     /// The platform's file is missing or cannot be read.
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -18,7 +18,7 @@
 const MIN_SOCKETS: usize = 64;
 /// Most file descriptors that a node uses, whatever it is allowed.
 const MAX_SOCKETS: usize = 1 << 20;
-/// File descriptors where the platform's file does not say.
+/// File descriptors where the platform's file does not set a number.
 pub const DEFAULT_SOCKETS: usize = 1024;
 
 /// Resources that a node may use.
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -6,7 +6,7 @@
 //!
 //! | size and target | state | what happens |
 //! | --- | --- | --- |
-//! | equal | settled | permits are handed out and returned |
+//! | equal | settled | permits are acquired and returned |
 //! | size above target | shrinking | free permits are removed at once, others as they are returned; where none is free, an eviction is requested |
 //! | size below target | growing | the missing permits are added at once |
 
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -20,7 +20,7 @@
 pub struct EndpointListMessage {
     /// The version of the list that this message leads to.
     pub index: u64,
-    /// Whether `endpoints` is the whole list, so that whatever it does not name has gone.
+    /// Whether `endpoints` is the whole list, so that an endpoint that it does not name is no longer listed.
     #[serde(default)]
     pub snapshot: bool,
     /// The whole list, or the changed endpoints of it.
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -2,10 +2,10 @@
 //! heartbeats.
 //!
 //! A watch is opened by a *poll*: connect, send the request, and read up to the first list or heartbeat. From
-//! then on [`EndpointWatch::next_event`] reads on until the watch fails. Every failure is final: another poll
+//! then on [`EndpointWatch::next_event`] reads until the watch fails. Every failure is final: another poll
 //! has to follow.
 //!
-//! The connection is driven by whoever waits for its data and by no task of its own, so that it is closed,
+//! The connection is driven by the caller that waits for its data and by no task of its own, so that it is closed,
 //! and its descriptor free, as soon as the watch or the poll is dropped.
 
 use std::future::poll_fn;
@@ -69,7 +69,7 @@
     /// Discovery ended the response.
     #[error("the watch ended; where that lasts, see whether discovery serves watches at that address")]
     Ended,
-    /// Neither a list nor a heartbeat came within [`SILENCE_TIMEOUT`].
+    /// Neither a list nor a heartbeat arrived within [`SILENCE_TIMEOUT`].
     #[error("the watch fell silent; where that lasts, see whether discovery hangs or the network is cut")]
     Silent,
     /// A change has an older version than the list that it is to change, so that others may be missing.
@@ -88,7 +88,7 @@
 }
 
 impl WatchError {
-    /// Whether nothing came when something was due, so that it is unknown what discovery has changed since.
+    /// Whether a message that was due did not arrive, so that later changes of discovery are unknown.
     pub fn is_silence(&self) -> bool {
         matches!(self, WatchError::Silent | WatchError::PollTimeout)
     }
@@ -99,12 +99,12 @@
     }
 }
 
-/// An event of a watch, and what it says of the time up to which the list is known.
+/// An event of a watch, and the moment up to which the list is known with it.
 pub struct ReceivedEvent {
     /// What was read.
     pub event: WatchEvent,
-    /// The list, with this event applied, is known to have been current at this moment. None if the event came after
-    /// a silence: it may have been held up on its way, and others after it.
+    /// The list, with this event applied, is known to have been current at this moment. None if the event arrived after
+    /// a silence: it may have been delayed, and others after it.
     pub current_as_of: Option<Instant>,
 }
 
@@ -161,7 +161,7 @@
     last_event_at: Instant,
     /// When the last bytes were read.
     read_at: Instant,
-    /// Bytes were read only after the watch had been silent for too long, as when this process was held up.
+    /// Bytes were read only after the watch had been silent for too long, as when this process was stalled.
     has_been_silent: bool,
 }
 
@@ -249,7 +249,7 @@
 
 type HttpConnection = http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>;
 
-/// A connection to discovery that makes progress only while somebody waits for its data.
+/// A connection to discovery that makes progress only while a caller waits for its data.
 struct DrivenConnection {
     /// `None` once the connection has ended.
     open: Option<Box<HttpConnection>>,
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -20,7 +20,7 @@
 /// bytes, so that it is enough for 9,000 workers.
 const MAX_LIST_BYTES: usize = 1 << 22;
 
-/// Why the stream of a watch cannot be read. What follows on that watch cannot be told apart from the
+/// Why the stream of a watch cannot be read. What follows on that watch cannot be distinguished from the
 /// malformed part.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
@@ -40,7 +40,7 @@
 pub enum Parsed {
     /// Nothing yet: more bytes are needed.
     Incomplete,
-    /// An empty line between lists, which says that nothing has changed.
+    /// An empty line between lists: nothing has changed.
     Heartbeat,
     /// A whole list or a change of it.
     List(EndpointListMessage),
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -64,7 +64,7 @@
     watch: EndpointWatch,
 }
 
-/// What the watcher waits for; to be handed to [`WatchState::apply_event`].
+/// What the watcher waits for; to be passed to [`WatchState::apply_event`].
 pub enum StateEvent {
     /// It is time for the scheduled poll.
     PollDue,
@@ -101,7 +101,7 @@
     /// The list.
     pub list: EndpointListMessage,
     /// With it, the whole list is known to have been current at this moment. None if that is not known: the list is of
-    /// an earlier address, or came after a silence.
+    /// an earlier address, or arrived after a silence.
     pub current_as_of: Option<Instant>,
     /// How long the poll took of which it is the first answer.
     pub poll_duration: Option<Duration>,
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -33,7 +33,7 @@
     pub timing: WatchTiming,
 }
 
-/// The dispatch task has ended, and nobody is left to watch for.
+/// The dispatch task has ended, so that the watch has no receiver.
 struct DispatchStopped;
 
 /// What the watcher waits for.
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -30,7 +30,7 @@
     Done(Bytes),
     /// It failed; it may have run.
     Failed,
-    /// The worker hands it back without having run it.
+    /// The worker returns it without having run it.
     Returned,
     /// The worker has lost it; it may have run.
     Lost,
@@ -41,7 +41,7 @@
 pub(super) enum AttemptState {
     /// Handed to the transport.
     InFlight,
-    /// The transport has been asked to cancel it and has not yet confirmed that; it will end with this
+    /// Its cancellation has been requested and the transport has not yet confirmed it; it will end with this
     /// outcome.
     Cancelling(Outcome),
     /// Over. Nothing that is reported of it counts any more.
@@ -61,7 +61,7 @@
     pub(super) progress: f64,
     /// The callback that ended it without a result.
     pub(super) last_callback: Option<CallbackState>,
-    /// Asks the transport to cancel it; dropped at its end.
+    /// Requests its cancellation from the transport; dropped at its end.
     pub(super) cancel: Option<oneshot::Sender<()>>,
     /// Whether its first byte may still be written.
     pub(super) send_permit: Rc<SendPermit>,
@@ -70,7 +70,7 @@
 }
 
 impl Attempt {
-    /// Whether it is under way and nobody has asked for its cancellation.
+    /// Whether it is in flight and its cancellation has not been requested.
     pub(super) fn is_in_flight(&self) -> bool {
         self.state == AttemptState::InFlight
     }
@@ -80,12 +80,12 @@
         self.state == AttemptState::Ended
     }
 
-    /// Whether the transport has been asked to cancel it and has not yet confirmed that.
+    /// Whether its cancellation has been requested and the transport has not yet confirmed it.
     pub(super) fn is_being_cancelled(&self) -> bool {
         matches!(self.state, AttemptState::Cancelling(_))
     }
 
-    /// Asks the transport to cancel it. It ends with that outcome once the transport confirms the
+    /// Requests its cancellation from the transport. It ends with that outcome once the transport confirms the
     /// cancellation.
     pub(super) fn request_cancellation(&mut self, outcome: Outcome) {
         self.state = AttemptState::Cancelling(outcome);
--- a/crates/node/src/dispatch/callbacks.rs
+++ b/crates/node/src/dispatch/callbacks.rs
@@ -27,7 +27,7 @@
 /// What a callback means for its attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallbackEffect {
-    /// Nothing: it is a repeat, or came too late.
+    /// Nothing: it is a repeat, or has arrived too late.
     Ignored,
     /// The attempt has started to run.
     Started,
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that this process has in hand: their ids, what is known of each, and the handle by which the
+//! The jobs that are open at this process: their ids, what is known of each, and the handle by which the
 //! server reaches a job.
 
 use std::cell::Cell;
@@ -26,7 +26,7 @@
     },
     /// No result; it may have run.
     Failed,
-    /// A job of the same request id is in hand already.
+    /// A job of the same request id is open already.
     Duplicate,
 }
 
@@ -51,7 +51,7 @@
     pub tenant: TenantId,
     /// The moment at which the client stops waiting.
     pub deadline: Timestamp,
-    /// The client's guess of its work, in seconds on a core of speed 1.
+    /// The client's estimate of its work, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
     /// Slots that it takes at a worker.
     pub slots: f64,
@@ -103,7 +103,7 @@
     }
 }
 
-/// A job in hand.
+/// An open job.
 pub(super) struct Job<P> {
     pub(super) request_id: Rc<str>,
     pub(super) class: ClassId,
@@ -119,18 +119,18 @@
 }
 
 impl<P> Job<P> {
-    /// Whether nobody waits for a response any more.
+    /// Whether it has been answered, or its client has disconnected.
     pub(super) fn is_settled(&self) -> bool {
         self.response_channel.is_none()
     }
 
-    /// Whether nobody waits for a response and no attempt is under way.
+    /// Whether it is settled and no attempt is in flight.
     fn is_finished(&self) -> bool {
         self.is_settled() && self.attempts.iter().all(Attempt::has_ended)
     }
 }
 
-/// The jobs in hand, and the request ids that are in use. A job that is being migrated is not in the table,
+/// The open jobs, and the request ids that are in use. A job that is being migrated is not in the table,
 /// but its request id stays in use until the migration has ended. Ids of jobs are never used again.
 pub(super) struct JobTable<P> {
     next_id: u64,
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -32,7 +32,7 @@
 impl<P> AttemptReporter for DispatchQueue<P> {
     fn report(&self, report: AttemptReport) -> ReportFuture<'_> {
         Box::pin(async move {
-            // The dispatch task ends last; without it nobody is left to report to.
+            // The dispatch task ends last; once it has ended, reports have no receiver.
             let _ = self.send(DispatchMessage::Attempt(report)).await;
         })
     }
@@ -55,7 +55,7 @@
         /// Receives which process owns the job, for a caller that would look for it elsewhere.
         owner: Option<oneshot::Sender<JobOwner>>,
     },
-    /// Asks whether a job of that request id is in hand.
+    /// Queries whether a job of that request id is open.
     QueryJob {
         /// The request id.
         request_id: String,
@@ -110,7 +110,7 @@
     pub endpoints: Vec<NamedEndpoint>,
     /// Whether these are all endpoints, rather than a change.
     pub snapshot: bool,
-    /// With it, the whole list is known to have been current at this moment; none if that is not known.
+    /// The moment at which the whole list, with this message applied, was current; none if that is unknown.
     pub current_as_of: Option<Instant>,
     /// How long the poll took that it answers.
     pub poll_duration: Option<Duration>,
@@ -138,7 +138,7 @@
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
-    /// Asks for what is known now, for a successor.
+    /// Requests the present state, for a successor.
     TakeSnapshot(oneshot::Sender<TransferableState>),
     /// Adopts what the predecessor of this process knew.
     RestoreSnapshot(Box<TransferableState>),
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -29,7 +29,7 @@
 /// Time that a job needs after its migration has timed out, to be answered by this process after all.
 const TIME_TO_ANSWER_AFTER_ROLLBACK: TimeSpan = TimeSpan::from_millis(500);
 
-/// A job on its way from one process of this node to the other, without its payload.
+/// A job that is migrated from one process of this node to the other, without its payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobMigration {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether an attempt is under way.
+    /// Whether an attempt is in flight.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Whether a job can be migrated: somebody waits for its response, it could still be answered in time after a
+/// Whether a job can be migrated: its client waits for a response, it could still be answered in time after a
 /// migration that times out, and each attempt has ended or was accepted. Until a worker has accepted an attempt,
 /// its answer goes to a connection of this process.
 pub(super) fn is_migratable<P>(job: &Job<P>, now: Timestamp, migration_timeout: TimeSpan) -> bool {
@@ -154,7 +154,7 @@
     pub(super) job_handle: JobHandle,
 }
 
-/// The jobs that are on their way to the other process of this node or from there.
+/// The jobs that are being migrated to the other process of this node or from there.
 pub(super) struct Migrations<P> {
     outgoing: HashMap<JobId, OutgoingJob<P>>,
     incoming: HashMap<JobId, IncomingJob<P>>,
@@ -167,17 +167,17 @@
 }
 
 impl<P> Migrations<P> {
-    /// Whether a job is on its way.
+    /// Whether a job is being migrated.
     pub(super) fn contains(&self, id: JobId) -> bool {
         self.outgoing.contains_key(&id) || self.incoming.contains_key(&id)
     }
 
-    /// Adds a job that is on its way to the other process.
+    /// Adds a job that is being migrated to the other process.
     pub(super) fn insert_outgoing(&mut self, id: JobId, outgoing: OutgoingJob<P>) {
         self.outgoing.insert(id, outgoing);
     }
 
-    /// A job that is on its way to the other process, to change it.
+    /// A job that is being migrated to the other process, to change it.
     pub(super) fn outgoing_job_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
         self.outgoing.get_mut(&id).map(|outgoing| &mut outgoing.job)
     }
@@ -187,7 +187,7 @@
         self.outgoing.remove(&id)
     }
 
-    /// Adds a job that is on its way from the other process.
+    /// Adds a job that is being migrated from the other process.
     pub(super) fn insert_incoming(&mut self, id: JobId, incoming: IncomingJob<P>) {
         self.incoming.insert(id, incoming);
     }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -4,8 +4,8 @@
 //! | module | what it owns |
 //! | --- | --- |
 //! | [`messages`] | what the task is sent |
-//! | [`jobs`], [`attempts`], [`callbacks`] | jobs in hand, their attempts, what callbacks mean for these |
-//! | [`migration`] | jobs on their way between the two processes of the node |
+//! | [`jobs`], [`attempts`], [`callbacks`] | open jobs, their attempts, what callbacks mean for these |
+//! | [`migration`] | jobs being migrated between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
 //! | [`timers`] | when the task acts by itself |
 //! | [`clock`] | the node's clock, and conversions between its moments and those of other clocks |
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -25,7 +25,7 @@
     send_by: Option<Timestamp>,
 }
 
-/// Whether an attempt was handed to the transport.
+/// Whether an attempt was passed to the transport.
 enum SendResult {
     Sent,
     /// The worker is not listed any more, the client has disconnected, or it is too late.
@@ -34,7 +34,7 @@
     NoJob,
 }
 
-/// An attempt that is recorded and not yet handed to the transport.
+/// An attempt that is recorded and not yet passed to the transport.
 struct RecordedAttempt<P> {
     id: AttemptId,
     request_id: Rc<str>,
@@ -47,7 +47,7 @@
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Performs what the dispatcher wants done, in its order. Attempts that could not be sent are reported to
+    /// Performs the dispatcher's actions in their order. Attempts that could not be sent are reported to
     /// it afterwards.
     pub(super) fn perform_actions(&mut self) {
         let mut not_sent = Vec::new();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Records an attempt and hands it to the transport, where it can still be sent.
+    /// Records an attempt and passes it to the transport, if it can still be sent.
     fn send_attempt(&mut self, spec: AttemptSpec) -> SendResult {
         let worker = self.endpoints.get(spec.worker).cloned();
         let Some(recorded) = self.record_attempt(&spec, worker.as_ref()) else { return SendResult::NoJob };
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -88,7 +88,7 @@
         Some((AttemptId { job, number: target.number }, effect))
     }
 
-    /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end only
+    /// Requests the cancellation of an attempt that is in flight. The dispatcher learns of its end only
     /// once the transport has confirmed the cancellation, or a callback has arrived before that, so that no two
     /// attempts of a job overlap.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -14,7 +14,7 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
+    /// Accepts a job, unless its request id is in use: a callback would not identify which of two jobs it is for.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
             // A client that has disconnected needs no response.
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -28,7 +28,7 @@
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Removes a job from the table and hands it out for the other process, where it can be migrated now.
+    /// Removes a job from the table and sends it to the caller for the other process, if it can be migrated now.
     pub(super) fn start_outgoing_migration(
         &mut self,
         job_handle: &JobHandle,
@@ -153,7 +153,7 @@
         self.perform_actions();
     }
 
-    /// Hands an attempt that is under way to the transport; any other is only recorded, as ended.
+    /// Passes an attempt that is in flight to the transport; any other is only recorded, as ended.
     fn resume_attempt(
         &mut self,
         job: &ResumedJob<'_, T::Payload>,
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -42,7 +42,7 @@
     pub messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
     /// Commands of operators and of the other process of this node.
     pub commands: mpsc::Receiver<DispatchCommand>,
-    /// Asks for a watch on discovery's endpoint list.
+    /// Requests a poll of discovery's endpoint list.
     pub watch_requests: mpsc::Sender<()>,
     /// The node's counters.
     pub metrics: Metrics,
@@ -66,7 +66,7 @@
     disabled_workers: DisabledWorkers,
     timers: TimerQueue,
     permissions: PermissionMonitor,
-    /// What the dispatcher wants done; empty between two events.
+    /// The dispatcher's actions; empty between two events.
     actions: Vec<Action>,
 }
 
@@ -274,7 +274,7 @@
         self.apply_event(Event::EndpointsConfirmed { as_of });
     }
 
-    /// Hands an event to the dispatcher and performs what it wants done.
+    /// Has the dispatcher handle an event, and performs its actions.
     fn apply_event(&mut self, event: Event) {
         self.decide(self.clock.now(), event);
     }
--- a/crates/node/src/dispatch/timers.rs
+++ b/crates/node/src/dispatch/timers.rs
@@ -10,7 +10,7 @@
 /// attempts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The dispatcher asked to be called.
+    /// The dispatcher has requested to be called.
     Dispatcher,
     /// An attempt has run for as long as it may.
     AttemptTimeout(AttemptId),
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -18,7 +18,7 @@
 
 use crate::handover::error::HandoverError;
 
-/// A process that reads nothing for this long counts as gone.
+/// A process that reads nothing for this long counts as ended.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How many received descriptors may wait for the frames that they belong to; more are closed, so that the
 /// other process cannot use up this one's descriptors.
@@ -29,7 +29,7 @@
 /// Received descriptors in the order of their frames.
 pub(super) type PendingDescriptors = VecDeque<OwnedFd>;
 
-/// One byte and the descriptor that came with it.
+/// One byte and the descriptor that arrived with it.
 pub(super) struct ByteWithDescriptor {
     pub(super) byte: u8,
     pub(super) descriptor: Option<OwnedFd>,
@@ -112,7 +112,7 @@
     stream.async_io(Interest::READABLE, receive).await
 }
 
-/// Reads until the decoder has a whole frame. Descriptors that come before are closed.
+/// Reads until the decoder has a whole frame. Descriptors that arrive before are closed.
 pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
         if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -99,7 +99,7 @@
     is_expected.then_some(listener)
 }
 
-/// A process that asks to be this one's successor. Dropping it closes the connection without an answer.
+/// A process that requests to be this one's successor. Dropping it closes the connection without an answer.
 pub struct SuccessorHello {
     /// Name of its node.
     pub node: String,
--- a/crates/node/src/handover/link/outbound.rs
+++ b/crates/node/src/handover/link/outbound.rs
@@ -12,7 +12,7 @@
 use crate::telemetry::logging::NODE;
 
 /// How many bytes may wait to be written: one state snapshot (4 MiB) and other frames beside it. A process that
-/// reads so little counts as gone.
+/// reads so little counts as ended.
 pub(super) const MAX_OUTBOUND_BYTES: usize = 6 << 20;
 
 /// An encoded frame, with what belongs to its writing.
--- a/crates/node/src/handover/link/peer_request.rs
+++ b/crates/node/src/handover/link/peer_request.rs
@@ -40,7 +40,7 @@
         /// Whether the job is held here now.
         is_adopted: oneshot::Sender<bool>,
         /// Notified once that response is written and therefore valid: the other process will have read it, or
-        /// is gone. Fails where it was not written: the other process keeps the job.
+        /// has ended. Fails where it was not written: the other process keeps the job.
         response_written: oneshot::Receiver<()>,
     },
     /// The cancellation of an attempt, which this process takes over.
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Refuses a claim of an id that this process is claiming itself; otherwise asks whether it holds the id.
+    /// Rejects a claim of an id that this process is claiming itself; otherwise queries whether it holds the id.
     fn handle_claim(&self, request_id: u64, job_id: String) {
         if !self.state.claims.borrow().allows_peer_claim(&job_id, LocalOwnership::NotOwned) {
             return self.state.send_response(request_id, &Frame::ClaimResult(false));
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -49,7 +49,7 @@
 
     /// Claims the id of a job that this process is about to accept. None where the other process holds the id,
     /// or another copy of the job is being claimed here. The claim also succeeds where the other process does
-    /// not answer within 300 ms or is gone. The guard must be dropped only once the job is in the queue of
+    /// not answer within 300 ms or has ended. The guard must be dropped only once the job is in the queue of
     /// whoever answers [`super::PeerRequest::ClaimJob`].
     pub async fn claim_job(&self, job_id: &str) -> Option<JobClaimGuard> {
         if !self.state.claims.borrow_mut().try_claim(job_id) {
@@ -103,7 +103,7 @@
         self.state.send_one_way(&Frame::CancelAttempt { worker, job_id: job_id.to_owned() });
     }
 
-    /// Asks the predecessor for new connections and its latest state snapshot. Where it does not answer within
+    /// Requests new connections and the latest state snapshot from the predecessor. Where it does not answer within
     /// 1 s the link is closed: it may have handed over, and takes back when it sees the link lost.
     pub async fn request_takeover(&self) -> Option<Bytes> {
         match self.request(Frame::TakeoverRequest, None, TAKEOVER_TIMEOUT).await {
@@ -125,14 +125,14 @@
         self.state.send_response(HANDSHAKE_REQUEST_ID, &Frame::Accepted(snapshot));
     }
 
-    /// Sends a request and waits for its response. None where none comes in time or the link is lost.
+    /// Sends a request and waits for its response. None where none arrives in time or the link is lost.
     async fn request(&self, frame: Frame, claimed_job: Option<Rc<str>>, within: Duration) -> Option<Frame> {
         let mut pending = self.state.send_request(frame, claimed_job, None)?;
         timeout(within, &mut pending.receiver).await.ok()?.ok()
     }
 }
 
-/// The claim of a job id. Until it is dropped the other process is refused that id.
+/// The claim of a job id. Until it is dropped the other process's claims of that id are rejected.
 pub struct JobClaimGuard {
     state: Rc<LinkState>,
     job_id: Rc<str>,
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Queues a frame. A process that reads so little that the queue is over its limit counts as gone.
+    /// Queues a frame. A process that reads so little that the queue is over its limit counts as ended.
     fn enqueue(&self, frame: OutboundFrame) {
         if !self.is_connected() {
             return;
@@ -164,11 +164,11 @@
     }
 }
 
-/// The response to a request, once it comes. Dropping it forgets the request; a late response is ignored.
+/// The response to a request, once it arrives. Dropping it abandons the request; a late response is ignored.
 pub(super) struct PendingResponse<'a> {
     state: &'a LinkState,
     request_id: u64,
-    /// Fails where the link is lost before the response comes.
+    /// Fails where the link is lost before the response arrives.
     pub(super) receiver: oneshot::Receiver<Frame>,
 }
 
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,6 +1,6 @@
 //! Takeover between two processes of one node: how a newer process finds the older one, the link between them,
 //! and the task that carries out the takeover. Which process owns what, and when, is decided by
-//! `curlewusher_control::takeover`. A process that does not answer or read counts as gone; it never delays this
+//! `curlewusher_control::takeover`. A process that does not answer or read counts as ended; it never delays this
 //! one.
 //!
 //! | module | job |
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -2,7 +2,7 @@
 //! `curlewusher_control::takeover::Takeover` and carries out its commands. Which process owns what is decided
 //! there, not here.
 //!
-//! `events` and `commands` hold the task's functions for what comes in and what is carried out.
+//! `events` and `commands` hold the task's functions for its inputs and for the commands that it carries out.
 
 mod commands;
 mod events;
@@ -58,7 +58,7 @@
 
 /// What happens within this process.
 enum LocalEvent {
-    /// A process asks to be the successor.
+    /// A process requests to be the successor.
     SuccessorHello(SuccessorHello),
     /// The predecessor's answer to the takeover request: its latest snapshot, or none where the link is closed.
     TakeoverResponse(Option<Bytes>),
@@ -88,7 +88,7 @@
     peer_requests: Option<mpsc::Receiver<PeerRequest>>,
     /// The hello that the state machine is deciding on.
     pending_hello: Option<SuccessorHello>,
-    /// Where the snapshot for the successor goes once the takeover is granted.
+    /// Receives the snapshot for the successor once the takeover is granted.
     takeover_response: Option<oneshot::Sender<Bytes>>,
     /// The predecessor's state as of the handshake, until later state replaces it or the link is lost.
     handshake_state: Option<StateTransfer>,
--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -69,9 +69,9 @@
 /// A task that runs for as long as the node does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SupervisedTask {
-    /// Carries out operators' commands; without it nobody could end a drain.
+    /// Carries out operators' commands; without it a drain could not be ended.
     Admin,
-    /// Reads the configuration again; without it nobody could reconfigure the node.
+    /// Reads the configuration again; without it the node could not be reconfigured.
     Reload,
     /// Owns the jobs and the decisions.
     Dispatch,
--- a/crates/node/src/runtime/signals.rs
+++ b/crates/node/src/runtime/signals.rs
@@ -13,7 +13,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers. A signal without a handler ends the program, so this comes before all else.
+    /// Installs the handlers. A signal without a handler ends the program, so this is done first.
     pub fn install() -> Result<Self, ServeError> {
         Ok(Signals {
             terminate: install_handler(SignalKind::terminate(), "SIGTERM")?,
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -26,7 +26,7 @@
 }
 
 impl ConnectionService {
-    /// Serves a worker's callback. It is acknowledged only once whoever holds its job has it; until then the
+    /// Serves a worker's callback. It is acknowledged only once the process that owns its job has it; until then the
     /// worker is to repeat it.
     pub(super) async fn handle_callback(
         &self,
@@ -108,7 +108,7 @@
     owner.await.ok()
 }
 
-/// The message for the dispatch task; `owner_channel` is there where the owner of the job is asked for.
+/// The message for the dispatch task; `owner_channel` is given where the owner of the job is queried.
 fn dispatch_message<P>(
     report: CallbackReport,
     owner_channel: Option<oneshot::Sender<JobOwner>>,
--- a/crates/node/src/server/connection/lingering_close.rs
+++ b/crates/node/src/server/connection/lingering_close.rs
@@ -17,7 +17,7 @@
 
 /// Shuts the write side down, and discards what the peer sends until it closes or a bound is reached.
 pub async fn discard_and_close(mut stream: TcpStream) {
-    // Where hyper came to a good end it has done this already. A connection that is reset yields no more
+    // Where HTTP ended regularly, hyper has done this already. A connection that is reset yields no more
     // bytes.
     let _ = stream.shutdown().await;
     let discard = async {
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -41,7 +41,7 @@
 pub enum ConnectionState {
     /// This process has sent its last byte and discards what the peer still sends.
     Lingering,
-    /// Nothing has arrived yet.
+    /// No byte has arrived yet.
     New,
     /// A request has begun and is not read to its end.
     Reading,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// For how long the request that is being read has been under way.
+    /// Time since the request that is being read began.
     pub fn request_age(&self) -> Duration {
         self.request_started.get().elapsed()
     }
@@ -160,7 +160,7 @@
         self.read_expired.get()
     }
 
-    /// Requests a graceful close; between two requests that harms nobody.
+    /// Requests a graceful close, which is safe between two requests.
     pub fn close_gracefully(&self) {
         self.read_expired.set(self.state.get() < ConnectionState::Idle);
         self.close_requested.notify_one();
@@ -201,8 +201,8 @@
         self.may_close(CloseReason::Timeout { idle_timeout }).is_ok()
     }
 
-    /// Whether its client can be sent elsewhere unharmed: it has sent no part of a request, for long enough
-    /// that none is likely to be on its way. One that is sending may finish.
+    /// Whether its client can be redirected safely: it has sent no part of a request, for long enough
+    /// that none is likely to be in transit. A client that is sending may finish.
     pub fn is_redirectable(&self) -> bool {
         !self.is_worker.get() && self.may_close(CloseReason::Redirection).is_ok()
     }
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -38,7 +38,7 @@
     forwardable_bytes: u64,
     metrics: Metrics,
     /// Set once this node takes no job any more: half a request is then closed without a response, so that
-    /// its client may send it elsewhere.
+    /// its client may send it to another node.
     intake_closed: Rc<Cell<bool>>,
 }
 
@@ -76,7 +76,7 @@
             .is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Reads on while a request is being answered: the end of the stream lies behind all that was sent before
+    /// Continues to read while a request is being answered: the end of the stream lies behind all that was sent before
     /// it. Ready once the peer has closed.
     pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.connection.state() == ConnectionState::Busy {
@@ -165,7 +165,7 @@
         Poll::Ready(Ok(read))
     }
 
-    /// Inspects the buffered head, as far as it has arrived, and lets it through with its body.
+    /// Inspects the buffered head, as far as it has arrived, and passes it on with its body.
     fn inspect_head(&mut self) {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -6,7 +6,7 @@
 
 use super::callback::CallbackError;
 
-/// Why a request is not served. The text is the body of the answer, so that whoever sent the request can mend
+/// Why a request is not served. The text is the body of the answer, so that the sender of the request can correct
 /// it.
 #[derive(Debug, Error)]
 pub enum RequestError {
@@ -16,7 +16,7 @@
     /// A header whose value is not text or out of its bounds.
     #[error("header {0} is malformed")]
     MalformedHeader(HeaderName),
-    /// A header that may come once; another server might use the other value.
+    /// A header that may appear once; another server might use the other value.
     #[error("header {0} is repeated")]
     RepeatedHeader(HeaderName),
     /// X-Class names a class that the configuration does not have.
@@ -25,7 +25,7 @@
     /// X-Tenant names a tenant that the configuration does not have.
     #[error("header x-tenant names no tenant: {0}")]
     UnknownTenant(String),
-    /// X-Extras asks for fewer slots than one or more than any job can have.
+    /// X-Extras requests fewer slots than one or more than any job can have.
     #[error("header x-extras asks for an impossible number of slots")]
     ImpossibleSlots,
     /// The path is missing or not ASCII.
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -131,7 +131,7 @@
     });
 }
 
-/// Evicts the connection that is missed least: a client's before a worker's, then in the order of
+/// Evicts the connection whose loss matters least: a client's before a worker's, then in the order of
 /// [`ConnectionState`], then the one that has been longest in its state. It lingers first; of the lingering
 /// connections the oldest is closed as well.
 pub fn evict_connections(state: &ServerState) {
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -1,4 +1,4 @@
-//! The form in which a job goes from one process of a node to the other: the length of the record in four
+//! The form in which a job is migrated from one process of a node to the other: the length of the record in four
 //! bytes, big-endian; the record in JSON; the body of the request.
 //!
 //! The other process may run another version, so the form must not change.
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -33,9 +33,9 @@
 const MAX_DEADLINE_SECONDS: f64 = 86_400.0;
 /// X-Cost-Hint is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Slots that a job may ask for.
+/// Slots that a job may request.
 const ALLOWED_SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
-/// Slots of a job that does not ask for any.
+/// Slots of a job that requests none.
 const DEFAULT_SLOTS: f64 = 1.0;
 
 /// The classes and tenants that requests can name.
@@ -104,7 +104,7 @@
     forwarded: ForwardedHead,
 }
 
-/// The parts of a job's head that a worker gets as they came.
+/// The parts of a job's head that are forwarded to a worker unchanged.
 struct ForwardedHead {
     method: Method,
     path: PathAndQuery,
@@ -276,7 +276,7 @@
     optional_text(headers, &name)?.ok_or(RequestError::MissingHeader(name))
 }
 
-/// The text of a header that may come once.
+/// The text of a header that may appear once.
 fn optional_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).into_iter();
     match (values.next(), values.next()) {
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -29,7 +29,7 @@
 }
 
 /// 503 with Retry-After. A duration of 0 means that there is no advice, and the header is omitted: it would
-/// ask for a retry at once.
+/// request an immediate retry.
 pub fn rejected(retry_after: Duration) -> HttpResponse {
     let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "deferred: come again later\n");
     if !retry_after.is_zero()
@@ -55,7 +55,7 @@
     with_status(error.status(), format!("{error}\n"))
 }
 
-/// Whether this node wants new clients, for the load balancer in front of it.
+/// Whether this node accepts new clients, for the load balancer in front of it.
 pub fn readiness(phase: Phase) -> HttpResponse {
     if phase.accepts_new_clients() {
         with_status(StatusCode::OK, "ready\n")
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// What a request asks for.
+/// The resource that a request names.
 enum Route {
     Job,
     Callback,
--- a/crates/node/src/server/shutdown.rs
+++ b/crates/node/src/server/shutdown.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Closes clients' connections that carry no request. A request that has begun may come to its end.
+    /// Closes clients' connections that carry no request. A request that has begun may complete.
     fn close_idle_clients(&self) {
         for connection in self.state.live_connections() {
             let is_unused = match connection.state() {
@@ -68,7 +68,7 @@
     connection.state() == ConnectionState::Lingering
 }
 
-/// Whether a request is or may be under way on a connection: it is rejected once it is whole, but would be
+/// Whether a request is or may be arriving on a connection: it is rejected once it is complete, but would be
 /// lost if the connection closed without a response.
 fn may_bring_request(connection: &Connection) -> bool {
     matches!(connection.state(), ConnectionState::New | ConnectionState::Reading)
--- a/crates/node/src/telemetry/logging/mod.rs
+++ b/crates/node/src/telemetry/logging/mod.rs
@@ -97,7 +97,7 @@
                     + "\n"
             }
         };
-        // The queue may be full; nobody is left to be notified of that.
+        // The queue may be full; at this point of the exit nothing can handle that.
         let _ = self.queue.clone().write(lines.as_bytes());
     }
 }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -44,7 +44,7 @@
     pub in_flight: TaskTracker,
 }
 
-/// An attempt whose request was handed to the transport.
+/// An attempt whose request was passed to the transport.
 struct Attempt {
     id: AttemptId,
     request_id: Rc<str>,
@@ -76,8 +76,8 @@
         self.conclude(&attempt, outcome, cancel).await;
     }
 
-    /// Takes over an attempt that a worker has accepted from another process of this node: waits whether it
-    /// is to be cancelled.
+    /// Takes over an attempt that a worker has accepted from another process of this node, and waits for its
+    /// cancellation or its end.
     pub async fn resume(&self, request: AttemptRequest<RequestPayload>) {
         let AttemptRequest { id, request_id, address, timeout, cancel, .. } = request;
         if cancel.await.is_ok() {
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -61,7 +61,7 @@
     pool: Rc<ConnectionPool>,
     metrics: Metrics,
     options: Rc<Cell<UpstreamOptions>>,
-    /// Cancellations that are under way and not acknowledged.
+    /// Cancellations that have begun and are not acknowledged.
     unacknowledged: RefCell<Vec<CancellationTarget>>,
 }
 
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One request to a worker and its response, over a pooled connection.
 //!
 //! A request is sent once. It is sent over another connection only if its connection closed before a byte of it
-//! was written. If it may have arrived without a response, the outcome says so, and the caller
+//! was written. If it may have arrived without a response, the outcome states that, and the caller
 //! decides what that means.
 
 use std::net::SocketAddr;
@@ -56,11 +56,11 @@
 
 /// How an exchange ended.
 pub enum ExchangeOutcome {
-    /// A response, whose connection goes back to the pool.
+    /// A response, whose connection returns to the pool.
     Response {
         /// Its status.
         status: StatusCode,
-        /// Whether it says that the job was not run.
+        /// Whether it states that the job was not run.
         not_run: bool,
     },
     /// The worker refused the connection.
@@ -71,11 +71,11 @@
     PermitInvalid,
     /// The connection broke without a response; the request may have arrived.
     ConnectionLost,
-    /// What came is no HTTP response; the connection was closed.
+    /// The bytes received are no HTTP response; the connection was closed.
     MalformedResponse,
     /// No response in time; the connection was closed.
     TimedOut {
-        /// Where the connection came from.
+        /// Origin of the connection.
         connection: ConnectionOrigin,
     },
     /// Cancelled before a response; the connection was closed if there was one.
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -67,7 +67,7 @@
 }
 
 impl RequestError {
-    /// Whether something came that is no response, or not the whole of one.
+    /// Whether bytes were received that are no complete response.
     pub fn is_malformed_response(&self, traffic: &Traffic) -> bool {
         match self {
             RequestError::NothingWritten(_) => false,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Where the connection of a request comes from.
+/// Origin of the connection that carries a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrigin {
     /// It was dialled for this request.
--- a/crates/node/src/upstream/pool/generation.rs
+++ b/crates/node/src/upstream/pool/generation.rs
@@ -1,10 +1,10 @@
-//! Generations of a worker's address, which distinguish connections to a process that is gone from connections to
+//! Generations of a worker's address, which distinguish connections to a process that has ended from connections to
 //! its successor. They are to the pool what the generations of discovery's address are to the endpoint watch.
 
 use std::rc::Rc;
 
 /// The time from one discarding of a worker's connections to the next. A connection of an earlier generation is
-/// neither pooled nor used: it may lead to a process that is gone.
+/// neither pooled nor used: it may lead to a process that has ended.
 #[derive(Clone, Default)]
 pub struct AddressGeneration(Rc<()>);
 
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -94,7 +94,7 @@
     /// connection that was reserved is idle again.
     pub async fn obtain(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         while let Some(connection) = self.take_idle(address) {
-            // Nobody else takes it meanwhile; whoever finds none idle dials.
+            // No other request can reserve it meanwhile; a request that finds no idle connection dials.
             let reserved = ReservedConnection { pool: self, address, connection: Some(connection) };
             let Some(connection) = reserved.cool_down().await else { continue };
             // The worker's connections may have been discarded meanwhile.
@@ -115,7 +115,7 @@
         self.idle.borrow().get(&address).is_some_and(|idle| idle.has_generation_of(connection))
     }
 
-    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, somebody
+    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, another request
     /// may wait for that of this connection, which is closed.
     fn put_back(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Counts a response that was none, or not whole.
+    /// Counts a response that is malformed or incomplete.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
         self.metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, reason, "malformed response received");
@@ -217,12 +217,12 @@
 struct ReservedConnection<'a> {
     pool: &'a ConnectionPool,
     address: SocketAddr,
-    /// `None` once it was handed out.
+    /// `None` once it was passed to the caller.
     connection: Option<Connection>,
 }
 
 impl ReservedConnection<'_> {
-    /// Waits for the end of the pause and hands the connection out.
+    /// Waits for the end of the pause and returns the connection.
     async fn cool_down(mut self) -> Option<Connection> {
         let idle_since = self.connection.as_ref()?.idle_since();
         sleep_until(idle_since + COOL_DOWN).await;
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -17,7 +17,7 @@
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// What has passed over a connection since its last request was handed to it.
+/// What has passed over a connection since it was given its last request.
 #[derive(Default)]
 pub struct Traffic {
     request_written: Cell<bool>,
@@ -39,7 +39,7 @@
         self.request_written.get()
     }
 
-    /// Whether a byte was read since the request was handed to the connection.
+    /// Whether a byte was read since the connection was given the request.
     pub fn response_read(&self) -> bool {
         self.response_read.get()
     }
@@ -104,7 +104,7 @@
 }
 
 impl Socket {
-    /// Counts a first byte that was sent too late all the same, as when the process was held up before the write.
+    /// Counts a first byte that was sent too late despite the checks, as when the process was stalled before the write.
     fn check_first_byte(&self) {
         let Some(send_permit) = self.traffic.send_permit.borrow().clone() else { return };
         if let Err(reason) = send_permit.check_sent(Instant::now()) {
--- a/crates/node/tests/unit/handover/link.rs
+++ b/crates/node/tests/unit/handover/link.rs
@@ -15,7 +15,7 @@
     let _ = link.state.connected.subscribe().wait_for(|is_connected| !is_connected).await;
 }
 
-/// Answers requests until new connections are handed back. False where another request comes.
+/// Answers requests until the takeover is reverted. False where another request arrives.
 async fn answer_until_hand_back(requests: &mut mpsc::Receiver<PeerRequest>) -> bool {
     while let Some(request) = requests.recv().await {
         match request {
@@ -45,7 +45,7 @@
             assert_eq!(result, Some(Err(CommandError::ShuttingDown)));
             assert!(link.claim_job("held").await.is_none());
             let claim = link.claim_job("new").await.expect("free");
-            assert!(link.claim_job("new").await.is_none(), "a second copy");
+            assert!(link.claim_job("new").await.is_none(), "a duplicate claim");
             assert!(
                 predecessor.link.claim_job("new").await.is_none(),
                 "claimed there, and not held there yet"
