--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -86,11 +86,11 @@
 impl fmt::Display for SupervisedTask {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            SupervisedTask::Admin => "the second address",
-            SupervisedTask::Reload => "the delivery of SIGHUP",
+            SupervisedTask::Admin => "the admin address",
+            SupervisedTask::Reload => "the reload task",
             SupervisedTask::Dispatch => "the dispatch task",
-            SupervisedTask::Takeover => "the upgrade task",
-            SupervisedTask::EndpointWatcher => "the transport map",
+            SupervisedTask::Takeover => "the takeover task",
+            SupervisedTask::EndpointWatcher => "the endpoint watcher",
             SupervisedTask::IdleConnectionSweep => "the sweep of idle connections",
         })
     }
