--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use curlewusher_core::permission::{Denial, Violations};
-use curlewusher_core::{Dispatcher, Micros};
+use curlewusher_core::{Dispatcher, Timestamp};
 use tracing::{error, info, warn};
 
 use super::clock::Clock;
+use crate::attempt::SendLease;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::send_permit::SendLease;
 
 /// What was last seen of the dispatcher's permissions.
 pub(super) struct PermissionMonitor {
@@ -40,7 +40,7 @@
     }
 
     /// To be called after each event that the dispatcher has handled, and before its actions are performed.
-    pub(super) fn observe(&mut self, now: Micros, dispatcher: &Dispatcher) {
+    pub(super) fn observe(&mut self, now: Timestamp, dispatcher: &Dispatcher) {
         let write_by = dispatcher.endpoints_write_by();
         self.lease.set_deadline(write_by.map(|moment| self.clock.instant_at(moment)));
         let denial = dispatcher.check_endpoint_lease(now).err();
--- a/crates/testbed/src/admin_command.rs
+++ b/crates/testbed/src/admin_command.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::Micros;
+use curlewusher_model::TimeSpan;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
@@ -26,8 +26,8 @@
 pub struct AdminAnswer {
     /// The answer without its line end; none if no complete line came in time.
     pub line: Option<String>,
-    /// Microseconds from the beginning of the connection.
-    pub took_us: Micros,
+    /// Time from the beginning of the connection.
+    pub took: TimeSpan,
     /// Whether the connection was refused, since no process listens.
     pub refused: bool,
 }
@@ -52,7 +52,7 @@
     let answer = timeout(ANSWER_TIMEOUT + EXTRA_WAIT, exchange(address, command)).await;
     let answer = answer.unwrap_or(Err(Failure::Other));
     AdminAnswer {
-        took_us: begin.elapsed().as_micros() as Micros,
+        took: begin.elapsed().into(),
         refused: answer == Err(Failure::ConnectionRefused),
         line: answer.ok(),
     }
--- a/crates/testbed/src/client_router.rs
+++ b/crates/testbed/src/client_router.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::Micros;
+use curlewusher_model::TimeSpan;
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::client_connections::{ClientConnections, Route};
@@ -15,14 +15,17 @@
 
 /// Interval of the readiness checks of a node.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// New connections still go to a node for this long after the first check that it failed, in microseconds.
-const CLOSE_AFTER_NOT_READY: Micros = 200_000;
+/// New connections still go to a node for this long after the first check that it failed.
+const CLOSE_AFTER_NOT_READY: TimeSpan = TimeSpan::from_millis(200);
 /// The same after the first check without an answer: one check that is lost does not close a node.
-const CLOSE_AFTER_NO_ANSWER: Micros = 2_000_000;
+const CLOSE_AFTER_NO_ANSWER: TimeSpan = TimeSpan::from_secs(2);
+
+/// The moment at which a node closes that is open.
+const NEVER: u64 = u64::MAX;
 
 /// Spreads clients over the nodes that are ready.
 pub struct ClientRouter {
-    /// The moment from which each node gets no new connections.
+    /// The moment from which each node gets no new connections, in microseconds of the event log.
     closes_at: Vec<AtomicU64>,
     /// Number of requests that were routed.
     routed: AtomicUsize,
@@ -46,16 +49,16 @@
 
     /// Lets new connections go to a node.
     pub fn open(&self, node: usize) {
-        self.closes_at[node].store(Micros::MAX, Ordering::Relaxed);
+        self.closes_at[node].store(NEVER, Ordering::Relaxed);
     }
 
     /// Lets no new connections go to a node from now on.
     pub fn close(&self, node: usize) {
-        self.closes_at[node].store(self.log.now(), Ordering::Relaxed);
+        self.closes_at[node].store(self.log.now().as_micros(), Ordering::Relaxed);
     }
 
     fn is_open(&self, node: usize) -> bool {
-        self.log.now() < self.closes_at[node].load(Ordering::Relaxed)
+        self.log.now().as_micros() < self.closes_at[node].load(Ordering::Relaxed)
     }
 
     fn apply_readiness(&self, node: usize, readiness: Readiness) {
@@ -65,7 +68,7 @@
             Readiness::Nothing => CLOSE_AFTER_NO_ANSWER,
         };
         // Counted from the first failed check: later ones do not defer the moment.
-        self.closes_at[node].fetch_min(self.log.now() + delay, Ordering::Relaxed);
+        self.closes_at[node].fetch_min((self.log.now() + delay).as_micros(), Ordering::Relaxed);
     }
 
     /// Checks the readiness of a node at a fixed interval until the task is aborted, and records its changes.
--- a/crates/testbed/src/faults/mod.rs
+++ b/crates/testbed/src/faults/mod.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use curlewusher_model::{Micros, span};
+use curlewusher_model::{TimeSpan, Timestamp};
 use tokio::time::{Instant, sleep_until};
 
 use crate::environment::Environment;
@@ -30,8 +30,8 @@
 }
 
 /// Waits for the time of a fault, carries it out, and returns when it has ended. Times count from the start of the load.
-pub async fn inject_fault(environment: &Environment, index: usize, fault: &Fault, load_start: Micros) {
-    let instant = |seconds: f64| environment.log.instant(load_start + span(seconds));
+pub async fn inject_fault(environment: &Environment, index: usize, fault: &Fault, load_start: Timestamp) {
+    let instant = |seconds: f64| environment.log.instant(load_start + TimeSpan::from_secs_f64(seconds));
     let targets = environment.scenario.targets_of(fault);
     sleep_until(instant(fault.at_s)).await;
     let record = |phase: &str| {
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use curlewusher_model::workload::PlannedJob;
-use curlewusher_model::{Micros, span};
+use curlewusher_model::{TimeSpan, Timestamp};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
 
@@ -51,9 +51,9 @@
     job: usize,
     /// Number of requests for the job before this one.
     retry: u32,
-    timeout: Micros,
+    timeout: TimeSpan,
     /// Time from the intended moment of the first request to now; 0 for a retry.
-    send_delay: Micros,
+    send_delay: TimeSpan,
 }
 
 impl Clients {
@@ -81,7 +81,7 @@
     }
 
     /// Sends every job at its moment, counted from `load_start`, and returns once each has ended.
-    pub async fn run(self: Arc<Self>, load_start: Micros) {
+    pub async fn run(self: Arc<Self>, load_start: Timestamp) {
         let mut running = JoinSet::new();
         for job in 0..self.jobs.len() {
             let intended_at = load_start + self.jobs[job].submit_at;
@@ -100,15 +100,15 @@
     }
 
     /// A client with one job, through all its requests.
-    async fn submit_job(&self, job: usize, intended_at: Micros) {
+    async fn submit_job(&self, job: usize, intended_at: Timestamp) {
         let class = self.class_of(job);
-        let deadline = intended_at + span(class.timeout_s);
+        let deadline = intended_at + TimeSpan::from_secs_f64(class.timeout_s);
         for retry in 0..=self.scenario.load.retries {
             let now = self.log.now();
             if now >= deadline {
                 return;
             }
-            let send_delay = if retry == 0 { now - intended_at } else { 0 };
+            let send_delay = if retry == 0 { now - intended_at } else { TimeSpan::ZERO };
             let attempt = Attempt { job, retry, timeout: deadline - now, send_delay };
             let outcome = self.send_request(&attempt).await;
             let Some(wait_s) = self.wait_before_retry(class, &outcome) else { return };
@@ -163,8 +163,8 @@
             job,
             node,
             class: self.jobs[job].class,
-            timeout_us: timeout,
-            late_us: send_delay,
+            timeout,
+            delay: send_delay,
         });
     }
 
@@ -181,12 +181,12 @@
             job: attempt.job,
             planned: &self.jobs[attempt.job],
             class: self.class_of(attempt.job),
-            timeout_s: attempt.timeout as f64 / 1e6,
+            timeout: attempt.timeout,
             is_retry: attempt.retry > 0,
         };
         let request = request.render(route.address);
         let answer = self.router.connections.send(route, request.as_bytes(), keep_connection);
-        let longest = Duration::from_micros(attempt.timeout) + EXTRA_WAIT;
+        let longest = Duration::from(attempt.timeout) + EXTRA_WAIT;
         timeout(longest, answer).await.unwrap_or(Err(FailureReason::Late))
     }
 
--- a/crates/testbed/src/load/job_request.rs
+++ b/crates/testbed/src/load/job_request.rs
@@ -3,6 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
+use curlewusher_model::TimeSpan;
 use curlewusher_model::workload::PlannedJob;
 
 use crate::scenario::{Class, Idempotence};
@@ -20,8 +21,8 @@
     pub planned: &'run PlannedJob,
     /// The class of the job.
     pub class: &'run Class,
-    /// The client's remaining time in seconds.
-    pub timeout_s: f64,
+    /// The client's remaining time.
+    pub timeout: TimeSpan,
     /// Whether an earlier request was for the same job.
     pub is_retry: bool,
 }
@@ -35,7 +36,7 @@
              x-cost-hint: {:.0}\r\nx-extras: slots={}\r\n",
             planned.set,
             class.name,
-            self.timeout_s,
+            self.timeout.as_secs_f64(),
             planned.hint_seconds * 1e6,
             planned.slots
         );
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -45,7 +45,7 @@
             command: line.to_owned(),
             expected,
             answer: answer.line.clone(),
-            took_us: answer.took_us,
+            took: answer.took,
         });
     }
     answer
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::Micros;
+use curlewusher_model::{TimeSpan, Timestamp};
 use parking_lot::Mutex;
 use thiserror::Error;
 use tokio::task::{JoinHandle, JoinSet};
@@ -26,8 +26,8 @@
 use crate::scenario::Scenario;
 use crate::stress_run::StressRun;
 
-/// Time from the readiness of all nodes to the start of the load, in microseconds.
-const LOAD_LEAD_TIME: Micros = 200_000;
+/// Time from the readiness of all nodes to the start of the load.
+const LOAD_LEAD_TIME: TimeSpan = TimeSpan::from_millis(200);
 /// Interval at which the progress bar is redrawn.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -37,10 +37,10 @@
     pub records: Vec<Record>,
     /// Costs of the nodes, in the order of time.
     pub samples: Vec<Sample>,
-    /// Start of the load, in microseconds of the event log.
-    pub begin: Micros,
-    /// End of the load, in microseconds of the event log.
-    pub end: Micros,
+    /// Start of the load.
+    pub begin: Timestamp,
+    /// End of the load.
+    pub end: Timestamp,
     /// Failures of nodes' processes that the scenario does not demand, with their last log lines.
     pub crashes: Vec<String>,
     /// Whether it was stopped before its time.
@@ -98,7 +98,7 @@
     environment: Arc<Environment>,
     clients: Arc<Clients>,
     stress: Option<StressRun>,
-    begin: Micros,
+    begin: Timestamp,
     rounds_done: Arc<AtomicUsize>,
 }
 
--- a/crates/testbed/src/sampling.rs
+++ b/crates/testbed/src/sampling.rs
@@ -37,7 +37,7 @@
 ) -> Option<Sample> {
     let mut slot = environment.slot(number).await;
     detect_exit(environment, number, &mut slot);
-    let at_s = environment.log.now() as f64 / 1e6;
+    let at_s = environment.log.now().as_secs_f64();
     let current = slot.node.as_ref().and_then(|node| node.child.id());
     let processes = slot.upgrade_processes.iter().copied().chain(current);
     let samples: Vec<Sample> =
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 use curlewusher_model::workload::random_stream;
 use rand::Rng;
 use tokio::io::AsyncWriteExt;
@@ -96,7 +96,12 @@
     }
 
     /// Carries out all rounds on the first node, and counts those that are done.
-    pub async fn carry_out(self, environment: &Environment, load_start: Micros, rounds_done: &AtomicUsize) {
+    pub async fn carry_out(
+        self,
+        environment: &Environment,
+        load_start: Timestamp,
+        rounds_done: &AtomicUsize,
+    ) {
         sleep_until(environment.log.instant(load_start) + LEAD_TIME).await;
         for round in 0..self.rounds {
             match self.kind {
--- a/crates/testbed/tests/unit/soak.rs
+++ b/crates/testbed/tests/unit/soak.rs
@@ -1,5 +1,7 @@
 //! The same seed draws the same faults, and all that is drawn is a valid scenario.
 
+use curlewusher_model::Timestamp;
+
 use crate::golden::{self, golden};
 use crate::report::Figures;
 use crate::rules::{Rule, Violation};
@@ -45,8 +47,8 @@
         timeline: vec!["not part of the table".into()],
     };
     let violations = [
-        violation(Rule::OneAnswer, 1_234_567, "j7-0 had no answer"),
-        violation(Rule::QuietDrain, 20_000_400, "node 1 sent to worker 2"),
+        violation(Rule::OneAnswer, Timestamp::from_micros(1_234_567), "j7-0 had no answer"),
+        violation(Rule::QuietDrain, Timestamp::from_micros(20_000_400), "node 1 sent to worker 2"),
     ];
     let crashes = ["node 3 ended by itself, exit status: 7; its last lines:\n    (none)".to_owned()];
     let figures = Figures { jobs: 675, share_in_time: 0.98765, ..Figures::default() };
--- a/crates/testbed/tests/unit/stress_run.rs
+++ b/crates/testbed/tests/unit/stress_run.rs
@@ -3,6 +3,8 @@
 #[path = "soak.rs"]
 mod soak;
 
+use curlewusher_model::Timestamp;
+
 use super::*;
 use crate::golden::{self, golden};
 use crate::rules::{CommandFigures, OperationFigures, Rule, UpgradeFigures, Violation};
@@ -50,7 +52,8 @@
 
 #[test]
 fn results_of_stress_runs_then_their_tables_are_as_recorded() {
-    let violation = |rule| Violation { rule, at: 0, description: String::new(), timeline: Vec::new() };
+    let violation =
+        |rule| Violation { rule, at: Timestamp::default(), description: String::new(), timeline: Vec::new() };
     let violations = [Rule::OneAnswer, Rule::Upgrade, Rule::OneAnswer, Rule::Console].map(violation);
     let table = |kind, seed, crashes, operations: &OperationFigures, violations: &[Violation]| {
         let run = StressRun { kind, rounds: 7, max_delay_s: 2.5 };
