--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -117,6 +117,16 @@
     is_poll: bool,
 }
 
+/// Where the next poll comes from after a failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NextPoll {
+    /// It is scheduled, or the dispatch task has been notified of an earlier failure already.
+    Pending,
+    /// The state was active before the failure and is idle now: the dispatch task has to be notified, which then
+    /// requests the poll.
+    OnRequest,
+}
+
 impl WatchFailure {
     /// Whether a poll failed and not an open watch.
     pub fn is_poll(&self) -> bool {
@@ -227,9 +237,8 @@
         }
     }
 
-    /// Schedules the next poll after a failure. Returns whether the dispatch task has to be notified, which
-    /// then requests the next poll: the state was active before the failure and is idle now.
-    pub fn record_failure(&mut self, failure: &WatchFailure) -> bool {
+    /// Schedules the next poll after a failure, or returns that the dispatch task has to request it.
+    pub fn record_failure(&mut self, failure: &WatchFailure) -> NextPoll {
         let was_active = failure.is_current || self.is_active();
         if failure.is_current {
             self.schedule_retry(failure);
@@ -242,7 +251,7 @@
             self.next_poll_at = None;
         }
         self.schedule_poll_beside_old_watch();
-        was_active && !self.is_active()
+        if was_active && !self.is_active() { NextPoll::OnRequest } else { NextPoll::Pending }
     }
 
     fn start_poll(&mut self) {
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -7,7 +7,9 @@
 use tracing::{debug, warn};
 
 use crate::discovery::endpoint_list::EndpointResolver;
-use crate::discovery::watch_state::{ListUpdate, StateEvent, WatchFailure, WatchState, WatchUpdate};
+use crate::discovery::watch_state::{
+    ListUpdate, NextPoll, StateEvent, WatchFailure, WatchState, WatchUpdate,
+};
 use crate::discovery::watch_timing::WatchTiming;
 use crate::dispatch::{DispatchMessage, DispatchQueue, EndpointChange};
 use crate::telemetry::logging::DISCOVERY;
@@ -107,7 +109,7 @@
         if failure.is_current && failure.error.leaves_list_unknown() {
             self.notify(DispatchMessage::EndpointsUnreadable).await?;
         }
-        if state.record_failure(&failure) {
+        if state.record_failure(&failure) == NextPoll::OnRequest {
             self.notify(DispatchMessage::WatchFailed).await?;
         }
         Ok(())
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -87,13 +87,21 @@
     Ok(())
 }
 
-/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`. False at the end of
-/// the stream.
+/// Whether more can be read from a stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StreamState {
+    /// Bytes were read, and more may follow.
+    Open,
+    /// The other process has closed its end.
+    Ended,
+}
+
+/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`.
 pub(super) async fn read_chunk(
     stream: &UnixStream,
     decoder: &mut Decoder,
     descriptors: &mut PendingDescriptors,
-) -> io::Result<bool> {
+) -> io::Result<StreamState> {
     let receive = || {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -107,7 +115,7 @@
                 descriptors.extend(received.take(free));
             }
         }
-        Ok(received.bytes > 0)
+        Ok(if received.bytes > 0 { StreamState::Open } else { StreamState::Ended })
     };
     stream.async_io(Interest::READABLE, receive).await
 }
@@ -120,7 +128,7 @@
         }
         let mut unused_descriptors = PendingDescriptors::new();
         let read = read_chunk(stream, decoder, &mut unused_descriptors).await;
-        if !read.map_err(HandoverError::Disconnected)? {
+        if read.map_err(HandoverError::Disconnected)? == StreamState::Ended {
             decoder.finish()?;
             return Err(HandoverError::closed_by_peer());
         }
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -60,7 +60,9 @@
         listen: SocketAddr,
     },
     /// The other process did not answer in time.
-    #[error("the older process does not answer; the new one starts cold, end the older one if it keeps running")]
+    #[error(
+        "the older process does not answer; the new one starts cold, end the older one if it keeps running"
+    )]
     TimedOut,
     /// The connection to the other process was closed or failed.
     #[error("the other process ended meanwhile ({0}); nothing is to be done")]
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -15,7 +15,7 @@
 use super::outbound::limit_snapshot;
 use super::peer_request::PeerRequest;
 use super::state::LinkState;
-use crate::handover::descriptor_stream::{PendingDescriptors, read_chunk};
+use crate::handover::descriptor_stream::{PendingDescriptors, StreamState, read_chunk};
 use crate::handover::error::HandoverError;
 use crate::telemetry::logging::NODE;
 
@@ -59,8 +59,8 @@
                 self.handle_frame(request_id, frame, &mut descriptors)?;
             }
             match read_chunk(&self.state.stream, &mut decoder, &mut descriptors).await {
-                Ok(true) => {}
-                Ok(false) => return Ok(decoder.finish()?),
+                Ok(StreamState::Open) => {}
+                Ok(StreamState::Ended) => return Ok(decoder.finish()?),
                 // The other process ended before it had read everything.
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(()),
                 Err(error) => return Err(HandoverError::Disconnected(error)),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,8 @@
 //! The node: curlewusher's decisions on real sockets. This file is its command line and its exit codes.
+//!
+//! The node is a program without a library target. In a library every public item counts as used, so that the compiler
+//! would no longer report unused code, and the testbed could share code with the node that it judges. Unit tests
+//! reach private items as `#[path]` modules under `tests/unit`; all other tests run the program as a process.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -17,6 +17,15 @@
 use crate::dispatch::{DispatchMessage, JobOwner};
 use crate::handover::{ForwardResult, PeerLink};
 
+/// Whether a worker needs to repeat a callback.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CallbackDelivery {
+    /// It was delivered to the process that owns its job, or no process owns it.
+    Settled,
+    /// It may be that another process owns its job and has not received it.
+    Unsettled,
+}
+
 impl Server {
     /// Delivers a callback that the other process of this node has forwarded. The owner of its job; None once
     /// the dispatch task has ended.
@@ -35,16 +44,21 @@
         self.connection.mark_as_worker();
         let body = read_body(request.into_body(), &self.connection).await?;
         let report = CallbackReport::parse(&body)?;
-        if self.deliver_callback(report, &body).await? {
-            Ok(response::with_status(StatusCode::NO_CONTENT, ""))
-        } else {
-            Ok(response::with_status(StatusCode::SERVICE_UNAVAILABLE, "not heard; say it again\n"))
-        }
+        Ok(match self.deliver_callback(report, &body).await? {
+            CallbackDelivery::Settled => response::with_status(StatusCode::NO_CONTENT, ""),
+            CallbackDelivery::Unsettled => {
+                response::with_status(StatusCode::SERVICE_UNAVAILABLE, "not heard; say it again\n")
+            }
+        })
     }
 
     /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process
-    /// of this node. Whether it was delivered, or no process holds its job.
-    async fn deliver_callback(&self, report: CallbackReport, body: &Bytes) -> Result<bool, RequestError> {
+    /// of this node.
+    async fn deliver_callback(
+        &self,
+        report: CallbackReport,
+        body: &Bytes,
+    ) -> Result<CallbackDelivery, RequestError> {
         let peer = &self.state.peer;
         let link = peer.link();
         let may_have_unknown_peer = peer.may_have_unknown_peer();
@@ -65,13 +79,13 @@
             _ => ForwardingPeer::None,
         };
         Ok(match (owner, route_callback(ownership, forwarding_peer), link) {
-            (JobOwner::Migrating, ..) => false,
+            (JobOwner::Migrating, ..) => CallbackDelivery::Unsettled,
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
             }
             // A process may hold it that this one cannot reach: the repeated callback may find it.
-            (JobOwner::Unknown, ..) => !may_have_unknown_peer,
-            (JobOwner::Local, ..) => true,
+            (JobOwner::Unknown, ..) if may_have_unknown_peer => CallbackDelivery::Unsettled,
+            (JobOwner::Local | JobOwner::Unknown, ..) => CallbackDelivery::Settled,
         })
     }
 
@@ -84,17 +98,16 @@
         self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
     }
 
-    /// Forwards a callback to the other process of this node. Whether it was delivered, or no process holds
-    /// its job.
-    async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> bool {
+    /// Forwards a callback to the other process of this node.
+    async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> CallbackDelivery {
         match link.forward_callback(body.clone()).await {
-            ForwardResult::Handled => true,
+            ForwardResult::Handled => CallbackDelivery::Settled,
             // Its job may have migrated here since it was looked for here.
             ForwardResult::NotHeld => match deliver_forwarded_callback(&self.state, body).await {
-                Some(JobOwner::Local | JobOwner::Unknown) => true,
-                Some(JobOwner::Migrating) | None => false,
+                Some(JobOwner::Local | JobOwner::Unknown) => CallbackDelivery::Settled,
+                Some(JobOwner::Migrating) | None => CallbackDelivery::Unsettled,
             },
-            ForwardResult::NoAnswer => false,
+            ForwardResult::NoAnswer => CallbackDelivery::Unsettled,
         }
     }
 }
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -15,7 +15,7 @@
 use super::request_body::read_body;
 use super::response::{self, HttpResponse};
 use super::service::ConnectionService;
-use crate::dispatch::{DispatchMessage, JobHandle, JobResponse};
+use crate::dispatch::{DispatchMessage, JobHandle, JobResponse, MigrationOutcome};
 use crate::telemetry::metrics::Counter;
 
 impl ConnectionService {
@@ -87,7 +87,8 @@
                 () = self.state.migration_requested(pause) => {
                     pause = MIGRATION_RETRY_PAUSE;
                     let client = self.duplicate_socket();
-                    if migrate_job(&self.state, job_handle, client).await {
+                    let outcome = migrate_job(&self.state, job_handle, client).await;
+                    if outcome == MigrationOutcome::Accepted {
                         open_job.disarm_disconnect_message();
                         self.connection.abort();
                         // The task of the connection ends now, and drops this future.
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -30,16 +30,20 @@
 /// Pause after a job could not migrate.
 pub const MIGRATION_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Migrates a job to the other process of this node, with a duplicate of its client's socket. Whether the
-/// other process holds it now.
-pub async fn migrate_job(state: &ServerState, job_handle: &JobHandle, client: Option<OwnedFd>) -> bool {
-    let (Some(link), Some(client)) = (state.peer.link(), client) else { return false };
+/// Migrates a job to the other process of this node, with a duplicate of its client's socket.
+pub async fn migrate_job(
+    state: &ServerState,
+    job_handle: &JobHandle,
+    client: Option<OwnedFd>,
+) -> MigrationOutcome {
+    let (Some(link), Some(client)) = (state.peer.link(), client) else { return MigrationOutcome::RolledBack };
     // Dropped with this future when the client closes meanwhile.
     let (_client_connected, client_disconnected) = oneshot::channel();
     let outgoing =
         OutgoingJob { queue: state.queue.clone(), job_handle: job_handle.clone(), client_disconnected };
     // A task of its own: a client that closes now must not leave the job between both processes.
-    spawn_local(outgoing.hand_over(link, client)).await.ok().flatten().unwrap_or(false)
+    let migrated = spawn_local(outgoing.hand_over(link, client)).await;
+    migrated.ok().flatten().unwrap_or(MigrationOutcome::RolledBack)
 }
 
 /// A job that is about to migrate to the other process.
@@ -51,25 +55,26 @@
 }
 
 impl OutgoingJob {
-    /// Whether the other process holds the job now; None once the dispatch task has ended or keeps the job.
-    async fn hand_over(mut self, link: PeerLink, client: OwnedFd) -> Option<bool> {
+    /// Has the other process adopt the job. None once the dispatch task has ended or does not release the job.
+    async fn hand_over(mut self, link: PeerLink, client: OwnedFd) -> Option<MigrationOutcome> {
         let (migration_channel, migration) = oneshot::channel();
         let request = DispatchMessage::MigrateJob { job_handle: self.job_handle.clone(), migration_channel };
         self.queue.send(request).await.ok()?;
         let OutgoingMigration { migration, payload } = migration.await.ok()?;
-        let is_held = match migration_record::encode(&migration, &payload) {
+        let is_adopted = match migration_record::encode(&migration, &payload) {
             Some(record) => link.migrate_job(record, client).await,
             None => false,
         };
-        let outcome = if is_held { MigrationOutcome::Accepted } else { MigrationOutcome::RolledBack };
+        let outcome = if is_adopted { MigrationOutcome::Accepted } else { MigrationOutcome::RolledBack };
         let finished = DispatchMessage::MigrationFinished { job_handle: self.job_handle.clone(), outcome };
         self.queue.send(finished).await.ok()?;
-        if !is_held && self.client_disconnected.try_recv() == Err(TryRecvError::Closed) {
+        let is_client_gone = self.client_disconnected.try_recv() == Err(TryRecvError::Closed);
+        if outcome == MigrationOutcome::RolledBack && is_client_gone {
             // The dispatch task ignores this message while a job migrates; the other process would see it by
             // itself.
             self.queue.send(DispatchMessage::ClientDisconnected(self.job_handle)).await.ok()?;
         }
-        Some(is_held)
+        Some(outcome)
     }
 }
 
@@ -171,7 +176,8 @@
                 () = self.state.migration_requested(pause) => {
                     pause = MIGRATION_RETRY_PAUSE;
                     let client = stream.as_fd().try_clone_to_owned().ok();
-                    if migrate_job(&self.state, &job.job_handle, client).await {
+                    let outcome = migrate_job(&self.state, &job.job_handle, client).await;
+                    if outcome == MigrationOutcome::Accepted {
                         job.open_job.disarm_disconnect_message();
                         return None;
                     }
