--- a/crates/core/src/dispatcher/attempt_lifecycle.rs
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -4,12 +4,12 @@
 use super::job_lifecycle::cancellations;
 use crate::policy::ejection::{EndAssessment, assess_end, ejection_time};
 use crate::state::{AttemptId, EndedAttempt};
-use crate::{Action, Outcome, Timestamp};
+use crate::{Outcome, Timestamp};
 
 /// How an attempt ended.
 pub(super) struct AttemptEnd {
     /// Which attempt.
-    pub id: AttemptId,
+    pub attempt: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
     /// The client has its answer: the job needs no further attempt.
@@ -24,8 +24,14 @@
         }
     }
 
-    /// An attempt has started to run, or to answer.
+    /// A worker has started to run an attempt.
     pub(super) fn handle_start(&mut self, now: Timestamp, id: AttemptId) {
+        self.record_acceptance(now, id);
+        self.record_start(now, id);
+    }
+
+    /// An attempt has started to run, or to answer.
+    fn record_start(&mut self, now: Timestamp, id: AttemptId) {
         let Some(index) = self.worker_index_of(id) else { return };
         let Some(delay) = self.fleet.worker_mut(index).record_start(now, id) else { return };
         self.fleet.record_start_delay(now, index, delay);
@@ -45,7 +51,7 @@
 
     /// The answer of an attempt has begun to stream to the client.
     pub(super) fn handle_stream(&mut self, now: Timestamp, id: AttemptId) {
-        self.handle_start(now, id);
+        self.record_start(now, id);
         if let Some(job) = self.jobs.get_mut(id.job) {
             job.mark_streaming();
         }
@@ -53,7 +59,7 @@
 
     /// An attempt has ended, by what its worker or its connection reported.
     pub(super) fn handle_end(&mut self, now: Timestamp, end: AttemptEnd) {
-        let AttemptEnd { id, outcome, settled } = end;
+        let AttemptEnd { attempt: id, outcome, settled } = end;
         let was_held_back = outcome == Outcome::NotSent && self.is_revoked(id);
         let is_first_report = self.jobs.record_outcome(id, outcome);
         if is_first_report && let Some(ended) = self.remove_ended(id, outcome) {
@@ -68,12 +74,6 @@
         }
     }
 
-    /// Revokes attempts whose worker accepts no new ones any more.
-    pub(super) fn revoke_attempts(&mut self) {
-        let revoked = self.fleet.take_revocations();
-        self.outbox.extend(revoked.map(|id| Action::RevokeAttempt { job: id.job, attempt: id.number }));
-    }
-
     /// Removes an attempt that has ended from its worker.
     fn remove_ended(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let worker_index = self.worker_index_of(id)?;
--- /dev/null
+++ b/crates/core/src/dispatcher/endpoints.rs
@@ -0,0 +1,38 @@
+//! Which workers take new work: changes of the endpoint list, and workers that operators disable.
+
+use super::Dispatcher;
+use crate::{Action, Endpoint, EndpointUpdate, Timestamp, WorkerId};
+
+impl Dispatcher {
+    /// An endpoint list, or changes to it, arrived.
+    pub(super) fn update_endpoints(
+        &mut self,
+        now: Timestamp,
+        endpoints: &[Endpoint],
+        update: EndpointUpdate,
+    ) {
+        self.poll_schedule.record_endpoints(now);
+        self.fleet.apply_endpoints(now, endpoints, update);
+        self.revoke_attempts();
+    }
+
+    /// Operators have disabled a worker.
+    pub(super) fn disable_worker(&mut self, now: Timestamp, worker: WorkerId) {
+        self.fleet.disable_worker(now, worker);
+        self.revoke_attempts();
+    }
+
+    /// Operators have enabled a worker again.
+    pub(super) fn enable_worker(&mut self, now: Timestamp, worker: WorkerId) {
+        self.fleet.reenable_worker(now, worker);
+        self.dispatch_pending(now);
+    }
+
+    /// Revokes attempts whose worker accepts no new ones any more.
+    fn revoke_attempts(&mut self) {
+        let revoked = self.fleet.take_revocations();
+        self.outbox.extend(
+            revoked.map(|attempt| Action::RevokeAttempt { job: attempt.job, attempt: attempt.number }),
+        );
+    }
+}
--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -39,7 +39,7 @@
 
     /// Returns whether messages are due, and takes them off the schedule.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
-        let is_due = self.due_at.is_some_and(|at| at <= now);
+        let is_due = self.due_at.is_some_and(|due| due <= now);
         if is_due {
             self.due_at = None;
         }
@@ -67,7 +67,7 @@
         }
         if !data.is_empty() {
             let peers = self.fleet.subset().peers();
-            self.outbox.extend(peers.map(|to| Action::SendGossip { to, data: data.clone() }));
+            self.outbox.extend(peers.map(|peer| Action::SendGossip { to: peer, data: data.clone() }));
         }
     }
 
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -8,10 +8,12 @@
 //! | `sending` | the queue, the choice of a worker, and each send |
 //! | `review` | the sweep over open jobs: deadlines, relocation, hedging |
 //! | `timers` | the one timer |
+//! | `endpoints` | the endpoint list, and what operators disable |
 //! | `gossip` | reports from and to other nodes |
 //! | `migration`, `snapshot` | what moves to another process of this node |
 
 mod attempt_lifecycle;
+mod endpoints;
 mod gossip;
 mod job_lifecycle;
 mod migration;
@@ -114,21 +116,19 @@
 
     fn apply(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::EndpointsChanged { .. }
-            | Event::EndpointsConfirmed { .. }
-            | Event::EndpointsUnreadable
-            | Event::PollAnswered { .. }
-            | Event::DiscoveryMoved
-            | Event::WatchFailed => self.apply_discovery_event(now, event),
+            Event::EndpointsChanged { endpoints, update } => self.update_endpoints(now, endpoints, update),
+            Event::EndpointsConfirmed { as_of } => self.poll_schedule.record_confirmation(as_of.min(now)),
+            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
+            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
+            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
             Event::JobSubmitted(submission) => self.admit_job(now, &submission),
             Event::ClientDisconnected { job } => self.disconnect_client(job),
             Event::AttemptAccepted { job, attempt } => {
                 self.record_acceptance(now, AttemptId { job, number: attempt });
             }
             Event::AttemptStarted { job, attempt } => {
-                let id = AttemptId { job, number: attempt };
-                self.record_acceptance(now, id);
-                self.handle_start(now, id);
+                self.handle_start(now, AttemptId { job, number: attempt });
             }
             Event::AttemptProgressed { job, attempt, fraction_done } => {
                 self.handle_progress(now, AttemptId { job, number: attempt }, fraction_done);
@@ -137,18 +137,12 @@
                 self.handle_stream(now, AttemptId { job, number: attempt });
             }
             Event::AttemptEnded { job, attempt, outcome, settled } => {
-                let id = AttemptId { job, number: attempt };
-                self.handle_end(now, AttemptEnd { id, outcome, settled });
+                let attempt = AttemptId { job, number: attempt };
+                self.handle_end(now, AttemptEnd { attempt, outcome, settled });
             }
             Event::GossipReceived { from, data } => self.receive_gossip(now, from, data),
-            Event::MaintenanceChanged { worker, disabled: true } => {
-                self.fleet.disable_worker(now, worker);
-                self.revoke_attempts();
-            }
-            Event::MaintenanceChanged { worker, disabled: false } => {
-                self.fleet.reenable_worker(now, worker);
-                self.dispatch_pending(now);
-            }
+            Event::WorkerDisabled { worker } => self.disable_worker(now, worker),
+            Event::WorkerEnabled { worker } => self.enable_worker(now, worker),
             Event::SuccessorActive { active } => self.lifecycle.is_superseded = active,
             Event::ShutdownStarted { deadline } => {
                 self.lifecycle.shutdown_at = deadline;
@@ -158,23 +152,6 @@
         }
     }
 
-    /// Takes in what discovery reported, or that it could not be reached.
-    fn apply_discovery_event(&mut self, now: Timestamp, event: Event) {
-        match event {
-            Event::EndpointsChanged { endpoints, snapshot } => {
-                self.poll_schedule.record_endpoints(now);
-                self.fleet.apply_endpoints(now, endpoints, snapshot);
-                self.revoke_attempts();
-            }
-            Event::EndpointsConfirmed { as_of } => self.poll_schedule.record_confirmation(as_of.min(now)),
-            Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
-            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
-            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
-            Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
-            _ => {}
-        }
-    }
-
     /// What permission to send depends on, as it is now.
     fn send_rules(&self) -> SendRules<'_> {
         SendRules {
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -17,12 +17,12 @@
 impl Timer {
     /// Forgets a timer that has expired.
     fn record_expiry(&mut self, now: Timestamp) {
-        self.expires_at = self.expires_at.filter(|at| *at > now);
+        self.expires_at = self.expires_at.filter(|expiry| *expiry > now);
     }
 
     /// Sets the timer, unless it is set to expire early enough. Returns after how long it is to expire.
     fn set(&mut self, now: Timestamp, next: Timestamp) -> Option<TimeSpan> {
-        if self.expires_at.is_some_and(|at| at <= next && at >= now) {
+        if self.expires_at.is_some_and(|expiry| expiry <= next && expiry >= now) {
             return None;
         }
         let after = next.saturating_since(now).max(MIN_TIMER);
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -13,6 +13,15 @@
     Gone,
 }
 
+/// How the entries of a message of discovery change the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointUpdate {
+    /// These are all entries: a worker that is not among them is gone.
+    Snapshot,
+    /// The entries have changed; all others stay as they are.
+    Delta,
+}
+
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! Events: what the embedder reports to the dispatcher.
 
-use super::{Endpoint, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId};
+use super::{Endpoint, EndpointUpdate, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId};
 
 /// Something that has happened. Pass each to [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
 ///
@@ -13,8 +13,8 @@
     EndpointsChanged {
         /// The entries.
         endpoints: &'a [Endpoint],
-        /// These are all entries: a worker that is not among them is gone. Otherwise they are changes.
-        snapshot: bool,
+        /// Whether these are all entries or changes.
+        update: EndpointUpdate,
     },
     /// Discovery confirmed the known endpoint list, by an answer to a poll, a change or a heartbeat.
     EndpointsConfirmed {
@@ -89,13 +89,16 @@
         /// The message.
         data: &'a [u8],
     },
-    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says, or
-    /// enabled it again.
-    MaintenanceChanged {
+    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says. No effect
+    /// on a worker that is disabled already.
+    WorkerDisabled {
+        /// Which worker.
+        worker: WorkerId,
+    },
+    /// An operator enabled a worker again. No effect on a worker that is not disabled.
+    WorkerEnabled {
         /// Which worker.
         worker: WorkerId,
-        /// Whether it is disabled; repeating the present state has no effect.
-        disabled: bool,
     },
     /// Another process of this node has taken over, or has exited again. While it is active, filling the workers
     /// that are warming up is left to it.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use curlewusher_core::{
-//!     Action, CellId, ClassId, Dispatcher, Endpoint, Event, Idempotency, JobClass, JobId, JobSubmission, KindId,
+//!     Action, CellId, ClassId, Dispatcher, Endpoint, EndpointUpdate, Event, Idempotency, JobClass, JobId, JobSubmission, KindId,
 //!     Outcome, Settings, TenantId, TimeSpan, Timestamp, WorkerId, WorkerStatus, ZoneId,
 //! };
 //!
@@ -68,7 +68,7 @@
 //!     started_at: Timestamp::ORIGIN,
 //!     size: 1.0,
 //! };
-//! let endpoints = Event::EndpointsChanged { endpoints: &[endpoint], snapshot: true };
+//! let endpoints = Event::EndpointsChanged { endpoints: &[endpoint], update: EndpointUpdate::Snapshot };
 //! dispatcher.handle(at(2), endpoints, &mut actions);
 //!
 //! // A client submits a job.
@@ -116,8 +116,8 @@
 
 pub use dispatcher::Dispatcher;
 pub use interface::{
-    Action, CellId, ClassId, DeduplicationScope, Endpoint, Event, Idempotency, JobClass, JobId,
-    JobSubmission, KindId, Outcome, Settings, SettingsError, TenantId, TimeSpan, Timestamp, WorkerId,
+    Action, CellId, ClassId, DeduplicationScope, Endpoint, EndpointUpdate, Event, Idempotency, JobClass,
+    JobId, JobSubmission, KindId, Outcome, Settings, SettingsError, TenantId, TimeSpan, Timestamp, WorkerId,
     WorkerStatus, ZoneId, stable_hash,
 };
 pub use state::{MigratedJob, StateSnapshot};
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -19,19 +19,19 @@
 use crate::permission::Denial;
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// New attempts stop this long, in microseconds, after an unknown change would count as notified; the attempts
+/// New attempts stop this long after an unknown change would count as notified; the attempts
 /// decided on before are on their way by [`SEND_GRACE`].
 const DECISION_GRACE: TimeSpan = TimeSpan::from_millis(100);
-/// No attempt is written later than this, in microseconds, after an unknown change would count as notified. The rule
+/// No attempt is written later than this after an unknown change would count as notified. The rule
 /// is 0.75 s; a node may be held up for 0.15 s between reading its clock and writing, and what confirms the list may
 /// have been on its way for 0.2 s.
 const SEND_GRACE: TimeSpan = TimeSpan::from_millis(400);
-/// How long a process without any confirmation holds jobs before others do better without it: it says that it is ready
-/// after 5 s.
+/// How long a process without any confirmation holds jobs before clients are better off at other nodes: it reports that it
+/// is ready after 5 s.
 const MAX_HOLD_BEFORE_CONFIRMATION: TimeSpan = TimeSpan::from_secs(7);
-/// The same once the lease has expired. A hold of less is worth waiting for.
+/// The same once the lease has expired. Jobs are held for a shorter time than this.
 const MAX_HOLD_AFTER_EXPIRY: TimeSpan = TimeSpan::from_secs(2);
-/// The service that discovery moved to counts as having had a change this much earlier, in microseconds.
+/// The service that discovery moved to counts as having had a change this much earlier.
 const MOVE_ALLOWANCE: TimeSpan = TimeSpan::from_secs(2);
 
 /// The moment up to which the endpoint list is known to be current, and the limits that follow from it.
@@ -57,14 +57,14 @@
         }
     }
 
-    /// The process runs; no effect after the first event. It says nothing of the list.
+    /// The process runs; no effect after the first event. A start does not renew the lease.
     pub(crate) fn record_start(&mut self, now: Timestamp) {
         self.started_at.get_or_insert(now);
     }
 
     /// Discovery has confirmed that the list was current at this moment. Nothing else renews the lease.
     pub(crate) fn renew(&mut self, confirmed_at: Timestamp) {
-        self.confirmed_at = Some(self.confirmed_at.map_or(confirmed_at, |at| at.max(confirmed_at)));
+        self.confirmed_at = Some(self.confirmed_at.map_or(confirmed_at, |known| known.max(confirmed_at)));
     }
 
     /// A list that could not be parsed may contain any change, so every change counts as notified now.
@@ -87,7 +87,7 @@
     /// The moment before which an attempt decided on by the list must be written. None: the lease does not bound it.
     pub(crate) fn write_by(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
-        Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |at| at + limit + SEND_GRACE))
+        Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + SEND_GRACE))
     }
 
     /// Whether jobs have been held for so long that clients are better off at other nodes, which may have been confirmed.
@@ -101,6 +101,6 @@
     }
 
     fn limit_to(&mut self, latest: Timestamp) {
-        self.confirmed_at = self.confirmed_at.map(|at| at.min(latest));
+        self.confirmed_at = self.confirmed_at.map(|known| known.min(latest));
     }
 }
--- a/crates/core/src/permission/serving.rs
+++ b/crates/core/src/permission/serving.rs
@@ -1,15 +1,15 @@
-//! Permission to say that a process is ready, which makes clients come to it.
+//! Permission to report that a process is ready, which makes clients connect to it.
 
 use crate::TimeSpan;
 
-/// How long after its start a process waits for its first answer of discovery before it says that it is ready with its
+/// How long after its start a process waits for its first answer of discovery before it reports that it is ready with its
 /// saved list alone. A ready process without an answer holds the jobs that it takes, so that clients are better off at
-/// other nodes; but when discovery is away for long, nobody would take jobs at all.
+/// other nodes; but while discovery is unavailable for long, no node would take jobs at all.
 const MAX_WAIT_FOR_ENDPOINTS: TimeSpan = TimeSpan::from_secs(5);
-/// The same for a process beside an older one, which goes on serving meanwhile; an upgrade has 6 s in all.
+/// The same for a process beside an older one, which continues to serve meanwhile; an upgrade has 6 s in all.
 const MAX_WAIT_BESIDE_PREDECESSOR: TimeSpan = TimeSpan::from_secs(3);
 
-/// When a process may say that it is ready.
+/// When a process may report that it is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingPermission {
     /// The configuration has an endpoint list of an earlier run.
@@ -19,7 +19,7 @@
 }
 
 impl ServingPermission {
-    /// How long after its start the process may say that it is ready without an answer of discovery.
+    /// How long after its start the process may report that it is ready without an answer of discovery.
     /// None: never. With an answer it may at once.
     pub fn without_answer_after(self) -> Option<TimeSpan> {
         match self {
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -13,7 +13,7 @@
 //!
 //! Discovery serves one poll after another and drops a poll that waits for longer than about 2 s. Nodes often lose
 //! their watches all at once, so their polls are spread evenly over the time that discovery needs for all of them:
-//! each node estimates that from the polls that were answered. A poll that fails says nothing about the list: discovery
+//! each node estimates that from the polls that were answered. A failed poll does not show whether the list has changed: discovery
 //! may have been unavailable, overloaded, or not reachable for this node alone.
 
 use crate::permission::EndpointLease;
@@ -53,7 +53,7 @@
 
 /// The schedule of a node's polls, with the lease on its endpoint list.
 pub(crate) struct PollSchedule {
-    /// The list is sent on request only; otherwise there is nothing to schedule.
+    /// Discovery sends the list in answer to a poll only; otherwise there is nothing to schedule.
     on_request: bool,
     /// See [`Settings::max_poll_interval`].
     max_poll_interval: TimeSpan,
@@ -70,6 +70,7 @@
 }
 
 impl PollSchedule {
+    /// The schedule of a node that has not started yet.
     pub(crate) fn new(settings: &Settings) -> Self {
         PollSchedule {
             on_request: settings.endpoints_on_request,
@@ -97,7 +98,7 @@
             self.schedule_first_poll(now, rng);
             return false;
         }
-        let is_due = self.next_poll_at.is_some_and(|at| at <= now);
+        let is_due = self.next_poll_at.is_some_and(|due| due <= now);
         if is_due {
             self.record_poll(now);
         }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -2,8 +2,9 @@
 
 use super::estimates::{RunEstimate, SEND_RATE_SPAN_S};
 use super::fleet::{Fleet, LATE_START_S};
+use super::in_flight::{InFlightAttempt, UnhintedWork};
 use super::job::{Attempt, AttemptId, AttemptRef, Job};
-use super::worker::{EXCESS_WAIT_SPAN_S, InFlightAttempt, UnhintedWork};
+use super::worker::EXCESS_WAIT_SPAN_S;
 use crate::{JobId, Outcome, Settings, TimeSpan, Timestamp};
 
 /// Shortest run that a speed is learned from, in seconds.
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -35,7 +35,11 @@
         AdmissionState {
             quotas: settings.tenant_quotas.iter().map(burst).collect(),
             longest_time_left: vec![TimeSpan::ZERO; settings.classes.len()],
-            max_priority_weight: settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max),
+            max_priority_weight: settings
+                .classes
+                .iter()
+                .map(|class| class.priority_weight)
+                .fold(1e-9, f64::max),
         }
     }
 
--- a/crates/core/src/state/endpoints.rs
+++ b/crates/core/src/state/endpoints.rs
@@ -3,13 +3,13 @@
 use super::fleet::{Fleet, MAX_WORKER_SLOTS};
 use super::subset::Candidate;
 use super::worker::Worker;
-use crate::{Endpoint, Timestamp, WorkerId, WorkerStatus};
+use crate::{Endpoint, EndpointUpdate, Timestamp, WorkerId, WorkerStatus};
 
 impl Fleet {
     /// Takes over an endpoint list, or changes to it. A snapshot is complete: workers that it does not name are
     /// gone.
-    pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], snapshot: bool) {
-        if snapshot {
+    pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], update: EndpointUpdate) {
+        if update == EndpointUpdate::Snapshot {
             self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
         }
         for endpoint in endpoints {
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -9,9 +9,10 @@
     DEFAULT_JOB_WORK_S, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
     WorkEstimate,
 };
+use super::in_flight::{InFlightAttempt, UnhintedWork};
 use super::job::{AttemptId, clamp_job_work};
 use super::subset::Subset;
-use super::worker::{InFlightAttempt, UnhintedWork, Worker};
+use super::worker::Worker;
 use crate::{KindId, Settings, Timestamp, WorkerId};
 
 /// A start that is this late counts as delayed, in seconds.
--- a/crates/core/src/state/migration.rs
+++ b/crates/core/src/state/migration.rs
@@ -195,7 +195,7 @@
             accepted: self.accepted,
             revoked: false,
             predicted_wait: bounded_seconds(self.predicted_wait).unwrap_or(0.0),
-            started_at: self.started_at.map(|at| at.min(now)),
+            started_at: self.started_at.map(|moment| moment.min(now)),
             progress: self.progress.map(|progress| progress.restore(now)),
             unhinted: None,
         }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -4,7 +4,7 @@
 //! | module | what it holds |
 //! | --- | --- |
 //! | `estimators` | decaying sum, averages, token bucket, estimates of speed and work |
-//! | `worker`, `job` | the records of a worker and a job |
+//! | `worker`, `job`, `in_flight` | the records of a worker, a job, and an attempt in flight |
 //! | `fleet`, `jobs` | all workers together; all jobs and the queue |
 //! | `endpoints`, `subset` | which workers take new work, and which of them this node uses |
 //! | `affinity` | which workers are likely to hold what a key stands for |
@@ -22,6 +22,7 @@
 mod estimates;
 mod estimators;
 mod fleet;
+mod in_flight;
 mod job;
 mod jobs;
 mod load;
@@ -36,9 +37,10 @@
 pub(crate) use estimates::{RELIABLE_HINT_SHARE, RunEstimate};
 pub(crate) use estimators::{SpeedEstimate, SpeedRatio};
 pub(crate) use fleet::{Fleet, LATE_START_S, MachineKind};
+pub(crate) use in_flight::{InFlightAttempt, Progress};
 pub(crate) use job::{Attempt, AttemptId, Job, MAX_ATTEMPTS, MAX_JOB_SLOTS, QueueKey, clamp_job_work};
 pub(crate) use jobs::JobTable;
 pub(crate) use load::{Capacity, DEMAND_SPAN_S, Demand};
 pub use migration::MigratedJob;
 pub use snapshot::StateSnapshot;
-pub(crate) use worker::{InFlightAttempt, MAX_WORKER_KEYS, PeerBacklog, Progress, WarmUpSend, Worker};
+pub(crate) use worker::{MAX_WORKER_KEYS, PeerBacklog, WarmUpSend, Worker};
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -177,7 +177,7 @@
         worker.health.ejected_until =
             worker.health.ejected_until.max(self.ejected_until.min(latest_ejection_end));
         worker.health.unreachable |= self.unreachable;
-        worker.reenabled_at = worker.reenabled_at.or(self.reenabled_at.map(|at| at.min(now)));
+        worker.reenabled_at = worker.reenabled_at.or(self.reenabled_at.map(|moment| moment.min(now)));
     }
 
     /// The predecessor's sends come before this process's own, as they were sent.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -118,6 +118,16 @@
     }
 }
 
+/// An operator disables a worker, or enables it again.
+pub fn maintenance_event(worker: WorkerId, disabled: bool) -> Event<'static> {
+    if disabled { Event::WorkerDisabled { worker } } else { Event::WorkerEnabled { worker } }
+}
+
+/// The kind of an update of the endpoint list.
+pub fn endpoint_update(is_snapshot: bool) -> EndpointUpdate {
+    if is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta }
+}
+
 /// A dispatcher with a virtual clock.
 pub struct TestNode {
     pub dispatcher: Dispatcher,
@@ -168,12 +178,12 @@
 
     /// Delivers a whole endpoint list.
     pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
-        self.handle(Event::EndpointsChanged { endpoints, snapshot: true })
+        self.handle(Event::EndpointsChanged { endpoints, update: EndpointUpdate::Snapshot })
     }
 
     /// An operator disables a worker, or enables it again.
     pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
-        self.handle(Event::MaintenanceChanged { worker: WorkerId(worker), disabled })
+        self.handle(maintenance_event(WorkerId(worker), disabled))
     }
 
     pub fn submit_job(&mut self, submission: JobSubmission) -> Vec<Action> {
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -173,7 +173,10 @@
     fn deliver_list(&mut self, process: usize, snapshot: bool) {
         let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Gone;
         let endpoints: Vec<Endpoint> = self.endpoints.iter().filter(is_listed).cloned().collect();
-        self.handle(process, Event::EndpointsChanged { endpoints: &endpoints, snapshot });
+        self.handle(
+            process,
+            Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(snapshot) },
+        );
     }
 
     fn carry_out(&mut self, process: usize, actions: Vec<Action>) {
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -7,7 +7,7 @@
     let mut workers = endpoints(2);
     let mut node = TestNode::new(settings(), &workers);
     workers[0].status = WorkerStatus::Draining;
-    node.handle(Event::EndpointsChanged { endpoints: &workers[..1], snapshot: false });
+    node.handle(Event::EndpointsChanged { endpoints: &workers[..1], update: EndpointUpdate::Delta });
     for job in 0..20 {
         assert_ne!(node.place(job, 0, 0.01), Some(0));
         node.advance(millis(100));
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -36,8 +36,8 @@
         (listed(WorkerStatus::Draining, Timestamp::ORIGIN), listed(WorkerStatus::Gone, Timestamp::ORIGIN));
     let (restarted, unchanged) =
         (listed(WorkerStatus::Ready, at(seconds(9))), listed(WorkerStatus::Ready, Timestamp::ORIGIN));
-    let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, snapshot };
-    let disabled = |worker| Event::MaintenanceChanged { worker: WorkerId(worker), disabled: true };
+    let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, update: endpoint_update(snapshot) };
+    let disabled = |worker| Event::WorkerDisabled { worker: WorkerId(worker) };
     for (is_revoked, event) in [
         (true, list(&draining, false)),
         (true, list(&gone, false)),
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -206,7 +206,7 @@
             list[worker].status = WorkerStatus::Draining;
             self.drains_received[worker].get_or_insert(now.max(*at));
         }
-        self.handle(Event::EndpointsChanged { endpoints: &list, snapshot: true });
+        self.handle(Event::EndpointsChanged { endpoints: &list, update: EndpointUpdate::Snapshot });
         let as_of = match self.connection {
             Connection::Watching { last_event, .. } => last_event,
             Connection::Closed | Connection::Polling(_) => now,
@@ -219,7 +219,7 @@
         self.handle(Event::TimerExpired);
         if self.node.now == self.started {
             // The saved list is read at the first timer expiry.
-            self.handle(Event::EndpointsChanged { endpoints: workers, snapshot: true });
+            self.handle(Event::EndpointsChanged { endpoints: workers, update: EndpointUpdate::Snapshot });
         }
     }
 
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -84,7 +84,7 @@
                 _ => _ = self.checker.endpoints.insert(entry.worker, entry.clone()),
             }
         }
-        self.handle(Event::EndpointsChanged { endpoints: &endpoints, snapshot })
+        self.handle(Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(snapshot) })
     }
 
     /// Advances time by one step, with at most one event from outside.
@@ -133,7 +133,7 @@
             true => _ = self.checker.disabled.insert(worker),
             false => _ = self.checker.disabled.remove(&worker),
         }
-        self.handle(Event::MaintenanceChanged { worker, disabled })
+        self.handle(maintenance_event(worker, disabled))
     }
 
     /// Starts and ends attempts; a job that is served takes just its work.
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use curlewusher_core::{CellId, Endpoint, KindId, Timestamp, WorkerId, WorkerStatus, ZoneId};
+use curlewusher_core::{CellId, Endpoint, EndpointUpdate, KindId, Timestamp, WorkerId, WorkerStatus, ZoneId};
 use curlewusher_settings::Site;
 use serde::Deserialize;
 
@@ -31,6 +31,11 @@
 }
 
 impl EndpointListMessage {
+    /// How the message changes the endpoint list.
+    pub fn update(&self) -> EndpointUpdate {
+        if self.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta }
+    }
+
     /// A message that changes nothing: the list of this version is still valid.
     pub fn unchanged(index: u64) -> Self {
         EndpointListMessage { index, snapshot: false, endpoints: Vec::new() }
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -91,7 +91,7 @@
         let endpoints = self.resolver.resolve(&list.endpoints);
         let (index, count, snapshot) = (list.index, endpoints.len(), list.snapshot);
         debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list received");
-        let change = EndpointChange { endpoints, snapshot, current_as_of, poll_duration };
+        let change = EndpointChange { endpoints, update: list.update(), current_as_of, poll_duration };
         self.notify(DispatchMessage::EndpointsChanged(change)).await
     }
 
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -5,7 +5,7 @@
 
 use curlewusher_control::command::CommandResult;
 use curlewusher_control::maintenance::{DisabledWorkers, MaintenanceAction};
-use curlewusher_core::StateSnapshot;
+use curlewusher_core::{EndpointUpdate, StateSnapshot};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -108,8 +108,8 @@
 pub struct EndpointChange {
     /// The entries.
     pub endpoints: Vec<NamedEndpoint>,
-    /// Whether these are all endpoints, rather than a change.
-    pub snapshot: bool,
+    /// Whether these are all endpoints or changes.
+    pub update: EndpointUpdate,
     /// With it, the whole list is known to have been current at this moment; none if that is not known.
     pub current_as_of: Option<Instant>,
     /// How long the poll took that it answers.
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -14,7 +14,9 @@
 
 use curlewusher_control::command::CommandResult;
 use curlewusher_control::maintenance::{DisabledWorkers, MaintenanceAction};
-use curlewusher_core::{Action, Dispatcher, Endpoint, Event, Outcome, TimeSpan, Timestamp, WorkerId};
+use curlewusher_core::{
+    Action, Dispatcher, Endpoint, EndpointUpdate, Event, Outcome, TimeSpan, Timestamp, WorkerId,
+};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use tracing::trace;
@@ -99,7 +101,7 @@
         // it does not come from discovery.
         let now = self.clock.now();
         self.decide(now, Event::TimerExpired);
-        self.update_endpoints(now, saved_endpoints, true);
+        self.update_endpoints(now, saved_endpoints, EndpointUpdate::Snapshot);
         loop {
             let next_expiry = self.timers.next_expiry().map(|expiry| self.clock.instant_at(expiry));
             let sleep = async {
@@ -173,8 +175,10 @@
     /// Has the dispatcher use a worker no longer, or use it again.
     fn apply_maintenance(&mut self, name: &str, action: MaintenanceAction) {
         let worker = WorkerId::from_name(name);
-        let disabled = action == MaintenanceAction::Disable;
-        self.apply_event(Event::MaintenanceChanged { worker, disabled });
+        self.apply_event(match action {
+            MaintenanceAction::Disable => Event::WorkerDisabled { worker },
+            MaintenanceAction::Enable => Event::WorkerEnabled { worker },
+        });
     }
 
     /// Adopts what the predecessor of this process knew.
@@ -233,22 +237,22 @@
 
     /// Applies what discovery has sent in answer to a poll, or over the open watch.
     fn handle_endpoint_change(&mut self, change: EndpointChange) {
-        let EndpointChange { endpoints, snapshot, current_as_of, poll_duration } = change;
+        let EndpointChange { endpoints, update, current_as_of, poll_duration } = change;
         if let Some(duration) = poll_duration {
             self.apply_event(Event::PollAnswered { duration: time_span(duration) });
         }
-        self.update_endpoints(self.clock.now(), endpoints, snapshot);
+        self.update_endpoints(self.clock.now(), endpoints, update);
         if let Some(as_of) = current_as_of {
             self.confirm_endpoints(as_of);
         }
     }
 
     /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
-    fn update_endpoints(&mut self, now: Timestamp, endpoints: Vec<NamedEndpoint>, snapshot: bool) {
+    fn update_endpoints(&mut self, now: Timestamp, endpoints: Vec<NamedEndpoint>, update: EndpointUpdate) {
         self.metrics.add(Counter::EndpointListUpdates);
         self.disabled_workers.record_listed(endpoints.iter().map(|listed| &*listed.name));
         let entries: Vec<Endpoint> = endpoints.iter().map(|listed| listed.endpoint.clone()).collect();
-        if snapshot {
+        if update == EndpointUpdate::Snapshot {
             self.endpoints.clear();
         }
         for listed in endpoints {
@@ -264,7 +268,7 @@
                 self.worker_client.discard_connections(address);
             }
         }
-        let event = Event::EndpointsChanged { endpoints: &entries, snapshot };
+        let event = Event::EndpointsChanged { endpoints: &entries, update };
         self.decide(now, event);
     }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,8 +4,8 @@
 use std::fmt::{self, Write};
 
 use curlewusher_core::{
-    Action, ClassId, Dispatcher, Event, JobId, JobSubmission, Outcome, TenantId, TimeSpan, Timestamp,
-    WorkerId,
+    Action, ClassId, Dispatcher, EndpointUpdate, Event, JobId, JobSubmission, Outcome, TenantId, TimeSpan,
+    Timestamp, WorkerId,
 };
 
 use crate::catalog::Catalogs;
@@ -93,20 +93,20 @@
     }
 
     fn handle_sync(&mut self, now: Timestamp, fields: Fields, catalogs: &Catalogs) -> Result<(), FieldError> {
-        let snapshot = match fields.text("form")? {
+        let update = match fields.text("form")? {
             "X" => {
                 self.dispatch(now, Event::WatchFailed);
                 return Ok(());
             }
-            "D" => false,
-            "F" | "C" => true,
+            "D" => EndpointUpdate::Delta,
+            "F" | "C" => EndpointUpdate::Snapshot,
             other => return Err(malformed("form", other)),
         };
         let catalog = catalogs.named_by(fields)?;
         for (endpoint, name) in catalog.endpoints.iter().zip(&catalog.worker_names) {
             self.worker_names.entry(endpoint.worker).or_insert_with(|| name.clone());
         }
-        self.dispatch(now, Event::EndpointsChanged { endpoints: &catalog.endpoints, snapshot });
+        self.dispatch(now, Event::EndpointsChanged { endpoints: &catalog.endpoints, update });
         Ok(())
     }
 
