--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -23,7 +23,7 @@
     TimeSpan::from_secs(count)
 }
 
-/// The moment that is so long after the origin of the clock.
+/// The moment at this span after the origin of the clock.
 pub const fn at(since_origin: TimeSpan) -> Timestamp {
     Timestamp::ORIGIN.saturating_add(since_origin)
 }
@@ -104,7 +104,7 @@
     (0..count).map(endpoint).collect()
 }
 
-/// A job of so many seconds of work whose client waits for 5 s.
+/// A job with this many seconds of work, whose client waits for 5 s.
 pub fn submission(job: u64, class: usize, work: f64, now: Timestamp) -> JobSubmission {
     JobSubmission {
         job: JobId(job),
@@ -127,7 +127,7 @@
 impl TestNode {
     /// A node that has just started and has no endpoint list yet.
     pub fn starting(settings: Settings, seed: u64) -> Self {
-        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("good settings"), now: START }
+        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("valid settings"), now: START }
     }
 
     /// A node with an endpoint list.
@@ -143,7 +143,7 @@
     pub fn with_speeds(workers: &[Endpoint], speeds: &[f64]) -> Self {
         let mut node = TestNode::new(settings(), workers);
         for (index, speed) in speeds.iter().enumerate() {
-            node.teach_speed(workers, index, *speed, 100 * (index as u64 + 1));
+            node.observe_speed(workers, index, *speed, 100 * (index as u64 + 1));
         }
         node
     }
@@ -166,11 +166,16 @@
         all
     }
 
-    /// Delivers a whole endpoint list.
+    /// Delivers a complete endpoint list.
     pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
         self.handle(Event::EndpointsChanged { endpoints, snapshot: true })
     }
 
+    /// Discovery confirms that the endpoint list is current.
+    pub fn confirm_endpoints(&mut self) -> Vec<Action> {
+        self.handle(Event::EndpointsConfirmed { as_of: self.now })
+    }
+
     /// An operator disables a worker, or enables it again.
     pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
         self.handle(Event::MaintenanceChanged { worker: WorkerId(worker), disabled })
@@ -184,7 +189,7 @@
         self.submit_job(submission(job, class, work, self.now))
     }
 
-    /// Submits a job. Returns the worker that it is sent to at once.
+    /// Submits a job. Returns the worker to which it is sent immediately.
     pub fn place(&mut self, job: u64, class: usize, work: f64) -> Option<u64> {
         sent_to(&self.submit(job, class, work))
     }
@@ -217,13 +222,13 @@
         self.end(job, attempt, outcome)
     }
 
-    /// Submits a job whose first attempt starts at once.
+    /// Submits a job whose first attempt starts immediately.
     pub fn start_job(&mut self, job: u64, class: usize, work: f64) {
         self.submit(job, class, work);
         self.start(job, 0);
     }
 
-    /// The first attempt of a job starts and is done after a time.
+    /// The first attempt of a job starts, and is done after this span.
     pub fn serve(&mut self, job: u64, duration: TimeSpan) -> Vec<Action> {
         self.start(job, 0);
         self.end_after(duration, job, 0, Outcome::Done)
@@ -236,8 +241,8 @@
         worker
     }
 
-    /// Teaches the speed of a worker, by jobs numbered from `first_job` while all other workers drain.
-    pub fn teach_speed(&mut self, workers: &[Endpoint], index: usize, speed: f64, first_job: u64) {
+    /// Lets the node observe the speed of a worker, by jobs numbered from `first_job` while all other workers drain.
+    pub fn observe_speed(&mut self, workers: &[Endpoint], index: usize, speed: f64, first_job: u64) {
         let mut drained = workers.to_vec();
         let others = drained.iter_mut().filter(|other| other.worker != workers[index].worker);
         others.for_each(|other| other.status = WorkerStatus::Draining);
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the nodes of a fleet with drawn events, and carries out their actions in virtual time.
+//! Drives the nodes of a fleet with random events, and carries out their actions in virtual time.
 
 mod external_events;
 
@@ -8,21 +8,21 @@
 use crate::common::*;
 use crate::recorder::Recorder;
 
-/// External events of one fleet, but for those of its shutdown.
+/// Number of external events of one fleet, without those during its shutdown.
 const EVENTS: u64 = 3_000;
 const SHUTDOWN_TIMEOUT: TimeSpan = seconds(3);
-/// Load in the parts of a run, in percent of the usual.
+/// Load in the parts of a run, in percent of the usual load.
 const LOADS: [u64; 5] = [60, 100, 220, 90, 150];
 
 pub struct Fleet {
-    /// Hold for all nodes but for their index.
+    /// Settings of the first node; the others differ in their index only.
     pub settings: Settings,
     /// Nodes that are driven, by index from that of the settings.
     pub driven_nodes: u32,
     pub workers: u64,
     /// Mean time between events at usual load.
     pub mean_gap: TimeSpan,
-    /// Most time that other nodes' work takes of a worker before each attempt.
+    /// Maximum time for which work of other nodes occupies a worker before each attempt.
     pub max_other_work: TimeSpan,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl Driver {
-    /// Plays all events of a fleet. Returns what is recorded of its actions.
+    /// Plays all events of a fleet. Returns the record of its actions.
     pub fn run(fleet: Fleet, seed: u64) -> Recorder {
         let mut driver = Driver::new(fleet, seed);
         driver.play_events();
@@ -74,12 +74,12 @@
     fn new(fleet: Fleet, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let endpoints: Vec<Endpoint> = (0..fleet.workers)
-            .map(|id| Endpoint {
-                zone: ZoneId(id as u32 % 2),
-                kind: KindId(id as u32 / 2 % 3),
-                started_at: if id % 5 == 4 { at(seconds(9)) } else { Timestamp::ORIGIN },
+            .map(|worker| Endpoint {
+                zone: ZoneId(worker as u32 % 2),
+                kind: KindId(worker as u32 / 2 % 3),
+                started_at: if worker % 5 == 4 { at(seconds(9)) } else { Timestamp::ORIGIN },
                 size: f64::from(rng.u32(1..4)),
-                ..endpoint(id)
+                ..endpoint(worker)
             })
             .collect();
         let mut driver = Driver {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Starts a process: its timer expires, and it reads the saved list in the same moment.
+    /// Starts a process: its timer expires, and it reads the saved list at the same moment.
     fn start_process(&mut self, node_index: u32) {
         let process = self.processes.len();
         let settings = Settings { node_index, ..self.fleet.settings.clone() };
@@ -182,30 +182,30 @@
             match action {
                 Action::SendAttempt { job, worker, timeout, .. } => self.send_attempt(job, worker, timeout),
                 Action::Reject { job, .. } | Action::Fail { job } => self.mark_answered(job),
-                Action::RevokeAttempt { job, attempt } => self.call_off(job, attempt, Outcome::NotSent),
-                Action::CancelAttempt { job, attempt } => self.call_off(job, attempt, Outcome::Cancelled),
+                Action::RevokeAttempt { job, attempt } => self.end_early(job, attempt, Outcome::NotSent),
+                Action::CancelAttempt { job, attempt } => self.end_early(job, attempt, Outcome::Cancelled),
                 Action::SendGossip { to, data } => self.send_gossip(process, to, &data),
                 Action::SetTimer { after } => self.schedule(self.now + after, Scheduled::Timer { process }),
                 Action::WatchEndpoints => {
-                    let at = self.now + self.random_span(millis(5)..millis(200));
+                    let ends_at = self.now + self.random_span(millis(5)..millis(200));
                     let is_answered = self.rng.u8(0..3) > 0;
-                    self.schedule(at, Scheduled::PollEnd { process, begin: self.now, is_answered });
+                    self.schedule(ends_at, Scheduled::PollEnd { process, begin: self.now, is_answered });
                 }
             }
         }
     }
 
     fn send_gossip(&mut self, process: usize, to_node: u32, data: &[u8]) {
-        let at = self.now + self.random_span(micros(1)..millis(4));
+        let received_at = self.now + self.random_span(micros(1)..millis(4));
         let from = self.processes[process].node_index;
         for to in 0..self.processes.len() {
             if self.processes[to].node_index == to_node {
-                self.schedule(at, Scheduled::Gossip { to, from, data: data.to_vec() });
+                self.schedule(received_at, Scheduled::Gossip { to, from, data: data.to_vec() });
             }
         }
     }
 
-    /// An attempt waits for its worker, runs there for about its hint, and ends in any way.
+    /// An attempt waits for its worker, runs there for a random time, and ends with a random outcome.
     fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: TimeSpan) {
         let state = self.jobs.get_mut(&job).expect("a submitted job");
         let attempt = state.attempts;
@@ -226,9 +226,9 @@
             return self.schedule_end(accepted_at.min(timeout_at), job, attempt, *outcome);
         }
         self.workers_free_at[worker] = end;
-        // One in some stays silent until it times out.
-        let is_silent = draw >= 118;
-        if !is_silent {
+        // A few attempts get no response until they time out.
+        let is_unanswered = draw >= 118;
+        if !is_unanswered {
             self.schedule_attempt_event(accepted_at, job, attempt, Event::AttemptAccepted { job, attempt });
             self.schedule_attempt_event(
                 begin.max(accepted_at),
@@ -248,7 +248,7 @@
             _ => {}
         }
         let outcome = late.get(draw - early.len()).copied().unwrap_or(Outcome::Done);
-        let times_out = is_silent || end > timeout_at;
+        let times_out = is_unanswered || end > timeout_at;
         let (at, outcome) = if times_out { (timeout_at, Outcome::TimedOut) } else { (end, outcome) };
         self.schedule_end(at, job, attempt, outcome);
     }
@@ -257,16 +257,16 @@
         self.jobs.entry(job).and_modify(|state| state.is_answered = true);
     }
 
-    /// A revoked attempt ends if it is not accepted yet; a cancelled one ends soon, unless it ends before.
-    fn call_off(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
+    /// Ends a revoked attempt if it has not been accepted, and a cancelled one soon unless it ends by itself before.
+    fn end_early(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
         let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
         if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
-            let at = self.now + self.random_span(..millis(2));
-            self.schedule_end(at, job, attempt, outcome);
+            let ends_at = self.now + self.random_span(..millis(2));
+            self.schedule_end(ends_at, job, attempt, outcome);
         }
     }
 
-    /// Plays all that is scheduled until a time.
+    /// Plays all scheduled events until a moment.
     fn advance(&mut self, until: Timestamp) {
         while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
@@ -313,7 +313,7 @@
         self.handle(process, event);
     }
 
-    /// Moves the state snapshot of one process to another, and then most of its open jobs.
+    /// Transfers the state snapshot of one process to another, and then most of its open jobs.
     fn hand_over(&mut self, from: usize, to: usize) {
         let snapshot = self.processes[from].node.dispatcher.snapshot();
         self.recorder.record_json(&snapshot);
--- a/crates/core/tests/decision_lock/driver/external_events.rs
+++ b/crates/core/tests/decision_lock/driver/external_events.rs
@@ -1,4 +1,4 @@
-//! The events from outside that a driver draws.
+//! The random external events of a driver.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use crate::common::*;
 
 impl Driver {
-    /// Plays one event from outside: of a client, discovery, an operator or another node.
+    /// Plays one external event: of a client, discovery, an operator or another node.
     pub(super) fn play_external_event(&mut self) {
         let process = self.rng.usize(0..self.processes.len());
         match self.rng.u8(0..100) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The end of an attempt that is not in flight, there or at all.
+    /// Reports the end of an attempt that is not in flight at that process, or at any.
     fn end_unknown_attempt(&mut self, process: usize) {
         let job = JobId(self.rng.u64(0..=self.jobs.len() as u64));
         if !self.jobs.get(&job).is_some_and(|state| state.in_flight.contains_key(&0)) {
@@ -62,9 +62,9 @@
     fn submit_job(&mut self, process: usize) {
         let job = JobId(self.jobs.len() as u64);
         let work = 0.01 + self.rng.f64() * 0.2;
-        // Less than the usual time left: a client's retry.
-        let is_short = self.rng.u8(0..5) == 0;
-        let time_left = if is_short { self.random_span(millis(100)..seconds(5)) } else { seconds(5) };
+        // Less time than usual is left for a client's retry.
+        let is_late_retry = self.rng.u8(0..5) == 0;
+        let time_left = if is_late_retry { self.random_span(millis(100)..seconds(5)) } else { seconds(5) };
         let usual = submission(job.0, self.rng.usize(0..self.fleet.settings.classes.len()), work, self.now);
         let submission = JobSubmission {
             tenant: TenantId(self.rng.usize(0..3)),
@@ -79,7 +79,8 @@
         self.handle(process, Event::JobSubmitted(submission));
     }
 
-    /// A worker drains, is gone, returns or restarts; all watching processes are notified, or one only.
+    /// A worker starts to drain, is removed, becomes ready or restarts; all watching processes are notified, or only
+    /// one.
     fn change_list(&mut self) {
         let worker = self.rng.usize(0..self.endpoints.len());
         let entry = &mut self.endpoints[worker];
@@ -98,7 +99,7 @@
         }
     }
 
-    /// One of the last jobs that have no answer.
+    /// A random one of the latest jobs without an answer.
     fn choose_open_job(&mut self) -> Option<JobId> {
         let latest = self.jobs.iter().rev().take(60);
         let open: Vec<JobId> = latest.filter(|(_, state)| !state.is_answered).map(|(job, _)| *job).collect();
--- a/crates/core/tests/decision_lock/main.rs
+++ b/crates/core/tests/decision_lock/main.rs
@@ -1,9 +1,10 @@
 //! Locks what dispatchers decide. Seeded fleets get every kind of event, with a second process of a node that takes
-//! over in mid-run and gives back later; every action is hashed with its node and time, and so is what moves between
-//! the processes. Counts and hashes are recorded in `tests/golden/decision_lock.txt`.
+//! over in mid-run and hands its jobs over to the first later. Every action is hashed with its node and time, and so
+//! are the records that are transferred between the processes. Counts and hashes are recorded in
+//! `tests/golden/decision_lock.txt`.
 //!
 //! The driver draws from its own generator only; a change of the driver needs a new recording:
-//! `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-core --test decision_lock`. The hash rests on `exp` and `ln` of
+//! `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-core --test decision_lock`. The hash depends on `exp` and `ln` of
 //! the platform's mathematical library.
 
 #[path = "../common/mod.rs"]
@@ -22,8 +23,8 @@
     Fleet { settings, driven_nodes: 1, workers: 5, mean_gap: millis(20), max_other_work: TimeSpan::ZERO }
 }
 
-/// A node of many that polls for its endpoint list, and cancels what would be better elsewhere. Its workers report
-/// when they accept, are large, and are parted into subsets.
+/// A node of many that polls for its endpoint list and relocates jobs. Its workers report when they accept, have listed
+/// sizes, and are divided into subsets.
 fn many_nodes() -> Fleet {
     let mut settings = Settings {
         endpoints_on_request: true,
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn seeded_fleets_then_the_recorded_actions() {
+fn seeded_fleets_are_driven_then_all_actions_are_as_recorded() {
     let fleets = [("few workers", few_workers()), ("many nodes", many_nodes()), ("gossip", gossip())];
     let summaries = fleets
         .into_iter()
--- a/crates/core/tests/decision_lock/recorder.rs
+++ b/crates/core/tests/decision_lock/recorder.rs
@@ -5,7 +5,7 @@
 
 use crate::common::*;
 
-/// Names of the actions in the recording, in the order of their counts.
+/// Names of the actions in the recorded file, which is older than the terms of the code, in the order of their counts.
 const ACTION_NAMES: [&str; 8] = ["send", "refuse", "fail", "recall", "cancel", "tell", "wake", "watch"];
 const NO_FIELD: u64 = u64::MAX;
 
@@ -17,7 +17,7 @@
 }
 
 impl Recorder {
-    /// Hashes an action field by field, with numbers that are this test's own.
+    /// Hashes an action field by field, by kind numbers that belong to this test only.
     pub fn record(&mut self, now: Timestamp, process: usize, action: &Action) {
         let (kind, fields) = match action {
             Action::SendAttempt { job, worker, timeout, send_by } => {
@@ -42,7 +42,7 @@
     }
 
     pub fn record_json(&mut self, value: &impl serde::Serialize) {
-        self.hash.write(&serde_json::to_vec(value).expect("it can be written"));
+        self.hash.write(&serde_json::to_vec(value).expect("JSON"));
     }
 }
 
--- a/crates/core/tests/decisions/admission.rs
+++ b/crates/core/tests/decisions/admission.rs
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn tenant_beyond_its_quota_then_its_jobs_go_last() {
-    // Tenant 0 has a quota of two jobs. The second arrives a few milliseconds old, as jobs do, and uses the quota
-    // up all the same: the third, the most urgent by itself, comes after the other tenant's.
+fn tenant_exceeds_its_quota_then_its_jobs_are_sent_last() {
+    // Tenant 0 has a quota of two jobs. The second arrives a few milliseconds after its submission, as jobs do, and
+    // still uses up the quota: the third, which is the most urgent, is sent after the job of the other tenant.
     let mut node = TestNode::new(settings_with_quotas(vec![1.4, 50.0]), &endpoints(1));
     node.start_job(9, 0, 0.5);
     let mut aged = submission(1, 0, 3.0, node.now);
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn small_share_of_a_quota_then_it_survives_a_chance_burst() {
-    // A tenth of a job a second for this node. Two at once are within chance: the second goes
-    // before the other tenant's, which is less urgent.
+fn nodes_share_of_a_quota_is_small_then_a_chance_burst_is_within_it() {
+    // The quota is a tenth of a job a second at this node. Two jobs at once may be chance: the second is sent before
+    // the job of the other tenant, which is less urgent.
     let settings = Settings { nodes: 10, ..settings_with_quotas(vec![1.0, 50.0]) };
     let mut node = TestNode::new(settings, &endpoints(1));
     node.now += seconds(60);
@@ -37,9 +37,9 @@
     assert_first_sent(&node.end_after(millis(500), 9, 0, Outcome::Done), 3);
 }
 
-/// Two workers of one slot: one has just become free, and much work of tenant 1, within its quota, was lost.
-/// Tenant 0 has no quota, and class 1 has a tenth of the others' weight.
-fn node_after_losses() -> TestNode {
+/// A node with two workers of one slot, one of which has just become free, that has rejected many jobs of tenant 1
+/// within its quota. Tenant 0 has no quota, and class 1 has a tenth of the priority weight of the others.
+fn node_after_load_shedding() -> TestNode {
     let mut settings = settings_with_quotas(vec![0.0, 1000.0]);
     settings.classes[1].priority_weight = 0.1;
     let mut node = TestNode::new(settings, &endpoints(2));
@@ -55,33 +55,33 @@
 }
 
 #[test]
-fn work_is_lost_then_jobs_beyond_quotas_leave_capacity_free() {
+fn load_is_shed_then_jobs_beyond_quotas_leave_capacity_free() {
     let mut spare = TestNode::new(settings_with_quotas(vec![0.0, 1000.0]), &endpoints(2));
-    assert!(spare.place(50, 0, 0.1).is_some(), "nothing is lost: it may use what is there");
-    let mut node = node_after_losses();
+    assert!(spare.place(50, 0, 0.1).is_some(), "no load is shed: the job may use the free capacity");
+    let mut node = node_after_load_shedding();
     assert!(node.place(50, 0, 0.1).is_none());
     assert!(node.place_for_tenant(51, 0, 0.1, 1).is_some());
 }
 
 #[test]
-fn work_is_lost_then_jobs_of_low_weight_leave_capacity_free() {
-    let mut node = node_after_losses();
+fn load_is_shed_then_jobs_of_low_priority_weight_leave_capacity_free() {
+    let mut node = node_after_load_shedding();
     assert!(node.place_for_tenant(50, 1, 0.1, 1).is_none(), "low weight");
     assert!(node.place_for_tenant(51, 0, 0.1, 1).is_some(), "high weight");
 }
 
 #[test]
-fn all_workers_busy_then_a_job_waits_until_one_is_free() {
+fn all_workers_are_busy_then_a_job_waits_until_one_is_free() {
     let mut node = TestNode::new(settings(), &endpoints(1));
     assert!(node.place(1, 0, 0.5).is_some());
     node.start(1, 0);
-    assert!(node.place(2, 0, 1.0).is_none(), "enqueued while the worker is busy");
+    assert!(node.place(2, 0, 1.0).is_none(), "pending while the worker is busy");
     node.now += millis(500);
     assert!(sent_to(&node.end(1, 0, Outcome::Done)).is_some(), "sent as the slot becomes free");
 }
 
 #[test]
-fn jobs_without_a_fitting_worker_then_those_behind_them_are_sent() {
+fn jobs_have_no_suitable_worker_then_those_behind_them_are_sent() {
     let mut settings = settings();
     settings.classes[0].required_kind = Some(KindId(9));
     let last_class = settings.classes.len() - 1;
--- a/crates/core/tests/decisions/affinity.rs
+++ b/crates/core/tests/decisions/affinity.rs
@@ -5,8 +5,8 @@
 use crate::common::*;
 
 #[test]
-fn key_sent_before_then_its_jobs_go_to_the_same_worker() {
-    // Without affinity, each of six like workers would fetch each key in turn.
+fn key_was_sent_before_then_its_jobs_go_to_the_same_worker() {
+    // Without affinity, each of six equal workers would get jobs of each key.
     let mut node = TestNode::new(settings(), &endpoints(6));
     let mut worker_of_key = BTreeMap::new();
     for job in 0..60 {
@@ -17,7 +17,7 @@
     }
 }
 
-/// The worker that a node picks for a key that it has had no job of.
+/// The worker that a node chooses for a key of which it has had no job.
 fn worker_of_new_key(nodes: u32, node_index: u32, workers: u64, key: u64) -> Option<u64> {
     let mut node = TestNode::new(node_settings(nodes, node_index), &endpoints(workers));
     // The nodes' earlier jobs differ.
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn nodes_without_gossip_then_they_send_a_key_to_the_same_worker() {
+fn nodes_do_not_gossip_then_they_send_a_key_to_the_same_worker() {
     for (nodes, workers) in [(3, 6), (100, 60)] {
         let mut chosen = BTreeSet::new();
         for key in 0..20 {
@@ -53,14 +53,14 @@
         for job in 0..40 {
             let key = if job % interval == 0 { POPULAR_KEY } else { 1000 + job };
             let worker = node.place_with_key(job, 0, 0.1, key).expect("all are free");
-            // The worker that the node itself used does not count: it leaves.
+            // The worker that the node itself has used does not count: it drains.
             if key == POPULAR_KEY {
                 workers[worker as usize].status = WorkerStatus::Draining;
             }
             node.serve(job, millis(100));
         }
         node.list(&workers);
-        // Nodes differ in what they drew at random before.
+        // The random generators of the nodes are at different positions.
         for job in 100..100 + u64::from(node_index) {
             node.run_job(job, 0, 0.1, millis(100));
         }
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn key_of_many_jobs_then_it_has_workers_for_its_share() {
-    // Every second job is of one key: half of 20 workers' work would overload a single worker.
+fn key_has_many_jobs_then_it_has_workers_in_proportion() {
+    // Every second job has the key: half of the work of 20 workers would overload a single worker.
     let (half, fortieth) = (count_workers_of_popular_key(2), count_workers_of_popular_key(40));
     assert!(half >= 5, "{half} workers of a key that is half of all jobs");
     assert!(fortieth <= 2, "{fortieth} workers of a rare key");
--- a/crates/core/tests/decisions/estimates.rs
+++ b/crates/core/tests/decisions/estimates.rs
@@ -3,21 +3,21 @@
 use crate::common::*;
 
 #[test]
-fn worker_without_samples_then_it_has_the_median_speed() {
+fn worker_has_no_samples_then_it_has_the_median_speed() {
     let mut node = TestNode::with_speeds(&endpoints(4), &[0.5, 2.0, 1.0]);
-    // Occupy the fast one: the unknown one and the one of median speed tie, the slow one is out.
+    // The fast worker is busy. The one without samples and the one of median speed cost the same, the slow one more.
     node.submit(1, 0, 1.0);
     let second = node.place(2, 0, 1.0);
     assert!(second == Some(2) || second == Some(3), "{second:?}");
 }
 
 #[test]
-fn worker_without_samples_then_it_has_the_speed_of_its_kind() {
+fn worker_has_no_samples_then_it_has_the_speed_of_its_kind() {
     let mut workers = endpoints(4);
     workers[1].kind = KindId(1);
     workers[3].kind = KindId(1);
     let mut node = TestNode::with_speeds(&workers, &[0.5, 2.0]);
-    // Of those without samples, the one of the fast kind is the second choice.
+    // Of the workers without samples, that of the fast kind is the second choice.
     node.submit(1, 0, 1.0);
     assert_eq!(node.place(2, 0, 1.0), Some(3));
 }
@@ -30,7 +30,7 @@
         node.start(job, 0);
         assert!(has_failure(&node.end_after(millis(10), job, 0, Outcome::Error)));
         node.advance(seconds(10));
-        // It has to serve one idempotent job before it gets others.
+        // The worker has to serve an idempotent job before it gets others.
         node.run_job(50 + job, 0, 0.5, millis(250));
         node.advance(seconds(10));
     }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn starts_reported_before_the_previous_end_then_no_extra_slot_is_learned() {
+fn start_is_reported_before_the_previous_end_then_no_extra_slot_is_learned() {
     // One slot: the next job's start is reported just before the end that freed the slot.
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.start_job(0, 0, 0.05);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn fleet_slows_down_then_it_is_known_before_each_worker_is() {
+fn fleet_slows_down_then_its_estimate_adapts_before_each_workers_does() {
     let mut settings = settings();
     settings.classes.push(JobClass { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
     let mut node = TestNode::new(settings, &endpoints(20));
@@ -71,29 +71,29 @@
         node.advance(SECOND);
     };
     (0..8).for_each(|round| run_round(100 + 20 * round, 0.1, 1.0, true));
-    // Two jobs at each worker run four times longer: of ten samples they are few, of the fleet's last 40 all.
+    // Two jobs at each worker run four times longer: they are few of its ten samples, and all of the fleet's last 40.
     (0..2).for_each(|round| run_round(300 + 20 * round, 0.1, 0.25, true));
     run_round(400, 8.0, 1e9, false);
-    // All are busy. At the speeds learned, a job of 0.5 s could wait for 0.07 s.
+    // All workers are busy. At the speeds of the workers' own samples, a job of 0.5 s could wait for 0.07 s.
     node.submit(1, 3, 0.5);
     let actions = node.advance(millis(40));
     assert!(has_rejection(&actions), "{actions:?}");
 }
 
 #[test]
-fn long_wait_observed_then_the_worker_is_avoided_until_it_can_be_worked_off() {
+fn long_wait_is_observed_then_the_worker_is_avoided_until_its_backlog_can_be_done() {
     let mut node = TestNode::new(node_settings(2, 0), &endpoints(2));
     let first = node.place(1, 0, 0.05);
     node.now += millis(4_400);
     node.serve(1, millis(50));
-    // It counts for half of that wait, which takes 2.2 s to work off; the other worker is as good but for it.
+    // Half of that wait counts, a backlog of 2.2 s; apart from it, the other worker costs the same.
     node.now += millis(2_000);
     for job in 2..12 {
         assert_ne!(node.run_job(job, 0, 0.001, millis(1)), first, "job {job}");
     }
 }
 
-/// The workers of two jobs of one key at once, after 20 one after another, at one of so many nodes.
+/// The workers of two concurrent jobs of one key at one of several nodes, after 20 jobs one after another.
 fn workers_of_two_concurrent_jobs(nodes: u32) -> (Option<u64>, Option<u64>) {
     let mut node = TestNode::new(node_settings(nodes, 0), &endpoints(10));
     for job in 0..20 {
@@ -108,10 +108,11 @@
 }
 
 #[test]
-fn few_jobs_of_one_of_many_nodes_then_workers_are_known_to_run_several_at_once() {
-    // 30 nodes and 10 workers. Always one own job running: like nodes have three at each worker, which run at once.
+fn one_of_many_nodes_has_few_jobs_then_slots_are_estimated_for_the_jobs_of_all() {
+    // 30 nodes and 10 workers, and this node always runs one job: equal nodes have three at each worker, which run at
+    // once.
     let (first, second) = workers_of_two_concurrent_jobs(30);
     assert!(first.is_some() && second == first, "the worker has capacity: {first:?}, {second:?}");
     let (first, second) = workers_of_two_concurrent_jobs(1);
-    assert!(second != first, "a lone node has observed one slot and no more: {first:?}, {second:?}");
+    assert!(second != first, "a lone node has observed one slot: {first:?}, {second:?}");
 }
--- a/crates/core/tests/decisions/gossip.rs
+++ b/crates/core/tests/decisions/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip and subsetting: what nodes report to each other, and how large fleets are parted into subsets.
+//! Gossip and subsetting: what nodes report to each other, and how large fleets are divided into subsets.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
     Settings { may_gossip: true, ..node_settings(nodes, node_index) }
 }
 
-/// Whether the node uses each of 32 workers, the fleet being 32 nodes.
+/// Whether one of 32 nodes uses each of 32 workers.
 fn used_workers(node_index: u32) -> [bool; 32] {
     let mut node = TestNode::new(gossiping(32, node_index), &endpoints(32));
     let mut used = [false; 32];
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn many_gossiping_nodes_then_subsets_share_no_workers() {
+fn many_nodes_gossip_then_their_subsets_share_no_workers() {
     // 32 nodes and 32 workers: four subsets of eight.
     let [first, second, fifth] = [0, 1, 4].map(used_workers);
     let count = first.iter().filter(|used| **used).count();
     assert!((4..=8).contains(&count), "{first:?}");
-    assert!(first.iter().zip(&second).all(|(one, other)| !(one & other)), "another subset");
+    assert!(first.iter().zip(&second).all(|(one, other)| !(one & other)), "different subsets");
     assert!(first.iter().zip(&fifth).any(|(one, other)| one & other), "the same subset");
 }
 
-/// The nodes that node 1 sends gossip to once it has a job.
+/// The nodes to which node 1 sends gossip once it has a job.
 fn gossip_receivers(nodes: u32, gossip_price: f64) -> BTreeSet<u32> {
     let settings = Settings { gossip_price, ..gossiping(nodes, 1) };
     let mut node = TestNode::new(settings, &endpoints(nodes.into()));
@@ -42,11 +42,11 @@
 #[test]
 fn gossip_is_cheap_then_it_goes_to_the_own_subset_only() {
     assert_eq!(gossip_receivers(32, 0.01), [5, 9, 13, 17, 21, 25, 29].into());
-    assert!(gossip_receivers(32, 0.1).is_empty(), "expensive");
+    assert!(gossip_receivers(32, 0.1).is_empty(), "gossip is expensive");
 }
 
 #[test]
-fn no_fitting_worker_in_the_subset_then_the_job_goes_to_another_subset() {
+fn subset_has_no_suitable_worker_then_the_job_goes_to_another_subset() {
     let mut settings = gossiping(32, 0);
     settings.classes[0].required_kind = Some(KindId(1));
     let mut workers = endpoints(32);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn gossip_received_then_the_busy_worker_is_avoided_until_it_is_outdated() {
+fn gossip_is_received_then_the_busy_worker_is_avoided_until_the_gossip_expires() {
     let workers = endpoints(2);
     let mut busy_node = TestNode::new(gossiping(2, 0), &workers[..1]);
     busy_node.submit(1, 0, 3.0);
--- a/crates/core/tests/decisions/hedging.rs
+++ b/crates/core/tests/decisions/hedging.rs
@@ -1,15 +1,15 @@
-//! Hedging: a job that waits at its worker gets a second attempt, or moves, where it may run twice.
+//! Hedging: a job that waits at its worker gets a hedged request or is relocated, if it may run twice.
 
 use crate::common::*;
 
-/// Serves jobs 10 to 39, which pay for a hedged request.
+/// Serves jobs 10 to 39, which earn the budget of a hedged request.
 fn serve_thirty_jobs(node: &mut TestNode) {
     for job in 10..40 {
         node.run_job(job, 0, 0.1, millis(100));
     }
 }
 
-/// One of so many nodes that may hedge, and has then sent job 1 to the worker returned.
+/// One of several nodes, which may hedge and has sent job 1 to the returned worker.
 fn node_with_a_waiting_job(nodes: u32, class: usize) -> (TestNode, Option<u64>) {
     let mut settings = node_settings(nodes, 0);
     settings.classes.iter_mut().for_each(|class| class.latency_objective = seconds(2));
@@ -21,34 +21,38 @@
 }
 
 #[test]
-fn lone_node_with_a_waiting_job_then_it_hedges_once_and_only_after_a_second() {
+fn job_of_a_lone_node_waits_then_it_is_hedged_once_and_only_after_a_second() {
     let (mut node, first) = node_with_a_waiting_job(1, 0);
-    assert_eq!(sent_to(&node.advance(millis(500))), None, "all work there is its own: it must be slow");
+    assert_eq!(
+        sent_to(&node.advance(millis(500))),
+        None,
+        "all work at the worker is this node's: the worker is slow"
+    );
     let actions = node.advance(SECOND);
     assert_eq!(count_sends(&actions), 1, "{actions:?}");
     assert_ne!(sent_to(&actions), first);
 }
 
 #[test]
-fn nodes_without_gossip_then_a_late_start_is_hedged_and_the_loser_cancelled() {
+fn start_is_late_at_one_of_several_nodes_then_the_job_is_hedged_and_the_slower_attempt_cancelled() {
     let (mut node, first) = node_with_a_waiting_job(3, 0);
     let actions = node.advance(millis(50));
     assert!(sent_to(&actions).is_some_and(|hedged| Some(hedged) != first), "{actions:?}");
-    // The hedged request starts: the attempt that still waits must not run as well.
+    // The hedged request starts: the attempt that still waits must not run too.
     let actions = node.start(1, 1);
     assert!(actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 0 }), "{actions:?}");
     assert!(!actions.contains(&Action::CancelAttempt { job: JobId(1), attempt: 1 }), "{actions:?}");
 }
 
 #[test]
-fn not_idempotent_then_it_is_not_hedged() {
+fn waiting_job_is_not_idempotent_then_it_is_not_hedged() {
     let (mut node, first) = node_with_a_waiting_job(3, 2);
     assert!(first.is_some());
     assert_eq!(sent_to(&node.advance(SECOND)), None);
 }
 
 #[test]
-fn running_or_not_idempotent_then_no_job_is_hedged() {
+fn job_runs_or_is_not_idempotent_then_it_is_not_hedged() {
     let mut node = TestNode::new(settings(), &endpoints(3));
     serve_thirty_jobs(&mut node);
     node.start_job(1, 0, 0.1);
@@ -68,8 +72,7 @@
     assert!(node.place(2, 2, 0.1).is_some(), "the other worker is used");
 }
 
-/// One of so many nodes that may have one attempt of a job in flight, and has sent job 1 to the worker returned,
-/// which has accepted it.
+/// One of several nodes, which may not hedge and has sent job 1 to the returned worker, which has accepted it.
 fn node_with_an_accepted_job(nodes: u32, class: usize) -> (TestNode, Option<u64>) {
     let mut settings = Settings { may_hedge: false, ..node_settings(nodes, 0) };
     settings.classes.iter_mut().for_each(|class| class.latency_objective = seconds(2));
@@ -81,21 +84,21 @@
 }
 
 #[test]
-fn job_waits_at_a_popular_worker_then_it_moves_to_the_next_of_its_key() {
+fn job_waits_at_a_busy_worker_then_it_is_relocated_to_the_next_worker_of_its_key() {
     let cancel = Action::CancelAttempt { job: JobId(1), attempt: 0 };
     for nodes in [3, 300] {
         let (mut node, first) = node_with_an_accepted_job(nodes, 0);
-        assert_eq!(node.advance(millis(130)), [], "its start may yet be reported");
+        assert_eq!(node.advance(millis(130)), [], "the start may still be reported");
         let actions = node.advance(millis(30));
         assert!(!actions.is_empty() && actions.iter().all(|action| *action == cancel), "{actions:?}");
         let second = sent_to(&node.end(1, 0, Outcome::Cancelled));
         assert!(second.is_some() && second != first, "{first:?}, {second:?}");
         node.accept(1, 1);
         node.start(1, 1);
-        assert_eq!(node.advance(millis(500)), [], "what runs stays");
+        assert_eq!(node.advance(millis(500)), [], "a job that runs is not relocated");
     }
     for class in [1, 2] {
         let (mut node, _) = node_with_an_accepted_job(300, class);
-        assert_eq!(node.advance(SECOND), [], "class {class} may not run a second time elsewhere");
+        assert_eq!(node.advance(SECOND), [], "class {class} may not run at a second worker");
     }
 }
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -1,9 +1,9 @@
-//! The dispatcher's interface: determinism, events that fit nothing, and checks of settings.
+//! The dispatcher's interface: determinism, events of unknown or ended jobs, and validation of settings.
 
 use crate::common::*;
 
 #[test]
-fn late_or_unknown_events_then_they_are_ignored() {
+fn events_are_late_or_unknown_then_they_are_ignored() {
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Done);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn same_events_then_the_same_actions() {
+fn events_are_the_same_then_the_actions_are_the_same() {
     let run = || {
         let mut node = TestNode::new(settings(), &endpoints(5));
         let mut all = Vec::new();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn invalid_settings_then_their_field_is_named() {
+fn settings_are_invalid_then_the_field_is_named() {
     let invalid_field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
--- a/crates/core/tests/decisions/migration.rs
+++ b/crates/core/tests/decisions/migration.rs
@@ -5,10 +5,10 @@
 /// A node that knows worker 1 to be fast, and has spent the budget of worker 2, which has just started.
 fn predecessor(workers: &mut [Endpoint]) -> TestNode {
     let mut node = TestNode::new(settings(), workers);
-    node.teach_speed(workers, 1, 4.0, 100);
+    node.observe_speed(workers, 1, 4.0, 100);
     workers[2].started_at = node.now;
     node.list(workers);
-    // It spends the budget by jobs that end at once.
+    // Jobs that end immediately spend the budget.
     node.list(&workers[2..]);
     let sent = (1..100).take_while(|job| {
         let is_sent = node.place(*job, 2, 0.05).is_some();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn snapshot_restored_then_the_successor_knows_speeds_and_spent_budgets() {
+fn state_snapshot_is_restored_then_the_successor_knows_speeds_and_spent_budgets() {
     let mut workers = endpoints(3);
     let mut older = predecessor(&mut workers);
     let snapshot = older.dispatcher.snapshot();
@@ -32,15 +32,15 @@
         node.dispatcher.restore(node.now, snapshot);
         node
     };
-    assert_eq!(successor(&snapshot).place(1, 0, 0.1), Some(1), "the fast one");
+    assert_eq!(successor(&snapshot).place(1, 0, 0.1), Some(1), "the fast worker");
     let mut node = successor(&snapshot);
     node.list(&workers[2..]);
-    assert_eq!(node.place(1, 2, 0.05), None, "spent by the predecessor");
+    assert_eq!(node.place(1, 2, 0.05), None, "the predecessor has spent its budget");
     let mut node = successor(&StateSnapshot::default());
     node.list(&workers[2..]);
     assert_eq!(node.place(1, 2, 0.05), Some(2));
 
-    // The predecessor sends nothing more there while the successor is active.
+    // The predecessor sends nothing to that worker while the successor is active.
     older.handle(Event::SuccessorActive { active: true });
     older.list(&workers[2..]);
     assert_eq!(sent_to(&older.advance(seconds(2))), None);
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn job_migrated_then_it_keeps_its_attempts_and_their_rules() {
+fn job_is_migrated_then_it_keeps_its_attempts_and_their_rules() {
     let settings = Settings { may_hedge: false, ..settings() };
     let mut older = TestNode::new(settings.clone(), &endpoints(2));
-    // One may have run and must not again; one runs; one is enqueued, both workers being busy.
+    // Job 1 runs and is not idempotent, job 2 is in flight, and job 3 is pending because both workers are busy.
     let first = older.place(1, 2, 0.1).expect("a worker");
     older.start(1, 0);
     assert_ne!(older.place(2, 0, 0.1).expect("the other"), first);
@@ -65,9 +65,9 @@
         assert!(newer.dispatcher.adopt_job(newer.now, JobId(new_id), &migrated, &mut actions));
     }
     assert_eq!(sent_to(&actions), None, "the attempts in flight are known");
-    assert!(older.advance(seconds(6)).is_empty(), "nothing is known of them any more");
+    assert!(older.advance(seconds(6)).is_empty(), "the predecessor has released all jobs");
     assert_eq!(older.dispatcher.release_job(JobId(1)), None);
-    // The first one broke off: it may have run. The enqueued one goes where there is capacity now.
+    // Job 1 is lost after it may have run. The pending job 3 is sent to the worker that becomes free.
     assert!(has_failure(&newer.end(11, 0, Outcome::Lost)));
     assert_eq!(sent_to(&newer.end(12, 0, Outcome::Done)), Some(1 - first));
 }
--- a/crates/core/tests/decisions/placement.rs
+++ b/crates/core/tests/decisions/placement.rs
@@ -3,23 +3,23 @@
 use crate::common::*;
 
 #[test]
-fn two_idle_workers_then_the_faster_is_chosen() {
+fn two_workers_are_idle_then_the_faster_is_chosen() {
     let mut node = TestNode::with_speeds(&endpoints(2), &[1.0, 2.0]);
     assert_eq!(node.place(1, 0, 1.0), Some(1));
 }
 
 #[test]
-fn backlog_at_the_faster_worker_then_the_cost_formula_decides() {
+fn faster_worker_has_a_backlog_then_the_cost_formula_decides() {
     // Speed 1.25 and 0.02 of work ahead: x = 0.016, w = 0.016 and r near 0. Speed 1, idle: x = 0.02.
     let mut node = TestNode::with_speeds(&endpoints(2), &[1.0, 1.25]);
     assert_eq!(node.place(1, 0, 0.02), Some(1));
     assert_eq!(node.place(2, 0, 0.02), Some(0));
-    // A job of 1 s: x = 0.8, w = 0.016 against x = 1, w = 0.02: the faster again.
+    // A job of 1 s: x = 0.8, w = 0.016 at the faster, x = 1, w = 0.02 at the other.
     assert_eq!(node.place(3, 0, 1.0), Some(1));
 }
 
 #[test]
-fn equal_costs_then_the_choice_is_random() {
+fn costs_are_equal_then_the_choice_is_random() {
     let mut node = TestNode::new(settings(), &endpoints(4));
     let mut chosen = [false; 4];
     for job in 0..40 {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn size_listed_then_it_counts_as_slots() {
+fn size_is_listed_then_it_counts_as_slots() {
     let workers = [Endpoint { size: 2.0, ..endpoint(0) }];
     let mut node = TestNode::new(Settings { sizes_listed: true, ..settings() }, &workers);
     for job in 1..3 {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn short_wait_in_the_own_zone_then_no_job_crosses_zones() {
+fn wait_in_the_own_zone_is_short_then_no_job_crosses_zones() {
     let workers = [endpoint(0), Endpoint { zone: ZoneId(1), ..endpoint(1) }];
     let mut node = TestNode::new(Settings { cross_zone_price: 0.06, ..settings() }, &workers);
     assert_eq!(node.place(1, 0, 0.08), Some(0));
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn jobs_in_flight_at_the_only_worker_then_a_further_job_does_not_queue_there() {
-    // Other nodes' jobs may queue there as well, unobserved: 30 ms of wait is too much already.
+fn job_is_in_flight_at_the_only_worker_then_a_further_job_is_not_sent_there() {
+    // Unobserved jobs of other nodes may queue there too: an expected wait of 30 ms is already too long.
     let mut node = TestNode::new(settings(), &endpoints(1));
     assert!(node.place(1, 0, 0.03).is_some());
     assert!(node.place(2, 0, 0.03).is_none());
--- a/crates/core/tests/decisions/poll_schedule.rs
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -18,7 +18,7 @@
     }
     let gaps: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(polls.len() >= 3 && polls.len() < 12, "{gaps:?}");
-    assert!(gaps.iter().all(|gap| *gap < seconds(10)), "never silent beyond the limit: {gaps:?}");
+    assert!(gaps.iter().all(|gap| *gap < seconds(10)), "a poll within the maximum interval: {gaps:?}");
     assert!(gaps[1] > gaps[0]);
 }
 
@@ -27,8 +27,7 @@
 /// Time that discovery takes for each poll, also for one that has timed out.
 const SERVICE_TIME: TimeSpan = millis(65);
 
-/// How long it takes until all nodes, which start together, have a list from a discovery that answers one poll after
-/// another.
+/// The time until all nodes, which start together, have a list from a discovery that answers one poll after another.
 fn time_until_all_have_a_list(nodes: u32) -> Option<TimeSpan> {
     let start = |node_index| {
         let settings = Settings { endpoints_on_request: true, ..node_settings(nodes, node_index) };
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -1,8 +1,8 @@
-//! Pre-send checks: until when an attempt may leave, and which attempts are revoked before they do.
+//! Pre-send checks: until when an attempt may be sent, and which attempts are revoked before they are sent.
 
 use crate::common::*;
 
-/// Until when the attempt that the actions send may leave.
+/// The `send_by` of the attempt that the actions send.
 #[track_caller]
 fn send_by(actions: &[Action]) -> Option<Timestamp> {
     let sent = actions.iter().find_map(|action| match action {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn retry_with_a_key_then_it_leaves_within_its_window_and_all_else_at_any_time() {
+fn retry_has_a_key_then_it_is_sent_within_its_window_and_other_attempts_at_any_time() {
     for (class, may_have_run) in [(0, true), (1, true), (1, false), (2, false)] {
         let mut node = TestNode::new(settings(), &endpoints(2));
         let begin = node.now;
@@ -21,15 +21,19 @@
         node.now += millis(100);
         let outcome = if may_have_run { Outcome::Lost } else { Outcome::Rejected };
         let retry_by = send_by(&node.end(1, 0, outcome));
-        // The window is counted from the first that may have run, and some of it is left for the way.
+        // The window counts from the first attempt that may have run, and the retry needs some of it to reach its
+        // worker.
         let window_end = (class == 1 && may_have_run).then_some(begin + seconds(5));
         assert_eq!(retry_by.is_some(), window_end.is_some(), "class {class}, may have run: {may_have_run}");
-        assert!(retry_by.zip(window_end).is_none_or(|(by, end)| by < end && by > node.now), "{retry_by:?}");
+        assert!(
+            retry_by.zip(window_end).is_none_or(|(send_by, end)| send_by < end && send_by > node.now),
+            "{retry_by:?}"
+        );
     }
 }
 
 #[test]
-fn worker_takes_no_new_job_then_its_unaccepted_attempts_are_revoked_once() {
+fn worker_becomes_unavailable_then_its_unaccepted_attempts_are_revoked_once() {
     let workers = endpoints(1);
     let listed = |status, started_at| [Endpoint { status, started_at, ..endpoint(0) }];
     let (draining, gone) =
@@ -49,7 +53,7 @@
     ] {
         let mut node = TestNode::new(settings(), &workers);
         assert!([1, 2].iter().all(|job| node.place(*job, 2, 0.005) == Some(0)));
-        // An accepted attempt is the worker's to complete; the other is revoked, at the first event only.
+        // The worker completes the attempt that it has accepted. The other is revoked, at the first event only.
         node.accept(1, 0);
         let revoke = [Action::RevokeAttempt { job: JobId(2), attempt: 0 }];
         for expected in [&revoke[usize::from(!is_revoked)..], &[]] {
--- a/crates/core/tests/decisions/retries.rs
+++ b/crates/core/tests/decisions/retries.rs
@@ -1,9 +1,9 @@
-//! Retries: what may run again, and where.
+//! Retries: which jobs may run again, and where.
 
 use crate::common::*;
 
 #[test]
-fn not_idempotent_then_it_is_retried_only_if_it_never_ran() {
+fn job_is_not_idempotent_then_it_is_retried_only_if_it_never_ran() {
     let mut node = TestNode::new(settings(), &endpoints(3));
     let first = node.place(1, 2, 0.1);
     let retried = node.end(1, 0, Outcome::Rejected);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn end_reported_repeatedly_then_it_counts_once() {
+fn end_is_reported_repeatedly_then_it_counts_once() {
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Unreachable);
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn idempotent_with_a_key_then_it_is_retried_only_in_its_cell_and_window() {
-    // On sockets a retry whose connection comes up late must still reach its worker within the window.
+fn job_has_an_idempotency_key_then_it_is_retried_only_in_its_cell_and_window() {
+    // On sockets, a retry whose connection is established late must still reach its worker within the window.
     const ZERO: TimeSpan = TimeSpan::ZERO;
     let (slow, late) = (millis(900), millis(4_300));
     for (wait, accept_timeout, is_retried) in [
@@ -54,8 +54,9 @@
 }
 
 #[test]
-fn end_unknown_at_a_worker_then_the_job_does_not_return_there() {
-    // A late end names the job and no attempt: it would end the second one there, and a third would run beside that.
+fn attempt_may_still_run_at_its_worker_then_the_job_is_not_retried_there() {
+    // A late report of the first attempt's end names the job and no attempt: it would end a retry at the same worker,
+    // and the next retry would run beside that one.
     for outcome in [Outcome::Lost, Outcome::Cancelled] {
         let mut node = TestNode::new(Settings { may_hedge: false, ..settings() }, &endpoints(2));
         let first = node.place(0, 0, 0.01).expect("a free worker");
@@ -67,19 +68,19 @@
 }
 
 #[test]
-fn revoked_before_it_was_sent_then_no_retry_is_spent_and_the_job_waits_as_before() {
-    // Far more of them than a node has retries, one after the other: each goes on to the worker that is left, or
-    // waits where none is.
+fn attempt_is_revoked_before_it_is_sent_then_no_retry_is_spent_and_the_job_waits_as_before() {
+    // Far more revoked attempts than the retry budget allows: each job is sent to the remaining worker, or is pending
+    // while there is none.
     let workers = endpoints(2);
     let mut node = TestNode::new(settings(), &workers);
     for job in 0..60 {
         node.list(&workers);
         let first = node.place(job, 2, 0.01).expect("sent");
         let other = (1 - first) as usize;
-        let left = if job % 2 == 0 { &workers[other..=other] } else { &[] };
-        node.list(left);
+        let remaining = if job % 2 == 0 { &workers[other..=other] } else { &[] };
+        node.list(remaining);
         let mut actions = node.end(job, 0, Outcome::NotSent);
-        if left.is_empty() {
+        if remaining.is_empty() {
             let is_open = sent_to(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions);
             assert!(is_open, "job {job}: {actions:?}");
             node.list(&workers[other..=other]);
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -1,6 +1,6 @@
-//! Fleets of nodes in virtual time against one modelled discovery that serves polls one after another, goes down and
-//! returns, closes watches and lets them fall silent. Each scenario is drawn from a seed. No node may send to a
-//! worker later than 750 ms after the worker's drain counts as notified.
+//! Fleets of nodes in virtual time with one modelled discovery that serves polls one after another, has an outage,
+//! closes watches and stops sending on them. Each scenario is drawn from a seed. No node may send to a worker later
+//! than 750 ms after the worker's drain counts as notified.
 //!
 //!     FLEETS_SEED=7 FLEETS_COUNT=300 cargo test -p curlewusher-core --test fleets -- --nocapture
 
@@ -15,19 +15,19 @@
 const NOTIFIED_WITHIN: TimeSpan = seconds(6);
 const STOP_SENDING_WITHIN: TimeSpan = millis(750);
 const POLL_TIMEOUT: TimeSpan = seconds(2);
-/// A watch without an event for so long counts as failed.
+/// A watch without an event for this long counts as failed.
 const WATCH_TIMEOUT: TimeSpan = seconds(3);
 const HEARTBEAT_INTERVAL: TimeSpan = seconds(2);
 
-/// What happens to a fleet.
+/// The events of a fleet.
 #[derive(Debug)]
 struct Scenario {
     nodes: u32,
     /// Time that discovery takes to serve a poll.
     poll_duration: TimeSpan,
-    /// The same before discovery goes down for the first time: there is nothing to tell.
+    /// The same before the outage of discovery, while there are no changes to send. Zero: `poll_duration`.
     quiet_poll_duration: TimeSpan,
-    /// A poll that has timed out takes that time as well.
+    /// A poll that has timed out takes that time too.
     serves_timed_out_polls: bool,
     down_from: Timestamp,
     down_until: Timestamp,
@@ -49,10 +49,10 @@
         let [closed_at, silent_at, killed_at] =
             [(2, 34), (2, 34), (5, 30)].map(|(from, to)| draw_time(from, to));
         let drains = (0..4).map(|_| draw_time(6, 38)).collect();
-        let nodes = *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("some");
+        let nodes = *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("not empty");
         Scenario {
             nodes,
-            // The whole list of a fleet takes no longer than 10 s, as on the sites that are known.
+            // One poll of each node takes no longer than 10 s, as on the known sites.
             poll_duration: millis(rng.u64(5..70)).min(seconds(10) / u64::from(nodes)),
             quiet_poll_duration: TimeSpan::ZERO,
             serves_timed_out_polls: rng.bool(),
@@ -69,15 +69,15 @@
         !(self.down_from..self.down_until).contains(&now)
     }
 
-    /// When a change of that time counts as notified to a node that has not received it.
+    /// When a change made at that time counts as notified to a node that has not received it.
     fn notified_at(&self, changed: Timestamp) -> Timestamp {
         (if self.is_discovery_up(changed) { changed } else { self.down_until }) + NOTIFIED_WITHIN
     }
 }
 
-/// Whether something that was drawn for a time happens in this step.
-fn happens(at: Option<Timestamp>, now: Timestamp) -> bool {
-    at.is_some_and(|at| (now..now + STEP).contains(&at))
+/// Whether an event of this time happens in the step that begins now.
+fn happens(event_at: Option<Timestamp>, now: Timestamp) -> bool {
+    event_at.is_some_and(|moment| (now..now + STEP).contains(&moment))
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -99,7 +99,7 @@
     fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Timestamp) -> Option<usize> {
         let is_up = scenario.is_discovery_up(now);
         if !is_up {
-            // The polls that it has are never served.
+            // Polls that it has received are never served.
             *self = Discovery { free_at: now, ..Discovery::default() };
         }
         let is_waiting = |poll: &Poll| nodes[poll.node_index].connection == Connection::Polling(*poll);
@@ -164,7 +164,7 @@
         self.actions.extend(self.node.handle(event));
     }
 
-    /// Fails a poll or a watch that is over. Returns whether a list is received.
+    /// Ends a poll or a watch that has failed. Returns whether a list is received.
     fn update_connection(&mut self, scenario: &Scenario, is_answered: bool, report: &mut Report) -> bool {
         let now = self.node.now;
         if is_answered && let Connection::Polling(poll) = self.connection {
@@ -179,7 +179,7 @@
             Connection::Watching { last_event, is_silent } => {
                 let is_closed = happens(scenario.watches_close, now) || !scenario.is_discovery_up(now);
                 let is_silent = is_silent || happens(scenario.watches_fall_silent, now);
-                let changed = scenario.drains.iter().any(|at| (now - STEP..now).contains(at));
+                let changed = scenario.drains.iter().any(|drain| (now - STEP..now).contains(drain));
                 let has_event = !is_silent && (changed || now >= last_event + HEARTBEAT_INTERVAL);
                 let last_event = if has_event { now } else { last_event };
                 self.connection = Connection::Watching { last_event, is_silent };
@@ -202,9 +202,9 @@
     fn receive_list(&mut self, scenario: &Scenario, workers: &[Endpoint]) {
         let now = self.node.now;
         let mut list = workers.to_vec();
-        for (worker, at) in scenario.drains.iter().enumerate().filter(|(_, at)| **at < now) {
+        for (worker, drain) in scenario.drains.iter().enumerate().filter(|(_, drain)| **drain < now) {
             list[worker].status = WorkerStatus::Draining;
-            self.drains_received[worker].get_or_insert(now.max(*at));
+            self.drains_received[worker].get_or_insert(now.max(*drain));
         }
         self.handle(Event::EndpointsChanged { endpoints: &list, snapshot: true });
         let as_of = match self.connection {
@@ -245,21 +245,21 @@
         }
     }
 
-    /// When the node counts as notified of the drain of a worker that drains.
+    /// When the node counts as notified of the drain of a worker, if the worker is draining.
     fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Timestamp> {
         let begin = *scenario.drains.get(worker).filter(|begin| **begin < self.node.now)?;
-        // A process that has just started is held to it like all others.
+        // This holds for a process that has just started too.
         Some(self.drains_received[worker].unwrap_or_else(|| scenario.notified_at(begin)))
     }
 }
 
-/// What came of a scenario.
+/// The result of a scenario.
 #[derive(Debug, Default)]
 struct Report {
-    /// Sends that came too late after a drain counted as notified, and the latest of them.
+    /// Number of sends that were too late after a drain counted as notified, and the largest delay of one.
     late_sends: u64,
-    latest_send: TimeSpan,
-    /// Jobs, and those sent within the step, but for those of processes that were killed.
+    largest_delay: TimeSpan,
+    /// Jobs that were submitted, and those sent within the step, without those of processes that were killed.
     submitted: u64,
     sent: u64,
     failed_polls: u64,
@@ -267,10 +267,10 @@
 
 impl Report {
     fn check_send(&mut self, notified_at: Option<Timestamp>, now: Timestamp) {
-        let late = notified_at.map_or(TimeSpan::ZERO, |at| now.saturating_since(at));
+        let late = notified_at.map_or(TimeSpan::ZERO, |moment| now.saturating_since(moment));
         if late > STOP_SENDING_WITHIN {
             self.late_sends += 1;
-            self.latest_send = self.latest_send.max(late);
+            self.largest_delay = self.largest_delay.max(late);
         }
     }
 }
@@ -323,10 +323,10 @@
     }
 }
 
-/// Polls that were answered at the start cost little, since there was nothing to tell. If the nodes spread their polls by
-/// that, a discovery that has more to tell after it was down is overloaded and never answers anybody again.
+/// The first polls cost little, since there are no changes to send. If the nodes spread their polls by that, a
+/// discovery that has more to send after an outage is overloaded and never answers a poll in time again.
 #[test]
-fn first_polls_were_cheap_then_discovery_is_not_overloaded_for_good() {
+fn first_polls_were_cheap_then_discovery_recovers_from_an_overload() {
     for nodes in [60, 100, 140] {
         let scenario = Scenario {
             nodes,
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -1,5 +1,5 @@
-//! The records that one process of a node writes for another, byte for byte, and what is refused of them.
-//! `CURLEWUSHER_RECORD=1` writes the recorded files anew; the figures rest on the platform's `exp` and `ln`.
+//! The records that one process of a node writes for another, byte for byte; records with unknown fields are rejected.
+//! `CURLEWUSHER_RECORD=1` writes the recorded files anew. Their figures depend on the platform's `exp` and `ln`.
 
 mod common;
 
@@ -20,7 +20,7 @@
     workers
 }
 
-/// A node that has observed each worker: speeds, slots, keys, failures, a start, maintenance.
+/// A node whose record of each worker has speeds, slots, keys, failures, a start or maintenance.
 fn node_with_observations() -> TestNode {
     let mut node = TestNode::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
     for job in 0..24 {
@@ -49,7 +49,7 @@
     node
 }
 
-/// The same with a job of two attempts that have ended and one that is half done.
+/// The same node with a job that has two attempts that have ended and one that is half done.
 fn node_with_migrated_job() -> TestNode {
     let mut node = node_with_observations();
     let submission = submission(MIGRATED_JOB, 0, 0.4, node.now);
@@ -80,34 +80,35 @@
     }
 }
 
-/// Whether two values are the same but for rounding: `serde_json` reads a fraction to within a unit of its last place.
-fn same_but_for_rounding(left: &Value, right: &Value) -> bool {
+/// Whether two values are equal except for rounding: `serde_json` reads a fraction to within a unit of its last place.
+fn is_equal_within_rounding(left: &Value, right: &Value) -> bool {
     match (left, right) {
         (Value::Number(left), Value::Number(right)) if left.is_f64() && right.is_f64() => {
             let bits = |number: &serde_json::Number| number.as_f64().map(f64::to_bits);
             bits(left).zip(bits(right)).is_some_and(|(left, right)| left.abs_diff(right) <= 1)
         }
         (Value::Array(left), Value::Array(right)) => {
-            left.len() == right.len() && left.iter().zip(right).all(|(l, r)| same_but_for_rounding(l, r))
+            left.len() == right.len()
+                && left.iter().zip(right).all(|(item, other)| is_equal_within_rounding(item, other))
         }
         (Value::Object(left), Value::Object(right)) => {
-            let same =
-                |(name, field)| right.get(name).is_some_and(|other| same_but_for_rounding(field, other));
-            left.len() == right.len() && left.iter().all(same)
+            let is_equal =
+                |(name, field)| right.get(name).is_some_and(|other| is_equal_within_rounding(field, other));
+            left.len() == right.len() && left.iter().all(is_equal)
         }
         _ => left == right,
     }
 }
 
-/// Compares a record with its file, and what is read of that with what was written. No unknown field may pass.
+/// Compares a record with its file, and what is read from the file with the record. Unknown fields must be rejected.
 #[track_caller]
 fn assert_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, record: &T) {
-    let written = serde_json::to_string(record).expect("it can be written");
+    let written = serde_json::to_string(record).expect("JSON");
     assert_golden(name, &format!("{written}\n"));
-    let read: T = serde_json::from_str(&written).expect("it can be read");
-    let value = serde_json::to_value(record).expect("it has a form");
-    let again = serde_json::to_value(&read).expect("it has a form");
-    assert!(same_but_for_rounding(&again, &value), "{again} was read from {value}");
+    let read: T = serde_json::from_str(&written).expect("a record");
+    let value = serde_json::to_value(record).expect("JSON");
+    let again = serde_json::to_value(&read).expect("JSON");
+    assert!(is_equal_within_rounding(&again, &value), "{again} was read from {value}");
     let pointers = object_pointers(&value, String::new());
     assert!(!pointers.is_empty());
     for pointer in pointers {
@@ -119,13 +120,13 @@
 }
 
 #[test]
-fn state_snapshot_written_then_the_recorded_bytes() {
+fn state_snapshot_is_written_then_its_bytes_are_as_recorded() {
     let node = node_with_migrated_job();
     assert_record("state_snapshot.json", &node.dispatcher.snapshot());
 }
 
 #[test]
-fn state_snapshot_restored_then_it_is_taken_the_same_again() {
+fn state_snapshot_is_restored_then_the_next_one_is_equal() {
     let older = node_with_migrated_job();
     let mut newer = TestNode::new(settings(), &workers());
     newer.now = older.now;
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn job_released_then_the_recorded_bytes_and_it_is_adopted_unchanged() {
+fn job_is_released_then_its_bytes_are_as_recorded_and_it_is_adopted_unchanged() {
     let mut older = node_with_migrated_job();
     let migrated = older.dispatcher.release_job(JobId(MIGRATED_JOB)).expect("an open job");
     assert_record("migrated_job.json", &migrated);
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn outcomes_written_then_the_recorded_names() {
+fn outcomes_are_written_then_their_names_are_as_recorded() {
     let outcomes = [
         Outcome::Done,
         Outcome::Error,
@@ -156,7 +157,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    let written = serde_json::to_string(&outcomes).expect("it can be written");
+    let written = serde_json::to_string(&outcomes).expect("JSON");
     assert_golden("outcomes.json", &format!("{written}\n"));
-    assert_eq!(serde_json::from_str::<[Outcome; 8]>(&written).expect("it can be read"), outcomes);
+    assert_eq!(serde_json::from_str::<[Outcome; 8]>(&written).expect("a record"), outcomes);
 }
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -1,10 +1,10 @@
-//! The rules as invariants of the actions that a node asks for. The checker shares nothing with the dispatcher.
+//! The rules as invariants of the actions of a node. The checker shares no code with the dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::common::*;
 
-/// A final answer may come so long after the deadline.
+/// A final answer may be given this long after the deadline.
 const ANSWER_TOLERANCE: TimeSpan = millis(20);
 const MAX_GOSSIP_BYTES: usize = 256;
 
@@ -66,14 +66,14 @@
     }
 }
 
-/// What the node has received, and what it has done.
+/// The events that the node has received, and the actions that it has returned.
 pub struct Checker {
     settings: Settings,
     pub jobs: BTreeMap<JobId, Job>,
     pub endpoints: BTreeMap<WorkerId, Endpoint>,
     /// Disabled by an operator.
     pub disabled: BTreeSet<WorkerId>,
-    /// Most slots that any worker was observed to use: bounds the capacity at speed 1.
+    /// Maximum of slots that any worker was observed to use; bounds the capacity at speed 1.
     pub slots: f64,
 }
 
@@ -175,7 +175,7 @@
                     DeduplicationScope::Zone => earlier.endpoint.zone == to.zone,
                     DeduplicationScope::Cell => earlier.endpoint.cell == to.cell,
                 };
-                in_scope && send_by.is_some_and(|by| now < by && by < earlier.sent_at + window)
+                in_scope && send_by.is_some_and(|send_by| now < send_by && send_by < earlier.sent_at + window)
             }
         };
         let mut may_have_run = job.attempts.iter().filter(|attempt| attempt.may_have_run());
@@ -191,10 +191,10 @@
             return Ok(());
         }
         let settings = &self.settings;
-        let age = now.seconds_since(to.started_at) / settings.warm_up.as_secs_f64();
-        let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * age;
+        let warm_up_progress = now.seconds_since(to.started_at) / settings.warm_up.as_secs_f64();
+        let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * warm_up_progress;
         let window = settings.overload_window.as_secs_f64();
-        // One of many nodes may have its turn, but never the whole budget.
+        // The rotation may allow much to one of many nodes, but never the whole budget.
         let share = f64::from(settings.nodes.min(2));
         let budget = settings.overload_factor * warm_up_fraction * self.slots * window / share;
         let is_counted = |attempt: &&Attempt| {
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -68,8 +68,8 @@
             entry.zone = ZoneId(id as u32 / 4);
             entry.kind = KindId(self.rng.u32(0..2));
             let statuses = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone];
-            let kinds = if snapshot { 2 } else { 3 };
-            entry.status = statuses[self.rng.usize(0..kinds).min(self.rng.usize(0..3))];
+            let status_count = if snapshot { 2 } else { 3 };
+            entry.status = statuses[self.rng.usize(0..status_count).min(self.rng.usize(0..3))];
             let started_at =
                 self.checker.endpoints.get(&entry.worker).map_or(Timestamp::ORIGIN, |known| known.started_at);
             entry.started_at = if self.rng.u8(0..4) == 0 { self.node.now } else { started_at };
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The four rules, held against every action of a node under random events.
+//! The four rules, checked for every action of a node under random events.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,7 +13,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
 #[test]
-fn random_events_then_no_action_violates_a_rule() {
+fn random_events_are_handled_then_no_action_violates_a_rule() {
     let config = Config { cases: 48, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let result = runner.run(&any::<u64>(), |seed| {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn second_or_late_answer_then_rule_1_is_violated() {
+fn answer_is_repeated_or_late_then_rule_1_is_violated() {
     let mut checker = checker_with_job(0);
     assert_eq!(checker.check(NOW, &FAIL), Ok(()));
     assert_eq!(checker.check(NOW, &FAIL), Err(Violation::SecondOrLateAnswer));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn unavailable_worker_then_rule_3_is_violated() {
+fn worker_is_unavailable_then_rule_3_is_violated() {
     let mut checker = checker_with_job(0);
     checker.endpoints.get_mut(&WorkerId(0)).unwrap().status = WorkerStatus::Draining;
     checker.disabled.insert(WorkerId(1));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn large_job_to_a_warming_worker_then_rule_4_is_violated() {
+fn large_job_is_sent_to_a_warming_worker_then_rule_4_is_violated() {
     let mut checker = checker_with_job(0);
     checker.endpoints.get_mut(&WorkerId(0)).unwrap().started_at = NOW - micros(1);
     checker.record_submission(submission(1, 0, 2.0, NOW));
--- a/crates/core/tests/unit/gossip.rs
+++ b/crates/core/tests/unit/gossip.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn entries_written_then_decoded_rounded_and_capped() {
+fn entries_are_written_then_they_are_read_rounded_and_limited() {
     let long_id = WorkerId(0x1234_5678_9abc_def0);
     let mut message = Vec::new();
     append_entry(&mut message, long_id, 1.25, 3.0);
