--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -79,8 +79,13 @@
 
 impl Checker {
     pub fn new(settings: Settings) -> Self {
-        let (jobs, endpoints, disabled) = Default::default();
-        Checker { settings, jobs, endpoints, disabled, slots: 1.0 }
+        Checker {
+            settings,
+            jobs: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            disabled: BTreeSet::new(),
+            slots: 1.0,
+        }
     }
 
     pub fn record_submission(&mut self, submission: JobSubmission) {
--- a/crates/settings/src/operator/reference.rs
+++ b/crates/settings/src/operator/reference.rs
@@ -71,13 +71,15 @@
         path: "next_hop.reuse_ms",
         shape: "ms, 0 to 600000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "a connection to a worker that was idle for longer is not reused; at most half of the platform's `keepaliveUs`",
+        meaning: "a connection to a worker that was idle for longer is not reused; at most half of the platform's \
+                  `keepaliveUs`",
     },
     Field {
         path: "next_hop.withdrawal_ms",
         shape: "ms, 50 to 10000",
         takes_effect: TakesEffect::OnReload,
-        meaning: "a cancellation that a worker does not acknowledge within this is sent again, until it is acknowledged or the job's deadline passes",
+        meaning: "a cancellation that a worker does not acknowledge within this is sent again, until it is \
+                  acknowledged or the job's deadline passes",
     },
     Field {
         path: "metrics.answer_bounds_ms",
