--- a/crates/model/src/endpoint_registry.rs
+++ b/crates/model/src/endpoint_registry.rs
@@ -1,7 +1,7 @@
 //! The registry of workers behind the discovery service: what changed, under which index, and from when it is visible.
 //!
-//! A change is published a fixed delay after it was recorded. Publication gives each change the next index, by which a
-//! client asks for what it has not seen.
+//! A change is published a fixed delay after it was recorded. Publication gives each change the next index, with
+//! which a client requests the changes after the last one that it has received.
 
 use std::collections::BTreeMap;
 
--- a/crates/model/src/worker_pool/deduplication.rs
+++ b/crates/model/src/worker_pool/deduplication.rs
@@ -1,11 +1,11 @@
-//! Drops repeats of jobs that bear a key: within a bay, for a fixed time after the first arrival, a job that has run to
-//! its end is not run again.
+//! Drops repeats of jobs with an idempotency key: within a bay, for a fixed time after the first arrival, a job that is
+//! complete is not run again.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::{TimeSpan, Timestamp};
 
-/// A job's key within a bay.
+/// A job's idempotency key within a bay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct BayKey {
     pub(super) bay: u32,
--- a/crates/model/src/worker_pool/event.rs
+++ b/crates/model/src/worker_pool/event.rs
@@ -16,7 +16,7 @@
     pub memory: f64,
     /// The data set that it needs.
     pub set: u64,
-    /// The key by which repeats are recognised; none if repeats are not dropped.
+    /// The idempotency key, by which repeats are recognised; none if repeats are not dropped.
     pub key: Option<u64>,
 }
 
@@ -74,7 +74,7 @@
         /// Fraction of the work that is done, 0 to 1.
         fraction: f64,
     },
-    /// The attempt has run to its end.
+    /// The attempt is complete.
     Completed(AttemptNumber),
     /// The attempt was returned without having started.
     Returned(AttemptNumber),
--- a/crates/model/src/worker_pool/mod.rs
+++ b/crates/model/src/worker_pool/mod.rs
@@ -119,7 +119,7 @@
         let worker = &mut self.workers[index];
         let Some(job) = worker.jobs.get(&attempt) else { return };
         let set = job.demand.set;
-        worker.keep_set(set);
+        worker.cache_set(set);
         worker.begin_computing(now, attempt);
         self.predict_completion(index);
     }
--- a/crates/model/src/worker_pool/parameters.rs
+++ b/crates/model/src/worker_pool/parameters.rs
@@ -10,7 +10,7 @@
 /// The machine that a worker runs on.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its bay: workers of one bay drop repeats of each other's jobs that bear the same key.
+    /// Its bay: workers of one bay drop repeats of each other's jobs with the same idempotency key.
     pub bay: u32,
     /// Number of cores.
     pub cores: f64,
@@ -22,7 +22,7 @@
     pub memory: f64,
     /// Number of jobs that may wait.
     pub queue: usize,
-    /// Number of data sets that it keeps.
+    /// Number of data sets that it caches.
     pub sets: usize,
 }
 
@@ -44,7 +44,7 @@
     pub fetch_seconds: f64,
     /// Number of fetches that the archive serves at full speed.
     pub archive_concurrency: f64,
-    /// Repeats of a keyed job are dropped in its bay for this long after the first arrival.
+    /// Repeats of a job with an idempotency key are dropped in its bay for this long after the first arrival.
     pub deduplication_window: TimeSpan,
     /// Interval between two progress reports of a job.
     pub progress_interval: TimeSpan,
--- a/crates/model/src/worker_pool/worker.rs
+++ b/crates/model/src/worker_pool/worker.rs
@@ -47,13 +47,13 @@
     /// Divisor of the machine's speed.
     pub(super) slowdown: f64,
     pub(super) jobs: HashMap<AttemptNumber, AcceptedJob>,
-    /// Accepted jobs that have not started, first come first.
+    /// Accepted jobs that have not started, oldest first.
     pub(super) queue: VecDeque<AttemptNumber>,
     used_slots: u32,
     used_memory: f64,
     /// The jobs that run.
     pub(super) computing: ProcessorSharing,
-    /// The data sets that it keeps, the most recently used one at the back.
+    /// The data sets that it caches, the most recently used one at the back.
     sets: VecDeque<u64>,
     /// Work offered within the overload window, rejected work included, oldest first.
     offered: VecDeque<OfferedWork>,
@@ -220,16 +220,16 @@
         Some(BayKey { bay: self.machine.bay, key })
     }
 
-    /// Whether it keeps a data set, which then counts as the most recently used one.
+    /// Whether a data set is cached; it then counts as the most recently used one.
     pub(super) fn use_set(&mut self, set: u64) -> bool {
-        let Some(position) = self.sets.iter().position(|kept| *kept == set) else { return false };
+        let Some(position) = self.sets.iter().position(|cached| *cached == set) else { return false };
         self.sets.remove(position);
         self.sets.push_back(set);
         true
     }
 
-    /// Keeps a data set, in place of the least recently used one if there is no space.
-    pub(super) fn keep_set(&mut self, set: u64) {
+    /// Caches a data set, in place of the least recently used one if there is no space.
+    pub(super) fn cache_set(&mut self, set: u64) {
         if self.use_set(set) {
             return;
         }
--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -202,7 +202,7 @@
     fn draw(&mut self, submit_at: TimeSpan) -> PlannedJob {
         let class = self.draw_class();
         let JobClass { mean_seconds, slots, .. } = self.spec.classes[class];
-        // Half fixed and half drawn, so that no job is next to nothing.
+        // Half fixed and half drawn, so that no job has almost no work.
         let work_seconds = mean_seconds * (0.5 + 0.5 * self.size.sample(&mut self.size_random));
         let hint_seconds = work_seconds * self.hint_error.sample(&mut self.hint_random);
         let is_large = self.size_random.random::<f64>() < LARGE_JOB_FRACTION;
--- a/crates/model/tests/worker_pool.rs
+++ b/crates/model/tests/worker_pool.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn repeat_of_a_keyed_job_then_it_is_dropped_in_its_bay_and_runs_in_another() {
+fn repeat_of_a_job_with_a_key_then_it_is_dropped_in_its_bay_and_runs_in_another() {
     let mut driver = Driver::new(2);
     let keyed = |set| JobDemand { key: Some(77), ..job(set) };
     driver.arrive(Timestamp::ZERO, 0, 1, keyed(1));
--- a/crates/model/tests/workload.rs
+++ b/crates/model/tests/workload.rs
@@ -26,7 +26,7 @@
     let jobs = spec().draw();
     assert_eq!(jobs, spec().draw());
     assert_ne!(jobs, WorkloadSpec { seed: 8, ..spec() }.draw());
-    let count = |keep: &dyn Fn(&&PlannedJob) -> bool| jobs.iter().filter(keep).count() as f64;
+    let count = |is_counted: &dyn Fn(&&PlannedJob) -> bool| jobs.iter().filter(is_counted).count() as f64;
     // 90 s at 50 and 10 s at 150; bounds are four standard deviations wide.
     assert!((count(&|_| true) - 6000.0).abs() < 4.0 * 78.0);
     let in_segment = count(&|job| (seconds(50.0)..seconds(60.0)).contains(&job.submit_at));
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,6 +1,6 @@
 //! The event log: what the simulated clients, workers and discovery service observed, in the order of observation.
 //!
-//! The rule checker and the report go by it alone. It holds nothing that a node states about itself, except its answers
+//! It is the only input of the rule checker and of the report. It holds nothing that a node states about itself, except its answers
 //! to readiness checks and admin commands. The JSON form of the events is an interface: `seen.jsonl` of earlier runs
 //! stays readable, so the recorded names stay where a Rust name is another one.
 
@@ -94,13 +94,13 @@
         #[serde(rename = "started_us")]
         started_at: Timestamp,
     },
-    /// Discovery has a change of a worker from now on, whoever it reaches.
+    /// Discovery has a change of a worker from now on, whichever nodes receive it.
     #[serde(rename = "published")]
     EndpointPublished {
         worker: usize,
         in_service: bool,
     },
-    /// Discovery went down, or came back.
+    /// Discovery went down, or is up again.
     #[serde(rename = "discovery")]
     DiscoveryChanged {
         is_down: bool,
@@ -160,7 +160,7 @@
     UpgradeBegan {
         node: usize,
     },
-    /// The successor answered READY by yes for the first time.
+    /// The successor answered READY with yes for the first time.
     #[serde(rename = "newer_ready")]
     SuccessorReady {
         node: usize,
--- a/crates/testbed/src/rules/job_rules/mod.rs
+++ b/crates/testbed/src/rules/job_rules/mod.rs
@@ -104,7 +104,7 @@
                 self.requests.end_attempt(*attempt, AttemptEnd::MayHaveRun);
             }
             Event::EndpointSent { .. } | Event::EndpointPublished { .. } | Event::DiscoveryChanged { .. } => {
-                self.endpoints.observe(at, event)
+                self.endpoints.observe(at, event);
             }
             Event::WorkerStarted { worker } => self.offered_work.observe_start(at, *worker),
             Event::WorkerOverloaded { worker } => self.check_gentle_start(at, *worker),
@@ -218,7 +218,7 @@
     fn check_gentle_start(&mut self, at: Timestamp, worker: usize) {
         let start = self.offered_work.started_at(worker);
         let is_informed = |node| self.endpoints.knows_start(node, worker, start);
-        let work = self.offered_work.work_before(at, worker, self.parameters.fall_window, is_informed);
+        let work = self.offered_work.work_within(at, worker, self.parameters.fall_window, is_informed);
         if work.is_mostly_informed() {
             let informed_seconds = work.informed_seconds;
             self.report(at, JobViolation::OverloadedDuringWarmUp { worker, informed_seconds });
--- a/crates/testbed/src/rules/job_rules/offered_work.rs
+++ b/crates/testbed/src/rules/job_rules/offered_work.rs
@@ -20,7 +20,7 @@
 
 /// Work that arrived at a worker, in seconds on a core of speed 1.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct WorkBySender {
+pub(super) struct WorkByKnowledge {
     /// From nodes that knew of the worker's start.
     pub(super) informed_seconds: f64,
     /// From other nodes.
@@ -42,14 +42,14 @@
     }
 
     /// The work that arrived at a worker within the window before a moment.
-    pub(super) fn work_before(
+    pub(super) fn work_within(
         &self,
         at: Timestamp,
         worker: usize,
         window: TimeSpan,
         is_informed: impl Fn(usize) -> bool,
-    ) -> WorkBySender {
-        let mut work = WorkBySender::default();
+    ) -> WorkByKnowledge {
+        let mut work = WorkByKnowledge::default();
         let arrivals = self.arrivals.get(&worker).into_iter().flatten();
         for arrival in arrivals.filter(|arrival| arrival.at + window >= at) {
             if is_informed(arrival.node) {
@@ -62,7 +62,7 @@
     }
 }
 
-impl WorkBySender {
+impl WorkByKnowledge {
     /// Whether nodes that knew of the start sent most of the work, so that the overload is their fault.
     pub(super) fn is_mostly_informed(&self) -> bool {
         self.informed_seconds >= 2.0 * self.uninformed_seconds && self.informed_seconds > 0.0
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::event_log::Record;
 
-/// Effects of an upgrade may be observed this long after its end: what was queued then is reported a moment later.
+/// Effects of an upgrade may be observed this long after its end: connections that were queued then fail a moment later.
 const UPGRADE_AFTERMATH: TimeSpan = TimeSpan::from_millis(500);
 
 /// Which repeats of a job that may have run a class allows.
@@ -33,24 +33,24 @@
     NonIdempotent,
 }
 
-/// The figures of the rules.
+/// The limits and tolerances of the rules.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
     /// By class.
     pub classes: Vec<RepeatPolicy>,
     /// Tolerance that is added to each time limit.
     pub slack: TimeSpan,
-    /// A response may come this much later than the client's timeout; it earns nothing then.
+    /// A response may arrive this much later than the client's timeout; it is not served in time then.
     pub answer_slack: TimeSpan,
-    /// A change counts as sent to all nodes this long after discovery had it and was up, whether it arrived or not.
+    /// All nodes count as notified of a change this long after discovery had it and was up, whether it arrived or not.
     pub notified_within: TimeSpan,
-    /// A node must send nothing to a worker from this long after it learned that the worker drains or has ended.
+    /// A node must send nothing to a worker from this long after it was notified that the worker is draining or has ended.
     pub stop_within: TimeSpan,
     /// A request that was sent later than this after SIGTERM may be lost.
     pub drain_grace: TimeSpan,
     /// Window in which work that was sent to an overloaded worker is added up.
     pub fall_window: TimeSpan,
-    /// The successor of an upgrade is bound by the registry's entries this long after its first yes.
+    /// The successor of an upgrade is bound by the registry's entries this long after it is first ready.
     pub successor_grace: TimeSpan,
 }
 
@@ -62,15 +62,15 @@
     OneAnswer,
     /// A job runs again only as its class allows.
     OneEffect,
-    /// A worker that drains or has ended gets nothing more.
+    /// A worker that is draining or has ended is sent no further attempts.
     QuietDrain,
     /// A worker that warms up is not overloaded.
     GentleStart,
     /// Admin commands are answered correctly and in time.
     Console,
-    /// Clients leave a node that is drained, and return afterwards.
+    /// A drained node closes the connections of its clients and is not ready; it is ready again after the drain.
     NodeDrain,
-    /// A disabled worker gets nothing, and is used again once it is enabled.
+    /// A disabled worker is sent no attempts, and is used again once it is enabled.
     Maintenance,
     /// An upgrade harms a bounded number of jobs.
     Upgrade,
--- a/crates/testbed/src/rules/operation_figures.rs
+++ b/crates/testbed/src/rules/operation_figures.rs
@@ -10,18 +10,18 @@
     pub node: usize,
     /// Its begin, in seconds from the beginning of the run.
     pub at_s: f64,
-    /// The first yes of the successor.
+    /// When the successor was first ready.
     pub ready_s: Option<f64>,
-    /// The node had a single process again.
+    /// When the node had a single process again.
     pub ended_s: Option<f64>,
     /// Whether the testbed killed one of both processes.
     pub killed: bool,
-    /// Jobs that met a refused connection, or one that was reset before any worker had the job.
+    /// Jobs whose connection was refused, or reset before any worker had the job.
     pub harmed: usize,
     /// Requests that the node rejected (429, 503), or that found it closed to new connections.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// How often a readiness check got no after a yes.
+    /// How often a readiness check changed to not ready.
     #[serde(rename = "noes")]
     pub not_ready_answers: usize,
 }
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -1,4 +1,4 @@
-//! What the parts of the testbed take from a scenario: machines, model parameters, workload and rule parameters.
+//! Conversion of a scenario into machines, model parameters, the workload and the parameters of the rules.
 
 use curlewusher_model::TimeSpan;
 use curlewusher_model::worker_pool::{Machine, PoolParameters};
@@ -7,15 +7,15 @@
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
 use crate::rules::{RepeatPolicy, RuleParameters};
 
-// The rules' own figures; a scenario does not change them.
+// Limits and tolerances of the rules; a scenario does not change them.
 const SLACK: TimeSpan = TimeSpan::from_millis(50);
-/// The same for answers while links are impaired: the answer of a worker may be held up on its way.
+/// The same for responses while links are impaired: a worker's response may be delayed on its way.
 const IMPAIRED_ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
 const NOTIFIED_WITHIN: TimeSpan = TimeSpan::from_secs(6);
 const STOP_WITHIN: TimeSpan = TimeSpan::from_millis(750);
 const DRAIN_GRACE: TimeSpan = TimeSpan::from_millis(700);
 const SUCCESSOR_GRACE: TimeSpan = TimeSpan::from_secs(2);
-/// Repeats of a keyed job are dropped in a bay for this long.
+/// Repeats of a job with an idempotency key are dropped in a bay for this long.
 pub const DEDUPLICATION_WINDOW: TimeSpan = TimeSpan::from_secs(40);
 /// Window in which work that is sent to a worker that warms up is added up.
 pub const OVERLOAD_WINDOW: TimeSpan = TimeSpan::from_secs(2);
@@ -59,7 +59,7 @@
             slots: kind.slots,
             memory: f64::from(kind.slots) * MEMORY_PER_SLOT,
             queue: self.fleet.queue,
-            sets: self.fleet.sets_kept,
+            sets: self.fleet.cached_sets,
         }
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The figures of the rules.
+    /// The limits and tolerances of the rules.
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
             classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -71,8 +71,9 @@
     pub kinds: Vec<MachineKind>,
     /// Jobs that may wait at a worker.
     pub queue: usize,
-    /// Data sets that a worker keeps.
-    pub sets_kept: usize,
+    /// Data sets that a worker caches.
+    #[serde(rename = "sets_kept")]
+    pub cached_sets: usize,
     /// Seconds that a fetch takes at full speed.
     pub fetch_s: f64,
     /// Fetches that the archive serves at full speed.
@@ -127,7 +128,7 @@
                 kind("old-four", 4.0, 0.7, 4, 4),
             ],
             queue: 60,
-            sets_kept: 5,
+            cached_sets: 5,
             fetch_s: 1.4,
             archive_concurrency: 24.0,
             contention_penalty: 0.05,
@@ -157,10 +158,10 @@
     /// Retries of a client after its first request.
     #[serde(default = "Load::default_retries")]
     pub retries: u32,
-    /// A client's wait before each retry; the node's advice counts where it is longer.
+    /// A client's backoff before each retry; the node's `Retry-After` counts where it is longer.
     #[serde(default)]
     pub retry_wait_s: f64,
-    /// Fraction of jobs that come each on a connection of its own; the others use kept connections.
+    /// Fraction of jobs that come each on a connection of its own; the others use persistent connections.
     #[serde(default)]
     pub new_connections: f64,
     #[serde(default, rename = "tide")]
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -5,7 +5,7 @@
 
 /// The largest number of workers in a scenario.
 const MAX_WORKERS: usize = 10_000;
-/// An upgrade lasts as long as its longest drawn delay and this, in seconds: the successor says yes within 6 s, the
+/// An upgrade lasts as long as its longest drawn delay and this, in seconds: the successor is ready within 6 s, the
 /// predecessor is killed 3.7 s after SIGTERM, and the starts take a moment.
 const UPGRADE_LASTS_S: f64 = 10.0;
 
@@ -48,7 +48,7 @@
 }
 
 impl Scenario {
-    /// The error is about the first field that is out of its range, or that does not go with another.
+    /// Checks all fields. The error is about the first field that is out of its range, or that contradicts another.
     pub(super) fn validate(&self) -> Result<(), InvalidField> {
         let mut bounds = self.single_bounds();
         bounds.extend(self.kind_bounds());
@@ -71,7 +71,7 @@
             Bound::single("fleet", "bays", fleet.bays as f64, 1.0, 1_000.0),
             Bound::single("fleet", "kinds", fleet.kinds.len() as f64, 1.0, 64.0),
             Bound::single("fleet", "queue", fleet.queue as f64, 0.0, 1e6),
-            Bound::single("fleet", "sets_kept", fleet.sets_kept as f64, 1.0, 1e6),
+            Bound::single("fleet", "sets_kept", fleet.cached_sets as f64, 1.0, 1e6),
             Bound::single("fleet", "fetch_s", fleet.fetch_s, 0.0, 3_600.0),
             Bound::single("fleet", "archive", fleet.archive_concurrency, 0.1, 1e6),
             Bound::single("fleet", "crowding", fleet.contention_penalty, 0.0, 100.0),
