--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -17,6 +17,7 @@
     /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
+            // A client that has disconnected needs no response.
             let _ = submitted.response_channel.send(JobResponse::Duplicate);
             return;
         }
@@ -82,7 +83,7 @@
         let elapsed = Duration::from(self.clock.now().saturating_since(job.submitted_at));
         self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
-        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "answered");
+        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "job answered");
         // A client that disconnects in this moment needs no response.
         let _ = response_channel.send(response);
     }
@@ -98,6 +99,6 @@
         cost_hint = ?job.cost_hint,
         slots = job.slots,
         is_retry = job.is_retry,
-        "taken"
+        "job accepted"
     );
 }
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -73,7 +73,7 @@
     pub async fn run(&self, mut terminate: Signal) {
         terminate.recv().await;
         self.takeover.terminate().await;
-        info!(target: NODE, "curlewusher {}: drains", self.name);
+        info!(target: NODE, node = %self.name, "graceful shutdown started");
         self.limit_open_jobs().await;
         sleep(MIN_DRAIN_TIME).await;
         self.server.drain().await;
@@ -99,6 +99,7 @@
                 sleep(CANCELLATION_CHECK_INTERVAL).await;
             }
         };
+        // Those that are not acknowledged in time are transferred to the other process or abandoned.
         let _ = timeout(limit, idle).await;
     }
 
