--- a/crates/testbed/src/rules/job_rules/violation.rs
+++ b/crates/testbed/src/rules/job_rules/violation.rs
@@ -22,7 +22,7 @@
     #[error("{request} was refused, which calls a repeat harmless, and may have run")]
     RejectedAfterStart { request: &'log str },
     #[error(
-        "node {node} sent {request} to worker {worker} {} ms after it was told of its drain or end, or counted as told",
+        "node {node} sent {request} to worker {worker} {} ms after it was notified of its drain or end, or counted as notified",
         after.as_millis()
     )]
     SentToUnavailableWorker { request: &'log str, node: usize, worker: usize, after: TimeSpan },
--- a/crates/testbed/src/rules/operations_rules/violation.rs
+++ b/crates/testbed/src/rules/operations_rules/violation.rs
@@ -14,7 +14,7 @@
 pub(super) enum OperationsViolation<'log> {
     #[error("node {node} answered {command} after {} ms", took.as_millis())]
     LateAnswer { node: usize, command: &'log str, took: TimeSpan },
-    #[error("node {node} said {answer} to {command}; {expected:?} was owed")]
+    #[error("node {node} said {answer} to {command}; {expected:?} was expected")]
     UnexpectedAnswer { node: usize, command: &'log str, answer: Answer<'log>, expected: ExpectedAnswer },
     #[error(
         "node {node}, 4 s after its drain: {idle} clients' connections idle, {fresh} with a job of the last 2 s"
--- a/crates/testbed/src/rules/timeline.rs
+++ b/crates/testbed/src/rules/timeline.rs
@@ -56,13 +56,13 @@
 
 fn attempt_event(event: &Event, attempts: &[u64]) -> Option<String> {
     let (attempt, outcome) = match event {
-        Event::AttemptAccepted { attempt } => (attempt, "taken on"),
-        Event::AttemptRejected { attempt } => (attempt, "turned away"),
+        Event::AttemptAccepted { attempt } => (attempt, "accepted"),
+        Event::AttemptRejected { attempt } => (attempt, "rejected"),
         Event::AttemptStarted { attempt } => (attempt, "started"),
-        Event::AttemptCompleted { attempt } => (attempt, "done"),
-        Event::AttemptReturned { attempt } => (attempt, "handed back"),
+        Event::AttemptCompleted { attempt } => (attempt, "completed"),
+        Event::AttemptReturned { attempt } => (attempt, "returned"),
         Event::AttemptLost { attempt } => (attempt, "lost"),
-        Event::AttemptCancelled { attempt } => (attempt, "withdrawn"),
+        Event::AttemptCancelled { attempt } => (attempt, "cancelled"),
         _ => return None,
     };
     attempts.contains(attempt).then(|| format!("attempt {attempt} {outcome}"))
@@ -71,10 +71,10 @@
 fn worker_event(event: &Event) -> Option<String> {
     match event {
         Event::EndpointSent { node, worker, in_service, .. } => {
-            Some(format!("node {node} told: worker {worker} in service: {in_service}"))
+            Some(format!("node {node} notified: worker {worker} in service: {in_service}"))
         }
         Event::WorkerStarted { worker } => Some(format!("worker {worker} started")),
-        Event::WorkerOverloaded { worker } => Some(format!("worker {worker} fell over")),
+        Event::WorkerOverloaded { worker } => Some(format!("worker {worker} crashed under overload")),
         _ => None,
     }
 }
