--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -10,7 +10,8 @@
 use curlewusher_control::takeover::{JobClaims, LinkRole};
 use rustix::net::{Shutdown, shutdown};
 use tokio::net::UnixStream;
-use tokio::sync::{Notify, oneshot, watch};
+use tokio::sync::{Notify, oneshot};
+use tokio_util::sync::CancellationToken;
 use tracing::warn;
 
 use super::outbound::{OutboundFrame, OutboundQueue};
@@ -38,8 +39,8 @@
     pub(super) outbound_written: Notify,
     /// Frames that wait to be written.
     pub(super) outbound: RefCell<OutboundQueue>,
-    /// False once the link is lost, and never true again.
-    pub(super) connected: watch::Sender<bool>,
+    /// Cancelled once the link is lost.
+    pub(super) lost: CancellationToken,
     next_request_id: Cell<u64>,
     /// By request id.
     pending_requests: RefCell<HashMap<u64, PendingRequest>>,
@@ -54,7 +55,7 @@
             outbound_changed: Notify::new(),
             outbound_written: Notify::new(),
             outbound: RefCell::default(),
-            connected: watch::Sender::new(true),
+            lost: CancellationToken::new(),
             next_request_id: Cell::new(FIRST_REQUEST_ID),
             pending_requests: RefCell::default(),
         }
@@ -62,14 +63,15 @@
 
     /// See [`super::PeerLink::is_connected`].
     pub(super) fn is_connected(&self) -> bool {
-        *self.connected.borrow()
+        !self.lost.is_cancelled()
     }
 
     /// See [`super::PeerLink::close`].
     pub(super) fn close(&self) {
-        if !self.connected.send_replace(false) {
+        if !self.is_connected() {
             return;
         }
+        self.lost.cancel();
         *self.outbound.borrow_mut() = OutboundQueue::default();
         // Fails where the other process has closed the connection already.
         let _ = shutdown(&self.stream, Shutdown::Both);
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -325,7 +325,16 @@
     site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT;
 }
 
-/// Writes where clients and operators reach this process.
+/// Whether another process of the node serves when this one starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StartKind {
+    /// None does: this process serves at once.
+    Alone,
+    /// One does, and this process is to take over from it.
+    Successor,
+}
+
+/// Logs the addresses for clients and operators.
 fn log_addresses(node: &str, start: StartKind, clients: SocketAddr, admin: Option<SocketAddr>) {
     // The wording of both is fixed: programs that start nodes read the address from the line.
     match start {
@@ -336,12 +345,3 @@
         info!(target: NODE, %node, %address, "admin listener started");
     }
 }
-
-/// Whether another process of the node serves when this one starts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StartKind {
-    /// None does: this process serves at once.
-    Alone,
-    /// One does, and this process is to take over from it.
-    Successor,
-}
--- a/crates/node/tests/unit/handover/link.rs
+++ b/crates/node/tests/unit/handover/link.rs
@@ -11,8 +11,7 @@
 
 /// Returns once the link is lost.
 async fn wait_until_lost(link: &PeerLink) {
-    // The sender is in the link itself.
-    let _ = link.state.connected.subscribe().wait_for(|is_connected| !is_connected).await;
+    link.state.lost.cancelled().await;
 }
 
 /// Answers requests until the takeover is reverted. False where another request arrives.
