--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -69,9 +69,9 @@
 /// A task that runs for as long as the node does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SupervisedTask {
-    /// Carries out operators' commands; without it nobody could end a drain.
+    /// Carries out operators' commands; without it a drain could not be ended.
     Admin,
-    /// Reads the configuration again; without it nobody could reconfigure the node.
+    /// Reads the configuration again; without it the node could not be reconfigured.
     Reload,
     /// Owns the jobs and the decisions.
     Dispatch,
@@ -86,11 +86,11 @@
 impl fmt::Display for SupervisedTask {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            SupervisedTask::Admin => "the second address",
-            SupervisedTask::Reload => "the delivery of SIGHUP",
+            SupervisedTask::Admin => "the admin address",
+            SupervisedTask::Reload => "the reload task",
             SupervisedTask::Dispatch => "the dispatch task",
-            SupervisedTask::Takeover => "the upgrade task",
-            SupervisedTask::EndpointWatcher => "the transport map",
+            SupervisedTask::Takeover => "the takeover task",
+            SupervisedTask::EndpointWatcher => "the endpoint watcher",
             SupervisedTask::IdleConnectionSweep => "the sweep of idle connections",
         })
     }
