--- a/crates/testbed/src/command_line/check.rs
+++ b/crates/testbed/src/command_line/check.rs
@@ -6,6 +6,7 @@
 use super::error::CommandError;
 use super::scenario_file::read_scenario;
 
+/// The options of `check`
 #[derive(clap::Args)]
 pub struct CheckOptions {
     /// The scenario's file
--- a/crates/testbed/src/command_line/compare.rs
+++ b/crates/testbed/src/command_line/compare.rs
@@ -13,6 +13,7 @@
 use crate::report::Figures;
 use crate::scenario::Scenario;
 
+/// The options of `compare`
 #[derive(clap::Args)]
 pub struct CompareOptions {
     /// The scenario's file
--- a/crates/testbed/src/command_line/mod.rs
+++ b/crates/testbed/src/command_line/mod.rs
@@ -2,7 +2,6 @@
 
 mod check;
 mod compare;
-mod drill;
 mod error;
 mod node_program;
 mod run;
@@ -10,6 +9,7 @@
 mod scenario_file;
 mod scripted_node;
 mod soak;
+mod stress_run;
 
 use std::process::ExitCode;
 
@@ -37,7 +37,8 @@
     /// Play the same scenario and seeds on two nodes' programs or two operator's files, in turns, and compare them
     Compare(compare::CompareOptions),
     /// Do one thing of daily operation many times on a node under load, and print a table of what came of it
-    Drill(drill::DrillOptions),
+    #[command(name = "drill")]
+    StressRun(stress_run::StressRunOptions),
     /// Play a fleet under faults that are drawn from a seed and overlap, one seed after another, and print a table
     Soak(soak::SoakOptions),
     /// Read a scenario and say whether it is good
@@ -91,7 +92,7 @@
         match self {
             Command::Run(options) => options.execute(),
             Command::Compare(options) => options.execute(),
-            Command::Drill(options) => options.execute(),
+            Command::StressRun(options) => options.execute(),
             Command::Soak(options) => options.execute(),
             Command::Check(options) => options.execute(),
             Command::ScriptedNode(options) => options.execute(),
--- a/crates/testbed/src/command_line/run.rs
+++ b/crates/testbed/src/command_line/run.rs
@@ -12,6 +12,7 @@
 use crate::report::render_summary;
 use crate::scripted::Flaw;
 
+/// The options of `run`
 #[derive(clap::Args)]
 pub struct RunOptions {
     /// The scenario's file
--- a/crates/testbed/src/command_line/scripted_node.rs
+++ b/crates/testbed/src/command_line/scripted_node.rs
@@ -5,6 +5,7 @@
 use super::runtime::scripted_node_runtime;
 use crate::scripted::{Flaw, serve};
 
+/// The options of `scripted-node`
 #[derive(clap::Args)]
 pub struct ScriptedNodeOptions {
     /// What it does wrong
--- a/crates/testbed/src/command_line/soak.rs
+++ b/crates/testbed/src/command_line/soak.rs
@@ -14,6 +14,7 @@
 const MIN_LENGTH_S: f64 = 8.0;
 const MAX_LENGTH_S: f64 = 3_600.0;
 
+/// The options of `soak`
 #[derive(clap::Args)]
 pub struct SoakOptions {
     /// The first seed
--- a/crates/testbed/src/command_line/drill.rs
+++ b/crates/testbed/src/command_line/stress_run.rs
@@ -1,4 +1,4 @@
-//! `drill`: a stress run.
+//! `drill`: a stress run on one node.
 
 use std::path::PathBuf;
 
@@ -12,8 +12,9 @@
 use crate::scripted::Flaw;
 use crate::stress_run::{StressKind, StressResults, StressRun};
 
+/// The options of `drill`
 #[derive(clap::Args)]
-pub struct DrillOptions {
+pub struct StressRunOptions {
     /// What is done
     kind: StressKind,
     /// How many times, one after another
@@ -39,9 +40,9 @@
     quiet: bool,
 }
 
-impl DrillOptions {
+impl StressRunOptions {
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
-        let DrillOptions { kind, times, seed, delay, node, scripted, out, quiet } = self;
+        let StressRunOptions { kind, times, seed, delay, node, scripted, out, quiet } = self;
         CommandError::check_range("--delay", delay, 0.0, MAX_DELAY_S)?;
         let stress = StressRun { kind, rounds: times, max_delay_s: delay };
         let program = choose_program(node, scripted, &out)?;
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -1,8 +1,9 @@
-//! The laboratory as a process: a short scenario on the real node, the judge against scripted nodes that each break one
-//! rule, and what is said when a run cannot begin. No times are asserted.
+//! The testbed as a process: short scenarios on the real node, the rule checker against scripted nodes that each break one
+//! rule, and the messages of runs that cannot begin. No durations are asserted.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use std::sync::{Condvar, Mutex};
 
 const SMOKE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/smoke.toml");
 
@@ -10,13 +11,54 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-fn run(scenario: &str, name: &str, more: &[&str]) -> Output {
+/// Limits how many testbeds run at once to the number of cores. Each simulates a fleet in real time beside real processes;
+/// with many more of them than cores, nodes are late and break rules that they keep otherwise.
+struct RunLimit {
+    running: Mutex<usize>,
+    finished: Condvar,
+}
+
+static RUN_LIMIT: RunLimit = RunLimit { running: Mutex::new(0), finished: Condvar::new() };
+
+/// The right to run a testbed; dropped, it is another's.
+struct RunPermit;
+
+impl RunLimit {
+    fn acquire(&self) -> RunPermit {
+        let limit = std::thread::available_parallelism().map_or(1, usize::from);
+        let running = self.running.lock().expect("no holder panics");
+        let is_full = |running: &mut usize| *running >= limit;
+        *self.finished.wait_while(running, is_full).expect("no holder panics") += 1;
+        RunPermit
+    }
+}
+
+impl Drop for RunPermit {
+    fn drop(&mut self) {
+        *RUN_LIMIT.running.lock().expect("no holder panics") -= 1;
+        RUN_LIMIT.finished.notify_one();
+    }
+}
+
+/// Runs the testbed with a folder for its report, and returns what it printed.
+fn testbed(folder_name: &str, arguments: &[&str]) -> Output {
+    let _permit = RUN_LIMIT.acquire();
     Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
-        .args(["run", scenario, "--quiet", "--out"])
-        .arg(folder(name))
-        .args(more)
+        .args(arguments)
+        .arg("--out")
+        .arg(folder(folder_name))
         .output()
-        .expect("the lab starts")
+        .expect("the testbed starts")
+}
+
+fn run(scenario: &str, name: &str, more: &[&str]) -> Output {
+    testbed(name, &[&["run", scenario, "--quiet"], more].concat())
+}
+
+/// Asserts that no rule was broken. The exit code 3 means that a busy machine made the load late, which is no fault of the
+/// node.
+fn assert_no_rule_is_broken(output: &Output) {
+    assert!(matches!(output.status.code(), Some(0 | 3)), "{output:?}");
 }
 
 fn text(bytes: &[u8]) -> &str {
@@ -29,12 +71,11 @@
 }
 
 #[test]
-fn a_short_scenario_on_the_real_node_keeps_all_rules_and_leaves_a_report() {
+fn short_scenario_on_real_nodes_then_no_rule_is_broken_and_a_report_is_written() {
     let node = Path::new(env!("CARGO_BIN_EXE_curlewusher-testbed")).with_file_name("curlewusher");
     assert!(node.is_file(), "build the node first: cargo test --workspace does");
     let out = run(SMOKE, "smoke", &[]);
-    // 3 says that a busy machine made the load late, which is no fault of the node.
-    assert!(matches!(out.status.code(), Some(0 | 3)), "{out:?}");
+    assert_no_rule_is_broken(&out);
     let figures = figures("smoke");
     let count = |field: &str| figures[field].as_u64();
     assert_eq!((count("jobs"), count("broken_rules"), count("crashes")), (Some(120), Some(0), Some(0)));
@@ -43,7 +84,7 @@
     assert_eq!(of("in_time") + of("late") + of("refused") + of("failed"), 120, "each job has one end");
     let page = std::fs::read_to_string(folder("smoke").join("report.html")).expect("a report");
     assert!(page.matches("<svg").count() >= 5 && page.contains("Reload of") && !page.contains("src=\""));
-    let seen = std::fs::read_to_string(folder("smoke").join("seen.jsonl")).expect("what was seen");
+    let seen = std::fs::read_to_string(folder("smoke").join("seen.jsonl")).expect("an event log");
     assert!(seen.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()));
 }
 
@@ -52,18 +93,13 @@
 fn nodes_come_back_with_old_lists_then_nothing_is_sent_to_workers_that_drain() {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/restart-with-old-list.toml");
     let out = run(scenario, "restart-with-old-list", &[]);
-    // 3 says that a busy machine made the load late, which is no fault of the node.
-    assert!(matches!(out.status.code(), Some(0 | 3)), "{out:?}");
+    assert_no_rule_is_broken(&out);
 }
 
 #[test]
-fn soak_runs_of_fixed_seeds_break_no_rule() {
-    let out = Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
-        .args(["soak", "--first", "5", "--seeds", "2", "--nodes", "8", "--workers", "9"])
-        .args(["--length", "15", "--faults", "9", "--out"])
-        .arg(folder("soak"))
-        .output()
-        .expect("the lab starts");
+fn soak_runs_of_fixed_seeds_then_no_rule_is_broken() {
+    let arguments = "soak --first 5 --seeds 2 --nodes 8 --workers 9 --length 15 --faults 9";
+    let out = testbed("soak", &arguments.split(' ').collect::<Vec<_>>());
     assert_eq!(out.status.code(), Some(0), "{out:?}");
     assert_eq!(text(&out.stdout).lines().count(), 3, "{out:?}");
 }
@@ -105,34 +141,26 @@
 of = [6]
 "#;
 
-#[test]
-fn the_judge_finds_each_rule_that_a_scripted_node_breaks_and_is_silent_on_one_that_keeps_them() {
-    let file = folder("hard.toml");
-    std::fs::write(&file, HARD).expect("a place");
-    let file = file.to_str().expect("a path");
-    let flaws = [
-        ("none", None),
-        ("lost-answer", Some("OneAnswer")),
-        ("forged-result", Some("no worker made")),
-        ("two-at-once", Some("while an attempt of it was out")),
-        ("run-again", Some("went out again and may have run")),
-        ("wrong-refusal", Some("was refused, which calls a repeat harmless")),
-        ("deaf-to-drains", Some("QuietDrain")),
-        ("rush-to-the-new", Some("GentleStart")),
-        ("crash", Some("CRASH node 0 ended by itself")),
-        ("deaf-to-the-end", Some("CRASH node 0 did not end by itself")),
-    ];
+/// Plays a scenario on scripted nodes side by side. With each flaw the checker must print these words, or nothing at all.
+fn assert_findings(scenario: &Path, folder_prefix: &str, findings: &[(&str, Option<&str>)]) {
+    let scenario = scenario.to_str().expect("a path");
     std::thread::scope(|scope| {
-        for (flaw, words) in flaws {
+        for (flaw, words) in findings {
             scope.spawn(move || {
-                let out = run(file, &format!("judge-{flaw}"), &["--scripted", flaw]);
-                let said = text(&out.stderr);
+                let out = run(scenario, &format!("{folder_prefix}-{flaw}"), &["--scripted", flaw]);
+                let printed = text(&out.stderr);
                 match words {
-                    None => assert!(matches!(out.status.code(), Some(0 | 3)) && said.is_empty(), "{said}"),
+                    None => {
+                        assert_no_rule_is_broken(&out);
+                        assert!(printed.is_empty(), "{printed}");
+                    }
                     Some(words) => {
-                        assert!(out.status.code() == Some(1) && said.contains(words), "{flaw}: {said}");
-                        // A request's own time-line, for a person to read.
-                        assert!(said.starts_with("CRASH") || said.contains(" s  "), "{flaw}: {said}");
+                        assert!(out.status.code() == Some(1) && printed.contains(words), "{flaw}: {printed}");
+                        // A person reads the timeline of the request or command.
+                        assert!(
+                            printed.starts_with("CRASH") || printed.contains(" s  "),
+                            "{flaw}: {printed}"
+                        );
                     }
                 }
             });
@@ -140,6 +168,28 @@
     });
 }
 
+#[test]
+fn scripted_node_breaks_a_rule_then_the_checker_reports_it_and_otherwise_nothing() {
+    let file = folder("hard.toml");
+    std::fs::write(&file, HARD).expect("a place");
+    assert_findings(
+        &file,
+        "judge",
+        &[
+            ("none", None),
+            ("lost-answer", Some("OneAnswer")),
+            ("forged-result", Some("no worker made")),
+            ("two-at-once", Some("while an attempt of it was out")),
+            ("run-again", Some("went out again and may have run")),
+            ("wrong-refusal", Some("was refused, which calls a repeat harmless")),
+            ("deaf-to-drains", Some("QuietDrain")),
+            ("rush-to-the-new", Some("GentleStart")),
+            ("crash", Some("CRASH node 0 ended by itself")),
+            ("deaf-to-the-end", Some("CRASH node 0 did not end by itself")),
+        ],
+    );
+}
+
 const DAILY: &str = r#"
 title = "operators' work"
 seed = 3
@@ -181,31 +231,13 @@
 of = [1]
 "#;
 
-/// Plays a file on each scripted node at once; each must be judged with these words, or with none.
-fn judged(file: &Path, flaws: &[(&str, Option<&str>)]) {
-    let file = file.to_str().expect("a path");
-    std::thread::scope(|scope| {
-        for (flaw, words) in flaws {
-            scope.spawn(move || {
-                let out = run(file, &format!("judge-daily-{flaw}"), &["--scripted", flaw]);
-                let said = text(&out.stderr);
-                match words {
-                    None => assert!(matches!(out.status.code(), Some(0 | 3)) && said.is_empty(), "{said}"),
-                    Some(words) => {
-                        assert!(out.status.code() == Some(1) && said.contains(words), "{flaw}: {said}");
-                    }
-                }
-            });
-        }
-    });
-}
-
 #[test]
-fn the_judge_finds_what_a_scripted_node_does_wrong_in_upgrades_drains_and_maintenance() {
+fn scripted_node_fails_in_upgrades_drains_or_maintenance_then_the_checker_reports_it_and_otherwise_nothing() {
     let file = folder("daily.toml");
     std::fs::write(&file, DAILY).expect("a place");
-    judged(
+    assert_findings(
         &file,
+        "judge-daily",
         &[
             ("none", None),
             ("drops-its-jobs", Some("had no answer from node 1: Some(Closed)")),
@@ -224,15 +256,10 @@
 }
 
 #[test]
-fn drills_end_by_themselves_with_a_table_and_find_what_is_wrong() {
-    let drill = |arguments: &[&str]| {
-        let out = folder(&format!("drill-{}", arguments.join("")));
-        Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
-            .args(["drill", "--quiet", "--out"])
-            .arg(out)
-            .args(arguments)
-            .output()
-            .expect("the lab starts")
+fn stress_runs_then_they_exit_by_themselves_with_a_table_and_find_what_is_wrong() {
+    let stress_run = |arguments: &[&str]| {
+        let folder_name = format!("drill-{}", arguments.concat());
+        testbed(&folder_name, &[&["drill", "--quiet"], arguments].concat())
     };
     std::thread::scope(|scope| {
         for (arguments, code, words) in [
@@ -247,7 +274,7 @@
             (["calls", "--times", "1", "--delay", "0.3", "--scripted", "yes-to-any-id"], 1, "  Console"),
         ] {
             scope.spawn(move || {
-                let out = drill(&arguments);
+                let out = stress_run(&arguments);
                 let right = out.status.code() == Some(code) || code == 0 && out.status.code() == Some(3);
                 assert!(right && text(&out.stdout).contains(words), "{arguments:?}: {out:?}");
             });
@@ -256,8 +283,8 @@
 }
 
 #[test]
-fn an_interrupted_run_ends_its_nodes_and_still_writes_what_was_seen() {
-    // The node's own log tells when the load has begun.
+fn run_is_interrupted_then_its_nodes_stop_and_the_event_log_is_written() {
+    // The node's log shows when the load has begun.
     std::fs::write(folder("debug.toml"), "[log.parts]\ndispatch = \"debug\"\n").expect("a place");
     let text = std::fs::read_to_string(SMOKE).expect("a scenario");
     let long = text
@@ -266,21 +293,24 @@
     std::fs::write(folder("long.toml"), long).expect("a place");
     let out = folder("interrupted");
     let _ = std::fs::remove_dir_all(&out);
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
+    let _permit = RUN_LIMIT.acquire();
+    let mut testbed = Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
         .args(["run", folder("long.toml").to_str().expect("a path"), "--quiet", "--out"])
         .arg(&out)
         .stdout(std::process::Stdio::piped())
         .spawn()
-        .expect("the lab starts");
+        .expect("the testbed starts");
     let log = |node: u32| std::fs::read_to_string(out.join(format!("n{node}.log"))).unwrap_or_default();
-    while !log(0).contains("taken") {
-        let ended = lab.try_wait().expect("a child");
+    let has_accepted_a_job = || ["taken", "job accepted"].iter().any(|event| log(0).contains(event));
+    while !has_accepted_a_job() {
+        let ended = testbed.try_wait().expect("a child");
         assert!(ended.is_none(), "it ended before its load began, {ended:?}: is the node built?");
         std::thread::yield_now();
     }
-    let kill = Command::new("kill").args(["-INT", &lab.id().to_string()]).status().expect("kill is there");
+    let kill =
+        Command::new("kill").args(["-INT", &testbed.id().to_string()]).status().expect("kill is there");
     assert!(kill.success());
-    let ended = lab.wait_with_output().expect("it ends");
+    let ended = testbed.wait_with_output().expect("it ends");
     assert_eq!(ended.status.code(), Some(3), "such a run does not count: {ended:?}");
     assert!(figures("interrupted")["jobs"].as_u64().is_some_and(|jobs| jobs > 0));
     for node in 0..2 {
@@ -292,14 +322,14 @@
 }
 
 #[test]
-fn a_run_that_cannot_begin_says_why_and_leaves_nothing_running() {
+fn run_cannot_begin_then_it_says_why_and_leaves_nothing_running() {
     let bad = folder("bad.toml");
     std::fs::write(&bad, HARD.replace("rate = 40.0", "rate = -1")).expect("a place");
     let out = run(bad.to_str().expect("a path"), "bad", &[]);
-    let said = text(&out.stderr);
+    let printed = text(&out.stderr);
     assert!(
-        out.status.code() == Some(2) && said.contains("bad.toml: line 12: load.rate: -1 is not from 0.1"),
-        "{said}"
+        out.status.code() == Some(2) && printed.contains("bad.toml: line 12: load.rate: -1 is not from 0.1"),
+        "{printed}"
     );
     assert!(!folder("bad").exists(), "nothing was started");
 
@@ -309,14 +339,14 @@
         "{out:?}"
     );
 
-    // A node that ends at once: its own words are shown.
+    // A node that exits at once: its own words are shown.
     let broken = folder("broken-node");
     std::fs::write(&broken, "#!/bin/sh\necho 'the moon is in the wrong house' >&2\nexit 1\n")
         .expect("a place");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
     std::fs::set_permissions(&broken, mode).expect("a mode");
     let out = run(SMOKE, "broken", &["--node", broken.to_str().expect("a path")]);
-    let said = text(&out.stderr);
-    assert!(out.status.code() == Some(2) && said.contains("node 0 ended before it served"), "{said}");
-    assert!(said.contains("the moon is in the wrong house"), "{said}");
+    let printed = text(&out.stderr);
+    assert!(out.status.code() == Some(2) && printed.contains("node 0 ended before it served"), "{printed}");
+    assert!(printed.contains("the moon is in the wrong house"), "{printed}");
 }
