--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -66,7 +66,7 @@
 async fn close_timed_out_connections(state: &ServerState) -> Infallible {
     loop {
         sleep(TIMEOUT_CHECK_INTERVAL).await;
-        let idle_timeout = state.options.get().idle_timeout_ms.millis();
+        let idle_timeout = state.options.get().idle_timeout.duration();
         // A node that shuts down keeps idle connections a little longer: clients use them until then.
         let phase = state.lifecycle.phase();
         let redirects = phase.redirects_clients() && !phase.is_shutting_down();
@@ -96,7 +96,7 @@
             Ok((stream, _)) => spawn_connection(state, stream, permit),
             // Descriptors have run out, or a client has closed at once: the listener must survive both.
             Err(error) => {
-                warn!(target: SERVER, %error, "a connection could not be accepted");
+                warn!(target: SERVER, %error, "client accept failed");
                 state.metrics.add(Counter::AcceptFailures);
                 evict_connections(state);
                 sleep(ACCEPT_RETRY_PAUSE).await;
--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::client_router::ClientRouter;
 use crate::event_log::EventLog;
-use crate::fleet::{Fleet, NodeAddresses, SentRequests};
+use crate::fleet::{Fleet, FleetError, NodeAddresses, SentRequests};
 use crate::nodes::{Node, Program};
 use crate::scenario::Scenario;
 
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// The fleet cannot open its sockets.
-    pub async fn create(spec: EnvironmentSpec) -> Result<Environment, String> {
+    pub async fn create(spec: EnvironmentSpec) -> Result<Environment, FleetError> {
         let EnvironmentSpec { scenario, program, jobs, needs_admin_addresses } = spec;
         let node_count = scenario.nodes.count;
         let (log, sent_requests) = (EventLog::new(), SentRequests::default());
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -13,6 +13,7 @@
 use super::{Environment, NodeCrash, NodeSlot};
 use crate::admin_command::reserve_address;
 use crate::event_log::{Event, Readiness};
+use crate::fleet::FleetError;
 use crate::nodes::{Node, NodeError, ProcessSpec, check_readiness, nonzero_violation_counters};
 use crate::waiting::join_all;
 
@@ -43,8 +44,8 @@
     #[error(transparent)]
     Node(#[from] NodeError),
     /// Its discovery server could not be opened.
-    #[error("{0}")]
-    Discovery(String),
+    #[error(transparent)]
+    Discovery(#[from] FleetError),
 }
 
 impl Environment {
@@ -54,7 +55,7 @@
     ///
     /// Its discovery server cannot be opened, or its process does not become ready.
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
-        let discovery = self.fleet.discovery_for(number).await.map_err(StartError::Discovery)?;
+        let discovery = self.fleet.start_discovery(number).await?;
         let admin_address = self.has_admin_addresses.then(reserve_address);
         // Both processes of an upgrade listen on the same address, so that the system cannot choose it.
         let must_reserve = self.has_admin_addresses && listen.port() == 0;
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -20,6 +20,7 @@
 use crate::environment::{Environment, EnvironmentSpec, StartError, StopMode};
 use crate::event_log::Record;
 use crate::faults::inject_fault;
+use crate::fleet::FleetError;
 use crate::load::Clients;
 use crate::nodes::{Program, Sample};
 use crate::sampling::sample_nodes;
@@ -51,8 +52,8 @@
 #[derive(Debug, Error)]
 pub enum PlayError {
     /// The fleet cannot be simulated.
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
     /// A node did not start.
     #[error(transparent)]
     Start(#[from] StartError),
@@ -77,7 +78,7 @@
     let needs_admin_addresses = stress.is_some();
     let spec =
         EnvironmentSpec { scenario: Arc::new(scenario), program, jobs: jobs.clone(), needs_admin_addresses };
-    let environment = Arc::new(Environment::create(spec).await.map_err(PlayError::Fleet)?);
+    let environment = Arc::new(Environment::create(spec).await?);
     tokio::select! {
         started = environment.start_all_nodes() => started?,
         // The processes that have started end when their handles are dropped.
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -301,8 +301,7 @@
         .spawn()
         .expect("the testbed starts");
     let log = |node: u32| std::fs::read_to_string(out.join(format!("n{node}.log"))).unwrap_or_default();
-    let has_accepted_a_job = || ["taken", "job accepted"].iter().any(|event| log(0).contains(event));
-    while !has_accepted_a_job() {
+    while !log(0).contains("job accepted") {
         let ended = testbed.try_wait().expect("a child");
         assert!(ended.is_none(), "it ended before its load began, {ended:?}: is the node built?");
         std::thread::yield_now();
