--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -29,8 +29,11 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(u64, f64, f64)")]
 pub struct PairedShares {
+    /// The seed of both runs.
     pub seed: u64,
+    /// Share in time of the first side.
     pub a: f64,
+    /// Share in time of the second side.
     pub b: f64,
 }
 
@@ -51,8 +54,17 @@
 pub enum CompareError {
     /// Both runs of a pair must be of one scenario and one seed.
     #[error("a pair is no pair: {title_a} seed {seed_a} and {title_b} seed {seed_b}")]
-    MismatchedPair { title_a: String, seed_a: u64, title_b: String, seed_b: u64 },
-    /// In each pair, at least one run is not valid.
+    MismatchedPair {
+        /// Title of the first run's scenario.
+        title_a: String,
+        /// Seed of the first run.
+        seed_a: u64,
+        /// Title of the second run's scenario.
+        title_b: String,
+        /// Seed of the second run.
+        seed_b: u64,
+    },
+    /// Every pair has a run that is not valid.
     #[error("no pair of valid runs is left: give the machine to the runs alone, or ask for less load")]
     NoValidPair,
     /// The t distribution rejected its parameters.
@@ -68,6 +80,10 @@
 }
 
 /// Compares pairs `(a, b)` of runs of the same scenario; pairs with a run that is not valid are left out.
+///
+/// # Errors
+///
+/// A pair is of different scenarios or seeds, or no pair is valid.
 pub fn compare(pairs: &[(Figures, Figures)]) -> Result<Comparison, CompareError> {
     if let Some((a, b)) = pairs.iter().find(|(a, b)| a.seed != b.seed || a.title != b.title) {
         return Err(CompareError::MismatchedPair {
@@ -104,6 +120,10 @@
 }
 
 /// The text of `comparison.json`.
+///
+/// # Errors
+///
+/// The numbers cannot be expressed in JSON.
 pub fn comparison_json(comparison: &Comparison) -> Result<String, serde_json::Error> {
     serde_json::to_string_pretty(comparison)
 }
--- a/crates/testbed/src/load/job_request.rs
+++ b/crates/testbed/src/load/job_request.rs
@@ -40,6 +40,7 @@
             planned.hint_seconds * 1e6,
             planned.slots
         );
+        // Writing to a string cannot fail.
         if class.idempotence == Idempotence::IdempotentWithKey {
             let _ = write!(request, "idempotency-key: {:032x}\r\n", self.job);
         }
@@ -50,3 +51,7 @@
         request
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/job_request.rs"]
+mod tests;
--- a/crates/testbed/tests/unit/soak.rs
+++ b/crates/testbed/tests/unit/soak.rs
@@ -6,7 +6,8 @@
 use crate::report::Figures;
 use crate::rules::{Rule, Violation};
 use crate::scenario::{FaultKind, Scenario};
-use crate::soak::{MAX_PAUSE_S, Soak, table_head, table_row};
+use crate::soak::fault_draw::MAX_PAUSE_S;
+use crate::soak::{Soak, table_head, table_row};
 
 fn soak(seed: u64) -> Soak {
     Soak { seed, nodes: 8, workers: 9, length_s: 20.0, faults: 12 }
--- a/crates/testbed/tests/unit/stress_run.rs
+++ b/crates/testbed/tests/unit/stress_run.rs
@@ -1,8 +1,5 @@
 //! Drawing of stress runs.
 
-#[path = "soak.rs"]
-mod soak;
-
 use curlewusher_model::Timestamp;
 
 use super::*;
