--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -265,7 +265,9 @@
             );
             0
         }),
-        Command::ScriptedNode { flaw } => runtime(0)?.block_on(scripted::serve(flaw)).map(|()| 0),
+        Command::ScriptedNode { flaw } => {
+            runtime(0)?.block_on(scripted::serve(flaw)).map(|()| 0).map_err(|error| error.to_string())
+        }
     }
 }
 
--- /dev/null
+++ b/crates/testbed/src/scripted/error.rs
@@ -0,0 +1,57 @@
+//! Why a scripted node does not run, or rejects an admin command.
+
+use std::io;
+use std::net::SocketAddr;
+
+use thiserror::Error;
+
+/// Why a scripted node does not run.
+#[derive(Debug, Error)]
+pub enum ScriptedNodeError {
+    /// The environment does not name a configuration.
+    #[error("RELAY_CONFIG is not set")]
+    ConfigUnset,
+    /// The configuration cannot be read.
+    #[error("{path}: {problem}")]
+    ConfigUnreadable {
+        /// The file.
+        path: String,
+        /// The system's error.
+        #[source]
+        problem: io::Error,
+    },
+    /// The configuration is not of the expected form.
+    #[error("{path}: {problem}")]
+    ConfigInvalid {
+        /// The file.
+        path: String,
+        /// The parser's error.
+        #[source]
+        problem: serde_json::Error,
+    },
+    /// An address of the configuration cannot be bound.
+    #[error("{address}: {problem}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        #[source]
+        problem: io::Error,
+    },
+    /// The system refused a socket, a signal handler or a file in the node's folder.
+    #[error("{0}")]
+    System(#[from] io::Error),
+}
+
+/// Why an admin command is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum CommandError {
+    #[error("not yet")]
+    NotReady,
+    #[error("never listed")]
+    UnknownWorker,
+    #[error("no such call")]
+    UnknownCommand,
+    #[error("the folder cannot be written")]
+    FolderNotWritable,
+}
--- /dev/null
+++ b/crates/testbed/src/scripted/worker_list.rs
@@ -0,0 +1,89 @@
+//! The workers that discovery has listed, and the choice among them.
+
+use std::collections::HashSet;
+use std::net::SocketAddr;
+
+use parking_lot::Mutex;
+use serde::Deserialize;
+
+use super::flaw::Flaw;
+use super::shared_folder::SharedFolder;
+
+/// An entry of the endpoint list.
+#[derive(Clone, Deserialize)]
+pub(super) struct Endpoint {
+    pub(super) name: String,
+    pub(super) address: SocketAddr,
+    status: String,
+    /// When it started, in milliseconds of Unix time.
+    since_ms: u64,
+}
+
+/// A message of an endpoint watch.
+#[derive(Deserialize)]
+pub(super) struct WatchMessage {
+    /// Whether the message replaces the list.
+    snapshot: bool,
+    endpoints: Vec<Endpoint>,
+}
+
+/// The workers in service.
+pub(super) struct WorkerList {
+    flaw: Flaw,
+    workers: Mutex<Vec<Endpoint>>,
+    /// Names of all workers that were ever listed.
+    ever_listed: Mutex<HashSet<String>>,
+    /// Counts the choices: workers are used in turn.
+    turn: Mutex<usize>,
+}
+
+impl WorkerList {
+    /// A list before the first message of discovery.
+    pub(super) fn new(flaw: Flaw) -> Self {
+        WorkerList { flaw, workers: Mutex::default(), ever_listed: Mutex::default(), turn: Mutex::default() }
+    }
+
+    /// Whether no worker is in service.
+    pub(super) fn is_empty(&self) -> bool {
+        self.workers.lock().is_empty()
+    }
+
+    /// Whether a worker has ever been listed.
+    pub(super) fn was_listed(&self, worker: &str) -> bool {
+        self.ever_listed.lock().contains(worker)
+    }
+
+    /// Applies a message of the endpoint watch.
+    pub(super) fn apply(&self, message: WatchMessage) {
+        self.ever_listed.lock().extend(message.endpoints.iter().map(|endpoint| endpoint.name.clone()));
+        let mut workers = self.workers.lock();
+        if message.snapshot {
+            workers.clear();
+        }
+        for endpoint in message.endpoints {
+            let ignores_drain = self.flaw == Flaw::IgnoresWorkerDrains && endpoint.status == "terminating";
+            if ignores_drain && workers.iter().any(|worker| worker.name == endpoint.name) {
+                continue;
+            }
+            workers.retain(|worker| worker.name != endpoint.name);
+            if endpoint.status == "in_service" {
+                workers.push(endpoint);
+            }
+        }
+    }
+
+    /// The next worker in turn that is neither excluded nor disabled.
+    pub(super) fn next(&self, excluded: &[String], shared: &SharedFolder) -> Option<Endpoint> {
+        let workers = self.workers.lock();
+        if self.flaw == Flaw::OverloadsNewWorkers {
+            return workers.iter().max_by_key(|worker| worker.since_ms).cloned();
+        }
+        let mut turn = self.turn.lock();
+        *turn += 1;
+        let count = workers.len();
+        (0..count)
+            .map(|offset| &workers[(*turn + offset) % count])
+            .find(|worker| !excluded.contains(&worker.name) && !shared.is_disabled(&worker.name))
+            .cloned()
+    }
+}
