--- /dev/null
+++ b/crates/testbed/src/nodes/config.rs
@@ -0,0 +1,65 @@
+//! The configuration file of a node, in the form that the platform writes.
+
+use curlewusher_model::span;
+use serde_json::{Value, json};
+
+use super::process::ProcessSpec;
+use crate::scenario::{
+    Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
+};
+
+/// Multiplied with a scenario's seed so that neighbouring seeds have no bits in common.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The text of a node's configuration file.
+pub(super) fn config_file(scenario: &Scenario, spec: &ProcessSpec) -> String {
+    let ProcessSpec { number, listen, discovery, admin_address, saved_list, .. } = spec;
+    let seed = scenario.seed.wrapping_mul(SEED_MULTIPLIER) ^ *number as u64;
+    let empty_list = || json!({"index": 0, "snapshot": true, "endpoints": []});
+    let mut file = json!({
+        "name": format!("n{number}"),
+        "listen": listen,
+        "discovery": discovery,
+        "seed": format!("{seed:016x}"),
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB as u64, "sockets": scenario.nodes.descriptors},
+        "known": saved_list.clone().unwrap_or_else(empty_list),
+        "settings": settings(scenario, *number),
+    });
+    if let Some(admin_address) = admin_address {
+        file["console"] = json!(admin_address);
+    }
+    file.to_string()
+}
+
+fn settings(scenario: &Scenario, number: usize) -> Value {
+    let services: Vec<_> = scenario.classes.iter().map(service).collect();
+    let kinds: Vec<_> = scenario.fleet.kinds.iter().map(|kind| kind.name.as_str()).collect();
+    json!({
+        "balancers": scenario.nodes.count, "rank": number, "zone": 0, "discovery": "subscribe",
+        "localities": ["lab"], "kinds": kinds, "services": services,
+        "familyInfo": {"classKind": vec![-1; services.len()], "tellsStart": true},
+        "limits": {
+            "cancel": true, "mayDuplicate": false, "mayTell": false, "sendCap": 3, "retryAfter": false,
+            "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 150_000, "keepaliveUs": 30_000_000,
+        },
+        "rules": {
+            "askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_capacity_fraction,
+            "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR,
+            "fallUs": OVERLOAD_WINDOW,
+        },
+    })
+}
+
+/// A job class in the form of the configuration file.
+fn service(class: &Class) -> Value {
+    let (idempotency, key_scope, deduplication_window) = match class.idempotence {
+        Idempotence::Idempotent => ("safe", "", 0),
+        Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
+        Idempotence::NonIdempotent => ("unsafe", "", 0),
+    };
+    json!({
+        "name": class.name, "idempotency": idempotency, "keyScope": key_scope,
+        "dedupWindowUs": deduplication_window, "objectiveUs": span(class.objective_s),
+        "aimStretch": class.stretch, "giveUpUs": span(class.timeout_s), "worth": class.priority_weight,
+    })
+}
