--- a/crates/testbed/src/fleet/attempt_table.rs
+++ b/crates/testbed/src/fleet/attempt_table.rs
@@ -27,6 +27,7 @@
 }
 
 impl AttemptTable {
+    /// No attempts yet; the first one gets number 1.
     pub(super) fn new() -> Self {
         AttemptTable { next: 1, in_flight: HashMap::new(), by_request: HashMap::new() }
     }
@@ -38,11 +39,13 @@
         number
     }
 
+    /// Adds an attempt that has arrived at its worker.
     pub(super) fn insert(&mut self, number: AttemptNumber, attempt: InFlightAttempt) {
         self.by_request.insert((attempt.worker, attempt.request_id.clone()), number);
         self.in_flight.insert(number, attempt);
     }
 
+    /// Whether the worker still has an attempt.
     pub(super) fn contains(&self, number: AttemptNumber) -> bool {
         self.in_flight.contains_key(&number)
     }
--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -69,15 +69,16 @@
 
 /// Delivers callbacks to nodes.
 #[derive(Clone)]
-pub(super) struct CallbackSender {
+pub(super) struct CallbackDelivery {
     client: Client<HttpConnector, Full<Bytes>>,
     nodes: NodeAddresses,
 }
 
-impl CallbackSender {
+impl CallbackDelivery {
+    /// Delivers to the nodes at these addresses.
     pub(super) fn new(nodes: NodeAddresses) -> Self {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-        CallbackSender { client, nodes }
+        CallbackDelivery { client, nodes }
     }
 
     /// Opens the queue of one attempt's callbacks to a node: each is sent after the one before was acknowledged, or has
--- a/crates/testbed/src/fleet/discovery_state.rs
+++ b/crates/testbed/src/fleet/discovery_state.rs
@@ -36,6 +36,7 @@
 }
 
 impl DiscoveryState {
+    /// Discovery that is up, without watches.
     pub(super) fn new(registry: EndpointRegistry, sent: SentEndpoints) -> Self {
         DiscoveryState { registry, watches: Vec::new(), is_down: false, sent }
     }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use tokio::task::JoinHandle;
 
 use self::attempt_table::AttemptTable;
-use self::callback::CallbackSender;
+use self::callback::CallbackDelivery;
 use self::discovery_server::DiscoveryServers;
 use self::discovery_state::SentLists;
 pub use self::endpoint_encoder::worker_name;
@@ -119,7 +119,7 @@
             workers: processes,
             jobs,
             attempts: AttemptTable::new(),
-            callbacks: CallbackSender::new(nodes),
+            callbacks: CallbackDelivery::new(nodes),
             log,
         };
         tasks.push(tokio::spawn(owner.run(inputs)));
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -14,7 +14,7 @@
 use tokio::time::{interval, sleep_until};
 
 use super::attempt_table::{AttemptTable, InFlightAttempt};
-use super::callback::{AttemptReport, CallbackSender};
+use super::callback::{AttemptReport, CallbackDelivery};
 use super::discovery_state::{DiscoveryState, HEARTBEAT_INTERVAL};
 use super::message::{Admission, AttemptArrival, FleetCommand, FleetMessage};
 use super::sent_requests::{RequestOrigin, expected_result};
@@ -36,7 +36,7 @@
     pub(super) workers: Vec<WorkerProcess>,
     pub(super) jobs: Arc<Vec<PlannedJob>>,
     pub(super) attempts: AttemptTable,
-    pub(super) callbacks: CallbackSender,
+    pub(super) callbacks: CallbackDelivery,
     pub(super) log: EventLog,
 }
 
--- a/crates/testbed/src/fleet/worker_server.rs
+++ b/crates/testbed/src/fleet/worker_server.rs
@@ -125,8 +125,8 @@
 
     async fn receive_attempt(self, request: Request<Incoming>) -> HttpResponse {
         let head_received_at = self.log.now();
-        let id = request.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
-        let Some(request_id) = id.map(str::to_owned) else {
+        let id_header = request.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
+        let Some(request_id) = id_header.map(str::to_owned) else {
             return respond(StatusCode::NOT_FOUND, "no id\n");
         };
         let Some(origin) = self.sent_requests.origin_of(&request_id) else {
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Owns the proxies between the nodes and what they connect to: TCP on loopback, whose behaviour can change while
-//! connections are open. It must never change a byte that it forwards.
+//! TCP proxies on loopback between the nodes and what they connect to. The behaviour of a link can change while connections
+//! are open; the bytes that a proxy forwards are never changed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,41 +14,41 @@
 
 /// Bytes that are read at once.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Size of the pieces in which bytes are forwarded where the link does so.
+/// Size of the pieces in which a link with `in_pieces` forwards.
 const PIECE_BYTES: usize = 7;
 
 /// How a link behaves. The default forwards everything at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// Nothing passes, in neither direction, and nobody is told of that.
+    /// Bytes are lost in both directions, while the connections stay open.
     pub is_cut: bool,
-    /// Connections are reset as soon as they come up.
+    /// New connections are reset.
     pub is_refusing: bool,
-    /// What the server sends arrives so much later.
+    /// Delay of what the server sends.
     pub answer_delay: Duration,
     /// Bytes arrive in small pieces.
     pub in_pieces: bool,
-    /// Counts the resets of all open connections.
+    /// Number of times that all open connections were reset.
     pub resets: u64,
 }
 
 impl LinkState {
-    /// Resets all connections, new ones too.
+    /// Resets all open connections, and new ones from now on.
     pub fn refuse(&mut self) {
         self.is_refusing = true;
         self.resets += 1;
     }
 
-    /// Ends a cut. Connections that were open are reset, since bytes of theirs are missing.
+    /// Ends a cut. Open connections are reset, since bytes of them were lost.
     pub fn heal(&mut self) {
         self.is_cut = false;
         self.resets += 1;
     }
 }
 
-/// A proxy in front of one server. Dropped, it is gone with its listener.
+/// A proxy in front of one server. Its listener is closed when it is dropped; open connections stay.
 pub struct Proxy {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -60,7 +60,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy for the server at `target`; the link behaves as `state` says at each moment.
+    /// Starts a proxy for the server at `target`; the link always behaves as `state` says.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no port can be opened.
     pub async fn start(target: SocketAddr, state: watch::Receiver<LinkState>) -> io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -74,29 +78,38 @@
     }
 }
 
+/// The direction of bytes on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Direction {
+    ToServer,
+    ToClient,
+}
+
 /// Forwards one connection until an end closes it or the link resets it.
 async fn forward(mut client: TcpStream, target: SocketAddr, state: watch::Receiver<LinkState>) {
     if state.borrow().is_refusing {
-        return reset(&client);
+        return reset_on_close(&client);
     }
-    let Ok(mut server) = TcpStream::connect(target).await else { return reset(&client) };
+    let Ok(mut server) = TcpStream::connect(target).await else { return reset_on_close(&client) };
+    // Without the option a connection is only slower.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.split();
     let (server_read, server_write) = server.split();
     let is_reset = tokio::select! {
-        () = pump(client_read, server_write, state.clone(), false) => false,
-        () = pump(server_read, client_write, state.clone(), true) => false,
-        () = next_reset(state) => true,
+        () = pump(client_read, server_write, state.clone(), Direction::ToServer) => false,
+        () = pump(server_read, client_write, state.clone(), Direction::ToClient) => false,
+        () = wait_for_reset(state) => true,
     };
     if is_reset {
-        reset(&client);
-        reset(&server);
+        reset_on_close(&client);
+        reset_on_close(&server);
     }
 }
 
 /// Makes the close of a connection a reset.
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
+    // Fails only on a connection that has ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -105,15 +118,16 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     state: watch::Receiver<LinkState>,
-    is_answer: bool,
+    direction: Direction,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok(count @ 1..) = from.read(&mut buffer).await else { return };
         let link = *state.borrow();
-        if is_answer && !link.answer_delay.is_zero() {
+        if direction == Direction::ToClient && !link.answer_delay.is_zero() {
             sleep(link.answer_delay).await;
         }
+        // The link may have been cut during the delay.
         if state.borrow().is_cut {
             continue;
         }
@@ -126,10 +140,10 @@
     }
 }
 
-/// Returns once the link resets its connections.
-async fn next_reset(mut state: watch::Receiver<LinkState>) {
+/// Returns once the link resets its connections; never returns if its state cannot change any more.
+async fn wait_for_reset(mut state: watch::Receiver<LinkState>) {
     let before = state.borrow().resets;
     if state.wait_for(|link| link.resets != before).await.is_err() {
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 }
--- a/crates/testbed/tests/unit/client_connections.rs
+++ b/crates/testbed/tests/unit/client_connections.rs
@@ -1,14 +1,16 @@
 //! Connections of clients, against a server driven by hand.
 
-use super::*;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
 
+use super::*;
+
 fn route(address: SocketAddr, kept_connection: Option<TcpStream>) -> Route {
     Route { node: 0, address, kept_connection }
 }
 
 #[tokio::test]
-async fn closed_or_reset_connection_then_read_and_unread_requests_are_told_apart() {
+async fn closed_or_reset_connection_then_read_and_unread_requests_are_distinguished() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let place = listener.local_addr().expect("an address");
     let connections = ClientConnections::new(1);
@@ -30,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn connection_left_open_by_the_node_then_it_is_kept_until_the_node_closes_it() {
+async fn node_leaves_connection_open_then_it_is_reused_until_the_node_closes_it() {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(8).expect("a port");
@@ -44,7 +46,7 @@
         stream
     };
     let (seen, mut server) = tokio::join!(connections.send(route(place, None), b"ask", true), serve);
-    assert_eq!(seen.map(|a| (a.status, a.body)), Ok((200, b"hi".to_vec())));
+    assert_eq!(seen.map(|response| (response.status, response.body)), Ok((200, b"hi".to_vec())));
     assert_eq!(connections.count(0), ConnectionCounts { idle: 1, fresh: 0 });
     let taken = connections.take(0).expect("the same");
     let again = async {
@@ -54,6 +56,6 @@
         server.write_all(end).await.expect("an answer");
     };
     let (seen, ()) = tokio::join!(connections.send(route(place, Some(taken)), b"ask", true), again);
-    assert_eq!(seen.map(|a| (a.status, a.retry_after)), Ok((503, Some(1.5))));
-    assert_eq!(connections.count(0), ConnectionCounts { idle: 0, fresh: 0 }, "it was told to close it");
+    assert_eq!(seen.map(|response| (response.status, response.retry_after)), Ok((503, Some(1.5))));
+    assert_eq!(connections.count(0), ConnectionCounts { idle: 0, fresh: 0 }, "the node asked to close it");
 }
--- a/crates/testbed/tests/unit/fleet.rs
+++ b/crates/testbed/tests/unit/fleet.rs
@@ -6,7 +6,7 @@
 use super::reserved_port::ReservedPort;
 
 #[tokio::test]
-async fn port_of_a_worker_that_is_down_then_it_refuses_and_nobody_else_gets_it() {
+async fn worker_is_down_then_its_port_refuses_connections_and_stays_reserved() {
     let port = ReservedPort::reserve().expect("a port");
     for _ in 0..2 {
         let refused = tokio::net::TcpStream::connect(port.address).await.expect_err("nothing listens");
--- a/crates/testbed/tests/unit/proxy.rs
+++ b/crates/testbed/tests/unit/proxy.rs
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn bytes_pass_whole_or_in_pieces_in_both_directions() {
+async fn link_forwards_complete_or_in_pieces_then_bytes_arrive_unchanged_in_both_directions() {
     let state = watch::Sender::new(LinkState::default());
     let (mut client, mut server, _proxy) = connect(&state).await;
     for in_pieces in [false, true] {
@@ -42,7 +42,7 @@
     let (mut client, mut server, _proxy) = connect(&state).await;
     pass(&mut client, &mut server).await;
     state.send_modify(|link| link.is_cut = true);
-    server.write_all(b"lost").await.expect("nobody is told");
+    server.write_all(b"lost").await.expect("a cut does not show at its ends");
     state.send_modify(LinkState::heal);
     let error = client.read(&mut [0; 1]).await.expect_err("it is reset, and nothing came before");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
