--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -4,26 +4,38 @@
 
 use super::estimators::{DecayingSum, SpeedRatio};
 use super::job::{Attempt, AttemptId};
-use super::time::seconds_between;
-use crate::{CellId, DeduplicationScope, Endpoint, JobId, KindId, Micros, WorkerId, WorkerStatus, ZoneId};
+use super::subset::Candidate;
+use crate::{
+    CellId, DeduplicationScope, Endpoint, JobId, KindId, Settings, TimeSpan, Timestamp, WorkerId,
+    WorkerStatus, ZoneId,
+};
 
 /// Most keys that are remembered of one worker.
 pub(crate) const MAX_WORKER_KEYS: usize = 16;
 /// Time constant with which an unpredicted wait is forgotten, in seconds.
 pub(crate) const EXCESS_WAIT_SPAN_S: f64 = 0.3;
 
+/// Time for which the estimates of a worker hold, unless something happens there.
+const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
+/// Total work of a running attempt, as a multiple of its hint: hints are rough ...
+const RUNNING_HINT_FACTOR: f64 = 1.1;
+/// ... and least work that it has left, as a share of what it has done: work has a long tail.
+const MIN_REMAINING_SHARE: f64 = 0.35;
+/// Lower bound of the warm-up fraction, whatever the settings are, so that speeds stay above zero.
+const MIN_WARM_UP_FRACTION: f64 = 0.01;
+
 /// An attempt that was sent to a worker and has not ended.
 pub(crate) struct InFlightAttempt {
     /// Its job.
     pub job: JobId,
     /// Its number among the job's attempts, from 0.
-    pub attempt: u32,
+    pub number: u32,
     /// Hinted work, fetch included, in seconds at speed 1.
     pub work: f64,
     /// Slots that it takes.
     pub slots: f64,
     /// When it was sent.
-    pub sent_at: Micros,
+    pub sent_at: Timestamp,
     /// The worker has accepted it.
     pub accepted: bool,
     /// Its revocation was requested, which is done once.
@@ -31,7 +43,7 @@
     /// Wait that was predicted when it was sent, in seconds.
     pub predicted_wait: f64,
     /// When it started to run.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
     /// The last progress report.
     pub progress: Option<Progress>,
     /// Set where the job came without a hint.
@@ -44,7 +56,7 @@
     /// Share done, from 0 to 1.
     pub share: f64,
     /// When the report came.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
 /// The estimate that stood in for a missing hint.
@@ -57,10 +69,15 @@
 }
 
 impl InFlightAttempt {
+    /// Its name.
+    pub fn id(&self) -> AttemptId {
+        AttemptId { job: self.job, number: self.number }
+    }
+
     /// Whether the worker should have accepted it by now and has not. A timeout of 0 stands for workers that
     /// do not report it.
-    pub fn is_acceptance_overdue(&self, now: Micros, timeout: Micros) -> bool {
-        timeout > 0 && !self.accepted && now > self.sent_at + timeout
+    pub fn is_acceptance_overdue(&self, now: Timestamp, timeout: TimeSpan) -> bool {
+        !timeout.is_zero() && !self.accepted && now > self.sent_at + timeout
     }
 
     /// Whether it runs, as far as that is known.
@@ -68,9 +85,21 @@
         self.started_at.is_some()
     }
 
+    /// Work that it has left, in seconds at speed 1: by its progress if reported, else by its hint.
+    pub fn remaining_work(&self, now: Timestamp, speed: f64) -> f64 {
+        let Some(started_at) = self.started_at else { return self.work };
+        let ran = now.seconds_since(started_at);
+        match self.progress {
+            Some(progress) if progress.share > 0.0 => {
+                (progress.at.seconds_since(started_at) / progress.share - ran).max(0.0) * speed
+            }
+            _ => (self.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
+        }
+    }
+
     /// Seconds since the predicted start; negative before it.
-    pub fn start_delay(&self, now: Micros) -> f64 {
-        seconds_between(self.sent_at, now) - self.predicted_wait
+    pub fn start_delay(&self, now: Timestamp) -> f64 {
+        now.seconds_since(self.sent_at) - self.predicted_wait
     }
 }
 
@@ -83,68 +112,25 @@
     /// Slots that its attempts take there.
     pub slots: f64,
     /// When the report came.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
 /// Work that was sent to a worker while that was warming up.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmUpSend {
     /// When.
-    pub at: Micros,
+    pub at: Timestamp,
     /// How much, in seconds at speed 1, all slots together.
     pub work: f64,
 }
 
-/// How well a worker suits the job that is being placed, best first.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub(crate) enum PlacementTier {
-    /// A slot is about to be free, and the job would meet its objective.
-    Immediate,
-    /// The job would meet its objective after a wait.
-    Queued,
-    /// The job would miss its objective.
-    Late,
-    /// The job may not be sent there.
-    Ineligible,
-}
-
-/// A worker's rating for the job that is being placed: the lower one is better, by tier first and then by
-/// cost.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub(crate) struct PlacementRating {
-    /// See [`PlacementTier`].
-    pub tier: PlacementTier,
-    /// x + w / (1 - r), in seconds.
-    pub cost: f64,
-}
-
-impl PlacementRating {
-    /// The worst rating.
-    pub const INELIGIBLE: Self = PlacementRating { tier: PlacementTier::Ineligible, cost: f64::INFINITY };
-}
-
-/// What a job would meet at a worker.
-#[derive(Clone, Copy)]
-pub(crate) struct PlacementEstimate {
-    /// Index of the worker.
-    pub worker_index: usize,
-    /// The worker's rating for the job, where it has been rated.
-    pub rating: PlacementRating,
-    /// x: seconds of running there, fetch included.
-    pub run: f64,
-    /// The part of those that is relied on: see [`RELIABLE_HINT_SHARE`](super::RELIABLE_HINT_SHARE).
-    pub reliable_run: f64,
-    /// w: seconds of waiting there before.
-    pub wait: f64,
-}
-
 /// Health of a worker, by its recent failures.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkerHealth {
     /// Failures in a row, halved by each success.
     pub consecutive_failures: u32,
     /// Ejected for its failures until then.
-    pub ejected_until: Micros,
+    pub ejected_until: Timestamp,
     /// The last attempt could not connect.
     pub unreachable: bool,
 }
@@ -153,7 +139,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct WorkerEstimates {
     /// When they were derived; 0: something has happened there since.
-    pub derived_at: Micros,
+    pub derived_at: Timestamp,
     /// Least share of its capacity that it has, by its age; 1 when warm.
     pub warm_up_fraction: f64,
     /// Present speed of a slot.
@@ -166,58 +152,62 @@
 
 impl Default for WorkerEstimates {
     fn default() -> Self {
-        WorkerEstimates { derived_at: 0, warm_up_fraction: 1.0, speed: 1.0, utilisation: 0.0, wait: 0.0 }
+        WorkerEstimates {
+            derived_at: Timestamp::ORIGIN,
+            warm_up_fraction: 1.0,
+            speed: 1.0,
+            utilisation: 0.0,
+            wait: 0.0,
+        }
     }
 }
 
 /// One worker.
 pub(crate) struct Worker {
     /// The same number at every node.
-    pub id: WorkerId,
+    pub(super) id: WorkerId,
     /// Its zone.
-    pub zone: ZoneId,
+    pub(super) zone: ZoneId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub(super) kind: KindId,
     /// Its cell.
-    pub cell: CellId,
+    pub(super) cell: CellId,
     /// Whether it takes work, by the endpoint list.
-    pub status: WorkerStatus,
+    pub(super) status: WorkerStatus,
     /// It belongs to this node's subset: see [`Fleet::subset`](super::Fleet::subset).
-    pub in_subset: bool,
+    pub(super) in_subset: bool,
     /// Last start as listed or inferred; 0: long ago.
-    pub started_at: Micros,
+    pub(super) started_at: Timestamp,
     /// Listed size in slots; 1 where the list has no sizes.
-    pub listed_slots: f64,
+    pub(super) listed_slots: f64,
     /// Index of its kind in [`Fleet::kinds`](super::Fleet::kinds).
-    pub kind_index: usize,
+    pub(super) kind_index: usize,
     /// Its speed over its kind's.
-    pub speed_ratio: SpeedRatio,
+    pub(super) speed_ratio: SpeedRatio,
     /// Most slots seen running at once.
-    pub max_concurrent_slots: f64,
+    pub(super) max_concurrent_slots: f64,
     /// Hinted work sent there.
-    pub sent_work: DecayingSum,
+    pub(super) sent_work: DecayingSum,
     /// Attempts sent there that have not ended, in the order of sends.
-    pub in_flight: Vec<InFlightAttempt>,
+    pub(super) in_flight: Vec<InFlightAttempt>,
     /// Keys of the jobs sent there, the last one first.
-    pub recent_keys: VecDeque<u64>,
+    pub(super) recent_keys: VecDeque<u64>,
     /// Work sent there while it was warming up, as far as a budget counts it.
-    pub warm_up_sends: VecDeque<WarmUpSend>,
+    pub(super) warm_up_sends: VecDeque<WarmUpSend>,
     /// Wait beyond the predicted one that starts there showed, in seconds.
-    pub excess_wait: DecayingSum,
+    pub(super) excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
-    pub peer_backlogs: Vec<PeerBacklog>,
+    pub(super) peer_backlogs: Vec<PeerBacklog>,
     /// Its health.
-    pub health: WorkerHealth,
+    pub(super) health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
-    pub reenabled_at: Option<Micros>,
+    pub(super) reenabled_at: Option<Timestamp>,
     /// This node's work there has changed since it was last gossiped.
-    pub gossip_pending: bool,
+    pub(super) gossip_pending: bool,
     /// When it was last gossiped.
-    pub gossiped_at: Micros,
+    pub(super) gossiped_at: Timestamp,
     /// Estimates derived from all that.
-    pub estimates: WorkerEstimates,
-    /// Its rating for the job that was placed last.
-    pub rating: PlacementRating,
+    pub(super) estimates: WorkerEstimates,
 }
 
 impl Worker {
@@ -244,18 +234,79 @@
             health: WorkerHealth::default(),
             reenabled_at: None,
             gossip_pending: false,
-            gossiped_at: 0,
+            gossiped_at: Timestamp::ORIGIN,
             estimates: WorkerEstimates::default(),
-            rating: PlacementRating::INELIGIBLE,
         }
     }
 
+    /// Its number, the same at every node.
+    pub fn id(&self) -> WorkerId {
+        self.id
+    }
+
+    /// Its zone.
+    pub fn zone(&self) -> ZoneId {
+        self.zone
+    }
+
+    /// Its kind of machine.
+    pub fn kind(&self) -> KindId {
+        self.kind
+    }
+
+    /// Whether it belongs to this node's subset.
+    pub fn is_in_subset(&self) -> bool {
+        self.in_subset
+    }
+
+    /// Its health.
+    pub fn health(&self) -> &WorkerHealth {
+        &self.health
+    }
+
+    /// What was estimated of it last.
+    pub fn estimates(&self) -> &WorkerEstimates {
+        &self.estimates
+    }
+
+    /// When operators enabled it again, while nothing has been sent there since.
+    pub fn reenabled_at(&self) -> Option<Timestamp> {
+        self.reenabled_at
+    }
+
+    /// Whether this node has no attempt in flight there.
+    pub fn is_idle(&self) -> bool {
+        self.in_flight.is_empty()
+    }
+
+    /// Work that was sent there while it was warming up, in the last `window` seconds.
+    pub fn recent_warm_up_work(&self, now: Timestamp, window: f64) -> f64 {
+        let is_recent = |send: &&WarmUpSend| now.seconds_since(send.at) < window;
+        self.warm_up_sends.iter().filter(is_recent).map(|send| send.work).sum()
+    }
+
+    /// As a candidate for a subset, with its index in the fleet.
+    pub(super) fn candidate(&self, index: usize) -> Candidate {
+        Candidate { zone: self.zone, kind: self.kind, index }
+    }
+
     /// Slots of the attempts that were running at that time and still are.
-    pub fn slots_running_since(&self, time: Micros) -> f64 {
+    pub fn slots_running_since(&self, time: Timestamp) -> f64 {
         let running = |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|at| at <= time);
         self.in_flight.iter().filter(running).map(|attempt| attempt.slots).sum()
     }
 
+    /// Work that its attempts have left, in seconds at speed 1, all slots together.
+    pub fn remaining_load(&self, now: Timestamp) -> f64 {
+        let speed = self.estimates.speed;
+        self.in_flight.iter().map(|attempt| attempt.remaining_work(now, speed) * attempt.slots).sum()
+    }
+
+    /// Slots that its attempts take or wait for.
+    pub fn used_slots(&self) -> f64 {
+        self.in_flight.iter().map(|attempt| attempt.slots).sum()
+    }
+
     /// Whether it discards repeats of what that attempt ran.
     pub fn deduplicates(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
         match scope {
@@ -266,7 +317,7 @@
     }
 
     /// Seconds by which the longest waiting attempt is past its predicted start.
-    fn longest_start_delay(&self, now: Micros) -> f64 {
+    fn longest_start_delay(&self, now: Timestamp) -> f64 {
         let waiting = self.in_flight.iter().filter(|attempt| !attempt.has_started());
         waiting.map(|attempt| attempt.start_delay(now)).fold(0.0, f64::max)
     }
@@ -274,7 +325,7 @@
     /// Seconds of waiting at it that no node has reported: the excess wait of late starts, as it decays, but
     /// not less than what cannot have been worked off yet, since a node of many may not send there again
     /// before that.
-    pub fn unobserved_wait(&self, now: Micros) -> f64 {
+    pub fn unobserved_wait(&self, now: Timestamp) -> f64 {
         let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
         decayed.max(self.excess_wait.worked_off(now)).max(self.longest_start_delay(now))
     }
@@ -298,17 +349,32 @@
     }
 
     /// Whether an attempt there should have been accepted by now and was not.
-    pub fn has_overdue_acceptance(&self, now: Micros, timeout: Micros) -> bool {
+    pub fn has_overdue_acceptance(&self, now: Timestamp, timeout: TimeSpan) -> bool {
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
+    /// Whether its estimates have to be derived again before they are used.
+    pub fn are_estimates_old(&self, now: Timestamp) -> bool {
+        now >= self.estimates.derived_at.saturating_add(ESTIMATE_LIFETIME)
+    }
+
+    /// Lower bound of the share of its capacity that it has now, growing evenly with its age; 1 when warm.
+    pub fn warm_up_fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
+        if self.started_at == Timestamp::ORIGIN || settings.warm_up.is_zero() {
+            return 1.0;
+        }
+        let floor = settings.warm_up_floor;
+        let age = now.seconds_since(self.started_at) / settings.warm_up.as_secs_f64();
+        (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
+    }
+
     /// Something has happened there: its estimates have to be derived again before they are used.
     pub fn invalidate_estimates(&mut self) {
-        self.estimates.derived_at = 0;
+        self.estimates.derived_at = Timestamp::ORIGIN;
     }
 
     /// Records a sign that it can be reached.
-    pub fn record_contact(&mut self, now: Micros) {
+    pub fn record_contact(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
             // It may have restarted and be cold, long before the list shows that.
@@ -317,10 +383,78 @@
         }
     }
 
+    /// Whether this node's work there is to be gossiped: it has changed, or was reported more than `refresh` seconds
+    /// ago.
+    pub fn is_gossip_due(&self, now: Timestamp, refresh: f64) -> bool {
+        let is_old = now.seconds_since(self.gossiped_at) > refresh;
+        self.gossip_pending || is_old && !self.is_idle()
+    }
+
+    /// Records that this node's work there was gossiped.
+    pub fn record_gossiped(&mut self, now: Timestamp) {
+        (self.gossip_pending, self.gossiped_at) = (false, now);
+    }
+
+    /// Replaces what another node reported of its own work there.
+    pub fn record_peer_backlog(&mut self, backlog: PeerBacklog) {
+        self.peer_backlogs.retain(|known| known.node != backlog.node);
+        if backlog.slots > 0.0 {
+            self.peer_backlogs.push(backlog);
+        }
+    }
+
+    /// Records a failure, for which it is ejected.
+    pub fn record_failure(&mut self, ejected_until: Timestamp) {
+        self.health.ejected_until = ejected_until;
+        self.health.consecutive_failures += 1;
+    }
+
+    /// Records that no connection could be made.
+    pub fn record_unreachable(&mut self) {
+        self.health.unreachable = true;
+    }
+
+    /// Records that it has accepted an attempt. Any other report on the attempt implies that.
+    pub fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
+        if let Some(attempt) = self.attempt_mut(id).filter(|attempt| !attempt.accepted) {
+            attempt.accepted = true;
+            self.record_contact(now);
+        }
+    }
+
+    /// Records progress: `share` of the attempt is done.
+    pub fn record_progress(&mut self, now: Timestamp, id: AttemptId, share: f64) {
+        if let Some(attempt) = self.attempt_mut(id) {
+            attempt.progress = Some(Progress { share: share.clamp(0.0, 1.0), at: now });
+        }
+        self.record_contact(now);
+    }
+
+    /// Records the start of an attempt. Returns by how many seconds it was later than predicted; none if the start
+    /// was known before.
+    pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
+        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
+        let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
+        attempt.started_at = Some(now);
+        let delay = attempt.start_delay(now).max(0.0);
+        self.excess_wait.set(now, (known_excess + delay) / 2.0);
+        self.record_contact(now);
+        Some(delay)
+    }
+
+    /// Records work that is being sent while it may be warming up. Sends of more than `window` seconds ago are
+    /// forgotten.
+    pub fn record_warm_up_send(&mut self, now: Timestamp, work: f64, window: f64) {
+        self.warm_up_sends.retain(|send| now.seconds_since(send.at) < window);
+        if self.estimates.warm_up_fraction < 1.0 {
+            self.warm_up_sends.push_back(WarmUpSend { at: now, work });
+        }
+    }
+
     /// Operators have enabled it, having disabled it at `disabled_at`. They usually restart it meanwhile and
     /// the list is late: unless the list shows a start since then, it is assumed to start now.
-    pub fn reenable(&mut self, disabled_at: Micros, now: Micros) {
-        if self.started_at < disabled_at || self.started_at == 0 {
+    pub fn reenable(&mut self, disabled_at: Timestamp, now: Timestamp) {
+        if self.started_at < disabled_at || self.started_at == Timestamp::ORIGIN {
             self.started_at = now;
         }
         self.health = WorkerHealth::default();
@@ -333,20 +467,34 @@
     pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
-            AttemptId { job: attempt.job, number: attempt.attempt }
+            attempt.id()
         })
     }
 
+    /// Takes over an attempt of another process of this node, for a job with that key.
+    pub fn adopt_attempt(&mut self, attempt: InFlightAttempt, key: Option<u64>) {
+        if let Some(key) = key {
+            self.record_key(key);
+        }
+        self.in_flight.push(attempt);
+        self.gossip_pending = true;
+        self.invalidate_estimates();
+    }
+
     /// Removes an attempt that has ended.
-    pub fn remove_attempt(&mut self, job: JobId, attempt: u32) -> Option<InFlightAttempt> {
-        let index = self.in_flight.iter().position(|known| known.job == job && known.attempt == attempt)?;
+    pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
+        let index = self.in_flight.iter().position(|known| known.id() == id)?;
         self.gossip_pending = true;
         self.invalidate_estimates();
         Some(self.in_flight.remove(index))
     }
 
     /// An attempt that is in flight there.
-    pub fn attempt_mut(&mut self, job: JobId, attempt: u32) -> Option<&mut InFlightAttempt> {
-        self.in_flight.iter_mut().find(|known| known.job == job && known.attempt == attempt)
+    pub fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
+        self.in_flight.iter().find(|known| known.id() == id)
+    }
+
+    fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
+        self.in_flight.iter_mut().find(|known| known.id() == id)
     }
 }
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -80,7 +80,7 @@
     result: Result<OpenedWatch, WatchError>,
 }
 
-/// What came of the open watch.
+/// What the open watch delivered.
 pub struct WatchOutcome {
     generation: AddressGeneration,
     result: Result<ReceivedEvent, WatchError>,
@@ -90,7 +90,7 @@
 pub enum WatchUpdate {
     /// A list, or a change of it.
     List(ListUpdate),
-    /// The watch at the present address says that nothing has changed up to this moment.
+    /// The watch at the present address confirms that nothing has changed up to this moment.
     Confirmed(Instant),
     /// A watch or a poll has failed. The caller reports it and calls [`WatchState::record_failure`].
     Failed(WatchFailure),
@@ -213,7 +213,7 @@
                         Some(self.accept_change(generation, list, received.current_as_of))
                     }
                     WatchEvent::Heartbeat => {
-                        // The heartbeat of an old address says nothing about the list at the present one.
+                        // The heartbeat of an old address does not confirm the list at the present one.
                         let as_of = received.current_as_of.filter(|_| generation == self.generation);
                         as_of.map(WatchUpdate::Confirmed)
                     }
@@ -248,7 +248,7 @@
     fn start_poll(&mut self) {
         let request =
             PollRequest { address: self.address, known_index: self.known_index, started_at: Instant::now() };
-        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "poll");
+        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "endpoint poll sent");
         let poll = PendingPoll { generation: self.generation, result: Box::pin(request.run()) };
         self.pending_polls.push(poll);
         let may_hedge = self.timing.lists_are_pushed() || self.has_unrequested_polls();
@@ -333,7 +333,7 @@
         if self.timing.lists_are_pushed() {
             let retry_at = now + WatchTiming::retry_delay(self.consecutive_failures);
             self.consecutive_failures += 1;
-            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |at| at.min(retry_at)));
+            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |scheduled| scheduled.min(retry_at)));
         } else if self.has_unrequested_polls() && !self.has_pending_poll() {
             let delay = if failure.is_poll { Duration::ZERO } else { self.timing.slot_delay() };
             self.next_poll_at.get_or_insert(now + delay);
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -9,14 +9,14 @@
 use crate::discovery::endpoint_list::EndpointResolver;
 use crate::discovery::watch_state::{ListUpdate, StateEvent, WatchFailure, WatchState, WatchUpdate};
 use crate::discovery::watch_timing::WatchTiming;
-use crate::dispatch::{DispatchMessage, DispatchQueue};
+use crate::dispatch::{DispatchMessage, DispatchQueue, EndpointChange};
 use crate::telemetry::logging::DISCOVERY;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::RequestPayload;
 
 /// Watches discovery whenever the dispatch task requests it or [`WatchTiming`] schedules it.
 pub struct EndpointWatcher {
-    /// Where discovery is until the watcher is told another address.
+    /// Address of discovery until the watcher is notified of another one.
     pub address: SocketAddr,
     /// Turns the names of a list into the numbers of the dispatcher.
     pub resolver: EndpointResolver,
@@ -79,20 +79,20 @@
                     debug!(target: DISCOVERY, "endpoint list confirmed");
                     self.notify(DispatchMessage::EndpointsConfirmed { as_of }).await
                 }
-                Some(WatchUpdate::List(update)) => self.pass_on_list(update).await,
+                Some(WatchUpdate::List(update)) => self.forward_list(update).await,
                 Some(WatchUpdate::Failed(failure)) => self.handle_failure(state, failure).await,
             },
         }
     }
 
-    async fn pass_on_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
+    async fn forward_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
         let ListUpdate { list, current_as_of, poll_duration } = update;
         self.list_received.send_replace(true);
         let endpoints = self.resolver.resolve(&list.endpoints);
         let (index, count, snapshot) = (list.index, endpoints.len(), list.snapshot);
-        debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list");
-        let change = DispatchMessage::EndpointsChanged { endpoints, snapshot, current_as_of, poll_duration };
-        self.notify(change).await
+        debug!(target: DISCOVERY, index, endpoints = count, snapshot, ?poll_duration, "endpoint list received");
+        let change = EndpointChange { endpoints, snapshot, current_as_of, poll_duration };
+        self.notify(DispatchMessage::EndpointsChanged(change)).await
     }
 
     async fn handle_failure(
@@ -102,7 +102,8 @@
     ) -> Result<(), DispatchStopped> {
         self.metrics.add(Counter::EndpointWatchFailures);
         let call = if failure.is_poll() { "poll" } else { "watch" };
-        warn!(target: DISCOVERY, call, is_current = failure.is_current, "transport map: {}", failure.error);
+        let (is_current, error) = (failure.is_current, &failure.error);
+        warn!(target: DISCOVERY, call, is_current, %error, "endpoint watch failed");
         if failure.is_current && failure.error.leaves_list_unknown() {
             self.notify(DispatchMessage::EndpointsUnreadable).await?;
         }
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use curlewusher_control::command::CommandResult;
-use curlewusher_control::maintenance::DisabledWorkers;
-use curlewusher_core::{Outcome, StateSnapshot};
+use curlewusher_control::maintenance::{DisabledWorkers, MaintenanceAction};
+use curlewusher_core::StateSnapshot;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -13,8 +13,8 @@
 use super::attempts::CallbackState;
 use super::endpoints::NamedEndpoint;
 use super::jobs::{JobHandle, JobOwner, SubmittedJob};
-use super::migration::{IncomingMigration, OutgoingMigration};
-use super::transport::AttemptId;
+use super::migration::{IncomingMigration, MigrationOutcome, OutgoingMigration};
+use crate::attempt::{AttemptReport, AttemptReporter, ReportFuture};
 
 /// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot
 /// reserved for the message that its client has disconnected; without these of their own, jobs could fill the
@@ -29,6 +29,15 @@
     mpsc::channel(QUEUE_CAPACITY + max_connections)
 }
 
+impl<P> AttemptReporter for DispatchQueue<P> {
+    fn report(&self, report: AttemptReport) -> ReportFuture<'_> {
+        Box::pin(async move {
+            // The dispatch task ends last; without it nobody is left to report to.
+            let _ = self.send(DispatchMessage::Attempt(report)).await;
+        })
+    }
+}
+
 /// A message to the dispatch task.
 pub enum DispatchMessage<P> {
     /// A client has sent a job.
@@ -64,35 +73,22 @@
     MigrationFinished {
         /// The job.
         job_handle: JobHandle,
-        /// Whether the other process owns it now; else it is rolled back.
-        accepted: bool,
+        /// Which process owns it now.
+        outcome: MigrationOutcome,
     },
-    /// A job has come from the other process.
+    /// A job has arrived from the other process.
     ReceiveMigration(IncomingMigration<P>),
     /// The answer to the other process about an incoming job has been written, or could not be.
     MigrationConfirmed {
         /// The job.
         job_handle: JobHandle,
-        /// Whether this process owns it now; else the other one does.
-        confirmed: bool,
+        /// Which process owns it now.
+        outcome: MigrationOutcome,
     },
-    /// The worker has accepted an attempt.
-    AttemptAccepted(AttemptId),
-    /// An attempt has ended.
-    AttemptEnded(AttemptId, Outcome),
-    /// An attempt that was to be cancelled has been cancelled.
-    AttemptCancelled(AttemptId),
+    /// The transport reports on an attempt.
+    Attempt(AttemptReport),
     /// Discovery has sent its endpoint list, or a change to it.
-    EndpointsChanged {
-        /// The entries.
-        endpoints: Vec<NamedEndpoint>,
-        /// Whether these are all endpoints, rather than a change.
-        snapshot: bool,
-        /// With it, the whole list is known to have been current at this moment; none if that is not known.
-        current_as_of: Option<Instant>,
-        /// How long the poll took that it answers.
-        poll_duration: Option<Duration>,
-    },
+    EndpointsChanged(EndpointChange),
     /// The open watch reports that nothing has changed.
     EndpointsConfirmed {
         /// Up to this moment.
@@ -108,25 +104,37 @@
     ShutdownStarted(Duration),
 }
 
+/// An endpoint list that discovery has sent, or a change to it.
+pub struct EndpointChange {
+    /// The entries.
+    pub endpoints: Vec<NamedEndpoint>,
+    /// Whether these are all endpoints, rather than a change.
+    pub snapshot: bool,
+    /// With it, the whole list is known to have been current at this moment; none if that is not known.
+    pub current_as_of: Option<Instant>,
+    /// How long the poll took that it answers.
+    pub poll_duration: Option<Duration>,
+}
+
 /// A command of an operator or of the other process of this node. Commands have a queue of their own, which
 /// is read before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
 pub enum DispatchCommand {
-    /// Sends nothing more to the worker of that name, or ends that.
-    SetWorkerDisabled {
+    /// Disables or enables the worker of that name for an operator.
+    ChangeMaintenance {
         /// The worker.
         name: String,
-        /// Whether it is disabled from now on.
-        disabled: bool,
+        /// Whether it is disabled or enabled.
+        action: MaintenanceAction,
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
     /// The same for a worker that the other process of this node knows, whether or not a list here has named
     /// it.
-    SetWorkerDisabledByPeer {
+    ChangeMaintenanceForPeer {
         /// The worker.
         name: String,
-        /// Whether it is disabled from now on.
-        disabled: bool,
+        /// Whether it is disabled or enabled.
+        action: MaintenanceAction,
         /// Receives the answer to the operator.
         result: oneshot::Sender<CommandResult>,
     },
@@ -134,8 +142,11 @@
     TakeSnapshot(oneshot::Sender<TransferableState>),
     /// Adopts what the predecessor of this process knew.
     RestoreSnapshot(Box<TransferableState>),
-    /// Whether the other process of this node has taken over.
-    SetSuccessorActive(bool),
+    /// The successor of this process has taken over, or has ended.
+    SetSuccessorActive {
+        /// Whether it has taken over.
+        active: bool,
+    },
 }
 
 /// What a process passes on to its successor.
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -4,18 +4,27 @@
 use tracing::{debug, trace};
 
 use super::DispatchTask;
+use crate::attempt::{AttemptId, AttemptReport, AttemptTransport};
 use crate::dispatch::attempts::{AttemptState, CallbackState};
 use crate::dispatch::callbacks::{CallbackEffect, find_target, interpret};
 use crate::dispatch::jobs::JobResponse;
 use crate::dispatch::outcomes::outcome_counter;
 use crate::dispatch::timers::Timer;
-use crate::dispatch::transport::{AttemptId, AttemptTransport};
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
+    /// Records what the transport reports on an attempt.
+    pub(super) fn handle_attempt_report(&mut self, report: AttemptReport) {
+        match report {
+            AttemptReport::Accepted(id) => self.handle_attempt_accepted(id),
+            AttemptReport::Ended(id, outcome) => self.end_attempt(id, outcome),
+            AttemptReport::Cancelled(id) => self.handle_attempt_cancelled(id),
+        }
+    }
+
     /// Records that a worker has accepted an attempt, whatever became of it meanwhile.
-    pub(super) fn handle_attempt_accepted(&mut self, id: AttemptId) {
+    fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
         self.metrics.add(Counter::AttemptsAccepted);
@@ -23,7 +32,7 @@
     }
 
     /// Ends an attempt that was to be cancelled, with the outcome that was recorded at that time.
-    pub(super) fn handle_attempt_cancelled(&mut self, id: AttemptId) {
+    fn handle_attempt_cancelled(&mut self, id: AttemptId) {
         if let Some(AttemptState::Cancelling(outcome)) =
             self.jobs.attempt_mut(id).map(|attempt| attempt.state)
         {
@@ -75,12 +84,12 @@
         let attempts = &self.jobs.get(job)?.attempts;
         let target = find_target(attempts, worker, state)?;
         let attempt = attempts.get(target.number as usize)?;
-        let effect = interpret(attempt, state, target.may_be_repeat);
+        let effect = interpret(attempt, state, target.repetition);
         Some((AttemptId { job, number: target.number }, effect))
     }
 
     /// Asks the transport to cancel an attempt that is in flight. The dispatcher learns of its end only
-    /// once the transport has confirmed the cancellation, or a callback has come before that, so that no two
+    /// once the transport has confirmed the cancellation, or a callback has arrived before that, so that no two
     /// attempts of a job overlap.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -7,9 +7,9 @@
 use tracing::debug;
 
 use super::DispatchTask;
+use crate::attempt::AttemptTransport;
 use crate::dispatch::jobs::{Job, JobOwner, JobResponse, SubmittedJob};
 use crate::dispatch::outcomes::response_kind;
-use crate::dispatch::transport::AttemptTransport;
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
@@ -17,6 +17,7 @@
     /// Takes a job, unless its request id is in use: a callback could not say which of two jobs it is for.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
+            // A client that has disconnected needs no response.
             let _ = submitted.response_channel.send(JobResponse::Duplicate);
             return;
         }
@@ -79,10 +80,10 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(response_channel) = job.response_channel.take() else { return };
         let kind = response_kind(&response);
-        let elapsed = Duration::from_micros(self.clock.now().saturating_sub(job.submitted_at));
+        let elapsed = Duration::from(self.clock.now().saturating_since(job.submitted_at));
         self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
-        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "answered");
+        debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "job answered");
         // A client that disconnects in this moment needs no response.
         let _ = response_channel.send(response);
     }
@@ -98,6 +99,6 @@
         cost_hint = ?job.cost_hint,
         slots = job.slots,
         is_retry = job.is_retry,
-        "taken"
+        "job accepted"
     );
 }
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -127,6 +127,7 @@
         if let (Some(job_id), Frame::ClaimResult(true)) = (&request.claimed_job, &response) {
             self.claims.borrow_mut().confirm(job_id);
         }
+        // A request that has timed out no longer needs its response.
         let _ = request.response.send(response);
     }
 
@@ -142,7 +143,7 @@
     fn send_frame(&self, request_id: u64, frame: &Frame, written: Option<oneshot::Sender<()>>) {
         match frame.encode(request_id) {
             Ok(bytes) => self.enqueue(OutboundFrame { bytes, descriptor: None, written }),
-            Err(error) => warn!(target: NODE, reason = %error, "message to the other process not sent"),
+            Err(error) => warn!(target: NODE, %error, "peer message not sent"),
         }
     }
 
@@ -156,7 +157,7 @@
         let is_over_limit = outbound.is_over_limit();
         drop(outbound);
         if is_over_limit {
-            warn!(target: NODE, "the other process reads nothing; the link is closed");
+            warn!(target: NODE, "peer link stalled");
             return self.close();
         }
         self.outbound_changed.notify_one();
--- a/crates/node/src/handover/state_transfer.rs
+++ b/crates/node/src/handover/state_transfer.rs
@@ -6,6 +6,7 @@
 use tracing::warn;
 
 use crate::dispatch::TransferableState;
+use crate::lifecycle::Phase;
 use crate::telemetry::logging::NODE;
 
 /// Version of the record's format; a record of another version is ignored.
@@ -25,8 +26,14 @@
 }
 
 impl StateTransfer {
-    pub(super) fn new(drained: bool, state: TransferableState) -> StateTransfer {
-        StateTransfer { format_version: FORMAT_VERSION, drained, state }
+    /// The state of a process in that phase.
+    pub(super) fn new(phase: Phase, state: TransferableState) -> StateTransfer {
+        StateTransfer { format_version: FORMAT_VERSION, drained: phase.is_drained(), state }
+    }
+
+    /// The same drain with another state of the dispatch task.
+    pub(super) fn with_state(&self, state: TransferableState) -> StateTransfer {
+        StateTransfer { format_version: self.format_version, drained: self.drained, state }
     }
 
     /// Reads a record. None, with a log line that says why, where the process starts without it.
@@ -37,12 +44,12 @@
                 target: NODE,
                 format_version = record.format_version,
                 expected = FORMAT_VERSION,
-                "the predecessor's state has another format version: starts cold"
+                "predecessor state ignored"
             ),
             // The predecessor had nothing to transfer, and has logged why.
             Err(_) if bytes.is_empty() => {}
             Err(error) => {
-                warn!(target: NODE, reason = %error, "the predecessor's state cannot be read: starts cold");
+                warn!(target: NODE, %error, "predecessor state unreadable");
             }
         }
         None
@@ -53,7 +60,7 @@
         match serde_json::to_vec(self) {
             Ok(bytes) => bytes.into(),
             Err(error) => {
-                warn!(target: NODE, reason = %error, "state cannot be written: the successor starts cold");
+                warn!(target: NODE, %error, "state snapshot not encoded");
                 Bytes::new()
             }
         }
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -28,7 +28,7 @@
             LocalEvent::TakeoverResponse(Some(snapshot)) => {
                 let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
                 if let Some(transfer) = transfer {
-                    self.restore(transfer.drained, transfer.state).await;
+                    self.restore(transfer).await;
                 }
                 self.handshake_state = None;
                 self.takeover.handle(TakeoverEvent::TakeoverGranted)
@@ -36,6 +36,7 @@
             LocalEvent::Terminate(done) => {
                 let commands = self.takeover.handle(TakeoverEvent::Terminate);
                 self.execute(commands).await;
+                // Nobody waits any more where the program is being ended by another task.
                 let _ = done.send(());
                 Vec::new()
             }
@@ -68,7 +69,7 @@
                 return self.takeover.handle(TakeoverEvent::TakeoverRequested);
             }
             PeerRequest::HandBack => {
-                self.parts.server.set_migrating(false);
+                self.parts.server.stop_migration();
                 return self.takeover.handle(TakeoverEvent::HandedBack);
             }
             PeerRequest::LinkLost => return self.handle_link_loss().await,
@@ -79,6 +80,7 @@
     fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
         let server = self.parts.server.clone();
         spawn_local(async move {
+            // Sending fails where the link is lost; the worker then repeats the callback.
             let _ = match server.handle_forwarded_callback(body).await {
                 Some(JobOwner::Local) => is_handled.send(true),
                 Some(JobOwner::Unknown) => is_handled.send(false),
@@ -92,9 +94,9 @@
         self.parts.admin.peer.mark_lost();
         self.set_link(None);
         if let Some(transfer) = self.handshake_state.take() {
-            self.restore(transfer.drained, transfer.state).await;
+            self.restore(transfer).await;
         }
-        info!(target: NODE, "curlewusher {}: the other process is gone", self.parts.admin.name);
+        info!(target: NODE, node = %self.parts.admin.name, "peer lost");
         self.takeover.handle(TakeoverEvent::LinkLost)
     }
 }
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::send_permit::SendPermit;
 
 /// What has passed over a connection since its last request was handed to it.
 #[derive(Default)]
@@ -66,7 +66,7 @@
         Socket { stream, traffic, metrics }
     }
 
-    /// Fails if a request must not begin on this connection. A request that has begun goes on.
+    /// Fails if a request must not begin on this connection. A request that has begun is continued.
     fn check_before_first_byte(&self) -> io::Result<()> {
         if self.traffic.request_written() {
             return Ok(());
@@ -89,7 +89,7 @@
             Ok(_) => {
                 self.metrics.add(Counter::MalformedWorkerResponses);
                 let address = self.stream.peer_addr().ok();
-                debug!(target: UPSTREAM, ?address, "unsolicited data on an idle connection");
+                debug!(target: UPSTREAM, ?address, "unsolicited data received");
                 Err(ErrorKind::InvalidData.into())
             }
         }
@@ -111,7 +111,7 @@
             self.metrics.record_violation(reason);
             let request_id = send_permit.request_id();
             let address = self.stream.peer_addr().ok();
-            error!(target: UPSTREAM, %reason, request_id, ?address, "violation: an attempt was sent without permission");
+            error!(target: UPSTREAM, %reason, request_id, ?address, "permission violation");
         }
     }
 }
--- a/crates/testbed/src/fleet/discovery_state.rs
+++ b/crates/testbed/src/fleet/discovery_state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 use curlewusher_model::endpoint_registry::{EndpointEntry, EndpointRegistry, EndpointStatus, Publication};
 use curlewusher_model::worker_pool::WorkerIndex;
 use parking_lot::Mutex;
@@ -42,18 +42,18 @@
     }
 
     /// Records a change, which becomes visible after the registry's delay.
-    pub(super) fn record_change(&mut self, now: Micros, worker: WorkerIndex, status: EndpointStatus) {
+    pub(super) fn record_change(&mut self, now: Timestamp, worker: WorkerIndex, status: EndpointStatus) {
         self.registry.record_change(now, EndpointEntry { worker, status, started_at: None });
     }
 
     /// Records that a worker has started.
-    pub(super) fn record_start(&mut self, now: Micros, worker: WorkerIndex) {
+    pub(super) fn record_start(&mut self, now: Timestamp, worker: WorkerIndex) {
         let status = EndpointStatus::InService;
         self.registry.record_change(now, EndpointEntry { worker, status, started_at: Some(now) });
     }
 
     /// When the next change becomes visible.
-    pub(super) fn next_publication(&self) -> Option<Micros> {
+    pub(super) fn next_publication(&self) -> Option<Timestamp> {
         self.registry.next_publication()
     }
 
@@ -143,8 +143,8 @@
         self.lists.lock()[node] = Some(list);
         for entry in entries {
             let in_service = entry.status == EndpointStatus::InService;
-            let started_us = entry.started_at.unwrap_or(0);
-            self.log.record(Event::EndpointSent { node, worker: entry.worker, in_service, started_us });
+            let started_at = entry.started_at.unwrap_or_default();
+            self.log.record(Event::EndpointSent { node, worker: entry.worker, in_service, started_at });
         }
     }
 }
--- a/crates/testbed/src/fleet/endpoint_encoder.rs
+++ b/crates/testbed/src/fleet/endpoint_encoder.rs
@@ -34,7 +34,7 @@
         json!({
             "name": worker_name(entry.worker), "address": address, "zone": "lab", "type": kind, "group": bay,
             "status": status_name(entry.status), "weight": 1.0,
-            "since_ms": entry.started_at.map_or(0, |started_at| self.log_start_unix_ms + started_at / 1000),
+            "since_ms": entry.started_at.map_or(0, |started_at| self.log_start_unix_ms + started_at.as_micros() / 1000),
         })
     }
 
--- a/crates/testbed/src/fleet/message.rs
+++ b/crates/testbed/src/fleet/message.rs
@@ -1,7 +1,7 @@
 //! Messages to the task that owns the models of the fleet.
 
 use bytes::Bytes;
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 use curlewusher_model::endpoint_registry::EndpointStatus;
 use curlewusher_model::worker_pool::WorkerIndex;
 use tokio::sync::mpsc::UnboundedSender;
@@ -54,7 +54,7 @@
     pub(super) request_id: String,
     pub(super) origin: RequestOrigin,
     /// When the request's head arrived.
-    pub(super) head_received_at: Micros,
+    pub(super) head_received_at: Timestamp,
     pub(super) admission: oneshot::Sender<Admission>,
 }
 
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use curlewusher_model::Micros;
+use curlewusher_model::Timestamp;
 use curlewusher_model::endpoint_registry::EndpointStatus;
 use curlewusher_model::worker_pool::{
     Arrival, AttemptNumber, JobDemand, PoolEffect, PoolInput, WorkerIndex, WorkerPool,
@@ -69,7 +69,7 @@
     }
 
     /// When one of the models changes without an input.
-    fn next_event(&self) -> Option<Micros> {
+    fn next_event(&self) -> Option<Timestamp> {
         [self.pool.next_event(), self.discovery.next_publication()].into_iter().flatten().min()
     }
 
@@ -94,8 +94,8 @@
             node,
             worker,
             bay: self.workers[worker].bay,
-            work_s: demand.work_seconds,
-            head_us: head_received_at,
+            work_seconds: demand.work_seconds,
+            head_at: head_received_at,
         });
         let callbacks = self.callbacks.open_queue(node);
         let in_flight = InFlightAttempt { request_id, worker, admission: Some(admission), callbacks };
--- a/crates/testbed/src/fleet/startup.rs
+++ b/crates/testbed/src/fleet/startup.rs
@@ -4,8 +4,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use curlewusher_model::endpoint_registry::EndpointRegistry;
-use curlewusher_model::span;
 use curlewusher_model::worker_pool::{PoolInput, WorkerIndex, WorkerPool};
+use curlewusher_model::{TimeSpan, Timestamp};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -90,7 +90,7 @@
         let mut pool = WorkerPool::new(self.scenario.machines(), self.scenario.pool_parameters());
         for worker in self.scenario.grown_workers() {
             // A worker without jobs has nothing to lose: the kill has no effects.
-            pool.handle(0, PoolInput::Kill(worker), &mut Vec::new());
+            pool.handle(Timestamp::ZERO, PoolInput::Kill(worker), &mut Vec::new());
         }
         pool
     }
@@ -103,9 +103,10 @@
     ) -> DiscoveryState {
         let grown = self.scenario.grown_workers();
         let listed = (0..self.scenario.worker_count()).filter(|worker| !grown.contains(worker));
-        let registry = EndpointRegistry::new(listed, span(self.scenario.fleet.publication_delay_s));
+        let registry =
+            EndpointRegistry::new(listed, TimeSpan::from_secs_f64(self.scenario.fleet.publication_delay_s));
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let log_start_unix_ms = (unix_time.as_micros() as u64 - self.log.now()) / 1000;
+        let log_start_unix_ms = (unix_time.as_micros() as u64 - self.log.now().as_micros()) / 1000;
         let sent = SentEndpoints {
             encoder: EndpointEncoder { attributes, log_start_unix_ms },
             links: self.links.clone(),
--- a/crates/testbed/src/nodes/config.rs
+++ b/crates/testbed/src/nodes/config.rs
@@ -1,6 +1,6 @@
 //! The configuration file of a node, in the form that the platform writes.
 
-use curlewusher_model::span;
+use curlewusher_model::TimeSpan;
 use serde_json::{Value, json};
 
 use super::process::ProcessSpec;
@@ -43,8 +43,8 @@
             "maxRetryAfterUs": 2_000_000, "connectTimeoutUs": 150_000, "keepaliveUs": 30_000_000,
         },
         "rules": {
-            "askWithinUs": 10_000_000, "coldShare": scenario.fleet.cold_capacity_fraction,
-            "warmUpUs": span(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR,
+            "askWithinUs": 10_000_000, "coldShare": scenario.fleet.initial_capacity_fraction,
+            "warmUpUs": TimeSpan::from_secs_f64(scenario.fleet.warm_up_s), "overloadFactor": OVERLOAD_FACTOR,
             "fallUs": OVERLOAD_WINDOW,
         },
     })
@@ -53,13 +53,13 @@
 /// A job class in the form of the configuration file.
 fn service(class: &Class) -> Value {
     let (idempotency, key_scope, deduplication_window) = match class.idempotence {
-        Idempotence::Idempotent => ("safe", "", 0),
+        Idempotence::Idempotent => ("safe", "", TimeSpan::ZERO),
         Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
-        Idempotence::NonIdempotent => ("unsafe", "", 0),
+        Idempotence::NonIdempotent => ("unsafe", "", TimeSpan::ZERO),
     };
     json!({
         "name": class.name, "idempotency": idempotency, "keyScope": key_scope,
-        "dedupWindowUs": deduplication_window, "objectiveUs": span(class.objective_s),
-        "aimStretch": class.stretch, "giveUpUs": span(class.timeout_s), "worth": class.priority_weight,
+        "dedupWindowUs": deduplication_window, "objectiveUs": TimeSpan::from_secs_f64(class.objective_s),
+        "aimStretch": class.stretch, "giveUpUs": TimeSpan::from_secs_f64(class.timeout_s), "worth": class.priority_weight,
     })
 }
