--- a/crates/testbed/src/command_line/error.rs
+++ b/crates/testbed/src/command_line/error.rs
@@ -8,6 +8,7 @@
 use crate::checked_run::RunError;
 use crate::compare::CompareError;
 use crate::scenario::ScenarioError;
+use crate::scripted::error::ScriptedNodeError;
 
 /// Why a command could not be carried out. The messages are for the person who typed it.
 #[derive(Debug, Error)]
@@ -65,8 +66,8 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The scripted node does not serve.
-    #[error("{0}")]
-    ScriptedNode(String),
+    #[error(transparent)]
+    ScriptedNode(#[from] ScriptedNodeError),
 }
 
 impl CommandError {
--- a/crates/testbed/src/command_line/scripted_node.rs
+++ b/crates/testbed/src/command_line/scripted_node.rs
@@ -14,7 +14,7 @@
 
 impl ScriptedNodeOptions {
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
-        scripted_node_runtime()?.block_on(serve(self.flaw)).map_err(CommandError::ScriptedNode)?;
+        scripted_node_runtime()?.block_on(serve(self.flaw))?;
         Ok(ExitStatus::Success)
     }
 }
