--- a/crates/testbed/src/rules/job_rules/mod.rs
+++ b/crates/testbed/src/rules/job_rules/mod.rs
@@ -104,7 +104,7 @@
                 self.requests.end_attempt(*attempt, AttemptEnd::MayHaveRun);
             }
             Event::EndpointSent { .. } | Event::EndpointPublished { .. } | Event::DiscoveryChanged { .. } => {
-                self.endpoints.observe(at, event)
+                self.endpoints.observe(at, event);
             }
             Event::WorkerStarted { worker } => self.offered_work.observe_start(at, *worker),
             Event::WorkerOverloaded { worker } => self.check_gentle_start(at, *worker),
