--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use super::job_request::JobRequest;
-use crate::client_connections::{Answer, Route};
+use crate::client_connections::{Response, Route};
 use crate::client_router::ClientRouter;
 use crate::environment::Environment;
 use crate::event_log::{Event, EventLog, FailureReason};
@@ -150,7 +150,7 @@
         self.record_sent(attempt, &id, node);
         let Some(route) = route else { return self.record_failure(id, FailureReason::NoNode) };
         match self.exchange(attempt, &id, route, keep_connection).await {
-            Ok(answer) => self.record_response(id, &answer),
+            Ok(response) => self.record_response(id, &response),
             Err(reason) => self.record_failure(id, reason),
         }
     }
@@ -175,7 +175,7 @@
         id: &str,
         route: Route,
         keep_connection: bool,
-    ) -> Result<Answer, FailureReason> {
+    ) -> Result<Response, FailureReason> {
         let request = JobRequest {
             id,
             job: attempt.job,
@@ -185,17 +185,17 @@
             is_retry: attempt.retry > 0,
         };
         let request = request.render(route.address);
-        let answer = self.router.connections.send(route, request.as_bytes(), keep_connection);
+        let response = self.router.connections.send(route, request.as_bytes(), keep_connection);
         let longest = Duration::from(attempt.timeout) + EXTRA_WAIT;
-        timeout(longest, answer).await.unwrap_or(Err(FailureReason::Late))
+        timeout(longest, response).await.unwrap_or(Err(FailureReason::Late))
     }
 
-    fn record_response(&self, id: String, answer: &Answer) -> RequestOutcome {
-        let has_own_result = answer.body == expected_result(&id).as_bytes();
-        self.log.record(Event::ResponseReceived { id, status: answer.status, has_own_result });
-        match answer.status {
+    fn record_response(&self, id: String, response: &Response) -> RequestOutcome {
+        let has_own_result = response.body == expected_result(&id).as_bytes();
+        self.log.record(Event::ResponseReceived { id, status: response.status, has_own_result });
+        match response.status {
             200 if has_own_result => RequestOutcome::Served,
-            429 | 503 => RequestOutcome::Rejected { retry_after_s: answer.retry_after },
+            429 | 503 => RequestOutcome::Rejected { retry_after_s: response.retry_after },
             _ => RequestOutcome::Failed,
         }
     }
