--- a/crates/testbed/src/command_line/scripted_node.rs
+++ b/crates/testbed/src/command_line/scripted_node.rs
@@ -5,6 +5,7 @@
 use super::runtime::scripted_node_runtime;
 use crate::scripted::{Flaw, serve};
 
+/// The options of `scripted-node`
 #[derive(clap::Args)]
 pub struct ScriptedNodeOptions {
     /// What it does wrong
@@ -13,7 +14,7 @@
 
 impl ScriptedNodeOptions {
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
-        scripted_node_runtime()?.block_on(serve(self.flaw)).map_err(CommandError::ScriptedNode)?;
+        scripted_node_runtime()?.block_on(serve(self.flaw))?;
         Ok(ExitStatus::Success)
     }
 }
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -45,7 +45,7 @@
     Node(#[from] NodeError),
     /// Its discovery server could not be opened.
     #[error(transparent)]
-    Discovery(FleetError),
+    Discovery(#[from] FleetError),
 }
 
 impl Environment {
@@ -55,7 +55,7 @@
     ///
     /// Its discovery server cannot be opened, or its process does not become ready.
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
-        let discovery = self.fleet.start_discovery(number).await.map_err(StartError::Discovery)?;
+        let discovery = self.fleet.start_discovery(number).await?;
         let admin_address = self.has_admin_addresses.then(reserve_address);
         // Both processes of an upgrade listen on the same address, so that the system cannot choose it.
         let must_reserve = self.has_admin_addresses && listen.port() == 0;
