--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tracing::info;
 
-use crate::admin::listener::AdminListener;
+use crate::admin::listener::{AdminListener, AdminListenerError};
 use crate::admin::service::AdminService;
 use crate::config::Config;
 use crate::discovery::endpoint_list::{EndpointResolver, NO_LIST_INDEX};
@@ -123,6 +123,13 @@
         })
     }
 
+    fn open_admin_listener(
+        &self,
+        address: Option<SocketAddr>,
+    ) -> Result<Option<AdminListener>, AdminListenerError> {
+        address.map(|address| AdminListener::open(address, self.lifecycle.clone())).transpose()
+    }
+
     fn create_reloader(&self, name: String, discovery: watch::Sender<SocketAddr>) -> ConfigReloader {
         ConfigReloader {
             name,
@@ -191,8 +198,16 @@
 
         let mut resolver = EndpointResolver::new(&site);
         let saved_endpoints = resolver.resolve(&known.endpoints);
-        // With the version of an empty saved list discovery would send later changes only.
-        let saved_index = if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index };
+        let watcher = EndpointWatcher {
+            address: discovery,
+            resolver,
+            // With the version of an empty saved list discovery would send later changes only.
+            known_index: if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index },
+            queue: shared.dispatch_queue.clone(),
+            list_received: watch::Sender::new(false),
+            metrics: shared.metrics.clone(),
+            timing: WatchTiming::new(&site.dispatcher),
+        };
         let (poll_requester, poll_requests) = mpsc::channel(1);
         let (dispatch_commands, received_commands) = mpsc::channel(MAX_PENDING_DISPATCH_COMMANDS);
         let dispatch_task = DispatchTask::new(DispatchParts {
@@ -205,22 +220,11 @@
             metrics: shared.metrics.clone(),
             migration_timeout: MIGRATION_TIMEOUT,
         });
-        let watcher = EndpointWatcher {
-            address: discovery,
-            resolver,
-            known_index: saved_index,
-            queue: shared.dispatch_queue.clone(),
-            list_received: watch::Sender::new(false),
-            metrics: shared.metrics.clone(),
-            timing: WatchTiming::new(&site.dispatcher),
-        };
         let client_timeouts = site.dispatcher.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
             final_answer_delay: final_answer_delay(client_timeouts),
             server: shared.create_server(&site),
-            admin_listener: admin
-                .map(|address| AdminListener::open(address, shared.lifecycle.clone()))
-                .transpose()?,
+            admin_listener: shared.open_admin_listener(admin)?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
             name,
             listen,
