--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -66,7 +66,7 @@
     /// A command on a worker, named here, lacks the worker's id.
     #[error("{0} needs the id of a core worker as discovery lists it, as in {0} s-5be2a07c")]
     MissingWorkerId(&'static str),
-    /// The command named here is followed by more words than it takes.
+    /// The command named here is followed by more words than it allows.
     #[error("{0} takes nothing more; send one call a connection")]
     UnexpectedArgument(&'static str),
     /// The id is longer than [`MAX_WORKER_ID_BYTES`].
@@ -74,7 +74,7 @@
     WorkerIdTooLong,
 }
 
-/// Why a command was not carried out. Each text says what an operator can do.
+/// Why a command was not carried out. Each text states what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandError {
     /// The process does not serve in this phase.
--- a/crates/control/src/frame/codec.rs
+++ b/crates/control/src/frame/codec.rs
@@ -38,7 +38,7 @@
 }
 
 impl Decoder {
-    /// Appends bytes that have arrived. The caller takes all frames out before it feeds more, which bounds
+    /// Appends bytes that have arrived. The caller removes all frames before it feeds more, which bounds
     /// the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
--- a/crates/control/src/frame/error.rs
+++ b/crates/control/src/frame/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why a frame could not be decoded or encoded. Each text says what an operator can do.
+/// Why a frame could not be decoded or encoded. Each text states what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The bytes do not begin as a frame does: another program is at the other end.
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -113,7 +113,7 @@
     ListenForSuccessor,
 }
 
-/// Why a process that requests to be the successor is rejected. Each text says what an operator can do.
+/// Why a process that requests to be the successor is rejected. Each text states what an operator can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum RejectReason {
     /// The node has two processes already; a later request may succeed.
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -13,7 +13,7 @@
 
 use crate::lifecycle::{Lifecycle, Phase};
 
-/// Longest wait for a whole line.
+/// Longest wait for a complete line.
 const READ_LINE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait for the result of a command. An operator waits 1 s for the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -90,7 +90,7 @@
     }
 
     fn apply_drain_event(&self, event: PhaseEvent) -> CommandResult {
-        // Without a transition the node is in the wanted state already, or the process ends.
+        // Without a transition the node is in the requested state already, or the process ends.
         let _ = self.lifecycle.apply(event);
         self.drain_requested.set(true);
         Ok(())
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as discovery writes it, and its translation into the dispatcher's numbers.
 //!
-//! A message is one JSON object: either a whole list (`snapshot`) or the endpoints that have changed since
+//! A message is one JSON object: either a complete list (`snapshot`) or the endpoints that have changed since
 //! the version before it. [`EndpointListParser`](super::list_parser::EndpointListParser) finds these objects
 //! in a stream of bytes.
 
@@ -12,18 +12,18 @@
 
 use crate::dispatch::{NamedEndpoint, WallTime};
 
-/// Version of the endpoint list by which the whole list is requested.
+/// Version of the endpoint list by which the complete list is requested.
 pub const NO_LIST_INDEX: u64 = 0;
 
-/// A whole endpoint list, or the endpoints that changed.
+/// A complete endpoint list, or the endpoints that changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListMessage {
     /// The version of the list that this message leads to.
     pub index: u64,
-    /// Whether `endpoints` is the whole list, so that an endpoint that it does not name is no longer listed.
+    /// Whether `endpoints` is the complete list, so that an endpoint that it does not name is no longer listed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The whole list, or the changed endpoints of it.
+    /// The complete list, or the changed endpoints of it.
     #[serde(default)]
     pub endpoints: Vec<EndpointRecord>,
 }
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -31,7 +31,7 @@
 /// A watch without a list or a heartbeat for this long has failed. Discovery sends a heartbeat every 2 s;
 /// half of that is added for a slow network or machine, since otherwise all nodes would poll at once.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Bound of a whole poll. Discovery serves polls one after another and abandons those that wait for 2 s.
+/// Bound of a complete poll. Discovery serves polls one after another and abandons those that wait for 2 s.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(2200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
@@ -110,13 +110,13 @@
 
 /// What an open watch delivers.
 pub enum WatchEvent {
-    /// A whole list or a change of it.
+    /// A complete list or a change of it.
     List(EndpointListMessage),
     /// Nothing has changed since the last list.
     Heartbeat,
 }
 
-/// A poll to be made: the address of discovery, and the version after which changes are wanted.
+/// A poll to be made: the address of discovery, and the version after which changes are requested.
 pub struct PollRequest {
     /// Where discovery is.
     pub address: SocketAddr,
@@ -157,7 +157,7 @@
     connection: DrivenConnection,
     body: Incoming,
     parser: EndpointListParser,
-    /// When the last whole list or heartbeat was read; at first, when the response began.
+    /// When the last complete list or heartbeat was read; at first, when the response began.
     last_event_at: Instant,
     /// When the last bytes were read.
     read_at: Instant,
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -42,7 +42,7 @@
     Incomplete,
     /// An empty line between lists: nothing has changed.
     Heartbeat,
-    /// A whole list or a change of it.
+    /// A complete list or a change of it.
     List(EndpointListMessage),
 }
 
@@ -121,7 +121,7 @@
     /// Fails if the incomplete object cannot become a list, whatever follows.
     ///
     /// An object is checked again only once its checkable prefix has doubled, so that small pieces cost no
-    /// more than twice the whole. The check stops at the last punctuation mark or string, because the JSON
+    /// more than twice the complete text. The check stops at the last punctuation mark or string, because the JSON
     /// parser reports a number that breaks off behind its point, its sign or its exponent as a syntax error
     /// and not as a missing end.
     fn check_incomplete_object(&mut self) -> Result<(), EndpointListError> {
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -100,8 +100,8 @@
 pub struct ListUpdate {
     /// The list.
     pub list: EndpointListMessage,
-    /// With it, the whole list is known to have been current at this moment. None if that is not known: the list is of
-    /// an earlier address, or arrived after a silence.
+    /// The moment at which the complete list, with this update applied, was current. None if that is unknown: the list
+    /// is of an earlier address, or arrived after a silence.
     pub current_as_of: Option<Instant>,
     /// How long the poll took of which it is the first answer.
     pub poll_duration: Option<Duration>,
@@ -182,7 +182,7 @@
         let previous = self.generation;
         self.address = address;
         self.generation = previous.next();
-        // Another discovery numbers its versions in its own way, so that the whole list is needed.
+        // Another discovery numbers its versions in its own way, so that the complete list is needed.
         self.known_index = NO_LIST_INDEX;
         // All changes must be known 4 s later: a poll that hangs must leave time for others.
         self.unrequested_polls_left = Some(self.timing.unrequested_polls());
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -53,7 +53,7 @@
     pub deadline: Timestamp,
     /// The client's estimate of its work, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
-    /// Slots that it takes at a worker.
+    /// Slots that it occupies at a worker.
     pub slots: f64,
     /// Hash of what it concerns, the same at every node.
     pub affinity_key: Option<u64>,
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -110,7 +110,7 @@
     pub endpoints: Vec<NamedEndpoint>,
     /// Whether these are all endpoints or changes.
     pub update: EndpointUpdate,
-    /// The moment at which the whole list, with this message applied, was current; none if that is unknown.
+    /// The moment at which the complete list, with this message applied, was current; none if that is unknown.
     pub current_as_of: Option<Instant>,
     /// How long the poll took that it answers.
     pub poll_duration: Option<Duration>,
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -7,7 +7,7 @@
 //! | [`jobs`], [`attempts`], [`callbacks`] | open jobs, their attempts, what callbacks mean for these |
 //! | [`migration`] | jobs being migrated between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
-//! | [`timers`] | when the task acts by itself |
+//! | [`timers`] | when the task acts without a message |
 //! | [`clock`] | the node's clock, and conversions between its moments and those of other clocks |
 //! | [`outcomes`] | which counters outcomes and responses go to |
 //! | [`task`] | the task itself |
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Records that a worker has accepted an attempt, whatever became of it meanwhile.
+    /// Records that a worker has accepted an attempt, whatever has become of it in the meantime.
     fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -147,7 +147,7 @@
             DispatchCommand::TakeSnapshot(snapshot_channel) => {
                 let snapshot = Some(self.dispatcher.snapshot());
                 let disabled_workers = self.disabled_workers.clone();
-                // Fails where the link to the successor was lost meanwhile: nobody needs the snapshot.
+                // Fails where the link to the successor was lost meanwhile: the snapshot is not needed any more.
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -120,7 +120,7 @@
     stream.async_io(Interest::READABLE, receive).await
 }
 
-/// Reads until the decoder has a whole frame. Descriptors that arrive before are closed.
+/// Reads until the decoder has a complete frame. Descriptors that arrive before are closed.
 pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
         if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -7,7 +7,7 @@
 use curlewusher_control::frame::{FrameError, RejectReason};
 use thiserror::Error;
 
-/// Why a handover fails. Each text says what an operator can do; whatever the error, the newer process can
+/// Why a handover fails. Each text states what an operator can do; whatever the error, the newer process can
 /// bind the client address itself and start without its predecessor's state.
 #[derive(Debug, Error)]
 pub enum HandoverError {
--- a/crates/node/src/handover/link/outbound.rs
+++ b/crates/node/src/handover/link/outbound.rs
@@ -21,11 +21,11 @@
     pub(super) bytes: Bytes,
     /// The descriptor that goes with its first byte.
     pub(super) descriptor: Option<Rc<OwnedFd>>,
-    /// Notified once the whole frame is written; dropped if it never is.
+    /// Notified once the complete frame is written; dropped if it never is.
     pub(super) written: Option<oneshot::Sender<()>>,
 }
 
-/// Frames in the order in which they are written. A frame stays in front until it is written whole.
+/// Frames in the order in which they are written. A frame stays in front until it is completely written.
 #[derive(Default)]
 pub(super) struct OutboundQueue {
     frames: VecDeque<OutboundFrame>,
@@ -44,7 +44,7 @@
         self.frames.front().map(|frame| (frame.bytes.clone(), frame.descriptor.clone()))
     }
 
-    /// Removes the frame in front, which is written whole. The queue is empty where the link was lost
+    /// Removes the frame in front, which is completely written. The queue is empty where the link was lost
     /// meanwhile.
     pub(super) fn remove_written(&mut self) {
         if let Some(frame) = self.frames.pop_front() {
--- a/crates/node/src/handover/state_transfer.rs
+++ b/crates/node/src/handover/state_transfer.rs
@@ -36,7 +36,7 @@
         StateTransfer { format_version: self.format_version, drained: self.drained, state }
     }
 
-    /// Reads a record. None, with a log line that says why, where the process starts without it.
+    /// Reads a record. None, with a log event that states the reason, where the process starts without it.
     pub(super) fn decode(bytes: &Bytes) -> Option<StateTransfer> {
         match serde_json::from_slice::<StateTransfer>(bytes) {
             Ok(record) if record.format_version == FORMAT_VERSION => return Some(record),
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -67,7 +67,7 @@
     async fn grant_takeover(&mut self) {
         let snapshot = self.take_snapshot().await;
         if let Some(response) = self.takeover_response.take() {
-            // Fails where the link is lost, which is reported by itself.
+            // Fails where the link is lost, which is reported separately.
             let _ = response.send(snapshot);
         }
         self.parts.server.start_migration();
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -106,7 +106,7 @@
     pub async fn terminate(&self) {
         let (done, is_done) = oneshot::channel();
         if self.local_events.send(LocalEvent::Terminate(done)).await.is_ok() {
-            // Fails only where the task has ended, which ends the program by itself.
+            // Fails only where the task has ended, which ends the program.
             let _ = is_done.await;
         }
     }
@@ -251,7 +251,7 @@
     }
 
     async fn send_to_dispatch(&self, command: DispatchCommand) {
-        // Sending fails only where the dispatch task has ended, which ends the program by itself.
+        // Sending fails only where the dispatch task has ended, which ends the program.
         let _ = self.parts.admin.dispatch_commands.send(command).await;
     }
 }
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -86,7 +86,7 @@
 
     /// Has the dispatch task answer every open job in time.
     async fn limit_open_jobs(&self) {
-        // Sending fails only where the dispatch task has ended, which ends the program by itself.
+        // Sending fails only where the dispatch task has ended, which ends the program.
         let _ = self.dispatch_queue.send(DispatchMessage::ShutdownStarted(self.final_answer_delay)).await;
     }
 
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -37,7 +37,7 @@
     /// How many bytes may be passed on: a head that was inspected, and its body.
     forwardable_bytes: u64,
     metrics: Metrics,
-    /// Set once this node takes no job any more: half a request is then closed without a response, so that
+    /// Set once this node accepts no jobs any more: half a request is then closed without a response, so that
     /// its client may send it to another node.
     intake_closed: Rc<Cell<bool>>,
 }
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -228,7 +228,7 @@
     Ok(micros.map(|micros| micros / MICROS_PER_SECOND))
 }
 
-/// How many slots of a worker the job takes.
+/// How many slots of a worker the job occupies.
 fn parse_slots(headers: &HeaderMap) -> Result<f64, RequestError> {
     let slots = parse_extra(headers, "slots")?.unwrap_or(DEFAULT_SLOTS);
     if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
--- a/crates/node/src/server/request_body.rs
+++ b/crates/node/src/server/request_body.rs
@@ -13,7 +13,7 @@
 
 /// Largest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A body must be whole this long before the read timeout of its connection, which leaves time for the 408.
+/// A body must be complete this long before the read timeout of its connection, which leaves time for the 408.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
 /// Reads a body to its end; the connection is busy from then on.
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -18,7 +18,7 @@
 const OPENMETRICS: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
 /// A response with that status and body.
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt of a job at one worker: send it, report what became of it, and cancel it if it may have
-//! arrived and is not wanted any more.
+//! arrived and is no longer needed.
 //!
 //! | outcome of the exchange | cancelled at the worker | reported as |
 //! | --- | --- | --- |
@@ -157,7 +157,7 @@
         self.canceller.cancel_before(attempt.deadline, target, connection).await;
     }
 
-    /// Other connections to a worker that has died or stopped responding would only cost the next attempt its
+    /// Other connections to a worker that has ended or stopped responding would only cost the next attempt its
     /// time.
     fn discard_connections(&self, attempt: &Attempt) {
         self.pool.discard_connections(attempt.address);
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -31,7 +31,7 @@
 /// [`MAX_RETRY_DELAY`].
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// How long a cancellation of another process of this node is repeated. The worker may be gone for good, and
+/// How long a cancellation of another process of this node is repeated. The worker may never return, and
 /// no job of this process bounds it.
 const ADOPTED_CANCELLATION_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -35,7 +35,7 @@
 /// Why a connection was not established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// No process listens at the address, or it takes no more connections.
+    /// No process listens at the address, or it accepts no more connections.
     #[error("connection refused; see that the worker runs")]
     Refused(#[source] io::Error),
     /// It was not established in time, or broke while it was.
