--- a/crates/testbed/src/command_line/compare.rs
+++ b/crates/testbed/src/command_line/compare.rs
@@ -38,7 +38,13 @@
     out: PathBuf,
 }
 
-/// One of both sides.
+/// Both sides of a comparison.
+struct Sides {
+    first: Side,
+    second: Side,
+}
+
+/// A side of a comparison.
 struct Side {
     name: &'static str,
     node: PathBuf,
@@ -50,12 +56,14 @@
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
         let CompareOptions { scenario, a, b, operator_a, operator_b, seeds, out } = self;
         let scenario = read_scenario(&scenario)?;
-        let a = Side { name: "a", node: node_path(a)?, operator_file: operator_a };
-        let b = Side { name: "b", node: node_path(b)?, operator_file: operator_b };
+        let sides = Sides {
+            first: Side { name: "a", node: node_path(a)?, operator_file: operator_a },
+            second: Side { name: "b", node: node_path(b)?, operator_file: operator_b },
+        };
         let mut pairs = Vec::new();
         for seed in scenario.seed..scenario.seed + seeds {
             let scenario = Scenario { seed, ..scenario.clone() };
-            pairs.push(play_pair(&scenario, &a, &b, &out)?);
+            pairs.push(sides.play(&scenario, &out)?);
         }
         let comparison = compare(&pairs)?;
         write_file(&out.join("comparison.json"), &comparison_json(&comparison)?)?;
@@ -66,19 +74,16 @@
     }
 }
 
-/// Plays both sides. Each is the first in turn, so that a machine that is warmed up favours neither.
-fn play_pair(
-    scenario: &Scenario,
-    a: &Side,
-    b: &Side,
-    out: &Path,
-) -> Result<(Figures, Figures), CommandError> {
-    if scenario.seed.is_multiple_of(2) {
-        let figures_a = a.play(scenario, out)?;
-        Ok((figures_a, b.play(scenario, out)?))
-    } else {
-        let figures_b = b.play(scenario, out)?;
-        Ok((a.play(scenario, out)?, figures_b))
+impl Sides {
+    /// Plays both sides. They begin in turn, so that a machine that is warmed up favours neither.
+    fn play(&self, scenario: &Scenario, out: &Path) -> Result<(Figures, Figures), CommandError> {
+        if scenario.seed.is_multiple_of(2) {
+            let first = self.first.play(scenario, out)?;
+            Ok((first, self.second.play(scenario, out)?))
+        } else {
+            let second = self.second.play(scenario, out)?;
+            Ok((self.first.play(scenario, out)?, second))
+        }
     }
 }
 
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -20,9 +20,9 @@
 /// The client router closes a node this long after the start of its graceful shutdown.
 const SHUTDOWN_DETECTION_DELAY: Duration = Duration::from_millis(300);
 /// The client router closes a node this long after it was killed.
-const DEATH_DETECTION_DELAY: Duration = Duration::from_millis(2000);
+const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(2);
 /// The shortest time that a graceful shutdown may take; the longest timeout of a class counts where that is longer.
-pub const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(3000);
+pub const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(3);
 /// A process is killed this long after its graceful shutdown had to be over.
 pub const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Upper bound of the stop of a node at the end of a run.
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -146,12 +146,12 @@
         let keep_connection = !self.needs_new_connection(job);
         let route = self.router.route(keep_connection);
         let node = route.as_ref().map_or(0, |route| route.node);
-        let id = format!("j{job}-{retry}");
-        self.record_sent(attempt, &id, node);
-        let Some(route) = route else { return self.record_failure(id, FailureReason::NoNode) };
-        match self.exchange(attempt, &id, route, keep_connection).await {
-            Ok(response) => self.record_response(id, &response),
-            Err(reason) => self.record_failure(id, reason),
+        let request_id = format!("j{job}-{retry}");
+        self.record_sent(attempt, &request_id, node);
+        let Some(route) = route else { return self.record_failure(request_id, FailureReason::NoNode) };
+        match self.exchange(attempt, &request_id, route, keep_connection).await {
+            Ok(response) => self.record_response(request_id, &response),
+            Err(reason) => self.record_failure(request_id, reason),
         }
     }
 
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -50,7 +50,7 @@
 /// Upper bound of an upgrade's duration in seconds: its longest delay and the waits around it.
 const MAX_ROUND_S: f64 = 18.0;
 /// Load before the first round.
-const LEAD_TIME: Duration = Duration::from_millis(1000);
+const LEAD_TIME: Duration = Duration::from_secs(1);
 /// Load after the last round, in which a worker that was enabled can be seen in use.
 const TRAIL_TIME: Duration = Duration::from_millis(5500);
 /// The shortest pause after an admin command, in seconds.
--- a/crates/testbed/src/stress_run/table.rs
+++ b/crates/testbed/src/stress_run/table.rs
@@ -56,10 +56,10 @@
         self.add("jobs refused, all", upgrades.iter().map(|upgrade| upgrade.rejected).sum::<usize>());
         let not_ready = upgrades.iter().map(|upgrade| upgrade.not_ready_answers).sum::<usize>();
         self.add("times no to /ready, all", not_ready);
-        let ready = upgrades.iter().filter_map(|upgrade| upgrade.ready_s);
-        self.add("newer ready after, max, mean", max_and_mean(ready.collect()));
-        let ended = upgrades.iter().filter_map(|upgrade| upgrade.ended_s);
-        self.add("one process again after, max, mean", max_and_mean(ended.collect()));
+        let ready: Vec<f64> = upgrades.iter().filter_map(|upgrade| upgrade.ready_s).collect();
+        self.add("newer ready after, max, mean", max_and_mean(&ready));
+        let ended: Vec<f64> = upgrades.iter().filter_map(|upgrade| upgrade.ended_s).collect();
+        self.add("one process again after, max, mean", max_and_mean(&ended));
         self.add("upgrades with a kill that hit", upgrades.iter().filter(|upgrade| upgrade.killed).count());
     }
 
@@ -76,7 +76,7 @@
     }
 }
 
-fn max_and_mean(seconds: Vec<f64>) -> String {
+fn max_and_mean(seconds: &[f64]) -> String {
     let mean = seconds.iter().sum::<f64>() / seconds.len().max(1) as f64;
     let max = seconds.iter().copied().fold(0.0, f64::max);
     format!("{max:.2} s, {mean:.2} s, of {}", seconds.len())
