--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -13,8 +13,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep, timeout};
 
-use super::NodeAddresses;
 use super::endpoint_encoder::worker_name;
+use super::node_addresses::NodeAddresses;
 
 /// How often a callback is sent at most.
 const MAX_DELIVERY_ATTEMPTS: usize = 10;
--- a/crates/testbed/src/fleet/discovery_state.rs
+++ b/crates/testbed/src/fleet/discovery_state.rs
@@ -10,8 +10,8 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::FleetLinks;
 use super::endpoint_encoder::EndpointEncoder;
+use super::links::FleetLinks;
 use super::message::{DiscoveryServerId, EndpointPoll};
 use crate::event_log::{Event, EventLog};
 
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -20,7 +20,9 @@
 mod endpoint_encoder;
 mod error;
 mod http_response;
+mod links;
 mod message;
+mod node_addresses;
 mod owner;
 mod reserved_port;
 mod sent_requests;
@@ -34,7 +36,6 @@
 use curlewusher_model::workload::PlannedJob;
 use parking_lot::Mutex;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
-use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
 use self::attempt_table::AttemptTable;
@@ -43,33 +44,17 @@
 use self::discovery_state::SentLists;
 pub use self::endpoint_encoder::worker_name;
 pub use self::error::FleetError;
+pub use self::links::FleetLinks;
 pub use self::message::FleetCommand;
 use self::message::FleetMessage;
+pub use self::node_addresses::NodeAddresses;
 use self::owner::FleetOwner;
 pub use self::sent_requests::{RequestOrigin, SentRequests, expected_result};
 use self::startup::{FleetBuilder, WorkerServers};
 use crate::event_log::EventLog;
-use crate::proxy::{LinkState, Proxy};
+use crate::proxy::Proxy;
 use crate::scenario::Scenario;
 
-/// The addresses at which the nodes serve, by their numbers; none until a node has started.
-pub type NodeAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
-
-/// The links between nodes and the fleet. They have an effect only if the scenario needs proxies.
-pub struct FleetLinks {
-    /// The links to discovery, by node.
-    pub discovery: Vec<watch::Sender<LinkState>>,
-    /// The links to workers, by worker.
-    pub workers: Vec<watch::Sender<LinkState>>,
-}
-
-impl FleetLinks {
-    fn new(nodes: usize, workers: usize) -> Self {
-        let links = |count| (0..count).map(|_| watch::Sender::default()).collect();
-        FleetLinks { discovery: links(nodes), workers: links(workers) }
-    }
-}
-
 /// A running fleet. Its servers end when it is dropped.
 pub struct Fleet {
     messages: UnboundedSender<FleetMessage>,
--- a/crates/testbed/src/fleet/startup.rs
+++ b/crates/testbed/src/fleet/startup.rs
@@ -10,10 +10,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::FleetLinks;
 use super::discovery_state::{DiscoveryState, SentEndpoints, SentLists};
 use super::endpoint_encoder::{EndpointAttributes, EndpointEncoder};
 use super::error::FleetError;
+use super::links::FleetLinks;
 use super::message::FleetMessage;
 use super::owner::WorkerProcess;
 use super::reserved_port::ReservedPort;
--- a/crates/testbed/src/nodes/config.rs
+++ b/crates/testbed/src/nodes/config.rs
@@ -3,7 +3,7 @@
 use curlewusher_model::TimeSpan;
 use serde_json::{Value, json};
 
-use super::process::ProcessSpec;
+use super::spec::ProcessSpec;
 use crate::scenario::{
     Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
 };
--- a/crates/testbed/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -4,6 +4,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `process` | start, signals and reload of a process |
+//! | `spec` | what a process is started with |
 //! | `config` | the configuration file |
 //! | `log_tail` | the log of a process |
 //! | `http_client` | readiness checks and metrics |
@@ -15,8 +16,10 @@
 mod http_client;
 mod log_tail;
 mod process;
+mod spec;
 
 pub use self::cost::{Sample, sample_cost};
 pub use self::error::NodeError;
 pub use self::http_client::{check_readiness, nonzero_violation_counters};
-pub use self::process::{Node, ProcessSpec, Program};
+pub use self::process::Node;
+pub use self::spec::{ProcessSpec, Program};
--- a/crates/testbed/src/nodes/process.rs
+++ b/crates/testbed/src/nodes/process.rs
@@ -14,6 +14,7 @@
 use super::error::NodeError;
 use super::http_client::check_readiness;
 use super::log_tail::LogTail;
+use super::spec::{ProcessSpec, Program};
 use crate::event_log::Readiness;
 use crate::scenario::Scenario;
 
@@ -29,36 +30,6 @@
     ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE", OPERATOR_FILE_VARIABLE];
 const OPERATOR_FILE_VARIABLE: &str = "CURLEWUSHER_OPERATOR";
 
-/// What a process is started with beside its program.
-#[derive(Clone, Debug)]
-pub struct ProcessSpec {
-    /// Number of the node.
-    pub number: usize,
-    /// Counts the processes of a node that were started beside an older one.
-    pub version: usize,
-    /// Where clients connect; the system chooses the port if it is 0.
-    pub listen: SocketAddr,
-    /// The node's discovery server.
-    pub discovery: SocketAddr,
-    /// Where admin commands arrive, if the scenario needs that.
-    pub admin_address: Option<SocketAddr>,
-    /// The endpoint list that the process starts with.
-    pub saved_list: Option<serde_json::Value>,
-    /// The node's own temporary folder, which both processes of an upgrade share.
-    pub temporary: PathBuf,
-}
-
-/// The program that all nodes run.
-#[derive(Clone)]
-pub struct Program {
-    /// The file.
-    pub path: PathBuf,
-    /// Its command line.
-    pub arguments: Vec<String>,
-    /// Where configurations and logs are written.
-    pub folder: PathBuf,
-}
-
 /// A node's process. It is killed when this is dropped.
 pub struct Node {
     /// What it was started with.
@@ -162,16 +133,6 @@
     }
 }
 
-impl ProcessSpec {
-    /// The name of the process's files. The first process of a node has the plain name.
-    fn file_stem(&self) -> String {
-        match self.version {
-            0 => format!("n{}", self.number),
-            version => format!("n{}-v{version}", self.number),
-        }
-    }
-}
-
 fn launch_command(program: &Program, scenario: &Scenario, spec: &ProcessSpec, config_path: &Path) -> Command {
     let mut command = Command::new("/bin/sh");
     command
--- a/crates/testbed/src/scripted/connection.rs
+++ b/crates/testbed/src/scripted/connection.rs
@@ -13,7 +13,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
 use super::flaw::Flaw;
@@ -36,6 +36,14 @@
         }
     }
 
+    /// Serves callbacks that another process of this node forwards.
+    pub(super) async fn serve_forwarded_callbacks(self: Arc<Self>, listener: TcpListener) {
+        loop {
+            let Ok((stream, _)) = listener.accept().await else { continue };
+            tokio::spawn(self.clone().serve_connection(stream));
+        }
+    }
+
     /// Serves one connection until it ends. A connection that has had a request is closed gracefully once the node closes
     /// connections; the first request of another one may be on its way.
     pub(super) async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
--- a/crates/testbed/src/scripted/job.rs
+++ b/crates/testbed/src/scripted/job.rs
@@ -8,9 +8,10 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use super::callback_receiver::AttemptEnd;
 use super::flaw::Flaw;
-use super::node::{ScriptedNode, respond};
+use super::http_response::respond;
+use super::node::ScriptedNode;
+use super::pending_attempts::AttemptEnd;
 use super::worker_list::Endpoint;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -4,8 +4,9 @@
 //! | module | job |
 //! | --- | --- |
 //! | `server` | the process from its start to its exit |
-//! | `node` | state of the process, and the handling of a request |
-//! | `job` | attempts of a client's job |
+//! | `node` | state of the process |
+//! | `request_handler` | readiness checks, callbacks and jobs |
+//! | `job`, `pending_attempts` | attempts of a client's job |
 //! | `callback_receiver` | callbacks of workers |
 //! | `connection` | clients' connections, and their close in a drain |
 //! | `endpoint_watch`, `worker_list` | the endpoint list and the choice of a worker |
@@ -21,8 +22,11 @@
 mod endpoint_watch;
 pub mod error;
 mod flaw;
+mod http_response;
 mod job;
 mod node;
+mod pending_attempts;
+mod request_handler;
 mod server;
 mod shared_folder;
 mod worker_list;
