--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -20,7 +20,7 @@
 mod config;
 mod connection;
 mod endpoint_watch;
-pub mod error;
+mod error;
 mod flaw;
 mod http_response;
 mod job;
@@ -31,5 +31,6 @@
 mod shared_folder;
 mod worker_list;
 
+pub use self::error::ScriptedNodeError;
 pub use self::flaw::Flaw;
 pub use self::server::serve;
