--- a/crates/testbed/src/client_connections/mod.rs
+++ b/crates/testbed/src/client_connections/mod.rs
@@ -28,7 +28,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// An idle connection to the node; a new one is opened if there is none.
-    pub kept_connection: Option<TcpStream>,
+    pub idle_connection: Option<TcpStream>,
 }
 
 /// Open connections of all clients to one node.
@@ -107,8 +107,8 @@
     ///
     /// Fails if the connection cannot be opened, or ends before the response is complete.
     pub async fn send(&self, route: Route, request: &[u8], keep: bool) -> Result<Response, FailureReason> {
-        let Route { node, address, kept_connection } = route;
-        let mut stream = match kept_connection {
+        let Route { node, address, idle_connection } = route;
+        let mut stream = match idle_connection {
             Some(stream) => stream,
             None => connect(address).await?,
         };
--- a/crates/testbed/src/client_router.rs
+++ b/crates/testbed/src/client_router.rs
@@ -89,7 +89,7 @@
     }
 
     fn address_of(&self, node: usize) -> Option<SocketAddr> {
-        self.addresses.lock()[node]
+        self.addresses.get(node)
     }
 
     /// The route to the next node in turn that is open, or to which a connection is kept: kept connections stay in use
@@ -104,8 +104,8 @@
 
     fn route_to(&self, node: usize, may_reuse_connection: bool) -> Option<Route> {
         let address = self.address_of(node)?;
-        let kept_connection = if may_reuse_connection { self.connections.take(node) } else { None };
-        let is_usable = self.is_open(node) || kept_connection.is_some();
-        is_usable.then_some(Route { node, address, kept_connection })
+        let idle_connection = if may_reuse_connection { self.connections.take(node) } else { None };
+        let is_usable = self.is_open(node) || idle_connection.is_some();
+        is_usable.then_some(Route { node, address, idle_connection })
     }
 }
--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -82,7 +82,7 @@
         let EnvironmentSpec { scenario, program, jobs, needs_admin_addresses } = spec;
         let node_count = scenario.nodes.count;
         let (log, sent_requests) = (EventLog::new(), SentRequests::default());
-        let node_addresses: NodeAddresses = Arc::new(parking_lot::Mutex::new(vec![None; node_count]));
+        let node_addresses = NodeAddresses::new(node_count);
         let fleet =
             Fleet::start(&scenario, jobs, sent_requests.clone(), node_addresses.clone(), log.clone()).await?;
         let router = Arc::new(ClientRouter::new(node_count, node_addresses.clone(), log.clone()));
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -65,7 +65,7 @@
         let spec =
             ProcessSpec { number, version: 0, listen, discovery, admin_address, saved_list, temporary };
         let node = Node::start(&self.program, &self.scenario, spec).await?;
-        self.node_addresses.lock()[number] = Some(node.address);
+        self.node_addresses.set(number, node.address);
         *self.slot(number).await =
             NodeSlot { node: Some(node), admin_address, upgrade_processes: Vec::new() };
         self.log.record(Event::NodeReady { node: number });
--- a/crates/testbed/src/faults/discovery.rs
+++ b/crates/testbed/src/faults/discovery.rs
@@ -27,7 +27,7 @@
             // Without a new server the node keeps its old one.
             let Ok(discovery) = self.environment.fleet.start_discovery(number).await else { continue };
             if let Some(node) = &mut self.environment.slot(number).await.node
-                && let Err(error) = node.move_discovery(&self.environment.scenario, discovery)
+                && let Err(error) = node.reload_with_discovery(&self.environment.scenario, discovery)
             {
                 self.environment.report_crash(error);
             }
--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -108,7 +108,7 @@
 
     /// Sends a callback once; whether the node acknowledged it.
     async fn try_deliver(&self, node: usize, body: Bytes) -> bool {
-        let Some(address) = self.nodes.lock()[node] else { return false };
+        let Some(address) = self.nodes.get(node) else { return false };
         let request = Request::post(format!("http://{address}/callback")).body(Full::new(body));
         let Ok(request) = request else { return false };
         let Ok(response) = self.client.request(request).await else { return false };
--- a/crates/testbed/src/fleet/node_addresses.rs
+++ b/crates/testbed/src/fleet/node_addresses.rs
@@ -5,5 +5,23 @@
 
 use parking_lot::Mutex;
 
-/// The addresses at which the nodes serve, by their numbers; none until a node has started.
-pub type NodeAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
+/// The addresses at which the nodes serve, by their numbers. Clones share one table.
+#[derive(Clone)]
+pub struct NodeAddresses(Arc<Mutex<Vec<Option<SocketAddr>>>>);
+
+impl NodeAddresses {
+    /// A table for so many nodes, none of which has started.
+    pub fn new(node_count: usize) -> Self {
+        NodeAddresses(Arc::new(Mutex::new(vec![None; node_count])))
+    }
+
+    /// The address of a node; none until it has started.
+    pub fn get(&self, node: usize) -> Option<SocketAddr> {
+        self.0.lock()[node]
+    }
+
+    /// Sets the address of a node that has started.
+    pub fn set(&self, node: usize, address: SocketAddr) {
+        self.0.lock()[node] = Some(address);
+    }
+}
--- a/crates/testbed/src/nodes/error.rs
+++ b/crates/testbed/src/nodes/error.rs
@@ -29,13 +29,39 @@
         problem: io::Error,
     },
     /// The process runs, or ran, and did not do what it has to.
-    #[error("node {node} {why}; its last lines:\n    {lines}")]
+    #[error("node {node} {failure}; its last lines:\n    {lines}")]
     Failed {
         /// Number of the node.
         node: usize,
         /// What it did wrong.
-        why: &'static str,
+        failure: NodeFailure,
         /// The last lines of its log.
         lines: String,
     },
 }
+
+/// What a node's process did wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum NodeFailure {
+    /// The process exited before it announced its address.
+    #[error("ended before it served")]
+    ExitedBeforeServing,
+    /// The process runs and has not announced its address in time.
+    #[error("did not say where it serves")]
+    NoAddress,
+    /// The process serves and its readiness check has not succeeded in time.
+    #[error("did not become ready")]
+    NotReady,
+    /// The predecessor of an upgrade exited early, or not with success.
+    #[error("ended badly, or before its newer process was ready")]
+    PredecessorExited,
+    /// The successor of an upgrade exited.
+    #[error("ended by itself as the newer process of an upgrade")]
+    SuccessorExited,
+    /// The predecessor of an upgrade did not exit in time after SIGTERM.
+    #[error("did not end by itself within 3.7 s of SIGTERM, and was killed")]
+    IgnoredSigterm,
+    /// The successor of an upgrade did not answer READY by yes in time.
+    #[error("did not say yes to READY within 6 s in an upgrade")]
+    SuccessorNotReady,
+}
--- a/crates/testbed/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -19,7 +19,7 @@
 mod spec;
 
 pub use self::cost::{Sample, sample_cost};
-pub use self::error::NodeError;
+pub use self::error::{NodeError, NodeFailure};
 pub use self::http_client::{check_readiness, nonzero_violation_counters};
 pub use self::process::Node;
 pub use self::spec::{ProcessSpec, Program};
--- a/crates/testbed/src/nodes/process.rs
+++ b/crates/testbed/src/nodes/process.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::config::config_file;
-use super::error::NodeError;
+use super::error::{NodeError, NodeFailure};
 use super::http_client::check_readiness;
 use super::log_tail::LogTail;
 use super::spec::{ProcessSpec, Program};
@@ -52,13 +52,13 @@
         let (mut node, announced) = Node::launch(program, scenario, spec)?;
         node.address = match timeout(SERVES_WITHIN, announced).await {
             Ok(Ok(address)) => address,
-            Ok(Err(_)) => return Err(node.failed("ended before it served")),
-            Err(_) => return Err(node.failed("did not say where it serves")),
+            Ok(Err(_)) => return Err(node.failed(NodeFailure::ExitedBeforeServing)),
+            Err(_) => return Err(node.failed(NodeFailure::NoAddress)),
         };
         let deadline = Instant::now() + READY_WITHIN;
         while check_readiness(node.address).await != Readiness::Yes {
             if Instant::now() > deadline {
-                return Err(node.failed("did not become ready"));
+                return Err(node.failed(NodeFailure::NotReady));
             }
             sleep(READINESS_POLL_INTERVAL).await;
         }
@@ -100,10 +100,10 @@
     }
 
     /// The error of a process that did not do what it has to, with its last lines.
-    pub fn failed(&self, why: &'static str) -> NodeError {
+    pub fn failed(&self, failure: NodeFailure) -> NodeError {
         let lines = self.last_lines().join("\n    ");
         let lines = if lines.is_empty() { "(none)".into() } else { lines };
-        NodeError::Failed { node: self.spec.number, why, lines }
+        NodeError::Failed { node: self.spec.number, failure, lines }
     }
 
     /// The last lines of its log, oldest first.
@@ -125,7 +125,11 @@
     /// # Errors
     ///
     /// Fails if the file cannot be written.
-    pub fn move_discovery(&mut self, scenario: &Scenario, discovery: SocketAddr) -> Result<(), NodeError> {
+    pub fn reload_with_discovery(
+        &mut self,
+        scenario: &Scenario,
+        discovery: SocketAddr,
+    ) -> Result<(), NodeError> {
         self.spec = ProcessSpec { discovery, listen: self.address, ..self.spec.clone() };
         write(&self.config_path, &config_file(scenario, &self.spec))?;
         self.signal(Signal::HUP);
--- a/crates/testbed/src/upgrade/mod.rs
+++ b/crates/testbed/src/upgrade/mod.rs
@@ -26,7 +26,7 @@
 use crate::admin_command::reserve_address;
 use crate::environment::{Environment, NodeCrash};
 use crate::event_log::{Event, ExpectedAnswer};
-use crate::nodes::{Node, ProcessSpec};
+use crate::nodes::{Node, NodeFailure, ProcessSpec};
 use crate::operator_actions::send_command_to;
 use crate::scenario::UpgradeProcess;
 use crate::waiting::wait_until;
@@ -169,15 +169,13 @@
             UpgradeEvent::SigtermDue => state.terminate_predecessor(),
             UpgradeEvent::SigkillDue => {
                 state.sigkill_at = None;
-                let problem = "did not end by itself within 3.7 s of SIGTERM, and was killed";
-                if self.kill_failed(state.predecessor.take(), problem).await {
+                if self.kill_failed(state.predecessor.take(), NodeFailure::IgnoredSigterm).await {
                     self.record(Event::ProcessExited { node: self.node, is_successor: false, killed: false });
                 }
             }
             UpgradeEvent::ReadyDeadlineExpired => {
                 state.ready_deadline = None;
-                let problem = "did not say yes to READY within 6 s in an upgrade";
-                if self.kill_failed(state.successor.take(), problem).await {
+                if self.kill_failed(state.successor.take(), NodeFailure::SuccessorNotReady).await {
                     self.record(Event::ProcessExited { node: self.node, is_successor: true, killed: true });
                 }
             }
@@ -216,11 +214,11 @@
     }
 
     /// Kills a process that failed; false if there is none.
-    async fn kill_failed(&self, process: Option<Node>, problem: &'static str) -> bool {
+    async fn kill_failed(&self, process: Option<Node>, failure: NodeFailure) -> bool {
         let Some(mut process) = process else { return false };
         // It has exited by itself if it cannot be killed.
         let _ = process.child.kill().await;
-        self.environment.report_crash(process.failed(problem));
+        self.environment.report_crash(process.failed(failure));
         true
     }
 
@@ -229,11 +227,11 @@
         let is_successor = role == UpgradeProcess::Successor;
         self.record(Event::ProcessExited { node: self.node, is_successor, killed });
         if let Some(process) = process.filter(|_| !is_expected) {
-            let problem = match role {
-                UpgradeProcess::Predecessor => "ended badly, or before its newer process was ready",
-                UpgradeProcess::Successor => "ended by itself as the newer process of an upgrade",
+            let failure = match role {
+                UpgradeProcess::Predecessor => NodeFailure::PredecessorExited,
+                UpgradeProcess::Successor => NodeFailure::SuccessorExited,
             };
-            self.environment.report_crash(process.failed(problem));
+            self.environment.report_crash(process.failed(failure));
         }
     }
 }
