--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -23,19 +23,20 @@
 use tokio::sync::oneshot;
 
 use super::attempts::{Attempt, CallbackState};
+use super::clock::WallTime;
 use super::jobs::{Job, JobHandle, JobResponse};
 
 /// Time that a job needs after its migration has timed out, to be answered by this process after all.
 const TIME_TO_ANSWER_AFTER_ROLLBACK: TimeSpan = TimeSpan::from_millis(500);
 
-/// A job on its way from one process of this node to the other, without its payload.
+/// A job that is migrated from one process of this node to the other, without its payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobMigration {
     #[serde(rename = "id")]
     pub(super) request_id: String,
     #[serde(rename = "taken")]
-    pub(super) submitted_at: Timestamp,
+    pub(super) submitted_at: WallTime,
     pub(super) attempts: Vec<MigratedAttempt>,
     /// What the dispatcher knows of it.
     pub(super) job: MigratedJob,
@@ -51,13 +52,13 @@
     pub(super) fn new<P>(job: &Job<P>, released: MigratedJob) -> Self {
         JobMigration {
             request_id: job.request_id.to_string(),
-            submitted_at: job.submitted_at,
+            submitted_at: WallTime::of(job.submitted_at),
             attempts: job.attempts.iter().map(MigratedAttempt::new).collect(),
             job: released,
         }
     }
 
-    /// Whether an attempt is under way.
+    /// Whether an attempt is in flight.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -79,7 +80,7 @@
     #[serde(rename = "last")]
     pub(super) last_callback: Option<CallbackState>,
     #[serde(rename = "times_out")]
-    pub(super) expires_at: Timestamp,
+    pub(super) expires_at: WallTime,
 }
 
 impl MigratedAttempt {
@@ -91,12 +92,12 @@
             in_flight: attempt.is_in_flight(),
             progress: attempt.progress,
             last_callback: attempt.last_callback.clone(),
-            expires_at: attempt.expires_at,
+            expires_at: WallTime::of(attempt.expires_at),
         }
     }
 }
 
-/// Whether a job can be migrated: somebody waits for its response, it could still be answered in time after a
+/// Whether a job can be migrated: its client waits for a response, it could still be answered in time after a
 /// migration that times out, and each attempt has ended or was accepted. Until a worker has accepted an attempt,
 /// its answer goes to a connection of this process.
 pub(super) fn is_migratable<P>(job: &Job<P>, now: Timestamp, migration_timeout: TimeSpan) -> bool {
@@ -153,7 +154,7 @@
     pub(super) job_handle: JobHandle,
 }
 
-/// The jobs that are on their way to the other process of this node or from there.
+/// The jobs that are being migrated to the other process of this node or from there.
 pub(super) struct Migrations<P> {
     outgoing: HashMap<JobId, OutgoingJob<P>>,
     incoming: HashMap<JobId, IncomingJob<P>>,
@@ -166,17 +167,17 @@
 }
 
 impl<P> Migrations<P> {
-    /// Whether a job is on its way.
+    /// Whether a job is being migrated.
     pub(super) fn contains(&self, id: JobId) -> bool {
         self.outgoing.contains_key(&id) || self.incoming.contains_key(&id)
     }
 
-    /// Adds a job that is on its way to the other process.
+    /// Adds a job that is being migrated to the other process.
     pub(super) fn insert_outgoing(&mut self, id: JobId, outgoing: OutgoingJob<P>) {
         self.outgoing.insert(id, outgoing);
     }
 
-    /// A job that is on its way to the other process, to change it.
+    /// A job that is being migrated to the other process, to change it.
     pub(super) fn outgoing_job_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
         self.outgoing.get_mut(&id).map(|outgoing| &mut outgoing.job)
     }
@@ -186,7 +187,7 @@
         self.outgoing.remove(&id)
     }
 
-    /// Adds a job that is on its way from the other process.
+    /// Adds a job that is being migrated from the other process.
     pub(super) fn insert_incoming(&mut self, id: JobId, incoming: IncomingJob<P>) {
         self.incoming.insert(id, incoming);
     }
