--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -13,8 +13,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{sleep, timeout};
 
-use super::NodeAddresses;
 use super::endpoint_encoder::worker_name;
+use super::node_addresses::NodeAddresses;
 
 /// How often a callback is sent at most.
 const MAX_DELIVERY_ATTEMPTS: usize = 10;
@@ -108,7 +108,7 @@
 
     /// Sends a callback once; whether the node acknowledged it.
     async fn try_deliver(&self, node: usize, body: Bytes) -> bool {
-        let Some(address) = self.nodes.lock()[node] else { return false };
+        let Some(address) = self.nodes.get(node) else { return false };
         let request = Request::post(format!("http://{address}/callback")).body(Full::new(body));
         let Ok(request) = request else { return false };
         let Ok(response) = self.client.request(request).await else { return false };
