--- a/crates/testbed/src/command_line/error.rs
+++ b/crates/testbed/src/command_line/error.rs
@@ -8,7 +8,7 @@
 use crate::checked_run::RunError;
 use crate::compare::CompareError;
 use crate::scenario::ScenarioError;
-use crate::scripted::error::ScriptedNodeError;
+use crate::scripted::ScriptedNodeError;
 
 /// Why a command could not be carried out. The messages are for the person who typed it.
 #[derive(Debug, Error)]
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -20,9 +20,9 @@
 /// The client router closes a node this long after the start of its graceful shutdown.
 const SHUTDOWN_DETECTION_DELAY: Duration = Duration::from_millis(300);
 /// The client router closes a node this long after it was killed.
-const DEATH_DETECTION_DELAY: Duration = Duration::from_millis(2000);
+const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(2);
 /// The shortest time that a graceful shutdown may take; the longest timeout of a class counts where that is longer.
-pub const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(3000);
+pub const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(3);
 /// A process is killed this long after its graceful shutdown had to be over.
 pub const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Upper bound of the stop of a node at the end of a run.
@@ -65,7 +65,7 @@
         let spec =
             ProcessSpec { number, version: 0, listen, discovery, admin_address, saved_list, temporary };
         let node = Node::start(&self.program, &self.scenario, spec).await?;
-        self.node_addresses.lock()[number] = Some(node.address);
+        self.node_addresses.set(number, node.address);
         *self.slot(number).await =
             NodeSlot { node: Some(node), admin_address, upgrade_processes: Vec::new() };
         self.log.record(Event::NodeReady { node: number });
