--- a/crates/testbed/src/checked_run.rs
+++ b/crates/testbed/src/checked_run.rs
@@ -7,7 +7,7 @@
 
 use crate::event_log::Record;
 use crate::nodes::Program;
-use crate::play::{PlayError, Played, ProgressDisplay, play};
+use crate::play::{FinishedRun, PlayError, ProgressDisplay, play};
 use crate::report::{self, Figures};
 use crate::rules::{self, Violation};
 use crate::scenario::Scenario;
@@ -30,7 +30,7 @@
 /// A run whose files are written.
 pub struct CheckedRun {
     /// What was observed.
-    pub played: Played,
+    pub played: FinishedRun,
     /// The violations of rules.
     pub violations: Vec<Violation>,
     /// The figures, as in `figures.json`.
@@ -111,14 +111,14 @@
     }
 }
 
-fn check(scenario: &Scenario, played: &Played) -> Vec<Violation> {
+fn check(scenario: &Scenario, played: &FinishedRun) -> Vec<Violation> {
     // An interrupted run leaves requests without a response that no node is to blame for.
     let mut violations = if played.interrupted {
         Vec::new()
     } else {
         rules::check_rules(&played.records, &scenario.rule_parameters())
     };
-    violations.extend(rules::check_footprint(&played.samples, scenario));
+    violations.extend(rules::check_footprint(&played.samples, scenario.footprint_limits()));
     violations
 }
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -16,6 +16,7 @@
 mod nodes;
 mod operator_actions;
 mod play;
+mod process_cost;
 mod proxy;
 mod report;
 mod rules;
--- a/crates/testbed/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -11,14 +11,12 @@
 //! | `cost` | processor time, memory and descriptors |
 
 mod config;
-mod cost;
 mod error;
 mod http_client;
 mod log_tail;
 mod process;
 mod spec;
 
-pub use self::cost::{Sample, sample_cost};
 pub use self::error::{NodeError, NodeFailure};
 pub use self::http_client::{check_readiness, nonzero_violation_counters};
 pub use self::process::Node;
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -22,7 +22,8 @@
 use crate::faults::inject_fault;
 use crate::fleet::FleetError;
 use crate::load::Clients;
-use crate::nodes::{Program, Sample};
+use crate::nodes::Program;
+use crate::process_cost::Sample;
 use crate::sampling::sample_nodes;
 use crate::scenario::Scenario;
 use crate::stress_run::StressRun;
@@ -33,7 +34,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is left of a run.
-pub struct Played {
+pub struct FinishedRun {
     /// The event log.
     pub records: Vec<Record>,
     /// Costs of the nodes, in the order of time.
@@ -73,7 +74,7 @@
     program: Program,
     stress: Option<StressRun>,
     display: ProgressDisplay,
-) -> Result<Played, PlayError> {
+) -> Result<FinishedRun, PlayError> {
     let jobs = Arc::new(scenario.workload().draw());
     let needs_admin_addresses = stress.is_some();
     let spec =
@@ -111,7 +112,7 @@
 }
 
 impl Run {
-    async fn play(&self, progress: &Progress) -> Played {
+    async fn play(&self, progress: &Progress) -> FinishedRun {
         let mut tasks = BackgroundTasks::default();
         self.spawn_faults(&mut tasks);
         self.spawn_readiness_checks(&mut tasks);
@@ -129,7 +130,7 @@
         let crashes = self.environment.take_crashes().iter().map(ToString::to_string).collect();
         let samples = std::mem::take(&mut *samples.lock());
         let records = self.environment.log.take();
-        Played { records, samples, begin: self.begin, end, crashes, interrupted }
+        FinishedRun { records, samples, begin: self.begin, end, crashes, interrupted }
     }
 
     fn spawn_faults(&self, tasks: &mut BackgroundTasks) {
--- a/crates/testbed/src/report/figures/mod.rs
+++ b/crates/testbed/src/report/figures/mod.rs
@@ -11,8 +11,8 @@
 use class_results::{ClassResult, class_results};
 use traffic::Traffic;
 
-use crate::nodes::Sample;
-use crate::play::Played;
+use crate::play::FinishedRun;
+use crate::process_cost::Sample;
 use crate::rules::{OperationFigures, Violation, operation_figures};
 use crate::scenario::Scenario;
 
@@ -133,7 +133,7 @@
 }
 
 /// Computes the figures of a run from its records, its samples and the violations found in it.
-pub fn compute_figures(scenario: &Scenario, played: &Played, violations: &[Violation]) -> Figures {
+pub fn compute_figures(scenario: &Scenario, played: &FinishedRun, violations: &[Violation]) -> Figures {
     let traffic = Traffic::from_records(&played.records, scenario.worker_count());
     let results = class_results(scenario, played.begin, &traffic.jobs);
     let (classes, seconds): (Vec<_>, Vec<_>) =
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -8,7 +8,7 @@
     FaultPeriod, Series, cpu_cores_by_node, fault_periods, samples_by_node, share_in_time_by_class,
 };
 use super::summary::operation_lines;
-use crate::play::Played;
+use crate::play::FinishedRun;
 use crate::rules::Violation;
 use crate::scenario::Scenario;
 
@@ -37,7 +37,7 @@
 /// Renders the page of a run.
 pub fn render_page(
     scenario: &Scenario,
-    played: &Played,
+    played: &FinishedRun,
     figures: &Figures,
     violations: &[Violation],
 ) -> String {
@@ -139,7 +139,7 @@
     }
 }
 
-fn charts(scenario: &Scenario, played: &Played, figures: &Figures, faults: &[FaultPeriod]) -> Markup {
+fn charts(scenario: &Scenario, played: &FinishedRun, figures: &Figures, faults: &[FaultPeriod]) -> Markup {
     let nodes = scenario.nodes.count;
     let over_time = |series: &[Series], y_max: Option<f64>, y_label: &str| {
         Chart { series, faults, x_max: scenario.length_s, y_max, x_label: "s", y_label }.render()
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -4,8 +4,8 @@
 
 use super::figures::{Figures, SecondWeights};
 use crate::event_log::{Event, Record};
-use crate::nodes::Sample;
-use crate::play::Played;
+use crate::play::FinishedRun;
+use crate::process_cost::Sample;
 
 /// A named line of a chart.
 pub struct Series {
@@ -32,7 +32,7 @@
 }
 
 /// The value of each sample, a series for each node.
-pub fn samples_by_node(played: &Played, nodes: usize, value: impl Fn(&Sample) -> f64) -> Vec<Series> {
+pub fn samples_by_node(played: &FinishedRun, nodes: usize, value: impl Fn(&Sample) -> f64) -> Vec<Series> {
     let begin_s = played.begin.as_secs_f64();
     let series = |node: usize| {
         let samples = played.samples.iter().filter(|sample| sample.node == node);
@@ -43,7 +43,7 @@
 }
 
 /// Processor use of each node, in cores.
-pub fn cpu_cores_by_node(played: &Played, nodes: usize) -> Vec<Series> {
+pub fn cpu_cores_by_node(played: &FinishedRun, nodes: usize) -> Vec<Series> {
     samples_by_node(played, nodes, |sample| sample.cpu_s)
         .into_iter()
         .map(|series| Series { points: slopes(&series.points), ..series })
@@ -51,7 +51,7 @@
 }
 
 /// The periods of all faults of a run, by their begin.
-pub fn fault_periods(played: &Played) -> Vec<FaultPeriod> {
+pub fn fault_periods(played: &FinishedRun) -> Vec<FaultPeriod> {
     let seconds = |at: Timestamp| at.saturating_since(played.begin).as_secs_f64();
     let mut periods: Vec<FaultPeriod> = Vec::new();
     for Record { at, event } in &played.records {
--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -5,16 +5,24 @@
 use curlewusher_model::Timestamp;
 
 use super::{Rule, Violation};
-use crate::nodes::Sample;
-use crate::scenario::{MEMORY_MB, Scenario};
+use crate::process_cost::Sample;
 
-/// Returns the first violation of each node. The scenario's limit of descriptors holds for each process, so that only
-/// a sum over processes can exceed it.
-pub fn check_footprint(samples: &[Sample], scenario: &Scenario) -> Vec<Violation> {
+/// The limits of a node, all of its processes together.
+#[derive(Clone, Copy, Debug)]
+pub struct FootprintLimits {
+    /// Resident memory, in MB.
+    pub memory_mb: f64,
+    /// Open file descriptors. The system enforces the same limit for each process, so that only a sum over processes can
+    /// exceed it.
+    pub descriptors: usize,
+}
+
+/// Returns the first violation of each node.
+pub fn check_footprint(samples: &[Sample], limits: FootprintLimits) -> Vec<Violation> {
     let mut reported = HashSet::new();
     let mut violations = Vec::new();
     for sample in samples {
-        let Some(excess) = describe_excess(sample, scenario.nodes.descriptors) else { continue };
+        let Some(excess) = describe_excess(sample, limits) else { continue };
         if reported.insert(sample.node) {
             let description = format!("node {} holds {excess}, all its processes together", sample.node);
             let at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
@@ -24,12 +32,12 @@
     violations
 }
 
-fn describe_excess(sample: &Sample, max_descriptors: usize) -> Option<String> {
+fn describe_excess(sample: &Sample, limits: FootprintLimits) -> Option<String> {
     let Sample { memory_mb, descriptors, .. } = sample;
-    if *descriptors > max_descriptors {
-        Some(format!("{descriptors} descriptors of {max_descriptors}"))
-    } else if *memory_mb > MEMORY_MB {
-        Some(format!("{memory_mb:.0} MB of {MEMORY_MB:.0}"))
+    if *descriptors > limits.descriptors {
+        Some(format!("{descriptors} descriptors of {}", limits.descriptors))
+    } else if *memory_mb > limits.memory_mb {
+        Some(format!("{memory_mb:.0} MB of {:.0}", limits.memory_mb))
     } else {
         None
     }
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -12,7 +12,7 @@
 use curlewusher_model::TimeSpan;
 use serde::Serialize;
 
-pub use footprint::check_footprint;
+pub use footprint::{FootprintLimits, check_footprint};
 pub use operation_figures::{CommandFigures, OperationFigures, UpgradeFigures};
 pub use operations_rules::operation_figures;
 pub use violation::Violation;
--- a/crates/testbed/src/sampling.rs
+++ b/crates/testbed/src/sampling.rs
@@ -9,7 +9,7 @@
 
 use crate::environment::{Environment, NodeCrash, NodeSlot};
 use crate::event_log::Event;
-use crate::nodes::{Sample, sample_cost};
+use crate::process_cost::{Sample, sample_cost};
 
 /// Interval of the samples.
 const SAMPLING_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -5,7 +5,7 @@
 use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
 
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
-use crate::rules::{RepeatPolicy, RuleParameters};
+use crate::rules::{FootprintLimits, RepeatPolicy, RuleParameters};
 
 // Limits and tolerances of the rules; a scenario does not change them.
 const SLACK: TimeSpan = TimeSpan::from_millis(50);
@@ -92,6 +92,11 @@
         }
     }
 
+    /// The limits of a node, all of its processes together.
+    pub fn footprint_limits(&self) -> FootprintLimits {
+        FootprintLimits { memory_mb: MEMORY_MB, descriptors: self.nodes.descriptors }
+    }
+
     /// The limits and tolerances of the rules.
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -88,7 +88,7 @@
     assert!(seen.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()));
 }
 
-/// The incident of 2026-12-02: restarted nodes sent to workers that had begun to drain while they were down.
+/// The incident of 2026-12-02: restarted nodes sent to workers that had started to drain while the nodes were down.
 #[test]
 fn nodes_come_back_with_old_lists_then_nothing_is_sent_to_workers_that_drain() {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/restart-with-old-list.toml");
--- a/crates/testbed/tests/unit/golden_run.rs
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -5,8 +5,8 @@
 use super::*;
 use crate::event_log::Record;
 use crate::golden::{self, golden};
-use crate::nodes::Sample;
-use crate::play::Played;
+use crate::play::FinishedRun;
+use crate::process_cost::Sample;
 use crate::rules::{Violation, check_footprint, check_rules};
 use crate::scenario::Scenario;
 
@@ -35,8 +35,8 @@
     ]
 }
 
-fn played() -> Played {
-    Played {
+fn played() -> FinishedRun {
+    FinishedRun {
         records: records(),
         samples: samples(),
         begin: Timestamp::from_micros(200_000),
@@ -46,9 +46,9 @@
     }
 }
 
-fn violations(scenario: &Scenario, played: &Played) -> Vec<Violation> {
+fn violations(scenario: &Scenario, played: &FinishedRun) -> Vec<Violation> {
     let mut violations = check_rules(&played.records, &scenario.rule_parameters());
-    violations.extend(check_footprint(&played.samples, scenario));
+    violations.extend(check_footprint(&played.samples, scenario.footprint_limits()));
     violations
 }
 
