--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -66,7 +66,7 @@
     /// A command on a worker, named here, lacks the worker's id.
     #[error("{0} needs the id of a core worker as discovery lists it, as in {0} s-5be2a07c")]
     MissingWorkerId(&'static str),
-    /// The command named here is followed by more words than it takes.
+    /// The command named here is followed by more words than it allows.
     #[error("{0} takes nothing more; send one call a connection")]
     UnexpectedArgument(&'static str),
     /// The id is longer than [`MAX_WORKER_ID_BYTES`].
@@ -74,7 +74,7 @@
     WorkerIdTooLong,
 }
 
-/// Why a command was not carried out. Each text says what an operator can do.
+/// Why a command was not carried out. Each text states what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandError {
     /// The process does not serve in this phase.
@@ -92,7 +92,7 @@
     #[error("this process is ending; ask its successor at that one's second address")]
     #[serde(rename = "Ending")]
     ShuttingDown,
-    /// The command was not carried out in time, or the task that carries it out is gone.
+    /// The command was not carried out in time, or the task that carries it out has ended.
     #[error("not done in time; call again, and restart the node if that does not help")]
     #[serde(rename = "NotDone")]
     TimedOut,
@@ -148,12 +148,12 @@
     command: &'static str,
     mut arguments: impl Iterator<Item = &'a str>,
 ) -> Result<String, CommandParseError> {
-    let id = arguments.next().ok_or(CommandParseError::MissingWorkerId(command))?;
+    let worker_id = arguments.next().ok_or(CommandParseError::MissingWorkerId(command))?;
     expect_no_argument(command, arguments)?;
-    if id.len() > MAX_WORKER_ID_BYTES {
+    if worker_id.len() > MAX_WORKER_ID_BYTES {
         return Err(CommandParseError::WorkerIdTooLong);
     }
-    Ok(id.to_owned())
+    Ok(worker_id.to_owned())
 }
 
 /// The line that [`AdminCommand::parse`] reads as this command, without its end.
--- a/crates/control/src/frame/header.rs
+++ b/crates/control/src/frame/header.rs
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Parses the header at the beginning of `bytes`; `None` if more of it is to come. Bytes that cannot
+    /// Parses the header at the beginning of `bytes`; `None` if more of it has to arrive. Bytes that cannot
     /// become a header fail as early as they show it.
     pub(super) fn parse(bytes: &[u8]) -> Result<Option<FrameHeader>, FrameError> {
         check_magic(bytes)?;
@@ -102,6 +102,7 @@
     Ok(())
 }
 
+/// The checksum of a frame: CRC-32 over its kind, its sequence number and its payload.
 pub(super) fn checksum(kind: u8, sequence: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -1,6 +1,6 @@
 //! Entries of the endpoint list: which workers there are, and in what state.
 
-use super::{CellId, KindId, Micros, WorkerId, ZoneId};
+use super::{CellId, KindId, Timestamp, WorkerId, ZoneId};
 
 /// State of a worker according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,6 +13,15 @@
     Gone,
 }
 
+/// How the entries of a message of discovery change the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointUpdate {
+    /// These are all entries: a worker that is not among them is gone.
+    Snapshot,
+    /// The entries have changed; all others stay as they are.
+    Delta,
+}
+
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
@@ -27,7 +36,7 @@
     /// Whether the worker accepts new jobs.
     pub status: WorkerStatus,
     /// When the worker's process started; 0: long ago.
-    pub started_at: Micros,
+    pub started_at: Timestamp,
     /// Approximate number of slots; used only where [`Settings::sizes_listed`](crate::Settings::sizes_listed).
     pub size: f64,
 }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! Events: what the embedder reports to the dispatcher.
 
-use super::{Endpoint, JobId, JobSubmission, Micros, Outcome, WorkerId};
+use super::{Endpoint, EndpointUpdate, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId};
 
 /// Something that has happened. Pass each to [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
 ///
@@ -13,19 +13,19 @@
     EndpointsChanged {
         /// The entries.
         endpoints: &'a [Endpoint],
-        /// These are all entries: a worker that is not among them is gone. Otherwise they are changes.
-        snapshot: bool,
+        /// Whether these are all entries or changes.
+        update: EndpointUpdate,
     },
     /// Discovery confirmed the known endpoint list, by an answer to a poll, a change or a heartbeat.
     EndpointsConfirmed {
         /// The list is known to have been current at this moment: when the line of the watch was read, or when the
         /// poll was sent. A moment after that of the event counts as that of the event.
-        as_of: Micros,
+        as_of: Timestamp,
     },
     /// Discovery answered a poll.
     PollAnswered {
         /// Time from the request to the answer.
-        duration: Micros,
+        duration: TimeSpan,
     },
     /// Discovery sent something that could not be parsed as an endpoint list.
     EndpointsUnreadable,
@@ -89,13 +89,16 @@
         /// The message.
         data: &'a [u8],
     },
-    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says, or
-    /// enabled it again.
-    MaintenanceChanged {
+    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says. No effect
+    /// on a worker that is disabled already.
+    WorkerDisabled {
+        /// Which worker.
+        worker: WorkerId,
+    },
+    /// An operator enabled a worker again. No effect on a worker that is not disabled.
+    WorkerEnabled {
         /// Which worker.
         worker: WorkerId,
-        /// Whether it is disabled; repeating the present state has no effect.
-        disabled: bool,
     },
     /// Another process of this node has taken over, or has exited again. While it is active, filling the workers
     /// that are warming up is left to it.
@@ -106,7 +109,7 @@
     /// A graceful shutdown of this node has begun.
     ShutdownStarted {
         /// The moment by which all submitted jobs must be answered.
-        deadline: Micros,
+        deadline: Timestamp,
     },
     /// The timer of [`Action::SetTimer`](crate::Action::SetTimer) expired. Send it once right after the start
     /// too.
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -1,35 +1,35 @@
-//! Drives the nodes of a fleet with drawn events, and carries out their actions in virtual time.
+//! Drives the nodes of a fleet with random events, and carries out their actions in virtual time.
 
 mod external_events;
 
 use std::collections::BTreeMap;
+use std::ops::RangeBounds;
 
 use crate::common::*;
 use crate::recorder::Recorder;
 
-pub const MILLISECOND: Micros = 1_000;
-/// External events of one fleet, but for those of its shutdown.
+/// Number of external events of one fleet, without those during its shutdown.
 const EVENTS: u64 = 3_000;
-const SHUTDOWN_TIMEOUT: Micros = 3 * SECOND;
-/// Load in the parts of a run, in percent of the usual.
+const SHUTDOWN_TIMEOUT: TimeSpan = seconds(3);
+/// Load in the parts of a run, in percent of the usual load.
 const LOADS: [u64; 5] = [60, 100, 220, 90, 150];
 
 pub struct Fleet {
-    /// Hold for all nodes but for their index.
+    /// Settings of the first node; the others differ in their index only.
     pub settings: Settings,
     /// Nodes that are driven, by index from that of the settings.
     pub driven_nodes: u32,
     pub workers: u64,
     /// Mean time between events at usual load.
-    pub mean_gap: Micros,
-    /// Most time that other nodes' work takes of a worker before each attempt.
-    pub max_other_work: Micros,
+    pub mean_gap: TimeSpan,
+    /// Maximum time for which work of other nodes occupies a worker before each attempt.
+    pub max_other_work: TimeSpan,
 }
 
 enum Scheduled {
     Timer { process: usize },
     Gossip { to: usize, from: u32, data: Vec<u8> },
-    PollEnd { process: usize, begin: Micros, is_answered: bool },
+    PollEnd { process: usize, begin: Timestamp, is_answered: bool },
     Attempt { job: JobId, attempt: u32, event: Event<'static> },
 }
 
@@ -51,19 +51,19 @@
     fleet: Fleet,
     seed: u64,
     rng: fastrand::Rng,
-    now: Micros,
+    now: Timestamp,
     processes: Vec<Process>,
     endpoints: Vec<Endpoint>,
-    workers_free_at: Vec<Micros>,
+    workers_free_at: Vec<Timestamp>,
     /// By time, then in the order in which they were scheduled.
-    schedule: BTreeMap<(Micros, u64), Scheduled>,
+    schedule: BTreeMap<(Timestamp, u64), Scheduled>,
     scheduled: u64,
     jobs: BTreeMap<JobId, Job>,
     recorder: Recorder,
 }
 
 impl Driver {
-    /// Plays all events of a fleet. Returns what is recorded of its actions.
+    /// Plays all events of a fleet. Returns the record of its actions.
     pub fn run(fleet: Fleet, seed: u64) -> Recorder {
         let mut driver = Driver::new(fleet, seed);
         driver.play_events();
@@ -74,17 +74,17 @@
     fn new(fleet: Fleet, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let endpoints: Vec<Endpoint> = (0..fleet.workers)
-            .map(|id| Endpoint {
-                zone: ZoneId(id as u32 % 2),
-                kind: KindId(id as u32 / 2 % 3),
-                started_at: if id % 5 == 4 { 9 * SECOND } else { 0 },
+            .map(|worker| Endpoint {
+                zone: ZoneId(worker as u32 % 2),
+                kind: KindId(worker as u32 / 2 % 3),
+                started_at: if worker % 5 == 4 { at(seconds(9)) } else { Timestamp::ORIGIN },
                 size: f64::from(rng.u32(1..4)),
-                ..endpoint(id)
+                ..endpoint(worker)
             })
             .collect();
         let mut driver = Driver {
-            workers_free_at: vec![0; endpoints.len()],
-            now: 10 * SECOND,
+            workers_free_at: vec![Timestamp::ORIGIN; endpoints.len()],
+            now: START,
             processes: Vec::new(),
             schedule: BTreeMap::new(),
             scheduled: 0,
@@ -103,7 +103,7 @@
     fn play_events(&mut self) {
         for event in 0..EVENTS {
             let load = LOADS[(event * LOADS.len() as u64 / EVENTS) as usize];
-            let gap = self.rng.u64(1..2 * self.fleet.mean_gap) * 100 / load;
+            let gap = self.random_span(micros(1)..self.fleet.mean_gap * 2) * 100 / load;
             self.advance(self.now + gap);
             self.play_external_event();
             if event == EVENTS / 2 {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Starts a process: its timer expires, and it reads the saved list in the same moment.
+    /// Starts a process: its timer expires, and it reads the saved list at the same moment.
     fn start_process(&mut self, node_index: u32) {
         let process = self.processes.len();
         let settings = Settings { node_index, ..self.fleet.settings.clone() };
@@ -141,16 +141,20 @@
         self.deliver_list(process, true);
     }
 
-    fn schedule(&mut self, at: Micros, event: Scheduled) {
+    fn random_span(&mut self, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
+        random_span(&mut self.rng, range)
+    }
+
+    fn schedule(&mut self, at: Timestamp, event: Scheduled) {
         self.scheduled += 1;
         self.schedule.insert((at, self.scheduled), event);
     }
 
-    fn schedule_attempt_event(&mut self, at: Micros, job: JobId, attempt: u32, event: Event<'static>) {
+    fn schedule_attempt_event(&mut self, at: Timestamp, job: JobId, attempt: u32, event: Event<'static>) {
         self.schedule(at, Scheduled::Attempt { job, attempt, event });
     }
 
-    fn schedule_end(&mut self, at: Micros, job: JobId, attempt: u32, outcome: Outcome) {
+    fn schedule_end(&mut self, at: Timestamp, job: JobId, attempt: u32, outcome: Outcome) {
         let settled = outcome == Outcome::Done;
         self.schedule_attempt_event(at, job, attempt, Event::AttemptEnded { job, attempt, outcome, settled });
     }
@@ -169,7 +173,10 @@
     fn deliver_list(&mut self, process: usize, snapshot: bool) {
         let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Gone;
         let endpoints: Vec<Endpoint> = self.endpoints.iter().filter(is_listed).cloned().collect();
-        self.handle(process, Event::EndpointsChanged { endpoints: &endpoints, snapshot });
+        self.handle(
+            process,
+            Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(snapshot) },
+        );
     }
 
     fn carry_out(&mut self, process: usize, actions: Vec<Action>) {
@@ -178,42 +185,42 @@
             match action {
                 Action::SendAttempt { job, worker, timeout, .. } => self.send_attempt(job, worker, timeout),
                 Action::Reject { job, .. } | Action::Fail { job } => self.mark_answered(job),
-                Action::RevokeAttempt { job, attempt } => self.call_off(job, attempt, Outcome::NotSent),
-                Action::CancelAttempt { job, attempt } => self.call_off(job, attempt, Outcome::Cancelled),
+                Action::RevokeAttempt { job, attempt } => self.end_early(job, attempt, Outcome::NotSent),
+                Action::CancelAttempt { job, attempt } => self.end_early(job, attempt, Outcome::Cancelled),
                 Action::SendGossip { to, data } => self.send_gossip(process, to, &data),
                 Action::SetTimer { after } => self.schedule(self.now + after, Scheduled::Timer { process }),
                 Action::WatchEndpoints => {
-                    let at = self.now + self.rng.u64(5 * MILLISECOND..200 * MILLISECOND);
+                    let ends_at = self.now + self.random_span(millis(5)..millis(200));
                     let is_answered = self.rng.u8(0..3) > 0;
-                    self.schedule(at, Scheduled::PollEnd { process, begin: self.now, is_answered });
+                    self.schedule(ends_at, Scheduled::PollEnd { process, begin: self.now, is_answered });
                 }
             }
         }
     }
 
     fn send_gossip(&mut self, process: usize, to_node: u32, data: &[u8]) {
-        let at = self.now + self.rng.u64(1..4 * MILLISECOND);
+        let received_at = self.now + self.random_span(micros(1)..millis(4));
         let from = self.processes[process].node_index;
         for to in 0..self.processes.len() {
             if self.processes[to].node_index == to_node {
-                self.schedule(at, Scheduled::Gossip { to, from, data: data.to_vec() });
+                self.schedule(received_at, Scheduled::Gossip { to, from, data: data.to_vec() });
             }
         }
     }
 
-    /// An attempt waits for its worker, runs there for about its hint, and ends in any way.
-    fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: Micros) {
+    /// An attempt waits for its worker, runs there for a random time, and ends with a random outcome.
+    fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: TimeSpan) {
         let state = self.jobs.get_mut(&job).expect("a submitted job");
         let attempt = state.attempts;
         state.attempts += 1;
         state.in_flight.insert(attempt, false);
         let worker = worker.0 as usize;
-        let other_work = self.rng.u64(0..=self.fleet.max_other_work);
-        let begin = self.now.max(self.workers_free_at[worker]) + other_work + MILLISECOND;
-        let end = begin + self.rng.u64(5 * MILLISECOND..220 * MILLISECOND);
+        let other_work = self.random_span(..=self.fleet.max_other_work);
+        let begin = self.now.max(self.workers_free_at[worker]) + other_work + millis(1);
+        let end = begin + self.random_span(millis(5)..millis(220));
         let middle = begin + (end - begin) / 2;
         let timeout_at = self.now + timeout;
-        let accepted_at = self.now + self.rng.u64(1..20 * MILLISECOND);
+        let accepted_at = self.now + self.random_span(micros(1)..millis(20));
         let early =
             [Outcome::Rejected, Outcome::Unreachable, Outcome::NotSent, Outcome::Lost, Outcome::Error];
         let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
@@ -222,9 +229,9 @@
             return self.schedule_end(accepted_at.min(timeout_at), job, attempt, *outcome);
         }
         self.workers_free_at[worker] = end;
-        // One in some stays silent until it times out.
-        let is_silent = draw >= 118;
-        if !is_silent {
+        // A few attempts get no response until they time out.
+        let is_unanswered = draw >= 118;
+        if !is_unanswered {
             self.schedule_attempt_event(accepted_at, job, attempt, Event::AttemptAccepted { job, attempt });
             self.schedule_attempt_event(
                 begin.max(accepted_at),
@@ -244,7 +251,7 @@
             _ => {}
         }
         let outcome = late.get(draw - early.len()).copied().unwrap_or(Outcome::Done);
-        let times_out = is_silent || end > timeout_at;
+        let times_out = is_unanswered || end > timeout_at;
         let (at, outcome) = if times_out { (timeout_at, Outcome::TimedOut) } else { (end, outcome) };
         self.schedule_end(at, job, attempt, outcome);
     }
@@ -253,17 +260,17 @@
         self.jobs.entry(job).and_modify(|state| state.is_answered = true);
     }
 
-    /// A revoked attempt ends if it is not accepted yet; a cancelled one ends soon, unless it ends before.
-    fn call_off(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
+    /// Ends a revoked attempt if it has not been accepted, and a cancelled one soon unless it ends by itself before.
+    fn end_early(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
         let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
         if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
-            let at = self.now + self.rng.u64(0..2 * MILLISECOND);
-            self.schedule_end(at, job, attempt, outcome);
+            let ends_at = self.now + self.random_span(..millis(2));
+            self.schedule_end(ends_at, job, attempt, outcome);
         }
     }
 
-    /// Plays all that is scheduled until a time.
-    fn advance(&mut self, until: Micros) {
+    /// Plays all scheduled events until a moment.
+    fn advance(&mut self, until: Timestamp) {
         while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
@@ -309,7 +316,7 @@
         self.handle(process, event);
     }
 
-    /// Moves the state snapshot of one process to another, and then most of its open jobs.
+    /// Transfers the state snapshot of one process to another, and then most of its open jobs.
     fn hand_over(&mut self, from: usize, to: usize) {
         let snapshot = self.processes[from].node.dispatcher.snapshot();
         self.recorder.record_json(&snapshot);
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -1,9 +1,9 @@
-//! The dispatcher's interface: determinism, events that fit nothing, and checks of settings.
+//! The dispatcher's interface: determinism, events of unknown or ended jobs, and validation of settings.
 
 use crate::common::*;
 
 #[test]
-fn late_or_unknown_events_then_they_are_ignored() {
+fn events_are_late_or_unknown_then_they_are_ignored() {
     let mut node = TestNode::new(settings(), &endpoints(1));
     node.submit(1, 0, 0.1);
     node.end(1, 0, Outcome::Done);
@@ -16,19 +16,23 @@
     node.handle(Event::GossipReceived { from: 9, data: &[1, 2, 3] });
     assert!(has_failure(&node.submit(5, 9, 0.1)), "an unknown class");
     for (job, hint, slots) in [(6, f64::NAN, f64::NAN), (7, -1.0, -3.0), (8, f64::INFINITY, 1e300)] {
-        node.submit_job(JobSubmission { slots, deadline: 0, ..submission(job, 0, hint, node.now) });
+        node.submit_job(JobSubmission {
+            slots,
+            deadline: Timestamp::ORIGIN,
+            ..submission(job, 0, hint, node.now)
+        });
     }
     node.advance(SECOND);
 }
 
 #[test]
-fn same_events_then_the_same_actions() {
+fn events_are_the_same_then_the_actions_are_the_same() {
     let run = || {
         let mut node = TestNode::new(settings(), &endpoints(5));
         let mut all = Vec::new();
         for job in 0..50 {
             all.extend(node.submit(job, (job % 3) as usize, 0.02));
-            all.extend(node.advance(15_000));
+            all.extend(node.advance(millis(15)));
             all.extend(node.end(job, 0, if job % 7 == 0 { Outcome::Lost } else { Outcome::Done }));
         }
         all
@@ -37,7 +41,7 @@
 }
 
 #[test]
-fn invalid_settings_then_their_field_is_named() {
+fn settings_are_invalid_then_the_field_is_named() {
     let invalid_field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -1,6 +1,6 @@
-//! Fleets of nodes in virtual time against one modelled discovery that serves polls one after another, goes down and
-//! returns, closes watches and lets them fall silent. Each scenario is drawn from a seed. No node may send to a
-//! worker later than 750 ms after the worker's drain counts as notified.
+//! Fleets of nodes in virtual time with one modelled discovery that serves polls one after another, has an outage,
+//! closes watches and stops sending on them. Each scenario is drawn from a seed. No node may send to a worker later
+//! than 750 ms after the worker's drain counts as notified.
 //!
 //!     FLEETS_SEED=7 FLEETS_COUNT=300 cargo test -p curlewusher-core --test fleets -- --nocapture
 
@@ -10,56 +10,54 @@
 
 use common::*;
 
-const MILLISECOND: Micros = 1_000;
-const STEP: Micros = 10 * MILLISECOND;
-const BEGIN: Micros = 10 * SECOND;
-const LENGTH: Micros = 45 * SECOND;
-const NOTIFIED_WITHIN: Micros = 6 * SECOND;
-const STOP_SENDING_WITHIN: Micros = 750 * MILLISECOND;
-const POLL_TIMEOUT: Micros = 2 * SECOND;
-/// A watch without an event for so long counts as failed.
-const WATCH_TIMEOUT: Micros = 3 * SECOND;
-const HEARTBEAT_INTERVAL: Micros = 2 * SECOND;
+const STEP: TimeSpan = millis(10);
+const LENGTH: TimeSpan = seconds(45);
+const NOTIFIED_WITHIN: TimeSpan = seconds(6);
+const STOP_SENDING_WITHIN: TimeSpan = millis(750);
+const POLL_TIMEOUT: TimeSpan = seconds(2);
+/// A watch without an event for this long counts as failed.
+const WATCH_TIMEOUT: TimeSpan = seconds(3);
+const HEARTBEAT_INTERVAL: TimeSpan = seconds(2);
 
-/// What happens to a fleet.
+/// The events of a fleet.
 #[derive(Debug)]
 struct Scenario {
     nodes: u32,
     /// Time that discovery takes to serve a poll.
-    poll_duration: Micros,
-    /// The same before discovery goes down for the first time: there is nothing to tell.
-    quiet_poll_duration: Micros,
-    /// A poll that has timed out takes that time as well.
+    poll_duration: TimeSpan,
+    /// The same before the outage of discovery, while there are no changes to send. Zero: `poll_duration`.
+    quiet_poll_duration: TimeSpan,
+    /// A poll that has timed out takes that time too.
     serves_timed_out_polls: bool,
-    down_from: Micros,
-    down_until: Micros,
+    down_from: Timestamp,
+    down_until: Timestamp,
     /// All watches are closed.
-    watches_close: Option<Micros>,
+    watches_close: Option<Timestamp>,
     /// All watches fall silent.
-    watches_fall_silent: Option<Micros>,
+    watches_fall_silent: Option<Timestamp>,
     /// Most nodes are killed and restart.
-    nodes_restart: Option<Micros>,
+    nodes_restart: Option<Timestamp>,
     /// When each of the first workers begins to drain.
-    drains: Vec<Micros>,
+    drains: Vec<Timestamp>,
 }
 
 impl Scenario {
     fn draw(seed: u64) -> Scenario {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut draw_time = |from, to| BEGIN + rng.u64(from * SECOND..to * SECOND);
+        let mut draw_time = |from, to| START + random_span(&mut rng, seconds(from)..seconds(to));
         let down_from = draw_time(8, 14);
         let [closed_at, silent_at, killed_at] =
             [(2, 34), (2, 34), (5, 30)].map(|(from, to)| draw_time(from, to));
         let drains = (0..4).map(|_| draw_time(6, 38)).collect();
-        let nodes = *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("some");
+        let nodes = *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("not empty");
         Scenario {
             nodes,
-            // The whole list of a fleet takes no longer than 10 s, as on the sites that are known.
-            poll_duration: (rng.u64(5..70) * MILLISECOND).min(10 * SECOND / u64::from(nodes)),
-            quiet_poll_duration: 0,
+            // One poll of each node takes no longer than 10 s, as on the known sites.
+            poll_duration: millis(rng.u64(5..70)).min(seconds(10) / u64::from(nodes)),
+            quiet_poll_duration: TimeSpan::ZERO,
             serves_timed_out_polls: rng.bool(),
             down_from,
-            down_until: down_from + rng.u64(0..15) * SECOND,
+            down_until: down_from + seconds(rng.u64(0..15)),
             watches_close: rng.bool().then_some(closed_at),
             watches_fall_silent: rng.bool().then_some(silent_at),
             nodes_restart: rng.bool().then_some(killed_at),
@@ -67,25 +65,25 @@
         }
     }
 
-    fn is_discovery_up(&self, now: Micros) -> bool {
+    fn is_discovery_up(&self, now: Timestamp) -> bool {
         !(self.down_from..self.down_until).contains(&now)
     }
 
-    /// When a change of that time counts as notified to a node that has not received it.
-    fn notified_at(&self, changed: Micros) -> Micros {
+    /// When a change made at that time counts as notified to a node that has not received it.
+    fn notified_at(&self, changed: Timestamp) -> Timestamp {
         (if self.is_discovery_up(changed) { changed } else { self.down_until }) + NOTIFIED_WITHIN
     }
 }
 
-/// Whether something that was drawn for a time happens in this step.
-fn happens(at: Option<Micros>, now: Micros) -> bool {
-    at.is_some_and(|at| now == at / STEP * STEP)
+/// Whether an event of this time happens in the step that begins now.
+fn happens(event_at: Option<Timestamp>, now: Timestamp) -> bool {
+    event_at.is_some_and(|moment| (now..now + STEP).contains(&moment))
 }
 
 #[derive(Clone, Copy, PartialEq)]
 struct Poll {
     node_index: usize,
-    begin: Micros,
+    begin: Timestamp,
 }
 
 /// Discovery serves polls one after another.
@@ -93,15 +91,15 @@
 struct Discovery {
     queue: VecDeque<Poll>,
     serving: Option<Poll>,
-    free_at: Micros,
+    free_at: Timestamp,
 }
 
 impl Discovery {
     /// Serves until now. Returns the node whose poll is answered, if one is.
-    fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Micros) -> Option<usize> {
+    fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Timestamp) -> Option<usize> {
         let is_up = scenario.is_discovery_up(now);
         if !is_up {
-            // The polls that it has are never served.
+            // Polls that it has received are never served.
             *self = Discovery { free_at: now, ..Discovery::default() };
         }
         let is_waiting = |poll: &Poll| nodes[poll.node_index].connection == Connection::Polling(*poll);
@@ -110,7 +108,7 @@
             let Some(poll) = self.queue.pop_front() else { break };
             let in_time = is_waiting(&poll) && now < poll.begin + POLL_TIMEOUT;
             if in_time || scenario.serves_timed_out_polls {
-                let is_quiet = now < scenario.down_from && scenario.quiet_poll_duration > 0;
+                let is_quiet = now < scenario.down_from && !scenario.quiet_poll_duration.is_zero();
                 self.free_at =
                     now + if is_quiet { scenario.quiet_poll_duration } else { scenario.poll_duration };
             }
@@ -125,17 +123,17 @@
 enum Connection {
     Closed,
     Polling(Poll),
-    Watching { last_event: Micros, is_silent: bool },
+    Watching { last_event: Timestamp, is_silent: bool },
 }
 
 struct SimulatedNode {
     node: TestNode,
     index: usize,
     connection: Connection,
-    timer: Micros,
+    timer: Timestamp,
     /// When it received each worker's drain.
-    drains_received: Vec<Option<Micros>>,
-    started: Micros,
+    drains_received: Vec<Option<Timestamp>>,
+    started: Timestamp,
     submitted: u64,
     sent: u64,
     /// Actions of this step that are not carried out yet.
@@ -143,7 +141,7 @@
 }
 
 impl SimulatedNode {
-    fn start(scenario: &Scenario, node_index: u32, now: Micros, seed: u64) -> Self {
+    fn start(scenario: &Scenario, node_index: u32, now: Timestamp, seed: u64) -> Self {
         let settings = Settings {
             endpoints_on_request: true,
             assumed_notified_after: NOTIFIED_WITHIN,
@@ -166,7 +164,7 @@
         self.actions.extend(self.node.handle(event));
     }
 
-    /// Fails a poll or a watch that is over. Returns whether a list is received.
+    /// Ends a poll or a watch that has failed. Returns whether a list is received.
     fn update_connection(&mut self, scenario: &Scenario, is_answered: bool, report: &mut Report) -> bool {
         let now = self.node.now;
         if is_answered && let Connection::Polling(poll) = self.connection {
@@ -181,7 +179,7 @@
             Connection::Watching { last_event, is_silent } => {
                 let is_closed = happens(scenario.watches_close, now) || !scenario.is_discovery_up(now);
                 let is_silent = is_silent || happens(scenario.watches_fall_silent, now);
-                let changed = scenario.drains.iter().any(|at| (now - STEP..now).contains(at));
+                let changed = scenario.drains.iter().any(|drain| (now - STEP..now).contains(drain));
                 let has_event = !is_silent && (changed || now >= last_event + HEARTBEAT_INTERVAL);
                 let last_event = if has_event { now } else { last_event };
                 self.connection = Connection::Watching { last_event, is_silent };
@@ -204,11 +202,11 @@
     fn receive_list(&mut self, scenario: &Scenario, workers: &[Endpoint]) {
         let now = self.node.now;
         let mut list = workers.to_vec();
-        for (worker, at) in scenario.drains.iter().enumerate().filter(|(_, at)| **at < now) {
+        for (worker, drain) in scenario.drains.iter().enumerate().filter(|(_, drain)| **drain < now) {
             list[worker].status = WorkerStatus::Draining;
-            self.drains_received[worker].get_or_insert(now.max(*at));
+            self.drains_received[worker].get_or_insert(now.max(*drain));
         }
-        self.handle(Event::EndpointsChanged { endpoints: &list, snapshot: true });
+        self.handle(Event::EndpointsChanged { endpoints: &list, update: EndpointUpdate::Snapshot });
         let as_of = match self.connection {
             Connection::Watching { last_event, .. } => last_event,
             Connection::Closed | Connection::Polling(_) => now,
@@ -217,11 +215,11 @@
     }
 
     fn expire_timer(&mut self, workers: &[Endpoint]) {
-        self.timer = Micros::MAX;
+        self.timer = Timestamp::MAX;
         self.handle(Event::TimerExpired);
         if self.node.now == self.started {
             // The saved list is read at the first timer expiry.
-            self.handle(Event::EndpointsChanged { endpoints: workers, snapshot: true });
+            self.handle(Event::EndpointsChanged { endpoints: workers, update: EndpointUpdate::Snapshot });
         }
     }
 
@@ -247,33 +245,32 @@
         }
     }
 
-    /// When the node counts as notified of the drain of a worker that drains.
-    fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Micros> {
+    /// When the node counts as notified of the drain of a worker, if the worker is draining.
+    fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Timestamp> {
         let begin = *scenario.drains.get(worker).filter(|begin| **begin < self.node.now)?;
-        // A process that has just started is held to it like all others.
+        // This holds for a process that has just started too.
         Some(self.drains_received[worker].unwrap_or_else(|| scenario.notified_at(begin)))
     }
 }
 
-/// What came of a scenario.
+/// The result of a scenario.
 #[derive(Debug, Default)]
 struct Report {
-    /// Sends that came too late after a drain counted as notified, and the latest of them.
+    /// Number of sends that were too late after a drain counted as notified, and the largest delay of one.
     late_sends: u64,
-    latest_send: Micros,
-    /// Jobs, and those sent within the step, but for those of processes that were killed.
+    largest_delay: TimeSpan,
+    /// Jobs that were submitted, and those sent within the step, without those of processes that were killed.
     submitted: u64,
     sent: u64,
     failed_polls: u64,
 }
 
 impl Report {
-    fn check_send(&mut self, notified_at: Option<Micros>, now: Micros) {
-        if let Some(late) =
-            notified_at.and_then(|at| now.checked_sub(at)).filter(|late| *late > STOP_SENDING_WITHIN)
-        {
+    fn check_send(&mut self, notified_at: Option<Timestamp>, now: Timestamp) {
+        let late = notified_at.map_or(TimeSpan::ZERO, |moment| now.saturating_since(moment));
+        if late > STOP_SENDING_WITHIN {
             self.late_sends += 1;
-            self.latest_send = self.latest_send.max(late);
+            self.largest_delay = self.largest_delay.max(late);
         }
     }
 }
@@ -282,9 +279,9 @@
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let workers = endpoints(scenario.drains.len() as u64 + 4);
     let mut start = |node_index, now| SimulatedNode::start(scenario, node_index, now, rng.u64(..));
-    let mut nodes: Vec<_> = (0..scenario.nodes).map(|node_index| start(node_index, BEGIN)).collect();
+    let mut nodes: Vec<_> = (0..scenario.nodes).map(|node_index| start(node_index, START)).collect();
     let (mut discovery, mut report, mut last_job) = (Discovery::default(), Report::default(), 0);
-    for now in (BEGIN..BEGIN + LENGTH).step_by(STEP as usize) {
+    for (step, now) in moments(START, START + LENGTH, STEP).enumerate() {
         if happens(scenario.nodes_restart, now) {
             (0..scenario.nodes * 7 / 10).for_each(|index| nodes[index as usize] = start(index, now));
         }
@@ -297,7 +294,7 @@
             if now >= node.timer {
                 node.expire_timer(&workers);
             }
-            if (now / STEP + index as u64).is_multiple_of(20) {
+            if (step + index).is_multiple_of(20) {
                 last_job += 1;
                 node.submitted += 1;
                 node.actions.extend(node.node.submit(last_job, 0, 0.02));
@@ -326,22 +323,22 @@
     }
 }
 
-/// Polls that were answered at the start cost little, since there was nothing to tell. If the nodes spread their polls by
-/// that, a discovery that has more to tell after it was down is overloaded and never answers anybody again.
+/// The first polls cost little, since there are no changes to send. If the nodes spread their polls by that, a
+/// discovery that has more to send after an outage is overloaded and never answers a poll in time again.
 #[test]
-fn first_polls_were_cheap_then_discovery_is_not_overloaded_for_good() {
+fn first_polls_were_cheap_then_discovery_recovers_from_an_overload() {
     for nodes in [60, 100, 140] {
         let scenario = Scenario {
             nodes,
-            poll_duration: 70 * MILLISECOND,
-            quiet_poll_duration: MILLISECOND,
+            poll_duration: millis(70),
+            quiet_poll_duration: millis(1),
             serves_timed_out_polls: true,
-            down_from: BEGIN + 8 * SECOND,
-            down_until: BEGIN + 14 * SECOND,
+            down_from: START + seconds(8),
+            down_until: START + seconds(14),
             watches_close: None,
             watches_fall_silent: None,
             nodes_restart: None,
-            drains: vec![BEGIN + 16 * SECOND],
+            drains: vec![START + seconds(16)],
         };
         let report = run(&scenario, 1);
         println!("{nodes} nodes: {report:?}");
--- a/crates/model/src/worker_pool/parameters.rs
+++ b/crates/model/src/worker_pool/parameters.rs
@@ -1,6 +1,6 @@
 //! The fixed figures of the machines and of the model.
 
-use crate::{Micros, span};
+use crate::TimeSpan;
 
 /// Work of a fetch, as a multiple of the mean work of a job. Measurements of the deployment gave 0.71 to 1.4.
 const FETCH_PER_MEAN_JOB: f64 = 1.0;
@@ -10,7 +10,7 @@
 /// The machine that a worker runs on.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its bay: workers of one bay drop repeats of each other's jobs that bear the same key.
+    /// Its bay: workers of one bay drop repeats of each other's jobs with the same idempotency key.
     pub bay: u32,
     /// Number of cores.
     pub cores: f64,
@@ -22,7 +22,7 @@
     pub memory: f64,
     /// Number of jobs that may wait.
     pub queue: usize,
-    /// Number of data sets that it keeps.
+    /// Number of data sets that it caches.
     pub sets: usize,
 }
 
@@ -30,39 +30,39 @@
 #[derive(Clone, Debug)]
 pub struct PoolParameters {
     /// Fraction of its capacity that a worker has when it starts; it rises linearly to 1 over `warm_up`.
-    pub cold_capacity_fraction: f64,
+    pub initial_capacity_fraction: f64,
     /// Duration of the warm-up.
-    pub warm_up: Micros,
+    pub warm_up: TimeSpan,
     /// A worker that is warming up crashes when the work offered to it within `overload_window` exceeds this multiple
     /// of what its present capacity can do in that time.
     pub overload_factor: f64,
     /// Window over which offered work is added up.
-    pub overload_window: Micros,
+    pub overload_window: TimeSpan,
     /// Fraction of capacity lost, in the manner of 1 / (1 + penalty), when twice the cores are in demand.
     pub contention_penalty: f64,
     /// Seconds that a fetch takes at full speed.
     pub fetch_seconds: f64,
     /// Number of fetches that the archive serves at full speed.
     pub archive_concurrency: f64,
-    /// Repeats of a keyed job are dropped in its bay for this long after the first arrival.
-    pub deduplication_window: Micros,
+    /// Repeats of a job with an idempotency key are dropped in its bay for this long after the first arrival.
+    pub deduplication_window: TimeSpan,
     /// Interval between two progress reports of a job.
-    pub progress_interval: Micros,
+    pub progress_interval: TimeSpan,
 }
 
 impl Default for PoolParameters {
     /// The operators' deployment, the middle of each stated range.
     fn default() -> Self {
         PoolParameters {
-            cold_capacity_fraction: 0.13,
-            warm_up: span(24.0),
+            initial_capacity_fraction: 0.13,
+            warm_up: TimeSpan::from_secs(24),
             overload_factor: 3.0,
-            overload_window: span(2.0),
+            overload_window: TimeSpan::from_secs(2),
             contention_penalty: 0.05,
             fetch_seconds: MEAN_JOB_SECONDS * FETCH_PER_MEAN_JOB,
             archive_concurrency: 24.0,
-            deduplication_window: span(40.0),
-            progress_interval: span(2.0),
+            deduplication_window: TimeSpan::from_secs(40),
+            progress_interval: TimeSpan::from_secs(2),
         }
     }
 }
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -13,18 +13,18 @@
 
 use crate::lifecycle::{Lifecycle, Phase};
 
-/// Longest wait for a whole line.
+/// Longest wait for a complete line.
 const READ_LINE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait for the result of a command. An operator waits 1 s for the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest time for writing the response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A command on its way to [`AdminService`](crate::admin::service::AdminService).
+/// A command that is sent to [`AdminService`](crate::admin::service::AdminService).
 pub struct PendingCommand {
     /// What an operator has sent.
     pub command: AdminCommand,
-    /// Where the result goes.
+    /// Receives the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
 
@@ -40,6 +40,7 @@
 impl CommandHandler {
     /// Serves a connection to its end.
     pub async fn serve_connection(self, mut stream: TcpStream) {
+        // Without it the response may be delayed, but arrives.
         let _ = stream.set_nodelay(true);
         let Ok(Some(line)) = timeout(READ_LINE_TIMEOUT, read_line(&mut stream)).await else { return };
         let result = match AdminCommand::parse(&line) {
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -5,6 +5,7 @@
 use std::rc::Rc;
 
 use curlewusher_control::command::{AdminCommand, CommandError, CommandResult, format_response};
+use curlewusher_control::maintenance::MaintenanceAction;
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
@@ -45,13 +46,13 @@
         while let Some(PendingCommand { command, reply }) = commands.recv().await {
             let result = self.carry_out(&command).await;
             let response = format_response(&Ok(result.clone()));
-            info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command");
+            info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command completed");
             // An operator who no longer waits may send it again.
             let _ = reply.send(result);
         }
     }
 
-    /// Carries out a command that came to the other process of this node.
+    /// Carries out a command that the other process of this node has received.
     pub async fn apply_peer_command(&self, command: &AdminCommand) -> CommandResult {
         self.carry_out_here(command, CommandOrigin::Peer).await
     }
@@ -79,30 +80,34 @@
             AdminCommand::Ready => Ok(()),
             AdminCommand::Drain => self.apply_drain_event(PhaseEvent::Drain),
             AdminCommand::Undrain => self.apply_drain_event(PhaseEvent::Undrain),
-            AdminCommand::Disable(worker) => self.set_worker_disabled(worker, true, origin).await,
-            AdminCommand::Enable(worker) => self.set_worker_disabled(worker, false, origin).await,
+            AdminCommand::Disable(worker) => {
+                self.change_maintenance(worker, MaintenanceAction::Disable, origin).await
+            }
+            AdminCommand::Enable(worker) => {
+                self.change_maintenance(worker, MaintenanceAction::Enable, origin).await
+            }
         }
     }
 
     fn apply_drain_event(&self, event: PhaseEvent) -> CommandResult {
-        // Without a transition the node is in the wanted state already, or the process ends.
+        // Without a transition the node is in the requested state already, or the process ends.
         let _ = self.lifecycle.apply(event);
         self.drain_requested.set(true);
         Ok(())
     }
 
     /// A worker that the other process has accepted is accepted here, even if no endpoint list has named it yet.
-    async fn set_worker_disabled(
+    async fn change_maintenance(
         &self,
         worker: &str,
-        disabled: bool,
+        action: MaintenanceAction,
         origin: CommandOrigin,
     ) -> CommandResult {
         let (reply, result) = oneshot::channel();
         let name = worker.to_owned();
         let command = match origin {
-            CommandOrigin::Operator => DispatchCommand::SetWorkerDisabled { name, disabled, result: reply },
-            CommandOrigin::Peer => DispatchCommand::SetWorkerDisabledByPeer { name, disabled, result: reply },
+            CommandOrigin::Operator => DispatchCommand::ChangeMaintenance { name, action, result: reply },
+            CommandOrigin::Peer => DispatchCommand::ChangeMaintenanceForPeer { name, action, result: reply },
         };
         self.dispatch_commands.send(command).await.map_err(|_| CommandError::TimedOut)?;
         result.await.unwrap_or(Err(CommandError::TimedOut))
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -20,7 +20,7 @@
 /// bytes, so that it is enough for 9,000 workers.
 const MAX_LIST_BYTES: usize = 1 << 22;
 
-/// Why the stream of a watch cannot be read. What follows on that watch cannot be told apart from the
+/// Why the stream of a watch cannot be read. What follows on that watch cannot be distinguished from the
 /// malformed part.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
@@ -40,9 +40,9 @@
 pub enum Parsed {
     /// Nothing yet: more bytes are needed.
     Incomplete,
-    /// An empty line between lists, which says that nothing has changed.
+    /// An empty line between lists: nothing has changed.
     Heartbeat,
-    /// A whole list or a change of it.
+    /// A complete list or a change of it.
     List(EndpointListMessage),
 }
 
@@ -121,7 +121,7 @@
     /// Fails if the incomplete object cannot become a list, whatever follows.
     ///
     /// An object is checked again only once its checkable prefix has doubled, so that small pieces cost no
-    /// more than twice the whole. The check stops at the last punctuation mark or string, because the JSON
+    /// more than twice the complete text. The check stops at the last punctuation mark or string, because the JSON
     /// parser reports a number that breaks off behind its point, its sign or its exponent as a syntax error
     /// and not as a missing end.
     fn check_incomplete_object(&mut self) -> Result<(), EndpointListError> {
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -64,7 +64,7 @@
     watch: EndpointWatch,
 }
 
-/// What the watcher waits for; to be handed to [`WatchState::apply_event`].
+/// What the watcher waits for; to be passed to [`WatchState::apply_event`].
 pub enum StateEvent {
     /// It is time for the scheduled poll.
     PollDue,
@@ -80,7 +80,7 @@
     result: Result<OpenedWatch, WatchError>,
 }
 
-/// What came of the open watch.
+/// What the open watch delivered.
 pub struct WatchOutcome {
     generation: AddressGeneration,
     result: Result<ReceivedEvent, WatchError>,
@@ -90,7 +90,7 @@
 pub enum WatchUpdate {
     /// A list, or a change of it.
     List(ListUpdate),
-    /// The watch at the present address says that nothing has changed up to this moment.
+    /// The watch at the present address confirms that nothing has changed up to this moment.
     Confirmed(Instant),
     /// A watch or a poll has failed. The caller reports it and calls [`WatchState::record_failure`].
     Failed(WatchFailure),
@@ -100,8 +100,8 @@
 pub struct ListUpdate {
     /// The list.
     pub list: EndpointListMessage,
-    /// With it, the whole list is known to have been current at this moment. None if that is not known: the list is of
-    /// an earlier address, or came after a silence.
+    /// The moment at which the complete list, with this update applied, was current. None if that is unknown: the list
+    /// is of an earlier address, or arrived after a silence.
     pub current_as_of: Option<Instant>,
     /// How long the poll took of which it is the first answer.
     pub poll_duration: Option<Duration>,
@@ -117,6 +117,16 @@
     is_poll: bool,
 }
 
+/// Where the next poll comes from after a failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NextPoll {
+    /// It is scheduled, or the dispatch task has been notified of an earlier failure already.
+    Pending,
+    /// The state was active before the failure and is idle now: the dispatch task has to be notified, which then
+    /// requests the poll.
+    OnRequest,
+}
+
 impl WatchFailure {
     /// Whether a poll failed and not an open watch.
     pub fn is_poll(&self) -> bool {
@@ -172,7 +182,7 @@
         let previous = self.generation;
         self.address = address;
         self.generation = previous.next();
-        // Another discovery numbers its versions in its own way, so that the whole list is needed.
+        // Another discovery numbers its versions in its own way, so that the complete list is needed.
         self.known_index = NO_LIST_INDEX;
         // All changes must be known 4 s later: a poll that hangs must leave time for others.
         self.unrequested_polls_left = Some(self.timing.unrequested_polls());
@@ -213,7 +223,7 @@
                         Some(self.accept_change(generation, list, received.current_as_of))
                     }
                     WatchEvent::Heartbeat => {
-                        // The heartbeat of an old address says nothing about the list at the present one.
+                        // The heartbeat of an old address does not confirm the list at the present one.
                         let as_of = received.current_as_of.filter(|_| generation == self.generation);
                         as_of.map(WatchUpdate::Confirmed)
                     }
@@ -227,9 +237,8 @@
         }
     }
 
-    /// Schedules the next poll after a failure. Returns whether the dispatch task has to be notified, which
-    /// then requests the next poll: the state was active before the failure and is idle now.
-    pub fn record_failure(&mut self, failure: &WatchFailure) -> bool {
+    /// Schedules the next poll after a failure, or returns that the dispatch task has to request it.
+    pub fn record_failure(&mut self, failure: &WatchFailure) -> NextPoll {
         let was_active = failure.is_current || self.is_active();
         if failure.is_current {
             self.schedule_retry(failure);
@@ -242,13 +251,13 @@
             self.next_poll_at = None;
         }
         self.schedule_poll_beside_old_watch();
-        was_active && !self.is_active()
+        if was_active && !self.is_active() { NextPoll::OnRequest } else { NextPoll::Pending }
     }
 
     fn start_poll(&mut self) {
         let request =
             PollRequest { address: self.address, known_index: self.known_index, started_at: Instant::now() };
-        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "poll");
+        debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "endpoint poll sent");
         let poll = PendingPoll { generation: self.generation, result: Box::pin(request.run()) };
         self.pending_polls.push(poll);
         let may_hedge = self.timing.lists_are_pushed() || self.has_unrequested_polls();
@@ -333,7 +342,7 @@
         if self.timing.lists_are_pushed() {
             let retry_at = now + WatchTiming::retry_delay(self.consecutive_failures);
             self.consecutive_failures += 1;
-            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |at| at.min(retry_at)));
+            self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |scheduled| scheduled.min(retry_at)));
         } else if self.has_unrequested_polls() && !self.has_pending_poll() {
             let delay = if failure.is_poll { Duration::ZERO } else { self.timing.slot_delay() };
             self.next_poll_at.get_or_insert(now + delay);
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that this process has in hand: their ids, what is known of each, and the handle by which the
+//! The jobs that are open at this process: their ids, what is known of each, and the handle by which the
 //! server reaches a job.
 
 use std::cell::Cell;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewusher_core::{ClassId, JobId, Micros, TenantId};
+use curlewusher_core::{ClassId, JobId, TenantId, Timestamp};
 use tokio::sync::oneshot;
 
 use super::attempts::Attempt;
-use super::transport::AttemptId;
-use crate::upstream::send_permit::CancelFlag;
+use crate::attempt::AttemptId;
+use crate::attempt::CancelFlag;
 
 /// The final response to a job.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     },
     /// No result; it may have run.
     Failed,
-    /// A job of the same request id is in hand already.
+    /// A job of the same request id is open already.
     Duplicate,
 }
 
@@ -50,10 +50,10 @@
     /// Whose quota it counts against.
     pub tenant: TenantId,
     /// The moment at which the client stops waiting.
-    pub deadline: Micros,
-    /// The client's guess of its work, in seconds on a core of speed 1.
+    pub deadline: Timestamp,
+    /// The client's estimate of its work, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
-    /// Slots that it takes at a worker.
+    /// Slots that it occupies at a worker.
     pub slots: f64,
     /// Hash of what it concerns, the same at every node.
     pub affinity_key: Option<u64>,
@@ -103,13 +103,13 @@
     }
 }
 
-/// A job in hand.
+/// An open job.
 pub(super) struct Job<P> {
     pub(super) request_id: Rc<str>,
     pub(super) class: ClassId,
     /// When its last byte was read from the client, in whichever process of this node that was.
-    pub(super) submitted_at: Micros,
-    pub(super) deadline: Micros,
+    pub(super) submitted_at: Timestamp,
+    pub(super) deadline: Timestamp,
     pub(super) payload: Rc<P>,
     /// Taken when the job is answered or its client disconnects.
     pub(super) response_channel: Option<oneshot::Sender<JobResponse>>,
@@ -119,18 +119,18 @@
 }
 
 impl<P> Job<P> {
-    /// Whether nobody waits for a response any more.
+    /// Whether it has been answered, or its client has disconnected.
     pub(super) fn is_settled(&self) -> bool {
         self.response_channel.is_none()
     }
 
-    /// Whether nobody waits for a response and no attempt is under way.
+    /// Whether it is settled and no attempt is in flight.
     fn is_finished(&self) -> bool {
         self.is_settled() && self.attempts.iter().all(Attempt::has_ended)
     }
 }
 
-/// The jobs in hand, and the request ids that are in use. A job that is being migrated is not in the table,
+/// The open jobs, and the request ids that are in use. A job that is being migrated is not in the table,
 /// but its request id stays in use until the migration has ended. Ids of jobs are never used again.
 pub(super) struct JobTable<P> {
     next_id: u64,
@@ -152,10 +152,10 @@
 
     /// Puts a request id in use, for a job with a new id.
     pub(super) fn reserve(&mut self, request_id: Rc<str>) -> JobId {
-        let id = JobId(self.next_id);
+        let job_id = JobId(self.next_id);
         self.next_id += 1;
-        self.ids_by_request.insert(request_id, id);
-        id
+        self.ids_by_request.insert(request_id, job_id);
+        job_id
     }
 
     /// Ends the use of a request id.
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -4,11 +4,11 @@
 //! | module | what it owns |
 //! | --- | --- |
 //! | [`messages`] | what the task is sent |
-//! | [`jobs`], [`attempts`], [`callbacks`] | jobs in hand, their attempts, what callbacks mean for these |
-//! | [`migration`] | jobs on their way between the two processes of the node |
+//! | [`jobs`], [`attempts`], [`callbacks`] | open jobs, their attempts, what callbacks mean for these |
+//! | [`migration`] | jobs being migrated between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
-//! | [`timers`], [`clock`] | when the task acts by itself |
-//! | [`transport`] | what carries attempts to workers |
+//! | [`timers`] | when the task acts without a message |
+//! | [`clock`] | the node's clock, and conversions between its moments and those of other clocks |
 //! | [`outcomes`] | which counters outcomes and responses go to |
 //! | [`task`] | the task itself |
 
@@ -23,13 +23,13 @@
 mod permission_monitor;
 mod task;
 mod timers;
-mod transport;
 
 pub use attempts::CallbackState;
-pub use clock::Clock;
+pub use clock::{Clock, WallTime};
 pub use endpoints::NamedEndpoint;
 pub use jobs::{JobHandle, JobOwner, JobResponse, SubmittedJob};
-pub use messages::{DispatchCommand, DispatchMessage, DispatchQueue, TransferableState, create_queue};
-pub use migration::{IncomingMigration, JobMigration, OutgoingMigration};
+pub use messages::{
+    DispatchCommand, DispatchMessage, DispatchQueue, EndpointChange, TransferableState, create_queue,
+};
+pub use migration::{IncomingMigration, JobMigration, MigrationOutcome, OutgoingMigration};
 pub use task::{DispatchParts, DispatchTask};
-pub use transport::{AttemptId, AttemptRequest, AttemptTransport};
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -18,7 +18,7 @@
 
 use crate::handover::error::HandoverError;
 
-/// A process that reads nothing for this long counts as gone.
+/// A process that reads nothing for this long counts as ended.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How many received descriptors may wait for the frames that they belong to; more are closed, so that the
 /// other process cannot use up this one's descriptors.
@@ -29,7 +29,7 @@
 /// Received descriptors in the order of their frames.
 pub(super) type PendingDescriptors = VecDeque<OwnedFd>;
 
-/// One byte and the descriptor that came with it.
+/// One byte and the descriptor that arrived with it.
 pub(super) struct ByteWithDescriptor {
     pub(super) byte: u8,
     pub(super) descriptor: Option<OwnedFd>,
@@ -87,13 +87,21 @@
     Ok(())
 }
 
-/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`. False at the end of
-/// the stream.
+/// Whether more can be read from a stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StreamState {
+    /// Bytes were read, and more may follow.
+    Open,
+    /// The other process has closed its end.
+    Ended,
+}
+
+/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`.
 pub(super) async fn read_chunk(
     stream: &UnixStream,
     decoder: &mut Decoder,
     descriptors: &mut PendingDescriptors,
-) -> io::Result<bool> {
+) -> io::Result<StreamState> {
     let receive = || {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -107,12 +115,12 @@
                 descriptors.extend(received.take(free));
             }
         }
-        Ok(received.bytes > 0)
+        Ok(if received.bytes > 0 { StreamState::Open } else { StreamState::Ended })
     };
     stream.async_io(Interest::READABLE, receive).await
 }
 
-/// Reads until the decoder has a whole frame. Descriptors that come before are closed.
+/// Reads until the decoder has a complete frame. Descriptors that arrive before are closed.
 pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
         if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
@@ -120,7 +128,7 @@
         }
         let mut unused_descriptors = PendingDescriptors::new();
         let read = read_chunk(stream, decoder, &mut unused_descriptors).await;
-        if !read.map_err(HandoverError::Disconnected)? {
+        if read.map_err(HandoverError::Disconnected)? == StreamState::Ended {
             decoder.finish()?;
             return Err(HandoverError::closed_by_peer());
         }
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -7,7 +7,7 @@
 use curlewusher_control::frame::{FrameError, RejectReason};
 use thiserror::Error;
 
-/// Why a handover fails. Each text says what an operator can do; whatever the error, the newer process can
+/// Why a handover fails. Each text states what an operator can do; whatever the error, the newer process can
 /// bind the client address itself and start without its predecessor's state.
 #[derive(Debug, Error)]
 pub enum HandoverError {
@@ -60,7 +60,9 @@
         listen: SocketAddr,
     },
     /// The other process did not answer in time.
-    #[error("the older process does not answer; the new one starts cold, end the older one if it goes on")]
+    #[error(
+        "the older process does not answer; the new one starts cold, end the older one if it keeps running"
+    )]
     TimedOut,
     /// The connection to the other process was closed or failed.
     #[error("the other process ended meanwhile ({0}); nothing is to be done")]
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -99,7 +99,7 @@
     is_expected.then_some(listener)
 }
 
-/// A process that asks to be this one's successor. Dropping it closes the connection without an answer.
+/// A process that requests to be this one's successor. Dropping it closes the connection without an answer.
 pub struct SuccessorHello {
     /// Name of its node.
     pub node: String,
@@ -156,6 +156,7 @@
 /// Where the rejection cannot be written, the closed connection has the same effect.
 async fn send_rejection(stream: &UnixStream, reason: RejectReason) {
     if let Ok(frame) = Frame::Rejected(reason).encode(0) {
+        // The connection is closed next, which rejects the hello as well.
         let _ = timeout(HELLO_TIMEOUT, write_all(stream, frame)).await;
     }
 }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -7,6 +7,7 @@
 
 use bytes::Bytes;
 use curlewusher_control::frame::{Decoder, Frame, ReceivedFrame};
+use curlewusher_control::takeover::LocalOwnership;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tracing::{debug, warn};
@@ -14,7 +15,7 @@
 use super::outbound::limit_snapshot;
 use super::peer_request::PeerRequest;
 use super::state::LinkState;
-use crate::handover::descriptor_stream::{PendingDescriptors, read_chunk};
+use crate::handover::descriptor_stream::{PendingDescriptors, StreamState, read_chunk};
 use crate::handover::error::HandoverError;
 use crate::telemetry::logging::NODE;
 
@@ -37,7 +38,7 @@
         link_lost_permit: Option<mpsc::OwnedPermit<PeerRequest>>,
     ) {
         if let Err(error) = self.read_frames(decoder).await {
-            warn!(target: NODE, reason = %error, "link to the other process lost");
+            warn!(target: NODE, %error, "peer link failed");
         }
         self.state.close();
         self.state.abandon_pending_requests();
@@ -58,8 +59,8 @@
                 self.handle_frame(request_id, frame, &mut descriptors)?;
             }
             match read_chunk(&self.state.stream, &mut decoder, &mut descriptors).await {
-                Ok(true) => {}
-                Ok(false) => return Ok(decoder.finish()?),
+                Ok(StreamState::Open) => {}
+                Ok(StreamState::Ended) => return Ok(decoder.finish()?),
                 // The other process ended before it had read everything.
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(()),
                 Err(error) => return Err(HandoverError::Disconnected(error)),
@@ -110,15 +111,16 @@
         Ok(())
     }
 
-    /// Refuses a claim of an id that this process is claiming itself; otherwise asks whether it holds the id.
+    /// Rejects a claim of an id that this process is claiming itself; otherwise queries whether it holds the id.
     fn handle_claim(&self, request_id: u64, job_id: String) {
-        if !self.state.claims.borrow().allows_peer_claim(&job_id, false) {
+        if !self.state.claims.borrow().allows_peer_claim(&job_id, LocalOwnership::NotOwned) {
             return self.state.send_response(request_id, &Frame::ClaimResult(false));
         }
         let claimed_id = job_id.clone();
         // Checked again with the answer: this process may have claimed the id in the meantime.
         let respond = move |state: &LinkState, is_unheld: bool| {
-            Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, !is_unheld))
+            let ownership = if is_unheld { LocalOwnership::NotOwned } else { LocalOwnership::Owned };
+            Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, ownership))
         };
         self.forward_request(request_id, |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld }, respond);
     }
@@ -144,8 +146,8 @@
         request: impl FnOnce(oneshot::Sender<T>) -> PeerRequest,
         response: impl FnOnce(&LinkState, T) -> Frame + 'static,
     ) {
-        let (result_sender, result) = oneshot::channel();
-        self.pass_on(request(result_sender));
+        let (result_channel, result) = oneshot::channel();
+        self.pass_on(request(result_channel));
         let state = Rc::clone(&self.state);
         spawn_local(async move {
             if let Ok(result) = result.await {
@@ -157,7 +159,7 @@
     /// Passes a request on to the takeover task, which never delays the reader.
     fn pass_on(&self, request: PeerRequest) {
         if self.requests.try_send(request).is_err() {
-            debug!(target: NODE, "too many requests of the other process; one is dropped without a response");
+            debug!(target: NODE, "peer request dropped");
         }
     }
 }
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -10,7 +10,8 @@
 use curlewusher_control::takeover::{JobClaims, LinkRole};
 use rustix::net::{Shutdown, shutdown};
 use tokio::net::UnixStream;
-use tokio::sync::{Notify, oneshot, watch};
+use tokio::sync::{Notify, oneshot};
+use tokio_util::sync::CancellationToken;
 use tracing::warn;
 
 use super::outbound::{OutboundFrame, OutboundQueue};
@@ -38,8 +39,8 @@
     pub(super) outbound_written: Notify,
     /// Frames that wait to be written.
     pub(super) outbound: RefCell<OutboundQueue>,
-    /// False once the link is lost, and never true again.
-    pub(super) connected: watch::Sender<bool>,
+    /// Cancelled once the link is lost.
+    pub(super) lost: CancellationToken,
     next_request_id: Cell<u64>,
     /// By request id.
     pending_requests: RefCell<HashMap<u64, PendingRequest>>,
@@ -54,7 +55,7 @@
             outbound_changed: Notify::new(),
             outbound_written: Notify::new(),
             outbound: RefCell::default(),
-            connected: watch::Sender::new(true),
+            lost: CancellationToken::new(),
             next_request_id: Cell::new(FIRST_REQUEST_ID),
             pending_requests: RefCell::default(),
         }
@@ -62,14 +63,15 @@
 
     /// See [`super::PeerLink::is_connected`].
     pub(super) fn is_connected(&self) -> bool {
-        *self.connected.borrow()
+        !self.lost.is_cancelled()
     }
 
     /// See [`super::PeerLink::close`].
     pub(super) fn close(&self) {
-        if !self.connected.send_replace(false) {
+        if !self.is_connected() {
             return;
         }
+        self.lost.cancel();
         *self.outbound.borrow_mut() = OutboundQueue::default();
         // Fails where the other process has closed the connection already.
         let _ = shutdown(&self.stream, Shutdown::Both);
@@ -127,6 +129,7 @@
         if let (Some(job_id), Frame::ClaimResult(true)) = (&request.claimed_job, &response) {
             self.claims.borrow_mut().confirm(job_id);
         }
+        // A request that has timed out no longer needs its response.
         let _ = request.response.send(response);
     }
 
@@ -142,11 +145,11 @@
     fn send_frame(&self, request_id: u64, frame: &Frame, written: Option<oneshot::Sender<()>>) {
         match frame.encode(request_id) {
             Ok(bytes) => self.enqueue(OutboundFrame { bytes, descriptor: None, written }),
-            Err(error) => warn!(target: NODE, reason = %error, "message to the other process not sent"),
+            Err(error) => warn!(target: NODE, %error, "peer message not sent"),
         }
     }
 
-    /// Queues a frame. A process that reads so little that the queue is over its limit counts as gone.
+    /// Queues a frame. A process that reads so little that the queue is over its limit counts as ended.
     fn enqueue(&self, frame: OutboundFrame) {
         if !self.is_connected() {
             return;
@@ -156,18 +159,18 @@
         let is_over_limit = outbound.is_over_limit();
         drop(outbound);
         if is_over_limit {
-            warn!(target: NODE, "the other process reads nothing; the link is closed");
+            warn!(target: NODE, "peer link stalled");
             return self.close();
         }
         self.outbound_changed.notify_one();
     }
 }
 
-/// The response to a request, once it comes. Dropping it forgets the request; a late response is ignored.
+/// The response to a request, once it arrives. Dropping it abandons the request; a late response is ignored.
 pub(super) struct PendingResponse<'a> {
     state: &'a LinkState,
     request_id: u64,
-    /// Fails where the link is lost before the response comes.
+    /// Fails where the link is lost before the response arrives.
     pub(super) receiver: oneshot::Receiver<Frame>,
 }
 
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -33,7 +33,7 @@
 pub const READ_CHUNK_BYTES: usize = 4096;
 /// Longest head of a request, in bytes; hyper's read buffer has the same bound.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A peer that takes no byte of its response for this long is treated as disconnected.
+/// A peer that reads no byte of its response for this long is treated as disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// State of a connection, in the order in which connections are evicted when descriptors run low.
@@ -41,7 +41,7 @@
 pub enum ConnectionState {
     /// This process has sent its last byte and discards what the peer still sends.
     Lingering,
-    /// Nothing has arrived yet.
+    /// No byte has arrived yet.
     New,
     /// A request has begun and is not read to its end.
     Reading,
@@ -69,10 +69,10 @@
     close_requested: Notify,
     /// The reader that waits for the request in progress to be answered.
     read_waker: RefCell<Option<Waker>>,
-    /// Since when the peer has taken nothing of what is written to it.
+    /// Since when the peer has read nothing of what is written to it.
     write_blocked_since: Cell<Option<Instant>>,
     /// The connection ends at once, with nothing more written: the other process of this node serves its
-    /// client, or the peer takes nothing.
+    /// client, or the peer reads nothing.
     aborted: Cell<bool>,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// For how long the request that is being read has been under way.
+    /// Time since the request that is being read began.
     pub fn request_age(&self) -> Duration {
         self.request_started.get().elapsed()
     }
@@ -160,7 +160,7 @@
         self.read_expired.get()
     }
 
-    /// Requests a graceful close; between two requests that harms nobody.
+    /// Requests a graceful close, which is safe between two requests.
     pub fn close_gracefully(&self) {
         self.read_expired.set(self.state.get() < ConnectionState::Idle);
         self.close_requested.notify_one();
@@ -172,7 +172,7 @@
         self.close_requested.notify_one();
     }
 
-    /// Whether the peer has taken nothing of what is written to it for that long.
+    /// Whether the peer has read nothing of what is written to it for that long.
     pub fn is_write_blocked_for(&self, duration: Duration) -> bool {
         self.write_blocked_since.get().is_some_and(|since| since.elapsed() >= duration)
     }
@@ -201,8 +201,8 @@
         self.may_close(CloseReason::Timeout { idle_timeout }).is_ok()
     }
 
-    /// Whether its client can be sent elsewhere unharmed: it has sent no part of a request, for long enough
-    /// that none is likely to be on its way. One that is sending may finish.
+    /// Whether its client can be redirected safely: it has sent no part of a request, for long enough
+    /// that none is likely to be in transit. A client that is sending may finish.
     pub fn is_redirectable(&self) -> bool {
         !self.is_worker.get() && self.may_close(CloseReason::Redirection).is_ok()
     }
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -15,7 +15,7 @@
 use super::request_body::read_body;
 use super::response::{self, HttpResponse};
 use super::service::ConnectionService;
-use crate::dispatch::{DispatchMessage, JobHandle, JobResponse};
+use crate::dispatch::{DispatchMessage, JobHandle, JobResponse, MigrationOutcome};
 use crate::telemetry::metrics::Counter;
 
 impl ConnectionService {
@@ -33,7 +33,7 @@
             if !intake_closed {
                 state.metrics.add(Counter::RequestsShed);
             }
-            return Ok(response::rejected(state.options.get().overload_retry_ms.millis()));
+            return Ok(response::rejected(state.options.get().overload_retry_after.duration()));
         }
         let body = body?;
         let open_job = OpenJob::new(state);
@@ -60,8 +60,8 @@
         let job_handle = JobHandle::default();
         let permit = state.queue.clone().reserve_owned().await.map_err(|_| RequestError::JobAbandoned)?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let (response_sender, response_receiver) = oneshot::channel();
-        let submission = job_request.into_submission(body, job_handle.clone(), response_sender);
+        let (response_channel, response_receiver) = oneshot::channel();
+        let submission = job_request.into_submission(body, job_handle.clone(), response_channel);
         let submitted = state.queue.send(DispatchMessage::Submit(submission)).await;
         submitted.map_err(|_| RequestError::JobAbandoned)?;
         // From here on the dispatch task knows the id.
@@ -87,7 +87,8 @@
                 () = self.state.migration_requested(pause) => {
                     pause = MIGRATION_RETRY_PAUSE;
                     let client = self.duplicate_socket();
-                    if migrate_job(&self.state, job_handle, client).await {
+                    let outcome = migrate_job(&self.state, job_handle, client).await;
+                    if outcome == MigrationOutcome::Accepted {
                         open_job.disarm_disconnect_message();
                         self.connection.abort();
                         // The task of the connection ends now, and drops this future.
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -33,13 +33,22 @@
 /// eviction.
 const ENOUGH_LINGERING_CONNECTIONS: usize = 2;
 
+/// Whether other processes may listen at the address of a listener.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PortSharing {
+    /// No other process may.
+    Exclusive,
+    /// Another process of this node may.
+    Shared,
+}
+
 impl Server {
-    /// Opens the listening socket. `shared`: another process of this node may listen at the address as well.
-    pub fn listen(&self, address: SocketAddr, shared: bool) -> io::Result<std::net::TcpListener> {
+    /// Opens the listening socket.
+    pub fn listen(&self, address: SocketAddr, sharing: PortSharing) -> io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         // A restart must not wait until the kernel has forgotten the old connections.
         socket.set_reuseaddr(true)?;
-        if shared {
+        if sharing == PortSharing::Shared {
             socket.set_reuseport(true)?;
         }
         socket.bind(address)?;
@@ -57,7 +66,7 @@
 async fn close_timed_out_connections(state: &ServerState) -> Infallible {
     loop {
         sleep(TIMEOUT_CHECK_INTERVAL).await;
-        let idle_timeout = state.options.get().idle_timeout_ms.millis();
+        let idle_timeout = state.options.get().idle_timeout.duration();
         // A node that shuts down keeps idle connections a little longer: clients use them until then.
         let phase = state.lifecycle.phase();
         let redirects = phase.redirects_clients() && !phase.is_shutting_down();
@@ -87,7 +96,7 @@
             Ok((stream, _)) => spawn_connection(state, stream, permit),
             // Descriptors have run out, or a client has closed at once: the listener must survive both.
             Err(error) => {
-                warn!(target: SERVER, %error, "a connection could not be accepted");
+                warn!(target: SERVER, %error, "client accept failed");
                 state.metrics.add(Counter::AcceptFailures);
                 evict_connections(state);
                 sleep(ACCEPT_RETRY_PAUSE).await;
@@ -122,7 +131,7 @@
     });
 }
 
-/// Evicts the connection that is missed least: a client's before a worker's, then in the order of
+/// Evicts the connection whose loss matters least: a client's before a worker's, then in the order of
 /// [`ConnectionState`], then the one that has been longest in its state. It lingers first; of the lingering
 /// connections the oldest is closed as well.
 pub fn evict_connections(state: &ServerState) {
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use curlewusher_core::{ClassId, Idempotency, Micros, TenantId, stable_hash};
+use curlewusher_core::{ClassId, Idempotency, TenantId, TimeSpan, Timestamp, stable_hash};
 use curlewusher_settings::Site;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -33,9 +33,9 @@
 const MAX_DEADLINE_SECONDS: f64 = 86_400.0;
 /// X-Cost-Hint is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Slots that a job may ask for.
+/// Slots that a job may request.
 const ALLOWED_SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
-/// Slots of a job that does not ask for any.
+/// Slots of a job that requests none.
 const DEFAULT_SLOTS: f64 = 1.0;
 
 /// The classes and tenants that requests can name.
@@ -92,7 +92,7 @@
     pub request_id: Rc<str>,
     class: ClassId,
     tenant: TenantId,
-    deadline: Micros,
+    deadline: Timestamp,
     /// The client's estimate of the work, in seconds.
     cost_hint: Option<f64>,
     slots: f64,
@@ -104,7 +104,7 @@
     forwarded: ForwardedHead,
 }
 
-/// The parts of a job's head that a worker gets as they came.
+/// The parts of a job's head that are forwarded to a worker unchanged.
 struct ForwardedHead {
     method: Method,
     path: PathAndQuery,
@@ -115,7 +115,11 @@
 
 impl JobRequest {
     /// Parses the head of a job that was received at that time.
-    pub fn parse(head: Parts, catalog: &JobCatalog, received_at: Micros) -> Result<JobRequest, RequestError> {
+    pub fn parse(
+        head: Parts,
+        catalog: &JobCatalog,
+        received_at: Timestamp,
+    ) -> Result<JobRequest, RequestError> {
         let headers = &head.headers;
         let request_id = parse_request_id(headers)?;
         let class = catalog.class(required_text(headers, X_CLASS)?)?;
@@ -187,14 +191,14 @@
 
 /// The id of a job. It must stand in a path as it is: the request that cancels the job has it there.
 fn parse_request_id(headers: &HeaderMap) -> Result<Rc<str>, RequestError> {
-    let id = required_text(headers, X_REQUEST_ID)?;
+    let request_id = required_text(headers, X_REQUEST_ID)?;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || REQUEST_ID_PUNCTUATION.contains(&byte);
-    let is_valid = !id.is_empty()
-        && id.len() <= MAX_REQUEST_ID_BYTES
-        && id.bytes().all(is_allowed)
-        && id != "."
-        && id != "..";
-    if is_valid { Ok(id.into()) } else { Err(RequestError::MalformedHeader(X_REQUEST_ID)) }
+    let is_valid = !request_id.is_empty()
+        && request_id.len() <= MAX_REQUEST_ID_BYTES
+        && request_id.bytes().all(is_allowed)
+        && request_id != "."
+        && request_id != "..";
+    if is_valid { Ok(request_id.into()) } else { Err(RequestError::MalformedHeader(X_REQUEST_ID)) }
 }
 
 /// The idempotency key, which jobs of some classes need.
@@ -212,10 +216,10 @@
 }
 
 /// When the client stops waiting. X-Deadline counts in seconds from the arrival of the head.
-fn parse_deadline(headers: &HeaderMap, received_at: Micros) -> Result<Micros, RequestError> {
+fn parse_deadline(headers: &HeaderMap, received_at: Timestamp) -> Result<Timestamp, RequestError> {
     let seconds = optional_number(headers, &X_DEADLINE, MAX_DEADLINE_SECONDS)?;
     let seconds = seconds.ok_or(RequestError::MissingHeader(X_DEADLINE))?;
-    Ok(received_at + (seconds * MICROS_PER_SECOND) as Micros)
+    Ok(received_at + TimeSpan::from_secs_f64(seconds))
 }
 
 /// The client's estimate of the work, in seconds.
@@ -224,7 +228,7 @@
     Ok(micros.map(|micros| micros / MICROS_PER_SECOND))
 }
 
-/// How many slots of a worker the job takes.
+/// How many slots of a worker the job occupies.
 fn parse_slots(headers: &HeaderMap) -> Result<f64, RequestError> {
     let slots = parse_extra(headers, "slots")?.unwrap_or(DEFAULT_SLOTS);
     if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
@@ -272,7 +276,7 @@
     optional_text(headers, &name)?.ok_or(RequestError::MissingHeader(name))
 }
 
-/// The text of a header that may come once.
+/// The text of a header that may appear once.
 fn optional_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).into_iter();
     match (values.next(), values.next()) {
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancels jobs at workers: a `DELETE`, repeated until the worker has acknowledged it.
 //!
-//! A worker that has not acknowledged a cancellation goes on with the job, and another attempt beside it
+//! A worker that has not acknowledged a cancellation continues to run the job, and another attempt beside it
 //! would run the job twice. So the dispatch task learns that an attempt is cancelled only once that is
 //! acknowledged, or once the attempt has no time left. A process that shuts down hands the cancellations over
 //! that are not acknowledged yet.
@@ -18,19 +18,20 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::debug;
 
+use crate::attempt::CancelSignal;
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::cancel_signal::CancelSignal;
 use crate::upstream::exchange::{Exchange, ExchangeOutcome};
 use crate::upstream::payload::UpstreamRequest;
 use crate::upstream::pool::ConnectionPool;
-use crate::upstream::send_permit::SendPermit;
+use crate::upstream::pool::connection::ConnectionOrigin;
 
 /// The first pause before a cancellation that was not acknowledged is sent again, doubled each time up to
 /// [`MAX_RETRY_DELAY`].
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// How long a cancellation of another process of this node is repeated. The worker may be gone for good, and
+/// How long a cancellation of another process of this node is repeated. The worker may never return, and
 /// no job of this process bounds it.
 const ADOPTED_CANCELLATION_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -60,7 +61,7 @@
     pool: Rc<ConnectionPool>,
     metrics: Metrics,
     options: Rc<Cell<UpstreamOptions>>,
-    /// Cancellations that are under way and not acknowledged.
+    /// Cancellations that have begun and are not acknowledged.
     unacknowledged: RefCell<Vec<CancellationTarget>>,
 }
 
@@ -86,11 +87,11 @@
         let deadline = deadline.max(Instant::now() + self.response_timeout());
         if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection)).await.is_err() {
             let CancellationTarget { address, request_id } = target;
-            debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned at its deadline");
+            debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned");
         }
     }
 
-    /// Goes on with a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that another process of this node could not complete.
     pub async fn adopt(&self, target: CancellationTarget) {
         let cancellation = self.cancel_until_acknowledged(&target, AttemptConnection::Other);
         // Nothing else can be done for it after that.
@@ -131,7 +132,7 @@
     }
 
     fn response_timeout(&self) -> Duration {
-        self.options.get().cancellation_timeout_ms.millis()
+        self.options.get().cancellation_timeout.duration()
     }
 }
 
@@ -148,10 +149,10 @@
     let closed = connection == AttemptConnection::ClosedBeforeResponse;
     match outcome {
         ExchangeOutcome::Response { .. } => true,
-        // By itself a refusal says nothing of a job that was accepted: a worker that holds as many
-        // connections as it may refuses others. But it came over a network that carries the closing as well.
+        // By itself a refused connection does not show that an accepted job was cancelled: a worker with as many
+        // connections as it may have refuses others. But it came over a network that carries the closing as well.
         ExchangeOutcome::Refused => closed,
-        ExchangeOutcome::TimedOut { on_new_connection } => closed && *on_new_connection,
+        ExchangeOutcome::TimedOut { connection } => closed && *connection == ConnectionOrigin::Dialled,
         ExchangeOutcome::Unreachable
         | ExchangeOutcome::PermitInvalid
         | ExchangeOutcome::ConnectionLost
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -12,7 +12,7 @@
 //! The pool knows nothing of jobs.
 
 pub mod connection;
-mod epoch;
+mod generation;
 mod idle;
 mod socket;
 
@@ -22,6 +22,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use curlewusher_control::takeover::DescriptorShare;
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
 use hyper::body::Incoming;
@@ -33,7 +34,7 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::config::UpstreamConfig;
 use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
-use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::generation::AddressGeneration;
 use crate::upstream::pool::idle::IdleConnections;
 
 /// Upper bound of the body of a worker's response, in bytes. Longer ones count as malformed.
@@ -62,12 +63,12 @@
     /// written to it then may or may not have arrived, which costs more than any number of new connections.
     /// Half of the announced time is well before their closing.
     fn max_idle(&self) -> Duration {
-        self.config.options.get().max_reuse_idle_ms.millis().min(self.config.keepalive / 2)
+        self.config.options.get().max_reuse_idle.duration().min(self.config.keepalive / 2)
     }
 
-    /// Uses half of the connection budget or all of it.
-    pub fn set_budget_halved(&self, half: bool) {
-        self.config.budget.set_halved(half, || drop(self.take_any_idle()));
+    /// Uses this share of the connection budget.
+    pub fn set_budget_share(&self, share: DescriptorShare) {
+        self.config.budget.set_share(share, || drop(self.take_any_idle()));
     }
 
     /// Closes the idle connections to a worker, and those in use once they have carried their request.
@@ -83,7 +84,7 @@
             let (now, max_idle) = (Instant::now(), self.max_idle());
             self.idle.borrow_mut().retain(|_, idle| {
                 idle.close_expired(now, max_idle);
-                // The epoch goes on while a connection of it is in use.
+                // The generation lasts for as long as a connection of it is in use.
                 !idle.is_unused()
             });
         }
@@ -93,7 +94,7 @@
     /// connection that was reserved is idle again.
     pub async fn obtain(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         while let Some(connection) = self.take_idle(address) {
-            // Nobody else takes it meanwhile; whoever finds none idle dials.
+            // No other request can reserve it meanwhile; a request that finds no idle connection dials.
             let reserved = ReservedConnection { pool: self, address, connection: Some(connection) };
             let Some(connection) = reserved.cool_down().await else { continue };
             // The worker's connections may have been discarded meanwhile.
@@ -109,39 +110,44 @@
         self.idle.borrow_mut().get_mut(&address)?.take(Instant::now(), self.max_idle())
     }
 
-    /// Whether a connection is of the present epoch of its worker's address.
+    /// Whether a connection is of the present generation of its worker's address.
     fn is_current(&self, address: SocketAddr, connection: &Connection) -> bool {
-        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_epoch_of(connection))
+        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_generation_of(connection))
     }
 
-    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, somebody
+    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, another request
     /// may wait for that of this connection, which is closed.
     fn put_back(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
             idle.put_back(connection);
         }
     }
 
     async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         self.metrics.add(Counter::WorkerConnections);
-        trace!(target: UPSTREAM, %address, "connecting");
-        let epoch = self.idle.borrow_mut().entry(address).or_default().epoch();
-        let dialled = timeout(self.config.connect_timeout, self.dial_within_budget(address, epoch)).await;
+        trace!(target: UPSTREAM, %address, "connection attempt started");
+        let generation = self.idle.borrow_mut().entry(address).or_default().generation();
+        let dialled =
+            timeout(self.config.connect_timeout, self.dial_within_budget(address, generation)).await;
         let dialled = dialled.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         dialled.map_err(|error| {
             self.metrics.add(Counter::WorkerConnectionFailures);
-            debug!(target: UPSTREAM, %address, %error, "connection not established");
+            debug!(target: UPSTREAM, %address, %error, "connection attempt failed");
             ConnectError::from(error)
         })
     }
 
-    async fn dial_within_budget(&self, address: SocketAddr, epoch: Epoch) -> io::Result<Connection> {
+    async fn dial_within_budget(
+        &self,
+        address: SocketAddr,
+        generation: AddressGeneration,
+    ) -> io::Result<Connection> {
         let permit = self.acquire_permit().await.ok_or(ErrorKind::Other)?;
-        Connection::dial(address, epoch, permit, self.metrics.clone()).await
+        Connection::dial(address, generation, permit, self.metrics.clone()).await
     }
 
     /// Waits for the permit of one more connection. If none is free, an idle connection is closed.
@@ -173,16 +179,16 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_epoch_of(&connection)) {
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
             connection.mark_idle();
             idle.push(connection);
         }
     }
 
-    /// Counts a response that was none, or not whole.
+    /// Counts a response that is malformed or incomplete.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
         self.metrics.add(Counter::MalformedWorkerResponses);
-        debug!(target: UPSTREAM, %address, reason, "malformed response");
+        debug!(target: UPSTREAM, %address, reason, "malformed response received");
     }
 }
 
@@ -211,12 +217,12 @@
 struct ReservedConnection<'a> {
     pool: &'a ConnectionPool,
     address: SocketAddr,
-    /// `None` once it was handed out.
+    /// `None` once it was passed to the caller.
     connection: Option<Connection>,
 }
 
 impl ReservedConnection<'_> {
-    /// Waits for the end of the pause and hands the connection out.
+    /// Waits for the end of the pause and returns the connection.
     async fn cool_down(mut self) -> Option<Connection> {
         let idle_since = self.connection.as_ref()?.idle_since();
         sleep_until(idle_since + COOL_DOWN).await;
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -13,11 +13,11 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
+use crate::attempt::SendPermit;
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
-use crate::upstream::send_permit::SendPermit;
 
-/// What has passed over a connection since its last request was handed to it.
+/// What has passed over a connection since it was given its last request.
 #[derive(Default)]
 pub struct Traffic {
     request_written: Cell<bool>,
@@ -39,7 +39,7 @@
         self.request_written.get()
     }
 
-    /// Whether a byte was read since the request was handed to the connection.
+    /// Whether a byte was read since the connection was given the request.
     pub fn response_read(&self) -> bool {
         self.response_read.get()
     }
@@ -66,7 +66,7 @@
         Socket { stream, traffic, metrics }
     }
 
-    /// Fails if a request must not begin on this connection. A request that has begun goes on.
+    /// Fails if a request must not begin on this connection. A request that has begun is continued.
     fn check_before_first_byte(&self) -> io::Result<()> {
         if self.traffic.request_written() {
             return Ok(());
@@ -89,7 +89,7 @@
             Ok(_) => {
                 self.metrics.add(Counter::MalformedWorkerResponses);
                 let address = self.stream.peer_addr().ok();
-                debug!(target: UPSTREAM, ?address, "unsolicited data on an idle connection");
+                debug!(target: UPSTREAM, ?address, "unsolicited data received");
                 Err(ErrorKind::InvalidData.into())
             }
         }
@@ -104,14 +104,14 @@
 }
 
 impl Socket {
-    /// Counts a first byte that was sent too late all the same, as when the process was held up before the write.
+    /// Counts a first byte that was sent too late despite the checks, as when the process was stalled before the write.
     fn check_first_byte(&self) {
         let Some(send_permit) = self.traffic.send_permit.borrow().clone() else { return };
         if let Err(reason) = send_permit.check_sent(Instant::now()) {
             self.metrics.record_violation(reason);
             let request_id = send_permit.request_id();
             let address = self.stream.peer_addr().ok();
-            error!(target: UPSTREAM, %reason, request_id, ?address, "violation: an attempt was sent without permission");
+            error!(target: UPSTREAM, %reason, request_id, ?address, "permission violation");
         }
     }
 }
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -4,15 +4,16 @@
 //! messages show the names of the types and the number of their fields. Unknown fields are accepted: the platform may
 //! add some.
 
-use curlewusher_core::Micros;
+use curlewusher_core::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Time in which a connection must be up where the settings do not say, or say 0, with which nothing could be sent.
-pub(crate) const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
-/// Idle time for which workers keep a connection open where the settings do not say.
-const DEFAULT_KEEPALIVE: Micros = 1_000_000;
+/// Time within which a connection must be established where the settings give none or 0, with which no attempt could be
+/// sent.
+pub(crate) const DEFAULT_CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
+/// Idle time for which workers keep a connection open where the settings give none.
+const DEFAULT_KEEPALIVE: TimeSpan = TimeSpan::from_secs(1);
 
-/// The settings object, as a whole.
+/// The complete settings object.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Wire {
@@ -53,13 +54,13 @@
     #[serde(default)]
     pub(crate) key_scope: String,
     #[serde(default, rename = "dedupWindowUs")]
-    pub(crate) deduplication_window_us: Micros,
+    pub(crate) deduplication_window: TimeSpan,
     #[serde(rename = "objectiveUs")]
-    pub(crate) latency_objective_us: Micros,
+    pub(crate) latency_objective: TimeSpan,
     #[serde(default, rename = "aimStretch")]
     pub(crate) latency_objective_stretch: Option<f64>,
     #[serde(rename = "giveUpUs")]
-    pub(crate) client_timeout_us: Micros,
+    pub(crate) client_timeout: TimeSpan,
     #[serde(default = "default_weight", rename = "worth")]
     pub(crate) priority_weight: f64,
 }
@@ -88,15 +89,15 @@
     pub(crate) max_attempts: u32,
     #[serde(default, rename = "retryAfter")]
     pub(crate) clients_follow_retry_after: bool,
-    #[serde(default)]
-    pub(crate) max_retry_after_us: Micros,
-    #[serde(default = "default_connect_timeout")]
-    pub(crate) connect_timeout_us: Micros,
-    #[serde(default = "default_keepalive")]
-    pub(crate) keepalive_us: Micros,
+    #[serde(default, rename = "maxRetryAfterUs")]
+    pub(crate) max_retry_after: TimeSpan,
+    #[serde(default = "default_connect_timeout", rename = "connectTimeoutUs")]
+    pub(crate) connect_timeout: TimeSpan,
+    #[serde(default = "default_keepalive", rename = "keepaliveUs")]
+    pub(crate) keepalive: TimeSpan,
 }
 
-/// What a message costs.
+/// Prices of sending a job to another zone and of a gossip message.
 #[derive(Deserialize, Serialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Prices {
@@ -111,23 +112,24 @@
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Rules {
     #[serde(rename = "askWithinUs")]
-    pub(crate) max_poll_interval_us: Micros,
+    pub(crate) max_poll_interval: TimeSpan,
     #[serde(rename = "coldShare")]
     pub(crate) warm_up_floor: f64,
-    pub(crate) warm_up_us: Micros,
+    #[serde(rename = "warmUpUs")]
+    pub(crate) warm_up: TimeSpan,
     pub(crate) overload_factor: f64,
     #[serde(rename = "fallUs")]
-    pub(crate) overload_window_us: Micros,
+    pub(crate) overload_window: TimeSpan,
 }
 
-/// What only some families of sites say of their classes, by the index of the class.
+/// Properties of classes that only some families of sites give, by the index of the class.
 #[derive(Deserialize, Serialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct FamilyInfo {
     /// Kind of machine that a class requires; negative for any.
     #[serde(default, rename = "classKind")]
     pub(crate) class_kinds: Vec<i64>,
-    /// Stretch of the latency objective of a class that does not say it itself.
+    /// Stretch of the latency objective of a class that does not give its own.
     #[serde(default, rename = "classStretch")]
     pub(crate) class_stretches: Vec<f64>,
     /// Whether workers report that they have started a job.
@@ -139,10 +141,10 @@
     1.0
 }
 
-fn default_connect_timeout() -> Micros {
+fn default_connect_timeout() -> TimeSpan {
     DEFAULT_CONNECT_TIMEOUT
 }
 
-fn default_keepalive() -> Micros {
+fn default_keepalive() -> TimeSpan {
     DEFAULT_KEEPALIVE
 }
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -9,18 +9,18 @@
 mod timeline;
 mod violation;
 
-use curlewusher_model::Micros;
+use curlewusher_model::TimeSpan;
 use serde::Serialize;
 
-pub use footprint::check_footprint;
+pub use footprint::{FootprintLimits, check_footprint};
 pub use operation_figures::{CommandFigures, OperationFigures, UpgradeFigures};
 pub use operations_rules::operation_figures;
 pub use violation::Violation;
 
 use crate::event_log::Record;
 
-/// Effects of an upgrade may be observed this long after its end: what was queued then is reported a moment later.
-const UPGRADE_AFTERMATH: Micros = 500_000;
+/// Effects of an upgrade may be observed this long after its end: connections that were queued then fail a moment later.
+const UPGRADE_AFTERMATH: TimeSpan = TimeSpan::from_millis(500);
 
 /// Which repeats of a job that may have run a class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,30 +28,30 @@
     /// All.
     Idempotent,
     /// Those in the bay of the first attempt that may have run, within the window from its arrival.
-    IdempotentWithKey { window: Micros },
+    IdempotentWithKey { window: TimeSpan },
     /// None.
     NonIdempotent,
 }
 
-/// The figures of the rules.
+/// The limits and tolerances of the rules.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
     /// By class.
     pub classes: Vec<RepeatPolicy>,
     /// Tolerance that is added to each time limit.
-    pub slack: Micros,
-    /// A response may come this much later than the client's timeout; it earns nothing then.
-    pub answer_slack: Micros,
-    /// A change counts as sent to all nodes this long after discovery had it and was up, whether it arrived or not.
-    pub notified_within: Micros,
-    /// A node must send nothing to a worker from this long after it learned that the worker drains or has ended.
-    pub stop_within: Micros,
+    pub slack: TimeSpan,
+    /// A response may arrive this much later than the client's timeout; it is not served in time then.
+    pub answer_slack: TimeSpan,
+    /// All nodes count as notified of a change this long after discovery had it and was up, whether it arrived or not.
+    pub notified_within: TimeSpan,
+    /// A node must send nothing to a worker from this long after it was notified that the worker is draining or has ended.
+    pub stop_within: TimeSpan,
     /// A request that was sent later than this after SIGTERM may be lost.
-    pub drain_grace: Micros,
+    pub drain_grace: TimeSpan,
     /// Window in which work that was sent to an overloaded worker is added up.
-    pub fall_window: Micros,
-    /// The successor of an upgrade is bound by the registry's entries this long after its first yes.
-    pub successor_grace: Micros,
+    pub fall_window: TimeSpan,
+    /// The successor of an upgrade is bound by the registry's entries this long after it is first ready.
+    pub successor_grace: TimeSpan,
 }
 
 /// A rule.
@@ -62,15 +62,15 @@
     OneAnswer,
     /// A job runs again only as its class allows.
     OneEffect,
-    /// A worker that drains or has ended gets nothing more.
+    /// A worker that is draining or has ended is sent no further attempts.
     QuietDrain,
     /// A worker that warms up is not overloaded.
     GentleStart,
     /// Admin commands are answered correctly and in time.
     Console,
-    /// Clients leave a node that is drained, and return afterwards.
+    /// A drained node closes the connections of its clients and is not ready; it is ready again after the drain.
     NodeDrain,
-    /// A disabled worker gets nothing, and is used again once it is enabled.
+    /// A disabled worker is sent no attempts, and is used again once it is enabled.
     Maintenance,
     /// An upgrade harms a bounded number of jobs.
     Upgrade,
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -1,31 +1,31 @@
-//! What the parts of the testbed take from a scenario: machines, model parameters, workload and rule parameters.
+//! Conversion of a scenario into machines, model parameters, the workload and the parameters of the rules.
 
+use curlewusher_model::TimeSpan;
 use curlewusher_model::worker_pool::{Machine, PoolParameters};
 use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
-use curlewusher_model::{Micros, span};
 
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
-use crate::rules::{RepeatPolicy, RuleParameters};
+use crate::rules::{FootprintLimits, RepeatPolicy, RuleParameters};
 
-// The rules' own figures; a scenario does not change them.
-const SLACK: Micros = 50_000;
-/// The same for answers while links are impaired: the answer of a worker may be held up on its way.
-const IMPAIRED_ANSWER_SLACK: Micros = 500_000;
-const NOTIFIED_WITHIN: Micros = 6_000_000;
-const STOP_WITHIN: Micros = 750_000;
-const DRAIN_GRACE: Micros = 700_000;
-const SUCCESSOR_GRACE: Micros = 2_000_000;
-/// Repeats of a keyed job are dropped in a bay for this long.
-pub const DEDUPLICATION_WINDOW: Micros = 40_000_000;
+// Limits and tolerances of the rules; a scenario does not change them.
+const SLACK: TimeSpan = TimeSpan::from_millis(50);
+/// The same for responses while links are impaired: a worker's response may be delayed on its way.
+const IMPAIRED_ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
+const NOTIFIED_WITHIN: TimeSpan = TimeSpan::from_secs(6);
+const STOP_WITHIN: TimeSpan = TimeSpan::from_millis(750);
+const DRAIN_GRACE: TimeSpan = TimeSpan::from_millis(700);
+const SUCCESSOR_GRACE: TimeSpan = TimeSpan::from_secs(2);
+/// Repeats of a job with an idempotency key are dropped in a bay for this long.
+pub const DEDUPLICATION_WINDOW: TimeSpan = TimeSpan::from_secs(40);
 /// Window in which work that is sent to a worker that warms up is added up.
-pub const OVERLOAD_WINDOW: Micros = 2_000_000;
+pub const OVERLOAD_WINDOW: TimeSpan = TimeSpan::from_secs(2);
 /// Multiple of its capacity at which a worker that warms up crashes.
 pub const OVERLOAD_FACTOR: f64 = 3.0;
 /// Memory of a node, all of its processes together, in MB.
 pub const MEMORY_MB: f64 = 192.0;
 
 /// Interval between two progress reports of a worker.
-const PROGRESS_INTERVAL: Micros = 2_000_000;
+const PROGRESS_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
 /// Units of memory of a machine for each of its slots.
 const MEMORY_PER_SLOT: f64 = 2.0;
 /// Workers are dealt the kinds by this stride, which has no factor in common with most sizes and so mixes the kinds.
@@ -59,15 +59,15 @@
             slots: kind.slots,
             memory: f64::from(kind.slots) * MEMORY_PER_SLOT,
             queue: self.fleet.queue,
-            sets: self.fleet.sets_kept,
+            sets: self.fleet.cached_sets,
         }
     }
 
     /// The parameters of the worker pool.
     pub fn pool_parameters(&self) -> PoolParameters {
         PoolParameters {
-            cold_capacity_fraction: self.fleet.cold_capacity_fraction,
-            warm_up: span(self.fleet.warm_up_s),
+            initial_capacity_fraction: self.fleet.initial_capacity_fraction,
+            warm_up: TimeSpan::from_secs_f64(self.fleet.warm_up_s),
             overload_factor: OVERLOAD_FACTOR,
             overload_window: OVERLOAD_WINDOW,
             contention_penalty: self.fleet.contention_penalty,
@@ -82,7 +82,7 @@
     pub fn workload(&self) -> WorkloadSpec {
         WorkloadSpec {
             seed: self.seed,
-            length: span(self.length_s),
+            length: TimeSpan::from_secs_f64(self.length_s),
             rate: self.load.rate,
             load_curve: self.load.load_curve.iter().map(LoadSegment::from).collect(),
             classes: self.classes.iter().map(JobClass::from).collect(),
@@ -92,7 +92,12 @@
         }
     }
 
-    /// The figures of the rules.
+    /// The limits of a node, all of its processes together.
+    pub fn footprint_limits(&self) -> FootprintLimits {
+        FootprintLimits { memory_mb: MEMORY_MB, descriptors: self.nodes.descriptors }
+    }
+
+    /// The limits and tolerances of the rules.
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
             classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
@@ -109,7 +114,11 @@
 
 impl From<&LoadCurveSegment> for LoadSegment {
     fn from(segment: &LoadCurveSegment) -> Self {
-        LoadSegment { from: span(segment.from_s), until: span(segment.until_s), factor: segment.factor }
+        LoadSegment {
+            from: TimeSpan::from_secs_f64(segment.from_s),
+            until: TimeSpan::from_secs_f64(segment.until_s),
+            factor: segment.factor,
+        }
     }
 }
 
