--- /dev/null
+++ b/crates/node/tests/delivery/mod.rs
@@ -0,0 +1,157 @@
+//! Delivery of jobs to workers: what a worker receives, callbacks, reused connections and retries.
+
+use crate::common::{
+    Node, ScriptedServer, endpoint_list_json, job_request, next_request_at_either, open_request,
+    read_response, wait_for_counter,
+};
+
+#[test]
+fn job_is_submitted_then_worker_gets_it_unchanged_and_client_gets_result() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    assert_eq!(node.get("/ready").status(), 200);
+    let request = job_request("r1", "register", 5.0, "Idempotency-Key: k9\r\n");
+    let client = open_request(node.address, &request.replace("/api", "http://backend.local/api"));
+    let got = worker.next_event();
+    assert_eq!(got.message.start_line, "POST /api/k1?q=2 HTTP/1.1");
+    assert_eq!(got.message.header("x-request-id"), Some("r1"));
+    assert_eq!(got.message.header("idempotency-key"), Some("k9"));
+    assert_eq!(got.message.body, "body");
+    let wait: f64 = got.message.header("x-deadline").and_then(|v| v.parse().ok()).expect("a deadline");
+    assert!(wait > 0.0 && wait <= 5.0, "{wait}");
+    got.accept();
+    node.post_callback("r1", "s-1", r#""state":"started""#);
+    node.post_callback("r1", "s-1", r#""state":"running","share":0.4"#);
+    node.post_callback("r1", "s-1", r#""state":"done","result":"a\nb""#);
+    let answer = read_response(client);
+    assert_eq!((answer.status(), answer.body.as_str()), (200, "a\nb"));
+    assert_eq!(node.counter(r#"curlewusher_answers_total{kind="served"}"#), 1);
+}
+
+#[test]
+fn callbacks_are_early_repeated_or_foreign_then_only_the_first_valid_one_counts() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "view", 5.0);
+    let got = worker.next_event();
+    // Neither another worker nor another job is meant.
+    node.post_callback("r1", "s-9", r#""state":"failed""#);
+    node.post_callback("r9", "s-1", r#""state":"failed""#);
+    for _ in 0..3 {
+        node.post_callback("r1", "s-1", r#""state":"done","result":"first""#);
+    }
+    assert_eq!(read_response(client).body, "first");
+    got.accept();
+    assert_eq!(node.counter("curlewusher_callbacks_without_effect_total"), 4);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 1);
+    for bad in ["", "{", r#"{"id":"a","from":"b"}"#, r#"{"id":"a","from":"b","state":"running"}"#] {
+        assert_eq!(node.callback(bad), 400, "{bad}");
+    }
+}
+
+#[test]
+fn jobs_come_one_after_another_then_worker_connection_is_reused() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    for id in ["r1", "r2", "r3"] {
+        let client = node.submit_job(id, "view", 5.0);
+        let got = worker.next_event();
+        assert_eq!(got.connection, 0, "{id}");
+        node.serve_job(client, &got, id, "s-1");
+    }
+}
+
+#[test]
+fn worker_connection_stays_idle_then_node_closes_it() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let client = node.submit_job("r1", "order", 5.0);
+    node.serve_job(client, &worker.next_event(), "r1", "s-1");
+    // The node ends it long before the far end would.
+    let end = worker.next_event();
+    assert_eq!((end.message.start_line.as_str(), end.connection), ("", 0));
+}
+
+#[test]
+fn worker_closes_idle_connection_then_no_attempt_is_lost() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    for id in ["r1", "r2"] {
+        let client = node.submit_job(id, "order", 5.0);
+        let got = worker.next_request();
+        node.serve_job(client, &got, id, "s-1");
+        got.close();
+    }
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
+}
+
+#[test]
+fn non_idempotent_job_fails_then_it_is_retried_only_if_it_never_ran() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    // Turned away unstarted: it goes out once more. Lost without a 202: it may have run.
+    let client = node.submit_job("r1", "order", 5.0);
+    worker.next_event().respond("503 Service Unavailable\r\nX-Not-Run: 1");
+    worker.next_event().close();
+    let lost = read_response(client);
+    assert_eq!(lost.status(), 502, "a refusal would call it harmless to come again");
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
+    // A 503 without that header says nothing.
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
+    let client = node.submit_job("r2", "order", 5.0);
+    worker.next_request().respond("503 Service Unavailable");
+    assert_eq!(read_response(client).status(), 502);
+    assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 1);
+}
+
+#[test]
+fn accepted_job_does_not_start_then_it_is_retried_elsewhere_after_acknowledged_withdrawal() {
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let client = node.submit_job("r1", "view", 8.0);
+    // Whichever of the two it goes to takes it on and never starts it.
+    let (worker, got, other) = next_request_at_either(&first, &second);
+    got.accept();
+    for _ in 0..3 {
+        let call = worker.next_request();
+        assert_eq!(call.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+        assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+        call.close();
+    }
+    let call = worker.next_request();
+    assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+    call.respond("200 OK");
+    other.next_request().accept();
+    let name = if std::ptr::eq(other, &first) { "s-1" } else { "s-2" };
+    node.post_completion("r1", name);
+    assert_eq!(
+        (read_response(client).body.as_str(), node.counter("curlewusher_withdrawals_unheard_total")),
+        ("x", 3)
+    );
+}
+
+#[test]
+fn worker_does_not_accept_then_job_is_sent_to_another_worker() {
+    let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+    let client = node.submit_job("r1", "view", 9.0);
+    // Its connection was closed before the job went to the other.
+    let first: Vec<_> = [&one, &two].map(|worker| worker.next_event().message.start_line).into();
+    assert!(first.iter().all(|start| start.starts_with("POST")), "{first:?}");
+    assert_eq!(node.counter(r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#), 1);
+    for name in ["s-1", "s-2"] {
+        node.post_completion("r1", name);
+    }
+    assert_eq!(read_response(client).status(), 200);
+}
+
+#[test]
+fn worker_returns_job_then_it_goes_to_another_worker() {
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
+    let client = node.submit_job("r1", "order", 5.0);
+    first.next_event().accept();
+    let before = node.counter("curlewusher_transport_map_changes_total");
+    let change = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
+    watch.send_line(&endpoint_list_json(43, false, &change));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
+    second.next_event().accept();
+    // Late and repeated words of the first say nothing of the second.
+    node.post_callback("r1", "s-1", r#""state":"returned""#);
+    node.complete_job(client, "r1", "s-2");
+}
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -325,3 +325,29 @@
     all_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
 }
+
+#[test]
+fn watch_is_silent_then_it_is_reopened_from_the_last_version() {
+    // A change that does not arrive counts as told all the same: silence must not be taken for calm.
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let _node = Node::start(&node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]));
+    let first = ScriptedWatch::open(&discovery);
+    first.send_line("");
+    assert_eq!(ScriptedWatch::open(&discovery).since(), "41");
+}
+
+#[test]
+fn worker_drains_then_it_gets_no_job_and_broken_watch_resumes_from_last_version() {
+    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
+    let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let before = node.counter("curlewusher_transport_map_changes_total");
+    watch.send_line(&endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
+    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    for id in ["r1", "r2", "r3"] {
+        let client = node.submit_job(id, "view", 5.0);
+        node.serve_job(client, &second.next_event(), id, "s-2");
+    }
+    assert!(!first.has_pending_request());
+    watch.close();
+    assert_eq!(ScriptedWatch::open(&discovery).since(), "43");
+}
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::common::{
     Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, counter_value, endpoint_json,
-    endpoint_list_json, job_request, node_config, wait_until,
+    endpoint_list_json, job_request, node_config, open_request, wait_until,
 };
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -191,3 +191,25 @@
         node.serve_job(client, &worker.next_request(), "r1", "s-1");
     }
 }
+
+#[test]
+fn connections_exceed_descriptors_then_job_is_still_served() {
+    let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
+    let known = [worker.endpoint_json("s-1", "in_service")];
+    let config = node_config(discovery.address, &known);
+    // By its own count it closes idle connections in time, and keeps descriptors for workers.
+    let node = Node::start(&config.replace("1024", "64"));
+    let _watch = ScriptedWatch::answer(&discovery, &known);
+    // Half a request is no idle connection, and holds its place no longer than a silent one.
+    let crowd: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
+    let client = node.submit_job("r1", "view", 9.0);
+    node.serve_job(client, &worker.next_request(), "r1", "s-1");
+    drop(crowd);
+    // Told of far more descriptors than it has, it meets the system's refusal, and survives that.
+    let node = Node::start_with_descriptors(&config, 48);
+    let _watch = ScriptedWatch::answer(&discovery, &known);
+    wait_until("it stays unready", || node.get("/ready").status() == 200);
+    let _crowd: Vec<_> = (0..100).map(|_| open_request(node.address, "")).collect();
+    assert_eq!(node.get("/ready").status(), 200);
+    assert!(node.counter("curlewusher_accept_failures_total") > 0);
+}
--- /dev/null
+++ b/crates/node/tests/withdrawals/mod.rs
@@ -0,0 +1,65 @@
+//! Withdrawals of jobs whose client has disconnected or whose deadline has passed.
+
+use crate::common::{Node, ScriptedServer, read_response};
+
+#[test]
+fn client_leaves_while_202_is_in_transit_then_job_is_withdrawn_by_id() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    for id in ["r1", "r2", "r3", "r4"] {
+        let client = node.submit_job(id, "view", 5.0);
+        let got = worker.next_request();
+        // Held still, the node finds both when it goes on: that its client has left, and the 202.
+        node.signal("-STOP");
+        drop(client);
+        got.accept();
+        node.signal("-CONT");
+        // Closing the connection would leave the job to run, and another attempt beside it.
+        let call = worker.next_request();
+        assert_eq!(call.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
+        call.respond("200 OK");
+    }
+}
+
+/// Its connection is closed, and it is withdrawn by name on another.
+fn is_given_up(worker: &ScriptedServer, id: &str, connection: usize) {
+    let both = [worker.next_event(), worker.next_event()];
+    let (ends, calls): (Vec<_>, Vec<_>) = both.iter().partition(|got| got.message.start_line.is_empty());
+    assert_eq!(ends.iter().map(|end| end.connection).collect::<Vec<_>>(), [connection]);
+    assert_eq!(calls[0].message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert_ne!(calls[0].connection, connection);
+}
+
+#[test]
+fn client_closes_connection_then_its_job_is_withdrawn() {
+    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    // After the 202 the job is withdrawn by name.
+    let client = node.submit_job("r1", "view", 5.0);
+    worker.next_event().accept();
+    node.post_callback("r1", "s-1", r#""state":"started""#);
+    drop(client);
+    let got = worker.next_event();
+    assert_eq!(got.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    got.respond("204 No Content");
+    // Before it, the connection is closed as well: on a cut network only a call that is repeated arrives.
+    let client = node.submit_job("r2", "view", 5.0);
+    let got = worker.next_request();
+    assert!(got.message.start_line.starts_with("POST"), "{}", got.message.start_line);
+    drop(client);
+    is_given_up(&worker, "r2", got.connection);
+    assert_eq!(node.counter("curlewusher_clients_gone_total"), 2);
+}
+
+#[test]
+fn worker_is_silent_then_client_is_answered_by_deadline_and_attempt_is_withdrawn() {
+    // It may have run, so that an order fails and a view is deferred; either attempt is given up.
+    for (class, status) in [("order", 502), ("view", 503)] {
+        let (worker, node, _watch, _discovery) = Node::start_with_worker();
+        let client = node.submit_job("r1", class, 0.3);
+        let got = worker.next_event();
+        assert!(got.message.start_line.starts_with("POST"));
+        let answer = read_response(client);
+        assert_eq!((answer.status(), answer.header("retry-after").is_some()), (status, status == 503));
+        is_given_up(&worker, "r1", got.connection);
+        assert_eq!(node.counter("curlewusher_delivery_attempts_given_up_total"), 1);
+    }
+}
