--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that leave, close or send just as the node does.
+//! Connections of clients that disconnect, close or send at the same moment as the node, or read no responses.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -11,8 +11,8 @@
     node_config, open_request, read_response, send_request, wait_until,
 };
 
-/// Closes it, with a reset or in good order.
-fn go(stream: TcpStream, reset: bool) {
+/// Closes a connection, with a reset or in good order.
+fn close(stream: TcpStream, reset: bool) {
     if reset {
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option of any socket");
     }
@@ -21,7 +21,7 @@
 
 #[test]
 fn client_pipelines_data_and_leaves_then_departure_is_seen_and_job_is_not_sent() {
-    // No worker is there, so that each job waits. Its client's end lies behind what the client sent on.
+    // No worker is there, so that each job waits. The close of a client lies behind the bytes that it pipelined.
     let (node, watch, _discovery) = Node::start_with_workers(&[]);
     let gone = || node.counter("curlewusher_clients_gone_total");
     let mut clients = 0;
@@ -31,7 +31,7 @@
             let mut client = node.submit_job(&format!("r{clients}"), "view", 60.0);
             wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") > taken);
             client.write_all("x".repeat(more).as_bytes()).expect("it reads on");
-            go(client, reset);
+            close(client, reset);
             clients += 1;
             wait_until(&format!("{more} bytes, reset: {reset}"), || gone() == clients);
         }
@@ -55,7 +55,7 @@
         &job_request("r1", "view", 60.0, "").replace("Content-Length: 4\r\n\r\nbody", chunked),
     );
     worker.next_request().accept();
-    go(client, false);
+    close(client, false);
     wait_until("the client is not seen to leave", || node.counter("curlewusher_clients_gone_total") == 1);
     assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
 }
@@ -74,15 +74,14 @@
     }
 }
 
-/// Whether it was reset, once the node has done all that it was about to do: it is asked something else, and
-/// does one thing after another.
+/// Whether a connection was reset, once the node has handled all earlier events: it answers another request after them.
 fn is_reset(stream: &TcpStream, node: &Node) -> bool {
     node.get("/ready");
     stream.take_error().expect("an option of any socket").is_some()
 }
 
-/// Reads to an end in good order, and says which statuses came.
-fn whole(mut stream: TcpStream, node: &Node, what: &str) -> Vec<u16> {
+/// Reads responses up to an orderly close; returns their statuses.
+fn read_statuses_to_end(mut stream: TcpStream, node: &Node, what: &str) -> Vec<u16> {
     let mut said = Vec::new();
     stream.read_to_end(&mut said).unwrap_or_else(|e| panic!("{what}: {e}"));
     assert!(!is_reset(&stream, node), "{what}");
@@ -109,20 +108,20 @@
     for (request, status) in cases {
         // All of it is under way before the answer is made, and stays unread by hyper.
         let client = open_request(node.address, &(request.clone() + &much));
-        assert_eq!(whole(client, &node, &request), [status], "{request}");
+        assert_eq!(read_statuses_to_end(client, &node, &request), [status], "{request}");
     }
     // The answer to a job, behind which much came.
     let client = open_request(node.address, &(good + &much));
     worker.next_request().accept();
     node.post_completion("r1", "s-1");
-    assert_eq!(whole(client, &node, "a job"), [200]);
+    assert_eq!(read_statuses_to_end(client, &node, "a job"), [200]);
 }
 
 #[test]
 fn request_crosses_connection_close_then_it_is_not_served_and_not_reset() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let mut idle = idle(&node);
-    // A job in hand keeps the node from ending.
+    let mut idle = connect_idle_client(&node);
+    // A job in flight keeps the node running.
     let client = node.submit_job("r1", "view", 9.0);
     worker.next_request().accept();
     node.signal("-TERM");
@@ -136,16 +135,15 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// An idle connection, on which one answer has come.
-fn idle(node: &Node) -> TcpStream {
+/// An idle connection, on which one request was answered.
+fn connect_idle_client(node: &Node) -> TcpStream {
     let stream = open_request(node.address, READY);
     assert_eq!(HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("an answer").status(), 200);
     stream
 }
 
-/// Returns once the node has ended an idle connection: so long after SIGTERM it ends as soon as nothing is in
-/// hand.
-fn ended(mut idle: TcpStream) {
+/// Returns once the node has closed an idle connection. From then on it exits as soon as no job is in flight.
+fn wait_for_close(mut idle: TcpStream) {
     assert_eq!(idle.read(&mut [0]).expect("an end in good order"), 0);
 }
 
@@ -154,7 +152,7 @@
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let first = node.submit_job("r1", "view", 9.0);
     worker.next_request().accept();
-    let idle = idle(&node);
+    let idle = connect_idle_client(&node);
     node.signal("-TERM");
     wait_until("it stays ready", || node.get("/ready").status() != 200);
     let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
@@ -162,7 +160,7 @@
     let mut parts = requests.iter().zip([30, requests[1].len() - 2]).map(|(r, at)| r.split_at(at));
     let mut begun: Vec<_> =
         parts.by_ref().map(|(begun, rest)| (open_request(node.address, begun), rest)).collect();
-    ended(idle);
+    wait_for_close(idle);
     for (client, rest) in &mut begun {
         client.write_all(rest.as_bytes()).expect("it reads on");
     }
@@ -181,8 +179,8 @@
     assert!(node.wait_for_exit().status.success());
 }
 
-/// A client that asks for more than the system holds for it, and reads one answer only.
-fn reads_nothing(node: &Node) -> TcpStream {
+/// A client that requests more than the system buffers for it, and reads the first bytes only.
+fn connect_client_that_reads_nothing(node: &Node) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an option of any socket");
     // The system holds a few dozen segments for it, which are 64 KiB each on the loopback interface otherwise.
@@ -199,11 +197,11 @@
 #[test]
 fn job_arrives_when_all_are_answered_after_sigterm_then_it_gets_503_with_retry_after() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let _slow = reads_nothing(&node);
-    let idle = idle(&node);
+    let _slow = connect_client_that_reads_nothing(&node);
+    let idle = connect_idle_client(&node);
     node.signal("-TERM");
-    ended(idle);
-    // Nothing was in hand, and an answer that nobody reads keeps the node a little longer.
+    wait_for_close(idle);
+    // No job was in flight, and a response that is not read keeps the node running a little longer.
     let answer = send_request(node.address, &job_request("r1", "view", 9.0, ""));
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert!(answer.header("retry-after").is_some());
@@ -245,15 +243,15 @@
         3 => String::new(),
         _ => READY.to_owned() + "GET /and",
     };
-    // Most go at once, with a reset or without. Some rest until the node ends them.
+    // Most are closed at once, with a reset or without. Some are kept until the node closes them.
     let mut rest = Vec::new();
     for n in 0..300 {
         let mut stream = TcpStream::connect(node.address).expect("it listens");
-        // It may have been ended already to make way.
+        // It may have been evicted already.
         let _ = stream.write_all(bad(n % 5).as_bytes());
         match n % 4 {
             0 => rest.push(stream),
-            left => go(stream, left == 1),
+            left => close(stream, left == 1),
         }
         if n % 50 == 49 {
             let id = format!("r{n}");
@@ -263,12 +261,12 @@
         }
     }
     assert_eq!(node.counter("curlewusher_accept_failures_total"), 0, "it keeps within its descriptors");
-    // Who rests is ended, in good order or not.
+    // The connections that were kept are closed, in good order or not.
     for mut stream in rest {
         let mut said = Vec::new();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let timed_out = |e: std::io::Error| e.kind() == std::io::ErrorKind::WouldBlock;
-        assert!(!stream.read_to_end(&mut said).is_err_and(timed_out), "it is held for ever");
+        assert!(!stream.read_to_end(&mut said).is_err_and(timed_out), "it is kept open");
     }
 }
 
@@ -279,8 +277,8 @@
     let config = node_config(discovery.address, &known);
     let node = Node::start_with_descriptors(&config.replace("1024", "64"), 64);
     let _watch = ScriptedWatch::answer(&discovery, &known);
-    // More than it has places for; each holds its answers back, and stays.
-    let _crowd: Vec<_> = (0..40).map(|_| reads_nothing(&node)).collect();
+    // More than the connection budget; each blocks its responses, and stays connected.
+    let _crowd: Vec<_> = (0..40).map(|_| connect_client_that_reads_nothing(&node)).collect();
     let client = node.submit_job("r1", "view", 9.0);
     node.serve_job(client, &worker.next_request(), "r1", "s-1");
 }
@@ -292,8 +290,8 @@
     worker.next_request().accept();
     node.signal("-TERM");
     assert_eq!(read_response(client).status(), 502);
-    // Its worker has heard that it is to stop and does not say so. By the time it is told again the node
-    // has closed all that it had.
+    // Its worker has received the withdrawal and does not respond. By the time of the second withdrawal the node has
+    // closed all its connections.
     for _ in 0..2 {
         assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
     }
@@ -325,7 +323,7 @@
         node.callback(&format!(r#"{{"id":"r1","from":"s-1","state":"lost"{}}}"#, " ".repeat(70_000))),
         413
     );
-    // One that stops half way, and one whose far end goes half way.
+    // One client disconnects in the middle of its body, and one sends nothing more.
     let half = "POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n{\"id\":\"r1\",";
     drop(open_request(node.address, half));
     assert_eq!(send_request(node.address, half).status(), 408);
@@ -336,14 +334,14 @@
 /// Clients whose half a head comes to the node in the moment in which its drain is over and it ends their
 /// connections, an idle one and one on which nothing had come; and the other halves. None where the node was
 /// held still too late or for too long, which shows nothing.
-fn begun_as_the_drain_ends(node: &Node, requests: &[String; 2]) -> Option<Vec<(TcpStream, String)>> {
+fn send_partial_heads_as_drain_ends(node: &Node, requests: &[String; 2]) -> Option<Vec<(TcpStream, String)>> {
     // Its drain begins later than the other's, so that the other's is over once this one has ended.
     let (clock, _watch, _discovery) = Node::start_with_workers(&[]);
-    let control = idle(node);
-    let begun = [idle(node), open_request(node.address, "")];
+    let control = connect_idle_client(node);
+    let begun = [connect_idle_client(node), open_request(node.address, "")];
     // All of them are accepted.
     node.get("/ready");
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     node.signal("-TERM");
     node.wait_for_log_line("graceful shutdown started");
     let held = node.pause();
@@ -355,7 +353,7 @@
     clock.signal("-TERM");
     assert!(clock.wait_for_exit().status.success());
     // The last answers are due 3.3 s after SIGTERM.
-    if told.elapsed() > Duration::from_millis(1500) {
+    if terminated_at.elapsed() > Duration::from_millis(1500) {
         return None;
     }
     let mut clients = Vec::new();
@@ -365,7 +363,7 @@
         clients.push((client, rest.to_owned()));
     }
     drop(held);
-    ended(control);
+    wait_for_close(control);
     Some(clients)
 }
 
@@ -377,7 +375,7 @@
         let first = node.submit_job("r1", "view", 9.0);
         wait_until("the job is not taken", || node.counter("curlewusher_jobs_taken_total") == 1);
         let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
-        let Some(mut begun) = begun_as_the_drain_ends(&node, &requests) else { return false };
+        let Some(mut begun) = send_partial_heads_as_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut begun {
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
@@ -404,7 +402,7 @@
     let shown = (0..20).any(|_| {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let requests = ["r1", "r2"].map(|id| job_request(id, "view", 9.0, ""));
-        let Some(mut begun) = begun_as_the_drain_ends(&node, &requests) else { return false };
+        let Some(mut begun) = send_partial_heads_as_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut begun {
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
--- a/crates/node/tests/common/scripted_server.rs
+++ b/crates/node/tests/common/scripted_server.rs
@@ -123,12 +123,12 @@
             .expect("endless")
     }
 
-    /// The next request, if one has come already.
+    /// The next request, if one has arrived.
     pub fn try_next_request(&self) -> Option<ReceivedRequest> {
         std::iter::from_fn(|| self.try_next_event()).find(|event| !event.message.start_line.is_empty())
     }
 
-    /// Whether a request has come that the test has not received. Takes what has come off the queue.
+    /// Whether a request has arrived that the test has not received. Takes events off the queue up to that request.
     pub fn has_pending_request(&self) -> bool {
         self.try_next_request().is_some()
     }
--- a/crates/node/tests/delivery/mod.rs
+++ b/crates/node/tests/delivery/mod.rs
@@ -32,7 +32,7 @@
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "view", 5.0);
     let got = worker.next_event();
-    // Neither another worker nor another job is meant.
+    // These callbacks name another worker or another job.
     node.post_callback("r1", "s-9", r#""state":"failed""#);
     node.post_callback("r9", "s-1", r#""state":"failed""#);
     for _ in 0..3 {
@@ -63,7 +63,7 @@
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_job("r1", "order", 5.0);
     node.serve_job(client, &worker.next_event(), "r1", "s-1");
-    // The node ends it long before the far end would.
+    // The node closes it long before the worker would.
     let end = worker.next_event();
     assert_eq!((end.message.start_line.as_str(), end.connection), ("", 0));
 }
@@ -83,14 +83,14 @@
 #[test]
 fn non_idempotent_job_fails_then_it_is_retried_only_if_it_never_ran() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    // Turned away unstarted: it goes out once more. Lost without a 202: it may have run.
+    // A rejected attempt that was not started is retried. One that is lost without a 202 may have run.
     let client = node.submit_job("r1", "order", 5.0);
     worker.next_event().respond("503 Service Unavailable\r\nX-Not-Run: 1");
     worker.next_event().close();
     let lost = read_response(client);
-    assert_eq!(lost.status(), 502, "a refusal would call it harmless to come again");
+    assert_eq!(lost.status(), 502, "a rejection would say that a retry is harmless");
     assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
-    // A 503 without that header says nothing.
+    // After a 503 without that header the job may have run.
     let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
     let client = node.submit_job("r2", "order", 5.0);
     worker.next_request().respond("503 Service Unavailable");
@@ -103,17 +103,17 @@
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
     let client = node.submit_job("r1", "view", 8.0);
-    // Whichever of the two it goes to takes it on and never starts it.
+    // The worker that gets the job accepts it and never starts it.
     let (worker, got, other) = next_request_at_either(&first, &second);
     got.accept();
     for _ in 0..3 {
         let call = worker.next_request();
         assert_eq!(call.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
-        assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+        assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
         call.close();
     }
     let call = worker.next_request();
-    assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+    assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
     call.respond("200 OK");
     other.next_request().accept();
     let name = if std::ptr::eq(other, &first) { "s-1" } else { "s-2" };
@@ -151,7 +151,7 @@
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     second.next_event().accept();
-    // Late and repeated words of the first say nothing of the second.
+    // Late and repeated callbacks of the first worker do not concern the second attempt.
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     node.complete_job(client, "r1", "s-2");
 }
--- a/crates/node/tests/endpoint_lease/mod.rs
+++ b/crates/node/tests/endpoint_lease/mod.rs
@@ -36,7 +36,7 @@
     assert!(!left.has_pending_request(), "an attempt reaches the worker that has left");
 }
 
-/// A change that cannot follow the list that is known leaves a hole: jobs wait until the whole list has come.
+/// A change that cannot follow the list that is known leaves a hole: jobs wait until the complete list is read.
 #[test]
 fn change_is_older_than_the_list_then_jobs_wait_for_the_whole_list() {
     let (worker, node, watch, discovery) = Node::start_with_worker();
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -17,7 +17,7 @@
 }
 
 /// Has jobs served, all of which must go to that worker.
-fn all_go_to(node: &Node, worker: &ScriptedServer, name: &str, jobs: &str) {
+fn assert_all_jobs_go_to(node: &Node, worker: &ScriptedServer, name: &str, jobs: &str) {
     for i in 0..3 {
         let id = format!("{jobs}{i}");
         let client = node.submit_job(&id, "view", 9.0);
@@ -25,8 +25,8 @@
     }
 }
 
-/// A call for a watch, checked to be one, and the version that it has.
-fn since(got: &ReceivedRequest) -> &str {
+/// The version since which a poll requests changes.
+fn polled_version(got: &ReceivedRequest) -> &str {
     let version = got.message.start_line.strip_prefix("GET /v1/endpoints?follow=1&since=");
     version.and_then(|rest| rest.split(' ').next()).unwrap_or_else(|| panic!("{}", got.message.start_line))
 }
@@ -51,10 +51,10 @@
         wait_for_counter(&node, CHANGES, 2 + 2 * at as u64);
         assert_eq!(node.counter(FAILURES), 0, "cut behind {}", &whole[..at]);
     }
-    all_go_to(&node, &second, "s-2", "r");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(
         !first.has_pending_request() && !discovery.has_pending_request(),
-        "it drains, and that was told once"
+        "it drains, and the watch was not reopened"
     );
     watch.close();
 }
@@ -86,7 +86,7 @@
     let two = endpoint_list_json(55, false, &[]) + &endpoint_list_json(56, false, &all[..1]);
     watch.write_raw(&byte_by_byte(&two));
     wait_for_counter(&node, CHANGES, 2 + 11 + 1 + 2);
-    all_go_to(&node, &second, "s-2", "r");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
     assert_eq!(node.counter(FAILURES), 0);
     watch.close();
@@ -106,8 +106,8 @@
     );
     let length = list.len();
     discovery.next_request().write_raw(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}"));
-    assert_eq!(since(&discovery.next_request()), "50");
-    all_go_to(&node, &second, "s-2", "r");
+    assert_eq!(polled_version(&discovery.next_request()), "50");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
 }
 
@@ -122,14 +122,14 @@
             if let Some(next) = discovery.try_next_request() {
                 break next;
             }
-            assert!(begun.elapsed() < TEST_TIMEOUT, "{begin:?} and {piece:?} pass for life");
-            // The pace of a peer that trickles. The node may have gone in this moment.
+            assert!(begun.elapsed() < TEST_TIMEOUT, "{begin:?} and {piece:?} count as activity");
+            // The pace of a slow peer. The node may have closed the connection meanwhile.
             thread::sleep(Duration::from_millis(50));
             if !piece.is_empty() {
                 watch.try_write(&chunk(piece));
             }
         };
-        assert_eq!((since(&next), node.counter(FAILURES)), ("42", 1));
+        assert_eq!((polled_version(&next), node.counter(FAILURES)), ("42", 1));
     }
 }
 
@@ -147,13 +147,13 @@
         assert!(said.contains("see ") && !said.contains("silent"), "{said}");
         again.send_line(&endpoint_list_json(45, true, &[worker.endpoint_json("s-1", "in_service")]));
         wait_for_counter(&node, CHANGES, 3);
-        all_go_to(&node, &worker, "s-1", "r");
+        assert_all_jobs_go_to(&node, &worker, "s-1", "r");
     }
 }
 
 #[test]
 fn watch_is_given_up_then_its_connection_is_closed() {
-    // A peer that is silent notices nothing unless the connection ends.
+    // A silent peer notices only that the connection is closed.
     let discovery = ScriptedServer::start();
     let _node = Node::start(&node_config(discovery.address, &[]));
     let first = discovery.next_request();
@@ -165,17 +165,17 @@
     discovery.wait_for_connection_end(second.connection);
 }
 
-/// A call beside one that hangs: it comes before that has ended.
-fn beside(server: &ScriptedServer, hangs: &ReceivedRequest) -> ReceivedRequest {
+/// The poll that is made beside one that hangs, before that one has ended.
+fn next_hedged_poll(server: &ScriptedServer, hangs: &ReceivedRequest) -> ReceivedRequest {
     let next = std::iter::repeat_with(|| server.next_event())
         .find(|got| !got.message.start_line.is_empty() || got.connection == hangs.connection)
         .expect("endless");
-    assert_ne!(next.connection, hangs.connection, "it had all the time for itself");
+    assert_ne!(next.connection, hangs.connection, "no poll is made beside it");
     next
 }
 
-/// A watch whose call was held: its head, and a list.
-fn begin(got: &ReceivedRequest, list: &str) {
+/// Answers a pending poll: the head of the response, and a list.
+fn open_watch(got: &ReceivedRequest, list: &str) {
     got.write_raw(&format!("{HEAD}{}", chunk(&format!("{list}\n"))));
 }
 
@@ -190,22 +190,22 @@
     assert_eq!(watch.since(), "41");
     watch.send_line(&endpoint_list_json(42, false, &[first.endpoint_json("s-1", "terminating")]));
     wait_for_counter(&node, CHANGES, 2);
-    all_go_to(&node, &second, "s-2", "r");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
-    // Its end, and more failures than it has patience for, are followed by a call each.
+    // Its end and each of many failures are followed by a poll.
     watch.close();
     for i in 0..8 {
         let got = discovery.next_request();
-        assert_eq!(since(&got), "42", "call {i}");
+        assert_eq!(polled_version(&got), "42", "poll {i}");
         got.respond("503 Service Unavailable");
     }
-    // So is a call that hangs; whichever begins is the watch, and the other ends.
+    // So is a poll that hangs. The first that is answered becomes the watch, and the other is cancelled.
     let hangs = discovery.next_request();
-    let next = beside(&discovery, &hangs);
-    begin(&next, &endpoint_list_json(43, true, &[first.endpoint_json("s-1", "in_service")]));
+    let next = next_hedged_poll(&discovery, &hangs);
+    open_watch(&next, &endpoint_list_json(43, true, &[first.endpoint_json("s-1", "in_service")]));
     discovery.wait_for_connection_end(hangs.connection);
     wait_for_counter(&node, CHANGES, 3);
-    all_go_to(&node, &first, "s-1", "q");
+    assert_all_jobs_go_to(&node, &first, "s-1", "q");
 }
 
 #[test]
@@ -213,14 +213,14 @@
     let (worker, node, watch, discovery) = Node::start_with_worker();
     watch.send_line("");
     let hangs = discovery.next_request();
-    let next = beside(&discovery, &hangs);
-    assert_eq!((since(&hangs), since(&next)), ("42", "42"));
+    let next = next_hedged_poll(&discovery, &hangs);
+    assert_eq!((polled_version(&hangs), polled_version(&next)), ("42", "42"));
     let other = ScriptedServer::start();
     let drains = [worker.endpoint_json("s-1", "terminating"), other.endpoint_json("s-2", "in_service")];
-    begin(&next, &endpoint_list_json(43, false, &drains));
+    open_watch(&next, &endpoint_list_json(43, false, &drains));
     wait_for_counter(&node, CHANGES, 3);
     discovery.wait_for_connection_end(hangs.connection);
-    all_go_to(&node, &other, "s-2", "r");
+    assert_all_jobs_go_to(&node, &other, "s-2", "r");
     assert!(!worker.has_pending_request(), "it drains");
 }
 
@@ -232,14 +232,14 @@
     first.write_raw(HEAD);
     discovery.wait_for_connection_end(first.connection);
     let hangs = discovery.next_request();
-    let next = beside(&discovery, &hangs);
-    begin(&next, &endpoint_list_json(42, true, &[]));
+    let next = next_hedged_poll(&discovery, &hangs);
+    open_watch(&next, &endpoint_list_json(42, true, &[]));
     discovery.wait_for_connection_end(hangs.connection);
     wait_for_counter(&node, CHANGES, 2);
-    // Where neither begins, the module is told, and asks.
+    // Where neither poll opens a watch, the dispatch task is notified, and polls.
     next.close();
     for _ in 0..4 {
-        assert_eq!(since(&discovery.next_request()), "42");
+        assert_eq!(polled_version(&discovery.next_request()), "42");
     }
 }
 
@@ -250,13 +250,13 @@
     let moved = ScriptedServer::start();
     node.reload_config(&node_config(moved.address, &[]));
     let hangs = moved.next_request();
-    let next = beside(&moved, &hangs);
-    assert_eq!((since(&hangs), since(&next)), ("0", "0"));
-    begin(&next, &endpoint_list_json(7, true, &[worker.endpoint_json("s-1", "in_service")]));
+    let next = next_hedged_poll(&moved, &hangs);
+    assert_eq!((polled_version(&hangs), polled_version(&next)), ("0", "0"));
+    open_watch(&next, &endpoint_list_json(7, true, &[worker.endpoint_json("s-1", "in_service")]));
     moved.wait_for_connection_end(hangs.connection);
     old.wait_for_connection_end(0);
-    assert!(!old.has_pending_request(), "nothing calls there any more");
-    all_go_to(&node, &worker, "s-1", "r");
+    assert!(!old.has_pending_request(), "the old address is still polled");
+    assert_all_jobs_go_to(&node, &worker, "s-1", "r");
 }
 
 #[test]
@@ -265,21 +265,21 @@
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
     let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
     let node = Node::start(&node_config(discovery.address, &known));
-    // Only an answer makes the node send at all; its next call is under way when the address changes.
+    // Only a first answer makes the node ready; its next poll is in flight when the address changes.
     ScriptedWatch::answer(&discovery, &known).close();
     let before = std::iter::repeat_with(|| discovery.next_event())
         .find(|got| !got.message.start_line.is_empty())
         .expect("endless");
     let moved = ScriptedServer::start();
     node.reload_config(&node_config(moved.address, &known));
-    assert_eq!(since(&moved.next_request()), "0");
-    // Told is told, by a call that was under way in the moment of the move too.
-    begin(&before, &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
+    assert_eq!(polled_version(&moved.next_request()), "0");
+    // A drain counts, also if a poll delivers it that was in flight when the address changed.
+    open_watch(&before, &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
     wait_for_counter(&node, CHANGES, 3);
-    all_go_to(&node, &second, "s-2", "r");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
-    // It counts in its own way there: what was heard since is no version for the new address.
-    assert_eq!(since(&moved.next_request()), "0");
+    // The new discovery has its own versions: none that the old one sent is used there.
+    assert_eq!(polled_version(&moved.next_request()), "0");
 }
 
 #[test]
@@ -288,7 +288,7 @@
     wait_for_counter(&node, CHANGES, 2);
     let moved = ScriptedServer::start();
     node.reload_config(&node_config(moved.address, &[]));
-    // Each list of the old watch used to count as the answer that the module waits for.
+    // Each list of the old watch used to count as the answer that the dispatch task waits for.
     for i in 1..6 {
         moved.next_request().respond("503 Service Unavailable");
         wait_for_counter(&node, FAILURES, i);
@@ -308,27 +308,27 @@
         chunk(&(endpoint_list_json(index, false, &[worker.endpoint_json(name, "terminating")]) + "\n"))
     };
     wait_for_counter(&node, CHANGES, 2);
-    // Held still, the node finds all of it when it goes on.
+    // The stopped node finds all of it when it continues.
     node.signal("-STOP");
     watch.write_raw(&(drains(43, "s-2", &second) + &drains(44, "s-1", &first)));
     watch.close();
     node.signal("-CONT");
     let again = discovery.next_request();
-    assert_eq!(since(&again), "44");
-    // So does the whole list at a return, with a change right behind it, and the end.
+    assert_eq!(polled_version(&again), "44");
+    // So does a snapshot on the reopened watch, with a change right behind it, and the end.
     let all =
         endpoint_list_json(45, true, &workers.map(|(name, worker)| worker.endpoint_json(name, "in_service")))
             + "\n";
     again.write_raw(&format!("{HEAD}{}{}", chunk(&all), drains(46, "s-1", &first)));
     again.close();
-    assert_eq!(since(&discovery.next_request()), "46");
-    all_go_to(&node, &second, "s-2", "r");
+    assert_eq!(polled_version(&discovery.next_request()), "46");
+    assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(!first.has_pending_request(), "it drains");
 }
 
 #[test]
 fn watch_is_silent_then_it_is_reopened_from_the_last_version() {
-    // A change that does not arrive counts as told all the same: silence must not be taken for calm.
+    // A change that does not arrive counts as notified all the same, so that silence must not count as no change.
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let _node = Node::start(&node_config(discovery.address, &[worker.endpoint_json("s-1", "in_service")]));
     let first = ScriptedWatch::open(&discovery);
--- a/crates/node/tests/job_requests/mod.rs
+++ b/crates/node/tests/job_requests/mod.rs
@@ -108,11 +108,11 @@
         .collect();
     // The half of a second request on a connection that was good before.
     (&cut[3]).write_all(b"POST /api").expect("it reads");
-    for (mut stream, owed) in cut.into_iter().zip(["", "400", "400", "200", "408"]) {
+    for (mut stream, expected) in cut.into_iter().zip(["", "400", "400", "200", "408"]) {
         let mut said = String::new();
         let got = stream.read_to_string(&mut said);
-        assert!(got.is_ok(), "{owed:?}: {said} {got:?}");
-        assert_eq!(said.split(' ').nth(1).unwrap_or(""), owed, "{said}");
+        assert!(got.is_ok(), "{expected:?}: {said} {got:?}");
+        assert_eq!(said.split(' ').nth(1).unwrap_or(""), expected, "{said}");
     }
     idle.write_all(ready.as_bytes()).expect("it is open");
     let mut read = std::io::BufReader::new(idle);
@@ -130,7 +130,7 @@
     let got = worker.next_request();
     assert_eq!(got.message.start_line, "POST /api HTTP/1.1");
     node.serve_job(client, &got, "r1", "s-1");
-    // Neither a word that only begins like it nor another method is one.
+    // Neither a longer path nor another method is a job.
     assert_eq!(
         send_request(node.address, &job_request("r2", "view", 5.0, "").replace("/api/k1?q=2", "/apis"))
             .status(),
@@ -141,8 +141,7 @@
 
 #[test]
 fn job_names_tenant_then_it_counts_against_that_quota_and_without_tenant_gets_400() {
-    // The first tenant may hardly send anything: a job beyond its share waits for room to spare, and there is
-    // none.
+    // The first tenant has hardly any quota: a job beyond it waits for spare capacity, and there is none.
     let tenants = concat!(
         r#""customers":[{"name":"marl","quotaPerS":0.001},{"name":"tern","quotaPerS":1000}],"#,
         r#""overShareWorth":0.01,"#
@@ -165,17 +164,17 @@
         let client = open_request(node.address, &of(id, tenant));
         node.serve_job(client, &worker.next_request(), id, "s-1");
     }
-    // What the first tenant's share allows at once is soon used up; behind it the other one's job goes first.
+    // The first tenant's quota is soon used up; the job of the other tenant then goes first.
     let mut firsts = Vec::new();
     for n in 0..40 {
         firsts.push(open_request(node.address, &of(&format!("m{n}"), "X-Tenant: marl\r\n")));
     }
-    // All are in hand: each has its number, and the next is counted after them.
-    let taken = |count| wait_for_counter(&node, "curlewusher_jobs_taken_total", count);
-    taken(42);
+    // All have been accepted, in this order, before the next arrives.
+    let wait_for_jobs = |count| wait_for_counter(&node, "curlewusher_jobs_taken_total", count);
+    wait_for_jobs(42);
     let _last = open_request(node.address, &of("r6", "X-Tenant: tern\r\n"));
-    taken(43);
-    // One by one they are served: the last to come is not the last to be sent.
+    wait_for_jobs(43);
+    // They are served one by one: the last to arrive is not the last to be sent.
     let mut order = Vec::new();
     while let Some(got) = (order.len() < 41).then(|| worker.next_request()) {
         let id = got.message.header("x-request-id").expect("an id").to_owned();
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -18,7 +18,7 @@
     let client = node.submit_job("r1", "order", 8.0);
     worker.next_request().accept();
     node.post_callback("r1", "s-1", r#""state":"returned""#);
-    // It never ran: it goes there once more, and is taken on.
+    // It never ran, so that it is retried there and accepted.
     worker.next_request().accept();
     wait_until("the count is not 2", || node.counter("curlewusher_delivery_attempts_accepted_total") == 2);
     let changes = "curlewusher_transport_map_changes_total";
@@ -28,7 +28,10 @@
     // The answer to the first call was lost on its way.
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     let (_, next, _) = next_request_at_either(&worker, &other);
-    assert_eq!(next.message.start_line, "DELETE /jobs/r1 HTTP/1.1", "a second copy of one that may run");
+    assert_eq!(
+        next.message.start_line, "DELETE /jobs/r1 HTTP/1.1",
+        "a second attempt beside one that may run"
+    );
     next.respond("200 OK");
     // It may have run by then.
     assert_eq!(read_response(client).status(), 502);
@@ -41,7 +44,7 @@
     let names = ["s-1", "s-2"];
     let two = |discovery, known: &[String]| {
         let text = node_config(discovery, known).replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#);
-        // That a worker is slow to take a job on is not looked at here: on a busy machine it may be.
+        // A worker may be slow to accept a job on a busy machine; that is not tested here.
         text.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
     };
     let (node, _watch, _discovery) =
@@ -50,7 +53,7 @@
         let (worker, request, _) = next_request_at_either(&workers[0], &workers[1]);
         (request, usize::from(std::ptr::eq(worker, &workers[1])))
     };
-    // Second copies are earned by the work that came before.
+    // The budget of hedged requests grows with the jobs served before.
     for n in 0..12 {
         let client = node.submit_job(&format!("r{n}"), "view", 8.0);
         let (got, at) = next();
@@ -66,12 +69,16 @@
     node.post_callback("c", names[other], r#""state":"started""#);
     let (withdrawal, at) = next();
     assert_eq!((withdrawal.message.start_line.as_str(), at), ("DELETE /jobs/c HTTP/1.1", one));
-    // It starts there now, and the withdrawal is on its way yet.
+    // It starts there while the withdrawal is in transit.
     let callbacks = "curlewusher_callbacks_total";
     let before = node.counter(callbacks);
     node.post_callback("c", names[one], r#""state":"started""#);
     wait_for_counter(&node, callbacks, before + 1);
-    assert_eq!(node.counter("curlewusher_delivery_attempts_given_up_total"), 1, "both copies are called off");
+    assert_eq!(
+        node.counter("curlewusher_delivery_attempts_given_up_total"),
+        1,
+        "both attempts are withdrawn"
+    );
     withdrawal.respond("200 OK");
     node.complete_job(client, "c", names[other]);
 }
@@ -116,9 +123,9 @@
     watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
     let client = node.submit_job("r2", "view", 9.0);
     let got = worker.next_request();
-    assert_eq!(got.message.header("x-request-id"), Some("r2"), "sent on for nobody");
+    assert_eq!(got.message.header("x-request-id"), Some("r2"), "forwarded without a client");
     node.serve_job(client, &got, "r2", "s-1");
-    assert!(!worker.has_pending_request(), "sent on for nobody");
+    assert!(!worker.has_pending_request(), "forwarded without a client");
 }
 
 #[test]
@@ -132,10 +139,10 @@
     // The successor does not answer; the client gets its answer all the same.
     assert_eq!(read_response(client).status(), 502);
     assert!(worker.next_request().message.start_line.starts_with("DELETE "));
-    assert_eq!(successor.decoder.next_frame(), Ok(None), "it was to move");
+    assert_eq!(successor.decoder.next_frame(), Ok(None), "a job migrates");
     successor.stream.set_nonblocking(true).expect("a socket");
     let said = successor.stream.read(&mut [0]).map_err(|e| e.kind());
-    assert_eq!(said, Err(ErrorKind::WouldBlock), "it was to move, or the link is given up");
+    assert_eq!(said, Err(ErrorKind::WouldBlock), "a job migrates, or the link is closed");
 }
 
 #[test]
@@ -144,11 +151,11 @@
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let word = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
     assert_eq!(node.callback(word), 204);
-    // The successor gives the link up, and runs on: it is the test itself.
+    // The successor closes the link and keeps running: it is the test itself.
     drop(ScriptedProcess::take_over(&node));
     node.wait_for_log_line("peer lost");
     assert_eq!(node.callback(word), 503);
-    // One that is no more holds nothing.
+    // A process that has ended holds no job.
     let discovery = ScriptedServer::start();
     let successor = Node::wait_until_serving(node.spawn_beside(discovery.address));
     node.wait_for_log_line("successor linked");
@@ -161,7 +168,7 @@
 fn assert_serves_next(at: SocketAddr, worker: &ScriptedServer, id: &str) {
     let client = open_request(at, &job_request(id, "view", 9.0, ""));
     let got = worker.next_request();
-    assert_eq!(got.message.header("x-request-id"), Some(id), "another one goes out");
+    assert_eq!(got.message.header("x-request-id"), Some(id), "another job is sent");
     got.accept();
     let callback = callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#));
     assert_eq!(send_request(at, &callback).status(), 204);
@@ -170,7 +177,7 @@
 
 #[test]
 fn migration_breaks_off_then_exactly_one_process_holds_the_job() {
-    // A job that is out nowhere is to move.
+    // A job without an attempt in flight is to migrate.
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let (predecessor, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = predecessor.submit_job("r1", "order", 60.0);
@@ -178,7 +185,7 @@
     let mut to_predecessor = ScriptedProcess::take_over(&predecessor);
     let (_, moved) = to_predecessor.next_migrated_job();
 
-    // The successor gets it, and the predecessor has given the link up before it can hear so.
+    // The successor receives the job, and the predecessor has closed the link before the confirmation can arrive.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
     let discovery = ScriptedServer::start();
@@ -189,13 +196,13 @@
     let (seq, asks) = to_successor.next_frame();
     assert_eq!(asks, Frame::TakeoverRequest);
     to_successor.send_frame(seq, Frame::TakeoverGranted("".into()));
-    // What it says next does not reach anybody.
+    // What it sends next is not received.
     to_successor.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
     to_successor.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
     successor.wait_for_log_line("peer lost");
     assert_serves_next(at, &workers[1], "r2");
-    assert!(!workers[1].has_pending_request(), "it is the elder's");
+    assert!(!workers[1].has_pending_request(), "the job belongs to the predecessor");
 
     drop(to_predecessor);
     predecessor.wait_for_log_line("peer lost");
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -1,4 +1,4 @@
-//! Daily operation, played on the program as a process: drains, maintenance, a version beside another.
+//! Daily operation: drains, maintenance of workers, and upgrades to another version.
 
 mod upgrade;
 mod upgrade_scenario;
@@ -19,7 +19,7 @@
     wait_until("it stays unready", || node.get("/ready").status() == 200);
     assert_eq!(call_operator(operators, "READY\n"), "+OK");
     let (mut idle, mut busy) = (Client::connect(node.address), Client::connect(node.address));
-    // One that was used once may stand idle for a minute.
+    // A connection on which a request was answered may stay idle for a minute.
     idle.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(idle.read_response().map(|answer| answer.status()), Some(200));
     busy.send(&job_request("r1", "order", 8.0, ""));
@@ -28,9 +28,9 @@
     assert_eq!(call_operator(operators, "DRAIN\n"), "+OK");
     assert_eq!(node.get("/ready").status(), 503);
     assert!(call_operator(operators, "READY\n").starts_with("-ERR drained: send UNDRAIN"));
-    // Who is idle is closed; who waits gets the result, and is told to go on elsewhere.
+    // Idle connections are closed. A client that waits gets its result with `Connection: close`.
     assert!(idle.read_response().is_none());
-    // What still comes while the drain lasts is served.
+    // Jobs that arrive during the drain are served.
     let mut late = Client::connect(node.address);
     late.send(&job_request("r2", "view", 8.0, ""));
     worker.next_request().accept();
@@ -40,7 +40,7 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         assert!(client.read_response().is_none(), "it is closed");
     }
-    // A drain can be told twice, and ended in its first moment.
+    // DRAIN can be repeated, and UNDRAIN may follow at once.
     for line in ["DRAIN\n", "UNDRAIN\n", "UNDRAIN\n", "DRAIN\n", "UNDRAIN\n"] {
         assert_eq!(call_operator(operators, line), "+OK", "{line}");
     }
@@ -72,7 +72,7 @@
     let mut silent: Vec<_> =
         (0..200).map(|n| open_request(operators, if n % 2 == 0 { "" } else { "READ" })).collect();
     assert!(call_operator(operators, "UNDRAIN\n").starts_with("+OK"));
-    // The first of them has made way; it is told by its end.
+    // The first of them was evicted: its connection is closed.
     assert_eq!(silent[0].read(&mut [0; 8]).unwrap_or(0), 0);
     for (line, said) in [
         ("\n", "-ERR empty line"),
@@ -106,7 +106,7 @@
     watch.send_line(&endpoint_list_json(43, false, &[line(&first, "s-1", "terminated")]));
     serve("r1", &second, "s-2");
     watch.send_line(&endpoint_list_json(44, false, std::slice::from_ref(&again)));
-    // It is the only one that is left: what comes is turned away.
+    // It is the only worker that is left: jobs are rejected.
     watch.send_line(&endpoint_list_json(45, false, &[line(&second, "s-2", "terminated")]));
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 5);
     assert_eq!(read_response(node.submit_job("r2", "view", 0.3)).status(), 503);
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -1,5 +1,5 @@
 //! What the program writes for people and their tools, compared to the letter with golden files: `/metrics`, `check`,
-//! `--help` and the answers of the second address. Log lines are not among them.
+//! `--help` and the responses of the operator address. Log lines are not among them.
 
 use std::fmt::Write as _;
 use std::net::{Shutdown, SocketAddr};
@@ -22,7 +22,7 @@
 }
 
 /// The samples of each family in the order of their labels, which the program leaves open; buckets stay as they come.
-fn in_order(metrics: &str) -> String {
+fn sort_samples(metrics: &str) -> String {
     let mut lines: Vec<&str> = metrics.lines().collect();
     let labels = |line: &&str| {
         let labels = line.split(['{', '}']).nth(1).unwrap_or_default();
@@ -47,7 +47,7 @@
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 1);
     let answer = node.get("/metrics");
     let kind = answer.header("content-type").expect("a content type");
-    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start_line, in_order(&answer.body));
+    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start_line, sort_samples(&answer.body));
     assert_matches_golden("metrics.txt", &text);
 }
 
@@ -83,27 +83,27 @@
     assert_matches_golden("help.txt", &text);
 }
 
-/// Calls at the second address, and all that is answered.
-struct Calls {
+/// Commands sent to the operator address, and the responses.
+struct OperatorSession {
     operators: SocketAddr,
     text: String,
 }
 
-impl Calls {
-    fn stage(&mut self, name: &str) {
+impl OperatorSession {
+    fn begin_phase(&mut self, name: &str) {
         let _ = writeln!(self.text, "# {name}");
     }
 
-    fn make(&mut self, lines: &[&str]) {
+    fn send(&mut self, lines: &[&str]) {
         for line in lines {
-            let said = whole_answer(self.operators, line.as_bytes());
+            let said = read_to_end(self.operators, line.as_bytes());
             let _ = writeln!(self.text, "{} -> {said}", line.escape_debug());
         }
     }
 }
 
-/// All that comes back until the end of the connection.
-fn whole_answer(at: SocketAddr, line: &[u8]) -> String {
+/// Sends a command and reads the response up to the end of the connection.
+fn read_to_end(at: SocketAddr, line: &[u8]) -> String {
     use std::io::{Read, Write};
     let mut stream = open_request(at, "");
     stream.write_all(line).expect("it reads");
@@ -117,14 +117,14 @@
 fn operators_call_in_every_phase_then_each_answer_is_as_recorded() {
     let (worker, discovery) = (ScriptedServer::start(), ScriptedServer::start());
     let node = Node::start(&node_config_with_console(discovery.address, &[]));
-    let mut calls = Calls { operators: node.operator_address(), text: String::new() };
-    calls.stage("before the list");
-    calls.make(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
+    let mut session = OperatorSession { operators: node.operator_address(), text: String::new() };
+    session.begin_phase("before the list");
+    session.send(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
     wait_until("it stays unready", || node.get("/ready").status() == 200);
-    calls.stage("with the list");
-    calls.make(&[
+    session.begin_phase("with the list");
+    session.send(&[
         "READY\n",
         "ready\r\n",
         " Ready",
@@ -134,18 +134,18 @@
         "UNDRAIN\n",
         "UNDRAIN\n",
     ]);
-    calls.make(&["DISABLE s-1\n", "DISABLE s-1\n", "ENABLE s-1\n", "ENABLE s-1\n"]);
-    calls.make(&["DISABLE s-9\n", "ENABLE s-9\n"]);
-    calls.stage("malformed");
-    calls.make(&["\n", " \t\n", "REBOOT\n", "READY now\n", "DRAIN s-1\n", "UNDRAIN s-1\n"]);
-    calls.make(&["DISABLE\n", "ENABLE\n", "DISABLE s-1 s-2\n", "ENABLE s-1 s-2\n", "\u{e9}\n"]);
-    calls.make(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
+    session.send(&["DISABLE s-1\n", "DISABLE s-1\n", "ENABLE s-1\n", "ENABLE s-1\n"]);
+    session.send(&["DISABLE s-9\n", "ENABLE s-9\n"]);
+    session.begin_phase("malformed");
+    session.send(&["\n", " \t\n", "REBOOT\n", "READY now\n", "DRAIN s-1\n", "UNDRAIN s-1\n"]);
+    session.send(&["DISABLE\n", "ENABLE\n", "DISABLE s-1 s-2\n", "ENABLE s-1 s-2\n", "\u{e9}\n"]);
+    session.send(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
     let client = node.submit_job("r1", "view", 8.0);
     worker.next_request().accept();
     node.signal("-TERM");
-    while whole_answer(calls.operators, b"READY\n").starts_with("+OK") {}
-    calls.stage("told to end");
-    calls.make(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
+    while read_to_end(session.operators, b"READY\n").starts_with("+OK") {}
+    session.begin_phase("told to end");
+    session.send(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
     node.complete_job(client, "r1", "s-1");
-    assert_matches_golden("second_address.txt", &calls.text);
+    assert_matches_golden("second_address.txt", &session.text);
 }
--- a/crates/node/tests/randomized_lifecycle/job_model.rs
+++ b/crates/node/tests/randomized_lifecycle/job_model.rs
@@ -6,7 +6,7 @@
 
 use crate::common::HttpMessage;
 
-/// Time that a copy may spend on its way; the node stays clear of the end of the deduplication window by as much.
+/// Time that an attempt may spend in transit; the node stays clear of the end of the deduplication window by as much.
 const WIRE_SLACK: Duration = Duration::from_millis(200);
 /// A response that is late by no more than this is useless to the client but breaks no invariant.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
@@ -36,7 +36,7 @@
     pub ran: bool,
 }
 
-/// A delivery attempt whose last byte has come.
+/// A delivery attempt whose last byte has arrived.
 #[derive(Debug)]
 pub struct Attempt {
     pub worker: usize,
@@ -46,7 +46,7 @@
     pub accepted: bool,
     /// The 202 arrived while the node was paused, so that closing the connection no longer gives the attempt up.
     pub surely_accepted: bool,
-    /// A withdrawal has come, answered or not.
+    /// How many withdrawals have arrived, answered or not.
     pub withdrawals: u32,
     pub started: bool,
     pub ended: Option<AttemptEnd>,
@@ -65,7 +65,7 @@
     PartlyWritten,
     Pending,
     Answered(u16),
-    /// Its client has left.
+    /// Its client has disconnected.
     ClientLeft,
     /// Its connection ended unread where HTTP allows that, such as between two requests.
     ClosedUnserved,
@@ -136,13 +136,13 @@
     pub settled: bool,
 }
 
-/// A request for a job that has come to a worker whole.
+/// A complete request for a job that has arrived at a worker.
 pub struct Arrival<'a> {
     pub message: &'a HttpMessage,
     pub worker: usize,
     pub cell: (usize, usize),
     pub drain: Option<DrainRecord>,
-    /// It cannot have come before this.
+    /// It cannot have arrived before this.
     pub earliest_arrival: Instant,
 }
 
@@ -156,25 +156,27 @@
         format!("result {attempt} of {}", self.id)
     }
 
-    /// Checks an attempt whose last byte has come to a worker; an error says which invariant it breaks.
+    /// Checks an attempt whose last byte has arrived at a worker; an error says which invariant it breaks.
     pub fn check_arrival(&self, arrival: &Arrival<'_>, rules: JobRules) -> Result<(), String> {
         let &Arrival { message, worker, cell, drain, earliest_arrival } = arrival;
-        let Some((_, event_count)) = self.sent_at else { return Err("sent on before it was whole".into()) };
+        let Some((_, event_count)) = self.sent_at else {
+            return Err("forwarded before it was complete".into());
+        };
         let start = format!("POST {} HTTP/1.1", self.path);
         let same = message.start_line == start
             && message.body == self.body
             && message.header("idempotency-key") == self.key.as_deref();
         if !same {
-            return Err(format!("not passed on unchanged: {message:?}"));
+            return Err(format!("not forwarded unchanged: {message:?}"));
         }
         if let Some(at) = self.attempts.iter().position(|a| a.ended.is_none()) {
-            return Err(format!("a second copy at {worker} beside attempt {at}"));
+            return Err(format!("a second attempt at {worker} beside attempt {at}"));
         }
         if let Outcome::Answered(_) | Outcome::ClosedUnserved = self.outcome {
-            return Err(format!("sent on to {worker} after it was {:?}", self.outcome));
+            return Err(format!("forwarded to {worker} after it was {:?}", self.outcome));
         }
         if self.departure_known {
-            return Err(format!("sent on to {worker} long after its client left"));
+            return Err(format!("forwarded to {worker} long after its client disconnected"));
         }
         if self.attempts.len() >= rules.max_attempts {
             return Err("more attempts than the settings allow".into());
@@ -182,18 +184,17 @@
         if let Some(drain) = drain
             && (drain.settled || event_count > drain.event_count)
         {
-            return Err(format!("sent to {worker}, which was told to take nothing new"));
+            return Err(format!("sent to {worker}, which is draining"));
         }
         let Some(first) = self.attempts.iter().find(|a| a.may_have_run()) else { return Ok(()) };
         match self.class {
             JobClass::View => Ok(()),
-            JobClass::Order => Err(format!("sent again to {worker}, though it may have run")),
-            JobClass::Register if !rules.scope.same_domain(first.cell, cell) => Err(format!(
-                "sent again to {worker} of another {}, though it may have run",
-                rules.scope.name()
-            )),
+            JobClass::Order => Err(format!("retried at {worker}, though it may have run")),
+            JobClass::Register if !rules.scope.same_domain(first.cell, cell) => {
+                Err(format!("retried at {worker} of another {}, though it may have run", rules.scope.name()))
+            }
             JobClass::Register if earliest_arrival > first.at + rules.window + WIRE_SLACK => {
-                Err(format!("sent again to {worker} after the window for repeats"))
+                Err(format!("retried at {worker} after the deduplication window"))
             }
             JobClass::Register => Ok(()),
         }
@@ -210,11 +211,11 @@
         match self.outcome {
             Outcome::Answered(before) => return Err(format!("answered {status} after {before}")),
             Outcome::PartlyWritten if status == 408 || status == 400 => return Ok(()),
-            // A node that has answered all and ends reads no more of it: it was never sent on.
+            // A node that has answered all jobs and shuts down reads no more of it: it was never forwarded.
             Outcome::PartlyWritten if node_terminates && status == 503 && self.attempts.is_empty() => {
                 return Ok(());
             }
-            Outcome::PartlyWritten => return Err(format!("answered {status} before it was whole")),
+            Outcome::PartlyWritten => return Err(format!("answered {status} before it was complete")),
             _ => {}
         }
         let harmless = match self.class {
@@ -224,10 +225,10 @@
         };
         match status {
             200 if !self.results.contains(&message.body) => {
-                Err(format!("served with what no next hop made for it: {:?}", message.body))
+                Err(format!("served with a result that no worker made for it: {:?}", message.body))
             }
             429 | 503 if !harmless && self.attempts.iter().any(Attempt::may_have_run) => {
-                Err("refused, though an attempt may have run".into())
+                Err("rejected, though an attempt may have run".into())
             }
             200 | 429 | 502 | 503 => Ok(()),
             _ => Err(format!("answered {status}: {}", message.body)),
--- a/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
@@ -182,7 +182,7 @@
                 self.fail(Some(job), &what);
             }
             self.jobs[job].outcome = Outcome::Answered(message.status());
-            // A request behind it, or the rest of one, is given up.
+            // A request behind it, or the rest of one, is abandoned.
             let client = &mut self.clients[at];
             if client.has_pipelined_data || !client.rest.is_empty() {
                 client.connection.bytes.clear();
--- a/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
@@ -14,7 +14,7 @@
 /// Within this time after it has read of a drain, transport included, the node must send nothing more there.
 const DRAIN_EFFECTIVE_WITHIN: Duration = Duration::from_millis(800);
 /// Whether the node must see that a client has left while bytes behind its request are unread. Where it does not, a
-/// pending job is sent and a running one goes on up to the deadline, as in the runs of seeds 46 and 57.
+/// pending job is sent and a running one continues up to the deadline, as in the runs of seeds 46 and 57.
 const SEES_CLIENTS_LEAVE_BEHIND_PIPELINED_DATA: bool = true;
 
 impl Lifecycle {
--- a/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
@@ -183,7 +183,7 @@
                 (this.accepted, this.surely_accepted) = (delivered, delivered && paused);
             }
             Reply::NotRun | Reply::TimedOutNotRun | Reply::NotRunEndless => {
-                self.record_attempt_end(job, attempt, "turned away", false);
+                self.record_attempt_end(job, attempt, "rejected", false);
             }
             Reply::Busy | Reply::Error => self.record_attempt_end(job, attempt, "an error", true),
             Reply::AcceptedBegun | Reply::HalfLine | Reply::HalfHead => {}
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Checks a request that has come to a worker, and draws the script of its attempt.
+    /// Checks a request that has arrived at a worker, and draws the script of its attempt.
     pub(super) fn receive_worker_request(&mut self, connection_index: usize, message: &HttpMessage) {
         let id = match message.start_line.strip_prefix("DELETE /jobs/") {
             Some(rest) => rest.split(' ').next(),
@@ -212,7 +212,7 @@
         if message.start_line.starts_with("DELETE") {
             return self.receive_withdrawal(connection_index, job);
         }
-        // Attempts that were given up before this request was written have ended by now.
+        // Attempts that were cancelled before this request was written have ended by now.
         for other in 0..self.worker_connections.len() {
             if other != connection_index
                 && self.worker_connections[other].carries.is_some_and(|(carried, _)| carried == job)
@@ -249,7 +249,7 @@
             self.worker_connections[connection_index].connection.close(true);
             return self.record_attempt_end(job, attempt, "broken off", true);
         }
-        let actions = worker_script::of_attempt(&mut self.derived_rng("attempt", job, attempt));
+        let actions = worker_script::draw_attempt_script(&mut self.derived_rng("attempt", job, attempt));
         self.running_attempts.push(RunningAttempt { job, attempt, connection_index, actions });
     }
 
@@ -264,7 +264,7 @@
         let attempt = self.jobs[job].attempts.iter().rposition(|attempt| attempt.worker == worker);
         let before = attempt.map_or(0, |at| self.jobs[job].attempts[at].withdrawals);
         let mut draw = self.derived_rng("withdrawal", job, worker * 8 + before as usize);
-        let response = worker_script::of_withdrawal(&mut draw, before);
+        let response = worker_script::draw_withdrawal_response(&mut draw, before);
         self.record(job, format!("withdrawn at {worker}, which responds {response:?}"));
         self.worker_connections[connection_index].carries = None;
         self.worker_connections[connection_index].free = false;
@@ -288,11 +288,14 @@
         }
     }
 
-    /// Replaces the script of an attempt that is given up.
+    /// Replaces the script of an attempt that is cancelled.
     pub(super) fn script_after_withdrawal(&mut self, job: usize, attempt: usize) {
         let started = self.jobs[job].attempts[attempt].started;
         let actions = match self.jobs[job].attempts[attempt].ended {
-            None => worker_script::after_withdrawal(&mut self.derived_rng("end", job, attempt), started),
+            None => worker_script::draw_script_after_withdrawal(
+                &mut self.derived_rng("end", job, attempt),
+                started,
+            ),
             Some(_) => VecDeque::new(),
         };
         for running in self
@@ -315,7 +318,7 @@
         let this = &self.jobs[job].attempts[attempt];
         if this.ended.is_none() && (!this.accepted || end == ConnectionEnd::Reset && !this.surely_accepted) {
             self.script_after_withdrawal(job, attempt);
-            self.record_attempt_end(job, attempt, "given up by the end of its connection", true);
+            self.record_attempt_end(job, attempt, "cancelled by the end of its connection", true);
         }
     }
 
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -13,26 +13,26 @@
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 const CHANGES: &str = "curlewusher_transport_map_changes_total";
 
-/// Discovery while it is down: its port is kept, and refuses.
-struct Down(Socket);
+/// Discovery while it is down: its port is reserved, and refuses connections.
+struct StoppedDiscovery(Socket);
 
-impl Down {
-    fn new() -> (Down, SocketAddr) {
+impl StoppedDiscovery {
+    fn new() -> (StoppedDiscovery, SocketAddr) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         socket.bind(&any.into()).expect("a free port");
         let address = socket.local_addr().ok().and_then(|at| at.as_socket()).expect("an address");
-        (Down(socket), address)
+        (StoppedDiscovery(socket), address)
     }
 
-    fn returns(self) -> ScriptedServer {
+    fn start(self) -> ScriptedServer {
         self.0.listen(128).expect("it is its port");
         ScriptedServer::on(TcpListener::from(self.0))
     }
 }
 
 impl Client {
-    /// One that has been answered, and rests.
+    /// A client with an idle connection, on which one request was answered.
     fn idle(node: &Node) -> Client {
         let mut client = Client::connect(node.address);
         assert_eq!(client.get("/ready").status(), 200);
@@ -44,7 +44,7 @@
         self.read_response().expect("an answer")
     }
 
-    /// One of the counters, asked for on this connection: a new one would have another make way.
+    /// One of the counters, read on this connection: a new connection would have another evicted.
     fn counter(&mut self, series: &str) -> u64 {
         counter_value(&self.get("/metrics").body, series)
     }
@@ -57,18 +57,18 @@
 #[test]
 fn idle_clients_fill_node_while_discovery_is_down_then_other_uses_keep_their_descriptors() {
     for discovery_is in ["subscribe", "automatic"] {
-        let (down, at) = Down::new();
+        let (stopped, at) = StoppedDiscovery::new();
         let (drained, other) = (ScriptedServer::start(), ScriptedServer::start());
         let known = |first| [drained.endpoint_json("s-1", first), other.endpoint_json("s-2", "in_service")];
         let text =
             node_config(at, &known("in_service")).replace("1024", "64").replace("subscribe", discovery_is);
         let node = Node::start_with_descriptors(&text, 64);
         wait_until("it stays unready", || node.get("/ready").status() == 200);
-        // It takes no more: the first has made way for the last.
+        // The budget is exhausted: the first was evicted for the last.
         let mut crowd: Vec<_> = (0..64).map(|_| Client::idle(&node)).collect();
         assert!(crowd[0].read_response().is_none());
         let (mut poller, mut client) = (Client::idle(&node), Client::idle(&node));
-        let discovery = down.returns();
+        let discovery = stopped.start();
         let watch = ScriptedWatch::open(&discovery);
         watch.send_line(&endpoint_list_json(42, true, &known("terminating")));
         poller.wait_for_counter(CHANGES, 2);
@@ -80,7 +80,7 @@
             assert_eq!(client.read_response().map(|answer| answer.status()), Some(200), "{id}");
             assert_eq!(node.get("/ready").status(), 200);
         }
-        // So does a withdrawal.
+        // So is a withdrawal delivered.
         client.send(&job_request("r9", "view", 9.0, ""));
         other.next_request().accept();
         drop(client);
@@ -100,14 +100,14 @@
     let node = Node::start_with_descriptors(&to(hangs.address), 64);
     let first = ScriptedWatch::answer(&hangs, &known);
     wait_until("it stays unready", || node.get("/ready").status() == 200);
-    // Next workers' places: nobody takes these on, and they may not go elsewhere.
+    // These fill the workers' connections: no worker accepts them, and they may not be retried elsewhere.
     let _jobs: Vec<_> = (0..16).map(|n| node.submit_job(&n.to_string(), "order", 9.0)).collect();
     let _held: Vec<_> = (0..8).map(|_| worker.next_request()).collect();
     let mut crowd: Vec<_> = (0..64).map(|_| Client::idle(&node)).collect();
     assert!(crowd[0].read_response().is_none());
     let mut poller = Client::idle(&node);
     first.close();
-    // Calls that hang stand beside each other, at the old address and at two new ones.
+    // Polls hang side by side, at the old address and at two new ones.
     let mut hanging = Vec::new();
     let others = [ScriptedServer::start(), ScriptedServer::start()];
     for at in [&hangs, &others[0], &others[1]] {
@@ -125,8 +125,8 @@
     assert!(!said.iter().any(|line| line.contains("os error 24")), "{said:?}");
 }
 
-/// A list of so many core workers with names of 200 characters, indented; all but those two places are at an address
-/// where nobody is.
+/// An indented list of 1,024 workers with names of 200 characters. All but these two are at an address where no process
+/// listens.
 fn long_list(drained: &ScriptedServer, other: &ScriptedServer, first: &str) -> (Vec<String>, String) {
     let nowhere = "127.0.0.1:9".parse().expect("an address");
     let name = |n: usize| format!("s-{n:0198}");
@@ -147,7 +147,7 @@
         let text = node_config(discovery.address, &known)
             .replace(r#""balancers":1"#, &format!(r#""balancers":{nodes}"#))
             .replace(r#""memory_mb":192"#, r#""memory_mb":32"#)
-            // A node of many waits its turn to ask for a part of this.
+            // A node of many waits for its slot for a part of this time.
             .replace(r#""askWithinUs":10000000"#, r#""askWithinUs":1000000"#);
         let node = Node::start(&text);
         let watch = ScriptedWatch::open(&discovery);
@@ -174,17 +174,17 @@
 #[test]
 fn no_saved_list_and_discovery_was_down_then_node_is_ready_with_its_first_list() {
     for discovery_is in ["subscribe", "automatic"] {
-        let (down, at) = Down::new();
+        let (stopped, at) = StoppedDiscovery::new();
         let worker = ScriptedServer::start();
         let node = Node::start(&node_config(at, &[]).replace("subscribe", discovery_is));
-        // It has called in vain, and says that it is not ready.
+        // Its poll has failed, and it is not ready.
         node.wait_for_log_line("discovery cannot be reached");
         assert_eq!(node.get("/ready").status(), 503);
-        let discovery = down.returns();
+        let discovery = stopped.start();
         let watch = ScriptedWatch::open(&discovery);
-        // The saved list has a version and names nobody: changes since that version would name nobody either.
+        // The saved list has a version and no worker: changes since that version would list no worker either.
         assert_eq!(watch.since(), "0");
-        assert_eq!(node.get("/ready").status(), 503, "a watch without a list is none");
+        assert_eq!(node.get("/ready").status(), 503, "a watch without a list does not count");
         watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
         wait_until("it stays unready", || node.get("/ready").status() == 200);
         let client = node.submit_job("r1", "view", 9.0);
@@ -197,15 +197,15 @@
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
     let known = [worker.endpoint_json("s-1", "in_service")];
     let config = node_config(discovery.address, &known);
-    // By its own count it closes idle connections in time, and keeps descriptors for workers.
+    // By its own count the node closes idle connections in time, and keeps descriptors for workers.
     let node = Node::start(&config.replace("1024", "64"));
     let _watch = ScriptedWatch::answer(&discovery, &known);
-    // Half a request is no idle connection, and holds its place no longer than a silent one.
+    // A connection with half a request is evicted as soon as one without any.
     let crowd: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
     let client = node.submit_job("r1", "view", 9.0);
     node.serve_job(client, &worker.next_request(), "r1", "s-1");
     drop(crowd);
-    // Told of far more descriptors than it has, it meets the system's refusal, and survives that.
+    // With a configured limit far above the system's, the node survives that the system refuses descriptors.
     let node = Node::start_with_descriptors(&config, 48);
     let _watch = ScriptedWatch::answer(&discovery, &known);
     wait_until("it stays unready", || node.get("/ready").status() == 200);
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -33,15 +33,18 @@
     client
 }
 
-/// The job reaches `other`, and no connection of it `worker`.
-fn goes_to(other: &ScriptedServer, worker: &FullBacklogWorker, node: &Node, client: TcpStream) {
+/// Asserts that the job is sent to `other`, and that no connection is established to `worker`.
+fn assert_job_goes_to(other: &ScriptedServer, worker: &FullBacklogWorker, node: &Node, client: TcpStream) {
     let begun = Instant::now();
     let got = loop {
-        assert!(worker.try_accept().is_none(), "its connection comes up though nothing may be sent there");
+        assert!(
+            worker.try_accept().is_none(),
+            "a connection is established though nothing may be sent there"
+        );
         if let Some(got) = other.try_next_request() {
             break got;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "the job reaches neither");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the job is sent to neither");
         std::thread::yield_now();
     };
     assert_eq!(got.message.header("x-request-id"), Some("r1"));
@@ -49,16 +52,16 @@
     assert_eq!(node.counter(NEVER_SENT), 1);
 }
 
-/// A connection that the node knows, so that what comes on it is read in the order in which it came.
-fn known_connection(node: &Node) -> Client {
+/// A client whose connection the node has accepted, so that events of several such clients are handled in order.
+fn connect_known_client(node: &Node) -> Client {
     let mut client = Client::connect(node.address);
     client.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.read_response().map(|answer| answer.status()), Some(200));
     client
 }
 
-/// The word of the worker that a job is done.
-fn word(id: &str) -> String {
+/// The callback of the worker that completes a job.
+fn completion_request(id: &str) -> String {
     callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#))
 }
 
@@ -76,12 +79,12 @@
         }
         wait_for_counter(&node, CHANGES, changes + 1);
         if status == "in_service" {
-            // It is operators who take it out.
+            // It is an operator who disables it.
             assert_eq!(call_operator(node.operator_address(), "DISABLE s-1\n"), "+OK");
         }
         worker.drain_backlog();
-        goes_to(&other, &worker, &node, client);
-        // By its end it has made all that it had to make.
+        assert_job_goes_to(&other, &worker, &node, client);
+        // By its exit it has opened all its connections.
         node.signal("-TERM");
         assert!(node.wait_for_exit().status.success());
         assert!(worker.try_accept().is_none(), "{status}");
@@ -103,42 +106,42 @@
     worker.drain_backlog();
     let mut stream = worker.accept();
     drop(held);
-    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request goes to who drains");
-    goes_to(&other, &worker, &node, client);
+    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request goes to a draining worker");
+    assert_job_goes_to(&other, &worker, &node, client);
 }
 
 #[test]
 fn client_leaves_as_connection_is_established_then_nothing_is_sent() {
     let worker = FullBacklogWorker::start();
     let (node, _watch, _discovery) = start_node(&worker);
-    let mut crowd: Vec<_> = (0..300).map(|_| known_connection(&node)).collect();
+    let mut crowd: Vec<_> = (0..300).map(|_| connect_known_client(&node)).collect();
     let client = submit_connecting_job(&node);
     let held = node.pause();
-    // The notice that it has gone stands behind more words than the dispatch task hears in one turn.
-    crowd.iter_mut().for_each(|client| client.send(&word("r0")));
+    // The message that it has disconnected is queued behind more callbacks than the dispatch task handles in one turn.
+    crowd.iter_mut().for_each(|client| client.send(&completion_request("r0")));
     wait_for_unread_bytes(crowd.iter().map(Client::stream));
     close_and_wait_for_arrival(client);
     worker.drain_backlog();
     let mut stream = worker.accept();
     drop(held);
-    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request goes out for nobody");
+    assert_eq!(stream.read(&mut [0; 64]).expect("it is closed"), 0, "a request is sent without a client");
     wait_for_counter(&node, CLIENTS_GONE, 1);
 }
 
 #[test]
 fn client_leaves_as_its_job_is_dequeued_then_no_attempt_begins() {
-    // The worker is at work for the first, and the second waits in line. The word that makes room stands before
-    // the notice that the second's client has gone.
+    // The worker runs the first, and the second is queued. The callback that frees the worker arrives before the
+    // second's client disconnects.
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let first = node.submit_job("r1", "order", 600.0);
     worker.next_request().accept();
     node.post_callback("r1", "s-1", r#""state":"started""#);
     let second = node.submit_job("r2", "order", 600.0);
     wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
-    let mut words = known_connection(&node);
+    let mut callbacks = connect_known_client(&node);
     let held = node.pause();
-    words.send(&word("r1"));
-    wait_for_unread_bytes([words.stream()]);
+    callbacks.send(&completion_request("r1"));
+    wait_for_unread_bytes([callbacks.stream()]);
     close_and_wait_for_arrival(second);
     drop(held);
     assert_eq!(read_response(first).status(), 200);
@@ -146,7 +149,7 @@
     assert_eq!(
         (node.counter("curlewusher_delivery_attempts_total"), node.counter(NEVER_SENT)),
         (1, 1),
-        "an attempt begins for nobody"
+        "an attempt begins without a client"
     );
     assert!(!worker.has_pending_request());
 }
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -162,12 +162,12 @@
     }
 }
 
-/// A request to be told on a thread of its own, since it is answered after what the test says on the link.
+/// Sends a request on a thread of its own, since it is answered only after what the test sends on the link.
 fn spawn<T: Send + 'static>(ask: impl FnOnce() -> T + Send + 'static) -> std::thread::JoinHandle<T> {
     std::thread::spawn(ask)
 }
 
-/// A job with all that a request can have, which has failed at `s-1` and goes on at `s-2`, and an earlier one.
+/// A job with all that a request can have, which has failed at `s-1` and is retried at `s-2`, and an earlier one.
 fn serve_and_hold(node: &Node, operators: SocketAddr, workers: &Workers) -> TcpStream {
     let yes = |line: &str| assert_eq!(call_operator(operators, &format!("{line}\n")), "+OK");
     yes("DISABLE s-1");
--- a/crates/node/tests/withdrawals/mod.rs
+++ b/crates/node/tests/withdrawals/mod.rs
@@ -8,7 +8,7 @@
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 5.0);
         let got = worker.next_request();
-        // Held still, the node finds both when it goes on: that its client has left, and the 202.
+        // The stopped node finds both when it continues: that its client has disconnected, and the 202.
         node.signal("-STOP");
         drop(client);
         got.accept();
@@ -20,8 +20,8 @@
     }
 }
 
-/// Its connection is closed, and it is withdrawn by name on another.
-fn is_given_up(worker: &ScriptedServer, id: &str, connection: usize) {
+/// Asserts that the connection of an attempt is closed, and that the job is withdrawn by id on another.
+fn assert_withdrawn(worker: &ScriptedServer, id: &str, connection: usize) {
     let both = [worker.next_event(), worker.next_event()];
     let (ends, calls): (Vec<_>, Vec<_>) = both.iter().partition(|got| got.message.start_line.is_empty());
     assert_eq!(ends.iter().map(|end| end.connection).collect::<Vec<_>>(), [connection]);
@@ -32,7 +32,7 @@
 #[test]
 fn client_closes_connection_then_its_job_is_withdrawn() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    // After the 202 the job is withdrawn by name.
+    // After the 202 the job is withdrawn by id.
     let client = node.submit_job("r1", "view", 5.0);
     worker.next_event().accept();
     node.post_callback("r1", "s-1", r#""state":"started""#);
@@ -40,18 +40,18 @@
     let got = worker.next_event();
     assert_eq!(got.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
     got.respond("204 No Content");
-    // Before it, the connection is closed as well: on a cut network only a call that is repeated arrives.
+    // Before it, the connection is closed as well: on a cut network only a repeated withdrawal arrives.
     let client = node.submit_job("r2", "view", 5.0);
     let got = worker.next_request();
     assert!(got.message.start_line.starts_with("POST"), "{}", got.message.start_line);
     drop(client);
-    is_given_up(&worker, "r2", got.connection);
+    assert_withdrawn(&worker, "r2", got.connection);
     assert_eq!(node.counter("curlewusher_clients_gone_total"), 2);
 }
 
 #[test]
 fn worker_is_silent_then_client_is_answered_by_deadline_and_attempt_is_withdrawn() {
-    // It may have run, so that an order fails and a view is deferred; either attempt is given up.
+    // It may have run, so that an order fails and a view is rejected; either attempt is withdrawn.
     for (class, status) in [("order", 502), ("view", 503)] {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let client = node.submit_job("r1", class, 0.3);
@@ -59,7 +59,7 @@
         assert!(got.message.start_line.starts_with("POST"));
         let answer = read_response(client);
         assert_eq!((answer.status(), answer.header("retry-after").is_some()), (status, status == 503));
-        is_given_up(&worker, "r1", got.connection);
+        assert_withdrawn(&worker, "r1", got.connection);
         assert_eq!(node.counter("curlewusher_delivery_attempts_given_up_total"), 1);
     }
 }
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -44,11 +44,11 @@
     let (worker, _silent, other) = next_request_at_either(&one, &two);
     for _ in 0..3 {
         let call = expect_withdrawal(worker, "r1");
-        assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+        assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
         call.close();
     }
     let call = expect_withdrawal(worker, "r1");
-    assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+    assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
     call.respond("404 Not Found");
     let got = other.next_request();
     assert_eq!(got.message.start_line, POST);
@@ -98,7 +98,7 @@
 fn worker_process_is_gone_then_no_withdrawal_is_needed_before_retry() {
     let (mut workers, node, _watch) = start_with_bare_listeners();
     let client = node.submit_job("r1", "view", 8.0);
-    // The first one's process is gone: nobody listens there, and what is open says nothing.
+    // The first worker's process is gone: no process listens there, and the open connection stays silent.
     let (i, _silent) = accept_job(&workers);
     drop(workers.remove(i));
     let (_, stream) = accept_job(&workers);
@@ -118,7 +118,7 @@
     (&stream).write_all(taken).expect("it reads");
     // It is not started, so that the job is called off there; each call meets a refusal.
     wait_for_counter(&node, "curlewusher_withdrawals_unheard_total", 3);
-    assert_eq!(node.counter(ATTEMPTS), 1, "a second copy beside one that may still run");
+    assert_eq!(node.counter(ATTEMPTS), 1, "a second attempt beside one that may still run");
     node.complete_job(client, "r1", name);
     assert_eq!(node.counter(ATTEMPTS), 1);
 }
@@ -234,7 +234,7 @@
         got.write_raw(bytes);
         for _ in 0..2 {
             let call = expect_withdrawal(worker, "r1");
-            assert!(!other.has_pending_request(), "a second copy beside one that may still run");
+            assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
             call.close();
         }
         expect_withdrawal(worker, "r1").respond("200 OK");
@@ -335,7 +335,7 @@
     let _call = expect_withdrawal(&worker, "r1");
     assert_eq!(read_response(client).status(), 502);
     wait_for_counter(&older, r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#, 1);
-    // Whatever the older one wrote has come by the time that the newer one serves.
+    // All that the older one wrote has arrived by the time that the newer one serves.
     let newer = Node::wait_until_serving(older.spawn_beside(second.address));
     let operators = newer.operator_address();
     let watch = ScriptedWatch::open(&second);
