--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -20,7 +20,7 @@
 
 static RUN_LIMIT: RunLimit = RunLimit { running: Mutex::new(0), finished: Condvar::new() };
 
-/// The right to run a testbed; dropped, it is another's.
+/// The permit to run a testbed, which is released when it is dropped.
 struct RunPermit;
 
 impl RunLimit {
@@ -152,7 +152,7 @@
                 match words {
                     None => {
                         assert_no_rule_is_broken(&out);
-                        assert!(printed.is_empty(), "{printed}");
+                        assert!(printed.is_empty(), "{flaw}: {printed}");
                     }
                     Some(words) => {
                         assert!(out.status.code() == Some(1) && printed.contains(words), "{flaw}: {printed}");
