--- a/crates/testbed/src/rules/operations_rules/upgrades.rs
+++ b/crates/testbed/src/rules/operations_rules/upgrades.rs
@@ -4,14 +4,11 @@
 
 use curlewusher_model::Timestamp;
 
-use super::violation::{Finding, OperationsViolation};
+use super::violation::{Finding, MAX_HARMED_JOBS, OperationsViolation};
 use crate::event_log::Event;
 use crate::rules::UPGRADE_AFTERMATH;
 use crate::rules::operation_figures::UpgradeFigures;
 
-/// Number of jobs that an upgrade may harm.
-pub(super) const MAX_HARMED_JOBS: usize = 2;
-
 #[derive(Debug, Default)]
 struct UpgradeWindow {
     began_at: Timestamp,
--- a/crates/testbed/src/rules/operations_rules/violation.rs
+++ b/crates/testbed/src/rules/operations_rules/violation.rs
@@ -5,10 +5,12 @@
 use curlewusher_model::{TimeSpan, Timestamp};
 use thiserror::Error;
 
-use super::upgrades::MAX_HARMED_JOBS;
 use crate::event_log::ExpectedAnswer;
 use crate::rules::{Rule, Violation};
 
+/// Number of jobs that an upgrade may harm.
+pub(super) const MAX_HARMED_JOBS: usize = 2;
+
 /// A broken rule on operations.
 #[derive(Debug, Error)]
 pub(super) enum OperationsViolation<'log> {
