--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -22,7 +22,7 @@
     Reject {
         /// Which job.
         job: JobId,
-        /// Advise the client not to retry before this long; 0: no advice.
+        /// Advise the client not to retry before this long; zero: no advice.
         retry_after: TimeSpan,
     },
     /// End the job with an error; it may have run, so a retry may run it twice.
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -35,7 +35,7 @@
     pub cell: CellId,
     /// Whether the worker accepts new jobs.
     pub status: WorkerStatus,
-    /// When the worker's process started; 0: long ago.
+    /// When the worker's process started; [`Timestamp::ORIGIN`]: long ago.
     pub started_at: Timestamp,
     /// Approximate number of slots; used only where [`Settings::sizes_listed`](crate::Settings::sizes_listed).
     pub size: f64,
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -71,13 +71,13 @@
     /// every change of the endpoint list.
     pub max_poll_interval: TimeSpan,
     /// A node counts as notified of a change this long after the change was available to it, whether its polls
-    /// succeeded or not. A node whose list may be older than that sends nothing by it. 0: no such limit.
+    /// succeeded or not. A node whose list may be older than that sends nothing by it. Zero: no such limit.
     pub assumed_notified_after: TimeSpan,
     /// The endpoint list says how large the workers are, see [`Endpoint::size`](crate::Endpoint::size).
     pub sizes_listed: bool,
     /// Workers report when a job starts to run.
     pub reports_start: bool,
-    /// A worker that has not accepted an attempt after this long counts as unresponsive; 0: workers do not
+    /// A worker that has not accepted an attempt after this long counts as unresponsive; zero: workers do not
     /// report acceptance.
     pub accept_timeout: TimeSpan,
     /// [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
@@ -90,7 +90,7 @@
     pub gossip_price: f64,
     /// Maximum number of attempts for a job.
     pub max_attempts: u32,
-    /// Maximum of the retry delay that a rejection can advise; 0: rejections carry no advice.
+    /// Maximum of the retry delay that a rejection can advise; zero: rejections carry no advice.
     pub max_retry_after: TimeSpan,
     /// Price of sending a job to a worker in another zone.
     pub cross_zone_price: f64,
--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -4,14 +4,14 @@
 
 use super::Denial;
 
-/// A request that has begun must be whole within this, and on a new connection one must have come. Good
-/// clients take up to 2 s to write one; a request that cannot be read must be answered or closed within 3 s.
+/// A request must be complete this long after its first byte, and a new connection must have sent one by then. Ordinary
+/// clients take up to 2 s to write a request; one that cannot be read must be answered or closed within 3 s.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
 /// A new connection may be evicted after this: its first request may be on its way.
 const MIN_NEW_AGE: Duration = Duration::from_millis(50);
 /// An idle connection may be evicted this long after its last response.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(200);
-/// A peer that has neither sent a byte of its request nor taken one of its response for this long has
+/// A peer that has neither sent a byte of its request nor read one of its response for this long has
 /// stalled.
 pub const STALLED_AFTER: Duration = Duration::from_millis(800);
 
@@ -27,7 +27,7 @@
         /// Since it was accepted.
         request_age: Duration,
     },
-    /// A request has begun and is not read to its end.
+    /// A request has begun and is not complete.
     Reading {
         /// Since the request began.
         request_age: Duration,
@@ -39,21 +39,21 @@
         /// Since the last response, or since it was last chosen for eviction.
         age: Duration,
     },
-    /// A request was read to its end and is not answered.
+    /// A request is complete and is not answered.
     Busy,
 }
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The time for its request, or between two requests, is up.
+    /// The time limit for a request, or between two requests, has passed.
     Timeout {
         /// How long a connection may be idle.
         idle_timeout: Duration,
     },
     /// Its descriptor is needed.
     Eviction,
-    /// Its client is sent to another node.
+    /// Its client is redirected to another node.
     Redirection,
 }
 
--- a/crates/core/src/permission/denial.rs
+++ b/crates/core/src/permission/denial.rs
@@ -9,15 +9,15 @@
     EndpointsUnconfirmed,
     /// Discovery has not confirmed the endpoint list for so long that an unknown change counts as notified.
     EndpointsExpired,
-    /// The worker drains, is gone, or was disabled by operators.
+    /// The worker is draining or gone, or operators have disabled it.
     WorkerUnavailable,
     /// The worker is of another kind than the class of the job needs.
     WorkerUnsuitable,
-    /// A worker that is warming up has got as much as it can take.
+    /// A worker that is warming up has received as much as it can take.
     WarmUpBudgetExhausted,
     /// The job has its final answer, or its answer has begun.
     JobAnswered,
-    /// The client does not wait any more.
+    /// The client no longer waits.
     DeadlinePassed,
     /// The client has closed its connection.
     ClientGone,
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -1,23 +1,24 @@
-//! Permission: whether something may be sent, repeated, closed or started now.
-//!
-//! The modules of `policy` decide what is worth doing; whatever they choose has to be permitted here as well. Every send,
-//! every rejection, the readiness of a process, and the closing of a client's connection by timeout, eviction or
-//! redirection ask this module. Not asked yet are closings at shutdown, at a job's migration and of a peer that reads
-//! nothing, which the embedder's server decides.
+//! Permission: whether something may be sent, retried, closed or started now.
 //!
+//! The modules of `policy` decide what is useful; what they choose must be permitted here as well. Every send, every
+//! rejection, the readiness of a process, and the closing of a client's connection by timeout, eviction or redirection
+//! is checked here. Not checked yet are closings at shutdown, at a job's migration, and of a peer that reads nothing;
+//! the embedder's server decides on those.
 //!
 //! | question | asked by | answered by |
 //! | --- | --- | --- |
-//! | may a job be sent to a worker, first, again or as a hedged request? | placement, retries, and each send at last | `Dispatcher::may_send`, `Dispatcher::check_send` |
-//! | may anything be decided by the endpoint list? | pending queue, hedging, relocation | `Dispatcher::check_endpoint_lease` |
-//! | until when may the first byte of an attempt be written? | the embedder's transport, by [`Action::SendAttempt`](crate::Action::SendAttempt) and `Dispatcher::endpoints_write_by` | `endpoint_lease`, `sending` |
-//! | may a job be rejected, so that its client may repeat it? | deadlines, retries, admission | `Dispatcher::may_reject` |
+//! | may a job be sent to a worker: first attempt, retry or hedged request? | placement, retries, and each send itself | `SendRules::may_send`, `SendRules::check_send` |
+//! | how much work may a worker that is warming up get? | the same | `SlowStart::budget` |
+//! | may the endpoint list be used? | pending queue, hedging, relocation | `EndpointLease::check` |
+//! | until when may the first byte of an attempt be written? | the embedder's transport, by [`Action::SendAttempt`](crate::Action::SendAttempt) and [`Dispatcher::endpoints_write_by`](crate::Dispatcher::endpoints_write_by) | `EndpointLease::write_by`, `SendRules::latest_send` |
+//! | may a job be rejected, so that its client may retry it? | deadlines, retries, admission | `answering` |
 //! | may a client's connection be closed? | the embedder's server | [`may_close_connection`] |
-//! | may a process say that it is ready? | the embedder's start | [`ServingPermission`] |
+//! | may a process report that it is ready? | the embedder's start | [`ServingPermission`] |
 //!
-//! A limit that runs out unless something positive is learned is renewed by that only: never by a failure, an end, a
-//! start or the passing of time. What is decided without permission all the same is a violation: it is not carried out,
+//! A limit that expires unless something positive is learned is renewed by that alone: never by a failure, an end, a
+//! start or the passing of time. Something that was decided without permission is a violation: it is not carried out,
 //! and [`Violations`] counts it.
+
 mod answering;
 mod closing;
 mod denial;
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -5,7 +5,7 @@
 use crate::state::{Fleet, Job, MAX_ATTEMPTS, Worker};
 use crate::{Idempotency, Settings, TimeSpan, Timestamp};
 
-/// A repeat with an idempotency key goes out at least this long before its window closes.
+/// A retry with an idempotency key is sent at least this long before its deduplication window closes.
 const DEDUPLICATION_MARGIN: TimeSpan = TimeSpan::from_millis(200);
 
 /// Most attempts of a job.
@@ -41,14 +41,14 @@
             return Err(Denial::AttemptInFlight);
         }
         self.may_repeat(now, worker, job)?;
-        // Rule 4: nothing beyond what a worker that is warming up can take.
+        // Rule 4: no more work than a worker that is warming up can take.
         if job.load() > self.slow_start.budget(now, worker) {
             return Err(Denial::WarmUpBudgetExhausted);
         }
         Ok(())
     }
 
-    /// Rule 3: nothing new to a worker that drains or is gone, or that operators have disabled.
+    /// Rule 3: no new job to a worker that is draining or gone, or that operators have disabled.
     fn check_worker(&self, worker: &Worker, job: &Job) -> Result<(), Denial> {
         if !self.fleet.takes_work(worker) {
             return Err(Denial::WorkerUnavailable);
@@ -73,8 +73,8 @@
                 Err(Denial::OutsideDeduplicationScope)
             }
             Idempotency::WithKey { window, .. } => {
-                // Where workers report acceptance, attempts go over sockets and a connection may be late: a
-                // repeat that reaches its worker after the window would run again.
+                // Where workers report acceptance, attempts are sent over sockets and a connection may be late: a
+                // retry that reaches its worker after the window would run again.
                 let transit = DEDUPLICATION_MARGIN.max(self.settings.accept_timeout);
                 if now + transit < first.deduplicated_until(window) {
                     Ok(())
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Latest time at which the next attempt of a job may leave: while this node may rely on its endpoint
-    /// list and, if the job may have run, while workers still discard repeats.
+    /// Latest time at which the next attempt of a job may be sent: while this node may rely on its endpoint
+    /// list and, if the job may have run, while workers still discard retries.
     pub fn latest_send(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Rule 1: nothing after the final answer or the deadline; and no more attempts than the settings allow.
+/// Rule 1: no attempt after the final answer or the deadline, and no more attempts than the settings allow.
 fn check_job(now: Timestamp, settings: &Settings, job: &Job) -> Result<(), Denial> {
     if !job.is_open() {
         return Err(Denial::JobAnswered);
--- a/crates/core/src/permission/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work this node may send to a worker that is warming up.
 //!
-//! Such a worker fails when all nodes together send too much within a window, so they share a budget. An even
-//! part would be too small for any job where nodes are many; instead they take turns by the clock.
+//! Such a worker fails when all nodes together send too much within a window, so the nodes share a budget. With many
+//! nodes an equal part of it would be too small for any job; therefore nodes take turns by the clock.
 
 use crate::state::{DEMAND_SPAN_S, Demand, Fleet, Worker};
 use crate::{Settings, TimeSpan, Timestamp};
@@ -20,7 +20,7 @@
 const JAMMED_DRAW_SHARE: f64 = 0.1;
 /// Most slots that a worker counts for, as a multiple of those that this node itself has seen there.
 const MAX_SLOT_EXTRAPOLATION: f64 = 1.5;
-/// Factor by which the window is taken longer: work does not arrive in the moment it is sent.
+/// Factor by which the window is extended: work arrives some time after it is sent.
 const WINDOW_STRETCH: f64 = 1.25;
 
 /// Seconds for which work sent to a worker that is warming up counts.
@@ -44,7 +44,7 @@
 
 impl SlowStart<'_> {
     /// Rule 4: work that this node may send to a worker now; infinite for a warm one. Rejected work counts
-    /// too.
+    /// as sent.
     pub fn budget(&self, now: Timestamp, worker: &Worker) -> f64 {
         let warm_up_fraction = worker.warm_up_fraction(now, self.settings);
         if warm_up_fraction >= 1.0 {
--- a/crates/core/src/permission/violations.rs
+++ b/crates/core/src/permission/violations.rs
@@ -2,7 +2,7 @@
 
 use super::Denial;
 
-/// How often something was decided without permission, by reason. It stays empty while the program has no fault.
+/// How often something was decided without permission, by reason. All counts are zero unless the program has a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
     counts: [u64; Denial::ALL.len()],
@@ -10,18 +10,18 @@
 }
 
 impl Violations {
-    /// Counts one.
+    /// Counts a violation.
     pub fn record(&mut self, reason: Denial) {
         self.counts[reason as usize] += 1;
         self.total += 1;
     }
 
-    /// How many there were for this reason.
+    /// Number of violations for this reason.
     pub fn count(&self, reason: Denial) -> u64 {
         self.counts[reason as usize]
     }
 
-    /// How many there were in all.
+    /// Number of all violations.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -1,5 +1,5 @@
-//! The pending queue: when a job goes out. While no worker is free, jobs wait here and not at a worker:
-//! there, small urgent jobs would be stuck behind large ones, and nothing could be taken back.
+//! The pending queue: when a job is sent. While no worker is free, jobs wait here and not at a worker: there, small
+//! urgent jobs would wait behind large ones, and no job could be recalled.
 
 use super::placement::{MAX_WORKER_QUEUE_S, Placement, PlacementTier, ZONE_CROSSING_S};
 use crate::state::{Capacity, Demand, Fleet, Job, QueueKey};
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -11,7 +11,7 @@
 const NEAR_TIE_S: f64 = 0.002;
 /// Longest wait at a worker for which a job is sent there, in seconds.
 pub(super) const MAX_WORKER_QUEUE_S: f64 = 0.02;
-/// Seconds of waiting to which a zone crossing of price 1 is equivalent.
+/// Seconds of waiting that are equivalent to a zone crossing of price 1.
 pub(super) const ZONE_CROSSING_S: f64 = 2.0;
 /// A worker enabled again is tried with any idempotent job that can end in time after this, in seconds.
 const REENABLED_PROBE_DELAY_S: f64 = 1.5;
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may run again, and what follows an attempt that does not start.
+//! Retries: which jobs may run again, and what follows an attempt that does not start.
 
 use super::placement::{Placement, PlacementRequest, PlacementTier, cost};
 use crate::permission::SendRules;
--- a/crates/core/src/policy/unsent_attempts.rs
+++ b/crates/core/src/policy/unsent_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts that were decided on and of which no byte was sent. An attempt of which a byte may have left is not taken
-//! back.
+//! Attempts that were decided on and of which no byte was sent. An attempt of which a byte may have been sent
+//! is not withdrawn.
 
 use crate::Settings;
 use crate::permission::max_attempts;
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -1,5 +1,4 @@
-//! Estimators: small running figures, each with its arithmetic and the constants of that. None of them knows
-//! a worker or a job.
+//! Estimators: small running figures with their arithmetic and its constants. None of them refers to a worker or a job.
 //!
 //! The results must be the same on every machine: the order of the floating-point operations is part of the
 //! code.
@@ -11,7 +10,7 @@
 pub(crate) const DEFAULT_JOB_WORK_S: f64 = 0.1;
 /// Least weight of one sample in estimates that many workers share. The first ones weigh more.
 pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
-/// One sample moves a speed by no more than this many times the usual error, so that outliers count little.
+/// One sample changes a speed by no more than this many times the usual error, so that outliers count little.
 const MAX_SAMPLE_ERRORS: f64 = 2.0;
 /// Least weight of one job in a worker's learned speed. The first ones weigh more.
 const WORKER_SPEED_GAIN: f64 = 0.08;
@@ -19,7 +18,7 @@
 const KIND_PRIOR_SAMPLES: f64 = 3.0;
 /// Span over which the start delays at a kind are averaged, in seconds.
 const START_DELAY_SPAN_S: f64 = 5.0;
-/// Starts without delay that stand beside those seen, so that a single delay counts little.
+/// Prior count of starts without delay, so that a single delay counts little.
 const START_DELAY_PRIOR_COUNT: f64 = 0.5;
 
 /// A sum whose parts decay exponentially with their age.
@@ -48,8 +47,7 @@
         self.set(now, self.get(now, tau) + value);
     }
 
-    /// What is left of the sum if it shrinks by 1 a second, as a wait does while it is worked off. May be
-    /// negative.
+    /// The sum if it shrinks by 1 a second, as a wait does while the work is done. May be negative.
     pub fn worked_off(&self, now: Timestamp) -> f64 {
         self.value - now.seconds_since(self.updated_at)
     }
@@ -185,7 +183,7 @@
 /// The work of a class's jobs, in seconds at speed 1, for those that come without a hint.
 ///
 /// Warm-up budgets add work up and need its mean, while speeds are learned from logarithms. Work has a long
-/// tail: with one figure for both, a cold worker would be sent twice what it can do.
+/// tail: with one figure for both, a worker that is warming up would be sent twice what it can do.
 #[derive(Clone, Copy)]
 pub(crate) struct WorkEstimate {
     /// Mean work.
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -26,7 +26,7 @@
 /// Most workers that the median of slots is taken over.
 const MAX_SLOT_SAMPLES: usize = 64;
 
-/// What is known of all workers of one kind, each of which a node of many seldom meets.
+/// What is known of all workers of one kind. One node of many seldom has a job at any one of them.
 pub(crate) struct MachineKind {
     /// Which kind.
     pub id: KindId,
@@ -87,11 +87,11 @@
     pub(super) pending_revocations: Vec<AttemptId>,
     /// The workers that this node uses.
     pub(super) subset: Subset,
-    /// Kinds of machine in the order in which they were met.
+    /// Kinds of machine in the order of their first appearance.
     pub(super) kinds: Vec<MachineKind>,
     /// The speed of the fleet as a whole, for kinds of which nothing is known.
     pub(super) overall_speed: SpeedEstimate,
-    /// Slots of workers that have not shown theirs.
+    /// Slots of workers at which none were observed.
     slots: SlotEstimates,
     /// Keys of the jobs that were submitted last, the oldest first.
     pub(super) recent_keys: VecDeque<u64>,
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -78,11 +78,11 @@
     pub is_first_submission: bool,
     /// Hinted work, in seconds at speed 1.
     pub work: f64,
-    /// It came without a hint: its work is an estimate for its class.
+    /// It was submitted without a hint: its work is an estimate for its class.
     pub is_unhinted: bool,
     /// Slots that it takes.
     pub slots: f64,
-    /// Affinity key: what it concerns.
+    /// Affinity key: the hash of the data that it needs.
     pub key: Option<u64>,
     /// An answer after this misses its latency objective.
     pub objective_at: Timestamp,
@@ -90,9 +90,9 @@
     pub deadline: Timestamp,
     /// Its attempts in the order of sends.
     pub(super) attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
-    /// Its answer has begun to flow; nothing more is to be decided.
+    /// Its answer has begun to stream to the client; there are no more decisions on it.
     pub(super) is_streaming: bool,
-    /// Its final answer is out.
+    /// It has its final answer, or needs none any more.
     pub(super) is_answered: bool,
 }
 
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -56,7 +56,7 @@
 /// Estimates that are derived from the record of a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct WorkerEstimates {
-    /// When they were derived; 0: something has happened there since.
+    /// When they were derived; the origin of the clock if something has happened at the worker since.
     pub derived_at: Timestamp,
     /// Least share of its capacity that it has, by its age; 1 when warm.
     pub warm_up_fraction: f64,
@@ -94,7 +94,7 @@
     pub(super) status: WorkerStatus,
     /// It belongs to this node's subset: see [`Fleet::subset`](super::Fleet::subset).
     pub(super) in_subset: bool,
-    /// Last start as listed or inferred; 0: long ago.
+    /// Last start as listed or inferred; the origin of the clock: long ago.
     pub(super) started_at: Timestamp,
     /// Listed size in slots; 1 where the list has no sizes.
     pub(super) listed_slots: f64,
@@ -286,7 +286,7 @@
         (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Something has happened there: its estimates have to be derived again before they are used.
+    /// Marks its estimates as outdated, since something has happened there.
     pub fn invalidate_estimates(&mut self) {
         self.estimates.derived_at = Timestamp::ORIGIN;
     }
@@ -295,7 +295,7 @@
     pub fn record_contact(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
-            // It may have restarted and be cold, long before the list shows that.
+            // It may have restarted and be warming up long before the list shows that.
             self.health.unreachable = false;
             self.started_at = self.started_at.max(now);
         }
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Operators have enabled it, having disabled it at `disabled_at`. They usually restart it meanwhile and
-    /// the list is late: unless the list shows a start since then, it is assumed to start now.
+    /// Records that operators have enabled it again after they disabled it at `disabled_at`. They usually restart it
+    /// meanwhile, and the list is late: unless the list shows a start since then, it is assumed to start now.
     pub fn reenable(&mut self, disabled_at: Timestamp, now: Timestamp) {
         if self.started_at < disabled_at || self.started_at == Timestamp::ORIGIN {
             self.started_at = now;
