--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -17,8 +17,8 @@
         let Some(excess) = describe_excess(sample, scenario.nodes.descriptors) else { continue };
         if reported.insert(sample.node) {
             let description = format!("node {} holds {excess}, all its processes together", sample.node);
-            let at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
-            violations.push(Violation::without_events(Rule::Size, at, description));
+            let sampled_at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
+            violations.push(Violation::without_events(Rule::Size, sampled_at, description));
         }
     }
     violations
--- a/crates/testbed/src/rules/job_rules/requests.rs
+++ b/crates/testbed/src/rules/job_rules/requests.rs
@@ -125,8 +125,8 @@
     }
 
     pub(super) fn end_attempt(&mut self, number: u64, end: AttemptEnd) {
-        let id = self.id_by_attempt.get(&number);
-        let Some(request) = id.and_then(|id| self.by_id.get_mut(id)) else { return };
+        let request_id = self.id_by_attempt.get(&number);
+        let Some(request) = request_id.and_then(|request_id| self.by_id.get_mut(request_id)) else { return };
         if let Some(attempt) = request.attempts.iter_mut().find(|attempt| attempt.number == number) {
             attempt.end(end);
         }
--- a/crates/testbed/src/rules/operations_rules/mod.rs
+++ b/crates/testbed/src/rules/operations_rules/mod.rs
@@ -135,8 +135,7 @@
         figures.slowest_ms = figures.slowest_ms.max(command.took().as_micros() as f64 / 1e3);
         let wrong_answers =
             [command.late_answer(self.parameters.slack), command.unexpected_answer()].into_iter().flatten();
-        let at = command.ended_at;
-        self.findings.extend(wrong_answers.map(|violation| Finding { at, violation }));
+        self.findings.extend(wrong_answers.map(|violation| Finding { at: command.ended_at, violation }));
         let (node, begun_at) = (command.node, command.begun_at);
         match (command.verb(), command.worker()) {
             ("DISABLE", Some(worker)) => self.maintenance.disable(command, worker),
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -132,15 +132,15 @@
     fn fault_bounds(&self) -> impl Iterator<Item = Bound> {
         self.faults.iter().enumerate().flat_map(|(index, fault)| {
             let table = IndexedTable { table: "fault", index };
-            let at = Some(table.bound("at_s", fault.at_s, 0.0, self.length_s));
-            let optional = [
-                at,
+            let begin = table.bound("at_s", fault.at_s, 0.0, self.length_s);
+            let bounds = [
+                Some(begin),
                 fault.for_s.map(|value| table.bound("for_s", value, 0.0, 86_400.0)),
                 fault.share.map(|value| table.bound("share", value, 0.0, 1.0)),
                 fault.factor.map(|value| table.bound("factor", value, 1.0, 1_000.0)),
                 fault.delay_s.map(|value| table.bound("delay_s", value, 0.0, MAX_DELAY_S)),
             ];
-            optional.into_iter().flatten()
+            bounds.into_iter().flatten()
         })
     }
 
--- a/crates/testbed/tests/golden_scenario.rs
+++ b/crates/testbed/tests/golden_scenario.rs
@@ -1,4 +1,4 @@
-//! The command that checks a scenario: what it says of one with every field, and of every mistake, byte for byte.
+//! The command that checks a scenario: its output for a scenario with every field and for each mistake, byte for byte.
 
 use std::path::Path;
 use std::process::Command;
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn a_scenario_with_every_field_then_the_summary_is_as_recorded() {
+fn scenario_with_every_field_then_the_summary_is_as_recorded() {
     golden!("scenario_checked.txt").assert_is(&checked("golden-full.toml", FULL));
 }
 
 #[test]
-fn a_scenario_with_one_edit_then_the_words_and_the_exit_code_are_as_recorded() {
+fn scenario_with_one_edit_then_the_words_and_the_exit_code_are_as_recorded() {
     golden!("scenario_edits.txt")
         .assert_answers(|edit| checked("golden-edited.toml", &edited(edit)).trim_end().to_owned());
 }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_scenario_with_every_field_then_every_value_is_as_recorded() {
+fn scenario_with_every_field_then_every_value_is_as_recorded() {
     let values = serde_json::to_string_pretty(&full()).expect("JSON");
     golden!("scenario_values.json").assert_is(&(values + "\n"));
     let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a valid scenario");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
+fn scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
     let scenario = full();
     let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines]
         .map(|lines_of| lines_of(&scenario));
