--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -142,3 +142,7 @@
         self.buffer.split_to(mem::take(&mut self.scanned))
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/list_parser.rs"]
+mod tests;
