--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -25,8 +25,8 @@
         let Some(excess) = describe_excess(sample, limits) else { continue };
         if reported.insert(sample.node) {
             let description = format!("node {} holds {excess}, all its processes together", sample.node);
-            let at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
-            violations.push(Violation::without_events(Rule::Size, at, description));
+            let sampled_at = Timestamp::from_micros((sample.at_s * 1e6) as u64);
+            violations.push(Violation::without_events(Rule::Size, sampled_at, description));
         }
     }
     violations
