--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -267,8 +267,7 @@
         }
         if n % 50 == 49 {
             let id = format!("r{n}");
-            let client = node.submit_job(&id, "view", 9.0);
-            node.serve_job(client, &worker.next_request(), &id, "s-1");
+            node.assert_serves(&worker, &id, "view", "s-1");
             assert_eq!(node.get("/ready").status(), 200);
         }
     }
@@ -287,8 +286,7 @@
     let (worker, node, _watch, _discovery) = start_with_64_descriptors();
     // More than the connection budget; each blocks its responses, and stays connected.
     let _crowd: Vec<_> = (0..40).map(|_| connect_client_that_reads_nothing(&node)).collect();
-    let client = node.submit_job("r1", "view", 9.0);
-    node.serve_job(client, &worker.next_request(), "r1", "s-1");
+    node.assert_serves(&worker, "r1", "view", "s-1");
 }
 
 #[test]
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -98,8 +98,7 @@
     let _watch = ScriptedWatch::answer(&discovery, &known);
     node.wait_for_log_line("endpoint lease confirmed");
     let serve = |id: &str| {
-        let client = node.submit_job(id, "view", 5.0);
-        node.serve_job(client, &worker.next_request(), id, "s-1");
+        node.assert_serves(&worker, id, "view", "s-1");
     };
     serve("r1");
     let about = |id: &str| {
@@ -146,8 +145,7 @@
         requests += 1;
         assert!(requests < 20_000, "it does not stall");
     }
-    let client = node.submit_job("r1", "view", 5.0);
-    node.serve_job(client, &worker.next_request(), "r1", "s-1");
+    node.assert_serves(&worker, "r1", "view", "s-1");
     node.signal("-TERM");
     let ended = node.wait_for_exit();
     assert_eq!(ended.status.code(), Some(0), "nor does it hold up the end");
--- a/crates/node/tests/common/node_requests.rs
+++ b/crates/node/tests/common/node_requests.rs
@@ -25,6 +25,14 @@
         (worker, node, watch, discovery)
     }
 
+    /// Workers `s-1` and `s-2`, a node that knows only them, the node's open watch, and discovery.
+    pub fn start_with_two_workers() -> ([ScriptedServer; 2], Node, ScriptedWatch, ScriptedServer) {
+        let workers = [ScriptedServer::start(), ScriptedServer::start()];
+        let (node, watch, discovery) =
+            Node::start_with_workers(&[("s-1", &workers[0]), ("s-2", &workers[1])]);
+        (workers, node, watch, discovery)
+    }
+
     /// A node that knows these workers by name, its open watch, and discovery.
     pub fn start_with_workers(workers: &[(&str, &ScriptedServer)]) -> (Node, ScriptedWatch, ScriptedServer) {
         Node::start_with_config(workers, node_config)
@@ -102,6 +110,12 @@
         self.complete_job(client, id, from);
     }
 
+    /// Submits a job from a new client. The worker `from` must receive it next; it is accepted, completed and answered.
+    pub fn assert_serves(&self, worker: &ScriptedServer, id: &str, class: &str, from: &str) {
+        let client = self.submit_accepted_job(worker, id, class, 9.0);
+        self.complete_job(client, id, from);
+    }
+
     /// The response to `GET path`.
     pub fn get(&self, path: &str) -> HttpMessage {
         send_request(self.address, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -2,8 +2,13 @@
 
 use std::net::SocketAddr;
 
+use super::node_requests::wait_for_counter;
+use super::process::Node;
 use super::scripted_server::{ReceivedRequest, ScriptedServer};
 
+/// The counter of the lists and changes that a node has read.
+const LISTS_READ: &str = "curlewusher_transport_map_changes_total";
+
 /// The endpoint watch that a node has opened at discovery.
 pub struct ScriptedWatch(ReceivedRequest);
 
@@ -42,6 +47,13 @@
         self.write_raw(&chunk);
     }
 
+    /// Like [`Self::send_line`] for a list; waits until the node has read it.
+    pub fn send_list_and_wait(&self, list: &str, node: &Node) {
+        let before = node.counter(LISTS_READ);
+        self.send_line(list);
+        wait_for_counter(node, LISTS_READ, before + 1);
+    }
+
     /// Like [`Self::send_line`] for a node that may have closed the watch; returns whether it was written.
     pub fn try_send_line(&self, line: &str) -> bool {
         self.try_write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
--- a/crates/node/tests/delivery/mod.rs
+++ b/crates/node/tests/delivery/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     Node, ScriptedServer, endpoint_list_json, job_request, next_request_at_either, open_request,
-    read_response, wait_for_counter,
+    read_response,
 };
 
 #[test]
@@ -61,8 +61,7 @@
 #[test]
 fn worker_connection_stays_idle_then_node_closes_it() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let client = node.submit_job("r1", "order", 5.0);
-    node.serve_job(client, &worker.next_event(), "r1", "s-1");
+    node.assert_serves(&worker, "r1", "order", "s-1");
     // The node closes it long before the worker would.
     let end = worker.next_event();
     assert_eq!((end.message.start_line.as_str(), end.connection), ("", 0));
@@ -100,8 +99,7 @@
 
 #[test]
 fn accepted_job_does_not_start_then_it_is_retried_elsewhere_after_acknowledged_withdrawal() {
-    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let ([first, second], node, _watch, _discovery) = Node::start_with_two_workers();
     let client = node.submit_job("r1", "view", 8.0);
     // The worker that gets the job accepts it and never starts it.
     let (worker, got, other) = next_request_at_either(&first, &second);
@@ -126,8 +124,7 @@
 
 #[test]
 fn worker_does_not_accept_then_job_is_retried_at_another_worker() {
-    let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+    let ([one, two], node, _watch, _discovery) = Node::start_with_two_workers();
     let client = node.submit_job("r1", "view", 9.0);
     // Its connection was closed before the job went to the other.
     let first: Vec<_> = [&one, &two].map(|worker| worker.next_event().message.start_line).into();
@@ -144,10 +141,8 @@
     let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
     let client = node.submit_accepted_job(&first, "r1", "order", 5.0);
-    let before = node.counter("curlewusher_transport_map_changes_total");
     let change = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
-    watch.send_line(&endpoint_list_json(43, false, &change));
-    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    watch.send_list_and_wait(&endpoint_list_json(43, false, &change), &node);
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     second.next_event().accept();
     // Late and repeated callbacks of the first worker do not concern the second attempt.
--- a/crates/node/tests/endpoint_lease/mod.rs
+++ b/crates/node/tests/endpoint_lease/mod.rs
@@ -17,8 +17,7 @@
     let config = node_config(discovery.address, &saved);
     let before = Node::start(&config);
     ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(41, true, &saved));
-    let client = before.submit_job("r1", "view", 9.0);
-    before.serve_job(client, &left.next_request(), "r1", "s-1");
+    before.assert_serves(&left, "r1", "view", "s-1");
     before.kill();
 
     let node = Node::start(&config);
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -20,8 +20,7 @@
 fn assert_all_jobs_go_to(node: &Node, worker: &ScriptedServer, name: &str, jobs: &str) {
     for i in 0..3 {
         let id = format!("{jobs}{i}");
-        let client = node.submit_job(&id, "view", 9.0);
-        node.serve_job(client, &worker.next_request(), &id, name);
+        node.assert_serves(worker, &id, "view", name);
     }
 }
 
@@ -35,8 +34,7 @@
 /// the line before it, which comes in the same write.
 #[test]
 fn list_is_split_anywhere_then_it_is_read_completely() {
-    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let ([first, second], node, watch, discovery) = Node::start_with_two_workers();
     wait_for_counter(&node, CHANGES, 2);
     let weighed = |status, weight: &str| {
         first.endpoint_json("s-1", status).replace(r#""weight":1.0"#, &format!(r#""weight":{weight}"#))
@@ -61,8 +59,7 @@
 
 #[test]
 fn list_is_indented_and_sent_byte_by_byte_then_it_is_read() {
-    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
+    let ([first, second], node, watch, discovery) = Node::start_with_two_workers();
     wait_for_counter(&node, CHANGES, 2);
     let nowhere = "127.0.0.1:9".parse().expect("an address");
     let mut all: Vec<_> =
@@ -338,14 +335,13 @@
 
 #[test]
 fn worker_drains_then_it_gets_no_job_and_broken_watch_resumes_from_last_version() {
-    let (first, second) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &first), ("s-2", &second)]);
-    let before = node.counter("curlewusher_transport_map_changes_total");
-    watch.send_line(&endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
-    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    let ([first, second], node, watch, discovery) = Node::start_with_two_workers();
+    watch.send_list_and_wait(
+        &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]),
+        &node,
+    );
     for id in ["r1", "r2", "r3"] {
-        let client = node.submit_job(id, "view", 5.0);
-        node.serve_job(client, &second.next_event(), id, "s-2");
+        node.assert_serves(&second, id, "view", "s-2");
     }
     assert!(!first.has_pending_request());
     watch.close();
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -20,10 +20,10 @@
     // It never ran, so that it is retried there and accepted.
     worker.next_request().accept();
     wait_until("the count is not 2", || node.counter("curlewusher_delivery_attempts_accepted_total") == 2);
-    let changes = "curlewusher_transport_map_changes_total";
-    let before = node.counter(changes);
-    watch.send_line(&endpoint_list_json(43, false, &[other.endpoint_json("s-2", "in_service")]));
-    wait_for_counter(&node, changes, before + 1);
+    watch.send_list_and_wait(
+        &endpoint_list_json(43, false, &[other.endpoint_json("s-2", "in_service")]),
+        &node,
+    );
     // The answer to the first call was lost on its way.
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     let (_, next, _) = next_request_at_either(&worker, &other);
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -96,8 +96,7 @@
     assert_eq!(call_operator(operators, "DISABLE s-1\n"), "+OK");
     assert_eq!(call_operator(operators, "DISABLE s-1\n"), "+OK");
     let serve = |id: &str, worker: &ScriptedServer, name: &str| {
-        let client = node.submit_job(id, "view", 8.0);
-        node.serve_job(client, &worker.next_request(), id, name);
+        node.assert_serves(worker, id, "view", name);
     };
     let line = |worker: &ScriptedServer, name, status: &str| worker.endpoint_json(name, status);
     let again = line(&first, "s-1", "in_service").replace("\"since_ms\":0", "\"since_ms\":5");
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -158,8 +158,7 @@
         Client::idle(&node).wait_for_counter(CHANGES, 2);
         let from = format!("s-{:0198}", 1);
         for id in ["r0", "r1", "r2"] {
-            let client = node.submit_job(id, "view", 9.0);
-            node.serve_job(client, &other.next_request(), id, &from);
+            node.assert_serves(&other, id, "view", &from);
         }
         assert!(!drained.has_pending_request(), "it drains");
         assert_eq!(node.counter("curlewusher_transport_map_failures_total"), 0);
@@ -187,8 +186,7 @@
         assert_eq!(node.get("/ready").status(), 503, "a watch without a list does not count");
         watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
         wait_until("it stays unready", || node.get("/ready").status() == 200);
-        let client = node.submit_job("r1", "view", 9.0);
-        node.serve_job(client, &worker.next_request(), "r1", "s-1");
+        node.assert_serves(&worker, "r1", "view", "s-1");
     }
 }
 
@@ -202,8 +200,7 @@
     let _watch = ScriptedWatch::answer(&discovery, &known);
     // A connection with half a request is evicted as soon as one without any.
     let crowd: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
-    let client = node.submit_job("r1", "view", 9.0);
-    node.serve_job(client, &worker.next_request(), "r1", "s-1");
+    node.assert_serves(&worker, "r1", "view", "s-1");
     drop(crowd);
     // With a configured limit far above the system's, the node survives that the system refuses descriptors.
     let node = Node::start_with_descriptors(&config, 48);
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -38,8 +38,7 @@
 fn job_is_not_accepted_then_it_is_retried_elsewhere_after_acknowledged_withdrawal() {
     // On a cut network the closing of its connection never arrives, and the first copy may run beside the
     // next.
-    let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
-    let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+    let ([one, two], node, _watch, _discovery) = Node::start_with_two_workers();
     let client = node.submit_job("r1", "view", 8.0);
     let (worker, _silent, other) = next_request_at_either(&one, &two);
     for _ in 0..3 {
@@ -224,8 +223,7 @@
 #[test]
 fn response_is_invalid_then_idempotent_job_is_retried_after_withdrawal() {
     for bytes in ["nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"] {
-        let (one, two) = (ScriptedServer::start(), ScriptedServer::start());
-        let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &one), ("s-2", &two)]);
+        let ([one, two], node, _watch, _discovery) = Node::start_with_two_workers();
         let client = node.submit_job("r1", "view", 8.0);
         let (worker, got, other) = next_request_at_either(&one, &two);
         got.write_raw(bytes);
@@ -307,9 +305,7 @@
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
     wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
     node.complete_job(client, "r1", "s-1");
-    let before = node.counter("curlewusher_transport_map_changes_total");
-    watch.send_line(&restart_line(&known));
-    wait_for_counter(&node, "curlewusher_transport_map_changes_total", before + 1);
+    watch.send_list_and_wait(&restart_line(&known), &node);
     let (client, second) = submit_to(&node, &worker, "r2", "order", 8.0);
     assert_ne!(second.connection, got.connection);
     node.serve_job(client, &second, "r2", "s-1");
