--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -57,7 +57,7 @@
     worker.next_request().accept();
     close(client, false);
     wait_until("the client is not seen to leave", || node.counter("curlewusher_clients_gone_total") == 1);
-    assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    worker.expect_withdrawal("r1");
 }
 
 #[test]
@@ -298,7 +298,7 @@
     // Its worker has received the withdrawal and does not respond. By the time of the second withdrawal the node has
     // closed all its connections.
     for _ in 0..2 {
-        assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+        worker.expect_withdrawal("r1");
     }
     let late = send_request(node.address, &job_request("r2", "view", 9.0, ""));
     assert_eq!((late.status(), late.header("connection")), (503, Some("close")));
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -138,7 +138,7 @@
     let (node, _stalled) = Node::start_with_blocked_stderr(&settings, loud);
     let _watch = ScriptedWatch::answer(&discovery, &known);
     let dropped = r#"curlewusher_log_lines_dropped_total{why="stalled"}"#;
-    // A pipe takes 64 KiB before it stalls; every turned-away request is a line.
+    // A pipe takes 64 KiB before it stalls; every rejected request is a line.
     let mut requests = 0;
     while node.counter(dropped) == 0 {
         assert_eq!(node.callback("{"), 400);
--- a/crates/node/tests/common/scripted_server.rs
+++ b/crates/node/tests/common/scripted_server.rs
@@ -103,14 +103,11 @@
 
     /// Waits for the end of that connection. Events of other connections stay to be received.
     pub fn wait_for_connection_end(&self, connection: usize) {
-        let mut others = VecDeque::new();
-        let event = loop {
-            let event = self.next_event();
-            if event.connection == connection {
-                break event;
-            }
+        let (mut others, mut event) = (VecDeque::new(), self.next_event());
+        while event.connection != connection {
             others.push_back(event);
-        };
+            event = self.next_event();
+        }
         assert_eq!(event.message.start_line, "", "a request on connection {connection} before its end");
         others.append(&mut self.set_aside.borrow_mut());
         self.set_aside.replace(others);
@@ -123,6 +120,22 @@
             .expect("endless")
     }
 
+    /// The next request, which must be the withdrawal of that job.
+    pub fn expect_withdrawal(&self, id: &str) -> ReceivedRequest {
+        let request = self.next_request();
+        assert_eq!(request.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
+        request
+    }
+
+    /// Leaves so many withdrawals unacknowledged, during which `other` must not receive the job.
+    pub fn ignore_withdrawals(&self, id: &str, count: usize, other: &ScriptedServer) {
+        for _ in 0..count {
+            let withdrawal = self.expect_withdrawal(id);
+            assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
+            withdrawal.close();
+        }
+    }
+
     /// The next request, if one has arrived.
     pub fn try_next_request(&self) -> Option<ReceivedRequest> {
         std::iter::from_fn(|| self.try_next_event()).find(|event| !event.message.start_line.is_empty())
--- a/crates/node/tests/delivery/mod.rs
+++ b/crates/node/tests/delivery/mod.rs
@@ -104,12 +104,7 @@
     // The worker that gets the job accepts it and never starts it.
     let (worker, got, other) = next_request_at_either(&first, &second);
     got.accept();
-    for _ in 0..3 {
-        let call = worker.next_request();
-        assert_eq!(call.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
-        assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
-        call.close();
-    }
+    worker.ignore_withdrawals("r1", 3, other);
     let call = worker.next_request();
     assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
     call.respond("200 OK");
--- a/crates/node/tests/job_requests/mod.rs
+++ b/crates/node/tests/job_requests/mod.rs
@@ -151,10 +151,9 @@
     };
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], settings);
-    // Each counts as long, so that the worker is not expected to be idle however slow the test is.
-    let of = |id: &str, tenant: &str| {
-        job_request(id, "view", 600.0, tenant).replace("X-Cost-Hint: 100000", "X-Cost-Hint: 100000000")
-    };
+    // Quotas are charged for first submissions only. A job with less time left than others counts as a retry, also where a
+    // slow node made it wait; with more than its class allows, all have the same time left.
+    let of = |id: &str, tenant: &str| job_request(id, "view", 2000.0, tenant);
     assert_eq!(send_request(node.address, &of("r1", "")).status(), 400);
     assert_eq!(send_request(node.address, &of("r2", "X-Tenant: osier\r\n")).status(), 400);
     assert_eq!(send_request(node.address, &of("r3", "X-Tenant: 2\r\n")).status(), 400);
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -106,9 +106,7 @@
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
     successor.send_frame(seq, Frame::MigrationResult(false));
-    let withdrawal = worker.next_request();
-    assert_eq!(withdrawal.message.start_line, "DELETE /jobs/r1 HTTP/1.1");
-    withdrawal.respond("200 OK");
+    worker.expect_withdrawal("r1").respond("200 OK");
     drop(successor);
     node.wait_for_log_line("peer lost");
     assert_eq!(node.counter("curlewusher_clients_gone_total"), 1);
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -26,7 +26,7 @@
     let client = scenario.submit_accepted(&older.node, "r1");
     let newer = scenario.start_next_version(&older);
     scenario.assert_serves(&newer.node, "r2", 0);
-    // The shared address is the newer one's by now.
+    // By now the newer process owns the shared address.
     post_callback_until_acknowledged(&newer.node, "r1", "s-1", r#""state":"running","share":0.5"#);
     older.node.signal("-TERM");
     complete_job(&newer.node, "r1");
@@ -57,7 +57,7 @@
         complete_job(&older.node, &format!("{id}-held"));
         match HttpMessage::read(&mut client) {
             Some(answer) => assert_eq!(answer.status(), 200, "{when}"),
-            // It may have moved to the newer one, and ended with it.
+            // It may have migrated to the newer process, and ended with it.
             None => assert_ne!(when, "before"),
         }
         scenario.assert_serves(&older.node, id, 0);
@@ -78,7 +78,7 @@
             older.node.wait_for_log_line("phase changed node=n0 phase=retired");
         }
         older.node.kill();
-        // What came in between waits in the queue of the listener that both hold.
+        // Connections made in between wait in the queue of the listener that both processes share.
         let client = newer.node.submit_job("r1", "view", 8.0);
         if !handed_over {
             scenario.send_list(&newer);
@@ -147,7 +147,7 @@
     let client = scenario.submit_accepted(&newer.node, "r2");
     newer.node.signal("-TERM");
     older.node.wait_for_log_line("phase changed node=n0 phase=ready");
-    // The job of the one that ends is answered, though its call comes here.
+    // The job of the process that ends is answered, though its callback reaches the other one.
     complete_job(&older.node, "r2");
     assert_eq!(read_response(client).status(), 200);
     scenario.assert_serves(&older.node, "r3", 0);
@@ -155,7 +155,7 @@
     older.assert_call_succeeds("READY");
     assert_eq!(older.node.get("/ready").status(), 200);
     scenario.assert_no_further_request();
-    // It can be followed again.
+    // Another successor can take over again.
     let newer = scenario.start_next_version(&older);
     older.terminate();
     scenario.assert_serves(&newer.node, "r4", 0);
@@ -185,7 +185,7 @@
 fn job_id_is_in_flight_at_one_process_then_either_rejects_a_second() {
     let (scenario, older) = UpgradeScenario::start(1);
     let client = scenario.submit_accepted(&older.node, "r1");
-    // The older one has read half of this one by the time it hands over.
+    // The older process has read half of this request by the time of the takeover.
     let copy = job_request("r2", "order", 8.0, "");
     let mut late = open_request(older.node.address, &copy[..copy.len() - 4]);
     let newer = scenario.start_next_version(&older);
@@ -206,7 +206,7 @@
     older.assert_call_succeeds("DISABLE s-1");
     let newer = older.start_successor();
     scenario.assert_serves(&older.node, "r1", 1);
-    // The saved list and what the older one holds are enough for a call.
+    // The saved list and the state of the older process are enough for an operator command.
     newer.assert_call_succeeds("ENABLE s-1");
     newer.assert_call_succeeds("DISABLE s-2");
     scenario.assert_serves(&older.node, "r2", 0);
@@ -262,14 +262,14 @@
     let (older, watch) = scenario.start_first();
     older.assert_call_succeeds("DISABLE s-2");
     watch.close();
-    // Nobody answers the newer one's discovery: it takes over, and holds its jobs until somebody does.
+    // Discovery does not answer the newer process: it takes over, and holds its jobs until discovery does.
     let newer = older.start_successor();
     older.node.wait_for_log_line("phase changed node=n0 phase=retired");
     newer.wait_until_ready();
     let held = newer.node.submit_job("r0", "view", 8.0);
     wait_for_counter(&newer.node, "curlewusher_jobs_taken_total", 1);
     scenario.assert_no_further_request();
-    // Polls that nobody answered may be over by now: each that is left or comes is answered.
+    // Unanswered polls may have timed out by now: each pending or further poll is answered.
     let (mut watches, mut got) = (Vec::new(), None);
     wait_until("the held job reaches no worker", || {
         watches.extend(newer.discovery.try_next_request().map(|poll| scenario.try_send_list(poll)));
@@ -277,7 +277,7 @@
         got.is_some()
     });
     newer.node.serve_job(held, &got.expect("it was waited for"), "r0", "s-1");
-    // A free choice would fall on the one that is out.
+    // Without the command the disabled worker would be chosen.
     (0..8).for_each(|n| scenario.assert_serves(&newer.node, &format!("r1{n}"), 0));
     newer.assert_call_succeeds("DISABLE s-2");
     older.terminate();
@@ -315,10 +315,10 @@
             assert!(node.startup_lines[0].contains("$TMPDIR"), "{:?}", node.startup_lines);
             wait_until_ready(node.operator_address());
         }
-        // Whichever of both it reaches, the other may hold that job: it is to be said again, not lost.
+        // Whichever process the callback reaches, the other may own the job: the callback has to be repeated, not lost.
         assert_eq!(newer.callback(r#"{"id":"r9","from":"s-1","state":"failed"}"#), 503);
         older.signal("-TERM");
-        // Not another word of it.
+        // It is not logged again.
         while let line = older.next_log_line()
             && !line.ends_with("graceful shutdown started node=n0")
         {
@@ -349,7 +349,7 @@
 #[test]
 fn handover_socket_path_is_occupied_then_node_serves_all_the_same() {
     let scenario = UpgradeScenario::new(1);
-    // A stale socket, a file, two sockets of a program that is no node, and a folder, which nobody can sit on.
+    // A stale socket, a file, two sockets of another program, and a folder, which cannot be replaced.
     for what in ["stale", "file", "silent", "noise", "folder"] {
         let discovery = ScriptedServer::start();
         let file = Node::write_config_file(&node_config_for_handover(discovery.address, &scenario.known));
@@ -404,7 +404,7 @@
 fn client_disconnects_during_failed_migration_then_disconnect_is_noticed() {
     let (scenario, older) = UpgradeScenario::start(1);
     let (client, got) = scenario.submit_unaccepted(&older.node, "r1");
-    // A worker's connection, which stays with the older one.
+    // A worker's connection, which stays with the older process.
     let kept = std::cell::RefCell::new(Client::connect(older.node.address));
     let call = r#"{"id":"r1","from":"s-1","state":"running","share":0.1}"#;
     let head = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", call.len());
@@ -416,10 +416,10 @@
     let newer = scenario.start_next_version(&older);
     newer.node.signal("-STOP");
     got.accept();
-    // It is on its way, and nobody takes it on.
+    // The job is in transit, and no process accepts it.
     wait_until("the expected state is not reached", || says() == 503);
     drop(client);
-    // The client's end is read before what is said next.
+    // The client's close is read before the next frame.
     says();
     newer.node.kill();
     wait_until("the count is not 1", || older.node.counter("curlewusher_clients_gone_total") == 1);
--- a/crates/node/tests/randomized_lifecycle/connection.rs
+++ b/crates/node/tests/randomized_lifecycle/connection.rs
@@ -1,4 +1,4 @@
-//! A non-blocking connection: it collects what has arrived, splits it into messages and tells a close from a reset.
+//! A non-blocking connection: it collects what has arrived, splits it into messages and distinguishes a close from a reset.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -54,7 +54,7 @@
         self.stream.as_mut().is_some_and(|stream| stream.write_all(text.as_bytes()).is_ok())
     }
 
-    /// Takes the first message, once it has arrived whole.
+    /// Takes the first message, once it has arrived completely.
     pub fn message(&mut self) -> Option<HttpMessage> {
         let head = self.bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
         let text = String::from_utf8_lossy(&self.bytes[..head]).to_ascii_lowercase();
--- a/crates/node/tests/randomized_lifecycle/job_model.rs
+++ b/crates/node/tests/randomized_lifecycle/job_model.rs
@@ -44,7 +44,7 @@
     pub at: Instant,
     /// Its 202 is written.
     pub accepted: bool,
-    /// The 202 arrived while the node was paused, so that closing the connection no longer gives the attempt up.
+    /// The 202 arrived while the node was paused, so that closing the connection no longer cancels the attempt.
     pub surely_accepted: bool,
     /// How many withdrawals have arrived, answered or not.
     pub withdrawals: u32,
@@ -58,7 +58,7 @@
     }
 }
 
-/// What became of a request, as its client knows it.
+/// The outcome of a request, as its client knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A part of the request is written.
@@ -83,7 +83,7 @@
     pub sent_at: Option<(Instant, u64)>,
     pub outcome: Outcome,
     pub left_at: Option<Instant>,
-    /// The node has had enough time to see that its client left.
+    /// The node has had enough time to notice that its client disconnected.
     pub departure_known: bool,
     /// Further bytes were written behind the request.
     pub has_pipelined_data: bool,
--- a/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The place of the last idle connection if one may be reused and is there, else of a new one; none where the node
+    /// The index of the last idle connection if one may be reused and is there, else of a new one; none where the node
     /// refuses it.
     fn choose_connection(&mut self, may_reuse: bool) -> Option<usize> {
         let is_idle = |client: &ClientConnection| client.job.is_none() && client.connection.is_open();
@@ -192,7 +192,7 @@
         self.check_connection_end(at);
     }
 
-    /// Checks that a connection which the node has closed carried no job that it owes a response.
+    /// Checks that a connection which the node has closed carried no job without a response.
     fn check_connection_end(&mut self, at: usize) {
         let ClientConnection { connection, job, reused, .. } = &self.clients[at];
         let (&Some(job), Some(_), reused) = (job, connection.end, *reused) else { return };
--- a/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
@@ -31,7 +31,7 @@
 }
 
 impl Lifecycle {
-    /// Changes the status of a worker and tells all healthy watches.
+    /// Changes the status of a worker and notifies all healthy watches.
     pub(super) fn change_endpoint_status(&mut self, a: usize, b: usize) {
         let worker = a % self.workers.len();
         let status = match (self.workers[worker].status, b % 3) {
--- a/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
@@ -9,11 +9,11 @@
 use crate::randomized_lifecycle::connection::Connection;
 use crate::randomized_lifecycle::job_model::{DrainRecord, Job, Outcome};
 
-/// Within this time, and a whole round trip after it, the node must see that a client has left.
+/// Within this time, and a complete round trip after it, the node must notice that a client has disconnected.
 const CLIENT_LEFT_KNOWN_WITHIN: Duration = Duration::from_millis(300);
 /// Within this time after it has read of a drain, transport included, the node must send nothing more there.
 const DRAIN_EFFECTIVE_WITHIN: Duration = Duration::from_millis(800);
-/// Whether the node must see that a client has left while bytes behind its request are unread. Where it does not, a
+/// Whether the node must notice that a client has disconnected while bytes behind its request are unread. Where it does not, a
 /// pending job is sent and a running one continues up to the deadline, as in the runs of seeds 46 and 57.
 const SEES_CLIENTS_LEAVE_BEHIND_PIPELINED_DATA: bool = true;
 
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -84,7 +84,7 @@
         client.send(&job_request("r9", "view", 9.0, ""));
         other.next_request().accept();
         drop(client);
-        assert_eq!(other.next_request().message.start_line, "DELETE /jobs/r9 HTTP/1.1");
+        other.expect_withdrawal("r9");
         assert!(!drained.has_pending_request(), "it drains");
         assert_eq!(poller.counter("curlewusher_accept_failures_total"), 0);
         let said = node.drain_log_lines();
--- a/crates/node/tests/shutdown/mod.rs
+++ b/crates/node/tests/shutdown/mod.rs
@@ -25,6 +25,6 @@
     let client = node.submit_accepted_job(&worker, "r1", "order", 60.0);
     node.signal("-TERM");
     assert_eq!(read_response(client).status(), 502);
-    assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    worker.expect_withdrawal("r1");
     assert!(node.wait_for_exit().status.success());
 }
--- a/crates/node/tests/withdrawals/mod.rs
+++ b/crates/node/tests/withdrawals/mod.rs
@@ -14,9 +14,7 @@
         got.accept();
         node.signal("-CONT");
         // Closing the connection would leave the job to run, and another attempt beside it.
-        let call = worker.next_request();
-        assert_eq!(call.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
-        call.respond("200 OK");
+        worker.expect_withdrawal(id).respond("200 OK");
     }
 }
 
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -14,12 +14,6 @@
 const SPOILT: &str = "curlewusher_next_hop_answers_spoilt_total";
 const ATTEMPTS: &str = "curlewusher_delivery_attempts_total";
 
-fn expect_withdrawal(worker: &ScriptedServer, id: &str) -> ReceivedRequest {
-    let got = worker.next_request();
-    assert_eq!(got.message.start_line, format!("DELETE /jobs/{id} HTTP/1.1"));
-    got
-}
-
 /// A client's job that this worker has, and has not answered.
 fn submit_to(
     node: &Node,
@@ -41,12 +35,8 @@
     let ([one, two], node, _watch, _discovery) = Node::start_with_two_workers();
     let client = node.submit_job("r1", "view", 8.0);
     let (worker, _silent, other) = next_request_at_either(&one, &two);
-    for _ in 0..3 {
-        let call = expect_withdrawal(worker, "r1");
-        assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
-        call.close();
-    }
-    let call = expect_withdrawal(worker, "r1");
+    worker.ignore_withdrawals("r1", 3, other);
+    let call = worker.expect_withdrawal("r1");
     assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
     call.respond("404 Not Found");
     let got = other.next_request();
@@ -115,7 +105,7 @@
     let (name, full) = workers.remove(i);
     drop(full);
     (&stream).write_all(taken).expect("it reads");
-    // It is not started, so that the job is called off there; each call meets a refusal.
+    // The job is not started, so that it is withdrawn; each withdrawal meets a refused connection.
     wait_for_counter(&node, "curlewusher_withdrawals_unheard_total", 3);
     assert_eq!(node.counter(ATTEMPTS), 1, "a second attempt beside one that may still run");
     node.complete_job(client, "r1", name);
@@ -131,7 +121,7 @@
     wait_for_counter(&node, "curlewusher_next_hop_connections_total", 1);
     drop(client);
     wait_for_counter(&node, "curlewusher_clients_gone_total", 1);
-    // Now there is room. Nothing that comes has to do with the first job.
+    // Now connections can be established. None of them concerns the first job.
     worker.drain_backlog();
     let client = node.submit_job("r2", "order", 8.0);
     let stream = worker.accept();
@@ -139,7 +129,7 @@
     assert_eq!((got.start_line.as_str(), got.header("x-request-id")), (POST, Some("r2")));
     (&stream).write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("it reads");
     node.complete_job(client, "r2", "s-1");
-    // By its end it has made all that it had to make.
+    // By its exit it has opened all its connections.
     node.signal("-TERM");
     assert!(node.wait_for_exit().status.success());
     assert!(worker.try_accept().is_none(), "another connection than that of the second job");
@@ -149,16 +139,16 @@
 fn withdrawal_is_unacknowledged_then_client_is_answered_all_the_same() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let (client, _got) = submit_to(&node, &worker, "r1", "order", 0.5);
-    // While the worker still resets every call, the client has its answer.
-    let first = expect_withdrawal(&worker, "r1");
+    // While the worker still closes the withdrawal's connection, the client has its response.
+    let first = worker.expect_withdrawal("r1");
     assert_eq!(read_response(client).status(), 502);
     first.close();
 }
 
 #[test]
 fn stray_response_arrives_late_then_it_is_not_taken_for_the_next_jobs_response() {
-    // Nothing tells a stray answer from the next one but that it comes while the connection rests. Where the
-    // next job was written before the stray one, the test was too slow and shows nothing.
+    // A stray response differs from that to the next job only in that it arrives while the connection is idle. Where the
+    // next job was written before it, the test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
@@ -201,8 +191,7 @@
     let long = format!("HTTP/1.1 202 Accepted\r\nX-Long: {}", "a".repeat(1 << 20));
     let spoilt =
         ["nonsense\r\n\r\n", "HTTP/7.3 202 Accepted\r\n\r\n", "HTTP/1.1 2x2 Accepted\r\n\r\n", &long];
-    // It may have run, and may yet: it is withdrawn by name. Only the last of these leaves the connection
-    // whole.
+    // It may have run, and may still: it is withdrawn by id. Only the last group leaves the connection usable.
     let strange = ["101 Switching Protocols", "200 OK", "204 No Content", "302 Found"]
         .map(|status| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
     for (bytes, count) in spoilt.into_iter().map(|s| (s, 1)).chain(strange.iter().map(|s| (s.as_str(), 0))) {
@@ -210,11 +199,11 @@
         let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
         // A long one may be cut off before its end.
         got.try_write(bytes);
-        expect_withdrawal(&worker, "r1").respond("200 OK");
+        worker.expect_withdrawal("r1").respond("200 OK");
         let start = &bytes[..bytes.len().min(40)];
         assert_eq!(read_response(client).status(), 502, "{start}");
         assert_eq!((node.counter(ATTEMPTS), node.counter(SPOILT)), (1, count), "{start}");
-        // The node serves on.
+        // The node keeps serving.
         let (client, got) = submit_to(&node, &worker, "r2", "order", 8.0);
         node.serve_job(client, &got, "r2", "s-1");
     }
@@ -227,12 +216,8 @@
         let client = node.submit_job("r1", "view", 8.0);
         let (worker, got, other) = next_request_at_either(&one, &two);
         got.write_raw(bytes);
-        for _ in 0..2 {
-            let call = expect_withdrawal(worker, "r1");
-            assert!(!other.has_pending_request(), "a second attempt beside one that may still run");
-            call.close();
-        }
-        expect_withdrawal(worker, "r1").respond("200 OK");
+        worker.ignore_withdrawals("r1", 2, other);
+        worker.expect_withdrawal("r1").respond("200 OK");
         let got = other.next_request();
         assert_eq!(got.message.start_line, POST);
         node.serve_job(client, &got, "r1", if std::ptr::eq(other, &one) { "s-1" } else { "s-2" });
@@ -259,7 +244,7 @@
     let (client, got) = submit_to(&node, &worker, "r1", "order", 0.5);
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Le");
     assert_eq!(read_response(client).status(), 502);
-    expect_withdrawal(&worker, "r1").respond("200 OK");
+    worker.expect_withdrawal("r1").respond("200 OK");
 }
 
 #[test]
@@ -288,7 +273,7 @@
         got.write_raw(&format!("HTTP/1.1 202 Accepted\r\n{body}"));
         wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
         node.complete_job(client, "r1", "s-1");
-        // It is ended, and with it the place that it held.
+        // Its connection is closed, so that the budget has it back.
         let end = worker.next_event();
         assert_eq!((end.message.start_line.as_str(), end.connection), ("", got.connection));
         wait_for_counter(&node, SPOILT, 1);
@@ -301,7 +286,7 @@
     let worker = ScriptedServer::start();
     let (node, watch, known) = start_with_lasting_connections(&worker);
     let (client, got) = submit_to(&node, &worker, "r1", "order", 8.0);
-    // While its answer is still being read, the worker is started anew.
+    // While its response is still being read, the worker restarts.
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
     wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
     node.complete_job(client, "r1", "s-1");
@@ -325,7 +310,7 @@
     let (client, got) = submit_to(&older, &worker, "r1", "order", 0.5);
     got.accept();
     // The worker never answers, and the job's time is up.
-    let _call = expect_withdrawal(&worker, "r1");
+    let _call = worker.expect_withdrawal("r1");
     assert_eq!(read_response(client).status(), 502);
     wait_for_counter(&older, r#"curlewusher_delivery_attempts_ended_total{outcome="cancelled"}"#, 1);
     // All that the older one wrote has arrived by the time that the newer one serves.
@@ -363,8 +348,8 @@
 
 #[test]
 fn worker_restarts_while_connection_is_idle_then_it_carries_no_job() {
-    // It rests for a moment only. Where the job was written before the node had heard of the start, the test
-    // was too slow and shows nothing.
+    // The connection is idle for a moment only. Where the job was written before the node had read of the restart, the
+    // test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let worker = ScriptedServer::start();
         let (node, watch, known) = start_with_lasting_connections(&worker);
@@ -377,13 +362,13 @@
         node.serve_job(client, &second, "r2", "s-1");
         second.connection != first.connection
     });
-    assert!(shown, "a job goes out on a connection to a process that is gone");
+    assert!(shown, "a job is sent on a connection to a process that is gone");
 }
 
 #[test]
 fn client_disconnects_while_job_waits_for_idle_connection_then_worker_keeps_its_connection() {
-    // It rests for a moment only. Where the job was written before the node had seen its client go, the test was
-    // too slow and shows nothing.
+    // The connection is idle for a moment only. Where the job was written before the node had noticed that its client
+    // disconnected, the test was too slow and shows nothing.
     let shown = (0..20).any(|_| {
         let worker = ScriptedServer::start();
         let (node, _watch, _known) = start_with_lasting_connections(&worker);
@@ -406,7 +391,7 @@
         }
         got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
         node.complete_job(client, "r4", "s-1");
-        // Nor that one: the next job, while the answer to the last is not at its end, finds it idle.
+        // The same holds for that one: the next job finds it idle while the response to the last one is unfinished.
         let (client, got) = submit_to(&node, &worker, "r5", "order", 8.0);
         node.serve_job(client, &got, "r5", "s-1");
         node.counter("curlewusher_next_hop_connections_total") == 2
