--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -5,8 +5,8 @@
 use crate::state::{PeerBacklog, Worker};
 use crate::{Action, TimeSpan, Timestamp};
 
-/// Work at a worker is reported again after this though it has not changed, in seconds.
-const GOSSIP_REFRESH_S: f64 = 0.5;
+/// Work at a worker is reported again after this though it has not changed.
+const GOSSIP_REFRESH: TimeSpan = TimeSpan::from_millis(500);
 /// Nodes gossip no more often than this, for each other node of the subset: all must read each message.
 const GOSSIP_INTERVAL_PER_NODE: TimeSpan = TimeSpan::from_millis(2);
 
@@ -56,7 +56,7 @@
         for position in 0..self.fleet.subset().len() {
             let index = self.fleet.subset().members()[position];
             let worker = self.fleet.worker_mut(index);
-            let is_due = worker.is_gossip_due(now, GOSSIP_REFRESH_S);
+            let is_due = worker.is_gossip_due(now, GOSSIP_REFRESH);
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
             } else if is_due {
--- a/crates/core/src/interface/time.rs
+++ b/crates/core/src/interface/time.rs
@@ -110,7 +110,7 @@
     }
 
     /// The span in seconds.
-    pub fn as_secs_f64(self) -> f64 {
+    pub const fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 
--- a/crates/core/src/permission/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -3,7 +3,7 @@
 //! Such a worker fails when all nodes together send too much within a window, so the nodes share a budget. With many
 //! nodes an equal part of it would be too small for any job; therefore nodes take turns by the clock.
 
-use crate::state::{DEMAND_SPAN_S, Demand, Fleet, Worker};
+use crate::state::{DEMAND_SPAN, Demand, Fleet, Worker};
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Share of the budget that a node without others uses: hints are rough.
@@ -78,7 +78,7 @@
     /// its budget, by the work that this node sends in a window. When warm workers are saturated, more work
     /// goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
-        let known_for = now.seconds_since(self.demand.first_at).min(DEMAND_SPAN_S);
+        let known_for = now.seconds_since(self.demand.first_at).min(DEMAND_SPAN.as_secs_f64());
         if known_for < window(self.settings) {
             return 1;
         }
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -4,7 +4,7 @@
 use crate::{Outcome, Settings, TimeSpan, Timestamp};
 
 /// Mean time of a first ejection, in seconds; it doubles with each failure in a row.
-const BASE_EJECTION_S: f64 = 0.1;
+const BASE_EJECTION: TimeSpan = TimeSpan::from_millis(100);
 /// Most doublings of that time.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 /// The jitter factor of an ejection is drawn from this ...
@@ -59,5 +59,5 @@
 pub(crate) fn ejection_time(earlier_failures: u32, draw: f64) -> TimeSpan {
     let jitter = MIN_JITTER + JITTER_RANGE * draw;
     let factor = f64::from(1u32 << earlier_failures.min(MAX_EJECTION_DOUBLINGS));
-    TimeSpan::from_secs_f64(BASE_EJECTION_S * factor * jitter)
+    TimeSpan::from_secs_f64(BASE_EJECTION.as_secs_f64() * factor * jitter)
 }
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -1,13 +1,12 @@
 //! The pending queue: when a job is sent. While no worker is free, jobs wait here and not at a worker: there, small
 //! urgent jobs would wait behind large ones, and no job could be recalled.
 
-use super::placement::{MAX_WORKER_QUEUE_S, Placement, PlacementTier, ZONE_CROSSING_S};
+use super::placement::{MAX_WORKER_QUEUE, Placement, PlacementTier, ZONE_CROSSING};
 use crate::state::{Capacity, Demand, Fleet, Job, QueueKey};
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// A job that can still meet its objective is sent at the latest this long before it no longer can, in
-/// seconds.
-const LAST_START_MARGIN_S: f64 = 0.1;
+/// A job that can still meet its objective is sent at the latest this long before it no longer can.
+const LAST_START_MARGIN: TimeSpan = TimeSpan::from_millis(100);
 /// Most queued jobs that are skipped in one pass because no worker takes them ...
 const MIN_SKIPPED_JOBS: usize = 8;
 /// ... or one for this many workers of the subset, where that is more: in a large fleet, a few jobs that fit
@@ -63,8 +62,8 @@
         let spare = job.objective_at.seconds_since(self.now) - estimate.reliable_run - estimate.wait;
         match placement.rating.tier {
             PlacementTier::Immediate => true,
-            PlacementTier::Queued => !job.over_quota && spare < LAST_START_MARGIN_S,
-            PlacementTier::Late => estimate.wait <= MAX_WORKER_QUEUE_S && self.queue_len == 1,
+            PlacementTier::Queued => !job.over_quota && spare < LAST_START_MARGIN.as_secs_f64(),
+            PlacementTier::Late => estimate.wait <= MAX_WORKER_QUEUE.as_secs_f64() && self.queue_len == 1,
         }
     }
 
@@ -78,8 +77,10 @@
     /// Whether no worker could take the job now: in overload, rating all for each job costs too much CPU.
     fn is_capacity_exhausted(&self, job: &Job) -> bool {
         let spare = job.objective_at.seconds_since(self.now) - self.capacity.shortest_wait;
-        let is_due = spare > 0.0 && spare - self.fleet.reliable_run(job) < 2.0 * LAST_START_MARGIN_S;
-        let max_wait = MAX_WORKER_QUEUE_S + self.settings.cross_zone_price * ZONE_CROSSING_S;
+        let is_due =
+            spare > 0.0 && spare - self.fleet.reliable_run(job) < 2.0 * LAST_START_MARGIN.as_secs_f64();
+        let max_wait =
+            MAX_WORKER_QUEUE.as_secs_f64() + self.settings.cross_zone_price * ZONE_CROSSING.as_secs_f64();
         self.capacity.shortest_wait > max_wait && (job.over_quota || !is_due)
     }
 }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -1,20 +1,20 @@
 //! Placement: which worker gets a job, by the cost of Algorithm 5 of the paper that `docs/design.md` names.
 
 use super::ejection::is_avoided;
-use crate::Timestamp;
 use crate::permission::SendRules;
 use crate::state::{Fleet, Job, RunEstimate, Worker};
+use crate::{TimeSpan, Timestamp};
 
 /// Costs within this share of the lowest ...
 const NEAR_TIE_RATIO: f64 = 0.03;
 /// ... and this many seconds are ties, which are broken at random.
-const NEAR_TIE_S: f64 = 0.002;
-/// Longest wait at a worker for which a job is sent there, in seconds.
-pub(super) const MAX_WORKER_QUEUE_S: f64 = 0.02;
+const NEAR_TIE: TimeSpan = TimeSpan::from_millis(2);
+/// Longest wait at a worker for which a job is sent there.
+pub(super) const MAX_WORKER_QUEUE: TimeSpan = TimeSpan::from_millis(20);
 /// Seconds of waiting that are equivalent to a zone crossing of price 1.
-pub(super) const ZONE_CROSSING_S: f64 = 2.0;
-/// A worker enabled again is tried with any idempotent job that can end in time after this, in seconds.
-const REENABLED_PROBE_DELAY_S: f64 = 1.5;
+pub(super) const ZONE_CROSSING: TimeSpan = TimeSpan::from_secs(2);
+/// A worker enabled again is tried with any idempotent job that can end in time after this.
+const REENABLED_PROBE_DELAY: TimeSpan = TimeSpan::from_millis(1500);
 
 /// How well a worker suits a job, best first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
@@ -39,7 +39,7 @@
 impl PlacementRating {
     /// Whether it is about as good as the best one, or better.
     fn is_near_tie(self, best: PlacementRating) -> bool {
-        self.tier == best.tier && self.cost <= best.cost * (1.0 + NEAR_TIE_RATIO) + NEAR_TIE_S
+        self.tier == best.tier && self.cost <= best.cost * (1.0 + NEAR_TIE_RATIO) + NEAR_TIE.as_secs_f64()
     }
 }
 
@@ -125,9 +125,10 @@
         let (settings, fleet) = (rules.settings, rules.fleet);
         let worker = fleet.worker(index);
         let estimate = self.estimate(fleet, index);
-        let crossing = settings.cross_zone_price * ZONE_CROSSING_S;
+        let crossing = settings.cross_zone_price * ZONE_CROSSING.as_secs_f64();
         let is_local = worker.zone() == settings.zone;
-        let max_wait = if is_local { MAX_WORKER_QUEUE_S + crossing } else { MAX_WORKER_QUEUE_S };
+        let max_wait = MAX_WORKER_QUEUE.as_secs_f64();
+        let max_wait = if is_local { max_wait + crossing } else { max_wait };
         let time_left = self.job.objective_at.seconds_since(self.now);
         let meets_objective = estimate.reliable_run + estimate.wait <= time_left;
         let tier = match (meets_objective, estimate.wait <= max_wait) {
@@ -152,7 +153,7 @@
     fn is_probe_due(&self, worker: &Worker, tier: PlacementTier, estimate: &RunEstimate) -> bool {
         let Some(reenabled_at) = worker.reenabled_at() else { return false };
         let ends_in_time = estimate.run + estimate.wait < self.job.deadline.seconds_since(self.now);
-        let has_waited = self.now.seconds_since(reenabled_at) > REENABLED_PROBE_DELAY_S;
+        let has_waited = self.now.saturating_since(reenabled_at) > REENABLED_PROBE_DELAY;
         tier == PlacementTier::Immediate || has_waited && ends_in_time
     }
 }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -3,11 +3,10 @@
 use super::placement::{Placement, PlacementRequest, PlacementTier, cost};
 use crate::permission::SendRules;
 use crate::state::{Fleet, Job, Worker};
-use crate::{Settings, Timestamp};
+use crate::{Settings, TimeSpan, Timestamp};
 
-/// A job whose start is this late, in seconds, may be placed elsewhere: reports of starts arrive sooner than
-/// that.
-const RELOCATION_DELAY_S: f64 = 0.15;
+/// A job whose start is this late may be relocated: reports of starts arrive sooner than that.
+const RELOCATION_DELAY: TimeSpan = TimeSpan::from_millis(150);
 
 /// Whether any worker may take a job whose attempts have all ended.
 pub(crate) fn may_be_retried(now: Timestamp, rules: &SendRules, job: &Job) -> bool {
@@ -48,7 +47,7 @@
         let attempt = job.in_flight().next()?;
         let in_flight = fleet.in_flight_attempt(job.id, attempt)?;
         let delay = in_flight.start_delay(now);
-        if in_flight.has_started() || !in_flight.accepted || delay < RELOCATION_DELAY_S {
+        if in_flight.has_started() || !in_flight.accepted || delay < RELOCATION_DELAY.as_secs_f64() {
             return None;
         }
         Some(LateAttempt { number: attempt.number, worker_index: fleet.find(attempt.worker)?, delay })
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,14 +1,14 @@
 //! Records of attempts at workers: what is updated when one is sent, starts and ends.
 
-use super::estimates::{RunEstimate, SEND_RATE_SPAN_S};
-use super::fleet::{Fleet, LATE_START_S};
+use super::estimates::{RunEstimate, SEND_RATE_SPAN};
+use super::fleet::{Fleet, LATE_START};
 use super::in_flight::{InFlightAttempt, UnhintedWork};
 use super::job::{Attempt, AttemptId, AttemptRef, Job};
-use super::worker::EXCESS_WAIT_SPAN_S;
+use super::worker::EXCESS_WAIT_SPAN;
 use crate::{JobId, Outcome, Settings, TimeSpan, Timestamp};
 
-/// Shortest run that a speed is learned from, in seconds.
-const MIN_MEASURED_RUN_S: f64 = 1e-3;
+/// Shortest run that a speed is learned from.
+const MIN_MEASURED_RUN: TimeSpan = TimeSpan::from_millis(1);
 /// Time after which a start counts for the slots in use: the report of a start can overtake that of the end
 /// before it, and slots would be overestimated for good.
 const START_SETTLING_TIME: TimeSpan = TimeSpan::from_millis(30);
@@ -33,8 +33,8 @@
         estimate: &RunEstimate,
     ) -> Attempt {
         let worker = &mut self.workers[estimate.worker_index];
-        worker.sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
-        self.kinds[worker.kind_index].sent_work.add(now, job.load(), SEND_RATE_SPAN_S);
+        worker.sent_work.add(now, job.load(), SEND_RATE_SPAN);
+        self.kinds[worker.kind_index].sent_work.add(now, job.load(), SEND_RATE_SPAN);
         (worker.gossip_pending, worker.reenabled_at) = (true, None);
         job.key.into_iter().for_each(|key| worker.record_key(key));
         let predicted_start = now + TimeSpan::from_secs_f64(estimate.wait);
@@ -68,7 +68,7 @@
         worker.health.consecutive_failures /= 2;
         if worker.warm_up_fraction(now, settings) >= 1.0 {
             let run = now.seconds_since(attempt.started_at.unwrap_or(attempt.sent_at));
-            self.record_speed(index, attempt, run.max(MIN_MEASURED_RUN_S));
+            self.record_speed(index, attempt, run.max(MIN_MEASURED_RUN.as_secs_f64()));
         }
     }
 
@@ -76,9 +76,9 @@
     /// worker is at least as late as that shows.
     pub fn record_cancelled_wait(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let delay = ended.attempt.start_delay(now);
-        self.record_start_delay(now, ended.worker_index, delay.max(LATE_START_S));
+        self.record_start_delay(now, ended.worker_index, delay.max(LATE_START.as_secs_f64()));
         let excess_wait = &mut self.workers[ended.worker_index].excess_wait;
-        excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_SPAN_S)));
+        excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_SPAN)));
     }
 
     /// Updates how many slots each worker of the subset runs at once.
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -5,7 +5,7 @@
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Burst of a tenant, in seconds of its quota.
-const QUOTA_BURST_S: f64 = 1.5;
+const QUOTA_BURST: TimeSpan = TimeSpan::from_millis(1500);
 /// Jobs by which a tenant may exceed its quota in addition, since chance alone would use a small quota up.
 const QUOTA_BURST_JOBS: f64 = 4.0;
 /// Retries that each admitted job earns.
@@ -15,7 +15,7 @@
 /// Share of its work that each admitted job earns for hedged requests.
 const HEDGE_WORK_SHARE: f64 = 0.1;
 /// Most work that is saved up for hedged requests, in seconds at speed 1.
-const MAX_HEDGE_WORK_S: f64 = 5.0;
+const MAX_HEDGE_WORK: f64 = 5.0;
 
 /// What admission knows of tenants and classes.
 pub(crate) struct AdmissionState {
@@ -31,7 +31,9 @@
 impl AdmissionState {
     /// Full quotas.
     pub fn new(settings: &Settings) -> Self {
-        let burst = |quota: &f64| TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST_S);
+        let burst = |quota: &f64| {
+            TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST.as_secs_f64())
+        };
         AdmissionState {
             quotas: settings.tenant_quotas.iter().map(burst).collect(),
             longest_time_left: vec![TimeSpan::ZERO; settings.classes.len()],
@@ -61,7 +63,7 @@
     ) -> bool {
         let Some(bucket) = self.quotas.get_mut(tenant) else { return false };
         let rate = settings.tenant_quotas[tenant] / f64::from(settings.nodes);
-        bucket.refill(now, rate, rate * QUOTA_BURST_S + QUOTA_BURST_JOBS);
+        bucket.refill(now, rate, rate * QUOTA_BURST.as_secs_f64() + QUOTA_BURST_JOBS);
         let has_token = bucket.has_token();
         if is_first {
             bucket.take();
@@ -89,7 +91,7 @@
     pub fn earn(&mut self, job: &Job, prompt_start_share: f64) {
         self.retry_tokens = (self.retry_tokens + RETRIES_PER_JOB).min(MAX_RETRY_TOKENS);
         let earned = HEDGE_WORK_SHARE * prompt_start_share * job.load();
-        self.hedge_work = (self.hedge_work + earned).min(MAX_HEDGE_WORK_S);
+        self.hedge_work = (self.hedge_work + earned).min(MAX_HEDGE_WORK);
     }
 
     /// Whether a retry may be made.
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -8,18 +8,18 @@
 use super::job::{AttemptRef, Job};
 use super::load::Capacity;
 use super::worker::{Worker, WorkerEstimates};
-use crate::{JobId, Settings, Timestamp, gossip};
+use crate::{JobId, Settings, TimeSpan, Timestamp, gossip};
 
 /// Upper bound of r: beyond it, 1 / (1 - r) would outweigh x.
 const MAX_UTILISATION: f64 = 0.9;
-/// Time constant over which the rate of work sent is averaged, in seconds.
-pub(super) const SEND_RATE_SPAN_S: f64 = 5.0;
+/// Time constant over which the rate of work sent is averaged.
+pub(super) const SEND_RATE_SPAN: TimeSpan = TimeSpan::from_secs(5);
 /// Share of a job's hint that is relied on: latency objectives grow with the true work, which may be less.
 pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
-/// A worker with no longer a wait than this counts as free, in seconds.
-const FREE_WORKER_WAIT_S: f64 = 0.025;
-/// Time for which a peer's report counts, in seconds.
-const PEER_BACKLOG_LIFETIME_S: f64 = 1.5;
+/// A worker with no longer a wait than this counts as free.
+const FREE_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(25);
+/// Time for which a peer's report counts.
+const PEER_BACKLOG_LIFETIME: TimeSpan = TimeSpan::from_millis(1500);
 /// Most slots of peers' work that count at one worker.
 const MAX_PEER_SLOTS: u32 = 32;
 /// Highest cost of one gossip entry to all nodes, as a share of the value of a job.
@@ -75,7 +75,7 @@
             let worker = &self.workers[index];
             self.kinds[worker.kind_index].capacity += worker.estimates.speed * self.slots(worker);
             ready_workers += 1.0;
-            free_workers += f64::from(u8::from(worker.estimates.wait < FREE_WORKER_WAIT_S));
+            free_workers += f64::from(u8::from(worker.estimates.wait < FREE_WORKER_WAIT.as_secs_f64()));
             capacity.warming_up += usize::from(worker.estimates.warm_up_fraction < 1.0);
             capacity.shortest_wait = capacity.shortest_wait.min(worker.estimates.wait);
         }
@@ -91,7 +91,7 @@
         let worker = &self.workers[index];
         let warm_up_fraction = worker.warm_up_fraction(now, settings);
         let speed = self.learned_speed(worker) * warm_up_fraction;
-        let send_rate = worker.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
+        let send_rate = worker.sent_work.get(now, SEND_RATE_SPAN) / SEND_RATE_SPAN.as_secs_f64() * nodes;
         let utilisation = (send_rate / (speed * self.slots(worker))).min(MAX_UTILISATION);
         let known = &mut self.workers[index].estimates;
         *known = WorkerEstimates { derived_at: now, warm_up_fraction, speed, utilisation, wait: known.wait };
@@ -105,7 +105,7 @@
         let nodes = f64::from(self.subset.nodes());
         let observes_all_work = self.observes_all_work(settings);
         for kind in &mut self.kinds {
-            let send_rate = kind.sent_work.get(now, SEND_RATE_SPAN_S) / SEND_RATE_SPAN_S * nodes;
+            let send_rate = kind.sent_work.get(now, SEND_RATE_SPAN) / SEND_RATE_SPAN.as_secs_f64() * nodes;
             let utilisation = (send_rate / kind.capacity.max(1e-9)).min(MAX_UTILISATION);
             kind.utilisation = if nodes == 1.0 { 0.0 } else { utilisation };
             kind.wait = if observes_all_work { 0.0 } else { kind.start_delay.get(now) };
@@ -127,7 +127,7 @@
         let (mut peer_work, mut peer_slots) = (0.0, 0.0);
         for backlog in &worker.peer_backlogs {
             let age = now.seconds_since(backlog.at);
-            if age < PEER_BACKLOG_LIFETIME_S {
+            if age < PEER_BACKLOG_LIFETIME.as_secs_f64() {
                 peer_work += (backlog.work - age * backlog.slots * speed).max(0.0);
                 peer_slots += backlog.slots;
             }
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -3,11 +3,11 @@
 //! The results must be the same on every machine: the order of the floating-point operations is part of the
 //! code.
 
-use crate::{JobClass, Timestamp};
+use crate::{JobClass, TimeSpan, Timestamp};
 
 /// Work of a job without a hint while its class has no samples, in seconds at speed 1. The class then starts
 /// from its latency objective, clamped to between this and ten times this.
-pub(crate) const DEFAULT_JOB_WORK_S: f64 = 0.1;
+pub(crate) const DEFAULT_JOB_WORK: f64 = 0.1;
 /// Least weight of one sample in estimates that many workers share. The first ones weigh more.
 pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
 /// One sample changes a speed by no more than this many times the usual error, so that outliers count little.
@@ -16,8 +16,8 @@
 const WORKER_SPEED_GAIN: f64 = 0.08;
 /// Weight of a kind's speed in that of a new worker, in jobs.
 const KIND_PRIOR_SAMPLES: f64 = 3.0;
-/// Span over which the start delays at a kind are averaged, in seconds.
-const START_DELAY_SPAN_S: f64 = 5.0;
+/// Span over which the start delays at a kind are averaged.
+const START_DELAY_SPAN: TimeSpan = TimeSpan::from_secs(5);
 /// Prior count of starts without delay, so that a single delay counts little.
 const START_DELAY_PRIOR_COUNT: f64 = 0.5;
 
@@ -29,12 +29,12 @@
 }
 
 impl DecayingSum {
-    /// The sum now, with a time constant of `tau` seconds.
-    pub fn get(&self, now: Timestamp, tau: f64) -> f64 {
+    /// The sum now, with a time constant of `tau`.
+    pub fn get(&self, now: Timestamp, tau: TimeSpan) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * (-now.seconds_since(self.updated_at) / tau).exp()
+        self.value * (-now.seconds_since(self.updated_at) / tau.as_secs_f64()).exp()
     }
 
     /// Replaces the sum.
@@ -43,7 +43,7 @@
     }
 
     /// Adds a part.
-    pub fn add(&mut self, now: Timestamp, value: f64, tau: f64) {
+    pub fn add(&mut self, now: Timestamp, value: f64, tau: TimeSpan) {
         self.set(now, self.get(now, tau) + value);
     }
 
@@ -62,10 +62,9 @@
 }
 
 impl TimeWeightedAverage {
-    /// The quantity is `current` from now on. Returns the average up to now, with a time constant of `tau`
-    /// seconds.
-    pub fn set(&mut self, now: Timestamp, current: f64, tau: f64) -> f64 {
-        let old = (-now.seconds_since(self.updated_at) / tau).exp();
+    /// The quantity is `current` from now on. Returns the average up to now, with a time constant of `tau`.
+    pub fn set(&mut self, now: Timestamp, current: f64, tau: TimeSpan) -> f64 {
+        let old = (-now.seconds_since(self.updated_at) / tau.as_secs_f64()).exp();
         self.average = self.average * old + self.current * (1.0 - old);
         (self.current, self.updated_at) = (current, now);
         self.average
@@ -82,14 +81,14 @@
 impl WindowedMean {
     /// Adds a sample.
     pub fn add(&mut self, now: Timestamp, value: f64) {
-        self.sum.add(now, value, START_DELAY_SPAN_S);
-        self.count.add(now, 1.0, START_DELAY_SPAN_S);
+        self.sum.add(now, value, START_DELAY_SPAN);
+        self.count.add(now, 1.0, START_DELAY_SPAN);
     }
 
     /// The mean now.
     pub fn get(&self, now: Timestamp) -> f64 {
-        self.sum.get(now, START_DELAY_SPAN_S)
-            / (self.count.get(now, START_DELAY_SPAN_S) + START_DELAY_PRIOR_COUNT)
+        self.sum.get(now, START_DELAY_SPAN)
+            / (self.count.get(now, START_DELAY_SPAN) + START_DELAY_PRIOR_COUNT)
     }
 }
 
@@ -196,7 +195,7 @@
 impl WorkEstimate {
     /// The estimate without samples: the latency objective gives the order of magnitude.
     pub fn from_latency_objective(class: &JobClass) -> Self {
-        let mean = class.latency_objective.as_secs_f64().clamp(DEFAULT_JOB_WORK_S, 10.0 * DEFAULT_JOB_WORK_S);
+        let mean = class.latency_objective.as_secs_f64().clamp(DEFAULT_JOB_WORK, 10.0 * DEFAULT_JOB_WORK);
         WorkEstimate { mean, log_mean: mean.ln(), samples: 0 }
     }
 
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -6,23 +6,23 @@
 use arrayvec::ArrayVec;
 
 use super::estimators::{
-    DEFAULT_JOB_WORK_S, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
+    DEFAULT_JOB_WORK, DecayingSum, SHARED_ESTIMATE_GAIN, SpeedEstimate, TimeWeightedAverage, WindowedMean,
     WorkEstimate,
 };
 use super::in_flight::{InFlightAttempt, UnhintedWork};
 use super::job::{AttemptId, clamp_job_work};
 use super::subset::Subset;
 use super::worker::Worker;
-use crate::{KindId, Settings, Timestamp, WorkerId};
+use crate::{KindId, Settings, TimeSpan, Timestamp, WorkerId};
 
-/// A start that is this late counts as delayed, in seconds.
-pub(crate) const LATE_START_S: f64 = 0.02;
+/// A start that is this late counts as delayed.
+pub(crate) const LATE_START: TimeSpan = TimeSpan::from_millis(20);
 /// Most slots that one worker counts as.
 pub(super) const MAX_WORKER_SLOTS: usize = 16;
 /// Weight of one attempt in the share of those that start promptly.
 const PROMPT_START_GAIN: f64 = 0.1;
-/// Time constant of the average of running slots, in seconds.
-const RUNNING_SLOTS_SPAN_S: f64 = 10.0;
+/// Time constant of the average of running slots.
+const RUNNING_SLOTS_SPAN: TimeSpan = TimeSpan::from_secs(10);
 /// Most workers that the median of slots is taken over.
 const MAX_SLOT_SAMPLES: usize = 64;
 
@@ -123,7 +123,7 @@
             sizes_listed: settings.sizes_listed,
             hint_error: 0.5,
             prompt_start_share: 1.0,
-            mean_work: DEFAULT_JOB_WORK_S,
+            mean_work: DEFAULT_JOB_WORK,
             unhinted_work: settings.classes.iter().map(WorkEstimate::from_latency_objective).collect(),
         }
     }
@@ -193,7 +193,7 @@
 
     /// The work of a job of that class that came without a hint, in seconds at speed 1.
     pub fn estimate_unhinted_work(&self, class: usize) -> f64 {
-        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK_S, |work| clamp_job_work(work.mean))
+        self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK, |work| clamp_job_work(work.mean))
     }
 
     /// Adds the work of a submitted job to the mean.
@@ -235,7 +235,7 @@
     /// Records how late an attempt started, in seconds: a sign of other nodes' work at all workers of that
     /// kind, and of how full the fleet is.
     pub fn record_start_delay(&mut self, now: Timestamp, index: usize, delay: f64) {
-        let is_prompt = f64::from(u8::from(delay < LATE_START_S));
+        let is_prompt = f64::from(u8::from(delay < LATE_START.as_secs_f64()));
         self.prompt_start_share += PROMPT_START_GAIN * (is_prompt - self.prompt_start_share);
         self.kinds[self.workers[index].kind_index].start_delay.add(now, delay);
     }
@@ -272,7 +272,7 @@
         let nodes = f64::from(self.subset.nodes());
         let running =
             self.subset.members().iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
-        let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN_S) * nodes;
+        let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN) * nodes;
         self.slots.extrapolated =
             (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_WORKER_SLOTS as f64);
         let sampled = self.subset.members().iter().map(|index| &self.workers[*index]);
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -9,13 +9,13 @@
 /// Most slots of one job; submissions that ask for more are cut to this.
 pub(crate) const MAX_JOB_SLOTS: f64 = 64.0;
 /// Least work of a job, in seconds at speed 1.
-const MIN_JOB_WORK_S: f64 = 1e-4;
+const MIN_JOB_WORK: f64 = 1e-4;
 /// Most work of a job, in seconds at speed 1.
-const MAX_JOB_WORK_S: f64 = 1e4;
+const MAX_JOB_WORK: f64 = 1e4;
 
 /// Bounds the work of a job, whether hinted or estimated, in seconds at speed 1.
 pub(crate) fn clamp_job_work(work: f64) -> f64 {
-    work.clamp(MIN_JOB_WORK_S, MAX_JOB_WORK_S)
+    work.clamp(MIN_JOB_WORK, MAX_JOB_WORK)
 }
 
 /// One attempt of a job, in flight or ended.
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -2,10 +2,10 @@
 
 use super::estimators::DecayingSum;
 use super::job::Job;
-use crate::Timestamp;
+use crate::{TimeSpan, Timestamp};
 
-/// Time constant over which demand is summed up, in seconds.
-pub(crate) const DEMAND_SPAN_S: f64 = 10.0;
+/// Time constant over which demand is summed up.
+pub(crate) const DEMAND_SPAN: TimeSpan = TimeSpan::from_secs(10);
 
 /// Work that was submitted and shed lately, in seconds at speed 1.
 pub(crate) struct Demand {
@@ -30,27 +30,27 @@
     /// Records an admitted job.
     pub fn record_submitted(&mut self, now: Timestamp, job: &Job) {
         self.first_at = self.first_at.min(now);
-        self.submitted.add(now, job.load(), DEMAND_SPAN_S);
+        self.submitted.add(now, job.load(), DEMAND_SPAN);
         if job.is_first_submission && !job.over_quota {
-            self.within_quota.add(now, job.load(), DEMAND_SPAN_S);
+            self.within_quota.add(now, job.load(), DEMAND_SPAN);
         }
     }
 
     /// Records a job that was shed for lack of capacity.
     pub fn record_shed(&mut self, now: Timestamp, job: &Job) {
         if job.is_first_submission && !job.over_quota {
-            self.shed.add(now, job.load(), DEMAND_SPAN_S);
+            self.shed.add(now, job.load(), DEMAND_SPAN);
         }
     }
 
     /// Work admitted lately.
     pub fn submitted(&self, now: Timestamp) -> f64 {
-        self.submitted.get(now, DEMAND_SPAN_S)
+        self.submitted.get(now, DEMAND_SPAN)
     }
 
     /// Share of the work within quotas that was shed lately.
     pub fn shed_share(&self, now: Timestamp) -> f64 {
-        self.shed.get(now, DEMAND_SPAN_S) / self.within_quota.get(now, DEMAND_SPAN_S).max(1e-9)
+        self.shed.get(now, DEMAND_SPAN) / self.within_quota.get(now, DEMAND_SPAN).max(1e-9)
     }
 }
 
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -18,9 +18,9 @@
 const MAX_WARM_UP_SENDS: usize = 1024;
 /// Maximum number of consecutive failures that are restored.
 const MAX_CONSECUTIVE_FAILURES: u32 = 16;
-/// Maximum remaining time of an ejection that is restored, in seconds. Ejections take seconds; one that ends much
+/// Maximum remaining time of an ejection that is restored. Ejections take seconds; one that ends much
 /// later is an error.
-const MAX_EJECTION_S: f64 = 60.0;
+const MAX_EJECTION: TimeSpan = TimeSpan::from_secs(60);
 
 /// What a dispatcher has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -173,7 +173,7 @@
         worker.started_at = worker.started_at.max(self.started_at.min(now));
         let failures = self.consecutive_failures.min(MAX_CONSECUTIVE_FAILURES);
         worker.health.consecutive_failures = worker.health.consecutive_failures.max(failures);
-        let latest_ejection_end = now + TimeSpan::from_secs_f64(MAX_EJECTION_S);
+        let latest_ejection_end = now + MAX_EJECTION;
         worker.health.ejected_until =
             worker.health.ejected_until.max(self.ejected_until.min(latest_ejection_end));
         worker.health.unreachable |= self.unreachable;
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -13,8 +13,8 @@
 
 /// Most keys that are remembered of one worker.
 pub(crate) const MAX_WORKER_KEYS: usize = 16;
-/// Time constant with which an unpredicted wait is forgotten, in seconds.
-pub(crate) const EXCESS_WAIT_SPAN_S: f64 = 0.3;
+/// Time constant with which an unpredicted wait is forgotten.
+pub(crate) const EXCESS_WAIT_SPAN: TimeSpan = TimeSpan::from_millis(300);
 
 /// Time for which the estimates of a worker hold, unless something happens there.
 const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
@@ -244,7 +244,7 @@
     /// not less than what cannot have been worked off yet, since a node of many may not send there again
     /// before that.
     pub fn unobserved_wait(&self, now: Timestamp) -> f64 {
-        let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
+        let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN);
         decayed.max(self.excess_wait.worked_off(now)).max(self.longest_start_delay(now))
     }
 
@@ -301,10 +301,10 @@
         }
     }
 
-    /// Whether this node's work there is to be gossiped: it has changed, or was reported more than `refresh` seconds
+    /// Whether this node's work there is to be gossiped: it has changed, or was reported more than `refresh`
     /// ago.
-    pub fn is_gossip_due(&self, now: Timestamp, refresh: f64) -> bool {
-        let is_old = now.seconds_since(self.gossiped_at) > refresh;
+    pub fn is_gossip_due(&self, now: Timestamp, refresh: TimeSpan) -> bool {
+        let is_old = now.saturating_since(self.gossiped_at) > refresh;
         self.gossip_pending || is_old && !self.is_idle()
     }
 
@@ -351,7 +351,7 @@
     /// Records the start of an attempt. Returns by how many seconds it was later than predicted; none if the start
     /// was known before.
     pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
-        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_SPAN_S);
+        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_SPAN);
         let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
         attempt.started_at = Some(now);
         let delay = attempt.start_delay(now).max(0.0);
