--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -130,7 +130,7 @@
     /// Takes over the state of the predecessor of this process: exactly its disabled workers are disabled,
     /// except where this process has received a command for a worker itself. Returns the workers that this
     /// changes, ordered by name.
-    pub fn merge_predecessor(&mut self, predecessor: DisabledWorkers) -> Vec<MaintenanceChange> {
+    pub fn merge_predecessor(&mut self, predecessor: &DisabledWorkers) -> Vec<MaintenanceChange> {
         self.record_listed(predecessor.ever_listed.iter().map(String::as_str));
         let changes: Vec<MaintenanceChange> = self
             .disabled
--- a/crates/control/tests/bounds.rs
+++ b/crates/control/tests/bounds.rs
@@ -17,13 +17,15 @@
 fn disable_last_four_generations(generations: usize, length: usize) -> Vec<u8> {
     let mut workers = DisabledWorkers::default();
     let fleets: Vec<_> = (0..generations).map(|generation| worker_names(generation, length)).collect();
-    fleets.iter().for_each(|fleet| workers.record_listed(fleet.iter().map(String::as_str)));
+    for fleet in &fleets {
+        workers.record_listed(fleet.iter().map(String::as_str));
+    }
     for name in fleets.iter().rev().take(4).flatten() {
         assert_eq!(workers.disable(name), Ok(()), "{name}");
     }
     let record = serde_json::to_vec(&workers).expect("serializable");
     let mut successor = DisabledWorkers::default();
-    successor.merge_predecessor(serde_json::from_slice(&record).expect("deserializable"));
+    successor.merge_predecessor(&serde_json::from_slice(&record).expect("deserializable"));
     assert_eq!(successor.disabled().count(), 4 * WORKERS);
     record
 }
--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -182,6 +182,16 @@
     assert_golden("phases.txt", &found);
 }
 
+const PARSE_ERRORS: [CommandParseError; 7] = [
+    CommandParseError::Empty,
+    CommandParseError::TooLong,
+    CommandParseError::NotAscii,
+    CommandParseError::UnknownCommand,
+    CommandParseError::MissingWorkerId("DISABLE"),
+    CommandParseError::UnexpectedArgument("ENABLE"),
+    CommandParseError::WorkerIdTooLong,
+];
+
 #[test]
 fn lines_of_operators_and_command_errors_then_the_recorded_responses() {
     let id = |length: usize| "x".repeat(length);
@@ -227,15 +237,8 @@
     for (name, error) in command_errors() {
         write(&name, &Ok(Err(error)));
     }
-    let errors = [
-        CommandParseError::Empty,
-        CommandParseError::TooLong,
-        CommandParseError::NotAscii,
-        CommandParseError::UnknownCommand,
-        CommandParseError::MissingWorkerId("DISABLE"),
-        CommandParseError::UnexpectedArgument("ENABLE"),
-        CommandParseError::WorkerIdTooLong,
-    ];
-    errors.into_iter().for_each(|error| write("mistake", &Err(error)));
+    for error in PARSE_ERRORS {
+        write("mistake", &Err(error));
+    }
     assert_golden("admin_answers.txt", &found);
 }
--- a/crates/control/tests/maintenance.rs
+++ b/crates/control/tests/maintenance.rs
@@ -32,7 +32,7 @@
                 }
                 _ => {
                     let mut successor = DisabledWorkers::default();
-                    successor.merge_predecessor(workers);
+                    successor.merge_predecessor(&workers);
                     workers = successor;
                 }
             }
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -15,7 +15,7 @@
 /// Ids of the jobs that clients send.
 pub const JOB_IDS: [&str; 2] = ["a", "b"];
 
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 enum Message {
     RequestTakeover,
     GrantTakeover,
@@ -233,7 +233,9 @@
         // What was granted over it does not bind what is claimed elsewhere from now on.
         for end in &self.links[link] {
             let jobs = &mut self.processes[end.process].jobs;
-            jobs.values_mut().for_each(|ownership| *ownership = Ownership::Unchecked);
+            for ownership in jobs.values_mut() {
+                *ownership = Ownership::Unchecked;
+            }
         }
         for end in &mut self.links[link] {
             end.in_transit.clear();
--- a/crates/control/tests/unit/frame_codec.rs
+++ b/crates/control/tests/unit/frame_codec.rs
@@ -91,7 +91,7 @@
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
         let result = decoder.next_frame();
-        prop_assert_eq!(result.as_ref().is_ok_and(|frame| frame.is_some()), is_same, "{:?}", result);
+        prop_assert_eq!(result.as_ref().is_ok_and(Option::is_some), is_same, "{:?}", result);
         prop_assert!(decoder.buffer.capacity() <= HEADER_BYTES + MAX_SNAPSHOT_BYTES + bytes.len());
         if result.is_err() {
             prop_assert_eq!(decoder.next_frame(), result);
--- a/crates/core/src/dispatcher/attempt_lifecycle.rs
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -7,6 +7,7 @@
 use crate::{Outcome, Timestamp};
 
 /// How an attempt ended.
+#[derive(Clone, Copy)]
 pub(super) struct AttemptEnd {
     /// Which attempt.
     pub attempt: AttemptId,
--- a/crates/core/src/interface/time.rs
+++ b/crates/core/src/interface/time.rs
@@ -67,11 +67,13 @@
     }
 
     /// The moment that follows this one by a span, at most [`Timestamp::MAX`].
+    #[must_use]
     pub const fn saturating_add(self, span: TimeSpan) -> Self {
         Timestamp(self.0.saturating_add(span.0))
     }
 
     /// The moment that precedes this one by a span, at least [`Timestamp::ORIGIN`].
+    #[must_use]
     pub const fn saturating_sub(self, span: TimeSpan) -> Self {
         Timestamp(self.0.saturating_sub(span.0))
     }
@@ -120,6 +122,7 @@
     }
 
     /// The difference to a shorter span; zero where `shorter` is the longer one.
+    #[must_use]
     pub const fn saturating_sub(self, shorter: TimeSpan) -> Self {
         TimeSpan(self.0.saturating_sub(shorter.0))
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Shared fixtures: times, settings, endpoints, job submissions, and a dispatcher with a virtual clock.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of the fixtures")]
 
 use std::ops::RangeBounds;
 
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -119,7 +119,7 @@
 
     fn shut_down(&mut self) {
         let deadline = self.now + SHUTDOWN_TIMEOUT;
-        self.handle_at_all(Event::ShutdownStarted { deadline });
+        self.handle_at_all(&Event::ShutdownStarted { deadline });
         while self.now < deadline {
             self.advance(self.now + self.fleet.mean_gap * 2);
             self.play_external_event();
@@ -166,8 +166,10 @@
         self.carry_out(process, actions);
     }
 
-    fn handle_at_all(&mut self, event: Event) {
-        (0..self.processes.len()).for_each(|process| self.handle(process, event.clone()));
+    fn handle_at_all(&mut self, event: &Event) {
+        for process in 0..self.processes.len() {
+            self.handle(process, event.clone());
+        }
     }
 
     fn deliver_list(&mut self, process: usize, snapshot: bool) {
--- a/crates/core/tests/decision_lock/driver/external_events.rs
+++ b/crates/core/tests/decision_lock/driver/external_events.rs
@@ -16,7 +16,7 @@
             80 => {
                 let disabled = self.rng.u8(0..3) == 0;
                 let worker = WorkerId(self.rng.u64(0..=self.endpoints.len() as u64));
-                self.handle_at_all(maintenance_event(worker, disabled));
+                self.handle_at_all(&maintenance_event(worker, disabled));
             }
             81..84 => {
                 if let Some(job) = self.choose_open_job() {
--- a/crates/core/tests/decisions/gossip.rs
+++ b/crates/core/tests/decisions/gossip.rs
@@ -50,7 +50,9 @@
     let mut settings = gossiping(32, 0);
     settings.classes[0].required_kind = Some(KindId(1));
     let mut workers = endpoints(32);
-    workers.iter_mut().for_each(|worker| worker.kind = KindId(u32::from(worker.worker.0 % 16 == 7)));
+    for worker in &mut workers {
+        worker.kind = KindId(u32::from(worker.worker.0 % 16 == 7));
+    }
     let mut node = TestNode::new(settings, &workers);
     // Two workers of that kind in four subsets: most subsets have none.
     let mut actions = node.submit(1, 0, 0.01);
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -77,9 +77,13 @@
                 at: node.now,
                 work: millis(20),
             }));
-            attempts.iter().for_each(|(job, _)| _ = node.start(*job, 0));
+            for (job, _) in &attempts {
+                node.start(*job, 0);
+            }
             node.now += millis(20);
-            attempts.iter().for_each(|(job, _)| _ = node.end(*job, 0, Outcome::Done));
+            for (job, _) in &attempts {
+                node.end(*job, 0, Outcome::Done);
+            }
             node.now += millis(80);
         }
     }
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -66,12 +66,12 @@
 }
 
 /// JSON pointers of all objects in a value.
-fn object_pointers(value: &Value, pointer: String) -> Vec<String> {
-    let nested = |(name, value): (String, &Value)| object_pointers(value, format!("{pointer}/{name}"));
+fn object_pointers(value: &Value, pointer: &str) -> Vec<String> {
+    let nested = |(name, value): (String, &Value)| object_pointers(value, &format!("{pointer}/{name}"));
     match value {
         Value::Object(fields) => {
             let nested = fields.iter().map(|(name, field)| (name.clone(), field)).flat_map(nested);
-            std::iter::once(pointer.clone()).chain(nested).collect()
+            std::iter::once(pointer.to_owned()).chain(nested).collect()
         }
         Value::Array(items) => {
             items.iter().enumerate().map(|(index, item)| (index.to_string(), item)).flat_map(nested).collect()
@@ -109,7 +109,7 @@
     let value = serde_json::to_value(record).expect("JSON");
     let again = serde_json::to_value(&read).expect("JSON");
     assert!(is_equal_within_rounding(&again, &value), "{again} was read from {value}");
-    let pointers = object_pointers(&value, String::new());
+    let pointers = object_pointers(&value, "");
     assert!(!pointers.is_empty());
     for pointer in pointers {
         let mut changed = value.clone();
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -129,9 +129,10 @@
 
     fn change_maintenance(&mut self) -> Checked {
         let (worker, disabled) = (WorkerId(self.rng.u64(0..8)), self.rng.bool());
-        match disabled {
-            true => _ = self.checker.disabled.insert(worker),
-            false => _ = self.checker.disabled.remove(&worker),
+        if disabled {
+            self.checker.disabled.insert(worker);
+        } else {
+            self.checker.disabled.remove(&worker);
         }
         self.handle(maintenance_event(worker, disabled))
     }
--- a/crates/model/src/worker_pool/event.rs
+++ b/crates/model/src/worker_pool/event.rs
@@ -59,7 +59,7 @@
 }
 
 /// What follows from an event or from the passing of time.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PoolEffect {
     /// The worker accepted the attempt, which waits or runs.
     Accepted(AttemptNumber),
--- a/crates/model/tests/worker_pool.rs
+++ b/crates/model/tests/worker_pool.rs
@@ -35,7 +35,7 @@
     fn handle(&mut self, at: Timestamp, input: PoolInput) -> Vec<PoolEffect> {
         let mut effects = Vec::new();
         self.pool.handle(at, input, &mut effects);
-        self.history.extend(effects.iter().map(|effect| (at, effect.clone())));
+        self.history.extend(effects.iter().map(|effect| (at, *effect)));
         effects
     }
 
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -18,7 +18,7 @@
 pub fn run(sources: &ConfigSources) -> Result<(), ConfigError> {
     Config::read(sources)?;
     let mut report = Report::default();
-    report.add_platform_file(&sources.read_platform_file()?)?;
+    report.add_platform_file(&ConfigSources::read_platform_file()?)?;
     report.add_operator_file(sources.read_operator_file()?)?;
     // The reader may close its end before it has read everything.
     let _ = std::io::stdout().write_all(report.text.as_bytes());
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -94,7 +94,7 @@
             None => OperatorFile::default(),
             Some(ConfigFile { path, text }) => parse_operator_file(&path, &text)?,
         };
-        let file = parse_platform_file(&sources.read_platform_file()?.text)?;
+        let file = parse_platform_file(&ConfigSources::read_platform_file()?.text)?;
         let site = curlewusher_settings::read_from(file.settings).map_err(ConfigError::Settings)?;
         if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::TooFewSockets);
--- a/crates/node/src/config/sources.rs
+++ b/crates/node/src/config/sources.rs
@@ -76,7 +76,7 @@
 
 impl ConfigSources {
     /// Reads the platform's file, whose path is in the environment.
-    pub fn read_platform_file(&self) -> Result<ConfigFile, ConfigError> {
+    pub fn read_platform_file() -> Result<ConfigFile, ConfigError> {
         let path = std::env::var(PLATFORM_FILE_VARIABLE).map_err(|_| ConfigError::PlatformFileUnset)?;
         ConfigFile::read(Path::new(&path))
             .map_err(|source| ConfigError::PlatformFileUnreadable { path, source })
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -30,7 +30,7 @@
 
 /// A watch without a list or a heartbeat for this long has failed. Discovery sends a heartbeat every 2 s;
 /// half of that is added for a slow network or machine, since otherwise all nodes would poll at once.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Bound of a complete poll. Discovery serves polls one after another and abandons those that wait for 2 s.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(2200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -55,7 +55,7 @@
             match action {
                 Action::SendAttempt { job, worker, timeout, send_by } => {
                     let spec = AttemptSpec { job, worker, timeout, send_by };
-                    if let SendResult::NotSent(id) = self.send_attempt(spec) {
+                    if let SendResult::NotSent(id) = self.send_attempt(&spec) {
                         not_sent.push(id);
                     }
                 }
@@ -88,9 +88,9 @@
     }
 
     /// Records an attempt and passes it to the transport, if it can still be sent.
-    fn send_attempt(&mut self, spec: AttemptSpec) -> SendResult {
+    fn send_attempt(&mut self, spec: &AttemptSpec) -> SendResult {
         let worker = self.endpoints.get(spec.worker).cloned();
-        let Some(recorded) = self.record_attempt(&spec, worker.as_ref()) else { return SendResult::NoJob };
+        let Some(recorded) = self.record_attempt(spec, worker.as_ref()) else { return SendResult::NoJob };
         let RecordedAttempt { id, request_id, payload, expires_at, cancel, send_permit, is_duplicate } =
             recorded;
         if is_duplicate {
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::attempt::{AttemptId, AttemptReport, AttemptTransport};
 use crate::dispatch::attempts::{AttemptState, CallbackState};
 use crate::dispatch::callbacks::{CallbackEffect, find_target, interpret};
-use crate::dispatch::jobs::JobResponse;
+use crate::dispatch::jobs::{Job, JobResponse};
 use crate::dispatch::outcomes::outcome_counter;
 use crate::dispatch::timers::Timer;
 use crate::telemetry::logging::DISPATCH;
@@ -112,7 +112,7 @@
         self.timers.cancel(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(outcome_counter(outcome));
         self.log_attempt_end(id, outcome);
-        let settled = self.jobs.get(id.job).is_some_and(|job| job.is_settled());
+        let settled = self.jobs.get(id.job).is_some_and(Job::is_settled);
         self.apply_event(Event::AttemptEnded { job: id.job, attempt: id.number, outcome, settled });
         self.jobs.remove_if_finished(id.job);
     }
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -150,7 +150,7 @@
                 // Fails where the link to the successor was lost meanwhile: the snapshot is not needed any more.
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
-            DispatchCommand::RestoreSnapshot(state) => self.restore_state(*state),
+            DispatchCommand::RestoreSnapshot(state) => self.restore_state(&state),
             DispatchCommand::SetSuccessorActive { active } => {
                 self.apply_event(Event::SuccessorActive { active });
             }
@@ -182,8 +182,8 @@
     }
 
     /// Adopts what the predecessor of this process knew.
-    fn restore_state(&mut self, state: TransferableState) {
-        for change in self.disabled_workers.merge_predecessor(state.disabled_workers) {
+    fn restore_state(&mut self, state: &TransferableState) {
+        for change in self.disabled_workers.merge_predecessor(&state.disabled_workers) {
             self.apply_maintenance(&change.name, change.action);
         }
         if let Some(snapshot) = &state.snapshot {
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -19,7 +19,7 @@
 use crate::handover::error::HandoverError;
 
 /// A process that reads nothing for this long counts as ended.
-pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(2000);
+pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How many received descriptors may wait for the frames that they belong to; more are closed, so that the
 /// other process cannot use up this one's descriptors.
 const MAX_PENDING_DESCRIPTORS: usize = 16;
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -29,7 +29,7 @@
 /// How long the newer process waits for the answer to its hello before it starts without a predecessor.
 const HELLO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long the older process waits for a hello, and for its own answer to be written.
-pub(super) const HELLO_TIMEOUT: Duration = Duration::from_millis(1000);
+pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 /// The byte that carries the listener's descriptor. No frame begins with it.
 const DESCRIPTOR_CARRIER: u8 = b'+';
 
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -20,9 +20,9 @@
 /// How long an operator's command waits; the operator waits up to 1 s for its answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a job's migration waits; meanwhile neither process can act on the job.
-pub const MIGRATION_TIMEOUT: Duration = Duration::from_millis(2000);
+pub const MIGRATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the successor waits until its predecessor has handed over new connections.
-const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1000);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The request id of frames that belong to the handshake.
 const HANDSHAKE_REQUEST_ID: u64 = 0;
 
@@ -40,7 +40,7 @@
 impl PeerLink {
     /// Forwards a callback's body. Takes 300 ms at most.
     pub async fn forward_callback(&self, body: Bytes) -> ForwardResult {
-        match self.request(Frame::Callback(body), None, CALLBACK_TIMEOUT).await {
+        match self.request(&Frame::Callback(body), None, CALLBACK_TIMEOUT).await {
             Some(Frame::CallbackResult(true)) => ForwardResult::Handled,
             Some(Frame::CallbackResult(false)) => ForwardResult::NotHeld,
             _ => ForwardResult::NoAnswer,
@@ -57,7 +57,7 @@
         }
         let claim = JobClaimGuard { state: Rc::clone(&self.state), job_id: job_id.into() };
         let claimed_job = Some(Rc::clone(&claim.job_id));
-        let response = self.request(Frame::ClaimJob(job_id.to_owned()), claimed_job, CLAIM_TIMEOUT).await;
+        let response = self.request(&Frame::ClaimJob(job_id.to_owned()), claimed_job, CLAIM_TIMEOUT).await;
         if matches!(response, Some(Frame::ClaimResult(false))) {
             return None;
         }
@@ -68,7 +68,7 @@
     /// Has the other process carry out an operator's command as well. None where it does not answer within
     /// 700 ms.
     pub async fn forward_command(&self, command: &AdminCommand) -> Option<CommandResult> {
-        match self.request(Frame::Command(command.clone()), None, COMMAND_TIMEOUT).await {
+        match self.request(&Frame::Command(command.clone()), None, COMMAND_TIMEOUT).await {
             Some(Frame::CommandResult(result)) => Some(result),
             _ => None,
         }
@@ -79,22 +79,20 @@
     /// the two processes never both hold the job.
     pub async fn migrate_job(&self, job: Bytes, client: OwnedFd) -> bool {
         let descriptor = Some(Rc::new(client));
-        let Some(mut pending) = self.state.send_request(Frame::MigrateJob(job), None, descriptor) else {
+        let Some(mut pending) = self.state.send_request(&Frame::MigrateJob(job), None, descriptor) else {
             return false;
         };
-        let response = match timeout(MIGRATION_TIMEOUT, &mut pending.receiver).await {
-            Ok(response) => response,
-            Err(_) => {
-                self.close();
-                (&mut pending.receiver).await
-            }
+        let response = if let Ok(response) = timeout(MIGRATION_TIMEOUT, &mut pending.receiver).await {
+            response
+        } else {
+            self.close();
+            (&mut pending.receiver).await
         };
-        match response {
-            Ok(Frame::MigrationResult(is_held)) => is_held,
-            _ => {
-                self.close();
-                false
-            }
+        if let Ok(Frame::MigrationResult(is_held)) = response {
+            is_held
+        } else {
+            self.close();
+            false
         }
     }
 
@@ -106,12 +104,13 @@
     /// Requests new connections and the latest state snapshot from the predecessor. Where it does not answer within
     /// 1 s the link is closed: it may have handed over, and takes back when it sees the link lost.
     pub async fn request_takeover(&self) -> Option<Bytes> {
-        match self.request(Frame::TakeoverRequest, None, TAKEOVER_TIMEOUT).await {
-            Some(Frame::TakeoverGranted(snapshot)) => Some(snapshot),
-            _ => {
-                self.close();
-                None
-            }
+        if let Some(Frame::TakeoverGranted(snapshot)) =
+            self.request(&Frame::TakeoverRequest, None, TAKEOVER_TIMEOUT).await
+        {
+            Some(snapshot)
+        } else {
+            self.close();
+            None
         }
     }
 
@@ -126,7 +125,7 @@
     }
 
     /// Sends a request and waits for its response. None where none arrives in time or the link is lost.
-    async fn request(&self, frame: Frame, claimed_job: Option<Rc<str>>, within: Duration) -> Option<Frame> {
+    async fn request(&self, frame: &Frame, claimed_job: Option<Rc<str>>, within: Duration) -> Option<Frame> {
         let mut pending = self.state.send_request(frame, claimed_job, None)?;
         timeout(within, &mut pending.receiver).await.ok()?.ok()
     }
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -89,7 +89,7 @@
     /// Sends a request. None where the link is lost or the frame is over its bound.
     pub(super) fn send_request(
         &self,
-        frame: Frame,
+        frame: &Frame,
         claimed_job: Option<Rc<str>>,
         descriptor: Option<Rc<OwnedFd>>,
     ) -> Option<PendingResponse<'_>> {
--- a/crates/node/src/handover/rendezvous.rs
+++ b/crates/node/src/handover/rendezvous.rs
@@ -15,7 +15,7 @@
 
 /// How long a start waits for the start lock. The start that holds it has `handshake::HELLO_RESPONSE_TIMEOUT`
 /// (1.5 s) for its predecessor.
-const START_LOCK_TIMEOUT: Duration = Duration::from_millis(2000);
+const START_LOCK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of attempts to take the start lock.
 const START_LOCK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The longest path that a Unix socket address holds, in bytes, without the terminating zero byte
@@ -100,9 +100,10 @@
     /// Fails unless the process at the other end runs as the same user: no other is one of this node.
     pub(super) fn verify_same_user(&self, stream: &UnixStream) -> Result<(), HandoverError> {
         let uid = stream.peer_cred().map_err(HandoverError::Disconnected)?.uid();
-        match uid == rustix::process::geteuid().as_raw() {
-            true => Ok(()),
-            false => Err(HandoverError::OtherUser { path: self.path(), uid }),
+        if uid == rustix::process::geteuid().as_raw() {
+            Ok(())
+        } else {
+            Err(HandoverError::OtherUser { path: self.path(), uid })
         }
     }
 
--- a/crates/node/src/runtime/reload.rs
+++ b/crates/node/src/runtime/reload.rs
@@ -34,13 +34,13 @@
     pub async fn run(&self, sources: &ConfigSources, logging: &Logging, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             match Config::read_again(sources) {
-                Ok(config) => self.apply(config, logging),
+                Ok(config) => self.apply(&config, logging),
                 Err(problem) => self.reject(&problem),
             }
         }
     }
 
-    fn apply(&self, config: Config, logging: &Logging) {
+    fn apply(&self, config: &Config, logging: &Logging) {
         self.metrics.add(Counter::Reloads);
         logging.apply(&config.operator.log);
         self.server_options.set(config.operator.server);
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -32,7 +32,7 @@
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(700);
 /// Longest time that open jobs are given, beside [`MIN_DRAIN_TIME`]: SIGKILL follows SIGTERM after both together, or
 /// after the longest client timeout and [`MIN_DRAIN_TIME`] where that is earlier.
-const MAX_JOB_COMPLETION_TIME: Duration = Duration::from_millis(3000);
+const MAX_JOB_COMPLETION_TIME: Duration = Duration::from_secs(3);
 /// The last answers are sent this long before SIGKILL.
 const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(400);
 /// Longest wait for acknowledgements of cancellations once everything is answered.
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -248,7 +248,7 @@
         let open = || -> io::Result<ClientListener> {
             let sharing =
                 if self.admin_listener.is_some() { PortSharing::Shared } else { PortSharing::Exclusive };
-            let listener = handover.listener().unwrap_or_else(|| self.server.listen(self.listen, sharing))?;
+            let listener = handover.listener().unwrap_or_else(|| Server::listen(self.listen, sharing))?;
             Ok(ClientListener {
                 address: listener.local_addr()?,
                 for_successor: listener.try_clone()?,
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -34,7 +34,7 @@
 /// Longest head of a request, in bytes; hyper's read buffer has the same bound.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// A peer that reads no byte of its response for this long is treated as disconnected.
-pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// State of a connection, in the order in which connections are evicted when descriptors run low.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -44,7 +44,7 @@
 
 impl Server {
     /// Opens the listening socket.
-    pub fn listen(&self, address: SocketAddr, sharing: PortSharing) -> io::Result<std::net::TcpListener> {
+    pub fn listen(address: SocketAddr, sharing: PortSharing) -> io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         // A restart must not wait until the kernel has forgotten the old connections.
         socket.set_reuseaddr(true)?;
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -1,6 +1,6 @@
 //! Builders for the HTTP responses of this node.
 
-use std::io;
+use std::io::{self, Write};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -89,10 +89,12 @@
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await;
     let body = body.to_bytes();
-    let mut head = format!("HTTP/1.1 {}\r\n", parts.status);
+    let mut message = Vec::new();
+    write!(message, "HTTP/1.1 {}\r\n", parts.status)?;
     for (name, value) in &parts.headers {
-        head += &format!("{name}: {}\r\n", value.to_str().unwrap_or_default());
+        write!(message, "{name}: {}\r\n", value.to_str().unwrap_or_default())?;
     }
-    head += &format!("content-length: {}\r\nconnection: close\r\n\r\n", body.len());
-    stream.write_all(&[head.as_bytes(), &body].concat()).await
+    write!(message, "content-length: {}\r\nconnection: close\r\n\r\n", body.len())?;
+    message.extend_from_slice(&body);
+    stream.write_all(&message).await
 }
--- a/crates/node/src/server/shutdown.rs
+++ b/crates/node/src/server/shutdown.rs
@@ -8,7 +8,7 @@
 use super::connection::{Connection, ConnectionState};
 
 /// Within this, last responses must be written and connections closed.
-pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
+pub const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long each connection lingers at least before the process ends.
 const MIN_FINAL_LINGER: Duration = Duration::from_millis(100);
 /// How often connections are looked through while they close.
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -30,7 +30,7 @@
 use crate::upstream::pool::ConnectionPool;
 
 /// How long the response is waited for after the end of an attempt, to keep its connection.
-const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2000);
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Makes attempts and reports on them to the dispatch task.
 pub struct AttemptRunner {
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -210,7 +210,7 @@
 ) {
     // On an idle connection an error that is none of the network is a response without a request.
     if let Err(error) = connection.await
-        && !error.source().is_some_and(|source| source.is::<io::Error>())
+        && !error.source().is_some_and(<dyn Error>::is::<io::Error>)
     {
         metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, %error, "connection closed");
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -40,7 +40,7 @@
 /// Upper bound of the body of a worker's response, in bytes. Longer ones count as malformed.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 << 10;
 /// How long the rest of a response is waited for, to keep its connection.
-const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(2000);
+const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often idle connections are checked for expiry.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
--- a/crates/node/tests/unit/handover/support.rs
+++ b/crates/node/tests/unit/handover/support.rs
@@ -20,11 +20,11 @@
 /// How often a test's thread may yield before the test counts as hung.
 const MAX_YIELDS: usize = 3_000_000;
 /// In a test whose time advances, it counts as hung after this long.
-const MAX_TEST_TIME: Duration = Duration::from_secs(3600);
+const MAX_TEST_TIME: Duration = Duration::from_hours(1);
 
 /// How time passes: not at all, or at once to the next timer when nothing else can run. No test waits for time
 /// itself.
-#[derive(PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 pub enum Time {
     Paused,
     Advancing,
--- a/crates/node/tests/unit/send_permit.rs
+++ b/crates/node/tests/unit/send_permit.rs
@@ -7,7 +7,7 @@
 
 use super::{CancelFlag, Denial, SendLease, SendPermit, SendPermitParts};
 
-const LONG: Duration = Duration::from_secs(3600);
+const LONG: Duration = Duration::from_hours(1);
 const PERMIT_TIME: Duration = Duration::from_secs(1);
 const JUST_BEFORE_DEADLINE: Duration = Duration::from_millis(999);
 
--- a/crates/settings/src/operator/reference.rs
+++ b/crates/settings/src/operator/reference.rs
@@ -96,13 +96,13 @@
 /// The table of the reference page with every field and its default, in Markdown.
 pub fn reference_table() -> String {
     let mut table = REFERENCE_TABLE_HEAD.to_owned();
-    for (field, default) in OperatorFile::default().values() {
+    table.extend(OperatorFile::default().values().into_iter().map(|(field, default)| {
         let Field { path, shape, takes_effect, meaning } = field;
         let on_reload = match takes_effect {
             TakesEffect::OnReload => "at once",
             TakesEffect::AtNextStart => "next start",
         };
-        table += &format!("| `{path}` | {shape} | `{default}` | {on_reload} | {meaning} |\n");
-    }
+        format!("| `{path}` | {shape} | `{default}` | {on_reload} | {meaning} |\n")
+    }));
     table
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -210,7 +210,9 @@
         "/rules/warmUpUs",
         "/rules/fallUs",
     ];
-    spans.iter().for_each(|path| *object.pointer_mut(path).expect("a span") = json!(u64::MAX));
+    for path in &spans {
+        *object.pointer_mut(path).expect("a span") = json!(u64::MAX);
+    }
     let values = values_of(&object.to_string()).join("\n");
     // `maxRetryAfterUs` counts twice: it also limits the `Retry-After` of the dispatcher's rejections.
     assert_eq!(values.matches(&YEAR.as_micros().to_string()).count(), spans.len() + 1, "{values}");
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -55,12 +55,16 @@
 #[test]
 fn recorded_transcript_is_read_then_the_answer_is_as_recorded() {
     let recorded = golden!("transcript_out.txt");
-    MESSAGES.iter().for_each(|part| assert!(TRANSCRIPT.contains(part), "no {part} in the transcript"));
+    for part in MESSAGES {
+        assert!(TRANSCRIPT.contains(part), "no {part} in the transcript");
+    }
     let output = run_adapter(TRANSCRIPT);
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
     let written = String::from_utf8(output.stdout).expect("text");
-    let is_written = |part: &&str| written.lines().any(|line| format!("{line} ").starts_with(part));
-    ANSWERS.iter().for_each(|part| assert!(is_written(part), "no {part} in the answer"));
+    let is_written = |part: &str| written.lines().any(|line| format!("{line} ").starts_with(part));
+    for part in ANSWERS {
+        assert!(is_written(part), "no {part} in the answer");
+    }
     recorded.assert_is(&written);
 }
 
--- a/crates/testbed/src/fleet/discovery_state.rs
+++ b/crates/testbed/src/fleet/discovery_state.rs
@@ -64,12 +64,11 @@
         }
         let EndpointPoll { server, since, lines } = poll;
         let index = self.registry.index();
-        let (line, entries) = match self.registry.changes_since(since) {
-            Some(changes) => (self.sent.encoder.changes_line(index, &changes), changes),
-            None => {
-                let snapshot = self.registry.snapshot();
-                (self.sent.encoder.snapshot_line(index, &snapshot), snapshot)
-            }
+        let (line, entries) = if let Some(changes) = self.registry.changes_since(since) {
+            (self.sent.encoder.changes_line(index, &changes), changes)
+        } else {
+            let snapshot = self.registry.snapshot();
+            (self.sent.encoder.snapshot_line(index, &snapshot), snapshot)
         };
         if lines.send(line).is_ok() {
             self.sent.record(server.node, &self.registry, &entries);
--- a/crates/testbed/src/fleet/message.rs
+++ b/crates/testbed/src/fleet/message.rs
@@ -10,7 +10,7 @@
 use super::sent_requests::RequestOrigin;
 
 /// A change of the fleet that a scenario demands.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub enum FleetCommand {
     /// Kills a worker's process; its connections are reset.
     Kill(WorkerIndex),
--- a/crates/testbed/src/nodes/process.rs
+++ b/crates/testbed/src/nodes/process.rs
@@ -151,9 +151,9 @@
         // An interrupt on a terminal reaches the whole process group; the testbed ends its children itself.
         .process_group(0)
         .kill_on_drop(true);
-    OVERRIDES.iter().for_each(|variable| {
+    for variable in OVERRIDES {
         command.env_remove(variable);
-    });
+    }
     if let Some(file) = &scenario.nodes.operator {
         command.env(OPERATOR_FILE_VARIABLE, file);
     }
--- a/crates/testbed/src/process_cost.rs
+++ b/crates/testbed/src/process_cost.rs
@@ -8,7 +8,7 @@
 const KILOBYTES_PER_MEGABYTE: f64 = 1024.0;
 
 /// What a node cost up to a moment.
-#[derive(Clone, Debug, Serialize)]
+#[derive(Clone, Copy, Debug, Serialize)]
 pub struct Sample {
     /// Time since the beginning of the run, in seconds.
     pub at_s: f64,
--- a/crates/testbed/src/report/summary.rs
+++ b/crates/testbed/src/report/summary.rs
@@ -6,24 +6,30 @@
 /// The figures as a few lines of text for a terminal.
 pub fn render_summary(figures: &Figures) -> String {
     let mut text = headline(figures);
-    text += &format!(
-        "{:<18}{:>7}{:>9}{:>7}{:>9}{:>8}{:>10}{:>10}{:>10}\n",
-        "class", "jobs", "in time", "late", "refused", "failed", "p50 ms", "p90 ms", "p99 ms"
-    );
+    text += &class_header();
     text.extend(figures.classes.iter().map(class_line));
     text.extend(figures.nodes.iter().enumerate().map(|(number, node)| node_line(number, node)));
-    for line in operation_lines(&figures.operations) {
-        text += &format!("{line}\n");
-    }
+    text.extend(operation_lines(&figures.operations).into_iter().map(|line| line + "\n"));
     if !figures.valid {
-        text += &format!(
-            "NOT VALID: sends were late by {:.0} ms (99 %), or the run was cut short\n",
-            figures.send_delay_p99_ms
-        );
+        text += &invalidity(figures);
     }
     text
 }
 
+fn class_header() -> String {
+    format!(
+        "{:<18}{:>7}{:>9}{:>7}{:>9}{:>8}{:>10}{:>10}{:>10}\n",
+        "class", "jobs", "in time", "late", "refused", "failed", "p50 ms", "p90 ms", "p99 ms"
+    )
+}
+
+fn invalidity(figures: &Figures) -> String {
+    format!(
+        "NOT VALID: sends were late by {:.0} ms (99 %), or the run was cut short\n",
+        figures.send_delay_p99_ms
+    )
+}
+
 fn headline(figures: &Figures) -> String {
     format!(
         "{}: {:.3} of the worth in time; {} jobs at {:.1}/s, {} tries, {:.2} attempts a try, {:.0} us of CPU a job\n",
--- a/crates/testbed/src/rules/job_rules/mod.rs
+++ b/crates/testbed/src/rules/job_rules/mod.rs
@@ -93,7 +93,7 @@
             Event::AttemptArrived { attempt, id, node, worker, bay, work_seconds, head_at } => {
                 self.offered_work.observe_arrival(at, *node, *worker, *work_seconds);
                 let (number, node, worker, bay, head_at) = (*attempt, *node, *worker, *bay, *head_at);
-                self.observe_arrival(at, ArrivedAttempt { number, request: id, node, worker, bay, head_at });
+                self.observe_arrival(at, &ArrivedAttempt { number, request: id, node, worker, bay, head_at });
             }
             Event::AttemptRejected { attempt } | Event::AttemptReturned { attempt } => {
                 self.requests.end_attempt(*attempt, AttemptEnd::NeverRan);
@@ -150,10 +150,10 @@
         }
     }
 
-    fn observe_arrival(&mut self, at: Timestamp, arrived: ArrivedAttempt<'log>) {
+    fn observe_arrival(&mut self, at: Timestamp, arrived: &ArrivedAttempt<'log>) {
         self.requests.assign_attempt(arrived.number, arrived.request);
-        self.check_one_effect(at, &arrived);
-        self.check_quiet_drain(at, &arrived);
+        self.check_one_effect(at, arrived);
+        self.check_quiet_drain(at, arrived);
     }
 
     fn report(&mut self, at: Timestamp, violation: JobViolation<'log>) {
--- a/example/toy_server.rs
+++ b/example/toy_server.rs
@@ -22,7 +22,7 @@
         reader.read_line(&mut line)?;
         let Some((name, value)) = line.trim_end().split_once(": ") else { break };
         match name.to_ascii_lowercase().as_str() {
-            "x-request-id" => id = value.to_owned(),
+            "x-request-id" => value.clone_into(&mut id),
             "content-length" => length = value.parse().unwrap_or(0),
             _ => {}
         }
