--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -7,8 +7,8 @@
 use socket2::SockRef;
 
 use crate::common::{
-    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, endpoint_list_json, job_request,
-    node_config, open_request, read_response, send_request, wait_until,
+    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, job_request, node_config,
+    open_request, read_response, send_request, wait_until,
 };
 
 /// Closes a connection, with a reset or in good order.
@@ -37,7 +37,7 @@
         }
     }
     let worker = ScriptedServer::start();
-    watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
     let client = node.submit_job("last", "view", 9.0);
     let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some("last"));
@@ -384,7 +384,7 @@
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
         let worker = ScriptedServer::start();
-        watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+        watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
         complete_next_jobs(&node, &worker, begun.len() + 1);
         assert_answered_before_exit(node, begun.into_iter().map(|(client, _)| client).chain([first]), 200);
         true
--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -32,7 +32,7 @@
     /// Waits for the node to open its watch, and sends the list of all these endpoints.
     pub fn answer(discovery: &ScriptedServer, endpoints: &[String]) -> ScriptedWatch {
         let watch = ScriptedWatch::open(discovery);
-        watch.send_line(&endpoint_list_json(42, true, endpoints));
+        watch.send_endpoints(42, true, endpoints);
         watch
     }
 
@@ -47,10 +47,15 @@
         self.write_raw(&chunk);
     }
 
-    /// Like [`Self::send_line`] for a list; waits until the node has read it.
-    pub fn send_list_and_wait(&self, list: &str, node: &Node) {
+    /// Sends a line with a snapshot of all endpoints, or a change of some.
+    pub fn send_endpoints(&self, index: u64, snapshot: bool, endpoints: &[String]) {
+        self.send_line(&endpoint_list_json(index, snapshot, endpoints));
+    }
+
+    /// Like [`Self::send_endpoints`]; waits until the node has read the line.
+    pub fn send_endpoints_and_wait(&self, index: u64, snapshot: bool, endpoints: &[String], node: &Node) {
         let before = node.counter(LISTS_READ);
-        self.send_line(list);
+        self.send_endpoints(index, snapshot, endpoints);
         wait_for_counter(node, LISTS_READ, before + 1);
     }
 
--- a/crates/node/tests/configuration/mod.rs
+++ b/crates/node/tests/configuration/mod.rs
@@ -2,9 +2,7 @@
 
 use std::io::Read;
 
-use crate::common::{
-    Node, ScriptedServer, ScriptedWatch, endpoint_list_json, node_config, read_response, wait_for_counter,
-};
+use crate::common::{Node, ScriptedServer, ScriptedWatch, node_config, read_response, wait_for_counter};
 
 #[test]
 fn configuration_is_invalid_then_one_line_names_the_field() {
@@ -45,13 +43,13 @@
     node.reload_config(&node_config(hangs.address, &[]));
     hangs.next_request();
     let all = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
-    old.send_line(&endpoint_list_json(43, false, &all[..1]));
+    old.send_endpoints(43, false, &all[..1]);
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 3);
     // Another one comes while that hangs. It counts in its own way, so that the whole list is asked for.
     node.reload_config(&node_config(moved.address, &[]));
     let watch = ScriptedWatch::open(&moved);
     assert_eq!(watch.since(), "0");
-    watch.send_line(&endpoint_list_json(7, true, &all));
+    watch.send_endpoints(7, true, &all);
     let late = node.submit_accepted_job(&second, "r2", "view", 9.0);
     node.post_completion("r1", "s-1");
     node.post_callback("r2", "s-2", r#""state":"done","result":"y""#);
--- a/crates/node/tests/delivery/mod.rs
+++ b/crates/node/tests/delivery/mod.rs
@@ -1,9 +1,6 @@
 //! Delivery of jobs to workers: what a worker receives, callbacks, reused connections and retries.
 
-use crate::common::{
-    Node, ScriptedServer, endpoint_list_json, job_request, next_request_at_either, open_request,
-    read_response,
-};
+use crate::common::{Node, ScriptedServer, job_request, next_request_at_either, open_request, read_response};
 
 #[test]
 fn job_is_submitted_then_worker_gets_it_unchanged_and_client_gets_result() {
@@ -137,7 +134,7 @@
     let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &first)]);
     let client = node.submit_accepted_job(&first, "r1", "order", 5.0);
     let change = [first.endpoint_json("s-1", "terminating"), second.endpoint_json("s-2", "in_service")];
-    watch.send_list_and_wait(&endpoint_list_json(43, false, &change), &node);
+    watch.send_endpoints_and_wait(43, false, &change, &node);
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     second.next_event().accept();
     // Late and repeated callbacks of the first worker do not concern the second attempt.
--- a/crates/node/tests/endpoint_lease/mod.rs
+++ b/crates/node/tests/endpoint_lease/mod.rs
@@ -2,8 +2,7 @@
 //! has answered, since the workers on it may have left meanwhile.
 
 use crate::common::{
-    COMPLETED, Node, ScriptedServer, ScriptedWatch, endpoint_list_json, node_config, read_response,
-    wait_for_counter,
+    COMPLETED, Node, ScriptedServer, ScriptedWatch, node_config, read_response, wait_for_counter,
 };
 
 const SUBMITTED: &str = "curlewusher_jobs_taken_total";
@@ -16,7 +15,7 @@
     let saved = [left.endpoint_json("s-1", "in_service")];
     let config = node_config(discovery.address, &saved);
     let before = Node::start(&config);
-    ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(41, true, &saved));
+    ScriptedWatch::open(&discovery).send_endpoints(41, true, &saved);
     before.assert_serves(&left, "r1", "view", "s-1");
     before.kill();
 
@@ -25,7 +24,7 @@
     wait_for_counter(&node, SUBMITTED, 1);
     let watch = ScriptedWatch::open(&discovery);
     assert_eq!(watch.since(), "41");
-    watch.send_line(&endpoint_list_json(42, true, &[stays.endpoint_json("s-2", "in_service")]));
+    watch.send_endpoints(42, true, &[stays.endpoint_json("s-2", "in_service")]);
     let (_, request, other) = crate::common::next_request_at_either(&stays, &left);
     assert!(request.message.start_line.starts_with("POST"), "{}", request.message.start_line);
     assert!(std::ptr::eq(other, &left), "an attempt reaches the worker that has left");
@@ -40,7 +39,7 @@
 fn change_is_older_than_the_list_then_jobs_wait_for_the_whole_list() {
     let (worker, node, watch, discovery) = Node::start_with_worker();
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 2);
-    watch.send_line(&endpoint_list_json(40, false, &[worker.endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(40, false, &[worker.endpoint_json("s-1", "in_service")]);
     node.wait_for_log_line("version 40 after version 42");
     node.wait_for_log_line("endpoint lease expired");
     let client = node.submit_job("r1", "view", 9.0);
@@ -48,7 +47,7 @@
     let again = ScriptedWatch::open(&discovery);
     assert_eq!(again.since(), "0");
     assert!(!worker.has_pending_request(), "it is sent by a list with a hole");
-    again.send_line(&endpoint_list_json(43, true, &[worker.endpoint_json("s-1", "in_service")]));
+    again.send_endpoints(43, true, &[worker.endpoint_json("s-1", "in_service")]);
     node.serve_job(client, &worker.next_request(), "r1", "s-1");
     assert_eq!(node.counter(r#"curlewusher_violations_total{reason="endpoints_expired"}"#), 0);
 }
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -24,6 +24,12 @@
     }
 }
 
+/// Asserts that jobs go to the other worker only.
+fn assert_drained(node: &Node, drained: &ScriptedServer, other: &ScriptedServer, name: &str) {
+    assert_all_jobs_go_to(node, other, name, "r");
+    assert!(!drained.has_pending_request(), "it drains");
+}
+
 /// The version since which a poll requests changes.
 fn polled_version(got: &ReceivedRequest) -> &str {
     let version = got.message.start_line.strip_prefix("GET /v1/endpoints?follow=1&since=");
@@ -83,8 +89,7 @@
     let two = endpoint_list_json(55, false, &[]) + &endpoint_list_json(56, false, &all[..1]);
     watch.write_raw(&byte_by_byte(&two));
     wait_for_counter(&node, CHANGES, 2 + 11 + 1 + 2);
-    assert_all_jobs_go_to(&node, &second, "s-2", "r");
-    assert!(!first.has_pending_request(), "it drains");
+    assert_drained(&node, &first, &second, "s-2");
     assert_eq!(node.counter(FAILURES), 0);
     watch.close();
     assert_eq!(ScriptedWatch::open(&discovery).since(), "56");
@@ -104,8 +109,7 @@
     let length = list.len();
     discovery.next_request().write_raw(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}"));
     assert_eq!(polled_version(&discovery.next_request()), "50");
-    assert_all_jobs_go_to(&node, &second, "s-2", "r");
-    assert!(!first.has_pending_request(), "it drains");
+    assert_drained(&node, &first, &second, "s-2");
 }
 
 #[test]
@@ -142,7 +146,7 @@
         assert_eq!((again.since(), node.counter(FAILURES)), ("42", 1), "{spoilt}");
         let said = node.wait_for_log_line("endpoint watch failed");
         assert!(said.contains("see ") && !said.contains("silent"), "{said}");
-        again.send_line(&endpoint_list_json(45, true, &[worker.endpoint_json("s-1", "in_service")]));
+        again.send_endpoints(45, true, &[worker.endpoint_json("s-1", "in_service")]);
         wait_for_counter(&node, CHANGES, 3);
         assert_all_jobs_go_to(&node, &worker, "s-1", "r");
     }
@@ -185,10 +189,9 @@
     let node = Node::start(&pushed);
     let watch = ScriptedWatch::open(&discovery);
     assert_eq!(watch.since(), "41");
-    watch.send_line(&endpoint_list_json(42, false, &[first.endpoint_json("s-1", "terminating")]));
+    watch.send_endpoints(42, false, &[first.endpoint_json("s-1", "terminating")]);
     wait_for_counter(&node, CHANGES, 2);
-    assert_all_jobs_go_to(&node, &second, "s-2", "r");
-    assert!(!first.has_pending_request(), "it drains");
+    assert_drained(&node, &first, &second, "s-2");
     // Its end and each of many failures are followed by a poll.
     watch.close();
     for i in 0..8 {
@@ -217,8 +220,7 @@
     open_watch(&next, &endpoint_list_json(43, false, &drains));
     wait_for_counter(&node, CHANGES, 3);
     discovery.wait_for_connection_end(hangs.connection);
-    assert_all_jobs_go_to(&node, &other, "s-2", "r");
-    assert!(!worker.has_pending_request(), "it drains");
+    assert_drained(&node, &worker, &other, "s-2");
 }
 
 #[test]
@@ -264,17 +266,14 @@
     let node = Node::start(&node_config(discovery.address, &known));
     // Only a first answer makes the node ready; its next poll is in flight when the address changes.
     ScriptedWatch::answer(&discovery, &known).close();
-    let before = std::iter::repeat_with(|| discovery.next_event())
-        .find(|got| !got.message.start_line.is_empty())
-        .expect("endless");
+    let before = discovery.next_request();
     let moved = ScriptedServer::start();
     node.reload_config(&node_config(moved.address, &known));
     assert_eq!(polled_version(&moved.next_request()), "0");
     // A drain counts, also if a poll delivers it that was in flight when the address changed.
     open_watch(&before, &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
     wait_for_counter(&node, CHANGES, 3);
-    assert_all_jobs_go_to(&node, &second, "s-2", "r");
-    assert!(!first.has_pending_request(), "it drains");
+    assert_drained(&node, &first, &second, "s-2");
     // The new discovery has its own versions: none that the old one sent is used there.
     assert_eq!(polled_version(&moved.next_request()), "0");
 }
@@ -289,7 +288,7 @@
     for i in 1..6 {
         moved.next_request().respond("503 Service Unavailable");
         wait_for_counter(&node, FAILURES, i);
-        old.send_line(&endpoint_list_json(42 + i, false, &[worker.endpoint_json("s-1", "in_service")]));
+        old.send_endpoints(42 + i, false, &[worker.endpoint_json("s-1", "in_service")]);
         wait_for_counter(&node, CHANGES, 2 + i);
     }
     let watch = ScriptedWatch::open(&moved);
@@ -319,8 +318,7 @@
     again.write_raw(&format!("{HEAD}{}{}", chunk(&all), drains(46, "s-1", &first)));
     again.close();
     assert_eq!(polled_version(&discovery.next_request()), "46");
-    assert_all_jobs_go_to(&node, &second, "s-2", "r");
-    assert!(!first.has_pending_request(), "it drains");
+    assert_drained(&node, &first, &second, "s-2");
 }
 
 #[test]
@@ -336,10 +334,7 @@
 #[test]
 fn worker_drains_then_it_gets_no_job_and_broken_watch_resumes_from_last_version() {
     let ([first, second], node, watch, discovery) = Node::start_with_two_workers();
-    watch.send_list_and_wait(
-        &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]),
-        &node,
-    );
+    watch.send_endpoints_and_wait(43, false, &[first.endpoint_json("s-1", "terminating")], &node);
     for id in ["r1", "r2", "r3"] {
         node.assert_serves(&second, id, "view", "s-2");
     }
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -6,9 +6,9 @@
 use curlewusher_control::frame::Frame;
 
 use crate::common::{
-    COMPLETED, Node, ScriptedProcess, ScriptedServer, ScriptedWatch, callback_request, endpoint_list_json,
-    job_request, next_request_at_either, node_config, node_config_for_handover,
-    node_config_with_long_timeouts, open_request, read_response, send_request, wait_for_counter, wait_until,
+    COMPLETED, Node, ScriptedProcess, ScriptedServer, ScriptedWatch, callback_request, job_request,
+    next_request_at_either, node_config, node_config_for_handover, node_config_with_long_timeouts,
+    open_request, read_response, send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -20,10 +20,7 @@
     // It never ran, so that it is retried there and accepted.
     worker.next_request().accept();
     wait_until("the count is not 2", || node.counter("curlewusher_delivery_attempts_accepted_total") == 2);
-    watch.send_list_and_wait(
-        &endpoint_list_json(43, false, &[other.endpoint_json("s-2", "in_service")]),
-        &node,
-    );
+    watch.send_endpoints_and_wait(43, false, &[other.endpoint_json("s-2", "in_service")], &node);
     // The answer to the first call was lost on its way.
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     let (_, next, _) = next_request_at_either(&worker, &other);
@@ -124,7 +121,7 @@
     successor.send_frame(seq, Frame::MigrationResult(false));
     drop(successor);
     node.wait_for_log_line("peer lost");
-    watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
     let client = node.submit_job("r2", "view", 9.0);
     let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some("r2"), "forwarded without a client");
@@ -191,7 +188,7 @@
     let known = [workers[1].endpoint_json("s-1", "in_service")];
     let (mut to_successor, successor) =
         ScriptedProcess::welcome_successor(&node_config_for_handover(discovery.address, &known), &listener);
-    ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &known));
+    ScriptedWatch::open(&discovery).send_endpoints(42, true, &known);
     let (seq, asks) = to_successor.next_frame();
     assert_eq!(asks, Frame::TakeoverRequest);
     to_successor.send_frame(seq, Frame::TakeoverGranted("".into()));
@@ -205,7 +202,7 @@
 
     drop(to_predecessor);
     predecessor.wait_for_log_line("peer lost");
-    watch.send_line(&endpoint_list_json(43, false, &[workers[0].endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(43, false, &[workers[0].endpoint_json("s-1", "in_service")]);
     let got = workers[0].next_request();
     assert_eq!(got.message.header("x-request-id"), Some("r1"));
     predecessor.serve_job(client, &got, "r1", "s-1");
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -6,8 +6,8 @@
 use std::io::Read;
 
 use crate::common::{
-    Client, Node, ScriptedServer, call_operator, endpoint_list_json, job_request, node_config_with_console,
-    open_request, read_response, wait_for_counter, wait_until,
+    Client, Node, ScriptedServer, call_operator, job_request, node_config_with_console, open_request,
+    read_response, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -101,14 +101,14 @@
     let line = |worker: &ScriptedServer, name, status: &str| worker.endpoint_json(name, status);
     let again = line(&first, "s-1", "in_service").replace("\"since_ms\":0", "\"since_ms\":5");
     // Discovery lists it as gone, then as started anew: it stays out, and the id stays known.
-    watch.send_line(&endpoint_list_json(43, false, &[line(&first, "s-1", "terminated")]));
+    watch.send_endpoints(43, false, &[line(&first, "s-1", "terminated")]);
     serve("r1", &second, "s-2");
-    watch.send_line(&endpoint_list_json(44, false, std::slice::from_ref(&again)));
+    watch.send_endpoints(44, false, std::slice::from_ref(&again));
     // It is the only worker that is left: jobs are rejected.
-    watch.send_line(&endpoint_list_json(45, false, &[line(&second, "s-2", "terminated")]));
+    watch.send_endpoints(45, false, &[line(&second, "s-2", "terminated")]);
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 5);
     assert_eq!(read_response(node.submit_job("r2", "view", 0.3)).status(), 503);
-    watch.send_line(&endpoint_list_json(46, false, &[line(&second, "s-2", "in_service")]));
+    watch.send_endpoints(46, false, &[line(&second, "s-2", "in_service")]);
     assert!(!first.has_pending_request(), "it is out");
     watch.close();
     assert_eq!(call_operator(operators, "ENABLE s-1\n"), "+OK");
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -15,9 +15,8 @@
     NodeProcess, UpgradeScenario, complete_job, post_callback_until_acknowledged, wait_until_ready,
 };
 use crate::common::{
-    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, endpoint_list_json, job_request,
-    node_config_for_handover, node_config_with_console, open_request, read_response, send_request,
-    wait_for_counter, wait_until,
+    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, job_request, node_config_for_handover,
+    node_config_with_console, open_request, read_response, send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -109,7 +108,7 @@
     );
     assert_eq!(older.address, newer.address);
     for _ in 0..2 {
-        ScriptedWatch::open(&discovery).send_line(&endpoint_list_json(42, true, &scenario.known));
+        ScriptedWatch::open(&discovery).send_endpoints(42, true, &scenario.known);
     }
     let newer_at = newer.operator_address();
     older.wait_for_log_line("phase changed node=n0 phase=retired");
@@ -304,7 +303,7 @@
         let newer = Node::start_in(&folder, &newer);
         assert_eq!(older.address, newer.address);
         for discovery in &discovery {
-            ScriptedWatch::open(discovery).send_line(&endpoint_list_json(42, true, &scenario.known));
+            ScriptedWatch::open(discovery).send_endpoints(42, true, &scenario.known);
         }
         for node in [&older, &newer] {
             assert!(
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -6,8 +6,8 @@
 use std::process::Command;
 
 use crate::common::{
-    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, endpoint_list_json, node_config,
-    node_config_with_console, open_request, wait_for_counter, wait_until,
+    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, node_config, node_config_with_console,
+    open_request, wait_for_counter, wait_until,
 };
 
 /// Runs the program to its end, with these variables alone of its own.
@@ -121,7 +121,7 @@
     session.begin_phase("before the list");
     session.send(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
     let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(42, true, &[worker.endpoint_json("s-1", "in_service")]);
     wait_until("it stays unready", || node.get("/ready").status() == 200);
     session.begin_phase("with the list");
     session.send(&[
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -70,7 +70,7 @@
         let (mut poller, mut client) = (Client::idle(&node), Client::idle(&node));
         let discovery = stopped.start();
         let watch = ScriptedWatch::open(&discovery);
-        watch.send_line(&endpoint_list_json(42, true, &known("terminating")));
+        watch.send_endpoints(42, true, &known("terminating"));
         poller.wait_for_counter(CHANGES, 2);
         for n in 0..4 {
             let id = format!("r{n}");
@@ -117,7 +117,7 @@
     let moved = ScriptedServer::start();
     node.reload_config(&config_for(moved.address));
     let watch = ScriptedWatch::open(&moved);
-    watch.send_line(&endpoint_list_json(42, true, &known));
+    watch.send_endpoints(42, true, &known);
     poller.wait_for_counter(CHANGES, 3);
     assert_eq!(node.get("/ready").status(), 200);
     assert_eq!(poller.counter("curlewusher_accept_failures_total"), 0);
@@ -184,7 +184,7 @@
         // The saved list has a version and no worker: changes since that version would list no worker either.
         assert_eq!(watch.since(), "0");
         assert_eq!(node.get("/ready").status(), 503, "a watch without a list does not count");
-        watch.send_line(&endpoint_list_json(42, true, &[worker.endpoint_json("s-1", "in_service")]));
+        watch.send_endpoints(42, true, &[worker.endpoint_json("s-1", "in_service")]);
         wait_until("it stays unready", || node.get("/ready").status() == 200);
         node.assert_serves(&worker, "r1", "view", "s-1");
     }
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::common::{
     COMPLETED, Client, FullBacklogWorker, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, call_operator,
-    callback_request, close_and_wait_for_arrival, endpoint_list_json, node_config_with_long_timeouts,
-    read_response, wait_for_counter, wait_for_unread_bytes,
+    callback_request, close_and_wait_for_arrival, node_config_with_long_timeouts, read_response,
+    wait_for_counter, wait_for_unread_bytes,
 };
 
 const CHANGES: &str = "curlewusher_transport_map_changes_total";
@@ -72,8 +72,8 @@
         let changes = node.counter(CHANGES);
         let second = other.endpoint_json("s-2", "in_service");
         match status {
-            "not in the list" => watch.send_line(&endpoint_list_json(43, true, &[second])),
-            _ => watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json(status), second])),
+            "not in the list" => watch.send_endpoints(43, true, &[second]),
+            _ => watch.send_endpoints(43, false, &[worker.endpoint_json(status), second]),
         }
         wait_for_counter(&node, CHANGES, changes + 1);
         if status == "in_service" {
@@ -96,11 +96,11 @@
     let (node, watch, _discovery) = start_node(&worker);
     let client = submit_connecting_job(&node);
     let held = node.pause();
-    watch.send_line(&endpoint_list_json(
+    watch.send_endpoints(
         43,
         false,
         &[worker.endpoint_json("terminating"), other.endpoint_json("s-2", "in_service")],
-    ));
+    );
     worker.drain_backlog();
     let mut stream = worker.accept();
     drop(held);
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::common::{
     Node, ScriptedProcess, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator,
-    callback_request, endpoint_list_json, job_request, node_config_for_handover, open_request, read_response,
-    send_request, wait_for_counter,
+    callback_request, job_request, node_config_for_handover, open_request, read_response, send_request,
+    wait_for_counter,
 };
 
 /// Digits of a moment in microseconds since the Unix epoch.
@@ -281,7 +281,7 @@
     let operators = node.operator_address();
     let mut older = RecordedExchange::new(other, ["older", "newer"], workers);
     let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, &workers.known()));
+    watch.send_endpoints(42, true, &workers.known());
     let seq = older.expect_frame(Frame::TakeoverRequest);
     older.send(seq, Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
     let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -6,8 +6,8 @@
 
 use crate::common::{
     FullBacklogWorker, HttpMessage, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, TEST_TIMEOUT,
-    call_operator, endpoint_json, endpoint_list_json, next_request_at_either, node_config,
-    node_config_with_console, read_response, wait_for_counter, wait_until,
+    call_operator, endpoint_json, next_request_at_either, node_config, node_config_with_console,
+    read_response, wait_for_counter, wait_until,
 };
 
 const POST: &str = "POST /api/k1?q=2 HTTP/1.1";
@@ -58,7 +58,7 @@
     let discovery = ScriptedServer::start();
     let node = Node::start(&node_config(discovery.address, &known));
     let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, &known));
+    watch.send_endpoints(42, true, &known);
     (workers, node, watch)
 }
 
@@ -290,7 +290,7 @@
     got.write_raw("HTTP/1.1 202 Accepted\r\nContent-Length: 4\r\n\r\n");
     wait_for_counter(&node, "curlewusher_delivery_attempts_accepted_total", 1);
     node.complete_job(client, "r1", "s-1");
-    watch.send_list_and_wait(&restart_line(&known), &node);
+    watch.send_endpoints_and_wait(43, false, &[restarted(&known)], &node);
     let (client, second) = submit_to(&node, &worker, "r2", "order", 8.0);
     assert_ne!(second.connection, got.connection);
     node.serve_job(client, &second, "r2", "s-1");
@@ -306,7 +306,7 @@
     let older = Node::start_older(&node_config_with_console(first.address, &known));
     let _operators = older.operator_address();
     let watch = ScriptedWatch::open(&first);
-    watch.send_line(&endpoint_list_json(42, true, &known));
+    watch.send_endpoints(42, true, &known);
     let (client, got) = submit_to(&older, &worker, "r1", "order", 0.5);
     got.accept();
     // The worker never answers, and the job's time is up.
@@ -317,7 +317,7 @@
     let newer = Node::wait_until_serving(older.spawn_beside(second.address));
     let operators = newer.operator_address();
     let watch = ScriptedWatch::open(&second);
-    watch.send_line(&endpoint_list_json(42, true, &known));
+    watch.send_endpoints(42, true, &known);
     older.wait_for_log_line("phase changed node=n0 phase=retired");
     wait_until("the newer process does not serve", || call_operator(operators, "READY\n") == "+OK");
     while worker.try_next_request().is_some() {}
@@ -329,20 +329,19 @@
     }
 }
 
-/// The line that says that the process of this endpoint has restarted.
-fn restart_line(endpoint: &str) -> String {
-    let restarted = endpoint.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#);
-    endpoint_list_json(43, false, &[restarted])
+/// This endpoint after a restart of its process.
+fn restarted(endpoint: &str) -> String {
+    endpoint.replace(r#""since_ms":0"#, r#""since_ms":1700000000000"#)
 }
 
-/// A node whose idle connections are of use for longer than any test may take, and one worker.
+/// A node that reuses idle connections for longer than any test takes, and knows one worker.
 fn start_with_lasting_connections(worker: &ScriptedServer) -> (Node, ScriptedWatch, String) {
     let discovery = ScriptedServer::start();
     let known = worker.endpoint_json("s-1", "in_service");
     let config = node_config(discovery.address, std::slice::from_ref(&known));
     let node = Node::start_with_operator_file(&config, "[next_hop]\nreuse_ms = 600000\n");
     let watch = ScriptedWatch::open(&discovery);
-    watch.send_line(&endpoint_list_json(42, true, std::slice::from_ref(&known)));
+    watch.send_endpoints(42, true, std::slice::from_ref(&known));
     (node, watch, known)
 }
 
@@ -357,7 +356,7 @@
         node.serve_job(client, &first, "r1", "s-1");
         let client = node.submit_job("r2", "order", 8.0);
         wait_for_counter(&node, "curlewusher_jobs_taken_total", 2);
-        watch.send_line(&restart_line(&known));
+        watch.send_endpoints(43, false, &[restarted(&known)]);
         let second = worker.next_request();
         node.serve_job(client, &second, "r2", "s-1");
         second.connection != first.connection
