--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -7,8 +7,8 @@
 use socket2::SockRef;
 
 use crate::common::{
-    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, endpoint_list_json, job_request,
-    node_config, open_request, read_response, send_request, wait_until,
+    Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, TEST_TIMEOUT, job_request, node_config,
+    open_request, read_response, send_request, wait_until,
 };
 
 /// Closes a connection, with a reset or in good order.
@@ -37,7 +37,7 @@
         }
     }
     let worker = ScriptedServer::start();
-    watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+    watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
     let client = node.submit_job("last", "view", 9.0);
     let got = worker.next_request();
     assert_eq!(got.message.header("x-request-id"), Some("last"));
@@ -57,7 +57,7 @@
     worker.next_request().accept();
     close(client, false);
     wait_until("the client is not seen to leave", || node.counter("curlewusher_clients_gone_total") == 1);
-    assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+    worker.expect_withdrawal("r1");
 }
 
 #[test]
@@ -267,8 +267,7 @@
         }
         if n % 50 == 49 {
             let id = format!("r{n}");
-            let client = node.submit_job(&id, "view", 9.0);
-            node.serve_job(client, &worker.next_request(), &id, "s-1");
+            node.assert_serves(&worker, &id, "view", "s-1");
             assert_eq!(node.get("/ready").status(), 200);
         }
     }
@@ -287,8 +286,7 @@
     let (worker, node, _watch, _discovery) = start_with_64_descriptors();
     // More than the connection budget; each blocks its responses, and stays connected.
     let _crowd: Vec<_> = (0..40).map(|_| connect_client_that_reads_nothing(&node)).collect();
-    let client = node.submit_job("r1", "view", 9.0);
-    node.serve_job(client, &worker.next_request(), "r1", "s-1");
+    node.assert_serves(&worker, "r1", "view", "s-1");
 }
 
 #[test]
@@ -300,7 +298,7 @@
     // Its worker has received the withdrawal and does not respond. By the time of the second withdrawal the node has
     // closed all its connections.
     for _ in 0..2 {
-        assert_eq!(worker.next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
+        worker.expect_withdrawal("r1");
     }
     let late = send_request(node.address, &job_request("r2", "view", 9.0, ""));
     assert_eq!((late.status(), late.header("connection")), (503, Some("close")));
@@ -386,7 +384,7 @@
             client.write_all(rest.as_bytes()).expect("it reads on");
         }
         let worker = ScriptedServer::start();
-        watch.send_line(&endpoint_list_json(43, false, &[worker.endpoint_json("s-1", "in_service")]));
+        watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
         complete_next_jobs(&node, &worker, begun.len() + 1);
         assert_answered_before_exit(node, begun.into_iter().map(|(client, _)| client).chain([first]), 200);
         true
--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -2,8 +2,13 @@
 
 use std::net::SocketAddr;
 
+use super::node_requests::wait_for_counter;
+use super::process::Node;
 use super::scripted_server::{ReceivedRequest, ScriptedServer};
 
+/// The counter of the lists and changes that a node has read.
+const LISTS_READ: &str = "curlewusher_transport_map_changes_total";
+
 /// The endpoint watch that a node has opened at discovery.
 pub struct ScriptedWatch(ReceivedRequest);
 
@@ -27,7 +32,7 @@
     /// Waits for the node to open its watch, and sends the list of all these endpoints.
     pub fn answer(discovery: &ScriptedServer, endpoints: &[String]) -> ScriptedWatch {
         let watch = ScriptedWatch::open(discovery);
-        watch.send_line(&endpoint_list_json(42, true, endpoints));
+        watch.send_endpoints(42, true, endpoints);
         watch
     }
 
@@ -42,6 +47,18 @@
         self.write_raw(&chunk);
     }
 
+    /// Sends a line with a snapshot of all endpoints, or a change of some.
+    pub fn send_endpoints(&self, index: u64, snapshot: bool, endpoints: &[String]) {
+        self.send_line(&endpoint_list_json(index, snapshot, endpoints));
+    }
+
+    /// Like [`Self::send_endpoints`]; waits until the node has read the line.
+    pub fn send_endpoints_and_wait(&self, index: u64, snapshot: bool, endpoints: &[String], node: &Node) {
+        let before = node.counter(LISTS_READ);
+        self.send_endpoints(index, snapshot, endpoints);
+        wait_for_counter(node, LISTS_READ, before + 1);
+    }
+
     /// Like [`Self::send_line`] for a node that may have closed the watch; returns whether it was written.
     pub fn try_send_line(&self, line: &str) -> bool {
         self.try_write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
