--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -37,8 +37,8 @@
 /// A worker's number folded to 16 bits. Collisions are unlikely among the workers of one subset; a collision makes
 /// the estimate of one worker's load wrong.
 pub(crate) fn short_worker_id(worker: WorkerId) -> u16 {
-    let id = worker.0;
-    (id ^ id >> 16 ^ id >> 32 ^ id >> 48) as u16
+    let number = worker.0;
+    (number ^ number >> 16 ^ number >> 32 ^ number >> 48) as u16
 }
 
 /// Appends an entry to a message. Values over the maximum are encoded as the maximum.
--- a/crates/core/src/state/migration.rs
+++ b/crates/core/src/state/migration.rs
@@ -136,13 +136,13 @@
     pub(crate) fn restore_in_flight(
         &self,
         now: Timestamp,
-        id: JobId,
+        job: JobId,
     ) -> impl Iterator<Item = (WorkerId, InFlightAttempt)> {
         let numbered = self.attempts.iter().zip(0..);
         numbered.filter_map(move |(attempt, number)| {
             let in_flight = attempt.in_flight.as_ref().filter(|_| attempt.outcome.is_none())?;
-            let id = AttemptId { job: id, number };
-            Some((WorkerId(attempt.worker), in_flight.restore(now, id, attempt.sent_at)))
+            let attempt_id = AttemptId { job, number };
+            Some((WorkerId(attempt.worker), in_flight.restore(now, attempt_id, attempt.sent_at)))
         })
     }
 
--- a/crates/testbed/src/faults/links.rs
+++ b/crates/testbed/src/faults/links.rs
@@ -6,58 +6,65 @@
 
 use super::FaultInjection;
 use crate::proxy::LinkState;
-use crate::scenario::FaultKind;
 
 /// Delay of each answer over a slow link.
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(150);
 
+/// How a link fails.
+#[derive(Clone, Copy)]
+pub(super) enum LinkImpairment {
+    /// All bytes are dropped without an error.
+    Cut,
+    /// Connections are reset, also new ones.
+    Refused,
+    /// Open connections are reset, once.
+    Reset,
+    /// Answers arrive late and in small pieces.
+    Slow,
+}
+
 impl FaultInjection<'_> {
-    /// Links are impaired until the end of the fault. A reset is over at once.
-    pub(super) async fn impair_links(&self) {
-        let kind = self.fault.kind;
-        self.change_links(|link| impair(link, kind));
-        self.wait_for_end().await;
-        self.change_links(|link| restore(link, kind));
+    pub(super) async fn impair_discovery_links(&self, impairment: LinkImpairment) {
+        self.impair_links(&self.environment.fleet.links.discovery, impairment).await;
     }
 
-    fn change_links(&self, change: impl Fn(&mut LinkState)) {
-        let links = self.links();
-        self.targets.iter().for_each(|target| links[*target].send_modify(&change));
+    pub(super) async fn impair_worker_links(&self, impairment: LinkImpairment) {
+        self.impair_links(&self.environment.fleet.links.workers, impairment).await;
     }
 
-    /// The links of the kind that the fault acts on, by worker or by node.
-    fn links(&self) -> &[watch::Sender<LinkState>] {
-        let links = &self.environment.fleet.links;
-        match self.fault.kind {
-            FaultKind::WorkerLinkCut | FaultKind::WorkerLinkReset | FaultKind::WorkerLinkSlow => {
-                &links.workers
+    /// Links are impaired until the end of the fault. A reset is over at once.
+    async fn impair_links(&self, links: &[watch::Sender<LinkState>], impairment: LinkImpairment) {
+        let change_links = |change: fn(&mut LinkState, LinkImpairment)| {
+            for target in &self.targets {
+                links[*target].send_modify(|link| change(link, impairment));
             }
-            _ => &links.discovery,
-        }
+        };
+        change_links(impair);
+        self.wait_for_end().await;
+        change_links(restore);
     }
 }
 
-fn impair(link: &mut LinkState, kind: FaultKind) {
-    match kind {
-        FaultKind::DiscoveryLinkCut | FaultKind::WorkerLinkCut => link.is_cut = true,
-        FaultKind::DiscoveryLinkRefused => link.refuse(),
-        FaultKind::DiscoveryLinkReset | FaultKind::WorkerLinkReset => link.resets += 1,
-        FaultKind::DiscoveryLinkSlow | FaultKind::WorkerLinkSlow => {
+fn impair(link: &mut LinkState, impairment: LinkImpairment) {
+    match impairment {
+        LinkImpairment::Cut => link.is_cut = true,
+        LinkImpairment::Refused => link.refuse(),
+        LinkImpairment::Reset => link.resets += 1,
+        LinkImpairment::Slow => {
             link.in_pieces = true;
             link.answer_delay = SLOW_LINK_DELAY;
         }
-        _ => {}
     }
 }
 
-fn restore(link: &mut LinkState, kind: FaultKind) {
-    match kind {
-        FaultKind::DiscoveryLinkCut | FaultKind::WorkerLinkCut => link.heal(),
-        FaultKind::DiscoveryLinkRefused => link.is_refusing = false,
-        FaultKind::DiscoveryLinkSlow | FaultKind::WorkerLinkSlow => {
+fn restore(link: &mut LinkState, impairment: LinkImpairment) {
+    match impairment {
+        LinkImpairment::Cut => link.heal(),
+        LinkImpairment::Refused => link.is_refusing = false,
+        LinkImpairment::Reset => {}
+        LinkImpairment::Slow => {
             link.in_pieces = false;
             link.answer_delay = Duration::ZERO;
         }
-        _ => {}
     }
 }
--- a/crates/testbed/src/faults/mod.rs
+++ b/crates/testbed/src/faults/mod.rs
@@ -10,6 +10,7 @@
 use curlewusher_model::{TimeSpan, Timestamp};
 use tokio::time::{Instant, sleep_until};
 
+use self::links::LinkImpairment;
 use crate::environment::Environment;
 use crate::event_log::Event;
 use crate::operator_actions::{drain_node, maintain_worker};
@@ -58,13 +59,13 @@
             FaultKind::Reload => self.move_discovery().await,
             FaultKind::NodeStop | FaultKind::NodeKill => self.restart_nodes().await,
             FaultKind::NodePause => self.pause_nodes().await,
-            FaultKind::DiscoveryLinkCut
-            | FaultKind::DiscoveryLinkRefused
-            | FaultKind::DiscoveryLinkReset
-            | FaultKind::DiscoveryLinkSlow
-            | FaultKind::WorkerLinkCut
-            | FaultKind::WorkerLinkReset
-            | FaultKind::WorkerLinkSlow => self.impair_links().await,
+            FaultKind::DiscoveryLinkCut => self.impair_discovery_links(LinkImpairment::Cut).await,
+            FaultKind::DiscoveryLinkRefused => self.impair_discovery_links(LinkImpairment::Refused).await,
+            FaultKind::DiscoveryLinkReset => self.impair_discovery_links(LinkImpairment::Reset).await,
+            FaultKind::DiscoveryLinkSlow => self.impair_discovery_links(LinkImpairment::Slow).await,
+            FaultKind::WorkerLinkCut => self.impair_worker_links(LinkImpairment::Cut).await,
+            FaultKind::WorkerLinkReset => self.impair_worker_links(LinkImpairment::Reset).await,
+            FaultKind::WorkerLinkSlow => self.impair_worker_links(LinkImpairment::Slow).await,
             FaultKind::NodeDrain => self.drain_nodes().await,
             FaultKind::Maintenance => self.maintain_workers().await,
             FaultKind::Upgrade | FaultKind::KillInUpgrade => self.upgrade_nodes().await,
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -104,7 +104,21 @@
     assert_eq!(text(&out.stdout).lines().count(), 3, "{out:?}");
 }
 
-const HARD: &str = r#"
+/// The only class of the scenarios of scripted nodes.
+const ORDER_CLASS: &str = r#"
+[[class]]
+name = "order"
+share = 1.0
+mean_s = 0.15
+repeats = "unsafe"
+aim_s = 1.0
+stretch = 2.0
+give_up_s = 3.0
+worth = 1.0
+"#;
+
+/// Workers that drain, end and start: what the rules on jobs are about.
+const EVERY_RULE: &str = r#"
 title = "every rule in reach"
 seed = 3
 length_s = 5.0
@@ -117,15 +131,6 @@
 [load]
 rate = 40.0
 retries = 0
-[[class]]
-name = "order"
-share = 1.0
-mean_s = 0.15
-repeats = "unsafe"
-aim_s = 1.0
-stretch = 2.0
-give_up_s = 3.0
-worth = 1.0
 [[fault]]
 at_s = 0.5
 kind = "drain"
@@ -141,56 +146,55 @@
 of = [6]
 "#;
 
-/// Plays a scenario on scripted nodes side by side. With each flaw the checker must print these words, or nothing at all.
-fn assert_findings(scenario: &Path, folder_prefix: &str, findings: &[(&str, Option<&str>)]) {
-    let scenario = scenario.to_str().expect("a path");
+/// Plays a scenario on scripted nodes side by side. With each flaw the checker must print its words, and without a flaw
+/// nothing at all.
+fn assert_findings(name: &str, scenario: &str, findings: &[(&str, &str)]) {
+    let file = folder(&format!("{name}.toml"));
+    std::fs::write(&file, [scenario, ORDER_CLASS].concat()).expect("a scenario file");
+    let play =
+        |flaw: &str| run(file.to_str().expect("a path"), &format!("{name}-{flaw}"), &["--scripted", flaw]);
+    let play = &play;
     std::thread::scope(|scope| {
+        scope.spawn(|| assert_nothing_is_found(&play("none")));
         for (flaw, words) in findings {
-            scope.spawn(move || {
-                let out = run(scenario, &format!("{folder_prefix}-{flaw}"), &["--scripted", flaw]);
-                let printed = text(&out.stderr);
-                match words {
-                    None => {
-                        assert_no_rule_is_broken(&out);
-                        assert!(printed.is_empty(), "{flaw}: {printed}");
-                    }
-                    Some(words) => {
-                        assert!(out.status.code() == Some(1) && printed.contains(words), "{flaw}: {printed}");
-                        // A person reads the timeline of the request or command.
-                        assert!(
-                            printed.starts_with("CRASH") || printed.contains(" s  "),
-                            "{flaw}: {printed}"
-                        );
-                    }
-                }
-            });
+            scope.spawn(move || assert_flaw_is_found(flaw, &play(flaw), words));
         }
     });
 }
 
+fn assert_nothing_is_found(output: &Output) {
+    assert_no_rule_is_broken(output);
+    assert!(output.stderr.is_empty(), "{output:?}");
+}
+
+fn assert_flaw_is_found(flaw: &str, output: &Output, words: &str) {
+    let printed = text(&output.stderr);
+    assert!(output.status.code() == Some(1) && printed.contains(words), "{flaw}: {printed}");
+    // A person reads the timeline of the request or command.
+    assert!(printed.starts_with("CRASH") || printed.contains(" s  "), "{flaw}: {printed}");
+}
+
 #[test]
 fn scripted_node_breaks_a_rule_then_the_checker_reports_it_and_otherwise_nothing() {
-    let file = folder("hard.toml");
-    std::fs::write(&file, HARD).expect("a place");
     assert_findings(
-        &file,
-        "judge",
+        "every-rule",
+        EVERY_RULE,
         &[
-            ("none", None),
-            ("lost-answer", Some("OneAnswer")),
-            ("forged-result", Some("no worker made")),
-            ("two-at-once", Some("while an attempt of it was out")),
-            ("run-again", Some("went out again and may have run")),
-            ("wrong-refusal", Some("was refused, which calls a repeat harmless")),
-            ("deaf-to-drains", Some("QuietDrain")),
-            ("rush-to-the-new", Some("GentleStart")),
-            ("crash", Some("CRASH node 0 ended by itself")),
-            ("deaf-to-the-end", Some("CRASH node 0 did not end by itself")),
+            ("lost-answer", "OneAnswer"),
+            ("forged-result", "no worker made"),
+            ("two-at-once", "while an attempt of it was out"),
+            ("run-again", "went out again and may have run"),
+            ("wrong-refusal", "was refused, which calls a repeat harmless"),
+            ("deaf-to-drains", "QuietDrain"),
+            ("rush-to-the-new", "GentleStart"),
+            ("crash", "CRASH node 0 ended by itself"),
+            ("deaf-to-the-end", "CRASH node 0 did not end by itself"),
         ],
     );
 }
 
-const DAILY: &str = r#"
+/// A drain of a node, maintenance of a worker and an upgrade: what the rules on operations are about.
+const DAILY_OPERATION: &str = r#"
 title = "operators' work"
 seed = 3
 length_s = 9.0
@@ -205,15 +209,6 @@
 rate = 40.0
 retries = 0
 new_connections = 0.5
-[[class]]
-name = "order"
-share = 1.0
-mean_s = 0.15
-repeats = "unsafe"
-aim_s = 1.0
-stretch = 2.0
-give_up_s = 3.0
-worth = 1.0
 [[fault]]
 at_s = 0.5
 for_s = 4.5
@@ -233,25 +228,22 @@
 
 #[test]
 fn scripted_node_fails_in_upgrades_drains_or_maintenance_then_the_checker_reports_it_and_otherwise_nothing() {
-    let file = folder("daily.toml");
-    std::fs::write(&file, DAILY).expect("a place");
     assert_findings(
-        &file,
-        "judge-daily",
+        "daily-operation",
+        DAILY_OPERATION,
         &[
-            ("none", None),
-            ("drops-its-jobs", Some("had no answer from node 1: Some(Closed)")),
-            ("resets-its-queue", Some("an upgrade of node 1 harmed")),
-            ("never-ready", Some("did not say yes to READY within 6 s")),
-            ("yes-while-drained", Some("says yes 4 s after the call of its drain")),
-            ("holds-connections", Some("4 s after its drain:")),
-            ("stays-drained", Some("says no yes 2 s after the end of its drain")),
-            ("forgets-bans", Some("which is out")),
-            ("never-back", Some("not for 5 s after it was called back")),
-            ("late-on-console", Some("answered DRAIN after")),
+            ("drops-its-jobs", "had no answer from node 1: Some(Closed)"),
+            ("resets-its-queue", "an upgrade of node 1 harmed"),
+            ("never-ready", "did not say yes to READY within 6 s"),
+            ("yes-while-drained", "says yes 4 s after the call of its drain"),
+            ("holds-connections", "4 s after its drain:"),
+            ("stays-drained", "says no yes 2 s after the end of its drain"),
+            ("forgets-bans", "which is out"),
+            ("never-back", "not for 5 s after it was called back"),
+            ("late-on-console", "answered DRAIN after"),
         ],
     );
-    let upgrades = &figures("judge-daily-none")["daily"]["upgrades"];
+    let upgrades = &figures("daily-operation-none")["daily"]["upgrades"];
     assert!(upgrades[0]["ready_s"].is_number() && upgrades[0]["killed"] == false, "{upgrades}");
 }
 
@@ -323,7 +315,8 @@
 #[test]
 fn run_cannot_begin_then_it_says_why_and_leaves_nothing_running() {
     let bad = folder("bad.toml");
-    std::fs::write(&bad, HARD.replace("rate = 40.0", "rate = -1")).expect("a place");
+    std::fs::write(&bad, [EVERY_RULE, ORDER_CLASS].concat().replace("rate = 40.0", "rate = -1"))
+        .expect("a place");
     let out = run(bad.to_str().expect("a path"), "bad", &[]);
     let printed = text(&out.stderr);
     assert!(
