--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -45,7 +45,7 @@
 enum Ownership {
     /// The other process granted its claim.
     Granted,
-    /// There was no other process to ask, or the link was lost.
+    /// There was no other process that could claim the job, or the link was lost.
     Unchecked,
 }
 
@@ -133,7 +133,7 @@
         let is_accepted = response.iter().flatten().any(|command| *command == TakeoverCommand::AcceptHello);
         let predecessor = listener.filter(|_| is_accepted);
         match response.as_deref() {
-            // It asks again later, and has done nothing yet.
+            // The process has done nothing yet and sends its hello again later.
             Some([TakeoverCommand::RejectHello(RejectReason::Busy)]) => return,
             Some([TakeoverCommand::RejectHello(_)]) => self.partitioned = true,
             // The predecessor was killed, and its successor does not know it yet and does not listen.
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: owns the state, passes each event to the records in `state`, asks the decisions in `policy` and
+//! The dispatcher: owns the state, passes each event to the records in `state`, calls the decisions in `policy` and
 //! `permission` in their order, and carries out what they return. `docs/design/decisions.md` shows that order.
 //!
 //! | module | what it does |
--- a/crates/core/src/dispatcher/review.rs
+++ b/crates/core/src/dispatcher/review.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Reviews an open job: answers it when its time is up, else tries to have it started elsewhere.
+    /// Reviews an open job: answers it when its time is up, else attempts to have it started at another worker.
     fn review_job(&mut self, now: Timestamp, id: JobId) {
         let Some(mut job) = self.jobs.take(id) else { return };
         match self.deadline_context(now).review(&job) {
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -210,7 +210,8 @@
 
     /// Slots of the attempts that were running at that time and still are.
     pub fn slots_running_since(&self, time: Timestamp) -> f64 {
-        let running = |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|at| at <= time);
+        let running =
+            |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|started_at| started_at <= time);
         self.in_flight.iter().filter(running).map(|attempt| attempt.slots).sum()
     }
 
--- a/crates/core/tests/decisions/affinity.rs
+++ b/crates/core/tests/decisions/affinity.rs
@@ -53,7 +53,7 @@
         for job in 0..40 {
             let key = if job % interval == 0 { POPULAR_KEY } else { 1000 + job };
             let worker = node.place_with_key(job, 0, 0.1, key).expect("all are free");
-            // The worker that the node itself has used does not count: it drains.
+            // The worker that the node itself has used does not count: it is draining.
             if key == POPULAR_KEY {
                 workers[worker as usize].status = WorkerStatus::Draining;
             }
--- a/crates/node/src/handover/link/peer_request.rs
+++ b/crates/node/src/handover/link/peer_request.rs
@@ -31,7 +31,7 @@
         /// Its result.
         result: oneshot::Sender<CommandResult>,
     },
-    /// A job that the other process held, whose attempts go on.
+    /// A job that the other process held, whose attempts continue.
     MigrateJob {
         /// The job's record.
         job: Bytes,
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -32,9 +32,9 @@
 
 /// How long a process that is shutting down waits until its last frames are written.
 const LAST_FRAMES_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many hellos wait for the task; a further one is rejected as busy.
+/// How many hellos wait for the task; another is rejected as busy.
 const HELLO_QUEUE_LENGTH: usize = 1;
-/// How many events of this process wait for the task; their senders wait for room.
+/// How many events of this process wait for the task; their senders wait for capacity.
 const LOCAL_EVENT_QUEUE_LENGTH: usize = 16;
 
 /// The rendezvous listener, which the task opens and the handle closes.
--- a/crates/node/src/runtime/mod.rs
+++ b/crates/node/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: it is started, supervised, reconfigured and shut down here.
+//! The lifecycle of the process: it is started, supervised, reconfigured and shut down here.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/node/src/server/shutdown.rs
+++ b/crates/node/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Ends the server: drains it until no job is open, then closes its connections.
+//! Graceful shutdown of the server: it is drained until no job is open, then its connections are closed.
 
 use std::time::Duration;
 
--- a/crates/testbed/src/faults/workers.rs
+++ b/crates/testbed/src/faults/workers.rs
@@ -8,7 +8,7 @@
 use super::FaultInjection;
 use crate::fleet::FleetCommand;
 
-/// A worker that drains exits after this.
+/// A draining worker exits after this.
 const WORKER_DRAIN_TIME: Duration = Duration::from_secs(5);
 /// The factor of a worker that runs at its usual speed.
 const USUAL_SPEED: f64 = 1.0;
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -24,7 +24,7 @@
 /// A worker's process as its server shows it.
 pub(super) struct WorkerProcess {
     pub(super) listener: watch::Sender<ListenerState>,
-    /// Whether jobs that arrive are kept from the pool.
+    /// Whether the process reads requests without a response; the pool does not get the jobs that arrive.
     pub(super) is_silent: bool,
     pub(super) bay: u32,
 }
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -331,14 +331,13 @@
         "{out:?}"
     );
 
-    // A node that exits at once: its own words are shown.
+    // A node that exits at once: its standard error is shown.
     let broken = folder("broken-node");
-    std::fs::write(&broken, "#!/bin/sh\necho 'the moon is in the wrong house' >&2\nexit 1\n")
-        .expect("a place");
+    std::fs::write(&broken, "#!/bin/sh\necho 'no valid configuration' >&2\nexit 1\n").expect("a place");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
     std::fs::set_permissions(&broken, mode).expect("a mode");
     let out = run(SMOKE, "broken", &["--node", broken.to_str().expect("a path")]);
     let printed = text(&out.stderr);
     assert!(out.status.code() == Some(2) && printed.contains("node 0 ended before it served"), "{printed}");
-    assert!(printed.contains("the moon is in the wrong house"), "{printed}");
+    assert!(printed.contains("no valid configuration"), "{printed}");
 }
