--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -58,7 +58,7 @@
         (Some(broken), None, &["settings", "cold_share"][..]),
         (Some("{".to_owned()), None, &["config", "line 1"][..]),
         (
-            Some(usual().replacen("{", r#"{"console":"nowhere","#, 1)),
+            Some(usual().replacen('{', r#"{"console":"nowhere","#, 1)),
             None,
             &["config: console", "nowhere", "give one"][..],
         ),
--- a/crates/node/tests/common/scripted_process.rs
+++ b/crates/node/tests/common/scripted_process.rs
@@ -34,10 +34,10 @@
     /// Takes over from the node as its successor.
     pub fn take_over(node: &Node) -> ScriptedProcess {
         let mut successor = ScriptedProcess::connect(node);
-        successor.send_frame(0, Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
+        successor.send_frame(0, &Frame::Hello { node: "n0".into(), listen: "127.0.0.1:0".into() });
         successor.read_listener();
         assert!(matches!(successor.next_frame(), (_, Frame::Accepted(_))));
-        successor.send_frame(1, Frame::TakeoverRequest);
+        successor.send_frame(1, &Frame::TakeoverRequest);
         assert!(matches!(successor.next_frame(), (1, Frame::TakeoverGranted(_))));
         successor
     }
@@ -61,7 +61,7 @@
         let mut predecessor = ScriptedProcess::on_stream(handover_socket.accept().expect("a hello").0);
         assert!(matches!(predecessor.next_frame(), (_, Frame::Hello { .. })));
         predecessor.send_with_descriptor(listener, b"+");
-        predecessor.send_frame(0, Frame::Accepted(snapshot));
+        predecessor.send_frame(0, &Frame::Accepted(snapshot));
         (predecessor, Node::wait_until_serving((child, file)))
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Sends a frame.
-    pub fn send_frame(&mut self, seq: u64, frame: Frame) {
+    pub fn send_frame(&mut self, seq: u64, frame: &Frame) {
         self.stream.write_all(&frame.encode(seq).expect("short")).expect("it reads");
     }
 
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -102,7 +102,7 @@
     let (worker, node, client, mut successor, _discovery) = take_over_with_accepted_job(60.0);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
-    successor.send_frame(seq, Frame::MigrationResult(false));
+    successor.send_frame(seq, &Frame::MigrationResult(false));
     worker.expect_withdrawal("r1").respond("200 OK");
     drop(successor);
     node.wait_for_log_line("peer lost");
@@ -118,7 +118,7 @@
     let mut successor = ScriptedProcess::take_over(&node);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
-    successor.send_frame(seq, Frame::MigrationResult(false));
+    successor.send_frame(seq, &Frame::MigrationResult(false));
     drop(successor);
     node.wait_for_log_line("peer lost");
     watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
@@ -191,7 +191,7 @@
     ScriptedWatch::open(&discovery).send_endpoints(42, true, &known);
     let (seq, asks) = to_successor.next_frame();
     assert_eq!(asks, Frame::TakeoverRequest);
-    to_successor.send_frame(seq, Frame::TakeoverGranted("".into()));
+    to_successor.send_frame(seq, &Frame::TakeoverGranted("".into()));
     // What it sends next is not received.
     to_successor.stream.shutdown(Shutdown::Read).expect("it is up");
     let socket = TcpStream::connect(at).expect("it listens");
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -215,12 +215,16 @@
     scenario.assert_serves(&newer.node, "r3", 0);
     older.assert_call_succeeds("DISABLE s-1");
     older.assert_call_succeeds("ENABLE s-2");
-    ["r4", "r5"].iter().for_each(|id| scenario.assert_serves(&newer.node, id, 1));
+    for id in ["r4", "r5"] {
+        scenario.assert_serves(&newer.node, id, 1);
+    }
     newer.assert_call_succeeds("ENABLE s-1");
     scenario.assert_serves(&newer.node, "r6", 0);
     newer.assert_call_succeeds("DISABLE s-2");
     newer.node.kill();
-    ["r7", "r8"].iter().for_each(|id| scenario.assert_serves(&older.node, id, 0));
+    for id in ["r7", "r8"] {
+        scenario.assert_serves(&older.node, id, 0);
+    }
     assert!(older.call("DISABLE s-9").starts_with("-ERR never listed: s-9"));
     scenario.assert_no_further_request();
 }
@@ -284,7 +288,9 @@
     newer.assert_call_succeeds("ENABLE s-2");
     scenario.assert_serves(&newer.node, "r3", 1);
     newer.assert_call_succeeds("DISABLE s-2");
-    ["r4", "r5"].iter().for_each(|id| scenario.assert_serves(&newer.node, id, 0));
+    for id in ["r4", "r5"] {
+        scenario.assert_serves(&newer.node, id, 0);
+    }
     newer.assert_call_succeeds("ENABLE s-2");
     scenario.assert_serves(&newer.node, "r6", 1);
     scenario.assert_no_further_request();
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -14,7 +14,9 @@
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewusher"));
     let own = ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "CONSOLE"].map(|name| format!("RELAY_{name}"));
-    own.iter().for_each(|name| _ = command.env_remove(name));
+    for name in &own {
+        command.env_remove(name);
+    }
     command.env_remove("CURLEWUSHER_OPERATOR").envs(variables.iter().copied());
     let output = command.args(arguments).output().expect("the program starts");
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
--- a/crates/node/tests/randomized_lifecycle/lifecycle/callbacks.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/callbacks.rs
@@ -68,7 +68,7 @@
             // It never ran, whatever was recorded before.
             CallbackState::Returned => this.attempts[attempt].ended = Some(AttemptEnd { ran: false }),
         }
-        self.record(job, format!("attempt {attempt}: calls back {state:?}, {delivery:?}"));
+        self.record(job, &format!("attempt {attempt}: calls back {state:?}, {delivery:?}"));
         let (times, cut) = match delivery {
             Delivery::Times(times) => (times, text.len()),
             Delivery::InTwoParts => (1, text.len() / 2),
@@ -87,7 +87,7 @@
         if self.paused_until_event > 0 || accepted_again && !TELLS_REPEATED_CALLBACKS_APART {
             return;
         }
-        self.record(job, format!("attempt {attempt}: repeats {state:?}"));
+        self.record(job, &format!("attempt {attempt}: repeats {state:?}"));
         let text = self.callback_of(job, attempt, state);
         let cut = text.len();
         self.open_callback(text, cut, 0);
--- a/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
@@ -37,22 +37,19 @@
 /// The request that submits a job.
 fn job_request(job: &Job, cost_hint_us: u64, chunked: bool) -> String {
     let Job { id, class, path, key, body, deadline, .. } = job;
-    let mut request = format!(
+    let key_header = key.as_ref().map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+    let length = body.len();
+    let body = if chunked {
+        format!("Transfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n")
+    } else {
+        format!("Content-Length: {length}\r\n\r\n{body}")
+    };
+    format!(
         "POST {path} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nX-Class: {}\r\nX-Deadline: {:.3}\r\n\
-         X-Cost-Hint: {cost_hint_us}\r\n",
+         X-Cost-Hint: {cost_hint_us}\r\n{key_header}{body}",
         class.name(),
         deadline.as_secs_f64(),
-    );
-    if let Some(key) = key {
-        request += &format!("Idempotency-Key: {key}\r\n");
-    }
-    let length = body.len();
-    request
-        + &if chunked {
-            format!("Transfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n")
-        } else {
-            format!("Content-Length: {length}\r\n\r\n{body}")
-        }
+    )
 }
 
 impl Lifecycle {
@@ -73,7 +70,7 @@
         let pipelined = if form == RequestForm::WithPipelinedData { PIPELINED_DATA[b % 3] } else { "" };
         let client = &mut self.clients[at];
         client.job = Some(number);
-        client.rest = rest.to_owned();
+        rest.clone_into(&mut client.rest);
         client.reused |= in_part;
         client.has_pipelined_data = !pipelined.is_empty();
         client.connection.write(&format!("{first}{pipelined}"));
@@ -88,7 +85,7 @@
         }
         let summary = format!("{:?} of {:?}, {cut} bytes written, connection {at}", job.class, job.deadline);
         self.jobs.push(job);
-        self.record(number, summary);
+        self.record(number, &summary);
     }
 
     /// The next job, of which nothing is written yet.
@@ -147,7 +144,7 @@
         client.connection.write(&rest);
         self.jobs[job].sent_at = Some((Instant::now(), self.event_count));
         self.jobs[job].outcome = Outcome::Pending;
-        self.record(job, "the rest is written".into());
+        self.record(job, "the rest is written");
     }
 
     /// A client closes its connection, whether it waits for a response or is idle.
@@ -162,7 +159,7 @@
         if let Some(job) = client.job.take() {
             self.jobs[job].outcome = Outcome::ClientLeft;
             self.jobs[job].left_at = Some(Instant::now());
-            self.record(job, format!("its client leaves, with a reset: {reset}"));
+            self.record(job, &format!("its client leaves, with a reset: {reset}"));
         }
     }
 
@@ -175,7 +172,7 @@
             };
             client.job = None;
             client.reused = true;
-            self.record(job, format!("answered: {} {:?}", message.start_line, message.body));
+            self.record(job, &format!("answered: {} {:?}", message.start_line, message.body));
             if let Err(what) =
                 self.jobs[job].check_response(&message, self.rules, self.terminated_at.is_some())
             {
@@ -198,7 +195,7 @@
         let (&Some(job), Some(_), reused) = (job, connection.end, *reused) else { return };
         let partial_response = String::from_utf8_lossy(&connection.bytes).into_owned();
         self.clients[at].job = None;
-        self.record(job, format!("its connection ends after {partial_response:?}"));
+        self.record(job, &format!("its connection ends after {partial_response:?}"));
         let unread = self.jobs[job].attempts.is_empty() && partial_response.is_empty();
         let late =
             self.jobs[job].sent_at.zip(self.terminated_at).is_some_and(|((sent_at, _), terminated_at)| {
--- a/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
@@ -68,7 +68,7 @@
         let (first, rest) = chunk.split_at(if in_parts { chunk.len() / 2 } else { chunk.len() });
         let whole = std::mem::take(&mut watch.rest);
         watch.connection.write(&format!("{whole}{first}"));
-        watch.rest = rest.to_owned();
+        rest.clone_into(&mut watch.rest);
         watch.last_line_at = Instant::now();
         self.lines_written += 1;
     }
@@ -161,9 +161,12 @@
         watch.connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         watch.open = true;
         let is_snapshot = since == 0 || drawn.is_multiple_of(2);
-        let is_listed = |worker: &&Worker| match is_snapshot {
-            true => worker.status != EndpointStatus::Terminated,
-            false => worker.changed_in_version > since,
+        let is_listed = |worker: &&Worker| {
+            if is_snapshot {
+                worker.status != EndpointStatus::Terminated
+            } else {
+                worker.changed_in_version > since
+            }
         };
         let endpoints: Vec<_> = self.workers.iter().filter(is_listed).map(Worker::endpoint_json).collect();
         let line = endpoint_list_json(self.list_version, is_snapshot, &endpoints);
--- a/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
@@ -178,7 +178,7 @@
     }
 
     /// Adds a line to the history of a job, which is shown where the job breaks an invariant.
-    pub(super) fn record(&mut self, job: usize, text: String) {
+    pub(super) fn record(&mut self, job: usize, text: &str) {
         let at = self.started_at.elapsed().as_millis();
         self.jobs[job].history.push(format!("event {} at {at} ms: {text}", self.event_count));
     }
--- a/crates/node/tests/randomized_lifecycle/lifecycle/sockets.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/sockets.rs
@@ -24,31 +24,8 @@
         for client in &mut self.clients {
             any |= client.connection.read();
         }
-        for worker in 0..self.workers.len() {
-            while let Ok((stream, _)) = self.workers[worker].listener.accept() {
-                self.worker_connections.push(WorkerConnection {
-                    connection: Connection::new(stream),
-                    worker,
-                    carries: None,
-                    free: true,
-                    has_stray_response: false,
-                });
-                any = true;
-            }
-        }
-        for at in 0..2 {
-            while let Ok((stream, _)) = self.discoveries[at].accept() {
-                let (connection, rest) = (Connection::new(stream), String::new());
-                self.watches.push(WatchConnection {
-                    connection,
-                    open: false,
-                    silent: false,
-                    rest,
-                    last_line_at: now,
-                });
-                any = true;
-            }
-        }
+        any |= self.accept_worker_connections();
+        any |= self.accept_watches(now);
         for index in 0..self.worker_connections.len() {
             any |= self.worker_connections[index].connection.read();
             // A part may have been read before, by a check for the end of the connection.
@@ -77,6 +54,43 @@
         any
     }
 
+    /// Accepts the connections to workers; returns whether there were any.
+    fn accept_worker_connections(&mut self) -> bool {
+        let mut any = false;
+        for worker in 0..self.workers.len() {
+            while let Ok((stream, _)) = self.workers[worker].listener.accept() {
+                self.worker_connections.push(WorkerConnection {
+                    connection: Connection::new(stream),
+                    worker,
+                    carries: None,
+                    free: true,
+                    has_stray_response: false,
+                });
+                any = true;
+            }
+        }
+        any
+    }
+
+    /// Accepts the connections to discovery; returns whether there were any.
+    fn accept_watches(&mut self, now: Instant) -> bool {
+        let mut any = false;
+        for at in 0..2 {
+            while let Ok((stream, _)) = self.discoveries[at].accept() {
+                let (connection, rest) = (Connection::new(stream), String::new());
+                self.watches.push(WatchConnection {
+                    connection,
+                    open: false,
+                    silent: false,
+                    rest,
+                    last_line_at: now,
+                });
+                any = true;
+            }
+        }
+        any
+    }
+
     /// Waits until a socket is readable, for this time at the most.
     pub(super) fn wait_for_input(&self, time: Duration) {
         let streams = (self.clients.iter().map(|c| &c.connection))
--- a/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
@@ -93,6 +93,30 @@
     }
 }
 
+const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\n";
+/// After these a connection is free for another request.
+const COMPLETE_REPLIES: [Reply; 6] =
+    [Reply::Accepted, Reply::AcceptedRest, Reply::NotRun, Reply::TimedOutNotRun, Reply::Busy, Reply::Error];
+
+fn reply_text(reply: Reply) -> String {
+    match reply {
+        Reply::Accepted => ACCEPTED.into(),
+        Reply::AcceptedEndless => "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf".into(),
+        Reply::AcceptedTwice => ACCEPTED.repeat(2),
+        Reply::AcceptedBegun => ACCEPTED[..15].into(),
+        Reply::AcceptedRest => ACCEPTED[15..].into(),
+        Reply::NotRun => format!("{BUSY}X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+        Reply::TimedOutNotRun => {
+            "HTTP/1.1 504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".into()
+        }
+        Reply::NotRunEndless => format!("{BUSY}X-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhalf"),
+        Reply::Busy => format!("{BUSY}Content-Length: 0\r\n\r\n"),
+        Reply::Error => "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
+        Reply::HalfLine => "HTTP/1.1 2".into(),
+        Reply::HalfHead => format!("{BUSY}X-Not-Run: 1\r\n"),
+    }
+}
+
 impl Lifecycle {
     /// Plays the next action of each attempt.
     pub(super) fn run_worker_actions(&mut self) {
@@ -115,17 +139,14 @@
                         self.handle_worker_connection_end(connection_index);
                         continue;
                     }
-                    match action {
-                        Action::Reply(reply) => self.write_reply(job, attempt, connection_index, reply),
-                        _ => {
-                            self.record(job, format!("attempt {attempt}: {action:?}"));
-                            self.worker_connections[connection_index]
-                                .connection
-                                .close(action == Action::Reset);
-                            if !self.jobs[job].attempts[attempt].accepted {
-                                self.record_attempt_end(job, attempt, "broken off", true);
-                            }
-                        }
+                    if let Action::Reply(reply) = action {
+                        self.write_reply(job, attempt, connection_index, reply);
+                        continue;
+                    }
+                    self.record(job, &format!("attempt {attempt}: {action:?}"));
+                    self.worker_connections[connection_index].connection.close(action == Action::Reset);
+                    if !self.jobs[job].attempts[attempt].accepted {
+                        self.record_attempt_end(job, attempt, "broken off", true);
                     }
                 }
             }
@@ -138,44 +159,20 @@
         let ended = &mut self.jobs[job].attempts[attempt].ended;
         if ended.is_none() {
             *ended = Some(AttemptEnd { ran });
-            self.record(job, format!("attempt {attempt} is over: {how}"));
+            self.record(job, &format!("attempt {attempt} is over: {how}"));
         }
     }
 
     /// Writes a scripted response and records what it means for the attempt.
     pub(super) fn write_reply(&mut self, job: usize, attempt: usize, connection_index: usize, reply: Reply) {
-        const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\n";
-        let text = match reply {
-            Reply::Accepted => ACCEPTED.into(),
-            Reply::AcceptedEndless => "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf".into(),
-            Reply::AcceptedTwice => ACCEPTED.repeat(2),
-            Reply::AcceptedBegun => ACCEPTED[..15].into(),
-            Reply::AcceptedRest => ACCEPTED[15..].into(),
-            Reply::NotRun => format!("{BUSY}X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-            Reply::TimedOutNotRun => {
-                "HTTP/1.1 504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".into()
-            }
-            Reply::NotRunEndless => format!("{BUSY}X-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhalf"),
-            Reply::Busy => format!("{BUSY}Content-Length: 0\r\n\r\n"),
-            Reply::Error => "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
-            Reply::HalfLine => "HTTP/1.1 2".into(),
-            Reply::HalfHead => format!("{BUSY}X-Not-Run: 1\r\n"),
-        };
-        self.record(job, format!("attempt {attempt}: {reply:?}"));
+        let text = reply_text(reply);
+        self.record(job, &format!("attempt {attempt}: {reply:?}"));
         let this = &mut self.worker_connections[connection_index];
         this.connection.write(&text);
         // On a connection that the node had closed by now the response does not count.
         this.connection.read();
         let delivered = this.connection.is_open();
-        let whole = [
-            Reply::Accepted,
-            Reply::AcceptedRest,
-            Reply::NotRun,
-            Reply::TimedOutNotRun,
-            Reply::Busy,
-            Reply::Error,
-        ];
-        this.free = whole.contains(&reply);
+        this.free = COMPLETE_REPLIES.contains(&reply);
         match reply {
             Reply::Accepted | Reply::AcceptedEndless | Reply::AcceptedTwice | Reply::AcceptedRest => {
                 let paused = self.paused_until_event > 0;
@@ -212,20 +209,12 @@
         if message.start_line.starts_with("DELETE") {
             return self.receive_withdrawal(connection_index, job);
         }
-        // Attempts that were cancelled before this request was written have ended by now.
-        for other in 0..self.worker_connections.len() {
-            if other != connection_index
-                && self.worker_connections[other].carries.is_some_and(|(carried, _)| carried == job)
-            {
-                self.worker_connections[other].connection.read();
-                self.handle_worker_connection_end(other);
-            }
-        }
+        self.record_cancelled_attempts(connection_index, job);
         let worker = self.worker_connections[connection_index].worker;
         let (cell, drain) = (self.workers[worker].cell, self.workers[worker].drain);
         self.record(
             job,
-            format!("attempt {} comes to {worker} of cell {cell:?}", self.jobs[job].attempts.len()),
+            &format!("attempt {} comes to {worker} of cell {cell:?}", self.jobs[job].attempts.len()),
         );
         let arrival = Arrival { message, worker, cell, drain, earliest_arrival: self.earliest_arrival };
         let checked = self.jobs[job].check_arrival(&arrival, self.rules);
@@ -253,6 +242,19 @@
         self.running_attempts.push(RunningAttempt { job, attempt, connection_index, actions });
     }
 
+    /// Records the end of attempts of a job on other connections: those that were cancelled before the latest request
+    /// was written have ended by now.
+    fn record_cancelled_attempts(&mut self, latest_connection: usize, job: usize) {
+        for other in 0..self.worker_connections.len() {
+            if other != latest_connection
+                && self.worker_connections[other].carries.is_some_and(|(carried, _)| carried == job)
+            {
+                self.worker_connections[other].connection.read();
+                self.handle_worker_connection_end(other);
+            }
+        }
+    }
+
     /// A generator that depends on the seed and these arguments only.
     pub(super) fn derived_rng(&self, what: &str, job: usize, number: usize) -> Rng {
         Rng::with_seed(stable_hash(&format!("{} {what} {job} {number}", self.seed)))
@@ -265,7 +267,7 @@
         let before = attempt.map_or(0, |at| self.jobs[job].attempts[at].withdrawals);
         let mut draw = self.derived_rng("withdrawal", job, worker * 8 + before as usize);
         let response = worker_script::draw_withdrawal_response(&mut draw, before);
-        self.record(job, format!("withdrawn at {worker}, which responds {response:?}"));
+        self.record(job, &format!("withdrawn at {worker}, which responds {response:?}"));
         self.worker_connections[connection_index].carries = None;
         self.worker_connections[connection_index].free = false;
         match response {
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -116,7 +116,9 @@
     let client = submit_connecting_job(&node);
     let held = node.pause();
     // The message that it has disconnected is queued behind more callbacks than the dispatch task handles in one turn.
-    crowd.iter_mut().for_each(|client| client.send(&completion_request("r0")));
+    for client in &mut crowd {
+        client.send(&completion_request("r0"));
+    }
     wait_for_unread_bytes(crowd.iter().map(Client::stream));
     close_and_wait_for_arrival(client);
     worker.drain_backlog();
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -132,11 +132,11 @@
             }
             _ => bytes.escape_ascii().to_string(),
         };
-        self.text += &format!("{}: {line}\n", self.names[by]);
+        self.text.extend([self.names[by], ": ", &line, "\n"]);
     }
 
-    fn send(&mut self, seq: u64, frame: Frame) {
-        self.record(0, seq, &frame);
+    fn send(&mut self, seq: u64, frame: &Frame) {
+        self.record(0, seq, frame);
         self.other.send_frame(seq, frame);
     }
 
@@ -154,9 +154,9 @@
     }
 
     /// What is received next, which must be this.
-    fn expect_frame(&mut self, frame: Frame) -> u64 {
+    fn expect_frame(&mut self, frame: &Frame) -> u64 {
         let (seq, received) = self.next_frame();
-        assert_eq!(received, frame);
+        assert_eq!(&received, frame);
         seq
     }
 }
@@ -191,29 +191,29 @@
 /// Before the takeover, each process answers claims, callbacks and operator commands of the other.
 fn exchange_requests(newer: &mut RecordedExchange<'_>, address: SocketAddr, operators: SocketAddr) {
     for (seq, id) in [(1, "moved"), (2, "new")] {
-        newer.send(seq, Frame::ClaimJob(id.into()));
-        newer.expect_frame(Frame::ClaimResult(id == "new"));
+        newer.send(seq, &Frame::ClaimJob(id.into()));
+        newer.expect_frame(&Frame::ClaimResult(id == "new"));
     }
-    newer.send(3, Frame::Command(AdminCommand::Disable("s-9".into())));
-    newer.expect_frame(Frame::CommandResult(Ok(())));
-    newer.send(4, Frame::Command(AdminCommand::Enable("s-9".into())));
-    newer.expect_frame(Frame::CommandResult(Ok(())));
+    newer.send(3, &Frame::Command(AdminCommand::Disable("s-9".into())));
+    newer.expect_frame(&Frame::CommandResult(Ok(())));
+    newer.send(4, &Frame::Command(AdminCommand::Enable("s-9".into())));
+    newer.expect_frame(&Frame::CommandResult(Ok(())));
     let response = spawn(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
-    let seq = newer.expect_frame(Frame::ClaimJob("copy".into()));
-    newer.send(seq, Frame::ClaimResult(false));
+    let seq = newer.expect_frame(&Frame::ClaimJob("copy".into()));
+    newer.send(seq, &Frame::ClaimResult(false));
     assert_eq!(response.join().expect("an answer"), 409);
     let callback = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
     let response = spawn(move || send_request(address, &callback_request(callback)).status());
-    let seq = newer.expect_frame(Frame::Callback(callback.into()));
-    newer.send(seq, Frame::CallbackResult(true));
+    let seq = newer.expect_frame(&Frame::Callback(callback.into()));
+    newer.send(seq, &Frame::CallbackResult(true));
     assert_eq!(response.join().expect("an answer"), 204);
     for (command, result) in
         [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
     {
         let line = format!("{command}\n");
         let response = spawn(move || call_operator(operators, &line));
-        let seq = newer.expect_frame(Frame::Command(command));
-        newer.send(seq, Frame::CommandResult(result.clone()));
+        let seq = newer.expect_frame(&Frame::Command(command));
+        newer.send(seq, &Frame::CommandResult(result.clone()));
         assert_eq!(response.join().expect("an answer").starts_with("+OK"), result.is_ok());
     }
 }
@@ -228,28 +228,28 @@
     let hello = |name: &str| Frame::Hello { node: name.into(), listen: "127.0.0.1:0".into() };
 
     let mut stranger = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
-    stranger.send(0, hello("another"));
+    stranger.send(0, &hello("another"));
     stranger.next_frame();
     let mut newer = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
     newer.text = stranger.text;
-    newer.send(0, hello("n0"));
+    newer.send(0, &hello("n0"));
     newer.other.read_listener();
     let (_, Frame::Accepted(learned)) = newer.next_frame() else { panic!("no welcome") };
     assert_matches_payload("older_welcome.json", &workers.recorded(&learned));
 
     exchange_requests(&mut newer, address, operators);
 
-    newer.send(5, Frame::TakeoverRequest);
+    newer.send(5, &Frame::TakeoverRequest);
     let (5, Frame::TakeoverGranted(learned)) = newer.next_frame() else { panic!("not handed over") };
     assert_matches_payload("older_yours.json", &workers.recorded(&learned));
     let (seq, Frame::MigrateJob(moved)) = newer.next_frame() else { panic!("no job moves") };
     assert_matches_payload("older_move.json", &workers.recorded(without_body(&moved)));
-    newer.send(seq, Frame::MigrationResult(false));
-    newer.send(6, Frame::HandBack);
-    newer.send(7, Frame::Command(AdminCommand::Undrain));
-    newer.expect_frame(Frame::CommandResult(Ok(())));
-    newer.send(8, Frame::Callback(MOVED_JOB_COMPLETED.into()));
-    newer.expect_frame(Frame::CallbackResult(true));
+    newer.send(seq, &Frame::MigrationResult(false));
+    newer.send(6, &Frame::HandBack);
+    newer.send(7, &Frame::Command(AdminCommand::Undrain));
+    newer.expect_frame(&Frame::CommandResult(Ok(())));
+    newer.send(8, &Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    newer.expect_frame(&Frame::CallbackResult(true));
     assert_matches_golden("link_newer_played.txt", &newer.text);
     drop(newer);
     // It serves on, alone.
@@ -282,13 +282,13 @@
     let mut older = RecordedExchange::new(other, ["older", "newer"], workers);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_endpoints(42, true, &workers.known());
-    let seq = older.expect_frame(Frame::TakeoverRequest);
-    older.send(seq, Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
+    let seq = older.expect_frame(&Frame::TakeoverRequest);
+    older.send(seq, &Frame::TakeoverGranted(workers.replayed("older_yours.json").into()));
     let clients = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let client = open_request(clients.local_addr().expect("bound"), "");
     let (served, _) = clients.accept().expect("it has connected");
     older.send_job(1, with_body(&workers.replayed("older_move.json")), &served);
-    older.expect_frame(Frame::MigrationResult(true));
+    older.expect_frame(&Frame::MigrationResult(true));
     assert_eq!(node.address, listener.local_addr().expect("bound"));
     SuccessorOfRecorded { older, node, operators, client, _discovery: (discovery, watch) }
 }
@@ -300,21 +300,21 @@
     // The drain and the worker that is out are known from there.
     assert!(call_operator(operators, "READY\n").starts_with("-ERR drained"));
     let undrain = spawn(move || call_operator(operators, "UNDRAIN\n"));
-    let seq = older.expect_frame(Frame::Command(AdminCommand::Undrain));
-    older.send(seq, Frame::CommandResult(Ok(())));
+    let seq = older.expect_frame(&Frame::Command(AdminCommand::Undrain));
+    older.send(seq, &Frame::CommandResult(Ok(())));
     assert_eq!(undrain.join().expect("an answer"), "+OK");
     assert_eq!(call_operator(operators, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 8.0);
-        let seq = older.expect_frame(Frame::ClaimJob(id.into()));
-        older.send(seq, Frame::ClaimResult(true));
+        let seq = older.expect_frame(&Frame::ClaimJob(id.into()));
+        older.send(seq, &Frame::ClaimResult(true));
         workers.0[1].next_request().accept();
         node.post_callback(id, "s-2", r#""state":"done","result":"y""#);
         assert_eq!(read_response(client).status(), 200);
     }
-    older.send(2, Frame::ClaimJob("moved".into()));
-    older.expect_frame(Frame::ClaimResult(false));
-    older.send(3, Frame::CancelAttempt { worker: workers.0[1].address, job_id: "w".into() });
+    older.send(2, &Frame::ClaimJob("moved".into()));
+    older.expect_frame(&Frame::ClaimResult(false));
+    older.send(3, &Frame::CancelAttempt { worker: workers.0[1].address, job_id: "w".into() });
     let withdrawal = workers.0[1].next_request();
     assert_eq!(withdrawal.message.start_line, "DELETE /jobs/w HTTP/1.1");
     withdrawal.respond("200 OK");
@@ -340,15 +340,15 @@
     let workers = Workers::start();
     let SuccessorOfRecorded { mut older, node, client, .. } = start_successor(&workers);
     node.signal("-TERM");
-    older.expect_frame(Frame::HandBack);
+    older.expect_frame(&Frame::HandBack);
     let (seq, Frame::MigrateJob(job)) = older.next_frame() else { panic!("no job moves") };
     let went = std::fs::read_to_string("tests/golden/older_move.json").expect("it was recorded");
     assert_eq!(mask_varying_numbers(&workers.recorded(without_body(&job))), mask_varying_numbers(&went));
-    older.send(seq, Frame::MigrationResult(false));
-    older.send(2, Frame::Callback(MOVED_JOB_COMPLETED.into()));
+    older.send(seq, &Frame::MigrationResult(false));
+    older.send(2, &Frame::Callback(MOVED_JOB_COMPLETED.into()));
     let mut next = older.next_frame();
     while matches!(next.1, Frame::MigrateJob(_)) {
-        older.send(next.0, Frame::MigrationResult(false));
+        older.send(next.0, &Frame::MigrationResult(false));
         next = older.next_frame();
     }
     assert_eq!(next.1, Frame::CallbackResult(true));
