--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -1,11 +1,17 @@
 //! The endpoint watch as a scripted discovery serves it, and the JSON of endpoints and endpoint lists.
 
 use std::net::SocketAddr;
+use std::sync::mpsc::{RecvTimeoutError, channel};
+use std::thread;
+use std::time::Duration;
 
 use super::node_requests::wait_for_counter;
 use super::process::Node;
 use super::scripted_server::{ReceivedRequest, ScriptedServer};
 
+/// Time between two heartbeats of a watch that is kept alive. A node takes a watch for silent after 3 s.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+
 /// The counter of the lists and changes that a node has read.
 const LISTS_READ: &str = "curlewusher_transport_map_changes_total";
 
@@ -74,6 +80,21 @@
         self.0.try_write(bytes)
     }
 
+    /// Sends heartbeats until the returned value is dropped, also when the node reopens the watch: without them its lease on
+    /// the endpoint list expires after some seconds, and it sends no job.
+    pub fn keep_alive(mut self, discovery: ScriptedServer) -> impl Sized {
+        let (until_dropped, dropped) = channel::<()>();
+        thread::spawn(move || {
+            while dropped.recv_timeout(HEARTBEAT_INTERVAL) == Err(RecvTimeoutError::Timeout) {
+                if let Some(request) = discovery.try_next_request() {
+                    self = ScriptedWatch::of(request);
+                }
+                self.try_send_line("");
+            }
+        });
+        until_dropped
+    }
+
     /// Closes the connection of the watch.
     pub fn close(&self) {
         self.0.close();
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -111,7 +111,8 @@
 #[test]
 fn client_disconnects_as_connection_is_established_then_nothing_is_sent() {
     let worker = FullBacklogWorker::start();
-    let (node, _watch, _discovery) = start_node(&worker);
+    let (node, watch, discovery) = start_node(&worker);
+    let _heartbeats = watch.keep_alive(discovery);
     let mut crowd: Vec<_> = (0..300).map(|_| connect_known_client(&node)).collect();
     let client = submit_connecting_job(&node);
     let held = node.pause();
@@ -132,7 +133,10 @@
 fn client_disconnects_as_its_job_is_dequeued_then_no_attempt_begins() {
     // The worker runs the first, and the second is queued. The callback that frees the worker arrives before the
     // second's client disconnects.
-    let (worker, node, _watch, _discovery) = Node::start_with_worker();
+    let worker = ScriptedServer::start();
+    let (node, watch, discovery) =
+        Node::start_with_config(&[("s-1", &worker)], node_config_with_long_timeouts);
+    let _heartbeats = watch.keep_alive(discovery);
     let first = node.submit_accepted_job(&worker, "r1", "order", 600.0);
     node.post_callback("r1", "s-1", r#""state":"started""#);
     let second = node.submit_job("r2", "order", 600.0);
