--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,8 +1,7 @@
-//! Commands of the admin address: their lines, the errors they can end with, and the line that responds to
-//! them.
+//! Commands of the admin address: their lines, their errors and their response lines.
 //!
-//! A connection sends one command as one line and gets one line back, `+OK` or `-ERR` with a reason. This
-//! module parses and formats only; the node carries the commands out.
+//! A connection carries one command in one line and receives one line in response: `+OK`, or `-ERR` with a
+//! reason. This module only parses and formats lines; the node executes the commands.
 //!
 //! | line | command |
 //! | --- | --- |
@@ -12,8 +11,8 @@
 //! | `DRAIN` | [`AdminCommand::Drain`] |
 //! | `UNDRAIN` | [`AdminCommand::Undrain`] |
 //!
-//! Words are separated by spaces or tabs, and their case does not matter; an id is taken as it is. The same
-//! lines are the payload of a [command frame](crate::frame::Frame::Command).
+//! Words are separated by spaces or tabs. The keyword is case-insensitive; the worker id is used as written.
+//! The payload of a [command frame](crate::frame::Frame::Command) has the same format.
 
 use std::fmt;
 
@@ -22,9 +21,9 @@
 
 use crate::phase::Phase;
 
-/// Most bytes of a line, its end included.
+/// Maximum length of a command line in bytes, including its line ending.
 pub const MAX_LINE_BYTES: usize = 256;
-/// Most bytes of a worker's id: what a line has room for beside its keyword.
+/// Maximum length of a worker id in bytes. A line has room for such an id and the keyword.
 pub const MAX_WORKER_ID_BYTES: usize = 240;
 
 const READY: &str = "READY";
@@ -33,22 +32,22 @@
 const DRAIN: &str = "DRAIN";
 const UNDRAIN: &str = "UNDRAIN";
 
-/// A command of an operator.
+/// Command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Report whether this process is ready to serve.
+    /// Reports whether this process is ready to serve.
     Ready,
-    /// Send nothing more to the worker of this id.
+    /// Disables the worker with this id: the node sends nothing more to it.
     Disable(String),
-    /// Use the worker of this id again.
+    /// Enables the worker with this id: the node uses it again.
     Enable(String),
-    /// Accept no more clients on this node.
+    /// Drains this node: it accepts no more clients.
     Drain,
-    /// Accept clients on this node again.
+    /// Ends the drain of this node: it accepts clients again.
     Undrain,
 }
 
-/// Why a line is not a command. Each text names a line that would be one.
+/// Errors of [`AdminCommand::parse`]. Each message states how to correct the line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandParseError {
     /// The line is blank.
@@ -57,16 +56,16 @@
     /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("line over {MAX_LINE_BYTES} bytes; send one call and a line end")]
     TooLong,
-    /// The line has bytes that are neither printable ASCII nor a space or tab.
+    /// The line contains a byte that is neither printable ASCII nor a space or tab.
     #[error("not plain text; send a call in printable ASCII")]
-    NotAscii,
+    NotPrintable,
     /// The first word is not the keyword of a command.
     #[error("no such call; send one of READY, DISABLE ID, ENABLE ID, DRAIN, UNDRAIN")]
     UnknownCommand,
-    /// A command on a worker, named here, lacks the worker's id.
+    /// The command with this keyword lacks the id of a worker.
     #[error("{0} needs the id of a core worker as discovery lists it, as in {0} s-5be2a07c")]
     MissingWorkerId(&'static str),
-    /// The command named here is followed by more words than it allows.
+    /// The command with this keyword has more arguments than it takes.
     #[error("{0} takes nothing more; send one call a connection")]
     UnexpectedArgument(&'static str),
     /// The id is longer than [`MAX_WORKER_ID_BYTES`].
@@ -74,17 +73,17 @@
     WorkerIdTooLong,
 }
 
-/// Why a command was not carried out. Each text states what an operator can do.
+/// Reason for which a command was not executed. Each message states what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandError {
     /// The process does not serve in this phase.
     #[error("{0}: {advice}", advice = .0.operator_advice())]
     NotReady(Phase),
-    /// No endpoint list has ever named the worker of this id.
+    /// No endpoint list has ever contained the worker with this id.
     #[error("never listed: {0}; take the id from discovery's list")]
     #[serde(rename = "NeverListed")]
     UnknownWorker(String),
-    /// This many workers are disabled, which is the most there can be.
+    /// The maximum number of workers, given here, is already disabled.
     #[error("{0} core workers are out already; enable those that are back first")]
     #[serde(rename = "TooManyOut")]
     TooManyDisabled(usize),
@@ -92,20 +91,20 @@
     #[error("this process is ending; ask its successor at that one's second address")]
     #[serde(rename = "Ending")]
     ShuttingDown,
-    /// The command was not carried out in time, or the task that carries it out has ended.
+    /// The command was not executed in time, or the task that executes commands has finished.
     #[error("not done in time; call again, and restart the node if that does not help")]
     #[serde(rename = "NotDone")]
     TimedOut,
 }
 
-/// The outcome of a command that could be parsed.
+/// Outcome of a command that was parsed successfully.
 pub type CommandResult = Result<(), CommandError>;
 
 impl AdminCommand {
-    /// Parses a line, with or without its end (`\n` or `\r\n`).
+    /// Parses a line, with or without its line ending (`\n` or `\r\n`).
     ///
     /// # Errors
-    /// Says what is wrong with the line, and what would be a command.
+    /// Returns an error that describes the mistake in the line and how to correct it.
     pub fn parse(line: &[u8]) -> Result<AdminCommand, CommandParseError> {
         let text = printable_text(line)?;
         let mut tokens = text.split_ascii_whitespace();
@@ -121,7 +120,7 @@
     }
 }
 
-/// The line without its end, if it is short enough and printable.
+/// Returns the line without its line ending. Fails if the line is too long or not printable.
 fn printable_text(line: &[u8]) -> Result<&str, CommandParseError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(CommandParseError::TooLong);
@@ -129,9 +128,9 @@
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if !line.iter().all(|byte| matches!(byte, b' ' | b'\t' | b'!'..=b'~')) {
-        return Err(CommandParseError::NotAscii);
+        return Err(CommandParseError::NotPrintable);
     }
-    std::str::from_utf8(line).map_err(|_| CommandParseError::NotAscii)
+    std::str::from_utf8(line).map_err(|_| CommandParseError::NotPrintable)
 }
 
 fn expect_no_argument<'a>(
@@ -156,7 +155,7 @@
     Ok(worker_id.to_owned())
 }
 
-/// The line that [`AdminCommand::parse`] reads as this command, without its end.
+/// Formats the command as a line that [`AdminCommand::parse`] accepts, without a line ending.
 impl fmt::Display for AdminCommand {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -169,7 +168,7 @@
     }
 }
 
-/// The response line to a command, with its end.
+/// Formats the response line of a command, including its line ending.
 pub fn format_response(outcome: &Result<CommandResult, CommandParseError>) -> String {
     match outcome {
         Ok(Ok(())) => "+OK\n".to_owned(),
--- a/crates/control/src/frame/codec.rs
+++ b/crates/control/src/frame/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of frames, and a decoder for bytes that arrive in pieces of any size.
+//! Encoder of frames, and an incremental decoder that accepts bytes in chunks of any size.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -8,10 +8,10 @@
 use crate::frame::message::Frame;
 
 impl Frame {
-    /// Encodes the frame under a sequence number, for a response that of its request.
+    /// Encodes the frame with a sequence number. A response has the sequence number of its request.
     ///
     /// # Errors
-    /// `TooLong` if the payload is longer than its kind allows.
+    /// Returns [`FrameError::TooLong`] if the payload exceeds the limit of its kind.
     pub fn encode(&self, sequence: u64) -> Result<Bytes, FrameError> {
         let payload = self.encode_payload();
         let header = FrameHeader::for_payload(self.kind().number(), sequence, &payload)?;
@@ -22,37 +22,39 @@
     }
 }
 
-/// A frame that was received from the other process.
+/// Frame received from the peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedFrame {
-    /// Sequence number of the request; a response carries that of the request it answers.
+    /// Sequence number of the frame. A response has the sequence number of its request.
     pub sequence: u64,
-    /// The message.
+    /// Decoded message.
     pub frame: Frame,
 }
 
-/// Decodes frames. After an error it returns the same error again, since what follows has no known beginning.
+/// Incremental decoder of frames. After an error, it keeps returning the same error, because it cannot find
+/// the start of the next frame.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: BytesMut,
 }
 
 impl Decoder {
-    /// Appends bytes that have arrived. The caller removes all frames before it feeds more, which bounds
-    /// the buffer.
+    /// Appends received bytes. The caller removes all complete frames before it appends more bytes, which
+    /// bounds the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Removes the next frame; `None` if more bytes must arrive first.
+    /// Removes and returns the next frame. Returns `None` if the next frame is incomplete.
     ///
     /// # Errors
-    /// Says why the bytes are no frame, and the same again on every later call.
+    /// Returns the reason for which the bytes are not a valid frame. Every later call returns the same error.
     pub fn next_frame(&mut self) -> Result<Option<ReceivedFrame>, FrameError> {
         let Some(header) = FrameHeader::parse(&self.buffer)? else { return Ok(None) };
         let frame_bytes = HEADER_BYTES + header.payload_bytes;
         let Some(payload) = self.buffer.get(HEADER_BYTES..frame_bytes) else {
-            // Reserved at once, so that a long snapshot is not moved again and again while it arrives.
+            // Reserve the whole frame at once, so that a long snapshot is not copied repeatedly while it
+            // arrives.
             self.buffer.reserve(frame_bytes - self.buffer.len());
             return Ok(None);
         };
@@ -61,17 +63,17 @@
         Ok(Some(ReceivedFrame { sequence: header.sequence, frame }))
     }
 
-    /// Ends the input.
+    /// Checks at the end of the input that no frame is incomplete.
     ///
     /// # Errors
-    /// `Truncated` if that is within a frame.
+    /// Returns [`FrameError::Truncated`] if the input ends within a frame.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::Truncated) }
     }
 }
 
 fn decode_frame(header: &FrameHeader, payload: &[u8]) -> Result<Frame, FrameError> {
-    if !header.matches(payload) {
+    if !header.checksum_matches(payload) {
         return Err(FrameError::ChecksumMismatch);
     }
     FrameKind::from_number(header.kind)
--- a/crates/control/src/frame/header.rs
+++ b/crates/control/src/frame/header.rs
@@ -1,30 +1,30 @@
-//! The header of a frame.
+//! Header of a frame.
 //!
 //! | offset | bytes | field |
 //! | --- | --- | --- |
-//! | 0 | 4 | the magic number `CWUS` |
+//! | 0 | 4 | magic number `CWUS` |
 //! | 4 | 1 | version of the encoding |
 //! | 5 | 1 | number of the kind |
-//! | 6 | 8 | sequence number; a response carries that of its request |
+//! | 6 | 8 | sequence number; a response has the sequence number of its request |
 //! | 14 | 4 | length of the payload in bytes |
 //! | 18 | 4 | CRC-32 of the kind, the sequence number and the payload |
 //!
-//! The payload follows at offset 22. Numbers are big-endian.
+//! The payload starts at offset 22. All integers are big-endian.
 
 use bytes::{Buf, BufMut, BytesMut};
 
 use crate::frame::error::FrameError;
 use crate::frame::kind::max_payload_bytes;
 
-/// Version of the encoding. Any change to the encoding of a header or a payload needs a new one.
+/// Version of the encoding. Any change to the encoding of a header or a payload requires a new version.
 pub const VERSION: u8 = 1;
-/// Length of a header.
+/// Length of a header in bytes.
 pub(super) const HEADER_BYTES: usize = MAGIC.len() + 1 + 1 + 8 + 4 + 4;
 
 const MAGIC: &[u8; 4] = b"CWUS";
 const KIND_OFFSET: usize = MAGIC.len() + 1;
 
-/// The fields of a header that differ from frame to frame.
+/// Header fields that differ between frames.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FrameHeader {
     pub kind: u8,
@@ -34,7 +34,7 @@
 }
 
 impl FrameHeader {
-    /// The header of a payload; `TooLong` if that is longer than its kind allows.
+    /// Returns the header for a payload, or `TooLong` if the payload exceeds the limit of its kind.
     pub(super) fn for_payload(kind: u8, sequence: u64, payload: &[u8]) -> Result<FrameHeader, FrameError> {
         check_payload_length(kind, payload.len())?;
         Ok(FrameHeader {
@@ -45,8 +45,8 @@
         })
     }
 
-    /// Parses the header at the beginning of `bytes`; `None` if more of it has to arrive. Bytes that cannot
-    /// become a header fail as early as they show it.
+    /// Parses the header at the start of `bytes`. Returns `None` if the header is incomplete. A wrong magic
+    /// number or version is an error as soon as its first wrong byte has arrived.
     pub(super) fn parse(bytes: &[u8]) -> Result<Option<FrameHeader>, FrameError> {
         check_magic(bytes)?;
         check_version(bytes)?;
@@ -64,7 +64,7 @@
         Ok(Some(header))
     }
 
-    /// Appends the header to `out`.
+    /// Appends the encoded header to `out`.
     pub(super) fn write(&self, out: &mut BytesMut) {
         out.put_slice(MAGIC);
         out.put_u8(VERSION);
@@ -74,8 +74,8 @@
         out.put_u32(self.checksum);
     }
 
-    /// Whether the checksum is that of this payload.
-    pub(super) fn matches(&self, payload: &[u8]) -> bool {
+    /// Returns whether the checksum in this header is correct for the payload.
+    pub(super) fn checksum_matches(&self, payload: &[u8]) -> bool {
         checksum(self.kind, self.sequence, payload) == self.checksum
     }
 }
@@ -83,7 +83,7 @@
 fn check_magic(bytes: &[u8]) -> Result<(), FrameError> {
     let present = bytes.len().min(MAGIC.len());
     if bytes[..present] != MAGIC[..present] {
-        return Err(FrameError::NotAFrame);
+        return Err(FrameError::InvalidMagic);
     }
     Ok(())
 }
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// The checksum of a frame: CRC-32 over its kind, its sequence number and its payload.
+/// Computes the checksum of a frame: the CRC-32 of its kind, its sequence number and its payload.
 pub(super) fn checksum(kind: u8, sequence: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
--- a/crates/control/src/frame/kind.rs
+++ b/crates/control/src/frame/kind.rs
@@ -1,13 +1,14 @@
-//! Kinds of frames: their numbers in the header, and the bounds on their payloads.
+//! Kinds of frames: their numbers in the header and the length limits of their payloads.
 
 use crate::frame::message::Frame;
 
-/// Most bytes of a state snapshot.
+/// Maximum length of a state snapshot in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
-/// Most bytes of any other payload. The longest that is sent is a job with its request's body.
+/// Maximum length of any other payload in bytes. The longest of these payloads is a migrated job, which
+/// contains the body of its request.
 pub const MAX_PAYLOAD_BYTES: usize = 128 << 10;
 
-/// The kind of a frame. The numbers are part of the encoding: a change needs a new
+/// Kind of a frame. The numbers are part of the encoding: a change requires a new
 /// [`VERSION`](crate::frame::VERSION).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
@@ -48,12 +49,12 @@
         FrameKind::MigrationResult,
     ];
 
-    /// The kind of this number; `None` if there is none.
+    /// Returns the kind with this number, or `None` if the number is unknown.
     pub(super) fn from_number(number: u8) -> Option<FrameKind> {
         FrameKind::ALL.into_iter().find(|kind| kind.number() == number)
     }
 
-    /// The number in the header.
+    /// Returns the number of this kind in the header.
     pub(super) fn number(self) -> u8 {
         self as u8
     }
@@ -78,13 +79,14 @@
     }
 }
 
-/// Most payload bytes of the kind of this number, be it known or not.
+/// Returns the maximum payload length in bytes for the kind with this number. An unknown kind has the limit
+/// [`MAX_PAYLOAD_BYTES`].
 pub(super) fn max_payload_bytes(number: u8) -> usize {
     FrameKind::from_number(number).map_or(MAX_PAYLOAD_BYTES, FrameKind::max_payload_bytes)
 }
 
 impl Frame {
-    /// The kind that the header of this frame names.
+    /// Returns the kind of this frame.
     pub(super) fn kind(&self) -> FrameKind {
         match self {
             Frame::Hello { .. } => FrameKind::Hello,
--- a/crates/control/src/frame/message.rs
+++ b/crates/control/src/frame/message.rs
@@ -1,4 +1,4 @@
-//! The messages that two processes of a node exchange.
+//! Messages that the two processes of a node exchange.
 
 use std::net::SocketAddr;
 
@@ -7,57 +7,59 @@
 use crate::command::{AdminCommand, CommandResult};
 use crate::takeover::RejectReason;
 
-/// A message from one process of a node to the other.
+/// Message from one process of a node to its peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A new process requests to be the successor; answered by `Accepted` or `Rejected`.
+    /// A new process requests to become the successor. The response is `Accepted` or `Rejected`.
     Hello {
-        /// Name of its node.
+        /// Name of the node of the new process.
         node: String,
-        /// Address at which clients reach its node.
+        /// Address at which clients reach the node of the new process.
         listen: String,
     },
-    /// The receiver is the successor; with the predecessor's state so far.
+    /// The receiver becomes the successor. Contains the current state snapshot of the predecessor.
     Accepted(Bytes),
-    /// The receiver is not the successor, for this reason.
+    /// The receiver does not become the successor, for this reason.
     Rejected(RejectReason),
-    /// The successor is ready and requests the new connections; answered by `TakeoverGranted`.
+    /// The successor is ready and requests the new connections. The response is `TakeoverGranted`.
     TakeoverRequest,
-    /// The new connections are the successor's; with the predecessor's state up to now.
+    /// The successor accepts the new connections from now on. Contains a state snapshot of the predecessor at
+    /// the time of the takeover.
     TakeoverGranted(Bytes),
-    /// The successor terminates, and the predecessor is to take the node back; has no response.
+    /// The successor is terminating and requests a rollback: the predecessor serves again. There is no
+    /// response.
     HandBack,
-    /// The body of a callback for a job that the requesting process does not own; answered by
+    /// Body of a callback for a job that the requesting process does not own. The response is
     /// `CallbackResult`.
     Callback(Bytes),
-    /// Whether the callback was for a job that the responding process owns.
+    /// Whether the responding process owns the job of the callback.
     CallbackResult(bool),
-    /// The requesting process is about to accept a job of this id; answered by `ClaimResult`.
+    /// Id of a job that the requesting process is about to accept. The response is `ClaimResult`.
     ClaimJob(String),
-    /// Whether it may.
+    /// Whether the requesting process may accept the job.
     ClaimResult(bool),
-    /// A command of an operator that applies to both processes; answered by `CommandResult`.
+    /// Command of an operator that applies to both processes. The response is `CommandResult`.
     Command(AdminCommand),
-    /// The outcome of the command at the responding process.
+    /// Outcome of the command at the responding process.
     CommandResult(CommandResult),
-    /// A job that the requesting process owned; its client's socket is sent beside the bytes. Answered by
-    /// `MigrationResult`.
+    /// Job that migrates from the requesting process, which owned it until now. The socket of the job's
+    /// client is sent together with these bytes. The response is `MigrationResult`.
     MigrateJob(Bytes),
-    /// Whether the responding process owns the job now.
+    /// Whether the responding process now owns the job.
     MigrationResult(bool),
-    /// A worker has not acknowledged a cancellation yet, and the receiver is to repeat it from now on; has no
+    /// Cancellation that a worker has not acknowledged yet. The receiver retries it from now on. There is no
     /// response.
     CancelAttempt {
         /// Address of the worker.
         worker: SocketAddr,
-        /// The job's id.
+        /// Id of the job.
         job_id: String,
     },
 }
 
 impl Frame {
-    /// Whether it answers a request that was sent over an established link. The responses to `Hello` do not:
-    /// they come before there is a link.
+    /// Returns whether this frame is the response to a request over an established link. The responses to
+    /// `Hello` are excluded, because they are sent before the link is established.
     pub fn is_response(&self) -> bool {
         match self {
             Frame::TakeoverGranted(_)
--- a/crates/control/src/frame/mod.rs
+++ b/crates/control/src/frame/mod.rs
@@ -1,14 +1,14 @@
-//! Messages between two processes of one node, and how they are encoded on the link between them.
+//! Messages between two processes of one node, and their encoding on the link.
 //!
-//! A [`Frame`] is a request, a response or a notification. [`Frame::encode`] and [`Decoder`] put it behind a
-//! header with a version, a number and a checksum; neither performs I/O, and what the decoder holds is
-//! bounded whatever the other process sends.
+//! A [`Frame`] is a request, a response or a notification. [`Frame::encode`] adds a header with a version, a
+//! kind, a sequence number and a checksum; [`Decoder`] verifies and removes the header. Neither performs I/O.
+//! The buffer of the decoder is bounded regardless of the bytes that the peer sends.
 //!
 //! | number | frame | response | payload |
 //! | --- | --- | --- | --- |
 //! | 1 | [`Hello`](Frame::Hello) | `Accepted` or `Rejected` | JSON array: node, listen address |
 //! | 2 | [`Accepted`](Frame::Accepted) | | state snapshot |
-//! | 3 | [`Rejected`](Frame::Rejected) | | JSON string: the reason |
+//! | 3 | [`Rejected`](Frame::Rejected) | | JSON string: reason |
 //! | 4 | [`TakeoverRequest`](Frame::TakeoverRequest) | `TakeoverGranted` | empty |
 //! | 5 | [`TakeoverGranted`](Frame::TakeoverGranted) | | state snapshot |
 //! | 6 | [`HandBack`](Frame::HandBack) | none | empty |
@@ -16,9 +16,9 @@
 //! | 8 | [`CallbackResult`](Frame::CallbackResult) | | JSON boolean |
 //! | 9 | [`ClaimJob`](Frame::ClaimJob) | `ClaimResult` | job id, UTF-8 |
 //! | 10 | [`ClaimResult`](Frame::ClaimResult) | | JSON boolean |
-//! | 11 | [`Command`](Frame::Command) | `CommandResult` | line of an operator |
-//! | 12 | [`CommandResult`](Frame::CommandResult) | | JSON: `Ok` or `Err` with the error |
-//! | 13 | [`CancelAttempt`](Frame::CancelAttempt) | none | JSON array: worker's address, job id |
+//! | 11 | [`Command`](Frame::Command) | `CommandResult` | command line, as on the admin address |
+//! | 12 | [`CommandResult`](Frame::CommandResult) | | JSON object: `Ok`, or `Err` with the error |
+//! | 13 | [`CancelAttempt`](Frame::CancelAttempt) | none | JSON array: worker address, job id |
 //! | 14 | [`MigrateJob`](Frame::MigrateJob) | `MigrationResult` | job record |
 //! | 15 | [`MigrationResult`](Frame::MigrationResult) | | JSON boolean |
 
--- a/crates/control/src/frame/payload.rs
+++ b/crates/control/src/frame/payload.rs
@@ -1,4 +1,4 @@
-//! Payloads of frames: each kind's, as the table of [`crate::frame`] has them.
+//! Encoding of payloads, as listed in the table of [`crate::frame`].
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 use crate::frame::message::Frame;
 
 impl Frame {
-    /// The payload of this frame as bytes.
+    /// Encodes the payload of this frame.
     pub(super) fn encode_payload(&self) -> Bytes {
         match self {
             Frame::Hello { node, listen } => to_json(&(node, listen)),
@@ -23,14 +23,14 @@
                 to_json(result)
             }
             Frame::ClaimJob(id) => Bytes::copy_from_slice(id.as_bytes()),
-            // As an operator would write it, since the same parser reads it.
+            // The peer reads this payload with the parser of operator lines.
             Frame::Command(command) => command.to_string().into(),
             Frame::CommandResult(result) => to_json(result),
             Frame::CancelAttempt { worker, job_id } => to_json(&(worker, job_id)),
         }
     }
 
-    /// The frame of this kind and payload; `None` if the payload is not one of that kind.
+    /// Decodes the payload of a frame of this kind. Returns `None` if the payload does not match the kind.
     pub(super) fn decode_payload(kind: FrameKind, payload: Bytes) -> Option<Frame> {
         match kind {
             FrameKind::Hello => from_json(&payload).map(|(node, listen)| Frame::Hello { node, listen }),
@@ -55,7 +55,7 @@
 }
 
 fn to_json<T: Serialize>(value: &T) -> Bytes {
-    // These types cannot fail to serialize; an empty payload would be `Malformed` at the other process.
+    // Serialization of these types cannot fail. The peer would reject an empty payload as `Malformed`.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
--- a/crates/control/src/maintenance.rs
+++ b/crates/control/src/maintenance.rs
@@ -1,8 +1,9 @@
-//! Workers that operators have disabled for maintenance, and the names that discovery has ever listed.
+//! Workers that operators have disabled for maintenance, and the names of all workers that discovery has ever
+//! listed.
 //!
-//! A worker stays disabled from `DISABLE` until `ENABLE`, whatever the endpoint list states in between
-//! and however often the process of the node is replaced. Only a name that was listed once can be disabled or
-//! enabled, so that a mistyped name is rejected.
+//! A worker stays disabled from `DISABLE` until `ENABLE`, regardless of the endpoint lists in between and of
+//! how often the process of the node is replaced. Only a worker that has been listed at least once can be
+//! disabled or enabled, so that a mistyped name is rejected.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +11,20 @@
 
 use crate::command::{CommandError, CommandResult};
 
-/// Most workers that can be disabled at once. A worker that has left the endpoint list stays disabled until
-/// it is enabled, so there may be more of them than the list has entries.
+/// Maximum number of workers that can be disabled at once. A worker that has left the endpoint list stays
+/// disabled until it is enabled, so the number of disabled workers may exceed the number of listed ones.
 pub const MAX_DISABLED_WORKERS: usize = 4096;
-/// Most names that are remembered as listed: a site of a thousand workers that are all replaced ten times a
-/// day reaches this on the fourth day.
+/// Maximum number of names that are recorded as listed. A site of a thousand workers that are all replaced
+/// ten times a day reaches this limit on the fourth day.
 const MAX_LISTED_WORKERS: usize = 32_768;
-/// Most bytes of names that are remembered as listed, 1.5 MiB. A successor gets all of them in one frame,
-/// together with the state snapshot: see [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
+/// Maximum total length of the names that are recorded as listed, in bytes (1.5 MiB). A successor receives
+/// all of them in one frame, together with the state snapshot, whose limit is
+/// [`MAX_SNAPSHOT_BYTES`](crate::frame::MAX_SNAPSHOT_BYTES).
 const MAX_LISTED_BYTES: usize = 3 << 19;
 
-/// The disabled workers, by their names in the endpoint list. Its serialized form is what a successor
-/// receives; that is only to be given to [`merge_predecessor`](Self::merge_predecessor), since it lacks what
-/// the private fields count.
+/// Disabled workers, by their names in the endpoint list. A successor receives the serialized form, which
+/// lacks `listed_bytes` and `commanded_here`. Pass a deserialized value only to
+/// [`merge_predecessor`](Self::merge_predecessor).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisabledWorkers {
@@ -30,53 +32,53 @@
     disabled: BTreeSet<String>,
     #[serde(rename = "listed")]
     ever_listed: BTreeSet<String>,
-    /// Bytes of the names in `ever_listed`.
+    /// Total length of the names in `ever_listed`, in bytes.
     #[serde(skip)]
     listed_bytes: usize,
-    /// Names that this process itself has received a command for: the predecessor's state does not override
-    /// these.
+    /// Names of workers for which this process itself has received a command. The state of the predecessor
+    /// does not override them.
     #[serde(skip)]
     commanded_here: BTreeSet<String>,
 }
 
-/// What an operator does about a worker.
+/// Action of an operator on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceAction {
-    /// Nothing more is sent to it.
+    /// The node sends nothing more to the worker.
     Disable,
-    /// It is used again.
+    /// The node uses the worker again.
     Enable,
 }
 
-/// A worker that has been disabled or enabled by the state of the predecessor.
+/// Change of a worker that results from the state of the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceChange {
-    /// The worker's name in the endpoint list.
+    /// Name of the worker in the endpoint list.
     pub name: String,
-    /// What has become of it.
+    /// Action that was applied to the worker.
     pub action: MaintenanceAction,
 }
 
 impl DisabledWorkers {
-    /// Remembers names of the endpoint list, up to the bounds on their number and bytes. It changes nothing
-    /// about which workers are disabled.
+    /// Records names of an endpoint list as listed, up to the limits on their number and total length. The
+    /// set of disabled workers stays the same.
     pub fn record_listed<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         for name in names {
-            if self.can_remember(name) && !self.ever_listed.contains(name) {
+            if self.has_capacity_for(name) && !self.ever_listed.contains(name) {
                 self.ever_listed.insert(name.to_owned());
                 self.listed_bytes += name.len();
             }
         }
     }
 
-    fn can_remember(&self, name: &str) -> bool {
+    fn has_capacity_for(&self, name: &str) -> bool {
         self.ever_listed.len() < MAX_LISTED_WORKERS && self.listed_bytes + name.len() <= MAX_LISTED_BYTES
     }
 
-    /// Carries out an operator's action on a worker.
+    /// Applies an operator's action to a worker.
     ///
     /// # Errors
-    /// Those of [`disable`](Self::disable) and [`enable`](Self::enable).
+    /// Returns the errors of [`disable`](Self::disable) and [`enable`](Self::enable).
     pub fn apply(&mut self, name: &str, action: MaintenanceAction) -> CommandResult {
         match action {
             MaintenanceAction::Disable => self.disable(name),
@@ -84,10 +86,11 @@
         }
     }
 
-    /// Disables a worker; succeeds as well if it is disabled already.
+    /// Disables a worker. Succeeds also if the worker is already disabled.
     ///
     /// # Errors
-    /// If no list has ever named it, or if [`MAX_DISABLED_WORKERS`] are disabled.
+    /// Fails if no endpoint list has ever contained the worker, or if [`MAX_DISABLED_WORKERS`] workers are
+    /// already disabled.
     pub fn disable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         if !self.disabled.contains(name) && self.disabled.len() >= MAX_DISABLED_WORKERS {
@@ -98,10 +101,11 @@
         Ok(())
     }
 
-    /// Enables a worker, however often it was disabled; succeeds as well if it is not disabled.
+    /// Enables a worker, regardless of how often it was disabled. Succeeds also if the worker is not
+    /// disabled.
     ///
     /// # Errors
-    /// If no list has ever named it.
+    /// Fails if no endpoint list has ever contained the worker.
     pub fn enable(&mut self, name: &str) -> CommandResult {
         self.require_ever_listed(name)?;
         self.disabled.remove(name);
@@ -117,19 +121,19 @@
         }
     }
 
-    /// Whether a worker is disabled.
+    /// Returns whether a worker is disabled.
     pub fn is_disabled(&self, name: &str) -> bool {
         self.disabled.contains(name)
     }
 
-    /// Names of the disabled workers, in their order as strings.
+    /// Returns the names of the disabled workers in lexicographic order.
     pub fn disabled(&self) -> impl Iterator<Item = &str> {
         self.disabled.iter().map(String::as_str)
     }
 
-    /// Takes over the state of the predecessor of this process: exactly its disabled workers are disabled,
-    /// except where this process has received a command for a worker itself. Returns the workers that this
-    /// changes, ordered by name.
+    /// Applies the state of the predecessor: exactly the workers that it has disabled become disabled.
+    /// Workers for which this process itself has received a command are exempt. Returns the changes, ordered
+    /// by name.
     pub fn merge_predecessor(&mut self, predecessor: &DisabledWorkers) -> Vec<MaintenanceChange> {
         self.record_listed(predecessor.ever_listed.iter().map(String::as_str));
         let changes: Vec<MaintenanceChange> = self
--- a/crates/control/src/phase.rs
+++ b/crates/control/src/phase.rs
@@ -1,8 +1,8 @@
 //! Phases of a process of a node, and the transitions between them.
 //!
-//! A process begins in `Starting` and ends in `Stopped`. `St`, `St+d`, `Su` and `Su+d` stand for `Starting`
-//! and `Superseded` without and with `drained`. A cell is the next phase; an empty one means that the event
-//! does not apply and the phase stays.
+//! A process begins in `Starting` and ends in `Stopped`. In the table, `St` and `Su` stand for `Starting` and
+//! `Superseded`, and `+d` means that `drained` is set. Each cell contains the next phase. An empty cell means
+//! that the event does not apply and the phase stays the same.
 //!
 //! | event | `St` | `St+d` | `Ready` | `Drained` | `Su` | `Su+d` | `ShuttingDown` | `Stopped` |
 //! | --- | --- | --- | --- | --- | --- | --- | --- | --- |
@@ -10,44 +10,45 @@
 //! | `Drain` | `St+d` | `St+d` | `Drained` | | `Su+d` | `Su+d` | | |
 //! | `Undrain` | | `St` | | `Ready` | | `Su` | | |
 //! | `HandedOver` | `Su` | `Su+d` | `Su` | `Su+d` | `Su` | `Su+d` | | |
-//! | `TookBack` | | | | | `Ready` | `Drained` | | |
+//! | `RolledBack` | | | | | `Ready` | `Drained` | | |
 //! | `Terminate` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | `ShuttingDown` | | |
 //! | `ShutdownCompleted` | | | | | | | `Stopped` | |
 //!
-//! Invariants: the last of `Drain` and `Undrain` holds until the shutdown begins, and a shutdown is never
-//! undone.
+//! Invariants: the latest of `Drain` and `Undrain` stays in effect until the shutdown begins, and a shutdown
+//! is never reversed.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The phase of a process.
+/// Phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has no endpoint list yet, or waits for the handover by its predecessor.
+    /// The process has no endpoint list yet, or waits for its predecessor to grant the takeover.
     Starting {
-        /// An operator has drained the node.
+        /// Whether an operator has drained the node.
         drained: bool,
     },
-    /// It serves.
+    /// The process serves.
     Ready,
-    /// An operator has drained the node: it serves requests that still arrive, and redirects clients to other nodes.
+    /// An operator has drained the node: the process serves requests that still arrive, and redirects clients
+    /// to other nodes.
     Drained,
-    /// Its successor serves: it finishes the jobs that it has accepted, and takes the node back if the
-    /// successor ends.
+    /// The successor serves: this process finishes the jobs that it has accepted, and serves again if the
+    /// successor terminates.
     #[serde(rename = "Retired")]
     Superseded {
-        /// An operator has drained the node.
+        /// Whether an operator has drained the node.
         drained: bool,
     },
-    /// SIGTERM has arrived: it serves until all jobs that it has accepted are answered.
+    /// SIGTERM has arrived: the process serves until all jobs that it has accepted are answered.
     #[serde(rename = "Ending")]
     ShuttingDown,
     /// All jobs are answered.
     Stopped,
 }
 
-/// What moves a process from one phase to another.
+/// Event that can change the phase of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PhaseEvent {
     /// An endpoint list has arrived.
@@ -58,8 +59,8 @@
     Undrain,
     /// The successor is ready and accepts the new connections from now on.
     HandedOver,
-    /// The successor has ended, and this process accepts new connections again.
-    TookBack,
+    /// The successor has terminated, and this process accepts new connections again.
+    RolledBack,
     /// SIGTERM has arrived.
     Terminate,
     /// All jobs are answered.
@@ -67,7 +68,7 @@
 }
 
 impl Phase {
-    /// All phases.
+    /// All phases, with each value of `drained`.
     pub const ALL: [Phase; 8] = [
         Phase::Starting { drained: false },
         Phase::Starting { drained: true },
@@ -79,14 +80,14 @@
         Phase::Stopped,
     ];
 
-    /// The phase after an event; `None` if the event does not apply and the phase stays.
+    /// Returns the phase after an event, or `None` if the event does not apply and the phase stays the same.
     pub fn next(self, event: PhaseEvent) -> Option<Phase> {
         match event {
             PhaseEvent::EndpointsAvailable => self.after_endpoints_available(),
             PhaseEvent::Drain => self.after_drain(),
             PhaseEvent::Undrain => self.after_undrain(),
             PhaseEvent::HandedOver => self.after_handover(),
-            PhaseEvent::TookBack => self.after_taking_back(),
+            PhaseEvent::RolledBack => self.after_rollback(),
             PhaseEvent::Terminate => self.after_terminate(),
             PhaseEvent::ShutdownCompleted => self.after_shutdown(),
         }
@@ -136,7 +137,7 @@
         }
     }
 
-    fn after_taking_back(self) -> Option<Phase> {
+    fn after_rollback(self) -> Option<Phase> {
         match self {
             Phase::Superseded { drained } => Some(Phase::serving(drained)),
             Phase::Starting { .. } | Phase::Ready | Phase::Drained | Phase::ShuttingDown | Phase::Stopped => {
@@ -165,13 +166,13 @@
         }
     }
 
-    /// The phase of a process that accepts the new connections of its node.
+    /// Returns the phase of a process that accepts the new connections of its node.
     fn serving(drained: bool) -> Phase {
         if drained { Phase::Drained } else { Phase::Ready }
     }
 
-    /// Whether the node that this process belongs to accepts new clients: what the load balancer in front is
-    /// answered.
+    /// Returns whether the node of this process accepts new clients. The node reports this value to the load
+    /// balancer in front of it.
     pub fn accepts_new_clients(self) -> bool {
         match self {
             Phase::Ready | Phase::Superseded { drained: false } => true,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Whether clients on open connections are to reconnect: to another node, or to the successor.
+    /// Returns whether clients on open connections should reconnect, to another node or to the successor.
     pub fn redirects_clients(self) -> bool {
         match self {
             Phase::Starting { drained: false } | Phase::Ready => false,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub fn is_shutting_down(self) -> bool {
         match self {
             Phase::ShuttingDown | Phase::Stopped => true,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Whether an operator has drained the node. False once the shutdown has begun.
+    /// Returns whether an operator has drained the node. Always false once the shutdown has begun.
     pub fn is_drained(self) -> bool {
         match self {
             Phase::Starting { drained } | Phase::Superseded { drained } => drained,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// What an operator can do about a process that is not ready.
+    /// Returns advice to an operator on a process that is not ready.
     pub fn operator_advice(self) -> &'static str {
         match self {
             Phase::Starting { .. } => "no list of core workers yet; look at discovery if this lasts",
@@ -225,7 +226,7 @@
     }
 }
 
-/// The name of the phase in responses to operators and in log lines.
+/// Formats the name of the phase in responses to operators and in log lines.
 impl fmt::Display for Phase {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
--- a/crates/control/src/takeover/callback_route.rs
+++ b/crates/control/src/takeover/callback_route.rs
@@ -1,32 +1,33 @@
-//! Which of the two processes of a node a callback of a worker is for.
+//! Routing of callbacks of workers between the two processes of a node.
 
 use super::job_claims::LocalOwnership;
 
-/// Where a callback goes.
+/// Route of a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallbackRoute {
     /// This process owns the job.
     Local,
-    /// The other process may own the job; the worker gets its response once that process has answered.
+    /// The peer may own the job. The worker receives its response once the peer has answered.
     Forward,
-    /// No process owns the job.
+    /// No process that this one can reach owns the job.
     Unknown,
 }
 
-/// Whether there is another process to which a callback can be forwarded.
+/// Process to which a callback can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ForwardingPeer {
-    /// The link to it is connected.
-    Linked,
-    /// There is none, or it has forwarded this callback itself and must not receive it again.
+pub enum ForwardTarget {
+    /// The peer, over a connected link.
+    Peer,
+    /// No process: there is no connected peer, or the peer itself forwarded this callback and must not
+    /// receive it again.
     None,
 }
 
-/// Routes a callback by whether this process owns its job.
-pub fn route_callback(ownership: LocalOwnership, peer: ForwardingPeer) -> CallbackRoute {
+/// Routes a callback based on whether this process owns its job.
+pub fn route_callback(ownership: LocalOwnership, peer: ForwardTarget) -> CallbackRoute {
     match (ownership, peer) {
         (LocalOwnership::Owned, _) => CallbackRoute::Local,
-        (LocalOwnership::NotOwned, ForwardingPeer::Linked) => CallbackRoute::Forward,
-        (LocalOwnership::NotOwned, ForwardingPeer::None) => CallbackRoute::Unknown,
+        (LocalOwnership::NotOwned, ForwardTarget::Peer) => CallbackRoute::Forward,
+        (LocalOwnership::NotOwned, ForwardTarget::None) => CallbackRoute::Unknown,
     }
 }
--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -1,17 +1,17 @@
-//! The state machine of one process while a node changes its process.
+//! State machine of one process during a takeover.
 //!
-//! The successor connects to the predecessor with a hello, obtains an endpoint list of its own, and then
-//! requests the takeover; once that is granted it accepts the new connections of the node and the predecessor
-//! finishes its jobs. A successor that terminates first hands the node back, and a process whose link is lost
-//! continues alone.
+//! The successor connects to the predecessor with a hello, obtains its own endpoint list, and then requests
+//! the takeover. Once the takeover is granted, the successor accepts the new connections of the node and the
+//! predecessor finishes its jobs. A successor that terminates before the predecessor exits hands the node
+//! back. A process that loses its link continues alone.
 //!
-//! The state is a [`Role`], with three flags beside it: whether the process has an endpoint list of its own,
-//! whether its phase has left `Starting`, and whether it is shutting down (SD). An event without a row, as
-//! when two of them cross, changes no role and needs no command.
+//! The state consists of a [`Role`] and three flags: whether the process has its own endpoint list, whether
+//! its phase has left `Starting`, and whether it is shutting down (SD in the table). An event without a row
+//! changes no role and returns no commands; such events occur when two messages cross.
 //!
-//! | role | event | if | next role | commands |
+//! | role | event | condition | next role | commands |
 //! | --- | --- | --- | --- | --- |
-//! | any | `Hello` | of another node | same | `RejectHello(OtherNode)` |
+//! | any | `Hello` | another node | same | `RejectHello(OtherNode)` |
 //! | any but `Single` | `Hello` | | same | `RejectHello(Busy)` |
 //! | `Single` | `Hello` | SD | same | `RejectHello(ShuttingDown)` |
 //! | `Single` | `Hello` | not SD | `AcceptingPredecessor` | `SetDescriptorShare(Half)`, `AcceptHello` |
@@ -20,134 +20,140 @@
 //! | `AcceptingPredecessor` | `TakeoverRequested` | not SD | `SupersededPredecessor` | `StopAccepting`, `ApplyPhaseEvent(HandedOver)`, `GrantTakeover` |
 //! | `AcceptingPredecessor` | `TakeoverRequested` | SD | `SupersededPredecessor` | `StopAccepting`, `GrantTakeover` |
 //! | `WaitingSuccessor` | `TakeoverGranted` | | `AcceptingSuccessor` | *start serving* |
-//! | `SupersededPredecessor` | `HandedBack` | not SD | `AcceptingPredecessor` | *take back* |
-//! | `SupersededPredecessor` | `LinkLost` | not SD | `Single` | `SetDescriptorShare(All)`, *take back* |
+//! | `SupersededPredecessor` | `HandedBack` | not SD | `AcceptingPredecessor` | *roll back* |
+//! | `SupersededPredecessor` | `LinkLost` | not SD | `Single` | `SetDescriptorShare(All)`, *roll back* |
 //! | `WaitingSuccessor` | `LinkLost` | | `Single` | `SetDescriptorShare(All)`, *start serving* |
 //! | any other but `Single` | `LinkLost` | | `Single` | `SetDescriptorShare(All)` |
 //! | `AcceptingSuccessor` | `Terminate` | first | same | `ApplyPhaseEvent(Terminate)`, `HandBack` |
 //! | `WaitingSuccessor` | `Terminate` | first | `Single` | `ApplyPhaseEvent(Terminate)`, `CloseLink` |
 //! | any other | `Terminate` | first | same | `ApplyPhaseEvent(Terminate)` |
 //!
-//! - *leave starting*: `ApplyPhaseEvent(EndpointsAvailable)`, unless the phase has left `Starting` already;
-//! - *start serving*: `StartAccepting`, *leave starting* if there is an endpoint list, `ListenForSuccessor`;
-//! - *take back*: `StartAccepting`, `ApplyPhaseEvent(TookBack)`, `ListenForSuccessor`.
+//! - first: the process has not received this event before;
+//! - *leave starting*: `ApplyPhaseEvent(EndpointsAvailable)`, unless the phase has already left `Starting`;
+//! - *start serving*: `StartAccepting`, *leave starting* if the process has its own endpoint list,
+//!   `ListenForSuccessor`;
+//! - *roll back*: `StartAccepting`, `ApplyPhaseEvent(RolledBack)`, `ListenForSuccessor`.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::phase::PhaseEvent;
 
-/// What a process is to the other process of its node.
+/// Role of a process in relation to its peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has no link to another process.
+    /// The process has no link to a peer.
     Single,
-    /// It started first, and still accepts the new connections.
+    /// The process started first and still accepts the new connections.
     AcceptingPredecessor,
-    /// It started first, and the successor accepts the new connections.
+    /// The process started first, and the successor accepts the new connections.
     SupersededPredecessor,
-    /// It started second, and the predecessor still accepts the new connections.
+    /// The process started second, and the predecessor still accepts the new connections.
     WaitingSuccessor,
-    /// It started second, and accepts the new connections.
+    /// The process started second and accepts the new connections.
     AcceptingSuccessor,
 }
 
-/// What happens to a process.
+/// Event that the state machine handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverEvent {
-    /// Another process requests to be the successor.
+    /// Another process requests to become the successor.
     Hello {
-        /// Name of its node.
+        /// Name of the node of the other process.
         node: String,
-        /// Address at which clients reach its node.
+        /// Address at which clients reach the node of the other process.
         listen: String,
     },
-    /// This process has an endpoint list of its own.
+    /// This process has obtained its own endpoint list.
     EndpointsAvailable,
     /// The successor is ready and requests the new connections.
     TakeoverRequested,
-    /// The predecessor has answered: the new connections are this process's.
+    /// The predecessor has granted the takeover: this process accepts the new connections from now on.
     TakeoverGranted,
-    /// The successor, which had taken over, terminates and hands the node over to this process.
+    /// The successor, which had taken over, terminates and hands the node back to this process.
     HandedBack,
-    /// The link to the other process is lost.
+    /// The link to the peer is lost.
     LinkLost,
     /// SIGTERM has arrived.
     Terminate,
 }
 
-/// The part of the node's file descriptors that one process may use.
+/// Share of the node's file descriptors that one process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorShare {
-    /// For each of two processes.
+    /// Half of the descriptors, for each of two processes.
     Half,
-    /// For the only process.
+    /// All descriptors, for the only process of the node.
     All,
 }
 
-/// What a process is to do; commands are carried out in the order given.
+/// Command that the state machine returns. The process executes commands in the order in which they are
+/// returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverCommand {
-    /// Answer the hello: the other process is the successor.
+    /// Accepts the hello: the other process becomes the successor.
     AcceptHello,
-    /// Answer the hello: the other process is not the successor, for this reason.
+    /// Rejects the hello for this reason: the other process does not become the successor.
     RejectHello(RejectReason),
-    /// Ask the predecessor for the new connections.
+    /// Requests the new connections from the predecessor.
     RequestTakeover,
-    /// Answer the successor: the new connections are its own.
+    /// Grants the new connections to the successor.
     GrantTakeover,
-    /// Have the predecessor take the node back.
+    /// Hands the node back: the predecessor serves again.
     HandBack,
-    /// Close the link.
+    /// Closes the link.
     CloseLink,
-    /// Accept new connections.
+    /// Starts to accept new connections.
     StartAccepting,
-    /// Accept no more connections. The listener stays open: connections in its queue would be reset
-    /// otherwise.
+    /// Stops accepting new connections. The listener stays open, because closing it would reset the
+    /// connections in its queue.
     StopAccepting,
-    /// Apply this event to the phase of the process.
+    /// Applies this event to the phase of the process.
     ApplyPhaseEvent(PhaseEvent),
-    /// Use this share of the descriptors.
+    /// Limits the process to this share of the descriptors.
     SetDescriptorShare(DescriptorShare),
-    /// Wait for the next successor at the node's rendezvous, in place of whichever process waited there.
+    /// Listens for the next successor at the node's rendezvous and replaces the process that listened there
+    /// before, if any.
     ListenForSuccessor,
 }
 
-/// Why a process that requests to be the successor is rejected. Each text states what an operator can do.
+/// Reason for which a process that requests to become the successor is rejected. Each message states what an
+/// operator can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// The node has two processes already; a later request may succeed.
+    /// The node already has two processes. A later request may succeed.
     #[error("another process of this node is still coming or going; it is asked again")]
     Busy,
-    /// The process belongs to another node.
+    /// The rejecting process belongs to another node.
     #[error("the process there is of another node; give each node its own RELAY_LISTEN and RELAY_NAME")]
     OtherNode,
-    /// The process is shutting down.
+    /// The rejecting process is shutting down.
     #[error("the process there is ending; the new one starts cold, nothing is to be done")]
     #[serde(rename = "Ending")]
     ShuttingDown,
-    /// The process cannot read what the new one sends.
+    /// The rejecting process cannot decode the messages of the new process.
     #[error("the process there does not know this version; the new one starts cold, nothing is to be done")]
     OtherVersion,
 }
 
-/// The part of one process in a takeover.
+/// State machine of one process during a takeover.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     node: String,
     listen: String,
     role: Role,
-    /// It has an endpoint list of its own.
+    /// Whether the process has its own endpoint list.
     has_endpoints: bool,
-    /// Its phase has left `Starting`, with an endpoint list of its own or of its successor.
+    /// Whether the phase has left `Starting`, because of an endpoint list of this process or of its
+    /// successor.
     left_starting: bool,
     shutting_down: bool,
 }
 
 impl Takeover {
-    /// A process that found no other process of its node: it serves at once. Returns its first commands as
-    /// well.
-    pub fn without_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
+    /// Starts a process that found no other process of its node: it serves immediately. Returns the state
+    /// machine and the first commands.
+    pub fn start_single(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![
             TakeoverCommand::SetDescriptorShare(DescriptorShare::All),
             TakeoverCommand::StartAccepting,
@@ -156,9 +162,9 @@
         (Takeover::new(node, listen, Role::Single), commands)
     }
 
-    /// A process whose hello its predecessor has accepted: it waits until it has an endpoint list. Returns
-    /// its first commands as well.
-    pub fn with_predecessor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
+    /// Starts a process whose hello has been accepted by its predecessor: it waits until it has an endpoint
+    /// list. Returns the state machine and the first commands.
+    pub fn start_successor(node: &str, listen: &str) -> (Takeover, Vec<TakeoverCommand>) {
         let commands = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half)];
         (Takeover::new(node, listen, Role::WaitingSuccessor), commands)
     }
@@ -174,12 +180,12 @@
         }
     }
 
-    /// What this process is to the other one.
+    /// Returns the role of this process in relation to its peer.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Applies an event and returns its commands, as the table of this module lists them.
+    /// Handles an event and returns the commands that the table of this module lists for it.
     pub fn handle(&mut self, event: TakeoverEvent) -> Vec<TakeoverCommand> {
         match event {
             TakeoverEvent::Hello { node, listen } => self.on_hello(&node, &listen),
@@ -193,14 +199,14 @@
     }
 
     fn on_hello(&mut self, node: &str, listen: &str) -> Vec<TakeoverCommand> {
-        if let Some(reason) = self.reason_to_reject(node, listen) {
+        if let Some(reason) = self.reject_reason(node, listen) {
             return vec![TakeoverCommand::RejectHello(reason)];
         }
         self.role = Role::AcceptingPredecessor;
         vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::AcceptHello]
     }
 
-    fn reason_to_reject(&self, node: &str, listen: &str) -> Option<RejectReason> {
+    fn reject_reason(&self, node: &str, listen: &str) -> Option<RejectReason> {
         if node != self.node || listen != self.listen {
             Some(RejectReason::OtherNode)
         } else if self.role != Role::Single {
@@ -232,12 +238,12 @@
         }
         self.role = Role::SupersededPredecessor;
         let mut commands = vec![TakeoverCommand::StopAccepting];
-        // A shutdown is never undone.
+        // A shutdown is never reversed, so the phase stays the same.
         if !self.shutting_down {
             self.left_starting = true;
             commands.push(TakeoverCommand::ApplyPhaseEvent(PhaseEvent::HandedOver));
         }
-        // Last, since the successor accepts connections from here on.
+        // Last, because the successor accepts connections as soon as the takeover is granted.
         commands.push(TakeoverCommand::GrantTakeover);
         commands
     }
@@ -255,15 +261,15 @@
             return vec![];
         }
         self.role = Role::AcceptingPredecessor;
-        take_back()
+        rollback_commands()
     }
 
     fn on_link_lost(&mut self) -> Vec<TakeoverCommand> {
-        let lost_role = std::mem::replace(&mut self.role, Role::Single);
+        let previous_role = std::mem::replace(&mut self.role, Role::Single);
         let mut commands = vec![TakeoverCommand::SetDescriptorShare(DescriptorShare::All)];
-        match lost_role {
+        match previous_role {
             Role::Single => return vec![],
-            Role::SupersededPredecessor if !self.shutting_down => commands.extend(take_back()),
+            Role::SupersededPredecessor if !self.shutting_down => commands.extend(rollback_commands()),
             Role::WaitingSuccessor => commands.extend(self.start_serving()),
             Role::AcceptingPredecessor | Role::SupersededPredecessor | Role::AcceptingSuccessor => {}
         }
@@ -279,8 +285,8 @@
         match self.role {
             Role::AcceptingSuccessor => commands.push(TakeoverCommand::HandBack),
             Role::WaitingSuccessor => {
-                // The predecessor may be handing over at this moment: losing the link makes it take the node
-                // back.
+                // The predecessor may be granting the takeover at the same time. The loss of the link makes
+                // it serve again.
                 self.role = Role::Single;
                 commands.push(TakeoverCommand::CloseLink);
             }
@@ -294,7 +300,7 @@
         is_first.then_some(TakeoverCommand::ApplyPhaseEvent(PhaseEvent::EndpointsAvailable))
     }
 
-    /// Commands of a process that serves in place of its predecessor from now on.
+    /// Returns the commands of a process that serves in place of its predecessor from now on.
     fn start_serving(&mut self) -> Vec<TakeoverCommand> {
         let mut commands = vec![TakeoverCommand::StartAccepting];
         if self.has_endpoints {
@@ -305,11 +311,11 @@
     }
 }
 
-/// Commands of a predecessor that serves again in place of its successor.
-fn take_back() -> Vec<TakeoverCommand> {
+/// Returns the commands of a predecessor that serves again in place of its successor.
+fn rollback_commands() -> Vec<TakeoverCommand> {
     vec![
         TakeoverCommand::StartAccepting,
-        TakeoverCommand::ApplyPhaseEvent(PhaseEvent::TookBack),
+        TakeoverCommand::ApplyPhaseEvent(PhaseEvent::RolledBack),
         TakeoverCommand::ListenForSuccessor,
     ]
 }
--- a/crates/control/tests/commands.rs
+++ b/crates/control/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Lines of operators: which are commands, and how each other line fails.
+//! Parsing of operators' lines: valid commands, and the error for each kind of invalid line.
 
 use curlewusher_control::command::{
     AdminCommand, CommandParseError, MAX_LINE_BYTES, MAX_WORKER_ID_BYTES, format_response,
@@ -6,17 +6,17 @@
 use proptest::prelude::*;
 
 #[test]
-fn each_command_with_any_line_end_then_it_parses() {
+fn each_command_with_any_line_ending_then_it_parses() {
     for command in ["READY", "DISABLE s-1", "ENABLE s-1", "DRAIN", "UNDRAIN"] {
-        for end in ["", "\n", "\r\n"] {
-            let parsed = AdminCommand::parse(format!("{command}{end}").as_bytes()).expect(command);
+        for line_ending in ["", "\n", "\r\n"] {
+            let parsed = AdminCommand::parse(format!("{command}{line_ending}").as_bytes()).expect(command);
             assert_eq!(parsed.to_string(), command);
         }
     }
 }
 
 #[test]
-fn each_mistake_then_its_own_error_and_an_err_response() {
+fn each_kind_of_invalid_line_then_its_own_error_and_an_err_response() {
     let long_id = format!("DISABLE {}", "x".repeat(MAX_WORKER_ID_BYTES + 1));
     let cases: [(&[u8], CommandParseError); 8] = [
         (b"\n", CommandParseError::Empty),
@@ -24,7 +24,7 @@
         (b"ENABLE a b\n", CommandParseError::UnexpectedArgument("ENABLE")),
         (b"DRAIN now\n", CommandParseError::UnexpectedArgument("DRAIN")),
         (b"RESTART\n", CommandParseError::UnknownCommand),
-        (b"DISABLE \xff\n", CommandParseError::NotAscii),
+        (b"DISABLE \xff\n", CommandParseError::NotPrintable),
         (long_id.as_bytes(), CommandParseError::WorkerIdTooLong),
         (&[b'x'; MAX_LINE_BYTES + 1], CommandParseError::TooLong),
     ];
@@ -36,13 +36,14 @@
 }
 
 proptest! {
-    /// A command that was parsed reads the same when it is formatted and parsed again.
+    /// A parsed command stays the same when it is formatted and parsed again. Every line gets exactly one
+    /// response line.
     #[test]
     fn any_bytes_then_one_response_line(line in proptest::collection::vec(any::<u8>(), 0..400)) {
         let parsed = AdminCommand::parse(&line);
         if let Ok(command) = &parsed {
-            let again = AdminCommand::parse(command.to_string().as_bytes());
-            prop_assert_eq!(&again.expect("a formatted command"), command);
+            let reparsed = AdminCommand::parse(command.to_string().as_bytes());
+            prop_assert_eq!(&reparsed.expect("a formatted command is valid"), command);
         }
         let response = format_response(&parsed.map(|_| Ok(())));
         prop_assert!(response.ends_with('\n') && response.matches('\n').count() == 1);
--- a/crates/control/tests/golden_frames.rs
+++ b/crates/control/tests/golden_frames.rs
@@ -1,5 +1,5 @@
-//! What two processes of a node and operators read, byte for byte: frames, records, phases and responses.
-//! `CURLEWUSHER_RECORD=1` writes the recorded files anew.
+//! Exact bytes that the peer and operators read: frames, state records, phases and responses.
+//! `CURLEWUSHER_RECORD=1` rewrites the recorded files.
 
 #[path = "../../core/tests/common/golden.rs"]
 mod golden;
@@ -16,7 +16,7 @@
 use curlewusher_control::phase::{Phase, PhaseEvent};
 use golden::assert_golden;
 
-/// Names of the phases in this test, in the order of [`Phase::ALL`].
+/// Names of the phases in the recorded files, in the order of [`Phase::ALL`].
 const PHASES: [&str; 8] = [
     "starting",
     "starting, drained",
@@ -33,7 +33,7 @@
     ("drain", PhaseEvent::Drain),
     ("end of drain", PhaseEvent::Undrain),
     ("hand over", PhaseEvent::HandedOver),
-    ("take back", PhaseEvent::TookBack),
+    ("take back", PhaseEvent::RolledBack),
     ("terminate", PhaseEvent::Terminate),
     ("all answered", PhaseEvent::ShutdownCompleted),
 ];
@@ -72,7 +72,7 @@
     let bytes = || Bytes::from_static(b"{\"bytes\":\x00\xff}");
     let (node, listen) = ("node-1".to_owned(), "0.0.0.0:7070".to_owned());
     let cancel = |worker: &str| Frame::CancelAttempt {
-        worker: worker.parse().expect("an address"),
+        worker: worker.parse().expect("the address is valid"),
         job_id: "job-9".to_owned(),
     };
     let mut all = vec![
@@ -109,29 +109,33 @@
 
 #[test]
 fn frames_of_every_kind_encoded_then_the_recorded_bytes_which_decode_to_them() {
-    let mut found = String::new();
-    for ((name, frame), seq) in frames().into_iter().zip(0x0102_0304_0506_0700..) {
-        let encoded = frame.encode(seq).expect("a short frame");
-        writeln!(found, "{name}: {}", hex(&encoded)).expect("a string");
+    let mut actual = String::new();
+    for ((name, frame), sequence_number) in frames().into_iter().zip(0x0102_0304_0506_0700..) {
+        let encoded = frame.encode(sequence_number).expect("the payload is within its limit");
+        writeln!(actual, "{name}: {}", hex(&encoded)).expect("writing to a string succeeds");
         let mut decoder = Decoder::default();
         decoder.feed(&encoded);
-        assert_eq!(decoder.next_frame(), Ok(Some(ReceivedFrame { sequence: seq, frame })), "{name}");
+        assert_eq!(
+            decoder.next_frame(),
+            Ok(Some(ReceivedFrame { sequence: sequence_number, frame })),
+            "{name}"
+        );
         assert_eq!(decoder.finish(), Ok(()), "{name}");
     }
-    assert_golden("frames.txt", &found);
+    assert_golden("frames.txt", &actual);
 }
 
 #[test]
 fn responses_between_processes_then_the_recorded_ones() {
     let responses = frames().into_iter().filter(|(_, frame)| frame.is_response());
-    let found: String = responses.map(|(name, _)| format!("{name}\n")).collect();
-    assert_golden("link_answers.txt", &found);
+    let actual: String = responses.map(|(name, _)| format!("{name}\n")).collect();
+    assert_golden("link_answers.txt", &actual);
 }
 
 #[test]
 fn link_errors_then_the_recorded_messages() {
     let errors = [
-        FrameError::NotAFrame,
+        FrameError::InvalidMagic,
         FrameError::OtherVersion { theirs: 9, ours: 1 },
         FrameError::Truncated,
         FrameError::ChecksumMismatch,
@@ -139,53 +143,56 @@
         FrameError::Malformed { kind: 200 },
     ];
     let reasons = REJECT_REASONS.iter().map(|(_, reason)| format!("{reason}\n"));
-    let found: String = reasons.chain(errors.iter().map(|error| format!("{error}\n"))).collect();
-    assert_golden("link_errors.txt", &found);
+    let actual: String = reasons.chain(errors.iter().map(|error| format!("{error}\n"))).collect();
+    assert_golden("link_errors.txt", &actual);
 }
 
 #[test]
-fn disabled_workers_serialized_then_the_recorded_bytes_which_read_the_same() {
+fn disabled_workers_serialized_then_the_recorded_bytes_which_survive_a_round_trip() {
     let mut workers = DisabledWorkers::default();
     workers.record_listed(["s-2", "s-10", "s-\"ü\"", "s-1"]);
     for name in ["s-2", "s-\"ü\"", "s-1"] {
         assert_eq!(workers.disable(name), Ok(()));
     }
     assert_eq!(workers.enable("s-1"), Ok(()));
-    let written = serde_json::to_string(&workers).expect("serializable");
-    assert_golden("disabled_workers.json", &format!("{written}\n"));
-    let read: DisabledWorkers = serde_json::from_str(&written).expect("deserializable");
-    assert_eq!(serde_json::to_string(&read).expect("serializable"), written);
-    let unknown = written.replacen('{', "{\"unknown\":1,", 1);
-    let error = serde_json::from_str::<DisabledWorkers>(&unknown).expect_err("an unknown field");
+    let json = serde_json::to_string(&workers).expect("the value can be serialized");
+    assert_golden("disabled_workers.json", &format!("{json}\n"));
+    let read: DisabledWorkers = serde_json::from_str(&json).expect("the value can be deserialized");
+    assert_eq!(serde_json::to_string(&read).expect("the value can be serialized"), json);
+    let unknown = json.replacen('{', "{\"unknown\":1,", 1);
+    let error = serde_json::from_str::<DisabledWorkers>(&unknown).expect_err("the field is unknown");
     assert!(error.to_string().starts_with("unknown field `unknown`"), "{error}");
 }
 
 #[test]
 fn phases_and_events_then_the_recorded_table() {
-    let mut found = String::new();
+    let mut actual = String::new();
     for (name, phase) in PHASES.iter().zip(Phase::ALL) {
-        let form = serde_json::to_string(&phase).expect("serializable");
-        assert_eq!(serde_json::from_str::<Phase>(&form).expect("deserializable"), phase);
-        writeln!(found, "{name}: {phase}; {form}; {}", phase.operator_advice()).expect("a string");
+        let json = serde_json::to_string(&phase).expect("the value can be serialized");
+        assert_eq!(serde_json::from_str::<Phase>(&json).expect("the value can be deserialized"), phase);
+        writeln!(actual, "{name}: {phase}; {json}; {}", phase.operator_advice())
+            .expect("writing to a string succeeds");
         let (accepts, redirects) = (phase.accepts_new_clients(), phase.redirects_clients());
         let (shutting_down, drained) = (phase.is_shutting_down(), phase.is_drained());
         writeln!(
-            found,
+            actual,
             "  wants clients {accepts}, sends on {redirects}, ends {shutting_down}, drained {drained}"
         )
-        .expect("a string");
+        .expect("writing to a string succeeds");
         for (label, event) in EVENTS {
-            let at = phase.next(event).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
-            writeln!(found, "  {label} -> {}", at.map_or("none", |at| PHASES[at])).expect("a string");
+            let index =
+                phase.next(event).and_then(|after| Phase::ALL.iter().position(|phase| *phase == after));
+            writeln!(actual, "  {label} -> {}", index.map_or("none", |index| PHASES[index]))
+                .expect("writing to a string succeeds");
         }
     }
-    assert_golden("phases.txt", &found);
+    assert_golden("phases.txt", &actual);
 }
 
 const PARSE_ERRORS: [CommandParseError; 7] = [
     CommandParseError::Empty,
     CommandParseError::TooLong,
-    CommandParseError::NotAscii,
+    CommandParseError::NotPrintable,
     CommandParseError::UnknownCommand,
     CommandParseError::MissingWorkerId("DISABLE"),
     CommandParseError::UnexpectedArgument("ENABLE"),
@@ -218,10 +225,10 @@
         longest.as_bytes(),
         &[b'x'; MAX_LINE_BYTES + 1],
     ];
-    let mut found = String::new();
+    let mut actual = String::new();
     let mut write = |name: &str, outcome: &Result<CommandResult, CommandParseError>| {
         let response = format_response(outcome);
-        writeln!(found, "{name} -> {}", response.escape_debug()).expect("a string");
+        writeln!(actual, "{name} -> {}", response.escape_debug()).expect("writing to a string succeeds");
     };
     for line in lines {
         let command = AdminCommand::parse(line);
@@ -240,5 +247,5 @@
     for error in PARSE_ERRORS {
         write("mistake", &Err(error));
     }
-    assert_golden("admin_answers.txt", &found);
+    assert_golden("admin_answers.txt", &actual);
 }
--- a/crates/control/tests/phases.rs
+++ b/crates/control/tests/phases.rs
@@ -1,4 +1,4 @@
-//! Sequences of events on the phases of a process, against the invariants of their transition table.
+//! Invariants of the transition table of phases, checked with random sequences of events.
 
 use curlewusher_control::phase::{Phase, PhaseEvent};
 use proptest::prelude::*;
@@ -9,15 +9,15 @@
         PhaseEvent::Drain,
         PhaseEvent::Undrain,
         PhaseEvent::HandedOver,
-        PhaseEvent::TookBack,
+        PhaseEvent::RolledBack,
         PhaseEvent::Terminate,
         PhaseEvent::ShutdownCompleted,
     ])
 }
 
 proptest! {
-    /// The last of DRAIN and UNDRAIN holds, a shutdown is never undone, and only a node that is not drained
-    /// and has an endpoint list, here or at its successor, accepts new clients.
+    /// The latest of DRAIN and UNDRAIN stays in effect, and a shutdown is never reversed. A node accepts new
+    /// clients only if it is not drained and this process or its successor has an endpoint list.
     #[test]
     fn events_in_any_order_then_phases_keep_their_invariants(
         events in prop::collection::vec(phase_events(), 0..40),
@@ -35,7 +35,7 @@
                 PhaseEvent::Drain => drained = true,
                 PhaseEvent::Undrain => drained = false,
                 PhaseEvent::EndpointsAvailable | PhaseEvent::HandedOver => has_endpoints = true,
-                PhaseEvent::TookBack | PhaseEvent::Terminate | PhaseEvent::ShutdownCompleted => {}
+                PhaseEvent::RolledBack | PhaseEvent::Terminate | PhaseEvent::ShutdownCompleted => {}
             }
             prop_assert_eq!(phase.is_shutting_down(), event == PhaseEvent::Terminate);
             if !phase.is_shutting_down() {
--- a/crates/control/tests/takeover/main.rs
+++ b/crates/control/tests/takeover/main.rs
@@ -1,12 +1,11 @@
-//! Takeover between processes of one node: who accepts connections, uses descriptors, owns jobs and gets
-//! callbacks.
+//! Takeover between processes of one node: division of connections, descriptors, jobs and callbacks.
 
 mod network;
 
 use std::collections::BTreeSet;
 
 use curlewusher_control::takeover::{
-    CallbackRoute, DescriptorShare, ForwardingPeer, JobClaims, LinkRole, LocalOwnership, RejectReason,
+    CallbackRoute, DescriptorShare, ForwardTarget, JobClaims, LinkRole, LocalOwnership, RejectReason,
     Takeover, TakeoverCommand, TakeoverEvent, route_callback,
 };
 use network::{JOB_IDS, MAX_PROCESSES, Network};
@@ -15,9 +14,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4000))]
 
-    /// Whatever happens in whatever order, with links that delay and are lost, processes that are killed and
-    /// that terminate: a process that can serve does or is about to, no id is owned twice by granted claims,
-    /// all processes together stay within the descriptors of one node, and phases keep to their table.
+    /// Invariants under any sequence of events, with delayed and lost links, and with killed and terminating
+    /// processes. If a process can serve, one serves or is about to serve. No two processes own the same job
+    /// id by granted claims. All processes together stay within the descriptors of one node. Phases follow
+    /// their transition table.
     #[test]
     fn processes_start_end_and_lose_links_then_connections_jobs_and_descriptors_have_one_owner(
         steps in prop::collection::vec((0u8..16, 0..MAX_PROCESSES, 0..JOB_IDS.len()), 0..80),
@@ -33,23 +33,23 @@
 #[test]
 fn hello_of_another_node_or_a_third_process_or_during_shutdown_then_rejected() {
     let hello = |node: &str| TakeoverEvent::Hello { node: node.into(), listen: "l".into() };
-    let (mut predecessor, _) = Takeover::without_predecessor("n", "l");
+    let (mut predecessor, _) = Takeover::start_single("n", "l");
     assert_eq!(predecessor.handle(hello("m")), [TakeoverCommand::RejectHello(RejectReason::OtherNode)]);
     assert_eq!(
         predecessor.handle(hello("n")),
         [TakeoverCommand::SetDescriptorShare(DescriptorShare::Half), TakeoverCommand::AcceptHello]
     );
     assert_eq!(predecessor.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::Busy)]);
-    let (mut shutting_down, _) = Takeover::without_predecessor("n", "l");
+    let (mut shutting_down, _) = Takeover::start_single("n", "l");
     shutting_down.handle(TakeoverEvent::Terminate);
     assert_eq!(shutting_down.handle(hello("n")), [TakeoverCommand::RejectHello(RejectReason::ShuttingDown)]);
 }
 
 #[test]
-fn callback_then_it_goes_to_its_job_and_is_not_sent_back() {
-    assert_eq!(route_callback(LocalOwnership::Owned, ForwardingPeer::Linked), CallbackRoute::Local);
-    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardingPeer::Linked), CallbackRoute::Forward);
-    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardingPeer::None), CallbackRoute::Unknown);
+fn callback_then_it_is_routed_to_its_job_and_not_forwarded_back() {
+    assert_eq!(route_callback(LocalOwnership::Owned, ForwardTarget::Peer), CallbackRoute::Local);
+    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardTarget::Peer), CallbackRoute::Forward);
+    assert_eq!(route_callback(LocalOwnership::NotOwned, ForwardTarget::None), CallbackRoute::Unknown);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     for claims in [&mut predecessor, &mut successor] {
         assert!(claims.try_claim("a"));
         responses.insert(claims.allows_peer_claim("a", LocalOwnership::NotOwned));
-        assert!(!claims.try_claim("a"), "a duplicate");
+        assert!(!claims.try_claim("a"), "the job is a duplicate");
     }
     assert_eq!(
         (
--- a/crates/control/tests/takeover/network.rs
+++ b/crates/control/tests/takeover/network.rs
@@ -1,5 +1,6 @@
-//! A model of the processes of one node and of the links between them. Links deliver in order, delay and get
-//! lost; processes terminate and are killed. The decisions of each process are those of the crate.
+//! Model of the processes of one node and of the links between them. Links deliver messages in order; they
+//! can be delayed and lost. Processes can terminate and be killed. The crate under test makes the decisions
+//! of each process.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,7 +11,7 @@
 };
 use proptest::prelude::*;
 
-/// Most processes that are started in one run.
+/// Maximum number of processes that are started in one run.
 pub const MAX_PROCESSES: usize = 3;
 /// Ids of the jobs that clients send.
 pub const JOB_IDS: [&str; 2] = ["a", "b"];
@@ -26,26 +27,26 @@
 
 /// One end of a link.
 #[derive(Clone, Debug)]
-struct Endpoint {
+struct LinkEnd {
     process: usize,
     /// Messages in transit to this end.
     in_transit: VecDeque<Message>,
-    /// The other end is closed.
+    /// Whether the other end is closed.
     closed: bool,
 }
 
-impl Endpoint {
-    fn new(process: usize) -> Endpoint {
-        Endpoint { process, in_transit: VecDeque::new(), closed: false }
+impl LinkEnd {
+    fn new(process: usize) -> LinkEnd {
+        LinkEnd { process, in_transit: VecDeque::new(), closed: false }
     }
 }
 
-/// How a process came to own a job.
+/// Reason for which a process owns a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ownership {
-    /// The other process granted its claim.
+    /// The peer granted the claim of the process.
     Granted,
-    /// There was no other process that could claim the job, or the link was lost.
+    /// No peer was linked that could claim the job, or the link was lost.
     Unchecked,
 }
 
@@ -53,15 +54,15 @@
 struct Process {
     takeover: Takeover,
     claims: JobClaims,
-    /// Index of its link, and which end of that is its own.
+    /// Index of the link of the process, and index of its own end of that link.
     link: Option<(usize, usize)>,
     alive: bool,
     accepting: bool,
     share: Option<DescriptorShare>,
     phase: Phase,
-    /// It has an endpoint list of its own.
+    /// Whether the process has its own endpoint list.
     has_endpoints: bool,
-    /// SIGTERM has arrived.
+    /// Whether SIGTERM has arrived.
     terminating: bool,
     jobs: HashMap<&'static str, Ownership>,
 }
@@ -92,19 +93,20 @@
     }
 }
 
-/// Processes of one node, in the order of their starts, and the links between them.
+/// Processes of one node, in the order in which they started, and the links between them.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     processes: Vec<Process>,
-    links: Vec<[Endpoint; 2]>,
-    /// The process that listens for successors at the node's rendezvous.
+    links: Vec<[LinkEnd; 2]>,
+    /// Index of the process that listens for successors at the node's rendezvous.
     rendezvous: Option<usize>,
-    /// A link was lost between two processes that go on, or was never made: neither can know of the other.
+    /// Whether a link between two running processes was lost or never established, so that neither can detect
+    /// the other.
     partitioned: bool,
 }
 
 impl Network {
-    /// Does one thing, as far as it is possible.
+    /// Executes one action if it is possible in the current state.
     pub fn step(&mut self, action: u8, process: usize, id: usize) {
         let count = self.processes.len();
         if count == 0 || (action == 0 && count < MAX_PROCESSES) {
@@ -118,7 +120,7 @@
             1 | 2 => _ = self.handle(process, TakeoverEvent::EndpointsAvailable),
             3 => _ = self.handle(process, TakeoverEvent::Terminate),
             4 => self.kill(process),
-            5 => self.lose_link_of(process),
+            5 => self.lose_link(process),
             6..=8 => self.submit_job(process, JOB_IDS[id]),
             9 => _ = self.processes[process].jobs.remove(JOB_IDS[id]),
             _ => _ = self.deliver_next(process),
@@ -133,16 +135,16 @@
         let is_accepted = response.iter().flatten().any(|command| *command == TakeoverCommand::AcceptHello);
         let predecessor = listener.filter(|_| is_accepted);
         match response.as_deref() {
-            // The process has done nothing yet and sends its hello again later.
+            // The process has not started to serve and sends its hello again later.
             Some([TakeoverCommand::RejectHello(RejectReason::Busy)]) => return,
             Some([TakeoverCommand::RejectHello(_)]) => self.partitioned = true,
-            // The predecessor was killed, and its successor does not know it yet and does not listen.
-            None => self.partitioned = self.partitioned || self.living().next().is_some(),
+            // The predecessor was killed. Its successor has not detected the loss yet and does not listen.
+            None => self.partitioned = self.partitioned || self.alive_processes().next().is_some(),
             _ => {}
         }
         let (takeover, commands) = match predecessor {
-            Some(_) => Takeover::with_predecessor("n", "l"),
-            None => Takeover::without_predecessor("n", "l"),
+            Some(_) => Takeover::start_successor("n", "l"),
+            None => Takeover::start_single("n", "l"),
         };
         let link = predecessor.map(|predecessor| self.connect(predecessor, index));
         self.processes.push(Process {
@@ -157,13 +159,13 @@
             terminating: false,
             jobs: HashMap::new(),
         });
-        self.carry_out(index, &commands);
+        self.execute(index, &commands);
     }
 
-    /// Links both processes and returns the successor's end.
+    /// Links both processes. Returns the index of the link and of the successor's end.
     fn connect(&mut self, predecessor: usize, successor: usize) -> (usize, usize) {
         let link = self.links.len();
-        self.links.push([Endpoint::new(predecessor), Endpoint::new(successor)]);
+        self.links.push([LinkEnd::new(predecessor), LinkEnd::new(successor)]);
         self.processes[predecessor].link = Some((link, 0));
         self.processes[predecessor].claims = JobClaims::new(LinkRole::Predecessor);
         (link, 1)
@@ -174,11 +176,11 @@
         process.has_endpoints |= event == TakeoverEvent::EndpointsAvailable;
         process.terminating |= event == TakeoverEvent::Terminate;
         let commands = process.takeover.handle(event);
-        self.carry_out(index, &commands);
+        self.execute(index, &commands);
         commands
     }
 
-    fn carry_out(&mut self, index: usize, commands: &[TakeoverCommand]) {
+    fn execute(&mut self, index: usize, commands: &[TakeoverCommand]) {
         for command in commands {
             let process = &mut self.processes[index];
             match *command {
@@ -187,14 +189,14 @@
                 TakeoverCommand::GrantTakeover => self.send(index, Message::GrantTakeover),
                 TakeoverCommand::HandBack => self.send(index, Message::HandBack),
                 TakeoverCommand::CloseLink => {
-                    // It has accepted no connection, and accepts none.
+                    // The process has accepted no connection and will accept none.
                     process.share = None;
                     self.close(index);
                 }
                 TakeoverCommand::StartAccepting => process.accepting = true,
                 TakeoverCommand::StopAccepting => process.accepting = false,
                 TakeoverCommand::ApplyPhaseEvent(event) => {
-                    process.phase = process.phase.next(event).expect("a transition of the table");
+                    process.phase = process.phase.next(event).expect("the transition table allows the event");
                 }
                 TakeoverCommand::SetDescriptorShare(share) => process.share = Some(share),
                 TakeoverCommand::ListenForSuccessor => self.rendezvous = Some(index),
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Closes the end of a process: what it sent still arrives, what is in transit to it does not.
+    /// Closes the end of a process. Messages that it sent still arrive; messages in transit to it are lost.
     fn close(&mut self, index: usize) {
         if let Some((link, end)) = self.processes[index].link.take() {
             self.links[link][1 - end].closed = true;
@@ -226,11 +228,11 @@
         process.jobs.clear();
     }
 
-    /// Loses a link with all that is in transit on it.
-    fn lose_link_of(&mut self, index: usize) {
+    /// Loses the link of a process with all messages in transit on it.
+    fn lose_link(&mut self, index: usize) {
         let Some((link, _)) = self.processes[index].link else { return };
         self.partitioned |= self.links[link].iter().all(|end| !end.closed);
-        // What was granted over it does not bind what is claimed elsewhere from now on.
+        // Claims granted over the lost link do not restrict later claims over other links.
         for end in &self.links[link] {
             let jobs = &mut self.processes[end.process].jobs;
             for ownership in jobs.values_mut() {
@@ -243,7 +245,8 @@
         }
     }
 
-    /// Delivers the next message to a process, or the loss of its link; whether there was one.
+    /// Delivers the next message or the loss of the link to a process. Returns whether there was one to
+    /// deliver.
     fn deliver_next(&mut self, index: usize) -> bool {
         let Some((link, end)) = self.processes[index].link else { return false };
         match self.links[link][end].in_transit.pop_front() {
@@ -290,10 +293,10 @@
         }
     }
 
-    /// A client sends a job to a process.
+    /// Sends a client's job to a process.
     fn submit_job(&mut self, index: usize, id: &'static str) {
         let process = &mut self.processes[index];
-        // A predecessor that has handed over keeps its open connections.
+        // A superseded predecessor keeps its open connections.
         let reachable = process.accepting || process.is_predecessor();
         if !reachable || process.jobs.contains_key(id) {
             return;
@@ -305,25 +308,29 @@
         }
     }
 
-    fn living(&self) -> impl Iterator<Item = &Process> {
+    fn alive_processes(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().filter(|process| process.alive)
     }
 
-    /// Checks what holds at any time, and then what holds once all messages are delivered.
+    /// Checks the invariants of the current state, and those of the state after delivery of all messages.
     pub fn check(&self) -> Result<(), TestCaseError> {
         for id in JOB_IDS {
-            let owners = self.living().filter(|process| process.jobs.get(id) == Some(&Ownership::Granted));
-            prop_assert!(owners.count() < 2, "both own {id}: {self:#?}");
+            let owners =
+                self.alive_processes().filter(|process| process.jobs.get(id) == Some(&Ownership::Granted));
+            prop_assert!(owners.count() < 2, "two processes own {id}: {self:#?}");
         }
-        let used: usize = self.living().map(Process::half_shares).sum();
-        prop_assert!(used <= 2 || self.partitioned, "{used} half shares in use: {self:#?}");
-        for process in self.living() {
+        let used_shares: usize = self.alive_processes().map(Process::half_shares).sum();
+        prop_assert!(
+            used_shares <= 2 || self.partitioned,
+            "{used_shares} half shares of the descriptors are in use: {self:#?}"
+        );
+        for process in self.alive_processes() {
             prop_assert_eq!(process.terminating, process.phase.is_shutting_down());
         }
         self.with_all_delivered().check_quiescent()
     }
 
-    /// The network as it becomes when nothing but deliveries happens any more.
+    /// Returns the network after delivery of all messages, without any other events.
     fn with_all_delivered(&self) -> Network {
         let mut network = self.clone();
         while (0..network.processes.len())
@@ -333,16 +340,22 @@
     }
 
     fn check_quiescent(&self) -> Result<(), TestCaseError> {
-        let is_served = self.living().any(Process::serves);
-        prop_assert!(is_served || !self.living().any(Process::can_serve), "nobody accepts: {self:#?}");
+        let is_served = self.alive_processes().any(Process::serves);
+        prop_assert!(
+            is_served || !self.alive_processes().any(Process::can_serve),
+            "no process accepts connections: {self:#?}"
+        );
         let has_all_descriptors = |process: &Process| process.share == Some(DescriptorShare::All);
         prop_assert!(
-            self.living()
+            self.alive_processes()
                 .all(|process| process.link.is_some() || has_all_descriptors(process) || process.terminating),
             "{self:#?}"
         );
-        let is_found = self.rendezvous.is_some_and(|index| self.processes[index].alive);
-        prop_assert!(is_found || !is_served || self.partitioned, "no successor finds it: {self:#?}");
+        let can_be_found = self.rendezvous.is_some_and(|index| self.processes[index].alive);
+        prop_assert!(
+            can_be_found || !is_served || self.partitioned,
+            "a successor cannot find the serving process: {self:#?}"
+        );
         Ok(())
     }
 }
--- a/crates/control/tests/unit/frame_codec.rs
+++ b/crates/control/tests/unit/frame_codec.rs
@@ -1,5 +1,5 @@
-//! Frames as the codec encodes and decodes them: whole, truncated, damaged and foreign. A module of the
-//! codec, since it looks at the decoder's buffer and computes checksums of its own.
+//! Encoding and decoding of frames: intact, truncated, damaged and of another version. These tests are a
+//! module of the codec, because they inspect the decoder's buffer and compute checksums.
 
 use super::*;
 use crate::command::{AdminCommand, CommandError, CommandResult};
@@ -13,7 +13,7 @@
         Just(Ok(())),
         prop::sample::select(Phase::ALL.to_vec()).prop_map(|phase| Err(CommandError::NotReady(phase))),
         ".{0,40}".prop_map(|id| Err(CommandError::UnknownWorker(id))),
-        any::<usize>().prop_map(|most| Err(CommandError::TooManyDisabled(most))),
+        any::<usize>().prop_map(|limit| Err(CommandError::TooManyDisabled(limit))),
         Just(Err(CommandError::ShuttingDown)),
         Just(Err(CommandError::TimedOut)),
     ]
@@ -49,49 +49,57 @@
 }
 
 proptest! {
-    /// Frames are decoded as they were encoded, in whatever pieces the bytes arrive; cut short, they are
-    /// `Truncated` and nothing else.
+    /// Frames are decoded as they were encoded, regardless of the chunks in which the bytes arrive. A
+    /// truncated input causes only the error `Truncated`.
     #[test]
-    fn bytes_in_pieces_of_any_size_then_the_same_frames_or_truncated(
+    fn bytes_in_chunks_of_any_size_then_the_same_frames_or_truncated(
         sent in prop::collection::vec((any::<u64>(), frames()), 0..6),
-        pieces in prop::collection::vec(1usize..400, 1..20),
-        missing in 0usize..200,
+        chunk_sizes in prop::collection::vec(1usize..400, 1..20),
+        missing_bytes in 0usize..200,
     ) {
-        let bytes: Vec<u8> =
-            sent.iter().flat_map(|(sequence, frame)| frame.encode(*sequence).expect("short")).collect();
-        let bytes = &bytes[..bytes.len().saturating_sub(missing)];
+        let bytes: Vec<u8> = sent
+            .iter()
+            .flat_map(|(sequence, frame)| frame.encode(*sequence).expect("the payload is within its limit"))
+            .collect();
+        let bytes = &bytes[..bytes.len().saturating_sub(missing_bytes)];
         let (mut decoder, mut received, mut rest) = (Decoder::default(), vec![], bytes);
-        for piece in pieces.iter().cycle() {
-            while let Some(ReceivedFrame { sequence, frame }) = decoder.next_frame().expect("intact") {
+        for chunk_size in chunk_sizes.iter().cycle() {
+            while let Some(ReceivedFrame { sequence, frame }) =
+                decoder.next_frame().expect("the bytes are intact")
+            {
                 received.push((sequence, frame));
             }
             if rest.is_empty() {
                 break;
             }
-            let (now, later) = rest.split_at((*piece).min(rest.len()));
+            let (now, later) = rest.split_at((*chunk_size).min(rest.len()));
             decoder.feed(now);
             rest = later;
         }
         prop_assert_eq!(&received[..], &sent[..received.len()]);
-        let whole: usize =
+        let decoded_bytes: usize =
             received.iter().map(|(_, frame)| HEADER_BYTES + frame.encode_payload().len()).sum();
-        prop_assert_eq!(decoder.finish().is_ok(), whole == bytes.len());
-        prop_assert!(missing > 0 || received.len() == sent.len());
+        prop_assert_eq!(decoder.finish().is_ok(), decoded_bytes == bytes.len());
+        prop_assert!(missing_bytes > 0 || received.len() == sent.len());
     }
 
-    /// Whatever arrives, there is no panic, the buffer stays within a frame's bound, and an error stays.
+    /// No input causes a panic. The buffer stays within the limit of a frame, and an error is returned
+    /// repeatedly.
     #[test]
-    fn one_byte_overwritten_then_an_error_that_stays_and_a_bounded_buffer(
-        sequence in any::<u64>(), frame in frames(), at in any::<prop::sample::Index>(), byte in any::<u8>(),
+    fn one_byte_overwritten_then_a_persistent_error_and_a_bounded_buffer(
+        sequence in any::<u64>(),
+        frame in frames(),
+        position in any::<prop::sample::Index>(),
+        byte in any::<u8>(),
     ) {
-        let mut bytes = frame.encode(sequence).expect("short").to_vec();
-        let at = at.index(bytes.len());
-        let is_same = bytes[at] == byte;
-        bytes[at] = byte;
+        let mut bytes = frame.encode(sequence).expect("the payload is within its limit").to_vec();
+        let position = position.index(bytes.len());
+        let is_unchanged = bytes[position] == byte;
+        bytes[position] = byte;
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
         let result = decoder.next_frame();
-        prop_assert_eq!(result.as_ref().is_ok_and(Option::is_some), is_same, "{:?}", result);
+        prop_assert_eq!(result.as_ref().is_ok_and(Option::is_some), is_unchanged, "{:?}", result);
         prop_assert!(decoder.buffer.capacity() <= HEADER_BYTES + MAX_SNAPSHOT_BYTES + bytes.len());
         if result.is_err() {
             prop_assert_eq!(decoder.next_frame(), result);
@@ -101,22 +109,23 @@
 
 #[test]
 fn each_kind_of_damage_then_its_own_error() {
-    let edited = |kind: u8, edit: &dyn Fn(&mut Vec<u8>)| {
-        let mut bytes = Frame::CallbackResult(true).encode(7).expect("short").to_vec();
+    let error_after = |kind: u8, modify: &dyn Fn(&mut Vec<u8>)| {
+        let mut bytes =
+            Frame::CallbackResult(true).encode(7).expect("the payload is within its limit").to_vec();
         bytes[5] = kind;
         let checksum = checksum(kind, 7, &bytes[HEADER_BYTES..]).to_be_bytes();
         bytes[18..22].copy_from_slice(&checksum);
-        edit(&mut bytes);
+        modify(&mut bytes);
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        decoder.next_frame().expect_err("damaged")
+        decoder.next_frame().expect_err("the frame is damaged")
     };
-    assert_eq!(edited(8, &|bytes| bytes[0] = b'G'), FrameError::NotAFrame);
-    assert_eq!(edited(8, &|bytes| bytes[4] = 9), FrameError::OtherVersion { theirs: 9, ours: VERSION });
-    assert_eq!(edited(8, &|bytes| bytes[HEADER_BYTES] ^= 1), FrameError::ChecksumMismatch);
-    assert_eq!(edited(8, &|bytes| bytes[14] = 1), FrameError::TooLong { length: (1 << 24) + 4 });
-    assert_eq!(edited(200, &|_| {}), FrameError::Malformed { kind: 200 });
-    assert_eq!(edited(12, &|_| {}), FrameError::Malformed { kind: 12 });
+    assert_eq!(error_after(8, &|bytes| bytes[0] = b'G'), FrameError::InvalidMagic);
+    assert_eq!(error_after(8, &|bytes| bytes[4] = 9), FrameError::OtherVersion { theirs: 9, ours: VERSION });
+    assert_eq!(error_after(8, &|bytes| bytes[HEADER_BYTES] ^= 1), FrameError::ChecksumMismatch);
+    assert_eq!(error_after(8, &|bytes| bytes[14] = 1), FrameError::TooLong { length: (1 << 24) + 4 });
+    assert_eq!(error_after(200, &|_| {}), FrameError::Malformed { kind: 200 });
+    assert_eq!(error_after(12, &|_| {}), FrameError::Malformed { kind: 12 });
     let zeros = |length: usize| Bytes::from(vec![0; length]);
     assert!(Frame::TakeoverGranted(zeros(MAX_SNAPSHOT_BYTES)).encode(0).is_ok());
     assert!(Frame::TakeoverGranted(zeros(MAX_SNAPSHOT_BYTES + 1)).encode(0).is_err());
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -79,7 +79,7 @@
 ) -> io::Result<()> {
     stream.write_all(format_response(result).as_bytes()).await?;
     stream.shutdown().await?;
-    if matches!(result, Err(CommandParseError::TooLong | CommandParseError::NotAscii)) {
+    if matches!(result, Err(CommandParseError::TooLong | CommandParseError::NotPrintable)) {
         discard_input(stream).await?;
     }
     Ok(())
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -96,7 +96,7 @@
         if event != PhaseEvent::EndpointsAvailable {
             info!(target: NODE, node = %admin.name, %phase, "phase changed");
         }
-        if matches!(event, PhaseEvent::HandedOver | PhaseEvent::TookBack) {
+        if matches!(event, PhaseEvent::HandedOver | PhaseEvent::RolledBack) {
             let active = event == PhaseEvent::HandedOver;
             self.send_to_dispatch(DispatchCommand::SetSuccessorActive { active }).await;
         }
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -150,8 +150,8 @@
         }
         let (node, listen) = (parts.admin.name.clone(), parts.listen.to_string());
         let (takeover, first_commands) = match predecessor {
-            Some(_) => Takeover::with_predecessor(&node, &listen),
-            None => Takeover::without_predecessor(&node, &listen),
+            Some(_) => Takeover::start_successor(&node, &listen),
+            None => Takeover::start_single(&node, &listen),
         };
         let (hello_queue, hellos) = mpsc::channel(HELLO_QUEUE_LENGTH);
         let (local_event_queue, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_LENGTH);
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -2,7 +2,7 @@
 //! this node where that may hold the job.
 
 use bytes::Bytes;
-use curlewusher_control::takeover::{CallbackRoute, ForwardingPeer, LocalOwnership, route_callback};
+use curlewusher_control::takeover::{CallbackRoute, ForwardTarget, LocalOwnership, route_callback};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use tokio::sync::oneshot;
@@ -74,11 +74,11 @@
             JobOwner::Local => LocalOwnership::Owned,
             JobOwner::Migrating | JobOwner::Unknown => LocalOwnership::NotOwned,
         };
-        let forwarding_peer = match &link {
-            Some(link) if link.is_connected() => ForwardingPeer::Linked,
-            _ => ForwardingPeer::None,
+        let forward_target = match &link {
+            Some(link) if link.is_connected() => ForwardTarget::Peer,
+            _ => ForwardTarget::None,
         };
-        Ok(match (owner, route_callback(ownership, forwarding_peer), link) {
+        Ok(match (owner, route_callback(ownership, forward_target), link) {
             (JobOwner::Migrating, ..) => CallbackDelivery::Unsettled,
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
--- a/crates/node/tests/unit/handover/handshake.rs
+++ b/crates/node/tests/unit/handover/handshake.rs
@@ -52,7 +52,7 @@
         let mut other_version = acceptance.to_vec();
         other_version[4] = 0;
         let error = error_after_response(b"HTTP/1.1 400").await;
-        assert!(matches!(error, HandoverError::Protocol(FrameError::NotAFrame)));
+        assert!(matches!(error, HandoverError::Protocol(FrameError::InvalidMagic)));
         let error = error_after_response(&other_version).await;
         assert!(
             matches!(error, HandoverError::Protocol(FrameError::OtherVersion { theirs: 0, .. })),
