--- a/crates/core/src/dispatcher/attempt_lifecycle.rs
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::job_lifecycle::cancellations;
-use crate::policy::ejection::{EndAssessment, assess_end, ejection_time};
+use crate::policy::ejection::{EndAssessment, assess_end, ejection_duration};
 use crate::policy::retries::RetryCharge;
 use crate::state::{AttemptId, EndedAttempt};
 use crate::{Outcome, Timestamp};
@@ -15,7 +15,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The client has its answer: the job needs no further attempt.
-    pub settled: bool,
+    pub job_answered: bool,
 }
 
 impl Dispatcher {
@@ -68,20 +68,20 @@
 
     /// An attempt has ended, by what its worker or its connection reported.
     pub(super) fn handle_end(&mut self, now: Timestamp, end: AttemptEnd) {
-        let AttemptEnd { attempt: id, outcome, settled } = end;
-        let was_held_back = outcome == Outcome::NotSent && self.is_revoked(id);
+        let AttemptEnd { attempt: id, outcome, job_answered } = end;
+        let was_revoked = outcome == Outcome::NotSent && self.is_revoked(id);
         let is_first_report = self.jobs.record_outcome(id, outcome);
         let ended = is_first_report.then(|| self.remove_ended(id, outcome)).flatten();
         if let Some(ended) = &ended {
             self.assess_worker(now, ended);
         }
-        if !is_first_report && !settled {
+        if !is_first_report && !job_answered {
             return;
         }
-        let is_requeued = was_held_back && !settled && self.requeue_unsent_job(now, id.job);
+        let is_requeued = was_revoked && !job_answered && self.requeue_unsent_job(now, id.job);
         if !is_requeued {
             let charge = ended.as_ref().map_or(RetryCharge::Budget, RetryCharge::after);
-            self.follow_up(now, id.job, settled, charge);
+            self.close_or_retry_job(now, id.job, job_answered, charge);
         }
     }
 
@@ -109,9 +109,9 @@
 
     /// Ejects a worker that has failed.
     fn eject_worker(&mut self, now: Timestamp, index: usize) {
-        let draw = self.rng.f64();
+        let random_fraction = self.rng.f64();
         let worker = self.fleet.worker_mut(index);
-        let ejected_until = now + ejection_time(worker.health().consecutive_failures, draw);
+        let ejected_until = now + ejection_duration(worker.health().consecutive_failures, random_fraction);
         worker.record_failure(ejected_until);
     }
 
--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use crate::gossip::{self, GossipEntry};
-use crate::state::{PeerBacklog, Worker};
+use crate::state::{RemoteBacklog, Worker};
 use crate::{Action, TimeSpan, Timestamp};
 
 /// Work at a worker is reported again after this though it has not changed.
@@ -38,7 +38,7 @@
     }
 
     /// Returns whether messages are due, and takes them off the schedule.
-    pub fn take_due(&mut self, now: Timestamp) -> bool {
+    pub fn clear_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = self.due_at.is_some_and(|due| due <= now);
         if is_due {
             self.due_at = None;
@@ -60,14 +60,19 @@
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
             } else if is_due {
-                gossip::append_entry(&mut data, worker.id(), worker.remaining_load(now), worker.used_slots());
-                worker.record_gossiped(now);
+                gossip::append_entry(
+                    &mut data,
+                    worker.id(),
+                    worker.remaining_load(now),
+                    worker.requested_slots(),
+                );
+                worker.record_gossip_sent(now);
                 free_entries -= 1;
             }
         }
         if !data.is_empty() {
-            let peers = self.fleet.subset().peers();
-            self.outbox.extend(peers.map(|peer| Action::SendGossip { to: peer, data: data.clone() }));
+            let other_nodes = self.fleet.subset().other_nodes();
+            self.outbox.extend(other_nodes.map(|node| Action::SendGossip { to: node, data: data.clone() }));
         }
     }
 
@@ -77,10 +82,15 @@
         if node >= self.settings.nodes {
             return;
         }
-        for GossipEntry { worker: worker_hash, work, slots } in gossip::read_entries(data) {
-            let has_hash = |worker: &Worker| gossip::short_worker_id(worker.id()) == worker_hash;
+        for GossipEntry { worker_hash: hash, work, slots } in gossip::read_entries(data) {
+            let has_hash = |worker: &Worker| gossip::hash_worker_id(worker.id()) == hash;
             if let Some(index) = self.fleet.find_in_subset(has_hash) {
-                self.fleet.worker_mut(index).record_peer_backlog(PeerBacklog { node, work, slots, at: now });
+                self.fleet.worker_mut(index).record_remote_backlog(RemoteBacklog {
+                    node,
+                    work,
+                    slots,
+                    at: now,
+                });
             }
         }
     }
--- a/crates/core/src/dispatcher/job_lifecycle.rs
+++ b/crates/core/src/dispatcher/job_lifecycle.rs
@@ -1,11 +1,11 @@
 //! A job from its submission to its final answer.
 
 use super::Dispatcher;
-use crate::permission::{answer_unserved, redirect};
+use crate::permission::{redirect, reject_or_fail};
 use crate::policy::admission::{self, AdmissionDecision};
 use crate::policy::pending_queue::queue_key;
 use crate::policy::retries::{RetryCharge, may_be_retried};
-use crate::policy::unsent_attempts::is_as_submitted;
+use crate::policy::unsent_attempts::may_requeue_unsent;
 use crate::state::Job;
 use crate::{Action, JobId, JobSubmission, Settings, Timestamp};
 
@@ -23,7 +23,7 @@
             admission::assess_job(now, &self.settings, &self.fleet, &mut self.admission, submission);
         match admission::decide(&self.deadline_context(now), self.poll_schedule.lease(), &job) {
             AdmissionDecision::Queue => self.accept_job(now, job),
-            AdmissionDecision::AnswerUnserved => self.answer_unserved(&mut job),
+            AdmissionDecision::RejectOrFail => self.reject_or_fail(&mut job),
             AdmissionDecision::Redirect => {
                 self.outbox.push(redirect(&self.settings, &job));
                 self.close_job(&mut job);
@@ -33,7 +33,7 @@
 
     /// Takes a job that is admitted into the queue and into the estimates of demand.
     fn accept_job(&mut self, now: Timestamp, job: Job) {
-        self.budgets.earn(&job, self.fleet.prompt_start_share());
+        self.budgets.credit_job(&job, self.fleet.prompt_start_share());
         self.demand.record_submitted(now, &job);
         self.fleet.record_key(job.key);
         self.fleet.record_work(job.work);
@@ -47,25 +47,31 @@
         self.jobs.enqueue(key, job);
     }
 
-    /// Carries out what follows the end of an attempt: the job is over, retried, or answered unserved. `settled`: its
-    /// client has its answer.
-    pub(super) fn follow_up(&mut self, now: Timestamp, id: JobId, settled: bool, charge: RetryCharge) {
+    /// Carries out what follows the end of an attempt: the job is over, retried, or answered unserved. `job_answered`:
+    /// its client has its answer.
+    pub(super) fn close_or_retry_job(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        job_answered: bool,
+        charge: RetryCharge,
+    ) {
         let Some(mut job) = self.jobs.take(id) else { return };
-        if settled && !job.is_answered() {
+        if job_answered && !job.is_answered() {
             self.close_job(&mut job);
         }
         if !job.is_answered() && job.is_idle() {
             // Retries are bounded: when much fails, more attempts would only add to the load.
-            let is_affordable = charge == RetryCharge::None || self.budgets.allow_retry();
+            let is_affordable = charge == RetryCharge::None || self.budgets.has_retry_budget();
             if is_affordable && may_be_retried(now, &self.send_rules(), &job) {
                 if charge == RetryCharge::Budget {
-                    self.budgets.spend_retry();
+                    self.budgets.charge_retry();
                 }
                 self.enqueue_job(job);
                 self.dispatch_pending(now);
                 return;
             }
-            self.answer_unserved(&mut job);
+            self.reject_or_fail(&mut job);
         }
         self.jobs.store(job);
         self.dispatch_pending(now);
@@ -73,7 +79,7 @@
 
     /// Queues a job again whose revoked attempt was not sent, if that is no retry. Returns whether it was queued.
     pub(super) fn requeue_unsent_job(&mut self, now: Timestamp, id: JobId) -> bool {
-        if !self.jobs.get(id).is_some_and(|job| is_as_submitted(&self.settings, job)) {
+        if !self.jobs.get(id).is_some_and(|job| may_requeue_unsent(&self.settings, job)) {
             return false;
         }
         if let Some(job) = self.jobs.take(id) {
@@ -93,8 +99,8 @@
     }
 
     /// Answers a job that will not be served.
-    pub(super) fn answer_unserved(&mut self, job: &mut Job) {
-        self.outbox.push(answer_unserved(&self.settings, job));
+    pub(super) fn reject_or_fail(&mut self, job: &mut Job) {
+        self.outbox.push(reject_or_fail(&self.settings, job));
         self.close_job(job);
     }
 
--- a/crates/core/src/dispatcher/migration.rs
+++ b/crates/core/src/dispatcher/migration.rs
@@ -16,7 +16,7 @@
             let index = self.fleet.find(worker)?;
             self.fleet.worker_mut(index).remove_attempt(id)
         };
-        Some(MigratedJob::release(&job, remove_in_flight))
+        Some(MigratedJob::capture(&job, remove_in_flight))
     }
 
     /// Whether a job can be adopted here: its class exists, and its figures are in range.
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -56,7 +56,7 @@
 /// Where this process is in the lifecycle of its node.
 struct Lifecycle {
     /// All jobs must be answered by then; [`Timestamp::MAX`] while the node does not shut down.
-    shutdown_at: Timestamp,
+    shutdown_deadline: Timestamp,
     /// Another process of this node has taken over.
     is_superseded: bool,
 }
@@ -77,7 +77,7 @@
             demand: Demand::default(),
             capacity: Capacity::default(),
             budgets: Budgets::default(),
-            lifecycle: Lifecycle { shutdown_at: Timestamp::MAX, is_superseded: false },
+            lifecycle: Lifecycle { shutdown_deadline: Timestamp::MAX, is_superseded: false },
             timer: Timer::default(),
             gossip: GossipSchedule::default(),
             poll_schedule: PollSchedule::new(&settings),
@@ -105,8 +105,8 @@
     /// The moment before which all attempts that were decided on so far must be written, by the lease on the endpoint
     /// list as it is now. None: the lease does not bound them. An attempt that is not written by then is ended with
     /// [`Outcome::NotSent`](crate::Outcome::NotSent).
-    pub fn endpoints_write_by(&self) -> Option<Timestamp> {
-        self.poll_schedule.lease().write_by()
+    pub fn endpoint_write_deadline(&self) -> Option<Timestamp> {
+        self.poll_schedule.lease().write_deadline()
     }
 
     /// What was decided without permission and therefore not done, by reason.
@@ -119,8 +119,8 @@
             Event::EndpointsChanged { endpoints, update } => self.update_endpoints(now, endpoints, update),
             Event::EndpointsConfirmed { as_of } => self.poll_schedule.record_confirmation(as_of.min(now)),
             Event::PollAnswered { duration } => self.poll_schedule.record_poll_duration(duration),
-            Event::EndpointsUnreadable => self.poll_schedule.record_unreadable_list(now),
-            Event::DiscoveryMoved => self.poll_schedule.record_discovery_move(now),
+            Event::EndpointsMalformed => self.poll_schedule.record_malformed_list(now),
+            Event::DiscoveryAddressChanged => self.poll_schedule.record_discovery_address_change(now),
             Event::WatchFailed => self.poll_schedule.record_failure(now, &mut self.rng),
             Event::JobSubmitted(submission) => self.admit_job(now, &submission),
             Event::ClientDisconnected { job } => self.disconnect_client(job),
@@ -139,16 +139,16 @@
             Event::ReusedConnectionLost { job, attempt } => {
                 self.record_stale_connection(AttemptId { job, number: attempt });
             }
-            Event::AttemptEnded { job, attempt, outcome, settled } => {
+            Event::AttemptEnded { job, attempt, outcome, job_answered } => {
                 let attempt = AttemptId { job, number: attempt };
-                self.handle_end(now, AttemptEnd { attempt, outcome, settled });
+                self.handle_end(now, AttemptEnd { attempt, outcome, job_answered });
             }
             Event::GossipReceived { from, data } => self.receive_gossip(now, from, data),
             Event::WorkerDisabled { worker } => self.disable_worker(now, worker),
             Event::WorkerEnabled { worker } => self.enable_worker(now, worker),
             Event::SuccessorActive { active } => self.lifecycle.is_superseded = active,
             Event::ShutdownStarted { deadline } => {
-                self.lifecycle.shutdown_at = deadline;
+                self.lifecycle.shutdown_deadline = deadline;
                 self.handle_timer(now);
             }
             Event::TimerExpired => self.handle_timer(now),
@@ -177,7 +177,7 @@
             now,
             settings: &self.settings,
             fleet: &self.fleet,
-            shutdown_at: self.lifecycle.shutdown_at,
+            shutdown_deadline: self.lifecycle.shutdown_deadline,
         }
     }
 }
--- a/crates/core/src/dispatcher/review.rs
+++ b/crates/core/src/dispatcher/review.rs
@@ -20,10 +20,10 @@
     fn review_job(&mut self, now: Timestamp, id: JobId) {
         let Some(mut job) = self.jobs.take(id) else { return };
         match self.deadline_context(now).review(&job) {
-            Review::AnswerUnserved => self.answer_unserved(&mut job),
+            Review::RejectOrFail => self.reject_or_fail(&mut job),
             Review::Shed => {
                 self.demand.record_shed(now, &job);
-                self.answer_unserved(&mut job);
+                self.reject_or_fail(&mut job);
             }
             Review::Keep if job.is_idle() => {}
             Review::Keep => {
@@ -43,7 +43,7 @@
 
     /// Finds an attempt to cancel because the job would now cost less elsewhere.
     fn find_attempt_to_relocate(&mut self, now: Timestamp, job: &Job) -> Option<u32> {
-        if !self.budgets.allow_retry() || self.check_endpoint_lease(now).is_err() {
+        if !self.budgets.has_retry_budget() || self.check_endpoint_lease(now).is_err() {
             return None;
         }
         let late = LateAttempt::find(now, &self.settings, &self.fleet, job)?;
@@ -58,7 +58,7 @@
     fn hedge_job(&mut self, now: Timestamp, job: &mut Job) {
         let may_send = self.settings.may_cancel && self.check_endpoint_lease(now).is_ok();
         if !may_send
-            || !self.budgets.allow_hedge(job)
+            || !self.budgets.has_hedge_budget(job)
             || !hedging::is_start_overdue(now, &self.settings, &self.fleet, job)
         {
             return;
@@ -68,7 +68,7 @@
             return;
         };
         if hedging::is_useful(&self.fleet, job, &placement) {
-            self.budgets.spend_hedge(job);
+            self.budgets.charge_hedge(job);
             self.send_attempt(now, job, &placement);
         }
     }
--- a/crates/core/src/dispatcher/sending.rs
+++ b/crates/core/src/dispatcher/sending.rs
@@ -34,14 +34,14 @@
     /// Sends a queued job if a worker is free for it. Returns whether it has left the queue.
     fn dispatch_job(&mut self, now: Timestamp, key: QueueKey, reserved_share: f64) -> bool {
         let context = self.queue_context(now, reserved_share);
-        if self.jobs.get(key.job).is_some_and(|job| context.is_held_back(job)) {
+        if self.jobs.get(key.job).is_some_and(|job| context.must_wait(job)) {
             return false;
         }
         let Some(mut job) = self.jobs.take(key.job) else { return self.jobs.dequeue(&key) };
         let placement = self.choose_worker(&PlacementRequest::new(now, &self.fleet, &job));
-        let is_timely =
-            |placement: &Placement| self.queue_context(now, reserved_share).is_timely(&job, placement);
-        let placement = placement.filter(is_timely);
+        let should_send =
+            |placement: &Placement| self.queue_context(now, reserved_share).should_send(&job, placement);
+        let placement = placement.filter(should_send);
         let is_sent = placement.is_some_and(|placement| self.send_attempt(now, &mut job, &placement));
         self.jobs.store(job);
         if is_sent {
@@ -54,8 +54,8 @@
     /// are broken at random.
     pub(super) fn choose_worker(&mut self, request: &PlacementRequest) -> Option<Placement> {
         let tied = request.cheapest_workers(&self.send_rules(), self.fleet.subset().members());
-        let chosen = self.draw_worker(&tied);
-        if chosen.is_some() || !self.fleet.subset().has_others() {
+        let chosen = self.pick_worker(&tied);
+        if chosen.is_some() || !self.fleet.subset().has_outside_workers() {
             return chosen.map(|worker| request.place(&self.fleet, worker));
         }
         let others = workers_outside_subset(&self.fleet, &mut self.rng);
@@ -63,14 +63,14 @@
             self.fleet.refresh_worker(request.now(), &self.settings, *index);
         }
         let tied = request.cheapest_workers(&self.send_rules(), &others);
-        let chosen = self.draw_worker(&tied);
+        let chosen = self.pick_worker(&tied);
         chosen.map(|worker| request.place(&self.fleet, worker))
     }
 
     /// Draws one of several workers.
-    fn draw_worker(&mut self, workers: &[RatedWorker]) -> Option<RatedWorker> {
-        let drawn = self.rng.usize(0..workers.len().max(1));
-        workers.get(drawn).copied()
+    fn pick_worker(&mut self, workers: &[RatedWorker]) -> Option<RatedWorker> {
+        let picked = self.rng.usize(0..workers.len().max(1));
+        workers.get(picked).copied()
     }
 
     /// Sends an attempt to the chosen worker and records it. All sends pass here: one without permission is counted as a
@@ -82,7 +82,7 @@
             self.violations.record(denial);
             return false;
         }
-        let send_by = rules.latest_send(job);
+        let send_deadline = rules.send_deadline(job);
         let needs_new_connection = needs_new_connection(&self.settings, job);
         let window = slow_start_window(&self.settings);
         self.fleet.worker_mut(index).record_warm_up_send(now, job.load(), window);
@@ -94,7 +94,7 @@
             job: job.id,
             worker: attempt.worker,
             timeout: job.deadline - now,
-            send_by,
+            send_deadline,
             needs_new_connection,
         });
         true
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -42,7 +42,7 @@
         self.fleet.observe_slots(now);
         self.sweep(now);
         self.dispatch_pending(now);
-        if self.gossip.take_due(now) {
+        if self.gossip.clear_if_due(now) {
             self.send_gossip(now);
         }
     }
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -4,7 +4,7 @@
 //!
 //! | offset | bytes | content |
 //! | --- | --- | --- |
-//! | 0 | 2 | [`short_worker_id`], little-endian |
+//! | 0 | 2 | [`hash_worker_id`], little-endian |
 //! | 2 | 1 | remaining work: 64 x the square root of its seconds on a core of speed 1, rounded up, at most 255 |
 //! | 3 | 1 | slots in use, rounded down, at most 255 |
 //!
@@ -26,8 +26,8 @@
 /// One decoded entry: the reporting node's work in flight at one worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GossipEntry {
-    /// See [`short_worker_id`].
-    pub(crate) worker: u16,
+    /// See [`hash_worker_id`].
+    pub(crate) worker_hash: u16,
     /// Remaining work, in seconds on a core of speed 1.
     pub(crate) work: f64,
     /// Slots in use.
@@ -36,21 +36,21 @@
 
 /// A worker's number folded to 16 bits. Collisions are unlikely among the workers of one subset; a collision makes
 /// the estimate of one worker's load wrong.
-pub(crate) fn short_worker_id(worker: WorkerId) -> u16 {
+pub(crate) fn hash_worker_id(worker: WorkerId) -> u16 {
     let number = worker.0;
     (number ^ number >> 16 ^ number >> 32 ^ number >> 48) as u16
 }
 
 /// Appends an entry to a message. Values over the maximum are encoded as the maximum.
 pub(crate) fn append_entry(message: &mut Vec<u8>, worker: WorkerId, work: f64, slots: f64) {
-    message.extend(short_worker_id(worker).to_le_bytes());
+    message.extend(hash_worker_id(worker).to_le_bytes());
     message.extend([(WORK_SCALE * work.sqrt()).ceil() as u8, slots as u8]);
 }
 
 /// Decodes the entries of a message; an incomplete entry at its end is ignored.
 pub(crate) fn read_entries(message: &[u8]) -> impl Iterator<Item = GossipEntry> {
     message.chunks_exact(ENTRY_BYTES).map(|entry| GossipEntry {
-        worker: u16::from_le_bytes([entry[0], entry[1]]),
+        worker_hash: u16::from_le_bytes([entry[0], entry[1]]),
         work: (f64::from(entry[2]) / WORK_SCALE).powi(2),
         slots: f64::from(entry[3]),
     })
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -16,7 +16,7 @@
         timeout: TimeSpan,
         /// The first byte must be written before this moment, else the attempt ends with
         /// [`Outcome::NotSent`](crate::Outcome::NotSent). None: only the timeout applies.
-        send_by: Option<Timestamp>,
+        send_deadline: Option<Timestamp>,
         /// Send it over a new connection: one that was idle may have ended unnoticed, and the loss of this attempt could
         /// not be repaired by a retry.
         needs_new_connection: bool,
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -10,7 +10,7 @@
     /// Completes the jobs that it has and accepts no new ones.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// How the entries of a message of discovery change the endpoint list.
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -28,9 +28,9 @@
         duration: TimeSpan,
     },
     /// Discovery sent something that could not be parsed as an endpoint list.
-    EndpointsUnreadable,
+    EndpointsMalformed,
     /// The address of discovery was changed: from now on the endpoint list comes from another service.
-    DiscoveryMoved,
+    DiscoveryAddressChanged,
     /// A poll failed, or the open watch ended.
     WatchFailed,
     /// A client submitted a job.
@@ -83,7 +83,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The client has its response: the job needs no further attempt.
-        settled: bool,
+        job_answered: bool,
     },
     /// The client has disconnected: the job needs no response any more.
     ClientDisconnected {
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -36,10 +36,10 @@
 pub struct JobClass {
     /// What a second run of a job does.
     pub idempotency: Idempotency,
-    /// A response is in time within `latency_objective + latency_objective_stretch x work`.
+    /// A response is in time within `latency_objective + latency_objective_work_factor x work`.
     pub latency_objective: TimeSpan,
     /// Factor of a job's own work in its latency objective.
-    pub latency_objective_stretch: f64,
+    pub latency_objective_work_factor: f64,
     /// Value of a response in time, relative to other classes; where the work of jobs differs, per unit of work.
     pub priority_weight: f64,
     /// How long a client waits in total.
@@ -136,7 +136,7 @@
         let all_classes = |holds: fn(&JobClass) -> bool| self.classes.iter().all(holds);
         require(!self.classes.is_empty(), "classes", "is empty")?;
         require(
-            all_classes(|class| is_non_negative(class.latency_objective_stretch)),
+            all_classes(|class| is_non_negative(class.latency_objective_work_factor)),
             "classes.stretch",
             "is negative",
         )?;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,7 +21,7 @@
 //! let class = JobClass {
 //!     idempotency: Idempotency::Idempotent,
 //!     latency_objective: TimeSpan::from_millis(200),
-//!     latency_objective_stretch: 2.0,
+//!     latency_objective_work_factor: 2.0,
 //!     priority_weight: 1.0,
 //!     client_timeout: TimeSpan::from_secs(5),
 //!     required_kind: None,
@@ -98,7 +98,7 @@
 //! // It reports what becomes of each attempt.
 //! let (job, attempt) = (JobId(1), 0);
 //! dispatcher.handle(at(4), Event::AttemptStarted { job, attempt }, &mut actions);
-//! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, settled: true };
+//! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, job_answered: true };
 //! dispatcher.handle(at(60), ended, &mut actions);
 //! # Ok::<(), curlewusher_core::SettingsError>(())
 //! ```
--- a/crates/core/src/permission/answering.rs
+++ b/crates/core/src/permission/answering.rs
@@ -23,17 +23,17 @@
 }
 
 /// The answer to a job that will not be served here: a rejection that advises its client when to retry.
-pub(crate) fn answer_unserved(settings: &Settings, job: &Job) -> Action {
-    reject_or_fail(settings, job, REJECT_RETRY_AFTER.min(settings.max_retry_after))
+pub(crate) fn reject_or_fail(settings: &Settings, job: &Job) -> Action {
+    reject_or_fail_after(settings, job, REJECT_RETRY_AFTER.min(settings.max_retry_after))
 }
 
 /// The answer to a job whose client is to try another node at once.
 pub(crate) fn redirect(settings: &Settings, job: &Job) -> Action {
-    reject_or_fail(settings, job, TimeSpan::ZERO)
+    reject_or_fail_after(settings, job, TimeSpan::ZERO)
 }
 
 /// A rejection where that is permitted, else an error.
-fn reject_or_fail(settings: &Settings, job: &Job, retry_after: TimeSpan) -> Action {
+fn reject_or_fail_after(settings: &Settings, job: &Job, retry_after: TimeSpan) -> Action {
     match may_reject(settings, job) {
         Ok(()) => Action::Reject { job: job.id, retry_after },
         Err(_) => Action::Fail { job: job.id },
--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -13,7 +13,7 @@
 const MIN_IDLE_AGE: Duration = Duration::from_millis(200);
 /// A peer that has neither sent a byte of its request nor read one of its response for this long has
 /// stalled.
-pub const STALLED_AFTER: Duration = Duration::from_millis(800);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
         (ConnectionUse::New { age, .. }, _) => after(age, MIN_NEW_AGE, Denial::RequestMayArrive),
         // A request that makes progress is a slow client's; one that has stalled is abandoned.
         (ConnectionUse::Reading { stalled_for, .. }, CloseReason::Eviction | CloseReason::Shutdown) => {
-            after(stalled_for, STALLED_AFTER, Denial::RequestUnanswered)
+            after(stalled_for, STALL_TIMEOUT, Denial::RequestUnanswered)
         }
         (ConnectionUse::Reading { .. }, CloseReason::Redirection | CloseReason::Drain) => {
             Err(Denial::RequestUnanswered)
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -10,7 +10,7 @@
 //! | never confirmed: only the saved list is there | sends nothing: the list may be of any age |
 //! | up to `assumed_notified_after` + 0.1 s | sends by the list |
 //! | from then on ([`EndpointLease::check`]) | decides on no new attempts: jobs wait in the queue |
-//! | up to `assumed_notified_after` + 0.4 s ([`EndpointLease::write_by`]) | still writes attempts decided on earlier |
+//! | up to `assumed_notified_after` + 0.4 s ([`EndpointLease::write_deadline`]) | still writes attempts decided on earlier |
 //!
 //! Only a confirmation by discovery renews the lease ([`EndpointLease::renew`]). A failed poll, the end of a watch, a
 //! start of the process and the passing of time confirm nothing, since discovery may have been up in between or at
@@ -32,7 +32,7 @@
 /// The same once the lease has expired. Jobs are held for a shorter time than this.
 const MAX_HOLD_AFTER_EXPIRY: TimeSpan = TimeSpan::from_secs(2);
 /// The service that discovery moved to counts as having had a change this much earlier.
-const MOVE_ALLOWANCE: TimeSpan = TimeSpan::from_secs(2);
+const ADDRESS_CHANGE_ALLOWANCE: TimeSpan = TimeSpan::from_secs(2);
 
 /// The moment up to which the endpoint list is known to be current, and the limits that follow from it.
 pub(crate) struct EndpointLease {
@@ -68,13 +68,13 @@
     }
 
     /// A list that could not be parsed may contain any change, so every change counts as notified now.
-    pub(crate) fn record_unreadable(&mut self, now: Timestamp) {
+    pub(crate) fn record_malformed_list(&mut self, now: Timestamp) {
         self.limit_to(now.saturating_sub(self.assumed_notified_after.unwrap_or_default()));
     }
 
-    /// Discovery moved: the new service may have had changes for [`MOVE_ALLOWANCE`].
-    pub(crate) fn record_move(&mut self, now: Timestamp) {
-        self.limit_to(now.saturating_sub(MOVE_ALLOWANCE));
+    /// Discovery moved: the new service may have had changes for [`ADDRESS_CHANGE_ALLOWANCE`].
+    pub(crate) fn record_discovery_address_change(&mut self, now: Timestamp) {
+        self.limit_to(now.saturating_sub(ADDRESS_CHANGE_ALLOWANCE));
     }
 
     /// Whether new attempts may be decided on by the list.
@@ -85,13 +85,13 @@
     }
 
     /// The moment before which an attempt decided on by the list must be written. None: the lease does not bound it.
-    pub(crate) fn write_by(&self) -> Option<Timestamp> {
+    pub(crate) fn write_deadline(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
         Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + SEND_GRACE))
     }
 
     /// Whether jobs have been held for so long that clients are better off at other nodes, which may have been confirmed.
-    pub(crate) fn is_hold_long(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_hold_limit_exceeded(&self, now: Timestamp) -> bool {
         let Some(limit) = self.assumed_notified_after else { return false };
         let long_at = match self.confirmed_at {
             Some(at) => at + limit + DECISION_GRACE + MAX_HOLD_AFTER_EXPIRY,
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -10,7 +10,7 @@
 //! | may a job be sent to a worker: first attempt, retry or hedged request? | placement, retries, and each send itself | `SendRules::may_send`, `SendRules::check_send` |
 //! | how much work may a worker that is warming up get? | the same | `SlowStart::budget` |
 //! | may the endpoint list be used? | pending queue, hedging, relocation | `EndpointLease::check` |
-//! | until when may the first byte of an attempt be written? | the embedder's transport, by [`Action::SendAttempt`](crate::Action::SendAttempt) and [`Dispatcher::endpoints_write_by`](crate::Dispatcher::endpoints_write_by) | `EndpointLease::write_by`, `SendRules::latest_send` |
+//! | until when may the first byte of an attempt be written? | the embedder's transport, by [`Action::SendAttempt`](crate::Action::SendAttempt) and [`Dispatcher::endpoint_write_deadline`](crate::Dispatcher::endpoint_write_deadline) | `EndpointLease::write_deadline`, `SendRules::send_deadline` |
 //! | may a job be rejected, so that its client may retry it? | deadlines, retries, admission | `answering` |
 //! | may a client's connection be closed? | the embedder's server | [`may_close_connection`] |
 //! | may a process report that it is ready? | the embedder's start | [`ServingPermission`] |
@@ -28,8 +28,8 @@
 mod slow_start;
 mod violations;
 
-pub(crate) use answering::{answer_unserved, redirect};
-pub use closing::{CloseReason, ConnectionUse, READ_TIMEOUT, STALLED_AFTER, may_close_connection};
+pub(crate) use answering::{redirect, reject_or_fail};
+pub use closing::{CloseReason, ConnectionUse, READ_TIMEOUT, STALL_TIMEOUT, may_close_connection};
 pub use denial::Denial;
 pub(crate) use endpoint_lease::EndpointLease;
 pub(crate) use sending::{SendRules, max_attempts};
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -40,7 +40,7 @@
         if !self.settings.may_hedge && !job.is_idle() {
             return Err(Denial::AttemptInFlight);
         }
-        self.may_repeat(now, worker, job)?;
+        self.check_duplicate_run(now, worker, job)?;
         // Rule 4: no more work than a worker that is warming up can take.
         if job.load() > self.slow_start.budget(now, worker) {
             return Err(Denial::WarmUpBudgetExhausted);
@@ -50,7 +50,7 @@
 
     /// Rule 3: no new job to a worker that is draining or gone, or that operators have disabled.
     fn check_worker(&self, worker: &Worker, job: &Job) -> Result<(), Denial> {
-        if !self.fleet.takes_work(worker) {
+        if !self.fleet.is_available(worker) {
             return Err(Denial::WorkerUnavailable);
         }
         let required_kind = self.settings.classes[job.class].required_kind;
@@ -64,7 +64,7 @@
     }
 
     /// Rule 2: whether a job may go to a worker without its effect happening twice.
-    pub fn may_repeat(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
+    pub fn check_duplicate_run(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         let Some(first) = job.first_possible_run() else { return Ok(()) };
         match self.settings.classes[job.class].idempotency {
             Idempotency::Idempotent => Ok(()),
@@ -87,15 +87,15 @@
 
     /// Latest time at which the next attempt of a job may be sent: while this node may rely on its endpoint
     /// list and, if the job may have run, while workers still discard retries.
-    pub fn latest_send(&self, job: &Job) -> Option<Timestamp> {
+    pub fn send_deadline(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
                 job.first_possible_run().map(|first| first.deduplicated_until(window))
             }
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
         };
-        let last_repeat = deduplicated_until.map(|until| until.saturating_sub(DEDUPLICATION_MARGIN));
-        last_repeat.into_iter().chain(self.lease.write_by()).min()
+        let retry_deadline = deduplicated_until.map(|until| until.saturating_sub(DEDUPLICATION_MARGIN));
+        retry_deadline.into_iter().chain(self.lease.write_deadline()).min()
     }
 }
 
--- a/crates/core/src/permission/serving.rs
+++ b/crates/core/src/permission/serving.rs
@@ -21,7 +21,7 @@
 impl ServingPermission {
     /// How long after its start the process may report that it is ready without an answer of discovery.
     /// None: never. With an answer it may at once.
-    pub fn without_answer_after(self) -> Option<TimeSpan> {
+    pub fn max_discovery_wait(self) -> Option<TimeSpan> {
         match self {
             ServingPermission { has_saved_endpoints: false, .. } => None,
             ServingPermission { has_predecessor: true, .. } => Some(MAX_WAIT_BESIDE_PREDECESSOR),
--- a/crates/core/src/permission/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -3,7 +3,7 @@
 //! Such a worker fails when all nodes together send too much within a window, so the nodes share a budget. With many
 //! nodes an equal part of it would be too small for any job; therefore nodes take turns by the clock.
 
-use crate::state::{DEMAND_SPAN, Demand, Fleet, Worker};
+use crate::state::{DEMAND_TIME_CONSTANT, Demand, Fleet, Worker};
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Share of the budget that a node without others uses: hints are rough.
@@ -17,15 +17,15 @@
 /// A single worker may get this many times an even part of a node's work.
 const MAX_TRAFFIC_SKEW: f64 = 2.0;
 /// Share of a node's work that goes to workers that are warming up when the warm ones are saturated.
-const JAMMED_DRAW_SHARE: f64 = 0.1;
+const SATURATED_WARM_UP_SHARE: f64 = 0.1;
 /// Most slots that a worker counts for, as a multiple of those that this node itself has seen there.
 const MAX_SLOT_EXTRAPOLATION: f64 = 1.5;
 /// Factor by which the window is extended: work arrives some time after it is sent.
-const WINDOW_STRETCH: f64 = 1.25;
+const WINDOW_EXTENSION_FACTOR: f64 = 1.25;
 
 /// Seconds for which work sent to a worker that is warming up counts.
 pub(crate) fn window(settings: &Settings) -> f64 {
-    settings.overload_window.as_secs_f64() * WINDOW_STRETCH
+    settings.overload_window.as_secs_f64() * WINDOW_EXTENSION_FACTOR
 }
 
 /// What the budget of a worker that is warming up depends on.
@@ -78,17 +78,19 @@
     /// its budget, by the work that this node sends in a window. When warm workers are saturated, more work
     /// goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
-        let known_for = now.seconds_since(self.demand.first_at).min(DEMAND_SPAN.as_secs_f64());
-        if known_for < window(self.settings) {
+        let observed_for =
+            now.seconds_since(self.demand.first_submission_at).min(DEMAND_TIME_CONSTANT.as_secs_f64());
+        if observed_for < window(self.settings) {
             return 1;
         }
-        let own_work = self.demand.submitted(now) / known_for * window(self.settings);
+        let own_work = self.demand.submitted(now) / observed_for * window(self.settings);
         let (nodes, share) = (self.fleet.subset().nodes(), SHARED_TURN_SHARE * budget);
-        let mut drawn = own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset().len().max(1) as f64).min(1.0);
-        if JAMMED_DRAW_SHARE * own_work * f64::from(nodes) > share * self.warming_up_workers as f64 {
-            drawn = drawn.max(JAMMED_DRAW_SHARE * own_work);
+        let mut work_per_worker =
+            own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset().len().max(1) as f64).min(1.0);
+        if SATURATED_WARM_UP_SHARE * own_work * f64::from(nodes) > share * self.warming_up_workers as f64 {
+            work_per_worker = work_per_worker.max(SATURATED_WARM_UP_SHARE * own_work);
         }
-        (share / drawn.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
+        (share / work_per_worker.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
     }
 
     /// The slow-start rotation: whether this node has one of the turns at a worker. A window overlaps at most
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: what a submitted job may claim, and whether it is taken at all.
 
-use super::deadlines::{ANSWER_MARGIN, DeadlineContext};
+use super::deadlines::{DeadlineContext, RESPONSE_MARGIN};
 use crate::permission::EndpointLease;
 use crate::state::{AdmissionState, Fleet, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work};
 use crate::{JobSubmission, Settings, TimeSpan, Timestamp};
@@ -14,18 +14,18 @@
     /// It is queued.
     Queue,
     /// It is answered at once, since it cannot be served in time.
-    AnswerUnserved,
+    RejectOrFail,
     /// Its client is sent to another node.
     Redirect,
 }
 
 /// Decides on a submitted job.
 pub(crate) fn decide(context: &DeadlineContext, lease: &EndpointLease, job: &Job) -> AdmissionDecision {
-    if context.now + ANSWER_MARGIN >= job.deadline || context.outlasts_shutdown(job) {
+    if context.now + RESPONSE_MARGIN >= job.deadline || context.exceeds_shutdown_deadline(job) {
         // Probably a client's last retry: its time would be up before the next sweep.
-        return AdmissionDecision::AnswerUnserved;
+        return AdmissionDecision::RejectOrFail;
     }
-    if job.is_first_submission && lease.is_hold_long(context.now) {
+    if job.is_first_submission && lease.is_hold_limit_exceeded(context.now) {
         // This node alone may be cut off from discovery: the client is sent elsewhere once. Its retry is queued, since
         // all nodes may be in the same state.
         return AdmissionDecision::Redirect;
@@ -48,10 +48,11 @@
     let work = hint.map_or(estimate, clamp_job_work);
     // A client's retry has less time left than a first submission: its objective counts from the latter.
     let time_left = submission.deadline.saturating_since(now).min(class.client_timeout);
-    let waited = admission.time_waited(class_index, time_left);
+    let waited = admission.estimate_client_wait(class_index, time_left);
     let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
-    let stretch = TimeSpan::from_secs_f64(class.latency_objective_stretch * work * RELIABLE_HINT_SHARE);
-    let objective_at = (now + class.latency_objective + stretch).saturating_sub(waited);
+    let work_allowance =
+        TimeSpan::from_secs_f64(class.latency_objective_work_factor * work * RELIABLE_HINT_SHARE);
+    let objective_at = (now + class.latency_objective + work_allowance).saturating_sub(waited);
     let slots = if submission.slots.is_finite() { submission.slots.clamp(1.0, MAX_JOB_SLOTS) } else { 1.0 };
     let weight = class.priority_weight / admission.max_priority_weight / slots;
     let over_quota = admission.charge_quota(now, settings, submission.tenant.0, is_first_submission);
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -6,7 +6,7 @@
 /// Time between two sweeps over the open jobs.
 pub(crate) const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_millis(10);
 /// A job is answered this long before its client leaves or this node ends: it may just miss one sweep.
-pub(super) const ANSWER_MARGIN: TimeSpan = TimeSpan::from_micros(2 * SWEEP_INTERVAL.as_micros());
+pub(super) const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_micros(2 * SWEEP_INTERVAL.as_micros());
 /// A queued job is shed when less than this share of its usual run is left to its objective.
 const MIN_RUN_SHARE_LEFT: f64 = 0.6;
 /// Hints are assumed to be off by at most this many times their mean error (of the logarithm).
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Review {
     /// Its time is up, or the node shuts down before it can be served: it is answered now.
-    AnswerUnserved,
+    RejectOrFail,
     /// It is unlikely to meet its objective: it is shed. In overload, work that can no longer be in time, queued here
     /// or at a worker, only delays work that can.
     Shed,
@@ -33,15 +33,15 @@
     /// All workers.
     pub fleet: &'a Fleet,
     /// All jobs must be answered by then; [`Timestamp::MAX`] while the node does not shut down.
-    pub shutdown_at: Timestamp,
+    pub shutdown_deadline: Timestamp,
 }
 
 impl DeadlineContext<'_> {
     /// Reviews an open job.
     pub fn review(&self, job: &Job) -> Review {
-        let answer_by = job.deadline.min(self.shutdown_at);
-        if self.now + ANSWER_MARGIN >= answer_by || self.outlasts_shutdown(job) {
-            Review::AnswerUnserved
+        let response_deadline = job.deadline.min(self.shutdown_deadline);
+        if self.now + RESPONSE_MARGIN >= response_deadline || self.exceeds_shutdown_deadline(job) {
+            Review::RejectOrFail
         } else if self.is_beyond_objective(job) {
             Review::Shed
         } else {
@@ -50,11 +50,11 @@
     }
 
     /// Whether this node ends before a job is likely to be served, while another may run it.
-    pub fn outlasts_shutdown(&self, job: &Job) -> bool {
-        if self.shutdown_at == Timestamp::MAX {
+    pub fn exceeds_shutdown_deadline(&self, job: &Job) -> bool {
+        if self.shutdown_deadline == Timestamp::MAX {
             return false;
         }
-        let time_left = self.shutdown_at.seconds_since(self.now);
+        let time_left = self.shutdown_deadline.seconds_since(self.now);
         match job.in_flight().next() {
             None => time_left < job.work / self.fleet.typical_speed(),
             Some(attempt) => {
@@ -75,12 +75,13 @@
         // While few attempts start promptly, less of that doubt counts in favour of the job, since those
         // behind it wait.
         let max_error = (MAX_HINT_ERRORS * self.fleet.hint_error() * self.fleet.prompt_start_share()).exp();
-        let stretch = self.settings.classes[job.class].latency_objective_stretch;
-        let doubt = stretch * (max_error - RELIABLE_HINT_SHARE) - 1.0 / self.fleet.typical_speed();
-        let spare = time_left - self.now.seconds_since(job.objective_at) + doubt * job.work;
+        let work_factor = self.settings.classes[job.class].latency_objective_work_factor;
+        let hint_allowance =
+            work_factor * (max_error - RELIABLE_HINT_SHARE) - 1.0 / self.fleet.typical_speed();
+        let slack = time_left - self.now.seconds_since(job.objective_at) + hint_allowance * job.work;
         let mut in_flight = job.in_flight().map(|attempt| self.fleet.in_flight_attempt(job.id, attempt));
         let is_waiting =
             |attempt: Option<&InFlightAttempt>| attempt.is_some_and(|attempt| !attempt.has_started());
-        self.settings.may_cancel && spare < 0.0 && in_flight.all(is_waiting)
+        self.settings.may_cancel && slack < 0.0 && in_flight.all(is_waiting)
     }
 }
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -56,9 +56,10 @@
 }
 
 /// How long a worker is ejected after a failure that follows so many others: with exponential backoff, so that a dead
-/// one costs few attempts, and with jitter, so that nodes do not return in step. `draw` is a random number from 0 to 1.
-pub(crate) fn ejection_time(earlier_failures: u32, draw: f64) -> TimeSpan {
-    let jitter = MIN_JITTER + JITTER_RANGE * draw;
+/// one costs few attempts, and with jitter, so that nodes do not return in step. `random_fraction` is a random number
+/// from 0 to 1.
+pub(crate) fn ejection_duration(earlier_failures: u32, random_fraction: f64) -> TimeSpan {
+    let jitter = MIN_JITTER + JITTER_RANGE * random_fraction;
     let factor = f64::from(1u32 << earlier_failures.min(MAX_EJECTION_DOUBLINGS));
     TimeSpan::from_secs_f64(BASE_EJECTION.as_secs_f64() * factor * jitter)
 }
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -2,16 +2,17 @@
 //! cancelled.
 
 use super::placement::{Placement, PlacementTier};
-use crate::state::{Fleet, InFlightAttempt, Job, LATE_START};
+use crate::state::{Fleet, InFlightAttempt, Job, LATE_START_THRESHOLD};
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Where all work is known, only a silent worker starts a job late: this long after it should.
-const SILENT_START: TimeSpan = TimeSpan::from_secs(1);
+const UNRESPONSIVE_START_DELAY: TimeSpan = TimeSpan::from_secs(1);
 
 /// Whether no attempt of a job has started, and each is later than predicted: other nodes' work may be queued before
 /// it, or its worker may be silent.
 pub(crate) fn is_start_overdue(now: Timestamp, settings: &Settings, fleet: &Fleet, job: &Job) -> bool {
-    let allowed_delay = if fleet.observes_all_work(settings) { SILENT_START } else { LATE_START };
+    let allowed_delay =
+        if fleet.observes_all_work(settings) { UNRESPONSIVE_START_DELAY } else { LATE_START_THRESHOLD };
     let allowed_delay = allowed_delay.as_secs_f64();
     let is_overdue =
         |attempt: &InFlightAttempt| !attempt.has_started() && attempt.start_delay(now) > allowed_delay;
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -1,14 +1,14 @@
 //! The pending queue: when a job is sent. While no worker is free, jobs wait here and not at a worker: there, small
 //! urgent jobs would wait behind large ones, and no job could be recalled.
 
-use super::placement::{MAX_WORKER_QUEUE, Placement, PlacementTier, ZONE_CROSSING};
+use super::placement::{MAX_WORKER_WAIT, Placement, PlacementTier, ZONE_CROSSING_WAIT};
 use crate::state::{Capacity, Demand, Fleet, Job, QueueKey};
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// A job that can still meet its objective is sent at the latest this long before it no longer can.
-const LAST_START_MARGIN: TimeSpan = TimeSpan::from_millis(100);
+const OBJECTIVE_MARGIN: TimeSpan = TimeSpan::from_millis(100);
 /// Most queued jobs that are skipped in one pass because no worker takes them ...
-const MIN_SKIPPED_JOBS: usize = 8;
+const MIN_SKIP_LIMIT: usize = 8;
 /// ... or one for this many workers of the subset, where that is more: in a large fleet, a few jobs that fit
 /// nowhere must not block the rest.
 const WORKERS_PER_SKIPPED_JOB: usize = 2;
@@ -25,7 +25,7 @@
 
 /// Most queued jobs that are skipped in one pass because no worker takes them.
 pub(crate) fn max_skipped_jobs(fleet: &Fleet) -> usize {
-    MIN_SKIPPED_JOBS.max(fleet.subset().len() / WORKERS_PER_SKIPPED_JOB)
+    MIN_SKIP_LIMIT.max(fleet.subset().len() / WORKERS_PER_SKIPPED_JOB)
 }
 
 /// Share of the workers that is reserved for jobs of high weight, while work is being shed.
@@ -51,36 +51,36 @@
 
 impl QueueContext<'_> {
     /// Whether a job stays in the queue without looking for a worker.
-    pub fn is_held_back(&self, job: &Job) -> bool {
-        self.yields_capacity(job) || self.is_capacity_exhausted(job)
+    pub fn must_wait(&self, job: &Job) -> bool {
+        self.is_capacity_reserved(job) || self.is_capacity_exhausted(job)
     }
 
     /// Whether a job is sent now: a slot is about to be free, or waiting longer would miss its objective. A
     /// job that looks late everywhere is still sent when it is the only one queued, since hints are rough.
-    pub fn is_timely(&self, job: &Job, placement: &Placement) -> bool {
+    pub fn should_send(&self, job: &Job, placement: &Placement) -> bool {
         let estimate = &placement.estimate;
-        let spare = job.objective_at.seconds_since(self.now) - estimate.reliable_run - estimate.wait;
+        let slack = job.objective_at.seconds_since(self.now) - estimate.reliable_run - estimate.wait;
         match placement.rating.tier {
             PlacementTier::Immediate => true,
-            PlacementTier::Queued => !job.over_quota && spare < LAST_START_MARGIN.as_secs_f64(),
-            PlacementTier::Late => estimate.wait <= MAX_WORKER_QUEUE.as_secs_f64() && self.queue_len == 1,
+            PlacementTier::Queued => !job.over_quota && slack < OBJECTIVE_MARGIN.as_secs_f64(),
+            PlacementTier::Late => estimate.wait <= MAX_WORKER_WAIT.as_secs_f64() && self.queue_len == 1,
         }
     }
 
     /// Whether a job leaves free capacity to others: while work is being shed, and the sooner the lower its
     /// weight.
-    fn yields_capacity(&self, job: &Job) -> bool {
+    fn is_capacity_reserved(&self, job: &Job) -> bool {
         let reserved_share = self.reserved_share * (1.0 - job.weight / RESERVE_EXEMPT_WEIGHT);
         self.capacity.free_share < reserved_share
     }
 
     /// Whether no worker could take the job now: in overload, rating all for each job costs too much CPU.
     fn is_capacity_exhausted(&self, job: &Job) -> bool {
-        let spare = job.objective_at.seconds_since(self.now) - self.capacity.shortest_wait;
-        let is_due =
-            spare > 0.0 && spare - self.fleet.reliable_run(job) < 2.0 * LAST_START_MARGIN.as_secs_f64();
+        let slack = job.objective_at.seconds_since(self.now) - self.capacity.shortest_wait;
+        let is_start_near =
+            slack > 0.0 && slack - self.fleet.reliable_run(job) < 2.0 * OBJECTIVE_MARGIN.as_secs_f64();
         let max_wait =
-            MAX_WORKER_QUEUE.as_secs_f64() + self.settings.cross_zone_price * ZONE_CROSSING.as_secs_f64();
-        self.capacity.shortest_wait > max_wait && (job.over_quota || !is_due)
+            MAX_WORKER_WAIT.as_secs_f64() + self.settings.cross_zone_price * ZONE_CROSSING_WAIT.as_secs_f64();
+        self.capacity.shortest_wait > max_wait && (job.over_quota || !is_start_near)
     }
 }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -10,9 +10,9 @@
 /// ... and this many seconds are ties, which are broken at random.
 const NEAR_TIE: TimeSpan = TimeSpan::from_millis(2);
 /// Longest wait at a worker for which a job is sent there.
-pub(super) const MAX_WORKER_QUEUE: TimeSpan = TimeSpan::from_millis(20);
+pub(super) const MAX_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(20);
 /// Seconds of waiting that are equivalent to a zone crossing of price 1.
-pub(super) const ZONE_CROSSING: TimeSpan = TimeSpan::from_secs(2);
+pub(super) const ZONE_CROSSING_WAIT: TimeSpan = TimeSpan::from_secs(2);
 /// A worker enabled again is tried with any idempotent job that can end in time after this.
 const REENABLED_PROBE_DELAY: TimeSpan = TimeSpan::from_millis(1500);
 
@@ -125,9 +125,9 @@
         let (settings, fleet) = (rules.settings, rules.fleet);
         let worker = fleet.worker(index);
         let estimate = self.estimate(fleet, index);
-        let crossing = settings.cross_zone_price * ZONE_CROSSING.as_secs_f64();
+        let crossing = settings.cross_zone_price * ZONE_CROSSING_WAIT.as_secs_f64();
         let is_local = worker.zone() == settings.zone;
-        let max_wait = MAX_WORKER_QUEUE.as_secs_f64();
+        let max_wait = MAX_WORKER_WAIT.as_secs_f64();
         let max_wait = if is_local { max_wait + crossing } else { max_wait };
         let time_left = self.job.objective_at.seconds_since(self.now);
         let meets_objective = estimate.reliable_run + estimate.wait <= time_left;
@@ -163,6 +163,6 @@
 /// that look best.
 pub(crate) fn workers_outside_subset(fleet: &Fleet, rng: &mut fastrand::Rng) -> Vec<usize> {
     let first = rng.usize(0..fleet.workers().len());
-    let drawn = (first..first + fleet.subset().len()).map(|index| index % fleet.workers().len());
-    drawn.filter(|index| !fleet.worker(*index).is_in_subset()).collect()
+    let indices = (first..first + fleet.subset().len()).map(|index| index % fleet.workers().len());
+    indices.filter(|index| !fleet.worker(*index).is_in_subset()).collect()
 }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -46,8 +46,8 @@
     let is_overdue = in_flight.is_acceptance_overdue(now, settings.accept_timeout);
     let may_take = |worker: &Worker| {
         worker.id() != attempt.worker
-            && fleet.takes_work(worker)
-            && rules.may_repeat(now, worker, job).is_ok()
+            && fleet.is_available(worker)
+            && rules.check_duplicate_run(now, worker, job).is_ok()
     };
     (is_overdue && fleet.workers().iter().any(may_take)).then_some(attempt.number)
 }
--- a/crates/core/src/policy/unsent_attempts.rs
+++ b/crates/core/src/policy/unsent_attempts.rs
@@ -7,7 +7,7 @@
 
 /// Whether a job whose revoked attempt was not sent is queued again as if it had just been submitted, because no other
 /// attempt may have run: that was no failure and costs no retry.
-pub(crate) fn is_as_submitted(settings: &Settings, job: &Job) -> bool {
+pub(crate) fn may_requeue_unsent(settings: &Settings, job: &Job) -> bool {
     !job.is_answered()
         && job.is_idle()
         && job.first_possible_run().is_none()
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -65,7 +65,7 @@
     /// The time over which the polls of all nodes are spread, as far as this node knows.
     spread: TimeSpan,
     /// The watch was lost because this node could not parse what it sent.
-    list_unreadable: bool,
+    is_list_malformed: bool,
     lease: EndpointLease,
 }
 
@@ -81,7 +81,7 @@
             poll_in_flight: false,
             consecutive_failures: 0,
             spread: TimeSpan::ZERO,
-            list_unreadable: false,
+            is_list_malformed: false,
             lease: EndpointLease::new(settings),
         }
     }
@@ -125,14 +125,14 @@
     }
 
     /// Discovery sent something that could not be parsed.
-    pub(crate) fn record_unreadable_list(&mut self, now: Timestamp) {
-        self.lease.record_unreadable(now);
-        self.list_unreadable = true;
+    pub(crate) fn record_malformed_list(&mut self, now: Timestamp) {
+        self.lease.record_malformed_list(now);
+        self.is_list_malformed = true;
     }
 
     /// Discovery moved to another address.
-    pub(crate) fn record_discovery_move(&mut self, now: Timestamp) {
-        self.lease.record_move(now);
+    pub(crate) fn record_discovery_address_change(&mut self, now: Timestamp) {
+        self.lease.record_discovery_address_change(now);
     }
 
     /// A poll failed or the watch ended: schedules the next poll.
@@ -181,7 +181,7 @@
     /// spread. An unreadable list concerns this node alone.
     fn record_lost_watch(&mut self, now: Timestamp, min_delay: TimeSpan, rng: &mut fastrand::Rng) {
         self.spread = self.initial_spread();
-        let offset = if std::mem::take(&mut self.list_unreadable) {
+        let offset = if std::mem::take(&mut self.is_list_malformed) {
             TimeSpan::ZERO
         } else {
             random_span(rng, self.spread)
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,10 +1,10 @@
 //! Records of attempts at workers: what is updated when one is sent, starts and ends.
 
-use super::estimates::{RunEstimate, SEND_RATE_SPAN};
-use super::fleet::{Fleet, LATE_START};
+use super::estimates::{RunEstimate, SEND_RATE_TIME_CONSTANT};
+use super::fleet::{Fleet, LATE_START_THRESHOLD};
 use super::in_flight::{InFlightAttempt, UnhintedWork};
 use super::job::{Attempt, AttemptId, AttemptRef, Job};
-use super::worker::EXCESS_WAIT_SPAN;
+use super::worker::EXCESS_WAIT_TIME_CONSTANT;
 use crate::{JobId, Outcome, Settings, TimeSpan, Timestamp};
 
 /// Shortest run that a speed is learned from.
@@ -40,8 +40,8 @@
         estimate: &RunEstimate,
     ) -> Attempt {
         let worker = &mut self.workers[estimate.worker_index];
-        worker.sent_work.add(now, job.load(), SEND_RATE_SPAN);
-        self.kinds[worker.kind_index].sent_work.add(now, job.load(), SEND_RATE_SPAN);
+        worker.sent_work.add(now, job.load(), SEND_RATE_TIME_CONSTANT);
+        self.kinds[worker.kind_index].sent_work.add(now, job.load(), SEND_RATE_TIME_CONSTANT);
         (worker.gossip_pending, worker.reenabled_at) = (true, None);
         job.key.into_iter().for_each(|key| worker.record_key(key));
         let predicted_start = now + TimeSpan::from_secs_f64(estimate.wait);
@@ -72,7 +72,7 @@
     pub fn record_success(&mut self, now: Timestamp, settings: &Settings, ended: &EndedAttempt) {
         let (index, attempt) = (ended.worker_index, &ended.attempt);
         let worker = &mut self.workers[index];
-        worker.record_contact(now);
+        worker.record_reachable(now);
         worker.health.consecutive_failures /= 2;
         if worker.warm_up_fraction(now, settings) >= 1.0 {
             let run = now.seconds_since(attempt.started_at.unwrap_or(attempt.sent_at));
@@ -84,9 +84,9 @@
     /// worker is at least as late as that shows.
     pub fn record_cancelled_wait(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let delay = ended.attempt.start_delay(now);
-        self.record_start_delay(now, ended.worker_index, delay.max(LATE_START.as_secs_f64()));
+        self.record_start_delay(now, ended.worker_index, delay.max(LATE_START_THRESHOLD.as_secs_f64()));
         let excess_wait = &mut self.workers[ended.worker_index].excess_wait;
-        excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_SPAN)));
+        excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT)));
     }
 
     /// Updates how many slots each worker of the subset runs at once.
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -46,7 +46,7 @@
     }
 
     /// Time that a client has waited already when it submits a job, by the time that the job has left.
-    pub fn time_waited(&mut self, class: usize, time_left: TimeSpan) -> TimeSpan {
+    pub fn estimate_client_wait(&mut self, class: usize, time_left: TimeSpan) -> TimeSpan {
         let longest = &mut self.longest_time_left[class];
         *longest = time_left.max(*longest);
         *longest - time_left
@@ -88,29 +88,29 @@
 
 impl Budgets {
     /// Credits the budgets for an admitted job, with the less hedged work the fewer attempts start promptly.
-    pub fn earn(&mut self, job: &Job, prompt_start_share: f64) {
+    pub fn credit_job(&mut self, job: &Job, prompt_start_share: f64) {
         self.retry_tokens = (self.retry_tokens + RETRIES_PER_JOB).min(MAX_RETRY_TOKENS);
         let earned = HEDGE_WORK_SHARE * prompt_start_share * job.load();
         self.hedge_work = (self.hedge_work + earned).min(MAX_HEDGE_WORK);
     }
 
     /// Whether a retry may be made.
-    pub fn allow_retry(&self) -> bool {
+    pub fn has_retry_budget(&self) -> bool {
         self.retry_tokens >= 1.0
     }
 
     /// Charges a retry.
-    pub fn spend_retry(&mut self) {
+    pub fn charge_retry(&mut self) {
         self.retry_tokens -= 1.0;
     }
 
     /// Whether a hedged request of that job may be made.
-    pub fn allow_hedge(&self, job: &Job) -> bool {
+    pub fn has_hedge_budget(&self, job: &Job) -> bool {
         self.hedge_work >= job.load()
     }
 
     /// Charges a hedged request of that job.
-    pub fn spend_hedge(&mut self, job: &Job) {
+    pub fn charge_hedge(&mut self, job: &Job) {
         self.hedge_work -= job.load();
     }
 }
--- a/crates/core/src/state/endpoints.rs
+++ b/crates/core/src/state/endpoints.rs
@@ -10,7 +10,7 @@
     /// gone.
     pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], update: EndpointUpdate) {
         if update == EndpointUpdate::Snapshot {
-            self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
+            self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Removed);
         }
         for endpoint in endpoints {
             match self.workers.binary_search_by_key(&endpoint.worker, |worker| worker.id) {
@@ -18,23 +18,24 @@
                 Err(index) => self.insert_worker(index, endpoint),
             }
         }
-        self.workers.retain(|worker| worker.status != WorkerStatus::Gone || !worker.in_flight.is_empty());
+        self.workers.retain(|worker| worker.status != WorkerStatus::Removed || !worker.in_flight.is_empty());
         for worker in self.workers.iter_mut().filter(|worker| worker.status != WorkerStatus::Ready) {
-            self.pending_revocations.extend(worker.revoke_unaccepted());
+            self.pending_revocations.extend(worker.revoke_unaccepted_attempts());
         }
         self.rebuild_subset();
     }
 
     /// Takes over the new entry of a known worker.
     fn update_worker(&mut self, now: Timestamp, index: usize, endpoint: &Endpoint) {
-        let (kind_index, listed_slots) = (self.kind_index(endpoint.kind), self.listed_slots(endpoint));
+        let (kind_index, listed_slots) =
+            (self.find_or_insert_kind(endpoint.kind), self.listed_slots(endpoint));
         let started_at = endpoint.started_at.min(now);
         let worker = &mut self.workers[index];
         (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
         worker.status = endpoint.status;
         if started_at > worker.started_at {
             // What has not been accepted was meant for the process before the restart.
-            self.pending_revocations.extend(worker.revoke_unaccepted());
+            self.pending_revocations.extend(worker.revoke_unaccepted_attempts());
         }
         worker.started_at = worker.started_at.max(started_at);
         (worker.kind_index, worker.listed_slots) = (kind_index, listed_slots);
@@ -42,7 +43,7 @@
 
     /// Adds a worker at its place in the order of ids.
     fn insert_worker(&mut self, index: usize, endpoint: &Endpoint) {
-        let mut worker = Worker::new(endpoint, self.kind_index(endpoint.kind));
+        let mut worker = Worker::new(endpoint, self.find_or_insert_kind(endpoint.kind));
         worker.listed_slots = self.listed_slots(endpoint);
         if let Some(reenabled_at) = self.reenabled_unlisted.remove(&endpoint.worker) {
             worker.reenable(reenabled_at, reenabled_at);
@@ -61,7 +62,7 @@
         self.reenabled_unlisted.remove(&id);
         self.disabled.entry(id).or_insert(now);
         if let Some(index) = self.find(id) {
-            self.pending_revocations.extend(self.workers[index].revoke_unaccepted());
+            self.pending_revocations.extend(self.workers[index].revoke_unaccepted_attempts());
         }
         self.rebuild_subset();
     }
@@ -78,13 +79,13 @@
     }
 
     /// Whether a worker takes new work: ready by the list, and not disabled by operators.
-    pub fn takes_work(&self, worker: &Worker) -> bool {
+    pub fn is_available(&self, worker: &Worker) -> bool {
         worker.status == WorkerStatus::Ready && !self.disabled.contains_key(&worker.id)
     }
 
     /// Assigns the workers that take new work to the subsets anew.
     fn rebuild_subset(&mut self) {
-        let indices = (0..self.workers.len()).filter(|index| self.takes_work(&self.workers[*index]));
+        let indices = (0..self.workers.len()).filter(|index| self.is_available(&self.workers[*index]));
         let candidates: Vec<Candidate> = indices.map(|index| self.workers[index].candidate(index)).collect();
         self.subset.rebuild(candidates);
         self.workers.iter_mut().for_each(|worker| worker.in_subset = false);
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -13,15 +13,15 @@
 /// Upper bound of r: beyond it, 1 / (1 - r) would outweigh x.
 const MAX_UTILISATION: f64 = 0.9;
 /// Time constant over which the rate of work sent is averaged.
-pub(super) const SEND_RATE_SPAN: TimeSpan = TimeSpan::from_secs(5);
+pub(super) const SEND_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(5);
 /// Share of a job's hint that is relied on: latency objectives grow with the true work, which may be less.
 pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
 /// A worker with no longer a wait than this counts as free.
 const FREE_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(25);
 /// Time for which a peer's report counts.
-const PEER_BACKLOG_LIFETIME: TimeSpan = TimeSpan::from_millis(1500);
+const REMOTE_BACKLOG_LIFETIME: TimeSpan = TimeSpan::from_millis(1500);
 /// Most slots of peers' work that count at one worker.
-const MAX_PEER_SLOTS: u32 = 32;
+const MAX_REMOTE_SLOTS: u32 = 32;
 /// Highest cost of one gossip entry to all nodes, as a share of the value of a job.
 const MAX_GOSSIP_COST: f64 = 0.004;
 
@@ -69,7 +69,7 @@
         self.kinds.iter_mut().for_each(|kind| kind.capacity = 0.0);
         for position in 0..self.subset.len() {
             let index = self.subset.members()[position];
-            if self.workers[index].are_estimates_old(now) {
+            if self.workers[index].are_estimates_expired(now) {
                 self.refresh_worker(now, settings, index);
             }
             let worker = &self.workers[index];
@@ -91,7 +91,9 @@
         let worker = &self.workers[index];
         let warm_up_fraction = worker.warm_up_fraction(now, settings);
         let speed = self.learned_speed(worker) * warm_up_fraction;
-        let send_rate = worker.sent_work.get(now, SEND_RATE_SPAN) / SEND_RATE_SPAN.as_secs_f64() * nodes;
+        let send_rate = worker.sent_work.get(now, SEND_RATE_TIME_CONSTANT)
+            / SEND_RATE_TIME_CONSTANT.as_secs_f64()
+            * nodes;
         let utilisation = (send_rate / (speed * self.slots(worker))).min(MAX_UTILISATION);
         let known = &mut self.workers[index].estimates;
         *known = WorkerEstimates { derived_at: now, warm_up_fraction, speed, utilisation, wait: known.wait };
@@ -105,7 +107,9 @@
         let nodes = f64::from(self.subset.nodes());
         let observes_all_work = self.observes_all_work(settings);
         for kind in &mut self.kinds {
-            let send_rate = kind.sent_work.get(now, SEND_RATE_SPAN) / SEND_RATE_SPAN.as_secs_f64() * nodes;
+            let send_rate = kind.sent_work.get(now, SEND_RATE_TIME_CONSTANT)
+                / SEND_RATE_TIME_CONSTANT.as_secs_f64()
+                * nodes;
             let utilisation = (send_rate / kind.capacity.max(1e-9)).min(MAX_UTILISATION);
             kind.utilisation = if nodes == 1.0 { 0.0 } else { utilisation };
             kind.wait = if observes_all_work { 0.0 } else { kind.start_delay.get(now) };
@@ -115,27 +119,27 @@
     /// w: seconds that a job of that many slots waits at a worker, by this node's attempts there and peers'
     /// reports.
     fn estimate_wait(&self, now: Timestamp, worker: &Worker, slots: f64) -> f64 {
-        let unobserved_wait = worker.unobserved_wait(now);
-        if worker.in_flight.is_empty() && worker.peer_backlogs.is_empty() {
-            return unobserved_wait;
+        let unreported_wait = worker.unreported_wait(now);
+        if worker.in_flight.is_empty() && worker.remote_backlogs.is_empty() {
+            return unreported_wait;
         }
         let speed = worker.estimates.speed;
         let mut schedule = SlotSchedule::new(self.slots(worker).max(slots));
         for attempt in &worker.in_flight {
             schedule.enqueue(attempt.remaining_work(now, speed) / speed, attempt.slots);
         }
-        let (mut peer_work, mut peer_slots) = (0.0, 0.0);
-        for backlog in &worker.peer_backlogs {
+        let (mut remote_work, mut remote_slots) = (0.0, 0.0);
+        for backlog in &worker.remote_backlogs {
             let age = now.seconds_since(backlog.at);
-            if age < PEER_BACKLOG_LIFETIME.as_secs_f64() {
-                peer_work += (backlog.work - age * backlog.slots * speed).max(0.0);
-                peer_slots += backlog.slots;
+            if age < REMOTE_BACKLOG_LIFETIME.as_secs_f64() {
+                remote_work += (backlog.work - age * backlog.slots * speed).max(0.0);
+                remote_slots += backlog.slots;
             }
         }
-        for _ in 0..(peer_slots as u32).min(MAX_PEER_SLOTS) {
-            schedule.enqueue(peer_work / peer_slots / speed, 1.0);
+        for _ in 0..(remote_slots as u32).min(MAX_REMOTE_SLOTS) {
+            schedule.enqueue(remote_work / remote_slots / speed, 1.0);
         }
-        schedule.enqueue(0.0, slots) + unobserved_wait
+        schedule.enqueue(0.0, slots) + unreported_wait
     }
 
     /// What a job would meet at a worker. The owners of its key are the workers whose rendezvous weight is at least
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -17,7 +17,7 @@
 /// Weight of a kind's speed in that of a new worker, in jobs.
 const KIND_PRIOR_SAMPLES: f64 = 3.0;
 /// Span over which the start delays at a kind are averaged.
-const START_DELAY_SPAN: TimeSpan = TimeSpan::from_secs(5);
+const START_DELAY_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(5);
 /// Prior count of starts without delay, so that a single delay counts little.
 const START_DELAY_PRIOR_COUNT: f64 = 0.5;
 
@@ -48,7 +48,7 @@
     }
 
     /// The sum if it shrinks by 1 a second, as a wait does while the work is done. May be negative.
-    pub fn worked_off(&self, now: Timestamp) -> f64 {
+    pub fn linearly_decayed(&self, now: Timestamp) -> f64 {
         self.value - now.seconds_since(self.updated_at)
     }
 }
@@ -81,14 +81,14 @@
 impl WindowedMean {
     /// Adds a sample.
     pub fn add(&mut self, now: Timestamp, value: f64) {
-        self.sum.add(now, value, START_DELAY_SPAN);
-        self.count.add(now, 1.0, START_DELAY_SPAN);
+        self.sum.add(now, value, START_DELAY_TIME_CONSTANT);
+        self.count.add(now, 1.0, START_DELAY_TIME_CONSTANT);
     }
 
     /// The mean now.
     pub fn get(&self, now: Timestamp) -> f64 {
-        self.sum.get(now, START_DELAY_SPAN)
-            / (self.count.get(now, START_DELAY_SPAN) + START_DELAY_PRIOR_COUNT)
+        self.sum.get(now, START_DELAY_TIME_CONSTANT)
+            / (self.count.get(now, START_DELAY_TIME_CONSTANT) + START_DELAY_PRIOR_COUNT)
     }
 }
 
@@ -166,7 +166,7 @@
     pub const UNKNOWN: SpeedRatio = SpeedRatio { log_ratio: 0.0, ratio: 1.0, samples: 0 };
 
     /// A ratio that was learned from so many jobs.
-    pub fn learned(log_ratio: f64, samples: u32) -> Self {
+    pub fn new(log_ratio: f64, samples: u32) -> Self {
         SpeedRatio { log_ratio, ratio: log_ratio.exp(), samples }
     }
 
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -16,13 +16,13 @@
 use crate::{KindId, Settings, TimeSpan, Timestamp, WorkerId};
 
 /// A start that is this late counts as delayed.
-pub(crate) const LATE_START: TimeSpan = TimeSpan::from_millis(20);
+pub(crate) const LATE_START_THRESHOLD: TimeSpan = TimeSpan::from_millis(20);
 /// Most slots that one worker counts as.
 pub(super) const MAX_WORKER_SLOTS: usize = 16;
 /// Weight of one attempt in the share of those that start promptly.
 const PROMPT_START_GAIN: f64 = 0.1;
 /// Time constant of the average of running slots.
-const RUNNING_SLOTS_SPAN: TimeSpan = TimeSpan::from_secs(10);
+const RUNNING_SLOTS_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(10);
 /// Most workers that the median of slots is taken over.
 const MAX_SLOT_SAMPLES: usize = 64;
 
@@ -184,7 +184,7 @@
     }
 
     /// Index of a kind. One that was not seen before is added.
-    pub fn kind_index(&mut self, id: KindId) -> usize {
+    pub fn find_or_insert_kind(&mut self, id: KindId) -> usize {
         self.kinds.iter().position(|kind| kind.id == id).unwrap_or_else(|| {
             self.kinds.push(MachineKind::new(id));
             self.kinds.len() - 1
@@ -235,7 +235,7 @@
     /// Records how late an attempt started, in seconds: a sign of other nodes' work at all workers of that
     /// kind, and of how full the fleet is.
     pub fn record_start_delay(&mut self, now: Timestamp, index: usize, delay: f64) {
-        let is_prompt = f64::from(u8::from(delay < LATE_START.as_secs_f64()));
+        let is_prompt = f64::from(u8::from(delay < LATE_START_THRESHOLD.as_secs_f64()));
         self.prompt_start_share += PROMPT_START_GAIN * (is_prompt - self.prompt_start_share);
         self.kinds[self.workers[index].kind_index].start_delay.add(now, delay);
     }
@@ -272,7 +272,7 @@
         let nodes = f64::from(self.subset.nodes());
         let running =
             self.subset.members().iter().map(|index| self.workers[*index].slots_running_since(now)).sum();
-        let running = self.slots.running.set(now, running, RUNNING_SLOTS_SPAN) * nodes;
+        let running = self.slots.running.set(now, running, RUNNING_SLOTS_TIME_CONSTANT) * nodes;
         self.slots.extrapolated =
             (running / self.subset.len().max(1) as f64).clamp(1.0, MAX_WORKER_SLOTS as f64);
         let sampled = self.subset.members().iter().map(|index| &self.workers[*index]);
--- a/crates/core/src/state/in_flight.rs
+++ b/crates/core/src/state/in_flight.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Progress {
     /// Share done, from 0 to 1.
-    pub share: f64,
+    pub fraction_done: f64,
     /// When the report came.
     pub at: Timestamp,
 }
@@ -76,8 +76,8 @@
         let Some(started_at) = self.started_at else { return self.work };
         let ran = now.seconds_since(started_at);
         match self.progress {
-            Some(progress) if progress.share > 0.0 => {
-                (progress.at.seconds_since(started_at) / progress.share - ran).max(0.0) * speed
+            Some(progress) if progress.fraction_done > 0.0 => {
+                (progress.at.seconds_since(started_at) / progress.fraction_done - ran).max(0.0) * speed
             }
             _ => (self.work * RUNNING_HINT_FACTOR - ran * speed).max(MIN_REMAINING_SHARE * ran * speed),
         }
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -5,7 +5,7 @@
 use crate::{TimeSpan, Timestamp};
 
 /// Time constant over which demand is summed up.
-pub(crate) const DEMAND_SPAN: TimeSpan = TimeSpan::from_secs(10);
+pub(crate) const DEMAND_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(10);
 
 /// Work that was submitted and shed lately, in seconds at speed 1.
 pub(crate) struct Demand {
@@ -16,41 +16,41 @@
     /// Of that, what was shed.
     shed: DecayingSum,
     /// When the first job was admitted.
-    pub first_at: Timestamp,
+    pub first_submission_at: Timestamp,
 }
 
 impl Default for Demand {
     fn default() -> Self {
         let none = DecayingSum::default();
-        Demand { submitted: none, within_quota: none, shed: none, first_at: Timestamp::MAX }
+        Demand { submitted: none, within_quota: none, shed: none, first_submission_at: Timestamp::MAX }
     }
 }
 
 impl Demand {
     /// Records an admitted job.
     pub fn record_submitted(&mut self, now: Timestamp, job: &Job) {
-        self.first_at = self.first_at.min(now);
-        self.submitted.add(now, job.load(), DEMAND_SPAN);
+        self.first_submission_at = self.first_submission_at.min(now);
+        self.submitted.add(now, job.load(), DEMAND_TIME_CONSTANT);
         if job.is_first_submission && !job.over_quota {
-            self.within_quota.add(now, job.load(), DEMAND_SPAN);
+            self.within_quota.add(now, job.load(), DEMAND_TIME_CONSTANT);
         }
     }
 
     /// Records a job that was shed for lack of capacity.
     pub fn record_shed(&mut self, now: Timestamp, job: &Job) {
         if job.is_first_submission && !job.over_quota {
-            self.shed.add(now, job.load(), DEMAND_SPAN);
+            self.shed.add(now, job.load(), DEMAND_TIME_CONSTANT);
         }
     }
 
     /// Work admitted lately.
     pub fn submitted(&self, now: Timestamp) -> f64 {
-        self.submitted.get(now, DEMAND_SPAN)
+        self.submitted.get(now, DEMAND_TIME_CONSTANT)
     }
 
     /// Share of the work within quotas that was shed lately.
     pub fn shed_share(&self, now: Timestamp) -> f64 {
-        self.shed.get(now, DEMAND_SPAN) / self.within_quota.get(now, DEMAND_SPAN).max(1e-9)
+        self.shed.get(now, DEMAND_TIME_CONSTANT) / self.within_quota.get(now, DEMAND_TIME_CONSTANT).max(1e-9)
     }
 }
 
--- a/crates/core/src/state/migration.rs
+++ b/crates/core/src/state/migration.rs
@@ -71,7 +71,7 @@
 #[serde(from = "(f64, Timestamp)", into = "(f64, Timestamp)")]
 struct MigratedProgress {
     /// Completed fraction, from 0 to 1.
-    share: f64,
+    fraction_done: f64,
     /// When it was reported.
     at: Timestamp,
 }
@@ -88,7 +88,7 @@
     }
 
     /// The record of a job that is released. `remove_in_flight` removes an attempt in flight from its worker.
-    pub(crate) fn release(
+    pub(crate) fn capture(
         job: &Job,
         mut remove_in_flight: impl FnMut(WorkerId, AttemptId) -> Option<InFlightAttempt>,
     ) -> Self {
@@ -218,24 +218,24 @@
 
 impl MigratedProgress {
     fn restore(self, now: Timestamp) -> Progress {
-        Progress { share: self.share.clamp(0.0, 1.0), at: self.at.min(now) }
+        Progress { fraction_done: self.fraction_done.clamp(0.0, 1.0), at: self.at.min(now) }
     }
 }
 
 impl From<Progress> for MigratedProgress {
     fn from(progress: Progress) -> Self {
-        MigratedProgress { share: progress.share, at: progress.at }
+        MigratedProgress { fraction_done: progress.fraction_done, at: progress.at }
     }
 }
 
 impl From<(f64, Timestamp)> for MigratedProgress {
-    fn from((share, at): (f64, Timestamp)) -> Self {
-        MigratedProgress { share, at }
+    fn from((fraction_done, at): (f64, Timestamp)) -> Self {
+        MigratedProgress { fraction_done, at }
     }
 }
 
 impl From<MigratedProgress> for (f64, Timestamp) {
     fn from(progress: MigratedProgress) -> Self {
-        (progress.share, progress.at)
+        (progress.fraction_done, progress.at)
     }
 }
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -110,7 +110,7 @@
             hint_error: fleet.hint_error,
             mean_work: fleet.mean_work,
             recent_keys: fleet.recent_keys().collect(),
-            first_submission_at: demand.first_at,
+            first_submission_at: demand.first_submission_at,
         }
     }
 
@@ -118,7 +118,7 @@
     pub(crate) fn restore_to(&self, now: Timestamp, fleet: &mut Fleet, demand: &mut Demand) {
         self.restore_speeds(fleet);
         self.restore_fleet_estimates(fleet);
-        demand.first_at = demand.first_at.min(self.first_submission_at);
+        demand.first_submission_at = demand.first_submission_at.min(self.first_submission_at);
         for worker in self.workers.iter().take(MAX_WORKERS) {
             if let Some(index) = fleet.find(WorkerId(worker.id)) {
                 worker.restore_to(now, &mut fleet.workers[index]);
@@ -128,7 +128,7 @@
 
     fn restore_speeds(&self, fleet: &mut Fleet) {
         for kind in &self.kinds {
-            let index = fleet.kind_index(KindId(kind.id));
+            let index = fleet.find_or_insert_kind(KindId(kind.id));
             kind.speed().restore_to(&mut fleet.kinds[index].speed);
         }
         self.overall_speed.restore_to(&mut fleet.overall_speed);
@@ -164,7 +164,7 @@
             return;
         }
         let Some(log_ratio) = bounded_log_speed(self.log_speed_ratio) else { return };
-        worker.speed_ratio = SpeedRatio::learned(log_ratio, self.speed_samples);
+        worker.speed_ratio = SpeedRatio::new(log_ratio, self.speed_samples);
         let slots = bounded_slots(self.max_concurrent_slots).unwrap_or(0.0);
         worker.max_concurrent_slots = worker.max_concurrent_slots.max(slots);
     }
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether there are workers that take new work outside this subset.
-    pub fn has_others(&self) -> bool {
+    pub fn has_outside_workers(&self) -> bool {
         self.count > 1
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Indices of the other nodes that share this subset.
-    pub fn peers(&self) -> impl Iterator<Item = u32> {
+    pub fn other_nodes(&self) -> impl Iterator<Item = u32> {
         let count = self.count as u32;
         let nodes = (self.node_index % count..self.nodes).step_by(count as usize);
         nodes.filter(|node| *node != self.node_index)
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -14,7 +14,7 @@
 /// Most keys that are remembered of one worker.
 pub(crate) const MAX_WORKER_KEYS: usize = 16;
 /// Time constant with which an unpredicted wait is forgotten.
-pub(crate) const EXCESS_WAIT_SPAN: TimeSpan = TimeSpan::from_millis(300);
+pub(crate) const EXCESS_WAIT_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(300);
 
 /// Time for which the estimates of a worker hold, unless something happens there.
 const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
@@ -22,7 +22,7 @@
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 
 /// What another node reported of its own work at a worker.
-pub(crate) struct PeerBacklog {
+pub(crate) struct RemoteBacklog {
     /// Number of that node.
     pub node: u32,
     /// Its remaining work there, in seconds at speed 1.
@@ -115,7 +115,7 @@
     /// Wait beyond the predicted one that starts there showed, in seconds.
     pub(super) excess_wait: DecayingSum,
     /// Other nodes' reports of their work there, one for each node.
-    pub(super) peer_backlogs: Vec<PeerBacklog>,
+    pub(super) remote_backlogs: Vec<RemoteBacklog>,
     /// Its health.
     pub(super) health: WorkerHealth,
     /// When operators enabled it again, while nothing has been sent there since.
@@ -148,7 +148,7 @@
             recent_keys: VecDeque::new(),
             warm_up_sends: VecDeque::new(),
             excess_wait: DecayingSum::default(),
-            peer_backlogs: Vec::new(),
+            remote_backlogs: Vec::new(),
             health: WorkerHealth::default(),
             reenabled_at: None,
             gossip_pending: false,
@@ -222,7 +222,7 @@
     }
 
     /// Slots that its attempts take or wait for.
-    pub fn used_slots(&self) -> f64 {
+    pub fn requested_slots(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
@@ -244,9 +244,9 @@
     /// Seconds of waiting at it that no node has reported: the excess wait of late starts, as it decays, but
     /// not less than what cannot have been worked off yet, since a node of many may not send there again
     /// before that.
-    pub fn unobserved_wait(&self, now: Timestamp) -> f64 {
-        let decayed = self.excess_wait.get(now, EXCESS_WAIT_SPAN);
-        decayed.max(self.excess_wait.worked_off(now)).max(self.longest_start_delay(now))
+    pub fn unreported_wait(&self, now: Timestamp) -> f64 {
+        let decayed = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
+        decayed.max(self.excess_wait.linearly_decayed(now)).max(self.longest_start_delay(now))
     }
 
     /// Number of other keys that were sent there since this one; none if this one is not remembered.
@@ -266,7 +266,7 @@
     }
 
     /// Whether its estimates have to be derived again before they are used.
-    pub fn are_estimates_old(&self, now: Timestamp) -> bool {
+    pub fn are_estimates_expired(&self, now: Timestamp) -> bool {
         now >= self.estimates.derived_at.saturating_add(ESTIMATE_LIFETIME)
     }
 
--- a/crates/core/src/state/worker_events.rs
+++ b/crates/core/src/state/worker_events.rs
@@ -2,7 +2,9 @@
 
 use super::in_flight::{InFlightAttempt, Progress};
 use super::job::AttemptId;
-use super::worker::{EXCESS_WAIT_SPAN, MAX_WORKER_KEYS, PeerBacklog, WarmUpSend, Worker, WorkerHealth};
+use super::worker::{
+    EXCESS_WAIT_TIME_CONSTANT, MAX_WORKER_KEYS, RemoteBacklog, WarmUpSend, Worker, WorkerHealth,
+};
 use crate::Timestamp;
 
 impl Worker {
@@ -19,7 +21,7 @@
     }
 
     /// Records a sign that it can be reached.
-    pub fn record_contact(&mut self, now: Timestamp) {
+    pub fn record_reachable(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
             // It may have restarted and be warming up long before the list shows that.
@@ -29,15 +31,15 @@
     }
 
     /// Records that this node's work there was gossiped.
-    pub fn record_gossiped(&mut self, now: Timestamp) {
+    pub fn record_gossip_sent(&mut self, now: Timestamp) {
         (self.gossip_pending, self.gossiped_at) = (false, now);
     }
 
     /// Replaces what another node reported of its own work there.
-    pub fn record_peer_backlog(&mut self, backlog: PeerBacklog) {
-        self.peer_backlogs.retain(|known| known.node != backlog.node);
+    pub fn record_remote_backlog(&mut self, backlog: RemoteBacklog) {
+        self.remote_backlogs.retain(|known| known.node != backlog.node);
         if backlog.slots > 0.0 {
-            self.peer_backlogs.push(backlog);
+            self.remote_backlogs.push(backlog);
         }
     }
 
@@ -56,7 +58,7 @@
     pub fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id).filter(|attempt| !attempt.accepted) {
             attempt.accepted = true;
-            self.record_contact(now);
+            self.record_reachable(now);
         }
     }
 
@@ -67,23 +69,23 @@
         }
     }
 
-    /// Records progress: `share` of the attempt is done.
-    pub fn record_progress(&mut self, now: Timestamp, id: AttemptId, share: f64) {
+    /// Records progress: `fraction_done` of the attempt is done.
+    pub fn record_progress(&mut self, now: Timestamp, id: AttemptId, fraction_done: f64) {
         if let Some(attempt) = self.attempt_mut(id) {
-            attempt.progress = Some(Progress { share: share.clamp(0.0, 1.0), at: now });
+            attempt.progress = Some(Progress { fraction_done: fraction_done.clamp(0.0, 1.0), at: now });
         }
-        self.record_contact(now);
+        self.record_reachable(now);
     }
 
     /// Records the start of an attempt. Returns by how many seconds it was later than predicted; none if the start
     /// was known before.
     pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
-        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_SPAN);
+        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
         let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
         attempt.started_at = Some(now);
         let delay = attempt.start_delay(now).max(0.0);
         self.excess_wait.set(now, (known_excess + delay) / 2.0);
-        self.record_contact(now);
+        self.record_reachable(now);
         Some(delay)
     }
 
@@ -109,7 +111,7 @@
 
     /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
     /// those that were not marked before.
-    pub fn revoke_unaccepted(&mut self) -> impl Iterator<Item = AttemptId> {
+    pub fn revoke_unaccepted_attempts(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
             attempt.id()
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -45,7 +45,7 @@
     JobClass {
         idempotency,
         latency_objective: millis(200),
-        latency_objective_stretch: 2.0,
+        latency_objective_work_factor: 2.0,
         priority_weight: 1.0,
         client_timeout: seconds(5),
         required_kind: None,
@@ -223,8 +223,8 @@
     }
 
     pub fn end(&mut self, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let settled = outcome == Outcome::Done;
-        self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, settled })
+        let job_answered = outcome == Outcome::Done;
+        self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, job_answered })
     }
 
     /// The reused connection of a first attempt breaks before a response.
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -155,8 +155,13 @@
     }
 
     fn schedule_end(&mut self, at: Timestamp, job: JobId, attempt: u32, outcome: Outcome) {
-        let settled = outcome == Outcome::Done;
-        self.schedule_attempt_event(at, job, attempt, Event::AttemptEnded { job, attempt, outcome, settled });
+        let job_answered = outcome == Outcome::Done;
+        self.schedule_attempt_event(
+            at,
+            job,
+            attempt,
+            Event::AttemptEnded { job, attempt, outcome, job_answered },
+        );
     }
 
     fn handle(&mut self, process: usize, event: Event) {
@@ -173,7 +178,7 @@
     }
 
     fn deliver_list(&mut self, process: usize, snapshot: bool) {
-        let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Gone;
+        let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Removed;
         let endpoints: Vec<Endpoint> = self.endpoints.iter().filter(is_listed).cloned().collect();
         self.handle(
             process,
@@ -308,9 +313,9 @@
         };
         match event {
             Event::AttemptAccepted { .. } => _ = state.in_flight.insert(attempt, true),
-            Event::AttemptEnded { settled, .. } => {
+            Event::AttemptEnded { job_answered, .. } => {
                 state.in_flight.remove(&attempt);
-                state.is_answered |= settled;
+                state.is_answered |= job_answered;
             }
             _ => {}
         }
--- a/crates/core/tests/decision_lock/driver/external_events.rs
+++ b/crates/core/tests/decision_lock/driver/external_events.rs
@@ -38,8 +38,8 @@
     fn end_unknown_attempt(&mut self, process: usize) {
         let job = JobId(self.rng.u64(0..=self.jobs.len() as u64));
         if !self.jobs.get(&job).is_some_and(|state| state.in_flight.contains_key(&0)) {
-            let (attempt, outcome, settled) = (0, Outcome::Error, false);
-            self.handle(process, Event::AttemptEnded { job, attempt, outcome, settled });
+            let (attempt, outcome, job_answered) = (0, Outcome::Error, false);
+            self.handle(process, Event::AttemptEnded { job, attempt, outcome, job_answered });
         }
     }
 
@@ -50,8 +50,8 @@
         }
         let event = match self.rng.u8(0..12) {
             0..8 => return self.handle(process, Event::EndpointsConfirmed { as_of: self.now }),
-            8 => Event::EndpointsUnreadable,
-            9 => Event::DiscoveryMoved,
+            8 => Event::EndpointsMalformed,
+            9 => Event::DiscoveryAddressChanged,
             _ => Event::TimerExpired,
         };
         self.handle(process, event);
@@ -86,7 +86,7 @@
         let entry = &mut self.endpoints[worker];
         match self.rng.u8(0..10) {
             0..2 => entry.status = WorkerStatus::Draining,
-            2 => entry.status = WorkerStatus::Gone,
+            2 => entry.status = WorkerStatus::Removed,
             3 => entry.started_at = self.now,
             _ => entry.status = WorkerStatus::Ready,
         }
--- a/crates/core/tests/decision_lock/recorder.rs
+++ b/crates/core/tests/decision_lock/recorder.rs
@@ -20,9 +20,9 @@
     /// Hashes an action field by field, by kind numbers that belong to this test only.
     pub fn record(&mut self, now: Timestamp, process: usize, action: &Action) {
         let (kind, fields) = match action {
-            Action::SendAttempt { job, worker, timeout, send_by, needs_new_connection: _ } => {
-                let send_by = send_by.map_or(NO_FIELD, Timestamp::as_micros);
-                (0, [job.0, worker.0, timeout.as_micros(), send_by])
+            Action::SendAttempt { job, worker, timeout, send_deadline, needs_new_connection: _ } => {
+                let send_deadline = send_deadline.map_or(NO_FIELD, Timestamp::as_micros);
+                (0, [job.0, worker.0, timeout.as_micros(), send_deadline])
             }
             Action::Reject { job, retry_after } => (1, [job.0, retry_after.as_micros(), NO_FIELD, NO_FIELD]),
             Action::Fail { job } => (2, [job.0, NO_FIELD, NO_FIELD, NO_FIELD]),
--- a/crates/core/tests/decisions/endpoint_lease.rs
+++ b/crates/core/tests/decisions/endpoint_lease.rs
@@ -109,20 +109,26 @@
     let read_at = node.now;
     node.advance(seconds(4));
     node.handle(Event::EndpointsConfirmed { as_of: read_at });
-    assert_eq!(node.dispatcher.endpoints_write_by(), Some(read_at + NOTIFIED_WITHIN + millis(400)));
+    assert_eq!(node.dispatcher.endpoint_write_deadline(), Some(read_at + NOTIFIED_WITHIN + millis(400)));
     // An earlier confirmation that arrives last does not shorten the lease, and one of the future counts as one of now.
     node.handle(Event::EndpointsConfirmed { as_of: read_at - SECOND });
     assert!(node.dispatcher.check_endpoint_lease(node.now).is_ok());
     node.handle(Event::EndpointsConfirmed { as_of: node.now + SECOND });
-    assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + NOTIFIED_WITHIN + millis(400)));
+    assert_eq!(node.dispatcher.endpoint_write_deadline(), Some(node.now + NOTIFIED_WITHIN + millis(400)));
 }
 
 #[test]
 fn list_is_unreadable_or_discovery_moves_then_the_lease_is_shortened_and_not_renewed() {
-    for (event, left) in [(Event::EndpointsUnreadable, TimeSpan::ZERO), (Event::DiscoveryMoved, seconds(4))] {
+    for (event, left) in
+        [(Event::EndpointsMalformed, TimeSpan::ZERO), (Event::DiscoveryAddressChanged, seconds(4))]
+    {
         let mut node = watching_node(3);
         node.handle(event.clone());
-        assert_eq!(node.dispatcher.endpoints_write_by(), Some(node.now + left + millis(400)), "{event:?}");
+        assert_eq!(
+            node.dispatcher.endpoint_write_deadline(),
+            Some(node.now + left + millis(400)),
+            "{event:?}"
+        );
         node.advance(left + millis(100));
         assert_eq!(node.place(1, 0, 0.1), None, "{event:?}: the job is held");
         node.confirm_endpoints();
--- a/crates/core/tests/decisions/estimates.rs
+++ b/crates/core/tests/decisions/estimates.rs
@@ -61,7 +61,7 @@
 #[test]
 fn fleet_slows_down_then_its_estimate_adapts_before_each_workers_does() {
     let mut settings = settings();
-    settings.classes.push(JobClass { latency_objective_stretch: 0.0, ..class(Idempotency::Idempotent) });
+    settings.classes.push(JobClass { latency_objective_work_factor: 0.0, ..class(Idempotency::Idempotent) });
     let mut node = TestNode::new(settings, &endpoints(20));
     let mut run_round = |first: u64, work: f64, speed: f64, ends: bool| {
         (first..first + 20).for_each(|job| _ = node.submit(job, 0, work));
--- a/crates/core/tests/decisions/interface.rs
+++ b/crates/core/tests/decisions/interface.rs
@@ -50,7 +50,7 @@
     assert_eq!(invalid_field(|settings| settings.classes.clear()), Some("classes"));
     assert_eq!(invalid_field(|settings| settings.warm_up_floor = 1.5), Some("cold_share"));
     assert_eq!(
-        invalid_field(|settings| settings.classes[0].latency_objective_stretch = -1.0),
+        invalid_field(|settings| settings.classes[0].latency_objective_work_factor = -1.0),
         Some("classes.stretch")
     );
     assert_eq!(invalid_field(|settings| settings.tenant_quotas = vec![f64::NAN]), Some("tenant_quotas"));
--- a/crates/core/tests/decisions/pre_send.rs
+++ b/crates/core/tests/decisions/pre_send.rs
@@ -2,11 +2,11 @@
 
 use crate::common::*;
 
-/// The `send_by` of the attempt that the actions send.
+/// The `send_deadline` of the attempt that the actions send.
 #[track_caller]
-fn send_by(actions: &[Action]) -> Option<Timestamp> {
+fn send_deadline(actions: &[Action]) -> Option<Timestamp> {
     let sent = actions.iter().find_map(|action| match action {
-        Action::SendAttempt { send_by, .. } => Some(*send_by),
+        Action::SendAttempt { send_deadline, .. } => Some(*send_deadline),
         _ => None,
     });
     sent.unwrap_or_else(|| panic!("nothing is sent: {actions:?}"))
@@ -17,16 +17,18 @@
     for (class, may_have_run) in [(0, true), (1, true), (1, false), (2, false)] {
         let mut node = TestNode::new(settings(), &endpoints(2));
         let begin = node.now;
-        assert_eq!(send_by(&node.submit(1, class, 0.1)), None);
+        assert_eq!(send_deadline(&node.submit(1, class, 0.1)), None);
         node.now += millis(100);
         let outcome = if may_have_run { Outcome::Lost } else { Outcome::Rejected };
-        let retry_by = send_by(&node.end(1, 0, outcome));
+        let retry_by = send_deadline(&node.end(1, 0, outcome));
         // The window counts from the first attempt that may have run, and the retry needs some of it to reach its
         // worker.
         let window_end = (class == 1 && may_have_run).then_some(begin + seconds(5));
         assert_eq!(retry_by.is_some(), window_end.is_some(), "class {class}, may have run: {may_have_run}");
         assert!(
-            retry_by.zip(window_end).is_none_or(|(send_by, end)| send_by < end && send_by > node.now),
+            retry_by
+                .zip(window_end)
+                .is_none_or(|(send_deadline, end)| send_deadline < end && send_deadline > node.now),
             "{retry_by:?}"
         );
     }
@@ -37,7 +39,7 @@
     let workers = endpoints(1);
     let listed = |status, started_at| [Endpoint { status, started_at, ..endpoint(0) }];
     let (draining, gone) =
-        (listed(WorkerStatus::Draining, Timestamp::ORIGIN), listed(WorkerStatus::Gone, Timestamp::ORIGIN));
+        (listed(WorkerStatus::Draining, Timestamp::ORIGIN), listed(WorkerStatus::Removed, Timestamp::ORIGIN));
     let (restarted, unchanged) =
         (listed(WorkerStatus::Ready, at(seconds(9))), listed(WorkerStatus::Ready, Timestamp::ORIGIN));
     let list = |endpoints, snapshot| Event::EndpointsChanged { endpoints, update: endpoint_update(snapshot) };
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -94,10 +94,10 @@
 
     pub fn check(&mut self, now: Timestamp, action: &Action) -> Checked {
         match action {
-            Action::SendAttempt { job, worker, timeout, send_by, .. } => {
+            Action::SendAttempt { job, worker, timeout, send_deadline, .. } => {
                 let endpoint = self.endpoints.get(worker).cloned().ok_or(Violation::UnavailableWorker)?;
                 self.check_in_time(*job, now + *timeout)?;
-                self.check_send(now, &self.jobs[job], &endpoint, *send_by)?;
+                self.check_send(now, &self.jobs[job], &endpoint, *send_deadline)?;
                 self.job(*job)?.attempts.push(Attempt { endpoint, sent_at: now, outcome: None });
                 Ok(())
             }
@@ -155,14 +155,20 @@
         require(!job.is_answered && timeout_at <= job.submission.deadline, Violation::LateAttempt)
     }
 
-    fn check_send(&self, now: Timestamp, job: &Job, to: &Endpoint, send_by: Option<Timestamp>) -> Checked {
+    fn check_send(
+        &self,
+        now: Timestamp,
+        job: &Job,
+        to: &Endpoint,
+        send_deadline: Option<Timestamp>,
+    ) -> Checked {
         let is_available = to.status == WorkerStatus::Ready && !self.disabled.contains(&to.worker);
         require(is_available, Violation::UnavailableWorker)?;
         let has_attempt_in_flight = job.attempts.iter().any(|attempt| attempt.outcome.is_none());
         let may_send = self.settings.may_hedge || !has_attempt_in_flight;
         let has_attempts_left = job.attempts.len() < self.settings.max_attempts as usize;
         require(may_send && has_attempts_left, Violation::TooManyAttempts)?;
-        self.check_retry(job, to, now, send_by)?;
+        self.check_retry(job, to, now, send_deadline)?;
         self.check_warm_up_budget(job, to, now)
     }
 
@@ -170,7 +176,13 @@
         self.settings.classes[job.submission.class.0].idempotency
     }
 
-    fn check_retry(&self, job: &Job, to: &Endpoint, now: Timestamp, send_by: Option<Timestamp>) -> Checked {
+    fn check_retry(
+        &self,
+        job: &Job,
+        to: &Endpoint,
+        now: Timestamp,
+        send_deadline: Option<Timestamp>,
+    ) -> Checked {
         let may_follow = |earlier: &Attempt| match self.idempotency(job) {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
@@ -180,7 +192,10 @@
                     DeduplicationScope::Zone => earlier.endpoint.zone == to.zone,
                     DeduplicationScope::Cell => earlier.endpoint.cell == to.cell,
                 };
-                in_scope && send_by.is_some_and(|send_by| now < send_by && send_by < earlier.sent_at + window)
+                in_scope
+                    && send_deadline.is_some_and(|send_deadline| {
+                        now < send_deadline && send_deadline < earlier.sent_at + window
+                    })
             }
         };
         let mut may_have_run = job.attempts.iter().filter(|attempt| attempt.may_have_run());
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -67,7 +67,7 @@
             let mut entry = endpoint(id);
             entry.zone = ZoneId(id as u32 / 4);
             entry.kind = KindId(self.rng.u32(0..2));
-            let statuses = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone];
+            let statuses = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Removed];
             let status_count = if snapshot { 2 } else { 3 };
             entry.status = statuses[self.rng.usize(0..status_count).min(self.rng.usize(0..3))];
             let started_at =
@@ -80,7 +80,7 @@
         }
         for entry in &endpoints {
             match entry.status {
-                WorkerStatus::Gone => _ = self.checker.endpoints.remove(&entry.worker),
+                WorkerStatus::Removed => _ = self.checker.endpoints.remove(&entry.worker),
                 _ => _ = self.checker.endpoints.insert(entry.worker, entry.clone()),
             }
         }
@@ -145,8 +145,8 @@
                 let state = self.checker.job(job)?;
                 state.attempts[attempt as usize].outcome = Some(outcome);
                 state.is_answered |= outcome == Outcome::Done;
-                let settled = state.is_answered;
-                self.handle(Event::AttemptEnded { job, attempt, outcome, settled })?;
+                let job_answered = state.is_answered;
+                self.handle(Event::AttemptEnded { job, attempt, outcome, job_answered })?;
             } else if started_at.is_none() && self.rng.u32(0..3) == 0 {
                 self.in_flight.push(InFlightAttempt { started_at: Some(self.node.now), ..in_flight });
                 self.handle(Event::AttemptStarted { job, attempt })?;
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -38,18 +38,18 @@
     checker
 }
 
-fn send_by(worker: u64, send_by: Option<Timestamp>) -> Action {
+fn send_with_deadline(worker: u64, send_deadline: Option<Timestamp>) -> Action {
     Action::SendAttempt {
         job: JobId(1),
         worker: WorkerId(worker),
         timeout: SECOND,
-        send_by,
+        send_deadline,
         needs_new_connection: false,
     }
 }
 
 fn send(worker: u64) -> Action {
-    send_by(worker, Some(NOW + SECOND))
+    send_with_deadline(worker, Some(NOW + SECOND))
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert_eq!(checker.check(NOW, &send(0)), Ok(()));
     assert_eq!(checker.check(NOW, &send(2)), Err(Violation::UnsafeRetry));
     for late in [None, Some(NOW), Some(NOW + seconds(5))] {
-        assert_eq!(checker.check(NOW, &send_by(1, late)), Err(Violation::UnsafeRetry));
+        assert_eq!(checker.check(NOW, &send_with_deadline(1, late)), Err(Violation::UnsafeRetry));
     }
     assert_eq!(checker.check(NOW, &send(1)), Ok(()));
 }
--- a/crates/core/tests/unit/gossip.rs
+++ b/crates/core/tests/unit/gossip.rs
@@ -13,8 +13,8 @@
     assert_eq!(
         entries,
         [
-            GossipEntry { worker: short_worker_id(long_id), work: 1.265_625, slots: 3.0 },
-            GossipEntry { worker: 7, work: 15.875_244_140_625, slots: 255.0 },
+            GossipEntry { worker_hash: hash_worker_id(long_id), work: 1.265_625, slots: 3.0 },
+            GossipEntry { worker_hash: 7, work: 15.875_244_140_625, slots: 255.0 },
         ]
     );
 }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -80,7 +80,7 @@
         match status {
             ServiceStatus::InService => WorkerStatus::Ready,
             ServiceStatus::Terminating => WorkerStatus::Draining,
-            ServiceStatus::Terminated => WorkerStatus::Gone,
+            ServiceStatus::Terminated => WorkerStatus::Removed,
         }
     }
 }
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -69,7 +69,7 @@
         match event {
             WatcherEvent::AddressChanged(address) => {
                 state.change_address(address);
-                self.notify(DispatchMessage::DiscoveryMoved).await
+                self.notify(DispatchMessage::DiscoveryAddressChanged).await
             }
             WatcherEvent::PollRequested => {
                 state.request_poll();
@@ -107,7 +107,7 @@
         let (is_current, error) = (failure.is_current, &failure.error);
         warn!(target: DISCOVERY, call, is_current, %error, "endpoint watch failed");
         if failure.is_current && failure.error.leaves_list_unknown() {
-            self.notify(DispatchMessage::EndpointsUnreadable).await?;
+            self.notify(DispatchMessage::EndpointsMalformed).await?;
         }
         if state.record_failure(&failure) == NextPoll::OnRequest {
             self.notify(DispatchMessage::WatchFailed).await?;
--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -51,7 +51,7 @@
     pub(super) fn apply(&mut self, listed: NamedEndpoint) -> ExistingConnections {
         let NamedEndpoint { name, address, endpoint } = listed;
         let previous_start = self.started_at.insert(endpoint.worker, endpoint.started_at);
-        if endpoint.status == WorkerStatus::Gone {
+        if endpoint.status == WorkerStatus::Removed {
             self.started_at.remove(&endpoint.worker);
             self.workers.remove(&endpoint.worker);
             return ExistingConnections::Stale;
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -95,9 +95,9 @@
         as_of: Instant,
     },
     /// The open watch has sent a list that cannot be read.
-    EndpointsUnreadable,
+    EndpointsMalformed,
     /// Discovery has another address from now on.
-    DiscoveryMoved,
+    DiscoveryAddressChanged,
     /// The watch could not be opened, or has broken.
     WatchFailed,
     /// This node shuts down after that long.
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -41,8 +41,8 @@
 
     /// To be called after each event that the dispatcher has handled, and before its actions are performed.
     pub(super) fn observe(&mut self, now: Timestamp, dispatcher: &Dispatcher) {
-        let write_by = dispatcher.endpoints_write_by();
-        self.lease.set_deadline(write_by.map(|moment| self.clock.instant_at(moment)));
+        let write_deadline = dispatcher.endpoint_write_deadline();
+        self.lease.set_deadline(write_deadline.map(|moment| self.clock.instant_at(moment)));
         let denial = dispatcher.check_endpoint_lease(now).err();
         if denial != self.denial {
             self.denial = denial;
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -22,7 +22,7 @@
     worker: WorkerId,
     timeout: TimeSpan,
     /// The first byte may be written until then; None where only the timeout bounds it.
-    send_by: Option<Timestamp>,
+    send_deadline: Option<Timestamp>,
     needs_new_connection: bool,
 }
 
@@ -54,8 +54,8 @@
         let mut not_sent = Vec::new();
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::SendAttempt { job, worker, timeout, send_by, needs_new_connection } => {
-                    let spec = AttemptSpec { job, worker, timeout, send_by, needs_new_connection };
+                Action::SendAttempt { job, worker, timeout, send_deadline, needs_new_connection } => {
+                    let spec = AttemptSpec { job, worker, timeout, send_deadline, needs_new_connection };
                     if let SendResult::NotSent(id) = self.send_attempt(&spec) {
                         not_sent.push(id);
                     }
@@ -101,7 +101,7 @@
         let Some(worker) = worker.filter(|_| send_permit.is_valid()) else { return SendResult::NotSent(id) };
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::AttemptsStarted);
-        let send_window = spec.send_by.map(|moment| moment.saturating_since(self.clock.now()));
+        let send_window = spec.send_deadline.map(|moment| moment.saturating_since(self.clock.now()));
         debug!(
             target: DISPATCH,
             %request_id,
@@ -136,7 +136,7 @@
         let send_permit = SendPermit::new(SendPermitParts {
             request_id: Rc::clone(&job.request_id),
             client: job.job_handle.client(),
-            deadline: spec.send_by.map(|moment| self.clock.instant_at(moment)),
+            deadline: spec.send_deadline.map(|moment| self.clock.instant_at(moment)),
             lease: self.permissions.lease(),
         });
         let worker_name = worker.map_or_else(|| "".into(), |worker| Rc::clone(&worker.name));
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -116,8 +116,8 @@
         self.timers.cancel(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(outcome_counter(outcome));
         self.log_attempt_end(id, outcome);
-        let settled = self.jobs.get(id.job).is_some_and(Job::is_settled);
-        self.apply_event(Event::AttemptEnded { job: id.job, attempt: id.number, outcome, settled });
+        let job_answered = self.jobs.get(id.job).is_some_and(Job::is_settled);
+        self.apply_event(Event::AttemptEnded { job: id.job, attempt: id.number, outcome, job_answered });
         self.jobs.remove_if_finished(id.job);
     }
 
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -225,8 +225,8 @@
             DispatchMessage::Attempt(report) => self.handle_attempt_report(report),
             DispatchMessage::EndpointsChanged(change) => self.handle_endpoint_change(change),
             DispatchMessage::EndpointsConfirmed { as_of } => self.confirm_endpoints(as_of),
-            DispatchMessage::EndpointsUnreadable => self.apply_event(Event::EndpointsUnreadable),
-            DispatchMessage::DiscoveryMoved => self.apply_event(Event::DiscoveryMoved),
+            DispatchMessage::EndpointsMalformed => self.apply_event(Event::EndpointsMalformed),
+            DispatchMessage::DiscoveryAddressChanged => self.apply_event(Event::DiscoveryAddressChanged),
             DispatchMessage::WatchFailed => self.apply_event(Event::WatchFailed),
             DispatchMessage::ShutdownStarted(time_left) => {
                 let deadline = self.clock.now() + time_span(time_left);
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -166,7 +166,7 @@
             has_saved_endpoints: parts.has_saved_endpoints,
             has_predecessor: predecessor.is_some(),
         };
-        let saved_endpoints_delay = permission.without_answer_after().map(Duration::from);
+        let saved_endpoints_delay = permission.max_discovery_wait().map(Duration::from);
         let inputs = TakeoverInputs { hellos, local_events, endpoints_available, saved_endpoints_delay };
         let task = TakeoverTask {
             parts,
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -21,7 +21,7 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-use curlewusher_core::permission::{CloseReason, ConnectionUse, Denial, STALLED_AFTER, may_close_connection};
+use curlewusher_core::permission::{CloseReason, ConnectionUse, Denial, STALL_TIMEOUT, may_close_connection};
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 use tokio::time::Instant;
@@ -221,7 +221,7 @@
     /// Closes the connection to free its descriptor.
     pub fn evict(&self) {
         // A graceful close would wait forever for a peer that reads nothing.
-        if self.is_write_blocked_for(STALLED_AFTER) {
+        if self.is_write_blocked_for(STALL_TIMEOUT) {
             self.abort(AbortReason::PeerReadsNothing);
         } else {
             self.close_gracefully(CloseReason::Eviction);
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -102,7 +102,7 @@
     Ok(JobClass {
         idempotency: idempotency(service)?,
         latency_objective: service.latency_objective.min(MAX_TIME_SPAN),
-        latency_objective_stretch: service.latency_objective_stretch.or(family_stretch).unwrap_or(0.0),
+        latency_objective_work_factor: service.latency_objective_stretch.or(family_stretch).unwrap_or(0.0),
         client_timeout: service.client_timeout.min(MAX_TIME_SPAN),
         priority_weight: service.priority_weight,
         required_kind: family_kind.and_then(|kind| u32::try_from(*kind).ok()).map(KindId),
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -84,7 +84,7 @@
     let JobClass {
         idempotency,
         latency_objective,
-        latency_objective_stretch: stretch,
+        latency_objective_work_factor: stretch,
         priority_weight,
         client_timeout,
         required_kind,
--- a/crates/simulator-adapter/src/catalog.rs
+++ b/crates/simulator-adapter/src/catalog.rs
@@ -75,7 +75,7 @@
     match value {
         "live" => Ok(WorkerStatus::Ready),
         "quiescing" => Ok(WorkerStatus::Draining),
-        "dead" => Ok(WorkerStatus::Gone),
+        "dead" => Ok(WorkerStatus::Removed),
         other => Err(malformed("lifecycle", other)),
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -128,9 +128,9 @@
     fn handle_attempt_end(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let AttemptRef { job, attempt } = self.parse_attempt(fields)?;
         let outcome = parse_outcome(fields.text("outcome")?)?;
-        let settled = fields.flag("settled")?;
-        self.jobs.record_attempt_end(job, settled);
-        self.dispatch(now, Event::AttemptEnded { job, attempt, outcome, settled });
+        let job_answered = fields.flag("settled")?;
+        self.jobs.record_attempt_end(job, job_answered);
+        self.dispatch(now, Event::AttemptEnded { job, attempt, outcome, job_answered });
         self.jobs.remove_if_finished(job);
         Ok(())
     }
