--- a/crates/model/src/endpoint_registry.rs
+++ b/crates/model/src/endpoint_registry.rs
@@ -1,69 +1,72 @@
-//! The registry of workers behind the discovery service: what changed, under which index, and from when it is visible.
+//! Registry of workers behind the discovery service: the changes, their indexes, and the times at which they
+//! become visible.
 //!
-//! A change is published a fixed delay after it was recorded. Publication gives each change the next index, with
-//! which a client requests the changes after the last one that it has received.
+//! A change is published a fixed delay after it was recorded. Publication gives each change the next index. A
+//! client passes the last index that it has received to request the changes after it.
 
 use std::collections::BTreeMap;
 
 use crate::worker_pool::WorkerIndex;
 use crate::{TimeSpan, Timestamp};
 
-/// The published status of a worker.
+/// Published status of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It accepts jobs.
+    /// The worker accepts jobs.
     InService,
-    /// It completes what is running and accepts nothing more.
+    /// The worker completes its running jobs and accepts no new ones.
     Terminating,
-    /// Its process has ended.
+    /// The worker's process has exited.
     Terminated,
 }
 
-/// The registry's entry of a worker.
+/// Registry entry of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry {
-    /// The worker.
+    /// Worker that the entry describes.
     pub worker: WorkerIndex,
-    /// Its status.
+    /// Status of the worker.
     pub status: EndpointStatus,
-    /// Its last start; none if it started before the driver's clock did.
+    /// Time of the worker's last start, or `None` if the worker started before the driver's clock did.
     pub started_at: Option<Timestamp>,
 }
 
+/// Change that is not visible yet.
 #[derive(Debug)]
 struct PendingChange {
     visible_at: Timestamp,
     entry: EndpointEntry,
 }
 
+/// Visible entry with the index of its last change.
 #[derive(Debug)]
 struct IndexedEntry {
     index: u64,
     entry: EndpointEntry,
 }
 
-/// The changes that one publication makes visible.
+/// Changes that one publication makes visible.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
     /// Index of the newest visible change.
     pub index: u64,
-    /// The changes, oldest first; empty if there was nothing to publish.
+    /// Changes from the oldest to the newest, empty if no change was ready for publication.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// The registry, whose changes become visible after a fixed delay.
+/// Registry of workers whose changes become visible after a fixed delay.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     publication_delay: TimeSpan,
-    /// Changes that are not visible yet, oldest first.
+    /// Changes that are not visible yet, from the oldest to the newest.
     pending: Vec<PendingChange>,
     index: u64,
-    /// The newest visible entry of each worker.
+    /// Newest visible entry of each worker.
     published: BTreeMap<WorkerIndex, IndexedEntry>,
 }
 
 impl EndpointRegistry {
-    /// A registry in which these workers are visibly in service, under index 1.
+    /// Creates a registry in which all of `workers` are visible as in service, with index 1.
     pub fn new(workers: impl IntoIterator<Item = WorkerIndex>, publication_delay: TimeSpan) -> Self {
         let in_service = |worker| {
             let entry = EndpointEntry { worker, status: EndpointStatus::InService, started_at: None };
@@ -73,12 +76,12 @@
         EndpointRegistry { publication_delay, pending: Vec::new(), index: 1, published }
     }
 
-    /// Records a change that happens at `now`; it becomes visible after the delay.
+    /// Records a change that happens at `now`. It becomes visible after the publication delay.
     pub fn record_change(&mut self, now: Timestamp, entry: EndpointEntry) {
         self.pending.push(PendingChange { visible_at: now + self.publication_delay, entry });
     }
 
-    /// When the next change becomes visible.
+    /// Returns the time at which the next change becomes visible.
     pub fn next_publication(&self) -> Option<Timestamp> {
         self.pending.first().map(|change| change.visible_at)
     }
@@ -94,18 +97,19 @@
         Publication { index: self.index, entries }
     }
 
-    /// Index of the newest visible change.
+    /// Returns the index of the newest visible change.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// All visible entries except those of terminated workers, in the order of the workers.
+    /// Returns all visible entries except those of terminated workers, in the order of the workers.
     pub fn snapshot(&self) -> Vec<EndpointEntry> {
         let entries = self.published.values().map(|published| published.entry);
         entries.filter(|entry| entry.status != EndpointStatus::Terminated).collect()
     }
 
-    /// Entries that changed after `index`; none if that index was never issued, so that only a snapshot will do.
+    /// Returns the entries that changed after `index`, or `None` if the registry has never issued that index.
+    /// The client then needs a snapshot.
     pub fn changes_since(&self, index: u64) -> Option<Vec<EndpointEntry>> {
         if !(1..=self.index).contains(&index) {
             return None;
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,7 +1,8 @@
-//! Moments and spans of time, as two types: the compiler refuses to add two moments, or to pass a span as a moment.
+//! Points in time and durations as two types. The compiler rejects adding two points in time, or passing a
+//! duration as a point in time.
 //!
-//! Both count whole microseconds and serialize as that number. They share no code with the node, since the models stand
-//! in for what the node is judged by.
+//! Both types count whole microseconds and serialize as that number. They share no code with the node,
+//! because the models represent the environment against which the node is tested.
 
 use std::ops::{Add, Div, Mul, Sub};
 use std::time::Duration;
@@ -10,95 +11,97 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A moment: microseconds since the start of the run, on the monotonic clock of the process that drives the models.
+/// Point in time, in microseconds since the start of the run.
 ///
-/// The testbed's event log owns that clock. The default is the start of the run.
+/// The time is measured on the monotonic clock of the process that drives the models. In the testbed, the
+/// event log owns this clock. The default is the start of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(u64);
 
-/// A span of time in microseconds.
+/// Duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeSpan(u64);
 
 impl Timestamp {
-    /// The start of the run.
+    /// Start of the run.
     pub const ZERO: Timestamp = Timestamp(0);
-    /// The latest moment; no span can be added to it.
+    /// Maximum timestamp. Adding a duration above zero to it overflows.
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
-    /// The moment so many microseconds after the start of the run.
+    /// Creates the timestamp `micros` microseconds after the start of the run.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the number of microseconds since the start of the run.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Seconds since the start of the run.
+    /// Returns the number of seconds since the start of the run.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The span since an earlier moment; zero if that moment is the later one.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later than this timestamp.
     pub fn saturating_since(self, earlier: Timestamp) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span between two moments, in whichever order.
+    /// Returns the duration between two timestamps, regardless of their order.
     pub fn abs_diff(self, other: Timestamp) -> TimeSpan {
         TimeSpan(self.0.abs_diff(other.0))
     }
 }
 
 impl TimeSpan {
-    /// No time.
+    /// Duration of zero.
     pub const ZERO: TimeSpan = TimeSpan(0);
-    /// The longest span.
+    /// Maximum duration.
     pub const MAX: TimeSpan = TimeSpan(u64::MAX);
 
-    /// A span of so many microseconds.
+    /// Creates a duration of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         TimeSpan(micros)
     }
 
-    /// A span of so many milliseconds.
+    /// Creates a duration of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         TimeSpan(millis * 1_000)
     }
 
-    /// A span of so many seconds.
+    /// Creates a duration of `seconds` seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         TimeSpan(seconds * 1_000_000)
     }
 
-    /// A span of so many seconds, rounded to the nearest microsecond; a negative number counts as zero.
+    /// Creates a duration of `seconds` seconds, rounded to the nearest microsecond. A negative number counts
+    /// as zero.
     pub fn from_secs_f64(seconds: f64) -> Self {
         TimeSpan((seconds.max(0.0) * MICROS_PER_SECOND).round() as u64)
     }
 
-    /// Its number of microseconds.
+    /// Returns the number of microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Its number of whole milliseconds.
+    /// Returns the number of whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Its number of seconds.
+    /// Returns the number of seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 }
 
 impl From<TimeSpan> for Duration {
-    fn from(span: TimeSpan) -> Self {
-        Duration::from_micros(span.0)
+    fn from(time_span: TimeSpan) -> Self {
+        Duration::from_micros(time_span.0)
     }
 }
 
@@ -112,16 +115,16 @@
 impl Add<TimeSpan> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, span: TimeSpan) -> Timestamp {
-        Timestamp(self.0 + span.0)
+    fn add(self, duration: TimeSpan) -> Timestamp {
+        Timestamp(self.0 + duration.0)
     }
 }
 
 impl Sub<TimeSpan> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, span: TimeSpan) -> Timestamp {
-        Timestamp(self.0 - span.0)
+    fn sub(self, duration: TimeSpan) -> Timestamp {
+        Timestamp(self.0 - duration.0)
     }
 }
 
--- a/crates/model/src/worker_pool/archive.rs
+++ b/crates/model/src/worker_pool/archive.rs
@@ -1,4 +1,4 @@
-//! The archive that workers fetch data sets from; concurrent fetches share its bandwidth.
+//! Archive from which workers fetch data sets. Concurrent fetches share its bandwidth.
 
 use std::collections::HashMap;
 
@@ -6,9 +6,9 @@
 use crate::Timestamp;
 use crate::processor_sharing::ProcessorSharing;
 
-/// The fetches in progress.
+/// Fetches in progress.
 ///
-/// [`Archive::update_rate`] is to be called after fetches were added or removed.
+/// The caller must call [`Archive::update_rate`] after it has added or removed fetches.
 #[derive(Debug)]
 pub(super) struct Archive {
     fetch_seconds: f64,
@@ -32,14 +32,14 @@
         self.sharing.add(now, attempt, self.fetch_seconds);
     }
 
-    /// Ends the fetch of an attempt, if it has one.
+    /// Cancels the fetch of an attempt, if there is one.
     pub(super) fn cancel_fetch(&mut self, now: Timestamp, attempt: AttemptNumber) {
         if self.worker_by_attempt.remove(&attempt).is_some() {
             self.sharing.remove(now, attempt);
         }
     }
 
-    /// Divides the bandwidth anew: up to `concurrency` fetches run at full speed.
+    /// Divides the bandwidth among the current fetches. Up to `concurrency` fetches run at full speed.
     pub(super) fn update_rate(&mut self, now: Timestamp) {
         let rate = (self.concurrency / self.sharing.len().max(1) as f64).min(1.0);
         self.sharing.set_rate(now, rate);
@@ -54,7 +54,7 @@
         self.sharing.pop_completed(now)
     }
 
-    /// Removes and returns the worker that a completed fetch was for.
+    /// Removes the record of a completed fetch and returns its worker.
     pub(super) fn take_worker(&mut self, attempt: AttemptNumber) -> Option<WorkerIndex> {
         self.worker_by_attempt.remove(&attempt)
     }
--- a/crates/model/src/worker_pool/event.rs
+++ b/crates/model/src/worker_pool/event.rs
@@ -1,92 +1,92 @@
-//! What happens to the worker pool, and what follows from it.
+//! Inputs and effects of the worker pool.
 
-/// A worker, by its index in the pool.
+/// Index of a worker in the pool.
 pub type WorkerIndex = usize;
-/// An attempt, by a number that the driver gives; no number is used twice.
+/// Number of an attempt. The driver assigns it and uses no number twice.
 pub type AttemptNumber = u64;
 
-/// What a job needs of a worker.
+/// Resources that a job needs from a worker.
 #[derive(Clone, Debug)]
 pub struct JobDemand {
-    /// Work, in seconds on a core of speed 1.
+    /// Work of the job, in seconds on a core of speed 1.
     pub work_seconds: f64,
-    /// Slots that it occupies while it runs.
+    /// Number of slots that the job occupies while it runs.
     pub slots: u32,
-    /// Units of memory that it occupies while it runs.
+    /// Units of memory that the job occupies while it runs.
     pub memory: f64,
-    /// The data set that it needs.
-    pub set: u64,
-    /// The idempotency key, by which repeats are recognised; none if repeats are not dropped.
-    pub key: Option<u64>,
+    /// Data set that the job needs.
+    pub data_set: u64,
+    /// Idempotency key that identifies duplicates, or `None` if duplicates of the job are not dropped.
+    pub idempotency_key: Option<u64>,
 }
 
-/// An attempt that has reached a worker completely.
+/// Attempt that a worker has received completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The worker.
+    /// Worker that received the attempt.
     pub worker: WorkerIndex,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// What the job needs.
+    /// Resources that the job needs.
     pub demand: JobDemand,
 }
 
-/// An event that the driver passes in.
+/// Event that the driver passes to the pool.
 #[derive(Clone, Debug)]
 pub enum PoolInput {
-    /// An attempt arrives.
+    /// An attempt arrives at a worker.
     Arrive(Arrival),
     /// An attempt is cancelled.
     Cancel {
-        /// The worker that it was sent to.
+        /// Worker to which the attempt was sent.
         worker: WorkerIndex,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The worker's process dies with all of its jobs.
+    /// The worker's process is killed, and all of its jobs are lost.
     Kill(WorkerIndex),
-    /// The worker's process starts, and warms up.
+    /// The worker's process starts and begins to warm up.
     Start(WorkerIndex),
     /// The worker's speed is divided by a factor from now on.
     SetSlowdown {
-        /// The worker.
+        /// Worker whose speed changes.
         worker: WorkerIndex,
-        /// The divisor, above 0; 1 is the machine's own speed.
+        /// Divisor of the machine's speed, above 0. With 1 the worker runs at the machine's full speed.
         factor: f64,
     },
-    /// The worker returns the jobs that have not started, and accepts no others.
+    /// The worker returns the jobs that have not started and accepts no new ones.
     Drain(WorkerIndex),
 }
 
-/// What follows from an event or from the passing of time.
+/// Effect of an event or of the passage of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PoolEffect {
-    /// The worker accepted the attempt, which waits or runs.
+    /// The worker accepted the attempt, which is now queued or running.
     Accepted(AttemptNumber),
     /// The worker rejected the attempt without running it.
     Rejected(AttemptNumber),
-    /// The attempt occupies its slots: it fetches its data set or runs.
+    /// The attempt started: it occupies its slots, and fetches its data set or runs.
     Started(AttemptNumber),
-    /// A progress report.
+    /// The attempt reported its progress.
     Progressed {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Fraction of the work that is done, 0 to 1.
+        /// Completed fraction of the work, from 0 to 1.
         fraction: f64,
     },
-    /// The attempt is complete.
+    /// The attempt completed.
     Completed(AttemptNumber),
-    /// The attempt was returned without having started.
+    /// The worker returned the attempt before it started.
     Returned(AttemptNumber),
-    /// The attempt died with its worker.
+    /// The attempt was lost when its worker's process was killed or crashed.
     Lost(AttemptNumber),
     /// The attempt was cancelled.
     Cancelled {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Whether it had started.
+        /// Whether the attempt had started.
         had_started: bool,
     },
-    /// A worker that was warming up was offered too much work and has crashed.
+    /// The worker was offered too much work during its warm-up and crashed.
     Overloaded(WorkerIndex),
 }
--- a/crates/model/src/worker_pool/mod.rs
+++ b/crates/model/src/worker_pool/mod.rs
@@ -1,8 +1,8 @@
-//! The pool of workers and the archive: which attempts they accept, how fast they run, when they complete.
+//! Pool of workers with their archive: acceptance, speed and completion of attempts.
 //!
-//! The pool is a discrete-event model. Events enter by [`WorkerPool::handle`], time passes by
-//! [`WorkerPool::advance_to`], and both append what follows to a list of [`PoolEffect`]s. How attempts and effects travel
-//! is the driver's concern.
+//! The pool is a discrete-event model. [`WorkerPool::handle`] processes an event, and
+//! [`WorkerPool::advance_to`] advances the time. Both append the resulting [`PoolEffect`]s to a list. The
+//! driver is responsible for the transport of attempts and effects.
 
 mod archive;
 mod deduplication;
@@ -14,26 +14,26 @@
 use std::collections::BinaryHeap;
 
 use archive::Archive;
-use deduplication::{BayKey, Deduplication};
+use deduplication::{CellKey, Deduplication};
 pub use event::{Arrival, AttemptNumber, JobDemand, PoolEffect, PoolInput, WorkerIndex};
 pub use parameters::{Machine, PoolParameters};
 use worker::{Worker, WorkerState};
 
 use crate::{TimeSpan, Timestamp};
 
-/// The speed of a worker that warms up is updated this often.
-const WARM_UP_STEP: TimeSpan = TimeSpan::from_millis(250);
+/// Interval between updates of the speed of a worker that is warming up.
+const WARM_UP_UPDATE_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 
-/// The order of the variants is the order in which timers of one moment expire.
+/// Timer of the pool. Timers that expire at the same time are processed in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// A progress report is due.
+    /// A progress report of the attempt is due.
     Progress { worker: WorkerIndex, attempt: AttemptNumber },
-    /// The speed of a worker that warms up is to be updated.
+    /// An update of the speed of a worker that is warming up is due.
     WarmUp { worker: WorkerIndex },
 }
 
-/// The workers and the archive.
+/// Workers and archive.
 #[derive(Debug)]
 pub struct WorkerPool {
     parameters: PoolParameters,
@@ -41,12 +41,13 @@
     archive: Archive,
     deduplication: Deduplication,
     timers: BinaryHeap<Reverse<(Timestamp, Timer)>>,
-    /// The next completion of each worker as predicted at some time; outdated predictions are skipped.
+    /// Predictions of the next completion of each worker. A worker may have several, and outdated ones have
+    /// no effect.
     completions: BinaryHeap<Reverse<(Timestamp, WorkerIndex)>>,
 }
 
 impl WorkerPool {
-    /// A pool whose workers are all up, warm and idle.
+    /// Creates a pool whose workers are all up, warm and idle.
     pub fn new(machines: Vec<Machine>, parameters: PoolParameters) -> Self {
         WorkerPool {
             workers: machines.into_iter().map(Worker::new).collect(),
@@ -58,14 +59,15 @@
         }
     }
 
-    /// When [`WorkerPool::advance_to`] is to be called next, if no event happens before.
+    /// Returns the time at which the driver must call [`WorkerPool::advance_to`] if it passes in no event
+    /// before then.
     pub fn next_event(&self) -> Option<Timestamp> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let completion = self.completions.peek().map(|Reverse((at, _))| *at);
         [timer, completion, self.archive.next_completion()].into_iter().flatten().min()
     }
 
-    /// Handles an event at `now`, after everything that is due by then.
+    /// Handles an event at `now`, after all timers, fetches and completions that are due by then.
     pub fn handle(&mut self, now: Timestamp, input: PoolInput, effects: &mut Vec<PoolEffect>) {
         self.advance_to(now, effects);
         match input {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Lets everything happen that is due by `now`.
+    /// Processes all timers, fetches and completions that are due by `now`.
     pub fn advance_to(&mut self, now: Timestamp, effects: &mut Vec<PoolEffect>) {
         while let Some(next) = self.next_event().filter(|next| *next <= now) {
             while let Some(timer) = pop_due(&mut self.timers, next) {
@@ -107,7 +109,7 @@
                 self.update_rate(now, worker);
                 let warming = &self.workers[worker];
                 if warming.state != WorkerState::Down && warming.is_warming_up(now, &self.parameters) {
-                    self.timers.push(Reverse((now + WARM_UP_STEP, timer)));
+                    self.timers.push(Reverse((now + WARM_UP_UPDATE_INTERVAL, timer)));
                 }
             }
         }
@@ -118,8 +120,8 @@
         let Some(index) = self.archive.take_worker(attempt) else { return };
         let worker = &mut self.workers[index];
         let Some(job) = worker.jobs.get(&attempt) else { return };
-        let set = job.demand.set;
-        worker.cache_set(set);
+        let data_set = job.demand.data_set;
+        worker.cache_data_set(data_set);
         worker.begin_computing(now, attempt);
         self.predict_completion(index);
     }
@@ -127,12 +129,12 @@
     fn complete_attempts(&mut self, now: Timestamp, worker: WorkerIndex, effects: &mut Vec<PoolEffect>) {
         while let Some(attempt) = self.workers[worker].computing.pop_completed(now) {
             effects.push(PoolEffect::Completed(attempt));
-            if let Some(key) = self.workers[worker].key_of(attempt) {
+            if let Some(key) = self.workers[worker].deduplication_key(attempt) {
                 self.deduplication.record_completion(key);
             }
             self.remove_attempt(now, worker, attempt, effects);
         }
-        // The prediction may have been an outdated one, with nothing complete yet.
+        // An outdated prediction may have led here before any attempt is complete.
         self.predict_completion(worker);
     }
 
@@ -142,14 +144,14 @@
         if worker.state == WorkerState::Down {
             return effects.push(PoolEffect::Rejected(attempt));
         }
-        if worker.offer(now, demand.work_seconds, &self.parameters) {
+        if worker.record_offered_work(now, demand.work_seconds, &self.parameters) {
             effects.push(PoolEffect::Overloaded(index));
             effects.push(PoolEffect::Rejected(attempt));
             return self.kill(now, index, effects);
         }
-        let key = demand.key.map(|key| BayKey { bay: worker.machine.bay, key });
-        if key.is_some_and(|key| self.deduplication.is_repeat(now, key)) {
-            // The job is complete already: it is reported so without another run.
+        let key = demand.idempotency_key.map(|key| CellKey { cell: worker.machine.cell, key });
+        if key.is_some_and(|key| self.deduplication.is_duplicate(now, key)) {
+            // The job has already completed: report its completion without running it again.
             effects.push(PoolEffect::Accepted(attempt));
             effects.push(PoolEffect::Started(attempt));
             return effects.push(PoolEffect::Completed(attempt));
@@ -162,15 +164,15 @@
         self.start_queued(now, index, effects);
     }
 
-    /// Starts jobs from the head of the queue until one does not fit, which all others wait behind.
+    /// Starts jobs from the head of the queue until one does not fit. All later jobs wait behind that one.
     fn start_queued(&mut self, now: Timestamp, index: WorkerIndex, effects: &mut Vec<PoolEffect>) {
         let worker = &mut self.workers[index];
         while let Some(attempt) = worker.start_next() {
             effects.push(PoolEffect::Started(attempt));
             let report = Timer::Progress { worker: index, attempt };
             self.timers.push(Reverse((now + self.parameters.progress_interval, report)));
-            let set = worker.jobs[&attempt].demand.set;
-            if worker.use_set(set) {
+            let data_set = worker.jobs[&attempt].demand.data_set;
+            if worker.use_cached_data_set(data_set) {
                 worker.begin_computing(now, attempt);
             } else {
                 self.archive.begin_fetch(now, index, attempt);
@@ -180,7 +182,7 @@
         self.update_rate(now, index);
     }
 
-    /// Removes an attempt from its worker, and starts what fits then.
+    /// Removes an attempt from its worker and starts the queued jobs that then fit.
     fn remove_attempt(
         &mut self,
         now: Timestamp,
@@ -217,11 +219,11 @@
 
     fn start(&mut self, now: Timestamp, worker: WorkerIndex) {
         self.workers[worker].start(now);
-        self.timers.push(Reverse((now + WARM_UP_STEP, Timer::WarmUp { worker })));
+        self.timers.push(Reverse((now + WARM_UP_UPDATE_INTERVAL, Timer::WarmUp { worker })));
     }
 
     fn set_slowdown(&mut self, now: Timestamp, worker: WorkerIndex, factor: f64) {
-        assert!(factor > 0.0, "a slowdown factor must be above 0");
+        assert!(factor > 0.0, "slowdown factor {factor} of worker {worker} must be above 0");
         self.workers[worker].slowdown = factor;
         self.update_rate(now, worker);
     }
--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -1,7 +1,9 @@
-//! The open-loop workload: which jobs clients submit, and when, drawn from a seed before a run begins.
+//! Open-loop workload: the jobs that clients submit and their submission times, sampled from a seed before a
+//! run begins.
 //!
-//! Arrivals do not depend on answers. Arrivals, classes, sizes, data sets and hints are drawn from random streams of
-//! their own, so that a change of one parameter leaves the other draws as they are.
+//! Arrivals do not depend on responses. Arrivals, classes, job sizes, data sets and hints are each sampled
+//! from a separate random stream, so that a change of one parameter leaves the samples of the others
+//! unchanged.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -11,82 +13,85 @@
 
 use crate::TimeSpan;
 
-/// Part of a class's jobs that take the class's number of slots; the others take one.
+/// Fraction of the jobs of a class that are large. A large job takes the number of slots of its class, and
+/// any other job takes one slot.
 const LARGE_JOB_FRACTION: f64 = 0.2;
 
-/// A class of jobs.
+/// Class of jobs.
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// Its weight among the classes; weights need not add up to 1.
-    pub share: f64,
-    /// Mean work of a job, in seconds on a core of speed 1.
-    pub mean_seconds: f64,
-    /// Slots of a large job.
-    pub slots: u32,
+    /// Relative frequency of the class. The weights of the classes need not add up to 1.
+    pub weight: f64,
+    /// Mean work of a job of the class, in seconds on a core of speed 1.
+    pub mean_work_seconds: f64,
+    /// Number of slots that a large job of the class takes.
+    pub large_job_slots: u32,
 }
 
-/// A segment of the load curve: a span of time in which the arrival rate differs from the base rate.
+/// Segment of the load curve: a period in which the arrival rate differs from the base rate.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSegment {
-    /// Its beginning, counted from the beginning of the load.
+    /// Start of the segment, relative to the start of the load.
     pub from: TimeSpan,
-    /// Its end, exclusive, counted in the same way.
+    /// End of the segment (exclusive), relative to the start of the load.
     pub until: TimeSpan,
-    /// Multiple of the base rate.
+    /// Factor by which the base rate is multiplied.
     pub factor: f64,
 }
 
-/// The parameters that a workload is drawn from.
+/// Parameters from which a workload is sampled.
 #[derive(Clone, Debug)]
 pub struct WorkloadSpec {
-    /// The same seed and parameters draw the same jobs.
+    /// Seed of the random streams. The same seed and parameters produce the same jobs.
     pub seed: u64,
-    /// The span of time in which jobs arrive.
-    pub length: TimeSpan,
-    /// Base arrival rate, in jobs a second.
-    pub rate: f64,
-    /// Where the rate differs from the base; of overlapping segments the last one holds.
+    /// Duration of the period in which jobs arrive.
+    pub duration: TimeSpan,
+    /// Base arrival rate, in jobs per second.
+    pub arrival_rate: f64,
+    /// Periods in which the arrival rate differs from the base rate. If segments overlap, the last one in the
+    /// list applies.
     pub load_curve: Vec<LoadSegment>,
-    /// The classes of jobs.
+    /// Classes of jobs.
     pub classes: Vec<JobClass>,
-    /// Number of data sets that jobs need.
-    pub sets: u64,
-    /// Exponent of Zipf's law by which the data sets are requested.
-    pub skew: f64,
-    /// Standard deviation of the logarithm of the hint's error.
+    /// Number of different data sets that the jobs need.
+    pub data_set_count: u64,
+    /// Exponent of the Zipf distribution from which the data set of a job is sampled.
+    pub zipf_exponent: f64,
+    /// Standard deviation of the logarithm of the ratio of a client's work estimate to the actual work.
     pub hint_spread: f64,
 }
 
-/// A job of the workload.
+/// Job of the workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedJob {
-    /// Intended time of submission, counted from the beginning of the load.
+    /// Intended time of submission, relative to the start of the load.
     pub submit_at: TimeSpan,
-    /// Index of its class.
+    /// Index of the job's class in [`WorkloadSpec::classes`].
     pub class: usize,
-    /// Its work, in seconds on a core of speed 1.
+    /// Work of the job, in seconds on a core of speed 1.
     pub work_seconds: f64,
-    /// The client's estimate of the work, in seconds.
+    /// Client's estimate of the work, in seconds.
     pub hint_seconds: f64,
-    /// Slots that it takes.
+    /// Number of slots that the job takes.
     pub slots: u32,
-    /// The data set that it needs.
-    pub set: u64,
+    /// Data set that the job needs.
+    pub data_set: u64,
 }
 
-/// A parameter that no workload can be drawn from. Remedy: a finite value above 0.
+/// Error of [`WorkloadSpec::validate`]: a parameter is not a finite number above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{parameter}: must be above 0")]
+#[error("{parameter} must be finite and above 0")]
 pub struct InvalidParameter {
-    /// The parameter.
+    /// Description of the invalid parameter.
     pub parameter: &'static str,
 }
 
-/// The random stream of one concern, so that a change in one concern does not shuffle another.
-pub fn random_stream(seed: u64, concern: &str) -> Pcg64Mcg {
+/// Creates the random stream for one purpose. The streams of different purposes are independent, so that a
+/// change in the use of one leaves the others unchanged.
+pub fn random_stream(seed: u64, purpose: &str) -> Pcg64Mcg {
     let mix =
         |state: u64, byte| (state ^ u64::from(byte)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
-    Pcg64Mcg::seed_from_u64(concern.bytes().fold(seed, mix))
+    Pcg64Mcg::seed_from_u64(purpose.bytes().fold(seed, mix))
 }
 
 impl WorkloadSpec {
@@ -94,34 +99,34 @@
     ///
     /// # Errors
     ///
-    /// If a parameter is not finite and above 0; the error names the first such one.
+    /// If a parameter is not a finite number above 0. The error names the first such parameter.
     pub fn validate(&self) -> Result<(), InvalidParameter> {
-        require_positive(self.rate, "rate")?;
-        require_positive(self.length.as_micros() as f64, "length")?;
-        require_positive(self.total_share(), "share of all classes together")?;
+        require_positive(self.arrival_rate, "arrival rate")?;
+        require_positive(self.duration.as_micros() as f64, "duration")?;
+        require_positive(self.total_weight(), "total weight of the classes")?;
         for class in &self.classes {
-            require_positive(class.mean_seconds, "mean work of a class")?;
-            require_positive(f64::from(class.slots), "slots of a class")?;
+            require_positive(class.mean_work_seconds, "mean work of a class")?;
+            require_positive(f64::from(class.large_job_slots), "number of slots of a large job")?;
         }
-        require_positive(self.sets as f64, "sets")
+        require_positive(self.data_set_count as f64, "number of data sets")
     }
 
-    /// Draws the jobs in the order of their submission.
+    /// Samples the jobs in the order of their submission.
     ///
     /// # Panics
     /// If [`WorkloadSpec::validate`] would fail.
-    pub fn draw(&self) -> Vec<PlannedJob> {
-        let mut arrivals = Arrivals::new(self);
-        let mut jobs = JobSampler::new(self);
-        let mut drawn = Vec::new();
-        while let Some(submit_at) = arrivals.draw_next() {
-            drawn.push(jobs.draw(submit_at));
+    pub fn sample_jobs(&self) -> Vec<PlannedJob> {
+        let mut arrivals = ArrivalSampler::new(self);
+        let mut sampler = JobSampler::new(self);
+        let mut jobs = Vec::new();
+        while let Some(submit_at) = arrivals.sample_next() {
+            jobs.push(sampler.sample(submit_at));
         }
-        drawn
+        jobs
     }
 
-    fn total_share(&self) -> f64 {
-        self.classes.iter().map(|class| class.share).sum()
+    fn total_weight(&self) -> f64 {
+        self.classes.iter().map(|class| class.weight).sum()
     }
 }
 
@@ -129,36 +134,39 @@
     if value > 0.0 && value.is_finite() { Ok(()) } else { Err(InvalidParameter { parameter }) }
 }
 
-/// A Poisson process whose rate follows the load curve, drawn by thinning: candidates come at the peak rate, and each
-/// is accepted with the ratio of its moment's rate to the peak.
-struct Arrivals<'spec> {
+/// Poisson process whose rate follows the load curve.
+///
+/// Arrivals are sampled by thinning. Candidates arrive at the peak rate. Each is accepted with a probability
+/// equal to the ratio of the rate at its time to the peak rate.
+struct ArrivalSampler<'spec> {
     spec: &'spec WorkloadSpec,
-    random: Pcg64Mcg,
-    gap_seconds: Exp<f64>,
+    rng: Pcg64Mcg,
+    interarrival_seconds: Exp<f64>,
     peak_factor: f64,
     candidate_seconds: f64,
 }
 
-impl<'spec> Arrivals<'spec> {
+impl<'spec> ArrivalSampler<'spec> {
     fn new(spec: &'spec WorkloadSpec) -> Self {
         let peak_factor = spec.load_curve.iter().map(|segment| segment.factor).fold(1.0, f64::max);
-        Arrivals {
+        ArrivalSampler {
             spec,
-            random: random_stream(spec.seed, "arrivals"),
-            gap_seconds: Exp::new(spec.rate * peak_factor).expect("validated: a rate above 0"),
+            rng: random_stream(spec.seed, "arrivals"),
+            interarrival_seconds: Exp::new(spec.arrival_rate * peak_factor)
+                .expect("the arrival rate must be above 0"),
             peak_factor,
             candidate_seconds: 0.0,
         }
     }
 
-    fn draw_next(&mut self) -> Option<TimeSpan> {
+    fn sample_next(&mut self) -> Option<TimeSpan> {
         loop {
-            self.candidate_seconds += self.gap_seconds.sample(&mut self.random);
+            self.candidate_seconds += self.interarrival_seconds.sample(&mut self.rng);
             let candidate = TimeSpan::from_secs_f64(self.candidate_seconds);
-            if candidate >= self.spec.length {
+            if candidate >= self.spec.duration {
                 return None;
             }
-            if self.random.random::<f64>() * self.peak_factor < self.factor_at(candidate) {
+            if self.rng.random::<f64>() * self.peak_factor < self.factor_at(candidate) {
                 return Some(candidate);
             }
         }
@@ -170,16 +178,16 @@
     }
 }
 
-/// Draws everything about a job but its arrival.
+/// Sampler of all properties of a job except its arrival time.
 struct JobSampler<'spec> {
     spec: &'spec WorkloadSpec,
-    total_share: f64,
-    class_random: Pcg64Mcg,
-    size_random: Pcg64Mcg,
-    set_random: Pcg64Mcg,
-    hint_random: Pcg64Mcg,
-    size: Exp<f64>,
-    set: Zipf<f64>,
+    total_weight: f64,
+    class_rng: Pcg64Mcg,
+    work_rng: Pcg64Mcg,
+    data_set_rng: Pcg64Mcg,
+    hint_rng: Pcg64Mcg,
+    unit_work: Exp<f64>,
+    data_sets: Zipf<f64>,
     hint_error: LogNormal<f64>,
 }
 
@@ -188,36 +196,37 @@
         let hint_spread = spec.hint_spread.max(0.0);
         JobSampler {
             spec,
-            total_share: spec.total_share(),
-            class_random: random_stream(spec.seed, "classes"),
-            size_random: random_stream(spec.seed, "sizes"),
-            set_random: random_stream(spec.seed, "keys"),
-            hint_random: random_stream(spec.seed, "hints"),
-            size: Exp::new(1.0).expect("1 is above 0"),
-            set: Zipf::new(spec.sets as f64, spec.skew.max(0.0)).expect("validated: sets above 0"),
-            hint_error: LogNormal::new(0.0, hint_spread).expect("a spread that is not negative"),
+            total_weight: spec.total_weight(),
+            class_rng: random_stream(spec.seed, "classes"),
+            work_rng: random_stream(spec.seed, "sizes"),
+            data_set_rng: random_stream(spec.seed, "keys"),
+            hint_rng: random_stream(spec.seed, "hints"),
+            unit_work: Exp::new(1.0).expect("1 is a valid rate of an exponential distribution"),
+            data_sets: Zipf::new(spec.data_set_count as f64, spec.zipf_exponent.max(0.0))
+                .expect("the number of data sets must be above 0"),
+            hint_error: LogNormal::new(0.0, hint_spread).expect("the hint spread must be finite"),
         }
     }
 
-    fn draw(&mut self, submit_at: TimeSpan) -> PlannedJob {
-        let class = self.draw_class();
-        let JobClass { mean_seconds, slots, .. } = self.spec.classes[class];
-        // Half fixed and half drawn, so that no job has almost no work.
-        let work_seconds = mean_seconds * (0.5 + 0.5 * self.size.sample(&mut self.size_random));
-        let hint_seconds = work_seconds * self.hint_error.sample(&mut self.hint_random);
-        let is_large = self.size_random.random::<f64>() < LARGE_JOB_FRACTION;
-        let slots = if is_large { slots } else { 1 };
-        let set = self.set.sample(&mut self.set_random) as u64;
-        PlannedJob { submit_at, class, work_seconds, hint_seconds, slots, set }
+    fn sample(&mut self, submit_at: TimeSpan) -> PlannedJob {
+        let class = self.sample_class();
+        let JobClass { mean_work_seconds, large_job_slots, .. } = self.spec.classes[class];
+        // Half of the work is fixed and half is sampled, so that no job has almost no work.
+        let work_seconds = mean_work_seconds * (0.5 + 0.5 * self.unit_work.sample(&mut self.work_rng));
+        let hint_seconds = work_seconds * self.hint_error.sample(&mut self.hint_rng);
+        let is_large = self.work_rng.random::<f64>() < LARGE_JOB_FRACTION;
+        let slots = if is_large { large_job_slots } else { 1 };
+        let data_set = self.data_sets.sample(&mut self.data_set_rng) as u64;
+        PlannedJob { submit_at, class, work_seconds, hint_seconds, slots, data_set }
     }
 
-    fn draw_class(&mut self) -> usize {
-        let mut remaining = self.class_random.random::<f64>() * self.total_share;
-        let drawn = self.spec.classes.iter().position(|class| {
-            remaining -= class.share;
+    fn sample_class(&mut self) -> usize {
+        let mut remaining = self.class_rng.random::<f64>() * self.total_weight;
+        let index = self.spec.classes.iter().position(|class| {
+            remaining -= class.weight;
             remaining < 0.0
         });
-        // Rounding may leave nothing for the last class to take.
-        drawn.unwrap_or(self.spec.classes.len() - 1)
+        // Because of rounding, `remaining` may still be at least 0 after the last class.
+        index.unwrap_or(self.spec.classes.len() - 1)
     }
 }
--- a/crates/model/tests/endpoint_registry.rs
+++ b/crates/model/tests/endpoint_registry.rs
@@ -1,10 +1,10 @@
-//! The endpoint registry, driven by set times.
+//! Tests of the endpoint registry with fixed times.
 
 use curlewusher_model::endpoint_registry::{EndpointEntry, EndpointRegistry, EndpointStatus, Publication};
 use curlewusher_model::{TimeSpan, Timestamp};
 
 #[test]
-fn recorded_changes_then_they_are_published_late_in_order_and_once_and_an_unknown_index_gets_none() {
+fn changes_recorded_then_published_once_in_order_after_the_delay_and_unknown_index_returns_none() {
     let mut registry = EndpointRegistry::new(0..3, TimeSpan::from_millis(1));
     let entry = |worker, status| EndpointEntry { worker, status, started_at: None };
     registry.record_change(Timestamp::from_micros(10), entry(1, EndpointStatus::Terminating));
--- a/crates/model/tests/processor_sharing.rs
+++ b/crates/model/tests/processor_sharing.rs
@@ -1,10 +1,10 @@
-//! Processor sharing, driven by set times.
+//! Tests of processor sharing with fixed times.
 
 use curlewusher_model::Timestamp;
 use curlewusher_model::processor_sharing::ProcessorSharing;
 
 #[test]
-fn rate_change_and_removal_then_shares_complete_at_the_rate_and_the_others_are_untouched() {
+fn rate_changed_then_completion_time_changes_and_removed_task_returns_its_remaining_work() {
     let at = Timestamp::from_micros;
     let mut sharing = ProcessorSharing::new();
     sharing.set_rate(at(0), 1.0);
--- a/crates/model/tests/time.rs
+++ b/crates/model/tests/time.rs
@@ -1,11 +1,11 @@
-//! Moments and spans: their conversions give the same microseconds as they always did, and serialize as bare numbers.
+//! Tests of timestamps and time spans: conversions to and from microseconds, and arithmetic.
 
 use std::time::Duration;
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
 #[test]
-fn seconds_of_any_sign_and_fraction_then_the_span_is_rounded_and_never_negative() {
+fn seconds_of_any_sign_and_fraction_then_time_span_is_rounded_and_not_negative() {
     for (seconds, micros) in [(-1.0, 0), (-0.0, 0), (0.000_000_4, 0), (0.000_000_5, 1), (1.5, 1_500_000)] {
         assert_eq!(TimeSpan::from_secs_f64(seconds).as_micros(), micros, "{seconds}");
     }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn moments_and_spans_are_combined_then_the_result_is_of_the_right_type() {
+fn timestamps_and_time_spans_combined_then_result_has_the_right_type_and_value() {
     let (early, late) = (Timestamp::from_micros(10), Timestamp::from_micros(25));
     let span = TimeSpan::from_micros(15);
     assert_eq!((early + span, late - span, late - early), (late, early, span));
--- a/crates/model/tests/workload.rs
+++ b/crates/model/tests/workload.rs
@@ -1,4 +1,4 @@
-//! The workload that is drawn from a seed.
+//! Tests of the workload that is sampled from a seed.
 
 use curlewusher_model::TimeSpan;
 use curlewusher_model::workload::{JobClass, LoadSegment, PlannedJob, WorkloadSpec};
@@ -8,26 +8,26 @@
 }
 
 fn spec() -> WorkloadSpec {
-    let class = |share, slots| JobClass { share, mean_seconds: 0.5, slots };
+    let class = |weight, large_job_slots| JobClass { weight, mean_work_seconds: 0.5, large_job_slots };
     WorkloadSpec {
         seed: 7,
-        length: seconds(100.0),
-        rate: 50.0,
+        duration: seconds(100.0),
+        arrival_rate: 50.0,
         load_curve: vec![LoadSegment { from: seconds(50.0), until: seconds(60.0), factor: 3.0 }],
         classes: vec![class(0.75, 1), class(0.25, 2)],
-        sets: 100,
-        skew: 1.0,
+        data_set_count: 100,
+        zipf_exponent: 1.0,
         hint_spread: 0.2,
     }
 }
 
 #[test]
-fn same_seed_then_same_jobs_and_rates_shares_and_sizes_are_as_specified() {
-    let jobs = spec().draw();
-    assert_eq!(jobs, spec().draw());
-    assert_ne!(jobs, WorkloadSpec { seed: 8, ..spec() }.draw());
+fn same_seed_then_same_jobs_and_rates_weights_and_work_are_as_specified() {
+    let jobs = spec().sample_jobs();
+    assert_eq!(jobs, spec().sample_jobs());
+    assert_ne!(jobs, WorkloadSpec { seed: 8, ..spec() }.sample_jobs());
     let count = |is_counted: &dyn Fn(&&PlannedJob) -> bool| jobs.iter().filter(is_counted).count() as f64;
-    // 90 s at 50 and 10 s at 150; bounds are four standard deviations wide.
+    // 90 s at 50 jobs per second and 10 s at 150. The tolerances are four standard deviations.
     assert!((count(&|_| true) - 6000.0).abs() < 4.0 * 78.0);
     let in_segment = count(&|job| (seconds(50.0)..seconds(60.0)).contains(&job.submit_at));
     assert!((in_segment - 1500.0).abs() < 4.0 * 39.0);
@@ -38,9 +38,10 @@
 }
 
 #[test]
-fn change_of_one_parameter_then_no_other_draw_is_shuffled() {
-    let (plain, unskewed) = (spec().draw(), WorkloadSpec { skew: 0.0, ..spec() }.draw());
+fn one_parameter_changed_then_samples_of_the_others_are_unchanged() {
+    let (skewed, unskewed) =
+        (spec().sample_jobs(), WorkloadSpec { zipf_exponent: 0.0, ..spec() }.sample_jobs());
     let others = |job: &PlannedJob| (job.submit_at, job.class, job.slots);
-    assert!(plain.iter().zip(&unskewed).all(|(a, b)| others(a) == others(b)));
-    assert!(plain.iter().zip(&unskewed).any(|(a, b)| a.set != b.set));
+    assert!(skewed.iter().zip(&unskewed).all(|(a, b)| others(a) == others(b)));
+    assert!(skewed.iter().zip(&unskewed).any(|(a, b)| a.data_set != b.data_set));
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -47,18 +47,18 @@
     for ((field, value), (_, default)) in file.values().iter().zip(&defaults) {
         assert_ne!(value, default, "{} has another value than its default", field.path);
     }
-    golden!("operator_full.txt").assert_is(&operator_values(&file));
-    golden!("operator_default.txt").assert_is(&operator_values(&OperatorFile::default()));
+    golden!("operator_full.txt").assert_eq(&operator_values(&file));
+    golden!("operator_default.txt").assert_eq(&operator_values(&OperatorFile::default()));
     let shown = file.values().into_iter().map(|(field, value)| {
         let when = if field.takes_effect == TakesEffect::OnReload { "at once" } else { "at the next start" };
         format!("{} = {value} ({when})\n", field.path)
     });
-    golden!("operator_shown.txt").assert_is(&shown.collect::<String>());
+    golden!("operator_shown.txt").assert_eq(&shown.collect::<String>());
 }
 
 #[test]
 fn operator_file_is_invalid_then_the_message_is_as_recorded() {
-    golden!("operator_mistakes.txt").assert_answers(|text| match OperatorFile::parse(text) {
+    golden!("operator_mistakes.txt").assert_outputs(|text| match OperatorFile::parse(text) {
         Ok(_) => "accepted".to_owned(),
         Err(error) => error.to_string(),
     });
@@ -143,14 +143,14 @@
 
 #[test]
 fn settings_object_has_all_fields_or_the_required_ones_then_every_value_is_as_recorded() {
-    golden!("settings_full.txt").assert_is(&(values_of(FULL_OBJECT).join("\n") + "\n"));
-    golden!("settings_least.txt").assert_is(&(values_of(MINIMAL_OBJECT).join("\n") + "\n"));
+    golden!("settings_full.txt").assert_eq(&(values_of(FULL_OBJECT).join("\n") + "\n"));
+    golden!("settings_least.txt").assert_eq(&(values_of(MINIMAL_OBJECT).join("\n") + "\n"));
     let shown = |object: &str| {
         let written = serde_json::from_str(object).expect("JSON");
         serde_json::to_string_pretty(&effective(written).expect("a valid object")).expect("JSON") + "\n"
     };
-    golden!("settings_full_effective.json").assert_is(&shown(FULL_OBJECT));
-    golden!("settings_least_effective.json").assert_is(&shown(MINIMAL_OBJECT));
+    golden!("settings_full_effective.json").assert_eq(&shown(FULL_OBJECT));
+    golden!("settings_least_effective.json").assert_eq(&shown(MINIMAL_OBJECT));
 }
 
 /// The full object after an edit: `/path/of/field = value`, or `/path/of/field removed`.
@@ -175,7 +175,7 @@
 #[test]
 fn settings_object_has_one_field_changed_then_the_changed_values_or_the_message_are_as_recorded() {
     let unchanged = values_of(FULL_OBJECT);
-    golden!("settings_edits.txt").assert_answers(|edit| {
+    golden!("settings_edits.txt").assert_outputs(|edit| {
         let object = edited(edit);
         match (read(&object.to_string()), effective(object.clone())) {
             (Ok(site), Ok(_)) => {
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -65,14 +65,14 @@
     for part in ANSWERS {
         assert!(is_written(part), "no {part} in the answer");
     }
-    recorded.assert_is(&written);
+    recorded.assert_eq(&written);
 }
 
 #[test]
 fn invalid_line_is_read_then_the_message_and_the_exit_code_are_as_recorded() {
     // The first batch starts instances and fills a list; the line under test follows.
     let (first_batch, _) = TRANSCRIPT.split_once("commit\n").expect("a batch");
-    golden!("bad_lines.txt").assert_answers(|line| {
+    golden!("bad_lines.txt").assert_outputs(|line| {
         let output = run_adapter(&format!("{first_batch}{line}\ncommit\n"));
         let message = String::from_utf8(output.stderr).expect("text");
         format!("{} {}", output.status.code().expect("it ends by itself"), message.trim_end())
--- a/crates/testbed/src/command_line/check.rs
+++ b/crates/testbed/src/command_line/check.rs
@@ -16,7 +16,7 @@
 impl CheckOptions {
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
         let scenario = read_scenario(&self.scenario)?;
-        let jobs = scenario.workload().draw().len();
+        let jobs = scenario.workload().sample_jobs().len();
         println!(
             "{}: {} nodes, {} workers, {jobs} jobs",
             scenario.title,
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -224,8 +224,8 @@
         work_seconds: planned.work_seconds,
         slots: planned.slots,
         memory: f64::from(planned.slots),
-        set: planned.set,
+        data_set: planned.data_set,
         // All requests of a job carry the same idempotency key.
-        key: Some(job as u64),
+        idempotency_key: Some(job as u64),
     }
 }
--- a/crates/testbed/src/fleet/startup.rs
+++ b/crates/testbed/src/fleet/startup.rs
@@ -50,7 +50,7 @@
         for (worker, machine) in self.scenario.machines().iter().enumerate() {
             let is_absent = grown.contains(&worker);
             let state = if is_absent { ListenerState::Closed } else { ListenerState::Open };
-            self.start_worker(worker, machine.bay, state, &mut servers).await?;
+            self.start_worker(worker, machine.cell, state, &mut servers).await?;
         }
         Ok(servers)
     }
--- a/crates/testbed/src/load/job_request.rs
+++ b/crates/testbed/src/load/job_request.rs
@@ -34,7 +34,7 @@
         let mut request = format!(
             "POST /api/set-{} HTTP/1.1\r\nhost: {node}\r\nx-request-id: {id}\r\nx-class: {}\r\nx-deadline: {:.6}\r\n\
              x-cost-hint: {:.0}\r\nx-extras: slots={}\r\n",
-            planned.set,
+            planned.data_set,
             class.name,
             self.timeout.as_secs_f64(),
             planned.hint_seconds * 1e6,
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -75,7 +75,7 @@
     stress: Option<StressRun>,
     display: ProgressDisplay,
 ) -> Result<FinishedRun, PlayError> {
-    let jobs = Arc::new(scenario.workload().draw());
+    let jobs = Arc::new(scenario.workload().sample_jobs());
     let needs_admin_addresses = stress.is_some();
     let spec =
         EnvironmentSpec { scenario: Arc::new(scenario), program, jobs: jobs.clone(), needs_admin_addresses };
--- a/crates/testbed/src/report/figures/class_results.rs
+++ b/crates/testbed/src/report/figures/class_results.rs
@@ -78,7 +78,7 @@
     jobs: &BTreeMap<usize, Job>,
 ) -> Vec<ClassResult> {
     // Records do not contain the work of a job; the same seed draws the same jobs as for the load.
-    let planned_jobs = scenario.workload().draw();
+    let planned_jobs = scenario.workload().sample_jobs();
     let seconds = scenario.length_s.ceil() as usize;
     let mut totals: Vec<ClassTotals> =
         scenario.classes.iter().map(|class| ClassTotals::new(&class.name, seconds)).collect();
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -55,13 +55,13 @@
     fn machine_of(&self, worker: usize) -> Machine {
         let kind = self.kind_of(worker);
         Machine {
-            bay: (worker % self.fleet.bays) as u32,
+            cell: (worker % self.fleet.bays) as u32,
             cores: kind.cores,
             speed: kind.speed,
             slots: kind.slots,
             memory: f64::from(kind.slots) * MEMORY_PER_SLOT,
-            queue: self.fleet.queue,
-            sets: self.fleet.cached_sets,
+            queue_capacity: self.fleet.queue,
+            cache_capacity: self.fleet.cached_sets,
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn pool_parameters(&self) -> PoolParameters {
         PoolParameters {
             initial_capacity_fraction: self.fleet.initial_capacity_fraction,
-            warm_up: TimeSpan::from_secs_f64(self.fleet.warm_up_s),
+            warm_up_duration: TimeSpan::from_secs_f64(self.fleet.warm_up_s),
             overload_factor: OVERLOAD_FACTOR,
             overload_window: OVERLOAD_WINDOW,
             contention_penalty: self.fleet.contention_penalty,
@@ -84,12 +84,12 @@
     pub fn workload(&self) -> WorkloadSpec {
         WorkloadSpec {
             seed: self.seed,
-            length: TimeSpan::from_secs_f64(self.length_s),
-            rate: self.load.rate,
+            duration: TimeSpan::from_secs_f64(self.length_s),
+            arrival_rate: self.load.rate,
             load_curve: self.load.load_curve.iter().map(LoadSegment::from).collect(),
             classes: self.classes.iter().map(JobClass::from).collect(),
-            sets: self.load.sets,
-            skew: self.load.skew,
+            data_set_count: self.load.sets,
+            zipf_exponent: self.load.skew,
             hint_spread: self.load.hint_spread,
         }
     }
@@ -127,7 +127,7 @@
 
 impl From<&Class> for JobClass {
     fn from(class: &Class) -> Self {
-        JobClass { share: class.share, mean_seconds: class.mean_s, slots: class.slots }
+        JobClass { weight: class.share, mean_work_seconds: class.mean_s, large_job_slots: class.slots }
     }
 }
 
--- a/crates/testbed/tests/command_line.rs
+++ b/crates/testbed/tests/command_line.rs
@@ -40,10 +40,10 @@
 
 #[test]
 fn help_of_each_command_then_it_is_as_recorded() {
-    golden!("command_line_help.txt").assert_answers(answer_to);
+    golden!("command_line_help.txt").assert_outputs(answer_to);
 }
 
 #[test]
 fn command_that_cannot_begin_then_the_message_and_the_exit_code_are_as_recorded() {
-    golden!("command_line_errors.txt").assert_answers(answer_to);
+    golden!("command_line_errors.txt").assert_outputs(answer_to);
 }
--- a/crates/testbed/tests/golden_scenario.rs
+++ b/crates/testbed/tests/golden_scenario.rs
@@ -36,11 +36,11 @@
 
 #[test]
 fn scenario_with_every_field_then_the_summary_is_as_recorded() {
-    golden!("scenario_checked.txt").assert_is(&checked("golden-full.toml", FULL));
+    golden!("scenario_checked.txt").assert_eq(&checked("golden-full.toml", FULL));
 }
 
 #[test]
 fn scenario_with_one_edit_then_the_words_and_the_exit_code_are_as_recorded() {
     golden!("scenario_edits.txt")
-        .assert_answers(|edit| checked("golden-edited.toml", &edited(edit)).trim_end().to_owned());
+        .assert_outputs(|edit| checked("golden-edited.toml", &edited(edit)).trim_end().to_owned());
 }
--- a/crates/testbed/tests/unit/compare.rs
+++ b/crates/testbed/tests/unit/compare.rs
@@ -49,5 +49,5 @@
         result(&[(run(4, 0.5, true), other_title)]),
         result(&[(run(1, 0.5, false), run(1, 0.5, true))]),
     ];
-    golden!("comparisons.txt").assert_is(&results.join("\n"));
+    golden!("comparisons.txt").assert_eq(&results.join("\n"));
 }
--- a/crates/testbed/tests/unit/event_log.rs
+++ b/crates/testbed/tests/unit/event_log.rs
@@ -88,5 +88,5 @@
         assert_eq!(serde_json::from_str::<Record>(&line).expect("a record"), record);
         lines += &(line + "\n");
     }
-    golden!("event_log.jsonl").assert_is(&lines);
+    golden!("event_log.jsonl").assert_eq(&lines);
 }
--- a/crates/testbed/tests/unit/golden_run.rs
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -60,7 +60,7 @@
     for violation in &violations {
         verdict += &violation.to_string();
     }
-    golden!("run_verdict.txt").assert_is(&verdict);
+    golden!("run_verdict.txt").assert_eq(&verdict);
 }
 
 #[test]
@@ -69,13 +69,13 @@
     let violations = violations(&scenario, &played);
     let figures = compute_figures(&scenario, &played, &violations);
     let stored = serde_json::to_string_pretty(&figures).expect("JSON");
-    golden!("run_figures.json").assert_is(&(stored + "\n"));
-    golden!("run_summary.txt").assert_is(&render_summary(&figures));
-    golden!("run_page.html").assert_is(&render_page(&scenario, &played, &figures, &violations));
+    golden!("run_figures.json").assert_eq(&(stored + "\n"));
+    golden!("run_summary.txt").assert_eq(&render_summary(&figures));
+    golden!("run_page.html").assert_eq(&render_page(&scenario, &played, &figures, &violations));
 }
 
 #[test]
 fn recorded_events_of_a_run_then_they_are_written_as_they_were_read() {
     let lines = records().into_iter().map(|record| serde_json::to_string(&record).expect("JSON") + "\n");
-    golden!("run_events.jsonl").assert_is(&lines.collect::<String>());
+    golden!("run_events.jsonl").assert_eq(&lines.collect::<String>());
 }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -15,9 +15,16 @@
 
 fn workload_lines(scenario: &Scenario) -> Vec<String> {
     let spec = scenario.workload();
-    let mut lines =
-        vec![format!("plan: seed {}, length {}, rate {}", spec.seed, spec.length.as_micros(), spec.rate)];
-    lines.push(format!("sets {}, skew {}, hint spread {}", spec.sets, spec.skew, spec.hint_spread));
+    let mut lines = vec![format!(
+        "plan: seed {}, length {}, rate {}",
+        spec.seed,
+        spec.duration.as_micros(),
+        spec.arrival_rate
+    )];
+    lines.push(format!(
+        "sets {}, skew {}, hint spread {}",
+        spec.data_set_count, spec.zipf_exponent, spec.hint_spread
+    ));
     let segment = |segment: &LoadSegment| {
         format!(
             "tide: from {}, until {}, factor {}",
@@ -28,7 +35,10 @@
     };
     lines.extend(spec.load_curve.iter().map(segment));
     let class = |class: &JobClass| {
-        format!("class: share {}, mean {}, slots {}", class.share, class.mean_seconds, class.slots)
+        format!(
+            "class: share {}, mean {}, slots {}",
+            class.weight, class.mean_work_seconds, class.large_job_slots
+        )
     };
     lines.extend(spec.classes.iter().map(class));
     lines
@@ -40,7 +50,7 @@
         format!(
             "cold share {}, warm-up {}",
             parameters.initial_capacity_fraction,
-            parameters.warm_up.as_micros()
+            parameters.warm_up_duration.as_micros()
         ),
         format!(
             "overload factor {}, fall window {}",
@@ -65,13 +75,13 @@
         format!(
             "worker {number}: kind {kind_number} {}, bay {}, cores {}, speed {}, slots {}, memory {}, queue {}, sets {}",
             kind.name,
-            machine.bay,
+            machine.cell,
             machine.cores,
             machine.speed,
             machine.slots,
             machine.memory,
-            machine.queue,
-            machine.sets
+            machine.queue_capacity,
+            machine.cache_capacity
         )
     };
     scenario.machines().iter().enumerate().map(line).collect()
@@ -109,10 +119,10 @@
 #[test]
 fn scenario_with_every_field_then_every_value_is_as_recorded() {
     let values = serde_json::to_string_pretty(&full()).expect("JSON");
-    golden!("scenario_values.json").assert_is(&(values + "\n"));
+    golden!("scenario_values.json").assert_eq(&(values + "\n"));
     let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a valid scenario");
     let values = serde_json::to_string_pretty(&least).expect("JSON");
-    golden!("scenario_least_values.json").assert_is(&(values + "\n"));
+    golden!("scenario_least_values.json").assert_eq(&(values + "\n"));
 }
 
 #[test]
@@ -120,5 +130,5 @@
     let scenario = full();
     let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines]
         .map(|lines_of| lines_of(&scenario));
-    golden!("scenario_parts.txt").assert_is(&(lines.concat().join("\n") + "\n"));
+    golden!("scenario_parts.txt").assert_eq(&(lines.concat().join("\n") + "\n"));
 }
--- a/crates/testbed/tests/unit/job_request.rs
+++ b/crates/testbed/tests/unit/job_request.rs
@@ -13,8 +13,12 @@
 /// The request for a job of the class with this index.
 fn rendered(class: usize, is_retry: bool) -> String {
     let scenario = Scenario::parse(SCENARIO).expect("a good scenario");
-    let planned =
-        PlannedJob { set: 65, hint_seconds: 0.25, slots: 2, ..scenario.workload().draw()[0].clone() };
+    let planned = PlannedJob {
+        data_set: 65,
+        hint_seconds: 0.25,
+        slots: 2,
+        ..scenario.workload().sample_jobs()[0].clone()
+    };
     let request = JobRequest {
         id: "j31-1",
         job: 31,
--- a/crates/testbed/tests/unit/soak.rs
+++ b/crates/testbed/tests/unit/soak.rs
@@ -48,7 +48,7 @@
     let large = Soak { seed: 33, nodes: 24, workers: 24, length_s: 30.0, faults: 14, shutdowns: 0 };
     let large = toml::to_string(&large.scenario()).expect("a scenario is TOML");
     let texts = [drawn(1), drawn(2), drawn(5), large];
-    golden!("soak_scenarios.toml").assert_is(&texts.join("\n# Next seed.\n"));
+    golden!("soak_scenarios.toml").assert_eq(&texts.join("\n# Next seed.\n"));
 }
 
 #[test]
@@ -70,5 +70,5 @@
         table_row(&soak(5).scenario(), &figures, &[], &[]),
         table_row(&soak(123_456).scenario(), &figures, &violations, &crashes),
     ];
-    golden!("soak_table.txt").assert_is(&table.concat());
+    golden!("soak_table.txt").assert_eq(&table.concat());
 }
--- a/crates/testbed/tests/unit/stress_run.rs
+++ b/crates/testbed/tests/unit/stress_run.rs
@@ -27,7 +27,7 @@
         toml::to_string(&scenario).expect("a scenario is TOML")
     };
     let texts = [StressKind::Upgrades, StressKind::Kills, StressKind::Calls].map(scenario);
-    golden!("stress_scenarios.toml").assert_is(&texts.join("\n# Next kind.\n"));
+    golden!("stress_scenarios.toml").assert_eq(&texts.join("\n# Next kind.\n"));
 }
 
 fn operations() -> OperationFigures {
@@ -62,5 +62,5 @@
         table(StressKind::Upgrades, 1, 0, &operations(), &[]),
         table(StressKind::Calls, 3, 0, &commands_only, &violations[3..]),
     ];
-    golden!("stress_tables.txt").assert_is(&tables.join("\n"));
+    golden!("stress_tables.txt").assert_eq(&tables.join("\n"));
 }
--- a/crates/toml-diagnostics/src/error.rs
+++ b/crates/toml-diagnostics/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a text could not be parsed.
+//! Errors of the parser.
 
 use thiserror::Error;
 
-/// Why a text could not be parsed. Renders as one line that names the line of the text, the field, and what would be
-/// right there.
+/// Errors of [`parse`](crate::parse). The message is one line that names the line of the text, the field, and
+/// what is expected there.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The text is not TOML.
-    #[error("line {line}: {}", on_one_line(source.message()))]
+    /// The text is not valid TOML.
+    #[error("line {line}: {}", join_lines(source.message()))]
     Syntax {
-        /// Line of the mistake, from 1.
+        /// Line number of the error, counted from 1.
         line: usize,
-        /// What the parser reports.
+        /// Error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// A field is unknown, missing, or has a value that it cannot have.
-    #[error("line {line}: {path}: {}", on_one_line(source.message()))]
+    /// A field is unknown, missing, or has an invalid value.
+    #[error("line {line}: {path}: {}", join_lines(source.message()))]
     Field {
-        /// Line of the mistake, from 1.
+        /// Line number of the error, counted from 1.
         line: usize,
-        /// Tables and name of the field, separated by dots.
+        /// Path of the field: the names of its tables and its own name, separated by dots.
         path: String,
-        /// What the deserializer reports.
+        /// Error of the deserializer.
         source: Box<toml::de::Error>,
     },
 }
 
-/// The parser's messages may have several lines.
-fn on_one_line(message: &str) -> String {
+/// Joins the lines of a parser message, which may have several.
+fn join_lines(message: &str) -> String {
     message.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -1,5 +1,7 @@
-//! Parses the TOML files that people write for the project's programs, and reports a mistake in one line that names
-//! its place. This crate opens no files and knows no fields.
+//! Parser for the hand-written TOML files of the project's programs. It reports an error as one line of text
+//! that names the location of the error.
+//!
+//! The crate opens no files and does not depend on the fields of any particular file.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -12,12 +14,12 @@
 pub use self::error::ParseError;
 pub use self::line_of::line_of;
 
-/// Parses a text.
+/// Parses a TOML text into a value of type `T`.
 ///
 /// # Errors
 ///
-/// If the text is not TOML or does not fit the type. The error names the line of the text, the field, and what would be
-/// right.
+/// If the text is not valid TOML or does not match the type. The error names the line of the text, the field,
+/// and what is expected there.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
     let deserializer = toml::Deserializer::parse(text).map_err(|source| {
         let line = line_of_error(text, &source);
@@ -31,7 +33,8 @@
     })
 }
 
-/// The line on which an error's span begins, from 1; 1 for an error without a span.
+/// Returns the number of the line on which the span of an error begins, counted from 1. Returns 1 for an
+/// error without a span.
 fn line_of_error(text: &str, error: &toml::de::Error) -> usize {
     let offset = error.span().map_or(0, |span| span.start.min(text.len()));
     let line_ends = text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n');
--- a/crates/toml-diagnostics/src/line_of.rs
+++ b/crates/toml-diagnostics/src/line_of.rs
@@ -1,18 +1,20 @@
-//! Finds the line of a field, for mistakes that show only after the whole text has been parsed.
+//! Search for the line of a field, for errors that are detected only after the whole text has been parsed.
 
-/// The line, from 1, of a field in the `nth` table of a name, from 0; the line of the table's header if the table lacks
-/// the field. An empty table name stands for the fields before the first header. For a table that the text lacks it is
-/// some line before the first header.
+/// Returns the number of the line, counted from 1, that assigns a field in a table.
+///
+/// `nth` selects one of several tables of the same name, counted from 0. An empty table name selects the
+/// fields before the first header. If the table does not have the field, this is the line of the table's
+/// header. If the text does not have the table, this is some line before the first header.
 pub fn line_of(text: &str, table: &str, nth: usize, field: &str) -> usize {
-    let header = header_index(text, table, nth).unwrap_or(0);
+    let header = find_header(text, table, nth).unwrap_or(0);
     let body_start = if table.is_empty() { header } else { header + 1 };
     let mut body = text.lines().enumerate().skip(body_start).take_while(|(_, line)| !is_header(line));
     let assignment = body.find(|(_, line)| is_assignment_of(line, field));
     assignment.map_or(header, |(index, _)| index) + 1
 }
 
-/// Index of the line with the header of the `nth` table of a name.
-fn header_index(text: &str, table: &str, nth: usize) -> Option<usize> {
+/// Returns the index of the header line of the `nth` table with this name.
+fn find_header(text: &str, table: &str, nth: usize) -> Option<usize> {
     if table.is_empty() {
         return None;
     }
--- a/crates/toml-diagnostics/tests/line_of.rs
+++ b/crates/toml-diagnostics/tests/line_of.rs
@@ -1,9 +1,9 @@
-//! The line of a field in a text.
+//! Tests of the search for the line of a field.
 
 use curlewusher_toml_diagnostics::line_of;
 
 #[test]
-fn a_field_then_its_line_in_its_own_table_and_else_the_header_of_that() {
+fn field_then_line_of_its_assignment_or_else_of_the_table_header() {
     let text = "top = 1\n[a]\nx = 1\n[[b]]\nx = 2\n[[b]]\ny = 3\n  x = 4\n";
     for (table, nth, field, line) in [
         ("", 0, "top", 1),
--- a/crates/toml-diagnostics/tests/support/golden.rs
+++ b/crates/toml-diagnostics/tests/support/golden.rs
@@ -1,15 +1,16 @@
-//! Golden files: recorded texts that a later change of the code must reproduce byte for byte.
+//! Golden files: recorded texts that later versions of the code must reproduce byte for byte.
 //!
-//! With `CURLEWUSHER_RECORD=1` in the environment a run writes what it found into the file, which must exist, in place
-//! of comparing; the difference is then for a person to read.
+//! If the environment has `CURLEWUSHER_RECORD=1`, a run overwrites the file with the actual text instead of
+//! comparing. The file must already exist. A person must then review the difference.
 
-/// A recorded text and the file that holds it.
+/// Recorded text and the path of its file.
 pub struct Golden {
     pub path: &'static str,
     pub text: &'static str,
 }
 
-/// The golden file of this name in `tests/golden` of the package under test. This module must be in scope as `golden`.
+/// Loads the golden file with this name from `tests/golden` of the package under test. This module must be in
+/// scope as `golden`.
 macro_rules! golden {
     ($name:literal) => {
         golden::Golden {
@@ -21,33 +22,37 @@
 pub(crate) use golden;
 
 impl Golden {
-    /// Fails at the first line in which `found` differs from the recorded text.
-    pub fn assert_is(&self, found: &str) {
+    /// Asserts that `actual` equals the recorded text. The panic message names the first line that differs.
+    pub fn assert_eq(&self, actual: &str) {
         if std::env::var("CURLEWUSHER_RECORD").is_ok_and(|value| value == "1") {
-            std::fs::write(self.path, found).expect("the golden file can be written");
+            std::fs::write(self.path, actual).expect("failed to write the golden file");
             return;
         }
-        let differing = self.text.lines().zip(found.lines()).position(|(recorded, now)| recorded != now);
-        let line = differing.unwrap_or(self.text.lines().count().min(found.lines().count()));
-        let nth = |text: &str| text.lines().nth(line).unwrap_or("end of text").to_owned();
+        let first_difference = self
+            .text
+            .lines()
+            .zip(actual.lines())
+            .position(|(recorded_line, actual_line)| recorded_line != actual_line);
+        let line = first_difference.unwrap_or(self.text.lines().count().min(actual.lines().count()));
+        let line_text = |text: &str| text.lines().nth(line).unwrap_or("end of text").to_owned();
         assert!(
-            self.text == found,
-            "{}:{}: recorded {:?}, found {:?}",
+            self.text == actual,
+            "{}:{}: recorded {:?}, actual {:?}",
             self.path,
             line + 1,
-            nth(self.text),
-            nth(found)
+            line_text(self.text),
+            line_text(actual)
         );
     }
 
-    /// Fails where an answer differs from the one recorded below its input. The cases of the file stand apart by an
-    /// empty line; each is the input and then `=> ` and the answer.
+    /// Asserts that `run` returns the recorded output for each recorded input. An empty line separates the
+    /// cases of the file. Each case is the input, followed by `=> ` at the start of a line and the output.
     #[allow(dead_code, reason = "not every package has such a file")]
-    pub fn assert_answers(&self, answer: impl Fn(&str) -> String) {
+    pub fn assert_outputs(&self, run: impl Fn(&str) -> String) {
         let replayed = self.text.trim_end().split("\n\n").map(|case| {
             let input = case.split_once("\n=> ").map_or(case, |(input, _)| input);
-            format!("{input}\n=> {}", answer(input))
+            format!("{input}\n=> {}", run(input))
         });
-        self.assert_is(&(replayed.collect::<Vec<_>>().join("\n\n") + "\n"));
+        self.assert_eq(&(replayed.collect::<Vec<_>>().join("\n\n") + "\n"));
     }
 }
