--- a/crates/testbed/src/checked_run.rs
+++ b/crates/testbed/src/checked_run.rs
@@ -7,7 +7,7 @@
 
 use crate::event_log::Record;
 use crate::nodes::Program;
-use crate::play::{FinishedRun, PlayError, ProgressDisplay, play};
+use crate::play::{FinishedRun, ProgressDisplay, RunStartError, run_scenario};
 use crate::report::{self, Figures};
 use crate::rules::{self, Violation};
 use crate::run_folder::{RunFolder, RunFolderError};
@@ -43,7 +43,7 @@
 pub enum RunError {
     /// It could not begin.
     #[error(transparent)]
-    Play(#[from] PlayError),
+    Play(#[from] RunStartError),
     /// Its folder cannot be used.
     #[error(transparent)]
     Folder(#[from] RunFolderError),
@@ -75,7 +75,7 @@
     ) -> Result<CheckedRun, RunError> {
         let folder = program.folder.clone();
         let _claim = RunFolder::claim(&folder)?;
-        let played = play(scenario.clone(), program, stress, display).await?;
+        let played = run_scenario(scenario.clone(), program, stress, display).await?;
         let violations = check(&scenario, &played);
         let figures = report::compute_figures(&scenario, &played, &violations);
         let run = CheckedRun { played, violations, figures };
--- a/crates/testbed/src/environment/crash.rs
+++ b/crates/testbed/src/environment/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes: failures of a node's process that the scenario does not demand.
+//! Crashes: unexpected failures of a node's process, which the scenario does not demand.
 
 use std::io;
 use std::process::ExitStatus;
@@ -8,56 +8,56 @@
 use super::StartError;
 use crate::nodes::{Node, NodeError};
 
-/// A failure of a node's process, with its last log lines where they explain it.
+/// Unexpected failure of a node's process, with the last lines of its log where they explain the failure.
 #[derive(Debug, Error)]
 pub enum NodeCrash {
-    /// The process exited although nothing stopped it.
+    /// The process exited although the testbed did not stop it.
     #[error("node {node} ended by itself, {status}; its last lines:\n    {lines}")]
     ExitedUnexpectedly {
         /// Number of the node.
         node: usize,
-        /// The exit status of the process.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last lines of its log.
+        /// Last lines of the node's log.
         lines: String,
     },
-    /// The process exited after SIGTERM, but not with success.
-    #[error("node {node} ended badly, {status:?}; its last lines:\n    {lines}")]
+    /// The process exited after SIGTERM with a failure status, or its status could not be read.
+    #[error("node {node} did not exit with success after SIGTERM: {status:?}; its last lines:\n    {lines}")]
     ExitedWithFailure {
         /// Number of the node.
         node: usize,
-        /// The exit status of the process, or why it could not be read.
+        /// Exit status of the process, or the error of reading it.
         status: Result<ExitStatus, io::Error>,
-        /// The last lines of its log.
+        /// Last lines of the node's log.
         lines: String,
     },
-    /// The process was still running when its graceful shutdown had to be over.
+    /// The process was still running at the deadline of its graceful shutdown, and the testbed killed it.
     #[error("node {node} did not end by itself after SIGTERM, and was killed")]
     IgnoredSigterm {
         /// Number of the node.
         node: usize,
     },
     /// The node failed its readiness check after the last job.
-    #[error("node {node} is not ready at the end of the load")]
+    #[error("node {node} failed its readiness check after the load")]
     NotReadyAtEnd {
         /// Number of the node.
         node: usize,
     },
-    /// The node counted a violation of an invariant itself.
-    #[error("node {node} has counted a violation: {counter}")]
+    /// The node's metrics count a violation of one of its own invariants.
+    #[error("node {node} counted a violation of its own invariants: {counter}")]
     CountedViolation {
         /// Number of the node.
         node: usize,
-        /// The line of the metrics page.
+        /// Line of the node's metrics with the counter.
         counter: String,
     },
-    /// An upgrade was due while the node had no process.
-    #[error("node {node} was not there to be upgraded")]
-    AbsentForUpgrade {
+    /// The node had no process when its upgrade was due to begin.
+    #[error("node {node} had no process when its upgrade was due to begin")]
+    NoProcessToUpgrade {
         /// Number of the node.
         node: usize,
     },
-    /// The process failed in an upgrade or a reload.
+    /// The node's process failed in an upgrade, or its configuration could not be written for a reload.
     #[error(transparent)]
     Process(#[from] NodeError),
     /// The node could not be started again.
@@ -66,17 +66,17 @@
 }
 
 impl NodeCrash {
-    /// The crash of a process that exited although nothing stopped it.
+    /// Creates the crash of a process that exited although the testbed did not stop it.
     pub fn unexpected_exit(node: &Node, status: ExitStatus) -> Self {
-        NodeCrash::ExitedUnexpectedly { node: node.spec.number, status, lines: last_lines(node) }
+        NodeCrash::ExitedUnexpectedly { node: node.spec.number, status, lines: format_last_lines(node) }
     }
 
-    /// The crash of a process that did not exit with success after SIGTERM.
+    /// Creates the crash of a process that did not exit with success after SIGTERM.
     pub fn failed_exit(node: &Node, status: Result<ExitStatus, io::Error>) -> Self {
-        NodeCrash::ExitedWithFailure { node: node.spec.number, status, lines: last_lines(node) }
+        NodeCrash::ExitedWithFailure { node: node.spec.number, status, lines: format_last_lines(node) }
     }
 }
 
-fn last_lines(node: &Node) -> String {
+fn format_last_lines(node: &Node) -> String {
     node.last_lines().join("\n    ")
 }
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start and stop of the nodes under test.
+//! Starts and stops of the nodes under test.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,55 +17,63 @@
 use crate::nodes::{Node, NodeError, ProcessSpec, check_readiness, nonzero_violation_counters};
 use crate::waiting::join_all;
 
-/// The client router closes a node this long after the start of its graceful shutdown.
+/// Time from SIGTERM for a node until the client router opens no more connections to it.
 const SHUTDOWN_DETECTION_DELAY: Duration = Duration::from_millis(300);
-/// The client router closes a node this long after it was killed.
-const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(2);
-/// The shortest time that a graceful shutdown may take; the longest timeout of a class counts where that is longer.
-pub const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(3);
-/// A process is killed this long after its graceful shutdown had to be over.
-pub const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
-/// Upper bound of the stop of a node at the end of a run.
+/// Time from SIGKILL for a node until the client router opens no more connections to it.
+const KILL_DETECTION_DELAY: Duration = Duration::from_secs(2);
+/// Minimum timeout of a graceful shutdown. If the longest timeout of a class is longer, that applies instead.
+pub const MIN_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time from the end of the shutdown timeout until a process that has not exited is killed.
+pub const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum duration of the stop of a node at the end of a run.
 const FINAL_STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// How the process of a node is stopped.
+/// Method of stopping a node's process.
 #[derive(Clone, Debug)]
 pub enum StopMode {
-    /// By SIGTERM, and by SIGKILL if it does not exit in time.
+    /// SIGTERM, then SIGKILL if the process does not exit in time.
     Terminate,
-    /// The same, with more signals after SIGTERM.
+    /// As `Terminate`, with more signals after the first SIGTERM.
     TerminateUnderSignals(SignalSeries),
-    /// By SIGKILL.
+    /// SIGKILL.
     Kill,
 }
 
-/// Why a node could not be started.
+/// Reason for which a node could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Its process failed.
+    /// The node's process failed.
     #[error(transparent)]
     Node(#[from] NodeError),
-    /// Its discovery server could not be opened.
+    /// The node's discovery server could not be started.
     #[error(transparent)]
     Discovery(#[from] FleetError),
 }
 
 impl Environment {
-    /// Starts a node, and returns once it is ready.
+    /// Starts a node and waits until it is ready.
     ///
     /// # Errors
     ///
-    /// Its discovery server cannot be opened, or its process does not become ready.
+    /// Fails if the node's discovery server cannot be started, or its process does not become ready.
     pub async fn start_node(&self, number: usize, listen: SocketAddr) -> Result<(), StartError> {
         let discovery = self.fleet.start_discovery(number).await?;
         let admin_address = self.has_admin_addresses.then(reserve_address);
-        // Both processes of an upgrade listen on the same address, so that the system cannot choose it.
+        // Both processes of an upgrade listen on the same address, so the operating system cannot choose the
+        // port.
         let must_reserve = self.has_admin_addresses && listen.port() == 0;
         let listen = if must_reserve { reserve_address() } else { listen };
-        let temporary = self.temporary.join(format!("n{number}"));
+        let temporary_folder = self.temporary_folder.join(format!("n{number}"));
         let saved_list = self.fleet.saved_list(number).filter(|_| self.scenario.nodes.saved_lists);
-        let spec =
-            ProcessSpec { number, version: 0, listen, discovery, admin_address, saved_list, temporary };
+        let spec = ProcessSpec {
+            number,
+            version: 0,
+            listen,
+            discovery,
+            admin_address,
+            saved_list,
+            temporary_folder,
+        };
         let node = Node::start(&self.program, &self.scenario, spec).await?;
         self.node_addresses.set(number, node.address);
         *self.slot(number).await =
@@ -75,11 +83,11 @@
         Ok(())
     }
 
-    /// Starts all nodes at once, and returns when each is ready or has failed.
+    /// Starts all nodes at the same time, and waits until each is ready or has failed.
     ///
     /// # Errors
     ///
-    /// The failure of the first failed node in the order of their numbers.
+    /// Returns the error of the failed node with the lowest number.
     pub async fn start_all_nodes(self: &Arc<Self>) -> Result<(), StartError> {
         let mut starts = JoinSet::new();
         for node in 0..self.node_count() {
@@ -97,13 +105,13 @@
         failures.into_values().next().map_or(Ok(()), Err)
     }
 
-    /// Stops a process that was taken out of its slot. The client router notices it after a delay, and both are awaited,
-    /// so that the next process of the node starts afterwards.
+    /// Stops a process that was taken out of its slot, and closes the node in the client router after a
+    /// detection delay. Waits for both, so that the node's next process starts afterwards.
     pub async fn stop_node(&self, node: Node, mode: StopMode) {
         let number = node.spec.number;
         let detection_delay = match mode {
             StopMode::Terminate | StopMode::TerminateUnderSignals(_) => SHUTDOWN_DETECTION_DELAY,
-            StopMode::Kill => DEATH_DETECTION_DELAY,
+            StopMode::Kill => KILL_DETECTION_DELAY,
         };
         let detection = async {
             sleep(detection_delay).await;
@@ -118,7 +126,7 @@
             StopMode::Terminate => self.terminate_process(&mut node, &SignalSeries::default()).await,
             StopMode::TerminateUnderSignals(signals) => self.terminate_process(&mut node, &signals).await,
             StopMode::Kill => {
-                // It has exited by itself if it cannot be killed.
+                // Fails only if the process has already exited.
                 let _ = node.child.kill().await;
                 true
             }
@@ -126,14 +134,15 @@
         self.log.record(Event::NodeExited { node: number, killed: is_killed });
     }
 
-    /// Sends SIGTERM, and SIGKILL if the process does not exit in time. Returns whether it was killed.
+    /// Sends SIGTERM, and SIGKILL if the process does not exit in time. Returns whether the process was
+    /// killed.
     async fn terminate_process(&self, node: &mut Node, signals: &SignalSeries) -> bool {
         let number = node.spec.number;
         self.log.record(Event::NodeTerminated { node: number });
         node.signal(Signal::TERM);
-        let longest_s = self.scenario.classes.iter().map(|class| class.timeout_s).fold(0.0, f64::max);
-        let shutdown_time = MIN_SHUTDOWN_TIME.max(Duration::from_secs_f64(longest_s));
-        let deadline = Instant::now() + shutdown_time + SHUTDOWN_GRACE;
+        let longest_timeout_s = self.scenario.classes.iter().map(|class| class.timeout_s).fold(0.0, f64::max);
+        let shutdown_timeout = MIN_SHUTDOWN_TIMEOUT.max(Duration::from_secs_f64(longest_timeout_s));
+        let deadline = Instant::now() + shutdown_timeout + SHUTDOWN_MARGIN;
         match timeout_at(deadline, signals.send_until_exit(node)).await {
             Ok(Ok(status)) if status.success() => false,
             Ok(status) => {
@@ -141,7 +150,7 @@
                 false
             }
             Err(_) => {
-                // It has exited at the last moment if it cannot be killed.
+                // Fails only if the process has exited just after the deadline.
                 let _ = node.child.kill().await;
                 self.report_crash(NodeCrash::IgnoredSigterm { node: number });
                 true
@@ -149,7 +158,7 @@
         }
     }
 
-    /// Sends a signal to the processes of nodes; a node that is being stopped or upgraded gets none.
+    /// Sends a signal to the processes of nodes, except for nodes that are being stopped or upgraded.
     pub async fn signal_nodes(&self, nodes: &[usize], signal: Signal) {
         for number in nodes {
             if let Some(node) = &self.slot(*number).await.node {
@@ -158,7 +167,8 @@
         }
     }
 
-    /// Stops all nodes at the end of a run. With `StopMode::Terminate` each must still be ready.
+    /// Stops all nodes at the end of a run. With [`StopMode::Terminate`], a node that is not ready is
+    /// reported as a crash.
     pub async fn stop_all_nodes(&self, mode: StopMode) {
         join_all((0..self.node_count()).map(|number| self.stop_node_at_end(number, mode.clone()))).await;
     }
@@ -172,7 +182,7 @@
         for counter in nonzero_violation_counters(node.address).await {
             self.report_crash(NodeCrash::CountedViolation { node: number, counter });
         }
-        // The process is killed when its handle is dropped.
+        // On a timeout, the dropped handle kills the process.
         let _ = timeout(FINAL_STOP_TIMEOUT, self.stop_process(node, mode)).await;
     }
 }
--- a/crates/testbed/src/environment/signal_series.rs
+++ b/crates/testbed/src/environment/signal_series.rs
@@ -1,4 +1,4 @@
-//! Signals that a node's process gets one after another while it shuts down.
+//! Series of signals that a node's process gets during its shutdown.
 
 use std::process::ExitStatus;
 use std::time::Duration;
@@ -10,24 +10,26 @@
 
 use crate::nodes::Node;
 
-/// The longest time for which a process is stopped by SIGSTOP; longer ones are faults of the machine that no time limit
-/// allows for.
+/// Maximum duration of a pause by SIGSTOP, in seconds. The time limits of the run do not allow for longer
+/// pauses, which count as faults of the machine.
 const MAX_PAUSE_S: f64 = 0.15;
-/// When the process is stopped, in seconds after SIGTERM: before the end of the drain, at the first closes, at the exit.
+/// Ranges of the times of SIGSTOP, in seconds after the first SIGTERM: before the drain completes, when the
+/// first connections close, and when the process exits.
 const PAUSE_RANGES_S: [(f64, f64); 3] = [(0.55, 0.70), (0.71, 0.85), (0.86, 1.2)];
-/// When SIGTERM and SIGHUP are repeated, in seconds after the first SIGTERM.
+/// Range of the times of further SIGTERM and SIGHUP signals, in seconds after the first SIGTERM.
 const REPEAT_RANGE_S: (f64, f64) = (0.0, 1.2);
-/// The most signals of one kind that are repeated.
+/// Maximum number of further signals of each kind, SIGTERM and SIGHUP.
 const MAX_REPEATS: usize = 3;
 
-/// The signals that follow the first SIGTERM, with their times after it, in order.
+/// Signals that follow the first SIGTERM, each with its delay after the first SIGTERM, in the order of time.
 #[derive(Clone, Debug, Default)]
 pub struct SignalSeries(Vec<(Duration, Signal)>);
 
 impl SignalSeries {
-    /// Draws the signals of one shutdown from the seed of the run.
-    pub fn draw(seed: u64, concern: &str) -> Self {
-        let mut random = random_stream(seed, concern);
+    /// Samples the signals of one shutdown from the random stream of that name, which is derived from the
+    /// run's seed.
+    pub fn sample(seed: u64, stream_name: &str) -> Self {
+        let mut random = random_stream(seed, stream_name);
         let mut signals = Vec::new();
         for repeated in [Signal::TERM, Signal::HUP] {
             for _ in 0..random.random_range(0..=MAX_REPEATS) {
@@ -35,9 +37,9 @@
             }
         }
         for (from_s, until_s) in PAUSE_RANGES_S {
-            let begins_s = random.random_range(from_s..until_s);
-            signals.push((begins_s, Signal::STOP));
-            signals.push((begins_s + random.random_range(0.0..MAX_PAUSE_S), Signal::CONT));
+            let pause_at_s = random.random_range(from_s..until_s);
+            signals.push((pause_at_s, Signal::STOP));
+            signals.push((pause_at_s + random.random_range(0.0..MAX_PAUSE_S), Signal::CONT));
         }
         signals.sort_by(|one, other| one.0.total_cmp(&other.0));
         SignalSeries(
@@ -45,7 +47,7 @@
         )
     }
 
-    /// Sends the signals, counted from now, and returns once the process has exited.
+    /// Sends the signals, with delays from the time of the call, and waits until the process exits.
     pub async fn send_until_exit(&self, node: &mut Node) -> std::io::Result<ExitStatus> {
         let started = Instant::now();
         for (after, signal) in &self.0 {
--- a/crates/testbed/src/faults/discovery.rs
+++ b/crates/testbed/src/faults/discovery.rs
@@ -1,4 +1,4 @@
-//! Faults of discovery.
+//! Faults of discovery servers.
 
 use std::time::Duration;
 
@@ -6,25 +6,26 @@
 use crate::fleet::FleetCommand;
 
 impl FaultInjection<'_> {
-    /// Discovery fails its polls and ends its watches.
+    /// Makes discovery fail polls and end watches until the end of the fault.
     pub(super) async fn stop_discovery(&self) {
         self.environment.fleet.apply(FleetCommand::StopDiscovery);
         self.wait_for_end().await;
         self.environment.fleet.apply(FleetCommand::StartDiscovery);
     }
 
-    /// Discovery takes longer for each call.
+    /// Multiplies the duration of discovery's polls by the factor of the fault until its end.
     pub(super) async fn slow_discovery(&self) {
-        let usual = Duration::from_secs_f64(self.environment.scenario.fleet.discovery_call_s);
-        self.environment.fleet.set_poll_duration(usual.mul_f64(self.fault.factor.unwrap_or(1.0)));
+        let normal_duration = Duration::from_secs_f64(self.environment.scenario.fleet.discovery_call_s);
+        self.environment.fleet.set_poll_duration(normal_duration.mul_f64(self.fault.factor.unwrap_or(1.0)));
         self.wait_for_end().await;
-        self.environment.fleet.set_poll_duration(usual);
+        self.environment.fleet.set_poll_duration(normal_duration);
     }
 
-    /// Discovery gets a new address for each node, which reloads its configuration on SIGHUP.
-    pub(super) async fn move_discovery(&self) {
+    /// Starts a new discovery server for each target, and makes the node reload its configuration with the
+    /// new address.
+    pub(super) async fn change_discovery_addresses(&self) {
         for number in self.targets.iter().copied() {
-            // Without a new server the node keeps its old one.
+            // If the new server cannot be started, the node keeps its present one.
             let Ok(discovery) = self.environment.fleet.start_discovery(number).await else { continue };
             if let Some(node) = &mut self.environment.slot(number).await.node
                 && let Err(error) = node.reload_with_discovery(&self.environment.scenario, discovery)
--- a/crates/testbed/src/faults/links.rs
+++ b/crates/testbed/src/faults/links.rs
@@ -1,4 +1,4 @@
-//! Faults of the links between nodes and discovery, and between nodes and workers.
+//! Faults of the links from nodes to discovery and to workers.
 
 use std::time::Duration;
 
@@ -7,32 +7,35 @@
 use super::FaultInjection;
 use crate::proxy::LinkState;
 
-/// Delay of each answer over a slow link.
+/// Delay that a slow link adds to the bytes of each read from the server.
 const SLOW_LINK_DELAY: Duration = Duration::from_millis(150);
 
-/// How a link fails.
+/// Kind of impairment of a link.
 #[derive(Clone, Copy)]
 pub(super) enum LinkImpairment {
-    /// All bytes are dropped without an error.
+    /// The link drops all bytes without an error.
     Cut,
-    /// Connections are reset, also new ones.
+    /// The link resets open connections and each new one.
     Refused,
-    /// Open connections are reset, once.
+    /// The link resets all open connections once.
     Reset,
-    /// Answers arrive late and in small pieces.
+    /// Responses arrive late, and bytes in both directions arrive in small fragments.
     Slow,
 }
 
 impl FaultInjection<'_> {
+    /// Impairs the links from the targets to discovery.
     pub(super) async fn impair_discovery_links(&self, impairment: LinkImpairment) {
         self.impair_links(&self.environment.fleet.links.discovery, impairment).await;
     }
 
+    /// Impairs the links from all nodes to the targets.
     pub(super) async fn impair_worker_links(&self, impairment: LinkImpairment) {
         self.impair_links(&self.environment.fleet.links.workers, impairment).await;
     }
 
-    /// Links are impaired until the end of the fault. A reset is over at once.
+    /// Impairs the links of the targets until the end of the fault. A reset occurs once, at the beginning of
+    /// the fault.
     async fn impair_links(&self, links: &[watch::Sender<LinkState>], impairment: LinkImpairment) {
         let change_links = |change: fn(&mut LinkState, LinkImpairment)| {
             for target in &self.targets {
@@ -51,8 +54,8 @@
         LinkImpairment::Refused => link.refuse(),
         LinkImpairment::Reset => link.resets += 1,
         LinkImpairment::Slow => {
-            link.in_pieces = true;
-            link.answer_delay = SLOW_LINK_DELAY;
+            link.is_fragmented = true;
+            link.response_delay = SLOW_LINK_DELAY;
         }
     }
 }
@@ -63,8 +66,8 @@
         LinkImpairment::Refused => link.is_refusing = false,
         LinkImpairment::Reset => {}
         LinkImpairment::Slow => {
-            link.in_pieces = false;
-            link.answer_delay = Duration::ZERO;
+            link.is_fragmented = false;
+            link.response_delay = Duration::ZERO;
         }
     }
 }
--- a/crates/testbed/src/faults/mod.rs
+++ b/crates/testbed/src/faults/mod.rs
@@ -1,4 +1,5 @@
-//! Faults of a run: each begins at its time, acts on the environment, and ends after its duration.
+//! Injection of a scenario's faults. Each begins at its time, acts on the environment, and ends after its
+//! duration.
 
 mod discovery;
 mod idle_clients;
@@ -19,19 +20,20 @@
 use crate::upgrade::{UpgradePlan, upgrade_node};
 use crate::waiting::{join_all, wait_until};
 
-/// A fault that is carried out.
+/// Fault in progress.
 struct FaultInjection<'run> {
     environment: &'run Environment,
     fault: &'run Fault,
-    /// Its position in the scenario.
+    /// Index of the fault in the scenario.
     index: usize,
-    /// The workers or nodes that it acts on.
+    /// Numbers of the workers or nodes that the fault acts on.
     targets: Vec<usize>,
-    /// When it ends; none if it lasts.
+    /// Time at which the fault ends, or `None` if it lasts until the end of the run.
     end: Option<Instant>,
 }
 
-/// Waits for the time of a fault, carries it out, and returns when it has ended. Times count from the start of the load.
+/// Waits for the time of a fault, injects it, and returns once it has ended. Times count from the start of
+/// the load.
 pub async fn inject_fault(environment: &Environment, index: usize, fault: &Fault, load_start: Timestamp) {
     let instant = |seconds: f64| environment.log.instant(load_start + TimeSpan::from_secs_f64(seconds));
     let targets = environment.scenario.targets_of(fault);
@@ -42,25 +44,25 @@
     };
     record("begins");
     let end = fault.for_s.map(|for_s| instant(fault.at_s + for_s));
-    FaultInjection { environment, fault, index, targets: targets.clone(), end }.carry_out().await;
+    FaultInjection { environment, fault, index, targets: targets.clone(), end }.inject().await;
     record("ends");
 }
 
 impl FaultInjection<'_> {
-    async fn carry_out(&self) {
+    async fn inject(&self) {
         match self.fault.kind {
             FaultKind::Kill => self.kill_workers().await,
-            FaultKind::Silent => self.silence_workers().await,
+            FaultKind::Silent => self.make_workers_unresponsive().await,
             FaultKind::Slow => self.slow_workers().await,
             FaultKind::Drain => self.drain_workers().await,
             FaultKind::AnnouncedDrain => self.announce_drain().await,
             FaultKind::Grow => self.start_workers(),
             FaultKind::DiscoveryDown => self.stop_discovery().await,
             FaultKind::DiscoverySlow => self.slow_discovery().await,
-            FaultKind::Reload => self.move_discovery().await,
+            FaultKind::Reload => self.change_discovery_addresses().await,
             FaultKind::NodeStop | FaultKind::NodeKill => self.restart_nodes().await,
             FaultKind::NodeStopSignals => self.restart_nodes_under_signals().await,
-            FaultKind::ReloadSeries => self.reload_series().await,
+            FaultKind::ReloadSeries => self.reload_nodes_repeatedly().await,
             FaultKind::IdleClients => self.connect_idle_clients().await,
             FaultKind::NodePause => self.pause_nodes().await,
             FaultKind::DiscoveryLinkCut => self.impair_discovery_links(LinkImpairment::Cut).await,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Waits for the end of the fault; never returns if it lasts.
+    /// Waits for the end of the fault. Never returns if the fault has no end.
     async fn wait_for_end(&self) {
         wait_until(self.end).await;
     }
@@ -93,8 +95,8 @@
 
     async fn upgrade_nodes(&self) {
         let plan = |node: usize| {
-            let concern = format!("upgrade-{}-{node}", self.index);
-            UpgradePlan::draw(&self.environment.scenario, self.fault, &concern)
+            let stream_name = format!("upgrade-{}-{node}", self.index);
+            UpgradePlan::sample(&self.environment.scenario, self.fault, &stream_name)
         };
         join_all(self.targets.iter().map(|node| upgrade_node(self.environment, *node, plan(*node)))).await;
     }
--- a/crates/testbed/src/faults/workers.rs
+++ b/crates/testbed/src/faults/workers.rs
@@ -8,55 +8,56 @@
 use super::FaultInjection;
 use crate::fleet::FleetCommand;
 
-/// A draining worker exits after this.
+/// Time from the start of a worker's drain until the worker exits.
 const WORKER_DRAIN_TIME: Duration = Duration::from_secs(5);
-/// The factor of a worker that runs at its usual speed.
-const USUAL_SPEED: f64 = 1.0;
+/// Slowdown factor of a worker that runs at its normal speed.
+const NO_SLOWDOWN: f64 = 1.0;
 
 impl FaultInjection<'_> {
-    /// Applies a command to each target.
-    fn command_each(&self, command: impl Fn(usize) -> FleetCommand) {
+    /// Applies a command to each of the targets.
+    fn apply_to_targets(&self, command: impl Fn(usize) -> FleetCommand) {
         self.targets.iter().for_each(|worker| self.environment.fleet.apply(command(*worker)));
     }
 
-    /// Worker processes die and start again.
+    /// Kills the targets, and starts them again at the end of the fault.
     pub(super) async fn kill_workers(&self) {
-        self.command_each(FleetCommand::Kill);
+        self.apply_to_targets(FleetCommand::Kill);
         self.wait_for_end().await;
         self.start_workers();
     }
 
-    /// Workers accept connections and requests, and answer nothing.
-    pub(super) async fn silence_workers(&self) {
-        self.command_each(FleetCommand::Silence);
+    /// Makes the targets accept connections and requests without a response until the end of the fault.
+    pub(super) async fn make_workers_unresponsive(&self) {
+        self.apply_to_targets(FleetCommand::Silence);
         self.wait_for_end().await;
-        self.command_each(FleetCommand::Unsilence);
+        self.apply_to_targets(FleetCommand::Unsilence);
     }
 
-    /// Workers run slower.
+    /// Slows the targets down by the factor of the fault until its end.
     pub(super) async fn slow_workers(&self) {
-        let factor = self.fault.factor.unwrap_or(USUAL_SPEED);
-        self.command_each(|worker| FleetCommand::SetSlowdown(worker, factor));
+        let factor = self.fault.factor.unwrap_or(NO_SLOWDOWN);
+        self.apply_to_targets(|worker| FleetCommand::SetSlowdown(worker, factor));
         self.wait_for_end().await;
-        self.command_each(|worker| FleetCommand::SetSlowdown(worker, USUAL_SPEED));
+        self.apply_to_targets(|worker| FleetCommand::SetSlowdown(worker, NO_SLOWDOWN));
     }
 
-    /// Workers complete what is running, exit, and start again.
+    /// Drains the targets, kills them after the drain, and starts them again at the end of the fault.
     pub(super) async fn drain_workers(&self) {
-        self.command_each(FleetCommand::Drain);
+        self.apply_to_targets(FleetCommand::Drain);
         sleep(WORKER_DRAIN_TIME).await;
         self.kill_workers().await;
     }
 
-    /// Discovery lists workers as draining that accept jobs as before.
+    /// Makes discovery list the targets as draining until the end of the fault, while they accept jobs as
+    /// before.
     pub(super) async fn announce_drain(&self) {
-        self.command_each(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::Terminating));
+        self.apply_to_targets(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::Terminating));
         self.wait_for_end().await;
-        self.command_each(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::InService));
+        self.apply_to_targets(|worker| FleetCommand::SetListedStatus(worker, EndpointStatus::InService));
     }
 
-    /// Workers start, warming up.
+    /// Starts the targets, which then warm up.
     pub(super) fn start_workers(&self) {
-        self.command_each(FleetCommand::Start);
+        self.apply_to_targets(FleetCommand::Start);
     }
 }
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -1,5 +1,5 @@
-//! The clients: an open loop that sends each job at its intended moment, whatever became of those before. A client never
-//! waits for a response before the next job is sent.
+//! Clients of a run. They form an open loop: each job is sent at its intended time, regardless of the
+//! responses to earlier jobs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -18,55 +18,68 @@
 use crate::fleet::{RequestOrigin, SentRequests, expected_result};
 use crate::scenario::{Class, Idempotence, Scenario};
 
-/// A client waits this much longer than its timeout, to see how late a late response is.
-const EXTRA_WAIT: Duration = Duration::from_millis(500);
-/// The longest `Retry-After` that a client follows, in seconds.
+/// Time that a client waits beyond its timeout, to measure how late a late response is.
+const LATE_RESPONSE_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum `Retry-After` that a client honours, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 2.0;
-/// Where the fractions of jobs with split and pipelined requests begin, so that they differ from those with connections
-/// of their own.
+/// Offset in the selection of jobs with split requests. It makes the selection differ from the other two.
 const SPLIT_OFFSET: f64 = 0.37;
+/// Offset in the selection of jobs with pipelined requests. It makes the selection differ from the
+/// other two.
 const PIPELINED_OFFSET: f64 = 0.71;
-/// Jobs next to each other have other pauses and are split at other bytes.
+/// Difference of the pauses of consecutive jobs, as a fraction of the maximum pause. It makes consecutive
+/// jobs differ in their pauses.
 const PAUSE_STEP: f64 = 0.754_877_666_246_692_7;
+/// Difference of the split positions of consecutive jobs, in bytes modulo the request length. It makes
+/// consecutive jobs differ in their split positions.
 const SPLIT_STEP: usize = 7_919;
-/// What is pipelined behind a request.
+/// Request that is pipelined after a job request.
 const PIPELINED_REQUEST: &str = "GET /ready HTTP/1.1\r\nhost: pipelined\r\n\r\n";
-/// Multiples of this are spread evenly over every range of job indices.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are distributed evenly over the
+/// interval from 0 to 1, for every range of job indices.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// The clients of a run.
+/// Clients of a run.
 pub struct Clients {
     scenario: Arc<Scenario>,
     jobs: Arc<Vec<PlannedJob>>,
     sent_requests: SentRequests,
     router: Arc<ClientRouter>,
     log: EventLog,
-    /// Whether no further job is to be sent.
+    /// Whether the clients send no further jobs.
     is_stopped: AtomicBool,
-    completed_jobs: AtomicUsize,
+    /// Number of jobs that have ended for their clients, with any outcome.
+    finished_jobs: AtomicUsize,
 }
 
-/// How a request ended, for the client that sent it.
+/// Outcome of a request for the client that sent it.
 enum RequestOutcome {
+    /// The response has status 200 and the request's own result.
     Served,
+    /// The response has status 429 or 503.
     Rejected { retry_after_s: Option<f64> },
+    /// The response has another status, or a body that is not the result of this request.
     Failed,
+    /// No node accepted the connection.
     Unreachable,
+    /// The connection closed or the client timed out before a response.
     NoResponse,
 }
 
-/// One request of a client.
-struct Attempt {
+/// One request of a client for a job.
+struct Submission {
+    /// Index of the job in the workload.
     job: usize,
-    /// Number of requests for the job before this one.
+    /// Number of earlier requests for the job.
     retry: u32,
+    /// Time from this request to the client's deadline.
     timeout: TimeSpan,
-    /// Time from the intended moment of the first request to now; 0 for a retry.
+    /// Time by which the first request is sent after its intended time; 0 for a retry.
     send_delay: TimeSpan,
 }
 
 impl Clients {
-    /// The clients that send the jobs of an environment's workload.
+    /// Creates the clients that send the jobs of an environment's workload.
     pub fn new(environment: &Environment, jobs: Arc<Vec<PlannedJob>>) -> Self {
         Clients {
             scenario: environment.scenario.clone(),
@@ -75,21 +88,21 @@
             router: environment.router.clone(),
             log: environment.log.clone(),
             is_stopped: AtomicBool::new(false),
-            completed_jobs: AtomicUsize::new(0),
+            finished_jobs: AtomicUsize::new(0),
         }
     }
 
-    /// Sends no further job; those that were sent are completed.
+    /// Stops sending new jobs. The clients of jobs that were sent continue until their jobs end.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Number of jobs that have ended for their clients, in whatever way.
-    pub fn completed_jobs(&self) -> usize {
-        self.completed_jobs.load(Ordering::Relaxed)
+    /// Returns the number of jobs that have ended for their clients, with any outcome.
+    pub fn finished_jobs(&self) -> usize {
+        self.finished_jobs.load(Ordering::Relaxed)
     }
 
-    /// Sends every job at its moment, counted from `load_start`, and returns once each has ended.
+    /// Sends each job at its time after `load_start`, and returns once all have ended.
     pub async fn run(self: Arc<Self>, load_start: Timestamp) {
         let mut running = JoinSet::new();
         for job in 0..self.jobs.len() {
@@ -101,14 +114,14 @@
             let clients = self.clone();
             running.spawn(async move {
                 clients.submit_job(job, intended_at).await;
-                clients.completed_jobs.fetch_add(1, Ordering::Relaxed);
+                clients.finished_jobs.fetch_add(1, Ordering::Relaxed);
             });
             while running.try_join_next().is_some() {}
         }
         while running.join_next().await.is_some() {}
     }
 
-    /// A client with one job, through all its requests.
+    /// Sends the requests of one client for one job, until the job ends.
     async fn submit_job(&self, job: usize, intended_at: Timestamp) {
         let class = self.class_of(job);
         let deadline = intended_at + TimeSpan::from_secs_f64(class.timeout_s);
@@ -118,8 +131,8 @@
                 return;
             }
             let send_delay = if retry == 0 { now - intended_at } else { TimeSpan::ZERO };
-            let attempt = Attempt { job, retry, timeout: deadline - now, send_delay };
-            let outcome = self.send_request(&attempt).await;
+            let submission = Submission { job, retry, timeout: deadline - now, send_delay };
+            let outcome = self.send_request(&submission).await;
             let Some(wait_s) = self.wait_before_retry(class, &outcome) else { return };
             sleep(Duration::from_secs_f64(wait_s)).await;
         }
@@ -129,56 +142,61 @@
         &self.scenario.classes[self.jobs[job].class]
     }
 
-    /// Seconds until the next request for the job; none if it is not to be sent again.
+    /// Returns the delay of the next request for the job in seconds, or `None` if the client sends no retry.
     fn wait_before_retry(&self, class: &Class, outcome: &RequestOutcome) -> Option<f64> {
-        let usual_s = self.scenario.load.retry_wait_s;
+        let retry_wait_s = self.scenario.load.retry_wait_s;
         match outcome {
             RequestOutcome::Served => None,
             RequestOutcome::Rejected { retry_after_s } => {
-                Some(usual_s.max(retry_after_s.unwrap_or(0.0).min(MAX_RETRY_AFTER_S)))
+                Some(retry_wait_s.max(retry_after_s.unwrap_or(0.0).min(MAX_RETRY_AFTER_S)))
             }
-            RequestOutcome::Unreachable => Some(usual_s),
-            // A job that may have run is sent again only where that does no harm.
+            RequestOutcome::Unreachable => Some(retry_wait_s),
+            // A job that may have run is retried only if its class is idempotent without a key.
             RequestOutcome::Failed | RequestOutcome::NoResponse => {
-                (class.idempotence == Idempotence::Idempotent).then_some(usual_s)
+                (class.idempotence == Idempotence::Idempotent).then_some(retry_wait_s)
             }
         }
     }
 
-    /// Whether a job comes on a connection of its own. Their fraction is the same in every range of jobs.
+    /// Returns whether a job is sent on a new connection that is closed afterwards. The fraction of such jobs
+    /// is the same in every range of jobs.
     fn needs_new_connection(&self, job: usize) -> bool {
-        is_among(job, 0.0, self.scenario.load.new_connections)
+        is_in_fraction(job, 0.0, self.scenario.load.new_connections)
     }
 
-    /// The pause between both parts of the request for a job; none if it is written at once.
+    /// Returns the pause between the two parts of the request for a job, or `None` if the request is written
+    /// at once.
     fn split_pause(&self, job: usize) -> Option<Duration> {
-        let split = self.scenario.load.split.filter(|split| is_among(job, SPLIT_OFFSET, split.share))?;
+        let split =
+            self.scenario.load.split.filter(|split| is_in_fraction(job, SPLIT_OFFSET, split.share))?;
         Some(Duration::from_secs_f64(split.pause_s * (job as f64 * PAUSE_STEP).fract()))
     }
 
+    /// Returns whether another request is pipelined after the request for a job.
     fn is_pipelined(&self, job: usize) -> bool {
-        self.scenario.load.pipelined.is_some_and(|share| is_among(job, PIPELINED_OFFSET, share))
+        self.scenario.load.pipelined.is_some_and(|share| is_in_fraction(job, PIPELINED_OFFSET, share))
     }
 
-    async fn send_request(&self, attempt: &Attempt) -> RequestOutcome {
-        let Attempt { job, retry, .. } = *attempt;
+    /// Sends a request to a node, and records the request and its outcome.
+    async fn send_request(&self, submission: &Submission) -> RequestOutcome {
+        let Submission { job, retry, .. } = *submission;
         let keep_connection = !self.needs_new_connection(job);
         let route = self.router.route(keep_connection);
         let node = route.as_ref().map_or(0, |route| route.node);
         let on_new_connection = route.as_ref().is_some_and(|route| route.idle_connection.is_none());
         let request_id = format!("j{job}-{retry}");
-        self.record_sent(attempt, &request_id, node);
+        self.record_sent(submission, &request_id, node);
         let failed = |id, reason| self.record_failure(id, reason, on_new_connection);
         let Some(route) = route else { return failed(request_id, FailureReason::NoNode) };
-        match self.exchange(attempt, &request_id, route, keep_connection).await {
+        match self.exchange(submission, &request_id, route, keep_connection).await {
             Ok(response) => self.record_response(request_id, &response),
             Err(reason) => failed(request_id, reason),
         }
     }
 
-    fn record_sent(&self, attempt: &Attempt, id: &str, node: usize) {
-        let Attempt { job, send_delay, .. } = *attempt;
-        let timeout = self.time_from_first_byte(attempt);
+    fn record_sent(&self, submission: &Submission, id: &str, node: usize) {
+        let Submission { job, send_delay, .. } = *submission;
+        let timeout = self.timeout_from_first_byte(submission);
         self.sent_requests.record(id, RequestOrigin { node, job });
         self.log.record(Event::RequestSent {
             id: id.to_owned(),
@@ -190,41 +208,42 @@
         });
     }
 
-    /// The client's time from the first byte of its request; its timeout counts from the last one.
-    fn time_from_first_byte(&self, attempt: &Attempt) -> TimeSpan {
-        attempt.timeout + self.split_pause(attempt.job).map_or(TimeSpan::ZERO, TimeSpan::from)
+    /// Returns the time from the first byte of the request to the client's deadline. The timeout itself
+    /// counts from the last byte.
+    fn timeout_from_first_byte(&self, submission: &Submission) -> TimeSpan {
+        submission.timeout + self.split_pause(submission.job).map_or(TimeSpan::ZERO, TimeSpan::from)
     }
 
-    /// Sends the request of an attempt and reads the response.
+    /// Sends a request on a connection and reads the response.
     async fn exchange(
         &self,
-        attempt: &Attempt,
+        submission: &Submission,
         id: &str,
         route: Route,
         keep_connection: bool,
     ) -> Result<Response, FailureReason> {
         let request = JobRequest {
             id,
-            job: attempt.job,
-            planned: &self.jobs[attempt.job],
-            class: self.class_of(attempt.job),
-            timeout: attempt.timeout,
-            is_retry: attempt.retry > 0,
+            job: submission.job,
+            planned: &self.jobs[submission.job],
+            class: self.class_of(submission.job),
+            timeout: submission.timeout,
+            is_retry: submission.retry > 0,
         };
         let mut request = request.render(route.address);
         let request_length = request.len();
-        let is_pipelined = self.is_pipelined(attempt.job);
+        let is_pipelined = self.is_pipelined(submission.job);
         if is_pipelined {
             request += PIPELINED_REQUEST;
         }
-        let split = self.split_pause(attempt.job).map(|pause| {
-            let first_length = 1 + attempt.job * SPLIT_STEP % (request_length - 1);
+        let split = self.split_pause(submission.job).map(|pause| {
+            let first_length = 1 + submission.job * SPLIT_STEP % (request_length - 1);
             (first_length, pause)
         });
         let request = OutgoingRequest { bytes: request.as_bytes(), split };
         let response = self.router.connections.send(route, request, keep_connection && !is_pipelined);
-        let longest = Duration::from(self.time_from_first_byte(attempt)) + EXTRA_WAIT;
-        timeout(longest, response).await.unwrap_or(Err(FailureReason::Late))
+        let max_wait = Duration::from(self.timeout_from_first_byte(submission)) + LATE_RESPONSE_MARGIN;
+        timeout(max_wait, response).await.unwrap_or(Err(FailureReason::Late))
     }
 
     fn record_response(&self, id: String, response: &Response) -> RequestOutcome {
@@ -246,7 +265,8 @@
     }
 }
 
-/// Whether a job is among a fraction of all jobs, which is the same in every range of jobs.
-fn is_among(job: usize, offset: f64, fraction: f64) -> bool {
+/// Returns whether a job is in a selection of the given fraction of all jobs. The fraction is the same in
+/// every range of jobs, and different offsets give different selections.
+fn is_in_fraction(job: usize, offset: f64, fraction: f64) -> bool {
     (job as f64 * GOLDEN_RATIO_FRACTION + offset).fract() < fraction
 }
--- a/crates/testbed/src/load/job_request.rs
+++ b/crates/testbed/src/load/job_request.rs
@@ -1,4 +1,4 @@
-//! The request of a client for a job, in the form of HTTP/1.1.
+//! HTTP/1.1 request of a client for a job.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -8,27 +8,27 @@
 
 use crate::scenario::{Class, Idempotence};
 
-/// The body of every request.
+/// Body of every request.
 const BODY: &str = "interval=40-55";
 
-/// What a request is rendered from.
+/// Content of a request for a job.
 pub struct JobRequest<'run> {
-    /// The id of the request.
+    /// Id of the request.
     pub id: &'run str,
     /// Index of the job in the workload.
     pub job: usize,
-    /// The job as it was drawn.
+    /// Job of the workload with its sampled values.
     pub planned: &'run PlannedJob,
-    /// The class of the job.
+    /// Class of the job.
     pub class: &'run Class,
-    /// The client's remaining time.
+    /// Time from the request to the client's deadline.
     pub timeout: TimeSpan,
-    /// Whether an earlier request was for the same job.
+    /// Whether the client has sent an earlier request for the same job.
     pub is_retry: bool,
 }
 
 impl JobRequest<'_> {
-    /// The bytes that are sent to a node.
+    /// Renders the request for the node at an address.
     pub fn render(&self, node: SocketAddr) -> String {
         let JobRequest { id, planned, class, .. } = self;
         let mut request = format!(
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load: clients that send each job at its intended moment.
+//! Load of a run: clients that send each job at its intended time.
 
 mod clients;
 mod job_request;
--- a/crates/testbed/src/nodes/config.rs
+++ b/crates/testbed/src/nodes/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a node, in the form that the platform writes.
+//! Configuration file of a node, in the platform's format.
 
 use curlewusher_model::TimeSpan;
 use serde_json::{Value, json};
@@ -8,11 +8,12 @@
     Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
 };
 
-/// Multiplied with a scenario's seed so that neighbouring seeds have no bits in common.
+/// Factor for the scenario's seed, which makes the nodes' seeds of adjacent scenario seeds differ in many
+/// bits.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The text of a node's configuration file.
-pub(super) fn config_file(scenario: &Scenario, spec: &ProcessSpec) -> String {
+/// Renders the configuration file of a process.
+pub(super) fn render_config(scenario: &Scenario, spec: &ProcessSpec) -> String {
     let ProcessSpec { number, listen, discovery, admin_address, saved_list, .. } = spec;
     let seed = scenario.seed.wrapping_mul(SEED_MULTIPLIER) ^ *number as u64;
     let empty_list = || json!({"index": 0, "snapshot": true, "endpoints": []});
@@ -31,8 +32,9 @@
     file.to_string()
 }
 
+/// Returns the section `settings` of the configuration file.
 fn settings(scenario: &Scenario, number: usize) -> Value {
-    let services: Vec<_> = scenario.classes.iter().map(service).collect();
+    let services: Vec<_> = scenario.classes.iter().map(service_settings).collect();
     let kinds: Vec<_> = scenario.fleet.kinds.iter().map(|kind| kind.name.as_str()).collect();
     json!({
         "balancers": scenario.nodes.count, "rank": number, "zone": 0, "discovery": "subscribe",
@@ -50,8 +52,8 @@
     })
 }
 
-/// A job class in the form of the configuration file.
-fn service(class: &Class) -> Value {
+/// Returns the settings of a job class, which is a service in the configuration file.
+fn service_settings(class: &Class) -> Value {
     let (idempotency, key_scope, deduplication_window) = match class.idempotence {
         Idempotence::Idempotent => ("safe", "", TimeSpan::ZERO),
         Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
--- a/crates/testbed/src/nodes/error.rs
+++ b/crates/testbed/src/nodes/error.rs
@@ -1,67 +1,67 @@
-//! Why a node does not run.
+//! Errors of node processes.
 
 use std::io;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// Why a node does not run. Each error names the remedy, or shows the last lines of the node's log.
+/// Errors of a node's process. Each message names the remedy or has the last lines of the node's log.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// A file or folder that the node needs cannot be written.
-    #[error("{}: {problem}; give the lab a folder that it can write to", file.display())]
+    #[error("{}: {problem}; use a writable folder for --out and TMPDIR", file.display())]
     Write {
-        /// The file or folder.
+        /// Path of the file or folder.
         file: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         #[source]
         problem: io::Error,
     },
-    /// The program cannot be started.
-    #[error("node {node}: {}: {problem}; name a program that can be run with --node", program.display())]
+    /// The node's program cannot be started.
+    #[error("node {node}: {}: {problem}; set --node to an executable program", program.display())]
     Start {
         /// Number of the node.
         node: usize,
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         #[source]
         problem: io::Error,
     },
-    /// The process runs, or ran, and did not do what it has to.
+    /// The process was started, and then failed.
     #[error("node {node} {failure}; its last lines:\n    {lines}")]
     Failed {
         /// Number of the node.
         node: usize,
-        /// What it did wrong.
+        /// Failure of the process.
         failure: NodeFailure,
-        /// The last lines of its log.
+        /// Last lines of the node's log.
         lines: String,
     },
 }
 
-/// What a node's process did wrong.
+/// Failure of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NodeFailure {
     /// The process exited before it announced its address.
     #[error("ended before it served")]
     ExitedBeforeServing,
-    /// The process runs and has not announced its address in time.
-    #[error("did not say where it serves")]
+    /// The process is running, but did not announce its address in time.
+    #[error("did not announce its address in time")]
     NoAddress,
-    /// The process serves and its readiness check has not succeeded in time.
-    #[error("did not become ready")]
+    /// The process announced its address, but its readiness check did not succeed in time.
+    #[error("did not become ready in time")]
     NotReady,
-    /// The predecessor of an upgrade exited early, or not with success.
-    #[error("ended badly, or before its newer process was ready")]
+    /// The predecessor of an upgrade exited before its successor was ready, or with a failure status.
+    #[error("exited with failure, or before its successor was ready")]
     PredecessorExited,
-    /// The successor of an upgrade exited.
-    #[error("ended by itself as the newer process of an upgrade")]
+    /// The successor of an upgrade exited unexpectedly.
+    #[error("exited unexpectedly as the successor of an upgrade")]
     SuccessorExited,
-    /// The predecessor of an upgrade did not exit in time after SIGTERM.
+    /// The predecessor of an upgrade did not exit in time after SIGTERM, and the testbed killed it.
     #[error("did not end by itself within 3.7 s of SIGTERM, and was killed")]
     IgnoredSigterm,
-    /// The successor of an upgrade did not answer READY by yes in time.
+    /// The successor of an upgrade did not confirm READY in time, and the testbed killed it.
     #[error("did not say yes to READY within 6 s in an upgrade")]
     SuccessorNotReady,
 }
--- a/crates/testbed/src/nodes/http_client.rs
+++ b/crates/testbed/src/nodes/http_client.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's own endpoints: its readiness and its metrics.
+//! Client for a node's readiness and metrics endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,16 @@
 
 use crate::event_log::Readiness;
 
+/// Timeout of a readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a request for the metrics.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Beginning of a response with status 200.
 const STATUS_OK: &[u8; 12] = b"HTTP/1.1 200";
-const VIOLATION_SERIES: &str = "curlewusher_violations_total{";
+/// Prefix of the metrics lines that count violations of a node's own invariants.
+const VIOLATION_METRIC_PREFIX: &str = "curlewusher_violations_total{";
 
-/// Result of a readiness check of a node.
+/// Checks the readiness of a node.
 pub async fn check_readiness(address: SocketAddr) -> Readiness {
     let status = timeout(READINESS_TIMEOUT, read_status(address, "/ready")).await;
     match status.ok().flatten() {
@@ -24,31 +28,33 @@
     }
 }
 
-/// The lines of a node's metrics that count violations of its own rules, where the count is not zero.
+/// Returns the lines of a node's metrics that count violations of its own invariants, except those with a
+/// count of 0. Returns no lines if the metrics cannot be read.
 pub async fn nonzero_violation_counters(address: SocketAddr) -> Vec<String> {
-    let text = timeout(METRICS_TIMEOUT, read_text(address, "/metrics")).await;
+    let text = timeout(METRICS_TIMEOUT, read_response(address, "/metrics")).await;
     let text = text.ok().flatten().unwrap_or_default();
-    let is_violation = |line: &&str| line.starts_with(VIOLATION_SERIES) && !line.ends_with(" 0");
+    let is_violation = |line: &&str| line.starts_with(VIOLATION_METRIC_PREFIX) && !line.ends_with(" 0");
     text.lines().filter(is_violation).map(str::to_owned).collect()
 }
 
-/// The first bytes of a response, which hold the status.
+/// Sends a request and reads the first bytes of the response, which contain the status.
 async fn read_status(address: SocketAddr, path: &str) -> Option<[u8; STATUS_OK.len()]> {
-    let mut stream = request(address, path).await?;
+    let mut stream = send_request(address, path).await?;
     let mut status = [0; STATUS_OK.len()];
     stream.read_exact(&mut status).await.ok()?;
     Some(status)
 }
 
-/// A response with its head.
-async fn read_text(address: SocketAddr, path: &str) -> Option<String> {
-    let mut stream = request(address, path).await?;
+/// Sends a request and reads the whole response, including its head.
+async fn read_response(address: SocketAddr, path: &str) -> Option<String> {
+    let mut stream = send_request(address, path).await?;
     let mut text = String::new();
     stream.read_to_string(&mut text).await.ok()?;
     Some(text)
 }
 
-async fn request(address: SocketAddr, path: &str) -> Option<TcpStream> {
+/// Connects to a node and sends a request. Returns the connection for reading the response.
+async fn send_request(address: SocketAddr, path: &str) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
     stream.write_all(head.as_bytes()).await.ok()?;
--- a/crates/testbed/src/nodes/log_tail.rs
+++ b/crates/testbed/src/nodes/log_tail.rs
@@ -1,4 +1,4 @@
-//! The log of a node's process: a file with all lines, and the last ones in memory.
+//! Log of a node's process: all lines go to a file, and the last ones are kept in memory.
 
 use std::collections::VecDeque;
 use std::fs::OpenOptions;
@@ -12,46 +12,48 @@
 use tokio::process::ChildStderr;
 use tokio::sync::oneshot;
 
-/// Number of lines that are shown when a node fails.
+/// Number of log lines that are kept for the error of a failed node.
 const TAIL_LINES: usize = 12;
-/// What a node writes before the address at which it serves.
-const SERVES_ON: &str = "serves on ";
+/// Text before the address in the log line in which a node announces it.
+const ADDRESS_PREFIX: &str = "serves on ";
 
-/// The last lines of a node's log.
+/// Last lines of a node's log.
 #[derive(Clone, Default)]
 pub(super) struct LogTail(Arc<Mutex<VecDeque<String>>>);
 
 impl LogTail {
-    /// The last lines, oldest first.
+    /// Returns the last lines, oldest first.
     pub(super) fn lines(&self) -> Vec<String> {
         self.0.lock().iter().cloned().collect()
     }
 
-    /// Copies all lines to a file and keeps the last ones. Sends the address that the first line with one names.
+    /// Copies all lines to a file and keeps the last ones in memory. Sends the first address that a line
+    /// announces.
     pub(super) async fn follow(
         self,
         stderr: ChildStderr,
         file: PathBuf,
-        announce: oneshot::Sender<SocketAddr>,
+        address_sender: oneshot::Sender<SocketAddr>,
     ) {
         let mut file = OpenOptions::new().create(true).append(true).open(file).ok();
-        let mut announce = Some(announce);
+        let mut address_sender = Some(address_sender);
         let mut lines = BufReader::new(stderr).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some(address) = announced_address(&line)
-                && let Some(announce) = announce.take()
+            if let Some(address) = parse_announced_address(&line)
+                && let Some(address_sender) = address_sender.take()
             {
-                // The successor of an upgrade is started without a wait for its address.
-                let _ = announce.send(address);
+                // Fails for the successor of an upgrade, whose start does not wait for its address.
+                let _ = address_sender.send(address);
             }
             if let Some(file) = &mut file {
-                // A disk that is full must not end the run; the last lines are in memory.
+                // A full disk must not end the run. The last lines are still in memory.
                 let _ = writeln!(file, "{line}");
             }
             self.push(line);
         }
     }
 
+    /// Appends a line, and drops the oldest one if there are too many.
     fn push(&self, line: String) {
         let mut lines = self.0.lock();
         lines.push_back(line);
@@ -61,7 +63,8 @@
     }
 }
 
-fn announced_address(line: &str) -> Option<SocketAddr> {
-    let rest = line.split(SERVES_ON).nth(1)?;
+/// Returns the address that a line announces, if any.
+fn parse_announced_address(line: &str) -> Option<SocketAddr> {
+    let rest = line.split(ADDRESS_PREFIX).nth(1)?;
     rest.split(['"', ' ']).next()?.parse().ok()
 }
--- a/crates/testbed/src/nodes/mod.rs
+++ b/crates/testbed/src/nodes/mod.rs
@@ -1,14 +1,16 @@
-//! The nodes under test as processes. The testbed configures, starts, signals and measures them, and requests what every
-//! client may request; it never reads their state in another way.
+//! Processes of the nodes under test. The testbed configures, starts, signals and measures them, and sends
+//! requests that any client may send. It has no other access to their state.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `process` | start, signals and reload of a process |
-//! | `spec` | what a process is started with |
-//! | `config` | the configuration file |
-//! | `log_tail` | the log of a process |
+//! | `process` | start, signals and configuration reload of a process |
+//! | `spec` | parameters of a process |
+//! | `config` | configuration file |
+//! | `log_tail` | log of a process |
 //! | `http_client` | readiness checks and metrics |
-//! | `cost` | processor time, memory and descriptors |
+//!
+//! [`process_cost`](crate::process_cost) measures processor time, memory and file descriptors of the
+//! processes.
 
 mod config;
 mod error;
--- a/crates/testbed/src/nodes/process.rs
+++ b/crates/testbed/src/nodes/process.rs
@@ -1,4 +1,4 @@
-//! A node's process: its start, its signals, and the reload of its configuration.
+//! Process of a node: start, signals, and configuration reload.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::config::config_file;
+use super::config::render_config;
 use super::error::{NodeError, NodeFailure};
 use super::http_client::check_readiness;
 use super::log_tail::LogTail;
@@ -18,54 +18,59 @@
 use crate::event_log::Readiness;
 use crate::scenario::Scenario;
 
-/// A node announces its address this long after its start at the latest.
-const SERVES_WITHIN: Duration = Duration::from_secs(10);
-/// A node is ready this long after it has announced its address at the latest.
-const READY_WITHIN: Duration = Duration::from_secs(15);
+/// Maximum time from the start of a process until it announces its address.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time from the announcement of the address until the node is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between readiness checks of a starting node.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Lowers the limit of descriptors and then becomes the program, so that signals reach the program itself.
+/// Shell script that lowers the limit of file descriptors and then replaces the shell by the program, so that
+/// signals reach the program itself.
 const LAUNCH_SCRIPT: &str = r#"ulimit -n "$0" && exec "$@""#;
-/// Variables that override the configuration, which must not reach a node from the testbed's own environment.
-const OVERRIDES: [&str; 5] =
+/// Environment variables that override a node's configuration. They are removed, so that a node does not
+/// inherit them from the testbed's environment.
+const OVERRIDE_VARIABLES: [&str; 5] =
     ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONSOLE", OPERATOR_FILE_VARIABLE];
+/// Environment variable with the path of the operator's configuration file.
 const OPERATOR_FILE_VARIABLE: &str = "CURLEWUSHER_OPERATOR";
 
-/// A node's process. It is killed when this is dropped.
+/// Process of a node. Dropping this handle kills the process.
 pub struct Node {
-    /// What it was started with.
+    /// Parameters of the process.
     pub spec: ProcessSpec,
-    /// Where it serves; until it has announced that, where it was configured to listen.
+    /// Address at which the process serves. Until the process has announced it, the configured listen
+    /// address.
     pub address: SocketAddr,
-    /// The operating system's process.
+    /// Child process of the testbed.
     pub child: Child,
     config_path: PathBuf,
     log: LogTail,
 }
 
 impl Node {
-    /// Starts a node, and returns once it is ready to serve.
+    /// Starts a process and waits until it is ready.
     ///
     /// # Errors
     ///
     /// Fails if the process cannot be started, exits, or is not ready in time.
     pub async fn start(program: &Program, scenario: &Scenario, spec: ProcessSpec) -> Result<Node, NodeError> {
-        let (mut node, announced) = Node::launch(program, scenario, spec)?;
-        node.address = match timeout(SERVES_WITHIN, announced).await {
+        let (mut node, address_receiver) = Node::launch(program, scenario, spec)?;
+        node.address = match timeout(ANNOUNCEMENT_TIMEOUT, address_receiver).await {
             Ok(Ok(address)) => address,
-            Ok(Err(_)) => return Err(node.failed(NodeFailure::ExitedBeforeServing)),
-            Err(_) => return Err(node.failed(NodeFailure::NoAddress)),
+            Ok(Err(_)) => return Err(node.failure_error(NodeFailure::ExitedBeforeServing)),
+            Err(_) => return Err(node.failure_error(NodeFailure::NoAddress)),
         };
-        let deadline = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while check_readiness(node.address).await != Readiness::Yes {
             if Instant::now() > deadline {
-                return Err(node.failed(NodeFailure::NotReady));
+                return Err(node.failure_error(NodeFailure::NotReady));
             }
             sleep(READINESS_POLL_INTERVAL).await;
         }
         Ok(node)
     }
 
-    /// Starts a process, and returns at once.
+    /// Starts a process without waiting for its readiness.
     ///
     /// # Errors
     ///
@@ -74,8 +79,8 @@
         Node::launch(program, scenario, spec).map(|(node, _)| node)
     }
 
-    /// Starts a process. The address at which it serves follows on the channel, which is closed if the process exits
-    /// before that.
+    /// Starts a process. The returned channel receives the address at which the process serves. It closes if
+    /// the process exits before it announces the address.
     fn launch(
         program: &Program,
         scenario: &Scenario,
@@ -83,75 +88,77 @@
     ) -> Result<(Node, oneshot::Receiver<SocketAddr>), NodeError> {
         let name = spec.file_stem();
         let config_path = program.folder.join(format!("{name}.json"));
-        write(&config_path, &config_file(scenario, &spec))?;
-        std::fs::create_dir_all(&spec.temporary)
-            .map_err(|problem| NodeError::Write { file: spec.temporary.clone(), problem })?;
-        let mut child =
-            launch_command(program, scenario, &spec, &config_path).spawn().map_err(|problem| {
-                NodeError::Start { node: spec.number, program: program.path.clone(), problem }
-            })?;
+        write_file(&config_path, &render_config(scenario, &spec))?;
+        std::fs::create_dir_all(&spec.temporary_folder)
+            .map_err(|problem| NodeError::Write { file: spec.temporary_folder.clone(), problem })?;
+        let mut child = build_command(program, scenario, &spec, &config_path).spawn().map_err(|problem| {
+            NodeError::Start { node: spec.number, program: program.path.clone(), problem }
+        })?;
         let log = LogTail::default();
-        let (announce, announced) = oneshot::channel();
+        let (address_sender, address_receiver) = oneshot::channel();
         if let Some(stderr) = child.stderr.take() {
             let log_file = program.folder.join(format!("{name}.log"));
-            tokio::spawn(log.clone().follow(stderr, log_file, announce));
+            tokio::spawn(log.clone().follow(stderr, log_file, address_sender));
         }
-        Ok((Node { address: spec.listen, spec, child, config_path, log }, announced))
+        Ok((Node { address: spec.listen, spec, child, config_path, log }, address_receiver))
     }
 
-    /// The error of a process that did not do what it has to, with its last lines.
-    pub fn failed(&self, failure: NodeFailure) -> NodeError {
+    /// Creates the error for a failure of this process, with the last lines of its log.
+    pub fn failure_error(&self, failure: NodeFailure) -> NodeError {
         let lines = self.last_lines().join("\n    ");
         let lines = if lines.is_empty() { "(none)".into() } else { lines };
         NodeError::Failed { node: self.spec.number, failure, lines }
     }
 
-    /// The last lines of its log, oldest first.
+    /// Returns the last lines of the process's log, oldest first.
     pub fn last_lines(&self) -> Vec<String> {
         self.log.lines()
     }
 
-    /// Sends a signal, unless the process has been waited for.
+    /// Sends a signal to the process, unless its exit has already been awaited.
     pub fn signal(&self, signal: Signal) {
         let process_id = self.child.id().and_then(|raw_id| Pid::from_raw(raw_id as i32));
         if let Some(process_id) = process_id {
-            // A process that has just exited needs no signal.
+            // Fails if the process has just exited, and then no signal is needed.
             let _ = kill_process(process_id, signal);
         }
     }
 
-    /// Writes the configuration with another discovery server, and makes the process reload it.
+    /// Writes the configuration with the address of another discovery server, and makes the process reload it
+    /// by SIGHUP.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be written.
+    /// Fails if the configuration file cannot be written.
     pub fn reload_with_discovery(
         &mut self,
         scenario: &Scenario,
         discovery: SocketAddr,
     ) -> Result<(), NodeError> {
         self.spec = ProcessSpec { discovery, listen: self.address, ..self.spec.clone() };
-        write(&self.config_path, &config_file(scenario, &self.spec))?;
+        write_file(&self.config_path, &render_config(scenario, &self.spec))?;
         self.signal(Signal::HUP);
         Ok(())
     }
 }
 
-fn launch_command(program: &Program, scenario: &Scenario, spec: &ProcessSpec, config_path: &Path) -> Command {
+/// Builds the command that starts a process.
+fn build_command(program: &Program, scenario: &Scenario, spec: &ProcessSpec, config_path: &Path) -> Command {
     let mut command = Command::new("/bin/sh");
     command
         .args(["-c", LAUNCH_SCRIPT, &scenario.nodes.descriptors.to_string()])
         .arg(&program.path)
         .args(&program.arguments)
         .env("RELAY_CONFIG", config_path)
-        .env("TMPDIR", &spec.temporary)
+        .env("TMPDIR", &spec.temporary_folder)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
-        // An interrupt on a terminal reaches the whole process group; the testbed ends its children itself.
+        // An interrupt from the terminal is sent to the whole process group. In a group of its own, the node
+        // does not get it, and the testbed stops the node itself.
         .process_group(0)
         .kill_on_drop(true);
-    for variable in OVERRIDES {
+    for variable in OVERRIDE_VARIABLES {
         command.env_remove(variable);
     }
     if let Some(file) = &scenario.nodes.operator {
@@ -160,6 +167,6 @@
     command
 }
 
-fn write(path: &Path, text: &str) -> Result<(), NodeError> {
+fn write_file(path: &Path, text: &str) -> Result<(), NodeError> {
     std::fs::write(path, text).map_err(|problem| NodeError::Write { file: path.to_owned(), problem })
 }
--- a/crates/testbed/src/nodes/spec.rs
+++ b/crates/testbed/src/nodes/spec.rs
@@ -1,40 +1,42 @@
-//! What a node's process is started with.
+//! Parameters of a node's process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a process is started with beside its program.
+/// Parameters of a process other than its program.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
     /// Number of the node.
     pub number: usize,
-    /// Counts the processes of a node that were started beside an older one.
+    /// Number of upgrades that led to this process: 0 for a process that no upgrade started, and one more
+    /// than that of the predecessor for a successor.
     pub version: usize,
-    /// Where clients connect; the system chooses the port if it is 0.
+    /// Address at which the node listens for clients. With port 0, the operating system chooses the port.
     pub listen: SocketAddr,
-    /// The node's discovery server.
+    /// Address of the node's discovery server.
     pub discovery: SocketAddr,
-    /// Where admin commands arrive, if the scenario needs that.
+    /// Address at which the node listens for admin commands, if the scenario needs them.
     pub admin_address: Option<SocketAddr>,
-    /// The endpoint list that the process starts with.
+    /// Endpoint list with which the process starts, if any.
     pub saved_list: Option<serde_json::Value>,
-    /// The node's own temporary folder, which both processes of an upgrade share.
-    pub temporary: PathBuf,
+    /// Temporary folder of the node, which both processes of an upgrade share.
+    pub temporary_folder: PathBuf,
 }
 
-/// The program that all nodes run.
+/// Program that all nodes run.
 #[derive(Clone)]
 pub struct Program {
-    /// The file.
+    /// Path of the executable file.
     pub path: PathBuf,
-    /// Its command line.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Where configurations and logs are written.
+    /// Folder for the nodes' configuration files and logs.
     pub folder: PathBuf,
 }
 
 impl ProcessSpec {
-    /// The name of the process's files. The first process of a node has the plain name.
+    /// Returns the name of the process's files without extension. It has a suffix only for the successors of
+    /// upgrades.
     pub(super) fn file_stem(&self) -> String {
         match self.version {
             0 => format!("n{}", self.number),
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -1,62 +1,65 @@
-//! What operators do to nodes in service: admin commands, drains and maintenance, each in the order of the on-call page.
+//! Actions of operators on nodes in service: admin commands, drains and maintenance, with the steps in the
+//! order of the on-call page.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::admin_command::{AdminAnswer, call};
+use crate::admin_command::{CommandOutcome, send_admin_command};
 use crate::client_connections::ConnectionCounts;
 use crate::environment::Environment;
 use crate::event_log::{Event, ExpectedAnswer};
 use crate::fleet::{FleetCommand, worker_name};
 use crate::waiting::{join_all, wait_until};
 
-/// Clients have left a node this long after the command to drain it.
-const CLIENTS_LEAVE_WITHIN: Duration = Duration::from_secs(4);
-/// A worker in maintenance is down for this long.
+/// Time from the DRAIN command until the connections of clients to the node are counted. By then, clients
+/// have left it.
+const CONNECTION_COUNT_DELAY: Duration = Duration::from_secs(4);
+/// Maximum downtime of a worker in maintenance.
 const MAINTENANCE_DOWNTIME: Duration = Duration::from_millis(500);
 
-/// Sends an admin command to a node and records the answer; none if the node has no admin address. In an upgrade it goes
-/// to the successor as soon as that is ready.
+/// Sends an admin command to a node and records its outcome. Returns `None` if the node has no admin address.
+/// During an upgrade, the command goes to the successor once it is ready.
 pub async fn send_command(
     environment: &Environment,
     node: usize,
     line: &str,
     expected: ExpectedAnswer,
-) -> Option<AdminAnswer> {
+) -> Option<CommandOutcome> {
     let admin_address = environment.slot(node).await.admin_address?;
-    Some(send_command_to(environment, admin_address, node, line, expected).await)
+    Some(send_command_to_address(environment, admin_address, node, line, expected).await)
 }
 
-/// Sends an admin command to an address of a node and records the answer.
-pub async fn send_command_to(
+/// Sends an admin command to an admin address of a node and records its outcome.
+pub async fn send_command_to_address(
     environment: &Environment,
     admin_address: SocketAddr,
     node: usize,
     line: &str,
     expected: ExpectedAnswer,
-) -> AdminAnswer {
-    let answer = call(admin_address, line).await;
-    // A process that was just started may not listen yet: no command was sent.
-    if !(answer.refused && expected == ExpectedAnswer::Either) {
+) -> CommandOutcome {
+    let outcome = send_admin_command(admin_address, line).await;
+    // A process that has just started may not listen yet. Then the command was not sent, and is not recorded.
+    if !(outcome.is_refused && expected == ExpectedAnswer::Either) {
         environment.log.record(Event::AdminCommandEnded {
             node,
             command: line.to_owned(),
             expected,
-            answer: answer.line.clone(),
-            took: answer.took,
+            answer: outcome.response.clone(),
+            took: outcome.duration,
         });
     }
-    answer
+    outcome
 }
 
-/// Drains a node, counts 4 s later the connections that clients hold to it, and ends the drain.
+/// Drains a node, counts the connections that clients hold to it 4 s later, and ends the drain at `until`. A
+/// drain of at most 4 s is not counted. A drain without an end is neither counted nor ended.
 pub async fn drain_node(environment: &Environment, node: usize, until: Option<Instant>) {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     send_command(environment, node, "DRAIN", ExpectedAnswer::Yes).await;
-    if until.is_some_and(|until| until > begin + CLIENTS_LEAVE_WITHIN) {
-        sleep_until(begin + CLIENTS_LEAVE_WITHIN).await;
+    if until.is_some_and(|until| until > started_at + CONNECTION_COUNT_DELAY) {
+        sleep_until(started_at + CONNECTION_COUNT_DELAY).await;
         let ConnectionCounts { idle, fresh } = environment.router.connections.count(node);
         environment.log.record(Event::ConnectionsCounted { node, idle, fresh });
     }
@@ -64,19 +67,20 @@
     send_command(environment, node, "UNDRAIN", ExpectedAnswer::Yes).await;
 }
 
-/// Disables a worker on all nodes, twice since the command may be repeated; restarts it half way; enables it.
+/// Disables a worker on all nodes, restarts it after half of `duration`, and enables it at the end. Each node
+/// gets the DISABLE command twice, since operators may repeat it.
 pub async fn maintain_worker(environment: &Environment, worker: usize, duration: Duration) {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let name = worker_name(worker);
     let disable = format!("DISABLE {name}");
     send_to_all_nodes(environment, &disable).await;
-    sleep_until(begin + duration / 4).await;
+    sleep_until(started_at + duration / 4).await;
     send_to_all_nodes(environment, &disable).await;
-    sleep_until(begin + duration / 2).await;
+    sleep_until(started_at + duration / 2).await;
     environment.fleet.apply(FleetCommand::Kill(worker));
     sleep(MAINTENANCE_DOWNTIME.min(duration / 4)).await;
     environment.fleet.apply(FleetCommand::Start(worker));
-    sleep_until(begin + duration).await;
+    sleep_until(started_at + duration).await;
     send_to_all_nodes(environment, &format!("ENABLE {name}")).await;
 }
 
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -1,6 +1,6 @@
-//! A run from its first process to its last: the order of start and end, the load, and the tasks beside it.
+//! Run of a scenario: the order in which the processes start and stop, the load, and the background tasks.
 //!
-//! What was observed is checked elsewhere.
+//! The rules are checked elsewhere, on the records of the finished run.
 
 mod progress;
 
@@ -29,52 +29,53 @@
 use crate::stress_run::StressRun;
 
 /// Time from the readiness of all nodes to the start of the load.
-const LOAD_LEAD_TIME: TimeSpan = TimeSpan::from_millis(200);
+const LOAD_START_DELAY: TimeSpan = TimeSpan::from_millis(200);
 /// Interval at which the progress bar is redrawn.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is left of a run.
+/// Observations of a finished run.
 pub struct FinishedRun {
-    /// The event log.
+    /// Records of the event log.
     pub records: Vec<Record>,
-    /// Costs of the nodes, in the order of time.
+    /// Samples of the nodes' costs, in the order of time.
     pub samples: Vec<Sample>,
     /// Start of the load.
     pub begin: Timestamp,
     /// End of the load.
     pub end: Timestamp,
-    /// Failures of nodes' processes that the scenario does not demand, with their last log lines.
+    /// Unexpected failures of nodes' processes, with their last log lines.
     pub crashes: Vec<String>,
-    /// Whether it was stopped before its time.
+    /// Whether the run was interrupted before its end.
     pub interrupted: bool,
 }
 
-/// Why a run could not begin.
+/// Reason for which a run could not begin.
 #[derive(Debug, Error)]
-pub enum PlayError {
-    /// The fleet cannot be simulated.
+pub enum RunStartError {
+    /// The fleet could not be started.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// A node did not start.
+    /// A node could not be started.
     #[error(transparent)]
     Start(#[from] StartError),
     /// The program was interrupted while the nodes started.
-    #[error("interrupted before the load began; nothing was seen")]
+    #[error("interrupted before the load began; there is nothing to report")]
     Interrupted,
 }
 
-/// Plays a scenario to its end, or until the process is interrupted: then all children end and what was observed remains.
-/// With a stress run, the load ends once that is over.
+/// Runs a scenario to its end, or until the testbed is interrupted. An interrupt kills all nodes, and the
+/// observations up to that time are returned. With a stress run, the load ends once the stress run has
+/// completed.
 ///
 /// # Errors
 ///
-/// The fleet or a node did not start, or the process was interrupted before the load began.
-pub async fn play(
+/// Fails if the fleet or a node does not start, or if the testbed is interrupted before the load begins.
+pub async fn run_scenario(
     scenario: Scenario,
     program: Program,
     stress: Option<StressRun>,
     display: ProgressDisplay,
-) -> Result<FinishedRun, PlayError> {
+) -> Result<FinishedRun, RunStartError> {
     let jobs = Arc::new(scenario.workload().sample_jobs());
     let needs_admin_addresses = stress.is_some();
     let spec =
@@ -82,29 +83,32 @@
     let environment = Arc::new(Environment::create(spec).await?);
     tokio::select! {
         started = environment.start_all_nodes() => started?,
-        // The processes that have started end when their handles are dropped.
-        _ = tokio::signal::ctrl_c() => return Err(PlayError::Interrupted),
+        // The dropped handles kill the processes that have started.
+        _ = tokio::signal::ctrl_c() => return Err(RunStartError::Interrupted),
     }
-    let begin = environment.log.now() + LOAD_LEAD_TIME;
+    let begin = environment.log.now() + LOAD_START_DELAY;
     let progress = match stress {
         Some(run) => Progress::new(display, run.rounds, Unit::Rounds),
         None => Progress::new(display, jobs.len(), Unit::Jobs),
     };
     let clients = Arc::new(Clients::new(&environment, jobs));
     let run = Run { environment, clients, stress, begin, rounds_done: Arc::default() };
-    Ok(run.play(&progress).await)
+    Ok(run.run_to_end(&progress).await)
 }
 
-/// A run whose nodes are ready.
+/// Run whose nodes are ready.
 struct Run {
     environment: Arc<Environment>,
     clients: Arc<Clients>,
     stress: Option<StressRun>,
+    /// Start of the load.
     begin: Timestamp,
+    /// Number of finished rounds of the stress run.
     rounds_done: Arc<AtomicUsize>,
 }
 
-/// The tasks beside the load. Upgrades are awaited at the end; of the others, some never end.
+/// Tasks that run in the background of the load. Upgrades are awaited at the end of the run. Some of the
+/// other tasks never finish.
 #[derive(Default)]
 struct BackgroundTasks {
     upgrades: JoinSet<()>,
@@ -112,13 +116,14 @@
 }
 
 impl Run {
-    async fn play(&self, progress: &Progress) -> FinishedRun {
+    /// Runs the load and the background tasks, stops the nodes, and returns the observations.
+    async fn run_to_end(&self, progress: &Progress) -> FinishedRun {
         let mut tasks = BackgroundTasks::default();
         self.spawn_faults(&mut tasks);
         self.spawn_readiness_checks(&mut tasks);
         let samples = Arc::new(Mutex::new(Vec::new()));
         let sampling = tokio::spawn(sample_nodes(self.environment.clone(), samples.clone()));
-        self.spawn_stress(&mut tasks);
+        self.spawn_stress_run(&mut tasks);
         let mut load = tokio::spawn(self.clients.clone().run(self.begin));
         let interrupted = self.wait_for_load(&mut load, progress).await;
         load.abort();
@@ -133,6 +138,7 @@
         FinishedRun { records, samples, begin: self.begin, end, crashes, interrupted }
     }
 
+    /// Spawns one task for each fault of the scenario.
     fn spawn_faults(&self, tasks: &mut BackgroundTasks) {
         for (index, fault) in self.environment.scenario.faults.iter().cloned().enumerate() {
             let group = if fault.kind.is_upgrade() { &mut tasks.upgrades } else { &mut tasks.others };
@@ -141,14 +147,15 @@
         }
     }
 
+    /// Spawns one task for each node that checks the node's readiness.
     fn spawn_readiness_checks(&self, tasks: &mut BackgroundTasks) {
         for node in 0..self.environment.node_count() {
             tasks.others.spawn(self.environment.router.clone().watch_readiness(node));
         }
     }
 
-    /// Starts the stress run, if any; the clients stop after it.
-    fn spawn_stress(&self, tasks: &mut BackgroundTasks) {
+    /// Spawns the stress run, if there is one. The clients stop after it.
+    fn spawn_stress_run(&self, tasks: &mut BackgroundTasks) {
         let Some(stress) = self.stress else { return };
         let (environment, begin) = (self.environment.clone(), self.begin);
         let (clients, rounds_done) = (self.clients.clone(), self.rounds_done.clone());
@@ -158,10 +165,10 @@
         });
     }
 
-    /// Shows the progress until the load ends. Returns whether the process was interrupted.
+    /// Shows the progress until the load ends. Returns whether the testbed was interrupted.
     async fn wait_for_load(&self, load: &mut JoinHandle<()>, progress: &Progress) -> bool {
         let interrupted = loop {
-            progress.show(self.completed());
+            progress.show(self.finished_units());
             tokio::select! {
                 _ = &mut *load => break false,
                 _ = tokio::signal::ctrl_c() => break true,
@@ -172,16 +179,18 @@
         interrupted
     }
 
-    fn completed(&self) -> usize {
+    /// Returns the number of finished rounds of the stress run, or of finished jobs if there is no stress
+    /// run.
+    fn finished_units(&self) -> usize {
         match self.stress {
             Some(_) => self.rounds_done.load(Ordering::Relaxed),
-            None => self.clients.completed_jobs(),
+            None => self.clients.finished_jobs(),
         }
     }
 }
 
 impl BackgroundTasks {
-    /// Awaits the upgrades unless the run was interrupted, and aborts the other tasks.
+    /// Awaits the upgrades unless the run was interrupted, and aborts all remaining tasks.
     async fn finish(mut self, interrupted: bool) {
         while !interrupted && self.upgrades.join_next().await.is_some() {}
         self.upgrades.shutdown().await;
--- a/crates/testbed/src/play/progress.rs
+++ b/crates/testbed/src/play/progress.rs
@@ -1,27 +1,30 @@
-//! The progress bar of a run.
+//! Progress bar of a run.
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-/// Whether a run shows a progress bar.
+/// Display mode of a run's progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgressDisplay {
-    /// On the terminal.
+    /// A progress bar on the terminal.
     Bar,
-    /// Not at all.
+    /// No display.
     Hidden,
 }
 
-/// What a progress bar counts.
+/// Unit that a progress bar counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unit {
+    /// Jobs of the workload.
     Jobs,
+    /// Rounds of a stress run.
     Rounds,
 }
 
-/// A progress bar, which may be hidden.
+/// Progress bar, which may be hidden.
 pub(super) struct Progress(ProgressBar);
 
 impl Progress {
+    /// Creates a progress bar that counts up to `total`.
     pub(super) fn new(display: ProgressDisplay, total: usize, unit: Unit) -> Self {
         let bar = match display {
             ProgressDisplay::Bar => ProgressBar::new(total as u64),
@@ -37,10 +40,12 @@
         Progress(bar)
     }
 
-    pub(super) fn show(&self, completed: usize) {
-        self.0.set_position(completed as u64);
+    /// Shows the number of finished units.
+    pub(super) fn show(&self, finished: usize) {
+        self.0.set_position(finished as u64);
     }
 
+    /// Removes the progress bar from the terminal.
     pub(super) fn clear(&self) {
         self.0.finish_and_clear();
     }
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,5 +1,5 @@
-//! TCP proxies on loopback between the nodes and what they connect to. The behaviour of a link can change while connections
-//! are open; the bytes that a proxy forwards are never changed.
+//! TCP proxies on loopback between the nodes and the servers that they connect to. The behaviour of a link
+//! can change while connections are open. A proxy never modifies the bytes that it forwards.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,43 +12,43 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Bytes that are read at once.
+/// Maximum size of one read, in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Size of the pieces in which a link with `in_pieces` forwards.
-const PIECE_BYTES: usize = 7;
+/// Size of the fragments that a link with [`LinkState::is_fragmented`] forwards, in bytes.
+const FRAGMENT_BYTES: usize = 7;
 
-/// How a link behaves. The default forwards everything at once.
+/// Behaviour of a link. The default forwards all bytes without delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// Bytes are lost in both directions, while the connections stay open.
+    /// Whether bytes are dropped in both directions while the connections stay open.
     pub is_cut: bool,
-    /// New connections are reset.
+    /// Whether new connections are reset.
     pub is_refusing: bool,
-    /// Delay of what the server sends.
-    pub answer_delay: Duration,
-    /// Bytes arrive in small pieces.
-    pub in_pieces: bool,
+    /// Delay of the bytes that the server sends.
+    pub response_delay: Duration,
+    /// Whether bytes are forwarded in small fragments.
+    pub is_fragmented: bool,
     /// Number of times that all open connections were reset.
     pub resets: u64,
 }
 
 impl LinkState {
-    /// Resets all open connections, and new ones from now on.
+    /// Resets all open connections, and each new one from now on.
     pub fn refuse(&mut self) {
         self.is_refusing = true;
         self.resets += 1;
     }
 
-    /// Ends a cut. Open connections are reset, since bytes of them were lost.
+    /// Ends a cut. Open connections are reset, since some of their bytes were dropped.
     pub fn heal(&mut self) {
         self.is_cut = false;
         self.resets += 1;
     }
 }
 
-/// A proxy in front of one server. Its listener is closed when it is dropped; open connections stay.
+/// Proxy in front of one server. Dropping it closes its listener, but no open connections.
 pub struct Proxy {
-    /// The address at which it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -60,7 +60,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy for the server at `target`; the link always behaves as `state` says.
+    /// Starts a proxy for the server at `target`. The link follows each change of `state`.
     ///
     /// # Errors
     ///
@@ -71,34 +71,34 @@
         let task = tokio::spawn(async move {
             loop {
                 let Ok((client, _)) = listener.accept().await else { continue };
-                tokio::spawn(forward(client, target, state.clone()));
+                tokio::spawn(forward_connection(client, target, state.clone()));
             }
         });
         Ok(Proxy { address, task })
     }
 }
 
-/// The direction of bytes on a connection.
+/// Direction in which bytes are forwarded on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     ToServer,
     ToClient,
 }
 
-/// Forwards one connection until an end closes it or the link resets it.
-async fn forward(mut client: TcpStream, target: SocketAddr, state: watch::Receiver<LinkState>) {
+/// Forwards one connection until either end closes it or the link resets it.
+async fn forward_connection(mut client: TcpStream, target: SocketAddr, state: watch::Receiver<LinkState>) {
     if state.borrow().is_refusing {
         return reset_on_close(&client);
     }
     let Ok(mut server) = TcpStream::connect(target).await else { return reset_on_close(&client) };
-    // Without the option a connection is only slower.
+    // If the option cannot be set, the connection is only slower.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.split();
     let (server_read, server_write) = server.split();
     let is_reset = tokio::select! {
-        () = pump(client_read, server_write, state.clone(), Direction::ToServer) => false,
-        () = pump(server_read, client_write, state.clone(), Direction::ToClient) => false,
+        () = forward_bytes(client_read, server_write, state.clone(), Direction::ToServer) => false,
+        () = forward_bytes(server_read, client_write, state.clone(), Direction::ToClient) => false,
         () = wait_for_reset(state) => true,
     };
     if is_reset {
@@ -107,14 +107,14 @@
     }
 }
 
-/// Makes the close of a connection a reset.
+/// Makes a later close of the connection send a reset.
 fn reset_on_close(stream: &TcpStream) {
-    // Fails only on a connection that has ended.
+    // Fails only if the connection is already closed.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Forwards one direction until its end.
-async fn pump(
+/// Forwards the bytes of one direction until the sender closes it or a read or write fails.
+async fn forward_bytes(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     state: watch::Receiver<LinkState>,
@@ -124,15 +124,15 @@
     loop {
         let Ok(count @ 1..) = from.read(&mut buffer).await else { return };
         let link = *state.borrow();
-        if direction == Direction::ToClient && !link.answer_delay.is_zero() {
-            sleep(link.answer_delay).await;
+        if direction == Direction::ToClient && !link.response_delay.is_zero() {
+            sleep(link.response_delay).await;
         }
         // The link may have been cut during the delay.
         if state.borrow().is_cut {
             continue;
         }
-        let piece = if link.in_pieces { PIECE_BYTES } else { BUFFER_BYTES };
-        for bytes in buffer[..count].chunks(piece) {
+        let fragment_bytes = if link.is_fragmented { FRAGMENT_BYTES } else { BUFFER_BYTES };
+        for bytes in buffer[..count].chunks(fragment_bytes) {
             if to.write_all(bytes).await.is_err() {
                 return;
             }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Returns once the link resets its connections; never returns if its state cannot change any more.
+/// Waits until the link resets its connections. Never returns if the sender of the link's state was dropped.
 async fn wait_for_reset(mut state: watch::Receiver<LinkState>) {
     let before = state.borrow().resets;
     if state.wait_for(|link| link.resets != before).await.is_err() {
--- a/crates/testbed/src/scripted/admin.rs
+++ b/crates/testbed/src/scripted/admin.rs
@@ -1,4 +1,4 @@
-//! Admin commands: one line each, on a connection of its own.
+//! Admin commands: each is one line on its own connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,35 +11,37 @@
 use super::flaw::Flaw;
 use super::node::ScriptedNode;
 
-/// Delay of an answer, where that is the flaw.
-const LATE_ANSWER_DELAY: Duration = Duration::from_millis(1400);
+/// Delay of each response of a node with the flaw [`Flaw::AnswersCommandsLate`].
+const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(1400);
 
 impl ScriptedNode {
-    /// Serves admin commands.
+    /// Accepts connections and executes their admin commands.
     pub(super) async fn serve_admin(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            tokio::spawn(self.clone().answer_command(stream));
+            tokio::spawn(self.clone().handle_command(stream));
         }
     }
 
-    async fn answer_command(self: Arc<Self>, stream: TcpStream) {
+    /// Reads one command, executes it and sends the response.
+    async fn handle_command(self: Arc<Self>, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
         if stream.read_line(&mut line).await.is_err() {
             return;
         }
-        let answer = match self.execute(&line) {
+        let response = match self.execute(&line) {
             Ok(()) => "+OK\n".to_owned(),
             Err(reason) => format!("-ERR {reason}\n"),
         };
         if self.flaw == Flaw::AnswersCommandsLate {
-            sleep(LATE_ANSWER_DELAY).await;
+            sleep(LATE_RESPONSE_DELAY).await;
         }
         // Fails if the operator has closed the connection.
-        let _ = stream.write_all(answer.as_bytes()).await;
+        let _ = stream.write_all(response.as_bytes()).await;
     }
 
+    /// Executes a command.
     fn execute(&self, line: &str) -> Result<(), CommandError> {
         let mut words = line.split_whitespace();
         match (words.next(), words.next()) {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Whether commands may name a worker.
+    /// Returns whether commands may name a worker.
     fn accepts_worker(&self, worker: &str) -> bool {
         self.flaw == Flaw::AcceptsUnknownWorkers || self.workers.was_listed(worker)
     }
--- a/crates/testbed/src/scripted/connection.rs
+++ b/crates/testbed/src/scripted/connection.rs
@@ -1,5 +1,5 @@
-//! Connections of clients and of workers' callbacks. While the node is drained or shutting down, responses ask clients to
-//! close their connections, and idle connections are closed.
+//! Connections of clients and of workers' callbacks. While the node is drained or shutting down, responses
+//! have the header `connection: close`, and idle connections are closed.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,12 +19,12 @@
 use super::flaw::Flaw;
 use super::node::ScriptedNode;
 
-/// Interval at which the shared folder is read.
+/// Interval of polls: of the shared folder, and at the start of the endpoint list.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ScriptedNode {
-    /// Closes clients' connections while the node is drained.
-    pub(super) async fn follow_drain(self: Arc<Self>) {
+    /// Polls whether the node is drained, and closes clients' connections while it is.
+    pub(super) async fn close_connections_while_drained(self: Arc<Self>) {
         let mut was_drained = false;
         loop {
             let is_drained = self.shared.is_drained();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Serves callbacks that another process of this node forwards.
+    /// Accepts connections for callbacks that another process of this node forwards.
     pub(super) async fn serve_forwarded_callbacks(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
@@ -44,10 +44,11 @@
         }
     }
 
-    /// Serves one connection until it ends. A connection that has had a request is closed gracefully once the node closes
-    /// connections; the first request of another one may be on its way.
+    /// Serves one connection until it closes. Once the node closes connections, a connection that has had a
+    /// request is shut down gracefully. A connection without a request stays open, because its first request
+    /// may be in transit.
     pub(super) async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
-        // Without the option the connection is only slower.
+        // If the option cannot be set, the connection is only slower.
         let _ = stream.set_nodelay(true);
         let is_used = Arc::new(AtomicBool::new(false));
         let mut closes_connections = self.closes_connections.subscribe();
@@ -58,7 +59,7 @@
                 let closes_connections = node.closes_connections.subscribe();
                 let mut response = node.handle_request(request).await;
                 if *closes_connections.borrow() {
-                    ask_to_close(&mut response);
+                    set_connection_close(&mut response);
                 }
                 used.store(true, Ordering::Relaxed);
                 Ok::<_, Infallible>(response)
@@ -80,6 +81,7 @@
     }
 }
 
-fn ask_to_close(response: &mut Response<Full<Bytes>>) {
+/// Sets the header `connection: close` in a response.
+fn set_connection_close(response: &mut Response<Full<Bytes>>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/testbed/src/scripted/endpoint_watch.rs
+++ b/crates/testbed/src/scripted/endpoint_watch.rs
@@ -11,12 +11,12 @@
 
 use super::node::ScriptedNode;
 
-/// Wait before a watch that has ended is opened again.
+/// Delay before a new watch after the previous one has ended.
 const WATCH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl ScriptedNode {
-    /// Follows discovery's endpoint list.
-    pub(super) async fn follow_endpoints(self: Arc<Self>, discovery: SocketAddr) {
+    /// Keeps a watch of discovery's endpoint list open and applies its messages.
+    pub(super) async fn watch_endpoints(self: Arc<Self>, discovery: SocketAddr) {
         loop {
             let request = Request::get(format!("http://{discovery}/v1/endpoints?follow=1&since=0"))
                 .body(Full::default());
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Applies the messages of one watch until it ends.
+    /// Applies the messages of one watch until the watch ends.
     async fn read_watch(&self, mut body: Incoming) {
         let mut unread = Vec::new();
         while let Some(Ok(frame)) = body.frame().await {
--- a/crates/testbed/src/scripted/error.rs
+++ b/crates/testbed/src/scripted/error.rs
@@ -1,51 +1,49 @@
-//! Why a scripted node does not run, or rejects an admin command.
+//! Errors of a scripted node.
 
 use std::io;
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// Why a scripted node does not run. Each error names the remedy.
+/// Reason for which a scripted node cannot run. Each message names the remedy.
 #[derive(Debug, Error)]
 pub enum ScriptedNodeError {
-    /// The environment does not name a configuration.
-    #[error("RELAY_CONFIG is not set; name the configuration file of a node in it")]
+    /// The environment variable `RELAY_CONFIG` is not set.
+    #[error("RELAY_CONFIG is not set; set it to the path of a node's configuration file")]
     ConfigUnset,
-    /// The configuration cannot be read.
-    #[error("{path}: {problem}; name a file that can be read in RELAY_CONFIG")]
+    /// The configuration file cannot be read.
+    #[error("{path}: {problem}; set RELAY_CONFIG to the path of a readable file")]
     ConfigUnreadable {
-        /// The file.
+        /// Path of the configuration file.
         path: String,
-        /// The system's error.
+        /// Error of the operating system.
         #[source]
         problem: io::Error,
     },
-    /// The configuration is not of the expected form.
-    #[error("{path}: {problem}; write what a node reads: listen, discovery and, if need be, console")]
+    /// The configuration file is malformed.
+    #[error("{path}: {problem}; write a JSON object with listen, discovery and, for admin commands, console")]
     ConfigInvalid {
-        /// The file.
+        /// Path of the configuration file.
         path: String,
-        /// The parser's error.
+        /// Error of the JSON parser.
         #[source]
         problem: serde_json::Error,
     },
-    /// An address of the configuration cannot be bound.
-    #[error("{address}: {problem}; give the node an address that nothing else uses")]
+    /// An address in the configuration cannot be bound.
+    #[error("{address}: {problem}; configure an address that is not in use")]
     Listen {
-        /// The address.
+        /// Address that cannot be bound.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         #[source]
         problem: io::Error,
     },
-    /// The system refused a socket, a signal handler or a file in the node's folder.
-    #[error(
-        "{0}; set TMPDIR to a folder that can be written to, and raise the limit of open files (ulimit -n)"
-    )]
+    /// A socket, a signal handler or a file in the node's temporary folder cannot be opened.
+    #[error("{0}; set TMPDIR to a writable folder, and raise the limit of open files (ulimit -n)")]
     System(#[from] io::Error),
 }
 
-/// Why an admin command is rejected.
+/// Reason for which an admin command is rejected. The texts are sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum CommandError {
     #[error("not yet")]
--- a/crates/testbed/src/scripted/flaw.rs
+++ b/crates/testbed/src/scripted/flaw.rs
@@ -1,8 +1,9 @@
-//! The faults of scripted nodes.
+//! Flaws of scripted nodes.
 
 use std::fmt;
 
-/// What a scripted node does wrong. The comments of the variants are the help text of the command line.
+/// Flaw of a scripted node: the rule that it breaks. The variants' comments are help texts of the command
+/// line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Flaw {
     /// Nothing.
@@ -65,7 +66,7 @@
 }
 
 impl fmt::Display for Flaw {
-    /// The name on the command line.
+    /// Writes the flaw's name on the command line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = clap::ValueEnum::to_possible_value(self);
         f.write_str(value.as_ref().map_or("none", |value| value.get_name()))
--- a/crates/testbed/src/scripted/http_response.rs
+++ b/crates/testbed/src/scripted/http_response.rs
@@ -4,8 +4,8 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 
-/// A response with a complete body.
-pub(super) fn respond(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+/// Builds a response whose body is `text`.
+pub(super) fn build_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -1,19 +1,20 @@
-//! A node of the testbed's own that keeps all rules in the simplest way, or breaks one of them on purpose. It shows that
-//! the rule checker finds each fault, and what the testbed itself can bear.
+//! Scripted node: a minimal node, built into the testbed, that keeps all rules or breaks one of them on
+//! purpose. It shows that the rule checker detects each flaw, and which load the testbed itself sustains.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `server` | the process from its start to its exit |
+//! | `server` | start, connections and graceful shutdown of the process |
 //! | `node` | state of the process |
 //! | `request_handler` | readiness checks, callbacks and jobs |
 //! | `job`, `pending_attempts` | attempts of a client's job |
 //! | `callback_receiver` | callbacks of workers |
-//! | `connection` | clients' connections, and their close in a drain |
-//! | `endpoint_watch`, `worker_list` | the endpoint list and the choice of a worker |
+//! | `connection` | clients' connections, and their close during a drain |
+//! | `endpoint_watch`, `worker_list` | endpoint list, and selection of a worker |
 //! | `admin` | admin commands |
 //! | `shared_folder` | state that two processes of a node share |
 //!
-//! The node stays simple: workers in turn, and a retry only of what never ran.
+//! The node is deliberately simple: it selects workers by round-robin, and retries a job only if no attempt
+//! of it has run.
 
 mod admin;
 mod callback_receiver;
--- a/crates/testbed/src/scripted/pending_attempts.rs
+++ b/crates/testbed/src/scripted/pending_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts whose end is awaited, and the callbacks that report it.
+//! Attempts whose outcome is awaited, and the callbacks that report the outcomes.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use tokio::sync::oneshot;
 
-/// A worker's report on an attempt.
+/// Report of a worker on an attempt.
 #[derive(Deserialize)]
 pub(super) struct Callback {
     id: String,
@@ -16,41 +16,45 @@
     result: String,
 }
 
-/// How an attempt ended.
-pub(super) enum AttemptEnd {
-    Done { result: String },
+/// Outcome of an attempt.
+pub(super) enum AttemptOutcome {
+    /// The worker completed the job.
+    Completed { result: String },
+    /// The attempt never ran, so that a retry is safe.
     NeverRan,
+    /// The attempt may have run, and has no result.
     MayHaveRun,
 }
 
-/// The attempts whose end is awaited, by request id and worker.
+/// Attempts whose outcome is awaited, by request id and worker.
 #[derive(Default)]
-pub(super) struct PendingAttempts(Mutex<HashMap<(String, String), oneshot::Sender<AttemptEnd>>>);
+pub(super) struct PendingAttempts(Mutex<HashMap<(String, String), oneshot::Sender<AttemptOutcome>>>);
 
 impl PendingAttempts {
-    /// Registers an attempt before it is sent.
-    pub(super) fn register(&self, request_id: String, worker: String) -> oneshot::Receiver<AttemptEnd> {
-        let (ended, end) = oneshot::channel();
-        self.0.lock().insert((request_id, worker), ended);
-        end
+    /// Registers an attempt before it is sent. Returns the receiver of its outcome.
+    pub(super) fn register(&self, request_id: String, worker: String) -> oneshot::Receiver<AttemptOutcome> {
+        let (outcome_sender, outcome) = oneshot::channel();
+        self.0.lock().insert((request_id, worker), outcome_sender);
+        outcome
     }
 
-    /// Ends the attempt that a callback is on, if it reports an end. False if no such attempt is pending.
-    pub(super) fn handle(&self, callback: Callback) -> bool {
+    /// Ends the attempt of a callback, unless the callback reports progress only. Returns `false` if the
+    /// attempt is not pending.
+    pub(super) fn handle_callback(&self, callback: Callback) -> bool {
         let mut pending = self.0.lock();
         let key = (callback.id, callback.from);
         if !pending.contains_key(&key) {
             return false;
         }
-        let end = match callback.state.as_str() {
+        let outcome = match callback.state.as_str() {
             "started" | "running" => return true,
-            "done" => AttemptEnd::Done { result: callback.result },
-            "returned" => AttemptEnd::NeverRan,
-            _ => AttemptEnd::MayHaveRun,
+            "done" => AttemptOutcome::Completed { result: callback.result },
+            "returned" => AttemptOutcome::NeverRan,
+            _ => AttemptOutcome::MayHaveRun,
         };
-        if let Some(ended) = pending.remove(&key) {
+        if let Some(outcome_sender) = pending.remove(&key) {
             // Fails if the job has ended at its deadline.
-            let _ = ended.send(end);
+            let _ = outcome_sender.send(outcome);
         }
         true
     }
--- a/crates/testbed/src/scripted/server.rs
+++ b/crates/testbed/src/scripted/server.rs
@@ -1,4 +1,4 @@
-//! The process of a scripted node from its start to its exit.
+//! Process of a scripted node: start, accepted connections and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,38 +16,40 @@
 use super::node::ScriptedNode;
 
 const LISTEN_BACKLOG: u32 = 1024;
-/// Connections gather in an accept queue that is to be reset for this long.
+/// Time for which connections collect in the accept queue before a node with the flaw
+/// [`Flaw::ResetsAcceptQueue`] resets them.
 const ACCEPT_QUEUE_FILL_TIME: Duration = Duration::from_millis(1500);
-/// The process exits this long after SIGTERM, whatever connections are open.
+/// Maximum time for which the process waits for its connections to close before it exits.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 
-/// Runs a scripted node until it is killed or terminated.
+/// Runs a scripted node until SIGTERM, and then shuts it down.
 ///
 /// # Errors
 ///
-/// Fails if the configuration cannot be used, or an address of it cannot be bound.
+/// Fails if the configuration is invalid, or one of its addresses cannot be bound.
 pub async fn serve(flaw: Flaw) -> Result<(), ScriptedNodeError> {
     let config = Config::read()?;
     let node = Arc::new(ScriptedNode::new(flaw));
-    let mut terminations = signal(SignalKind::terminate())?;
-    tokio::spawn(node.clone().follow_endpoints(config.discovery));
-    // A process without an endpoint list must not accept clients of one that has it.
+    let mut sigterms = signal(SignalKind::terminate())?;
+    tokio::spawn(node.clone().watch_endpoints(config.discovery));
+    // A successor without an endpoint list must not accept connections instead of a predecessor that has a
+    // list.
     while node.workers.is_empty() {
         sleep(POLL_INTERVAL).await;
     }
     let listener = listen(config.listen)
         .map_err(|problem| ScriptedNodeError::Listen { address: config.listen, problem })?;
-    start_services(&node, config.admin_address).await?;
+    start_background_tasks(&node, config.admin_address).await?;
     eprintln!("scripted node ({flaw}): serves on {}", listener.local_addr()?);
     let mut connections = JoinSet::new();
-    accept_until_terminated(&node, &listener, &mut terminations, &mut connections).await;
+    accept_until_terminated(&node, &listener, &mut sigterms, &mut connections).await;
     if flaw != Flaw::DropsJobsOnSigterm {
-        shut_down(&node, listener, connections).await;
+        drain_connections(&node, listener, connections).await;
     }
     Ok(())
 }
 
-/// Listens at an address beside another process that listens there.
+/// Listens on an address on which another process may listen at the same time.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -55,15 +57,15 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Starts what a node needs beside its clients' connections.
-async fn start_services(
+/// Starts the tasks that serve forwarded callbacks, the drain and admin commands.
+async fn start_background_tasks(
     node: &Arc<ScriptedNode>,
     admin_address: Option<SocketAddr>,
 ) -> Result<(), ScriptedNodeError> {
     let callbacks = TcpListener::bind("127.0.0.1:0").await?;
     node.shared.publish_callback_address(callbacks.local_addr()?)?;
     tokio::spawn(node.clone().serve_forwarded_callbacks(callbacks));
-    tokio::spawn(node.clone().follow_drain());
+    tokio::spawn(node.clone().close_connections_while_drained());
     if let Some(address) = admin_address {
         let listener = TcpListener::bind(address)
             .await
@@ -77,12 +79,12 @@
 async fn accept_until_terminated(
     node: &Arc<ScriptedNode>,
     listener: &TcpListener,
-    terminations: &mut Signal,
+    sigterms: &mut Signal,
     connections: &mut JoinSet<()>,
 ) {
     loop {
         tokio::select! {
-            _ = terminations.recv() => match node.flaw {
+            _ = sigterms.recv() => match node.flaw {
                 Flaw::IgnoresSigterm => continue,
                 _ => return,
             },
@@ -95,14 +97,15 @@
     }
 }
 
-/// Lets the open connections end, within a limit.
-async fn shut_down(node: &Arc<ScriptedNode>, listener: TcpListener, mut connections: JoinSet<()>) {
+/// Closes the listener and the connections, and waits until the connections are closed or time out.
+async fn drain_connections(node: &Arc<ScriptedNode>, listener: TcpListener, mut connections: JoinSet<()>) {
     if node.flaw == Flaw::ResetsAcceptQueue {
         sleep(ACCEPT_QUEUE_FILL_TIME).await;
-        // The listener stays open to the end, so that connections in its queue are reset late.
+        // The listener stays open until the process exits, so that connections in its accept queue are reset
+        // late.
         return close_connections(node, &mut connections).await;
     }
-    // The accept queue belongs to this process.
+    // No other process can accept the connections in the accept queue of this one.
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
         connections.spawn(node.clone().serve_connection(stream));
     }
@@ -110,6 +113,7 @@
     close_connections(node, &mut connections).await;
 }
 
+/// Requests the close of all connections, and waits until they are closed or the timeout is reached.
 async fn close_connections(node: &ScriptedNode, connections: &mut JoinSet<()>) {
     node.closes_connections.send_replace(true);
     let all_closed = async { while connections.join_next().await.is_some() {} };
--- a/crates/testbed/src/scripted/shared_folder.rs
+++ b/crates/testbed/src/scripted/shared_folder.rs
@@ -1,10 +1,11 @@
-//! The state that the two processes of a scripted node share in an upgrade, as files in the node's temporary folder.
+//! State that the two processes of a scripted node share during an upgrade, as files in the node's temporary
+//! folder.
 //!
 //! | file | meaning |
 //! | --- | --- |
-//! | `drained` | the node is drained |
-//! | `out-NAME` | the worker is disabled |
-//! | `calls-PID` | the address at which that process receives callbacks that arrived at the other one |
+//! | `drained` | exists while the node is drained |
+//! | `out-NAME` | exists while the worker of that name is disabled |
+//! | `calls-PID` | address at which the process with that id receives callbacks that its peer forwards |
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,31 +16,31 @@
 const DRAINED_FILE: &str = "drained";
 const CALLBACK_FILE_PREFIX: &str = "calls-";
 
-/// The folder that the processes of a node share.
+/// Folder that the processes of a node share.
 pub(super) struct SharedFolder(PathBuf);
 
 impl SharedFolder {
-    /// The temporary folder of this process, which the testbed gives to each node.
-    pub(super) fn of_process() -> Self {
+    /// Returns the temporary folder of this process. The testbed sets one for each node.
+    pub(super) fn of_current_process() -> Self {
         SharedFolder(std::env::temp_dir())
     }
 
-    /// Whether the node is drained.
+    /// Returns whether the node is drained.
     pub(super) fn is_drained(&self) -> bool {
         self.0.join(DRAINED_FILE).exists()
     }
 
-    /// Drains the node, or ends its drain.
+    /// Starts or ends the drain of the node.
     pub(super) fn set_drained(&self, is_drained: bool) -> Result<(), CommandError> {
         set_marker(self.0.join(DRAINED_FILE), is_drained)
     }
 
-    /// Whether an operator has disabled a worker.
+    /// Returns whether an operator has disabled a worker.
     pub(super) fn is_disabled(&self, worker: &str) -> bool {
         self.disabled_file(worker).exists()
     }
 
-    /// Disables a worker, or enables it again.
+    /// Disables or enables a worker.
     pub(super) fn set_disabled(&self, worker: &str, is_disabled: bool) -> Result<(), CommandError> {
         set_marker(self.disabled_file(worker), is_disabled)
     }
@@ -48,13 +49,13 @@
         self.0.join(format!("out-{worker}"))
     }
 
-    /// Publishes the address at which this process receives callbacks from the other one.
+    /// Publishes the address at which this process receives callbacks that its peer forwards.
     pub(super) fn publish_callback_address(&self, address: SocketAddr) -> io::Result<()> {
         std::fs::write(self.0.join(own_callback_file()), address.to_string())
     }
 
-    /// The addresses that other processes have published.
-    pub(super) fn callback_addresses_of_others(&self) -> impl Iterator<Item = String> {
+    /// Returns the addresses that other processes of the node have published.
+    pub(super) fn peer_callback_addresses(&self) -> impl Iterator<Item = String> {
         let own = own_callback_file();
         let files = std::fs::read_dir(&self.0).into_iter().flatten().flatten();
         files.filter_map(move |file| {
@@ -71,12 +72,12 @@
     format!("{CALLBACK_FILE_PREFIX}{}", std::process::id())
 }
 
-/// Creates or removes a file whose existence is its meaning.
+/// Creates or removes a marker file.
 fn set_marker(file: PathBuf, exists: bool) -> Result<(), CommandError> {
     if exists {
         std::fs::write(file, "").map_err(|_| CommandError::FolderNotWritable)
     } else {
-        // The file need not exist: commands may be repeated.
+        // Fails if the file does not exist, since operators may repeat a command.
         let _ = std::fs::remove_file(file);
         Ok(())
     }
--- a/crates/testbed/src/scripted/worker_list.rs
+++ b/crates/testbed/src/scripted/worker_list.rs
@@ -1,4 +1,4 @@
-//! The workers that discovery has listed, and the choice among them.
+//! Workers that discovery has listed, and the selection of one for an attempt.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -9,46 +9,51 @@
 use super::flaw::Flaw;
 use super::shared_folder::SharedFolder;
 
-/// An entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Deserialize)]
 pub(super) struct Endpoint {
     pub(super) name: String,
     pub(super) address: SocketAddr,
     status: String,
-    /// When it started, in milliseconds of Unix time.
+    /// Start time of the worker, in milliseconds of Unix time.
     since_ms: u64,
 }
 
-/// A message of an endpoint watch.
+/// Message of an endpoint watch.
 #[derive(Deserialize)]
 pub(super) struct WatchMessage {
-    /// Whether the message replaces the list.
+    /// Whether the message replaces the whole list.
     snapshot: bool,
     endpoints: Vec<Endpoint>,
 }
 
-/// The workers in service.
+/// Workers in service.
 pub(super) struct WorkerList {
     flaw: Flaw,
     workers: Mutex<Vec<Endpoint>>,
-    /// Names of all workers that were ever listed.
+    /// Names of all workers that have ever been listed.
     ever_listed: Mutex<HashSet<String>>,
-    /// Counts the choices: workers are used in turn.
-    turn: Mutex<usize>,
+    /// Number of selections so far.
+    round_robin_counter: Mutex<usize>,
 }
 
 impl WorkerList {
-    /// A list before the first message of discovery.
+    /// Creates an empty list.
     pub(super) fn new(flaw: Flaw) -> Self {
-        WorkerList { flaw, workers: Mutex::default(), ever_listed: Mutex::default(), turn: Mutex::default() }
+        WorkerList {
+            flaw,
+            workers: Mutex::default(),
+            ever_listed: Mutex::default(),
+            round_robin_counter: Mutex::default(),
+        }
     }
 
-    /// Whether no worker is in service.
+    /// Returns whether no worker is in service.
     pub(super) fn is_empty(&self) -> bool {
         self.workers.lock().is_empty()
     }
 
-    /// Whether a worker has ever been listed.
+    /// Returns whether a worker has ever been listed.
     pub(super) fn was_listed(&self, worker: &str) -> bool {
         self.ever_listed.lock().contains(worker)
     }
@@ -72,17 +77,18 @@
         }
     }
 
-    /// The next worker in turn that is neither excluded nor disabled.
-    pub(super) fn next(&self, excluded: &[String], shared: &SharedFolder) -> Option<Endpoint> {
+    /// Selects the next worker by round-robin that is neither excluded nor disabled. With the flaw
+    /// [`Flaw::OverloadsNewWorkers`], selects the worker that started last.
+    pub(super) fn select_next(&self, excluded: &[String], shared: &SharedFolder) -> Option<Endpoint> {
         let workers = self.workers.lock();
         if self.flaw == Flaw::OverloadsNewWorkers {
             return workers.iter().max_by_key(|worker| worker.since_ms).cloned();
         }
-        let mut turn = self.turn.lock();
-        *turn += 1;
+        let mut round_robin_counter = self.round_robin_counter.lock();
+        *round_robin_counter += 1;
         let count = workers.len();
         (0..count)
-            .map(|offset| &workers[(*turn + offset) % count])
+            .map(|offset| &workers[(*round_robin_counter + offset) % count])
             .find(|worker| !excluded.contains(&worker.name) && !shared.is_disabled(&worker.name))
             .cloned()
     }
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -116,7 +116,7 @@
 
     async fn upgrade(self, environment: &Environment, kind: FaultKind, round: usize) {
         let fault = Fault { delay_s: Some(self.max_delay_s), ..Fault::of_kind(kind) };
-        let plan = UpgradePlan::draw(&environment.scenario, &fault, &concern_of(round));
+        let plan = UpgradePlan::sample(&environment.scenario, &fault, &concern_of(round));
         upgrade_node(environment, 0, plan).await;
     }
 }
--- a/crates/testbed/src/upgrade/mod.rs
+++ b/crates/testbed/src/upgrade/mod.rs
@@ -1,15 +1,15 @@
-//! Upgrades of a node: a successor is started beside its process and takes over.
+//! Upgrades of a node: a successor is started beside the node's process and takes over.
 //!
-//! | event | what follows |
+//! | event | action |
 //! | --- | --- |
-//! | the successor answers READY by yes | SIGTERM for the predecessor after the drawn delay |
-//! | the successor is not ready in time | it is killed, a crash |
-//! | the predecessor does not exit in time after SIGTERM | it is killed, a crash |
-//! | the planned kill is due | its victim gets SIGKILL |
-//! | the successor exits | the predecessor stays in service; a crash unless it was killed as planned |
-//! | the predecessor exits | the successor stays in service; a crash unless it was to exit |
+//! | the successor confirms READY | the predecessor gets SIGTERM after the delay of the plan |
+//! | the successor is not ready in time | the successor is killed; a crash |
+//! | the predecessor does not exit in time after SIGTERM | the predecessor is killed; a crash |
+//! | the time of the planned kill is reached | the victim gets SIGKILL |
+//! | the successor exits | the predecessor stays in service; a crash unless the kill was planned |
+//! | the predecessor exits | the successor stays in service; a crash unless the exit was expected |
 //!
-//! If both have exited, the node is started anew.
+//! If both processes have exited, the node is started again. Crashes are recorded as [`NodeCrash`].
 
 mod plan;
 mod state;
@@ -27,24 +27,24 @@
 use crate::environment::{Environment, NodeCrash};
 use crate::event_log::{Event, ExpectedAnswer};
 use crate::nodes::{Node, NodeFailure, ProcessSpec};
-use crate::operator_actions::send_command_to;
+use crate::operator_actions::send_command_to_address;
 use crate::scenario::UpgradeProcess;
 use crate::waiting::wait_until;
 
-/// Interval of READY commands until the successor is ready.
+/// Interval between READY commands to the successor until it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The exit of one of the two processes.
+/// Exit of one of the two processes of an upgrade.
 struct ProcessExit {
     process: Option<Node>,
     role: UpgradeProcess,
-    /// Whether the testbed killed it as planned.
+    /// Whether the testbed killed the process as planned.
     killed: bool,
-    /// Whether it was to exit.
+    /// Whether the exit was planned, or follows a completed takeover. Any other exit is a crash.
     is_expected: bool,
 }
 
-/// What happens next in an upgrade.
+/// Event in the course of an upgrade.
 enum UpgradeEvent {
     PredecessorExited(Option<ExitStatus>),
     SuccessorExited,
@@ -55,12 +55,12 @@
     ReadyDeadlineExpired,
 }
 
-/// Upgrades a node and returns when it has a single process again.
+/// Upgrades a node, and returns once the node has a single process again.
 pub async fn upgrade_node(environment: &Environment, node: usize, plan: UpgradePlan) {
-    NodeUpgrade { environment, node, plan }.carry_out().await;
+    NodeUpgrade { environment, node, plan }.run().await;
 }
 
-/// The upgrade of one node.
+/// Upgrade of one node.
 struct NodeUpgrade<'run> {
     environment: &'run Environment,
     node: usize,
@@ -68,18 +68,18 @@
 }
 
 impl NodeUpgrade<'_> {
-    async fn carry_out(&self) {
-        let begin = Instant::now();
+    async fn run(&self) {
+        let started_at = Instant::now();
         let Some(predecessor) = self.take_predecessor().await else {
-            return self.environment.report_crash(NodeCrash::AbsentForUpgrade { node: self.node });
+            return self.environment.report_crash(NodeCrash::NoProcessToUpgrade { node: self.node });
         };
         self.record(Event::UpgradeBegan { node: self.node });
         let address = predecessor.address;
         let successor = self.start_successor(&predecessor).await;
-        let mut state = UpgradeState::new(predecessor, successor, self.plan, begin);
+        let mut state = UpgradeState::new(predecessor, successor, self.plan, started_at);
         while state.is_in_progress() {
             let event = self.next_event(&mut state).await;
-            self.handle(event, &mut state).await;
+            self.handle_event(event, &mut state).await;
         }
         self.finish(state, address).await;
     }
@@ -88,7 +88,7 @@
         self.environment.log.record(event);
     }
 
-    /// Takes the node's process out of its slot; its cost is sampled all the same.
+    /// Takes the node's process out of its slot. The cost of the process is still sampled.
     async fn take_predecessor(&self) -> Option<Node> {
         let mut slot = self.environment.slot(self.node).await;
         let process = slot.node.take()?;
@@ -96,7 +96,7 @@
         Some(process)
     }
 
-    /// Starts the successor on the predecessor's address; none if it does not start, a crash.
+    /// Starts the successor on the predecessor's address. If that fails, reports a crash and returns `None`.
     async fn start_successor(&self, predecessor: &Node) -> Option<Node> {
         let spec = ProcessSpec {
             saved_list: None,
@@ -112,9 +112,9 @@
         successor
     }
 
-    /// Puts the remaining process in the node's slot, or starts the node anew if there is none.
+    /// Puts the remaining process into the node's slot, or starts the node again if no process remains.
     async fn finish(&self, state: UpgradeState, address: SocketAddr) {
-        let UpgradeState { predecessor, successor, killed, .. } = state;
+        let UpgradeState { predecessor, successor, killed_process, .. } = state;
         let remaining = successor.or(predecessor);
         let has_process = remaining.is_some();
         let mut slot = self.environment.slot(self.node).await;
@@ -123,7 +123,7 @@
         slot.node = remaining;
         drop(slot);
         if !has_process {
-            self.record(Event::NodeExited { node: self.node, killed: killed.is_some() });
+            self.record(Event::NodeExited { node: self.node, killed: killed_process.is_some() });
             if let Err(error) = self.environment.start_node(self.node, address).await {
                 self.environment.report_crash(error);
             }
@@ -152,37 +152,40 @@
         }
     }
 
-    /// Sends READY to the successor after the interval; true if it answers by yes.
+    /// Sends READY to the successor after the poll interval. Returns whether the successor confirms the
+    /// command.
     async fn poll_readiness(&self, successor: SocketAddr) -> bool {
         sleep(READY_POLL_INTERVAL).await;
         let expected = ExpectedAnswer::Either;
-        send_command_to(self.environment, successor, self.node, "READY", expected).await.is_confirmation()
+        send_command_to_address(self.environment, successor, self.node, "READY", expected)
+            .await
+            .is_confirmed()
     }
 
-    async fn handle(&self, event: UpgradeEvent, state: &mut UpgradeState) {
+    async fn handle_event(&self, event: UpgradeEvent, state: &mut UpgradeState) {
         match event {
             UpgradeEvent::PredecessorExited(status) => self.handle_predecessor_exit(status, state),
             UpgradeEvent::SuccessorExited => self.handle_successor_exit(state).await,
             UpgradeEvent::SuccessorAnswered { is_ready: false } => {}
             UpgradeEvent::SuccessorAnswered { is_ready: true } => self.handle_readiness(state).await,
-            UpgradeEvent::KillDue => state.carry_out_kill(),
+            UpgradeEvent::KillDue => state.kill_victim(),
             UpgradeEvent::SigtermDue => state.terminate_predecessor(),
             UpgradeEvent::SigkillDue => {
                 state.sigkill_at = None;
-                if self.kill_failed(state.predecessor.take(), NodeFailure::IgnoredSigterm).await {
+                if self.kill_failed_process(state.predecessor.take(), NodeFailure::IgnoredSigterm).await {
                     self.record(Event::ProcessExited { node: self.node, is_successor: false, killed: false });
                 }
             }
             UpgradeEvent::ReadyDeadlineExpired => {
                 state.ready_deadline = None;
-                if self.kill_failed(state.successor.take(), NodeFailure::SuccessorNotReady).await {
+                if self.kill_failed_process(state.successor.take(), NodeFailure::SuccessorNotReady).await {
                     self.record(Event::ProcessExited { node: self.node, is_successor: true, killed: true });
                 }
             }
         }
     }
 
-    /// The successor takes admin commands from now on, and SIGTERM for the predecessor is scheduled.
+    /// Directs admin commands to the successor from now on, and schedules SIGTERM for the predecessor.
     async fn handle_readiness(&self, state: &mut UpgradeState) {
         self.record(Event::SuccessorReady { node: self.node });
         state.is_ready = true;
@@ -193,19 +196,20 @@
 
     fn handle_predecessor_exit(&self, status: Option<ExitStatus>, state: &mut UpgradeState) {
         let role = UpgradeProcess::Predecessor;
-        let killed = state.killed == Some(role);
-        let has_handed_over = state.is_ready && status.is_some_and(|status| status.success());
+        let killed = state.killed_process == Some(role);
+        let is_normal_exit = state.is_ready && status.is_some_and(|status| status.success());
         let process = state.predecessor.take();
-        self.record_exit(ProcessExit { process, role, killed, is_expected: killed || has_handed_over });
+        self.record_exit(ProcessExit { process, role, killed, is_expected: killed || is_normal_exit });
         state.sigterm_at = None;
         state.sigkill_at = None;
     }
 
-    /// A successor that exits has crashed, whatever its status. The predecessor is not terminated then; if it already
-    /// was, the upgrade waits for its exit.
+    /// Handles an exit of the successor, which is a crash with any exit status unless the testbed killed it
+    /// as planned. The predecessor then gets no SIGTERM. If it already got one, the upgrade waits for its
+    /// exit.
     async fn handle_successor_exit(&self, state: &mut UpgradeState) {
         let role = UpgradeProcess::Successor;
-        let killed = state.killed == Some(role);
+        let killed = state.killed_process == Some(role);
         let process = state.successor.take();
         self.record_exit(ProcessExit { process, role, killed, is_expected: killed });
         state.ready_deadline = None;
@@ -213,12 +217,12 @@
         self.environment.slot(self.node).await.admin_address = admin_address_of(state.predecessor.as_ref());
     }
 
-    /// Kills a process that failed; false if there is none.
-    async fn kill_failed(&self, process: Option<Node>, failure: NodeFailure) -> bool {
+    /// Kills a process and reports its failure as a crash. Returns `false` if there is no process.
+    async fn kill_failed_process(&self, process: Option<Node>, failure: NodeFailure) -> bool {
         let Some(mut process) = process else { return false };
-        // It has exited by itself if it cannot be killed.
+        // Fails only if the process has already exited.
         let _ = process.child.kill().await;
-        self.environment.report_crash(process.failed(failure));
+        self.environment.report_crash(process.failure_error(failure));
         true
     }
 
@@ -231,7 +235,7 @@
                 UpgradeProcess::Predecessor => NodeFailure::PredecessorExited,
                 UpgradeProcess::Successor => NodeFailure::SuccessorExited,
             };
-            self.environment.report_crash(process.failed(failure));
+            self.environment.report_crash(process.failure_error(failure));
         }
     }
 }
--- a/crates/testbed/src/upgrade/plan.rs
+++ b/crates/testbed/src/upgrade/plan.rs
@@ -1,4 +1,4 @@
-//! What is drawn for an upgrade: its delay, and the kill of one of the two processes.
+//! Random plan of an upgrade: the delay of SIGTERM, and the kill of one of the two processes.
 
 use std::time::Duration;
 
@@ -7,37 +7,37 @@
 
 use crate::scenario::{Fault, FaultKind, MAX_DELAY_S, Scenario, UpgradeProcess};
 
-/// A kill in an upgrade comes at most this long after the wait for SIGTERM, in seconds.
-const KILL_AFTER_DELAY_S: f64 = 1.0;
+/// Time by which the delay of a planned kill may exceed the delay of SIGTERM, in seconds.
+const KILL_DELAY_MARGIN_S: f64 = 1.0;
 
-/// A kill of one of the two processes.
+/// Planned kill of one of the two processes of an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedKill {
-    /// The process that is killed.
+    /// Process that is killed.
     pub victim: UpgradeProcess,
-    /// Time from the start of the successor.
+    /// Delay of the kill after the start of the upgrade.
     pub after: Duration,
 }
 
-/// What is drawn for an upgrade.
+/// Sampled parameters of an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpgradePlan {
-    /// Wait between the successor's first yes and SIGTERM for the predecessor.
+    /// Time from the successor's first confirmation of READY to SIGTERM for the predecessor.
     pub delay: Duration,
-    /// The process that is to be killed, if any.
+    /// Planned kill, if any.
     pub kill: Option<PlannedKill>,
 }
 
 impl UpgradePlan {
-    /// Draws a plan from the scenario's seed; each concern has a random stream of its own.
-    pub fn draw(scenario: &Scenario, fault: &Fault, concern: &str) -> UpgradePlan {
-        let mut random = random_stream(scenario.seed, concern);
+    /// Samples a plan from the random stream of that name, which is derived from the scenario's seed.
+    pub fn sample(scenario: &Scenario, fault: &Fault, stream_name: &str) -> UpgradePlan {
+        let mut random = random_stream(scenario.seed, stream_name);
         let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(MAX_DELAY_S);
-        let kill_s = random.random::<f64>() * (delay_s + KILL_AFTER_DELAY_S);
-        let drawn_victim =
+        let kill_s = random.random::<f64>() * (delay_s + KILL_DELAY_MARGIN_S);
+        let random_victim =
             if random.random() { UpgradeProcess::Predecessor } else { UpgradeProcess::Successor };
         let kill = (fault.kind == FaultKind::KillInUpgrade).then(|| PlannedKill {
-            victim: fault.victim.unwrap_or(drawn_victim),
+            victim: fault.victim.unwrap_or(random_victim),
             after: Duration::from_secs_f64(kill_s),
         });
         UpgradePlan { delay: Duration::from_secs_f64(delay_s), kill }
--- a/crates/testbed/src/upgrade/state.rs
+++ b/crates/testbed/src/upgrade/state.rs
@@ -1,4 +1,4 @@
-//! The state of an upgrade in progress: its two processes and what is still to happen to them.
+//! State of an upgrade in progress: its two processes and the times of the actions on them.
 
 use std::process::ExitStatus;
 use std::time::Duration;
@@ -7,92 +7,102 @@
 use tokio::time::Instant;
 
 use super::plan::{PlannedKill, UpgradePlan};
-use crate::environment::{MIN_SHUTDOWN_TIME, SHUTDOWN_GRACE};
+use crate::environment::{MIN_SHUTDOWN_TIMEOUT, SHUTDOWN_MARGIN};
 use crate::nodes::Node;
 use crate::scenario::UpgradeProcess;
 
-/// The successor of an upgrade answers READY by yes within this.
-const READY_WITHIN: Duration = Duration::from_secs(6);
+/// Maximum time from the start of an upgrade until the successor confirms READY.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// An upgrade in progress.
+/// State of an upgrade in progress.
 pub(super) struct UpgradeState {
+    /// Process of the predecessor until its exit.
     pub(super) predecessor: Option<Node>,
+    /// Process of the successor until its exit.
     pub(super) successor: Option<Node>,
-    /// Whether the successor has answered READY by yes.
+    /// Whether the successor has confirmed READY.
     pub(super) is_ready: bool,
-    /// When the successor must be ready.
+    /// Time at which the successor is killed unless it is ready.
     pub(super) ready_deadline: Option<Instant>,
-    /// When the predecessor gets SIGTERM.
+    /// Time at which the predecessor gets SIGTERM.
     pub(super) sigterm_at: Option<Instant>,
-    /// When the predecessor gets SIGKILL because it did not end.
+    /// Time at which the predecessor gets SIGKILL unless it has exited after SIGTERM.
     pub(super) sigkill_at: Option<Instant>,
-    /// The kill that the scenario demands, until it is done.
+    /// Kill that the plan demands, until it is executed.
     planned_kill: Option<ScheduledKill>,
-    /// The process that was killed as planned.
-    pub(super) killed: Option<UpgradeProcess>,
+    /// Process that was killed as planned.
+    pub(super) killed_process: Option<UpgradeProcess>,
 }
 
+/// Planned kill with its absolute time.
 struct ScheduledKill {
     victim: UpgradeProcess,
     at: Instant,
 }
 
 impl UpgradeState {
-    /// The state after the start of the successor; `begin` is the moment from which the times of the plan count.
-    pub(super) fn new(predecessor: Node, successor: Option<Node>, plan: UpgradePlan, begin: Instant) -> Self {
-        let schedule = |PlannedKill { victim, after }| ScheduledKill { victim, at: begin + after };
+    /// Creates the state after the start of the successor. The delay of the planned kill counts from
+    /// `started_at`.
+    pub(super) fn new(
+        predecessor: Node,
+        successor: Option<Node>,
+        plan: UpgradePlan,
+        started_at: Instant,
+    ) -> Self {
+        let schedule = |PlannedKill { victim, after }| ScheduledKill { victim, at: started_at + after };
         UpgradeState {
             predecessor: Some(predecessor),
             successor,
             is_ready: false,
-            ready_deadline: Some(begin + READY_WITHIN),
+            ready_deadline: Some(started_at + READY_TIMEOUT),
             sigterm_at: None,
             sigkill_at: None,
             planned_kill: plan.kill.map(schedule),
-            killed: None,
+            killed_process: None,
         }
     }
 
-    /// Whether something is still to happen.
+    /// Returns whether the upgrade waits for an exit or for the successor's readiness.
     pub(super) fn is_in_progress(&self) -> bool {
         let has_predecessor = self.predecessor.is_some();
         let has_successor = self.successor.is_some();
-        // A killed process exits in a moment, and cannot continue the service.
-        let is_successor_pending = !self.is_ready || self.killed == Some(UpgradeProcess::Successor);
+        // A killed process is about to exit, and cannot stay in service.
+        let is_successor_pending = !self.is_ready || self.killed_process == Some(UpgradeProcess::Successor);
         let is_predecessor_pending =
-            self.sigkill_at.is_some() || self.killed == Some(UpgradeProcess::Predecessor);
+            self.sigkill_at.is_some() || self.killed_process == Some(UpgradeProcess::Predecessor);
         has_predecessor && (has_successor || is_predecessor_pending) || has_successor && is_successor_pending
     }
 
-    /// When the planned kill is due, if it is still to come.
+    /// Returns the time of the planned kill, or `None` if it has been executed or none is planned.
     pub(super) fn kill_at(&self) -> Option<Instant> {
         self.planned_kill.as_ref().map(|kill| kill.at)
     }
 
-    /// Kills the victim of the planned kill, if it still runs.
-    pub(super) fn carry_out_kill(&mut self) {
-        let ScheduledKill { victim, .. } = self.planned_kill.take().expect("the kill is due");
+    /// Kills the victim of the planned kill, if it is still running.
+    pub(super) fn kill_victim(&mut self) {
+        let ScheduledKill { victim, .. } =
+            self.planned_kill.take().expect("a kill event requires a planned kill");
         let process = match victim {
             UpgradeProcess::Predecessor => &self.predecessor,
             UpgradeProcess::Successor => &self.successor,
         };
         if let Some(process) = process {
             process.signal(Signal::KILL);
-            self.killed = Some(victim);
+            self.killed_process = Some(victim);
         }
     }
 
-    /// Starts the graceful shutdown of the predecessor.
+    /// Sends SIGTERM to the predecessor and schedules its SIGKILL.
     pub(super) fn terminate_predecessor(&mut self) {
         self.sigterm_at = None;
-        self.sigkill_at = Some(Instant::now() + MIN_SHUTDOWN_TIME + SHUTDOWN_GRACE);
+        self.sigkill_at = Some(Instant::now() + MIN_SHUTDOWN_TIMEOUT + SHUTDOWN_MARGIN);
         if let Some(predecessor) = &self.predecessor {
             predecessor.signal(Signal::TERM);
         }
     }
 }
 
-/// Waits for the exit of a process; never returns if there is none.
+/// Waits for the exit of a process. Never returns if there is no process.
 pub(super) async fn wait_for_exit(node: &mut Option<Node>) -> Option<ExitStatus> {
     match node {
         Some(node) => node.child.wait().await.ok(),
--- a/crates/testbed/tests/unit/job_request.rs
+++ b/crates/testbed/tests/unit/job_request.rs
@@ -1,4 +1,4 @@
-//! The text of a client's request.
+//! Serialization of a client's request.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,9 @@
 
 const SCENARIO: &str = include_str!("../golden/scenario_full.toml");
 
-/// The request for a job of the class with this index.
+/// Renders the request for a job of the class with the given index.
 fn rendered(class: usize, is_retry: bool) -> String {
-    let scenario = Scenario::parse(SCENARIO).expect("a good scenario");
+    let scenario = Scenario::parse(SCENARIO).expect("a valid scenario");
     let planned = PlannedJob {
         data_set: 65,
         hint_seconds: 0.25,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn first_request_of_a_class_without_key_then_its_text_is_as_recorded() {
+fn first_request_of_a_class_without_key_then_its_text_is_as_expected() {
     let expected = "POST /api/set-65 HTTP/1.1\r\nhost: 127.0.0.1:8080\r\nx-request-id: j31-1\r\nx-class: view\r\n\
                     x-deadline: 2.500001\r\nx-cost-hint: 250000\r\nx-extras: slots=2\r\n\
                     content-length: 14\r\n\r\ninterval=40-55";
