--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,8 +1,10 @@
-//! The event log: what the simulated clients, workers and discovery service observed, in the order of observation.
+//! Event log: observations of the simulated clients, workers and discovery service, in order of time.
 //!
-//! It is the only input of the rule checker and of the report. It holds nothing that a node states about itself, except its answers
-//! to readiness checks and admin commands. The JSON form of the events is an interface: `seen.jsonl` of earlier runs
-//! stays readable, so the recorded names stay where a Rust name is another one.
+//! The log is the only source of events for the rule checker and the report. It contains no statement of a
+//! node about itself, except answers to readiness checks and admin commands.
+//!
+//! The JSON form of the events is an interface: the file `seen.jsonl` of an earlier run stays readable. For
+//! this reason some names in the JSON form differ from the Rust names.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,28 +13,29 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Something that was observed.
+/// Observation of a client, of a worker, of discovery or of the testbed itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Event {
-    /// A client was due to send a request at this moment; it was sent `delay` afterwards.
+    /// A client sent a request, `delay` after the scheduled time.
     #[serde(rename = "asked")]
     RequestSent {
         id: String,
         job: usize,
         node: usize,
         class: usize,
+        /// Client's timeout, counted from the first byte of the request.
         #[serde(rename = "give_up_us")]
         timeout: TimeSpan,
         #[serde(rename = "late_us")]
         delay: TimeSpan,
     },
-    /// A complete response arrived.
+    /// A client received a complete response.
     #[serde(rename = "answered")]
     ResponseReceived {
         id: String,
         status: u16,
-        /// Whether it is a 200 with the result that a worker made for this very request.
+        /// Whether the response is a 200 with the result that a worker made for this request.
         #[serde(rename = "good")]
         has_own_result: bool,
     },
@@ -42,11 +45,11 @@
         id: String,
         #[serde(rename = "why")]
         reason: FailureReason,
-        /// Whether its connection was opened for it.
+        /// Whether the connection was opened for this request.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         on_new_connection: bool,
     },
-    /// The last byte of an attempt arrived at a worker; its head had arrived at `head_at`.
+    /// The last byte of an attempt arrived at a worker; the head of the attempt had arrived at `head_at`.
     #[serde(rename = "arrived")]
     AttemptArrived {
         attempt: u64,
@@ -59,36 +62,29 @@
         #[serde(rename = "head_us")]
         head_at: Timestamp,
     },
+    /// The worker accepted an attempt.
     #[serde(rename = "taken_on")]
-    AttemptAccepted {
-        attempt: u64,
-    },
+    AttemptAccepted { attempt: u64 },
+    /// The worker rejected an attempt.
     #[serde(rename = "turned_away")]
-    AttemptRejected {
-        attempt: u64,
-    },
+    AttemptRejected { attempt: u64 },
+    /// The worker started to run an attempt.
     #[serde(rename = "started")]
-    AttemptStarted {
-        attempt: u64,
-    },
+    AttemptStarted { attempt: u64 },
+    /// The worker completed an attempt.
     #[serde(rename = "done")]
-    AttemptCompleted {
-        attempt: u64,
-    },
+    AttemptCompleted { attempt: u64 },
+    /// The worker returned an attempt before it ran.
     #[serde(rename = "returned")]
-    AttemptReturned {
-        attempt: u64,
-    },
+    AttemptReturned { attempt: u64 },
+    /// The worker lost an attempt, which may have run.
     #[serde(rename = "lost")]
-    AttemptLost {
-        attempt: u64,
-    },
-    /// The node cancelled it, by its id or by closing its connection before the 202.
+    AttemptLost { attempt: u64 },
+    /// The node cancelled an attempt, by its id or by closing its connection before the 202.
     #[serde(rename = "withdrawn")]
-    AttemptCancelled {
-        attempt: u64,
-    },
-    /// Discovery sent a node the entry of a worker; `started_at` is the worker's start, zero if it was before the run.
+    AttemptCancelled { attempt: u64 },
+    /// Discovery sent a node the endpoint entry of a worker. `started_at` is the start of the worker, zero if
+    /// the worker started before the run.
     #[serde(rename = "told")]
     EndpointSent {
         node: usize,
@@ -97,45 +93,28 @@
         #[serde(rename = "started_us")]
         started_at: Timestamp,
     },
-    /// Discovery has a change of a worker from now on, whichever nodes receive it.
+    /// Discovery has published a change of a worker, regardless of the nodes that receive it.
     #[serde(rename = "published")]
-    EndpointPublished {
-        worker: usize,
-        in_service: bool,
-    },
-    /// Discovery went down, or is up again.
+    EndpointPublished { worker: usize, in_service: bool },
+    /// An outage of discovery began or ended.
     #[serde(rename = "discovery")]
-    DiscoveryChanged {
-        is_down: bool,
-    },
-    WorkerStarted {
-        worker: usize,
-    },
-    /// A worker that was warming up was sent too much work and crashed.
+    DiscoveryChanged { is_down: bool },
+    /// A worker started.
+    WorkerStarted { worker: usize },
+    /// A worker that was warming up received too much work and crashed.
     #[serde(rename = "fell_over")]
-    WorkerOverloaded {
-        worker: usize,
-    },
-    NodeReady {
-        node: usize,
-    },
+    WorkerOverloaded { worker: usize },
+    /// A node was started and is ready.
+    NodeReady { node: usize },
     /// SIGTERM was sent to a node.
     #[serde(rename = "node_told_to_end")]
-    NodeTerminated {
-        node: usize,
-    },
-    /// A node's process has exited; `killed` if a fault of the scenario killed it.
+    NodeTerminated { node: usize },
+    /// The process of a node exited; `killed` if a fault of the scenario killed it.
     #[serde(rename = "node_gone")]
-    NodeExited {
-        node: usize,
-        killed: bool,
-    },
-    /// Idle clients fill the descriptors of a node from now on, or do so no more.
-    IdleClients {
-        node: usize,
-        present: bool,
-    },
-    /// A readiness check of a node had another result than the one before.
+    NodeExited { node: usize, killed: bool },
+    /// Idle clients began to fill the descriptors of a node (`present`), or disconnected.
+    IdleClients { node: usize, present: bool },
+    /// The result of a node's readiness check changed.
     #[serde(rename = "said")]
     ReadinessChanged {
         node: usize,
@@ -150,30 +129,22 @@
         command: String,
         #[serde(rename = "owed")]
         expected: ExpectedAnswer,
-        /// The answer without its line end.
+        /// Answer of the node without its line end; none if the command failed.
         #[serde(rename = "said")]
         answer: Option<String>,
         #[serde(rename = "took_us")]
         took: TimeSpan,
     },
-    /// Number of connections that clients hold to a node 4 s after the command to drain it: idle ones, and those with a
-    /// job that was sent within the last 2 s.
+    /// Number of connections that clients hold to a node 4 s after the command to drain it: `idle`
+    /// connections, and `fresh` connections with a job that was sent within the last 2 s.
     #[serde(rename = "standing")]
-    ConnectionsCounted {
-        node: usize,
-        idle: usize,
-        fresh: usize,
-    },
-    /// The successor of a node's process was started beside it.
-    UpgradeBegan {
-        node: usize,
-    },
-    /// The successor answered READY with yes for the first time.
+    ConnectionsCounted { node: usize, idle: usize, fresh: usize },
+    /// The successor of a node's process was started beside that process.
+    UpgradeBegan { node: usize },
+    /// The successor confirmed READY for the first time.
     #[serde(rename = "newer_ready")]
-    SuccessorReady {
-        node: usize,
-    },
-    /// One of the two processes of a node has exited; `killed` if the testbed killed it as the scenario demands.
+    SuccessorReady { node: usize },
+    /// One of the two processes of a node exited; `killed` if the testbed killed it as the scenario demands.
     #[serde(rename = "process_gone")]
     ProcessExited {
         node: usize,
@@ -181,10 +152,8 @@
         is_successor: bool,
         killed: bool,
     },
-    /// The node has a single process again.
-    UpgradeEnded {
-        node: usize,
-    },
+    /// An upgrade ended: the node has a single process again.
+    UpgradeEnded { node: usize },
     /// A fault of the scenario began or ended.
     Fault {
         #[serde(rename = "words")]
@@ -192,15 +161,15 @@
     },
 }
 
-/// Why a request ended without a response.
+/// Reason for which a request ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureReason {
-    /// No node was known to accept new connections.
+    /// No node accepted new connections according to the client's router.
     NoNode,
-    /// No connection was established: the node never had the request.
+    /// No connection was established: the node cannot have received the request.
     Unreachable,
-    /// The connection was reset before the first byte of a response: the node need not have read the request.
+    /// The connection was reset before the first byte of a response: the node may not have read the request.
     Reset,
     /// The connection was closed before the response was complete.
     Closed,
@@ -214,23 +183,25 @@
 pub enum Readiness {
     /// The node is ready.
     Yes,
-    /// Any other answer.
+    /// The node gave any other answer.
     No,
-    /// No answer.
+    /// The node did not answer.
     Nothing,
 }
 
-/// The answer that an admin command should get.
+/// Expected answer to an admin command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExpectedAnswer {
+    /// The node must confirm the command.
     Yes,
+    /// The node must reject the command.
     No,
-    /// Both are right, as for READY at a process that has just been started.
+    /// The node may confirm or reject the command, such as READY for a process that has just been started.
     Either,
 }
 
-/// An event and its time.
+/// Event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub at: Timestamp,
@@ -238,7 +209,7 @@
     pub event: Event,
 }
 
-/// The log that everything in the testbed appends to; clones share it.
+/// Log to which all parts of the testbed append; clones share its records.
 #[derive(Clone)]
 pub struct EventLog {
     start: Instant,
@@ -246,17 +217,17 @@
 }
 
 impl EventLog {
-    /// An empty log; the run begins now.
+    /// Creates an empty log whose clock starts at zero now, the beginning of the run.
     pub fn new() -> Self {
         EventLog { start: Instant::now(), records: Arc::default() }
     }
 
-    /// The present moment on the log's clock, which every [`Timestamp`] of a run is read from.
+    /// Returns the current time of the log's clock, from which every [`Timestamp`] of a run is read.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + TimeSpan::from(self.start.elapsed())
     }
 
-    /// Converts a time of the log to the runtime's clock.
+    /// Converts a time of the log's clock to the clock of the runtime.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         (self.start + Duration::from(at - Timestamp::ZERO)).into()
     }
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -1,28 +1,37 @@
-//! Line charts of the report, drawn as inline SVG.
+//! Line charts of the report, rendered as inline SVG.
 
 use maud::{Markup, PreEscaped, html};
 use plotters::prelude::*;
 
 use super::series::{FaultPeriod, Series};
 
-/// Width and height, pixels.
-const SIZE: (u32, u32) = (900, 260);
+/// Width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (900, 260);
+/// Margin around a chart, in pixels.
 const MARGIN: u32 = 8;
+/// Height of the area for the labels of the x axis, in pixels.
 const X_LABEL_AREA: u32 = 34;
+/// Width of the area for the labels of the y axis, in pixels.
 const Y_LABEL_AREA: u32 = 54;
+/// Width of a line, in pixels.
 const LINE_WIDTH: u32 = 2;
-/// Length of the sample line beside a name in the legend, pixels.
-const LEGEND_LINE: i32 = 16;
-/// Charts with more series have no legend: it would cover the lines.
+/// Length of the sample line beside a name in the legend, in pixels.
+const LEGEND_LINE_LENGTH: i32 = 16;
+/// Maximum number of series of a chart with a legend; a longer legend would cover the lines.
 const MAX_LEGEND_ENTRIES: usize = 6;
-/// Space above the highest point, as a factor.
-const HEADROOM: f64 = 1.1;
-/// Narrowest band of a fault, as a part of the x axis: short faults stay visible.
-const MIN_BAND_PART: f64 = 300.0;
+/// Ratio of the default upper end of the y axis to the highest point.
+const HEADROOM_FACTOR: f64 = 1.1;
+/// Ratio of the length of the x axis to the minimum width of a fault's band, which keeps short faults
+/// visible.
+const MIN_BAND_WIDTH_DIVISOR: f64 = 300.0;
 
+/// Colour of the bands of faults.
 const BAND_COLOUR: RGBColor = RGBColor(200, 60, 40);
+/// Opacity of the bands of faults, from 0 to 1.
 const BAND_OPACITY: f64 = 0.10;
+/// Opacity of the background of the legend, from 0 to 1.
 const LEGEND_OPACITY: f64 = 0.8;
+/// Colours of the lines; further series use them again from the first.
 const LINE_COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 96, 20),
@@ -32,30 +41,35 @@
     RGBColor(90, 90, 90),
 ];
 
-/// A chart with a line for each series and a band for each fault.
+/// Chart with a line for each series and a band for each fault.
 pub struct Chart<'a> {
+    /// Lines of the chart.
     pub series: &'a [Series],
+    /// Faults, each shown as a band over its period.
     pub faults: &'a [FaultPeriod],
     /// Right end of the x axis, which begins at 0.
     pub x_max: f64,
-    /// Upper end of the y axis, which begins at 0; by default a little above the highest point.
+    /// Upper end of the y axis, which begins at 0; by default a factor of [`HEADROOM_FACTOR`] above the
+    /// highest point.
     pub y_max: Option<f64>,
+    /// Label of the x axis.
     pub x_label: &'a str,
+    /// Label of the y axis.
     pub y_label: &'a str,
 }
 
 impl Chart<'_> {
-    /// The chart as SVG, or a paragraph with the error if it cannot be drawn.
+    /// Renders the chart as SVG, or a paragraph with the error if the chart cannot be drawn.
     pub fn render(&self) -> Markup {
         let mut svg = String::new();
         match self.draw(&mut svg) {
             Ok(()) => PreEscaped(svg),
-            Err(error) => html! { p.bad { "no plot: " (error) } },
+            Err(error) => html! { p.bad { "The chart could not be drawn: " (error) } },
         }
     }
 
     fn draw(&self, svg: &mut String) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
-        self.draw_on(&SVGBackend::with_string(svg, SIZE).into_drawing_area())
+        self.draw_on(&SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area())
     }
 
     fn draw_on<Backend: DrawingBackend>(
@@ -75,7 +89,7 @@
             .light_line_style(TRANSPARENT)
             .draw()?;
         for fault in self.faults {
-            let right = fault.until_s.max(fault.from_s + self.x_max / MIN_BAND_PART);
+            let right = fault.until_s.max(fault.from_s + self.x_max / MIN_BAND_WIDTH_DIVISOR);
             let corners = [(fault.from_s, 0.0), (right, y_max)];
             let style = BAND_COLOUR.mix(BAND_OPACITY).filled();
             chart.draw_series([Rectangle::new(corners, style)])?;
@@ -86,7 +100,7 @@
             let line = chart.draw_series(LineSeries::new(series.points.iter().copied(), style))?;
             if has_names {
                 line.label(&series.name)
-                    .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE, y)], style));
+                    .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style));
             }
         }
         if has_names && self.series.len() > 1 {
@@ -95,9 +109,10 @@
         area.present()
     }
 
+    /// Returns the default upper end of the y axis; 1 if no point is above 0.
     fn default_y_max(&self) -> f64 {
         let points = self.series.iter().flat_map(|series| &series.points);
         let highest = points.map(|(_, y)| *y).fold(0.0, f64::max);
-        if highest > 0.0 { highest * HEADROOM } else { 1.0 }
+        if highest > 0.0 { highest * HEADROOM_FACTOR } else { 1.0 }
     }
 }
--- a/crates/testbed/src/report/figures/class_results.rs
+++ b/crates/testbed/src/report/figures/class_results.rs
@@ -1,28 +1,29 @@
-//! Totals of each class: outcomes, priority weights and response times of its jobs.
+//! Totals of each class: outcomes, priority weights and response times of the jobs.
 
 use std::collections::BTreeMap;
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
-use super::histogram::SpanHistogram;
+use super::histogram::DurationHistogram;
 use super::traffic::{Job, Outcome};
 use super::{ClassFigures, SecondWeights};
 use crate::scenario::Scenario;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What became of the jobs of a class.
+/// Figures of a class, and its priority weights over time.
 pub(super) struct ClassResult {
     pub(super) figures: ClassFigures,
-    /// The weights of each second of the load.
+    /// Priority weights for each second of the load.
     pub(super) seconds: Vec<SecondWeights>,
 }
 
 /// Running totals of a class.
 struct ClassTotals {
     figures: ClassFigures,
-    /// Response times of the jobs that were served.
-    response_times: SpanHistogram,
+    /// Response times of served jobs.
+    response_times: DurationHistogram,
+    /// Priority weights for each second of the load.
     seconds: Vec<SecondWeights>,
 }
 
@@ -30,12 +31,13 @@
     fn new(name: &str, seconds: usize) -> Self {
         ClassTotals {
             figures: ClassFigures { name: name.to_owned(), ..ClassFigures::default() },
-            response_times: SpanHistogram::new(),
+            response_times: DurationHistogram::new(),
             seconds: vec![SecondWeights::default(); seconds],
         }
     }
 
-    /// Adds a job that was to be sent in this second of the load; later ones count to the last second.
+    /// Adds a job that was scheduled in the given second of the load. Jobs scheduled after the load count for
+    /// its last second.
     fn add(&mut self, job: &Job, weight: f64, latency_objective: TimeSpan, second: usize) {
         let last_second = self.seconds.len() - 1;
         let second = &mut self.seconds[second.min(last_second)];
@@ -44,7 +46,7 @@
         second.requested += weight;
         match job.outcome {
             Outcome::Served { at } => {
-                let response_time = at - job.intended;
+                let response_time = at - job.scheduled_at;
                 self.response_times.record(response_time);
                 if response_time <= latency_objective {
                     self.figures.in_time += 1;
@@ -71,13 +73,13 @@
     }
 }
 
-/// The result of each class of the scenario; `begin` is the moment when the load began.
-pub(super) fn class_results(
+/// Computes the result of each class of the scenario; `begin` is the start of the load.
+pub(super) fn compute_class_results(
     scenario: &Scenario,
     begin: Timestamp,
     jobs: &BTreeMap<usize, Job>,
 ) -> Vec<ClassResult> {
-    // Records do not contain the work of a job; the same seed draws the same jobs as for the load.
+    // The event log does not contain the work of a job; the same seed samples the same jobs as for the load.
     let planned_jobs = scenario.workload().sample_jobs();
     let seconds = scenario.length_s.ceil() as usize;
     let mut totals: Vec<ClassTotals> =
@@ -87,7 +89,7 @@
         let work_s = planned_jobs[*number].work_seconds;
         let weight = class.priority_weight * work_s;
         let latency_objective = TimeSpan::from_secs_f64(class.objective_s + class.stretch * work_s);
-        let second = (job.intended.saturating_since(begin).as_micros() / MICROS_PER_SECOND) as usize;
+        let second = (job.scheduled_at.saturating_since(begin).as_micros() / MICROS_PER_SECOND) as usize;
         totals[job.class].add(job, weight, latency_objective, second);
     }
     totals.into_iter().map(ClassTotals::finish).collect()
--- a/crates/testbed/src/report/figures/histogram.rs
+++ b/crates/testbed/src/report/figures/histogram.rs
@@ -1,28 +1,29 @@
-//! Distribution of spans of time.
+//! Distribution of durations.
 
 use curlewusher_model::TimeSpan;
 use hdrhistogram::Histogram;
 
-/// The longest span that a histogram distinguishes, in microseconds: one hour.
+/// Maximum value of a histogram, in microseconds: one hour.
 const MAX_MICROS: u64 = 3_600_000_000;
-/// Significant decimal digits of a histogram's values.
+/// Number of significant decimal digits of a histogram's values.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of spans in microseconds.
-pub(super) struct SpanHistogram(Histogram<u64>);
+/// Histogram of durations, in microseconds.
+pub(super) struct DurationHistogram(Histogram<u64>);
 
-impl SpanHistogram {
+impl DurationHistogram {
+    /// Returns an empty histogram.
     pub(super) fn new() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS);
-        SpanHistogram(histogram.expect("valid constant bounds"))
+        DurationHistogram(histogram.expect("the bounds of the histogram are valid"))
     }
 
-    /// Records a span; longer ones than an hour count as an hour.
-    pub(super) fn record(&mut self, span: TimeSpan) {
-        self.0.saturating_record(span.as_micros());
+    /// Records a duration; durations of more than one hour count as one hour.
+    pub(super) fn record(&mut self, duration: TimeSpan) {
+        self.0.saturating_record(duration.as_micros());
     }
 
-    /// A quantile in milliseconds; 0 if nothing was recorded.
+    /// Returns a quantile, in milliseconds; 0 if nothing was recorded. `quantile` is from 0 to 1.
     pub(super) fn quantile_ms(&self, quantile: f64) -> f64 {
         if self.0.is_empty() { 0.0 } else { self.0.value_at_quantile(quantile) as f64 / 1e3 }
     }
--- a/crates/testbed/src/report/figures/mod.rs
+++ b/crates/testbed/src/report/figures/mod.rs
@@ -1,6 +1,7 @@
 //! Figures of a run: outcome counts, response times and resource use, as stored in `figures.json`.
 //!
-//! A job counts once, whatever number of requests its client sent for it; its outcome is that of the last request.
+//! A job counts once, regardless of the number of requests that its client sent for it. The outcome of the
+//! job is that of the last request.
 
 mod class_results;
 mod histogram;
@@ -8,52 +9,55 @@
 
 use serde::{Deserialize, Serialize};
 
-use class_results::{ClassResult, class_results};
+use class_results::{ClassResult, compute_class_results};
 use traffic::Traffic;
 
 use crate::play::FinishedRun;
 use crate::process_cost::Sample;
-use crate::rules::{OperationFigures, Violation, operation_figures};
+use crate::rules::{OperationFigures, Violation, compute_operation_figures};
 use crate::scenario::Scenario;
 
-/// Upper limit of the 99th percentile of send delays in a valid run, ms. Beyond it the load generator did not keep its
-/// schedule, and the load was not the one that the scenario describes.
+/// Maximum 99th percentile of the send delays in a valid run, in ms. Above it the load generator did not keep
+/// its schedule, and the load was not the load that the scenario describes.
 const MAX_SEND_DELAY_P99_MS: f64 = 50.0;
 
-/// The figures of a request class.
+/// Figures of a job class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ClassFigures {
+    /// Name of the class.
     pub name: String,
-    /// Jobs, all requests for one job counted as one.
+    /// Number of jobs; all requests for a job count as one.
     pub jobs: usize,
-    /// Jobs that were served within their latency objective.
+    /// Number of jobs that were served within their latency objective.
     pub in_time: usize,
-    /// Jobs that were served after their latency objective.
+    /// Number of jobs that were served after their latency objective.
     pub late: usize,
-    /// Jobs whose last request was rejected, or reached no node.
+    /// Number of jobs whose last request was rejected or reached no node.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// Jobs whose last request failed otherwise, or got no response.
+    /// Number of jobs whose last request failed in another way or got no response.
     pub failed: usize,
-    /// Priority weight of all jobs.
+    /// Sum of the priority weights of all jobs.
     #[serde(rename = "worth_asked")]
     pub weight_requested: f64,
-    /// Priority weight of the jobs that were served in time.
+    /// Sum of the priority weights of the jobs that were served within their latency objective.
     #[serde(rename = "worth_in_time")]
     pub weight_in_time: f64,
-    /// Median time from the intended send to the response of the jobs that were served, ms.
+    /// Median response time of the served jobs, in ms. The response time of a job is the time from its
+    /// scheduled send to the response.
     pub p50_ms: f64,
-    /// 90th percentile of the same, ms.
+    /// 90th percentile of the response times of the served jobs, in ms.
     pub p90_ms: f64,
-    /// 99th percentile of the same, ms.
+    /// 99th percentile of the response times of the served jobs, in ms.
     pub p99_ms: f64,
-    /// Maximum of the same, ms.
+    /// Maximum response time of the served jobs, in ms.
     #[serde(rename = "longest_ms")]
     pub max_ms: f64,
 }
 
 impl ClassFigures {
-    /// Share of the requested weight that was served in time, from 0 to 1; 0 if none was requested.
+    /// Returns the share of the requested priority weight that was served in time, from 0 to 1; 0 if none was
+    /// requested.
     pub fn share_in_time(&self) -> f64 {
         share(self.weight_in_time, self.weight_requested)
     }
@@ -62,21 +66,23 @@
 /// Resource use of a node, all of its processes together.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct NodeFigures {
-    /// Processor time, seconds.
+    /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// Highest sampled resident memory, MB.
+    /// Maximum sampled resident memory, in MB.
     #[serde(rename = "most_memory_mb")]
     pub peak_memory_mb: f64,
-    /// Highest sampled number of open file descriptors.
+    /// Maximum sampled number of open file descriptors.
     #[serde(rename = "most_descriptors")]
     pub peak_descriptors: usize,
 }
 
-/// Priority weight of the jobs whose intended send is within one second of the load. Stored as a pair.
+/// Priority weights of the jobs that are scheduled within one second of the load. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct SecondWeights {
+    /// Sum over all jobs.
     pub requested: f64,
+    /// Sum over the jobs that were served within their latency objective.
     pub in_time: f64,
 }
 
@@ -92,56 +98,64 @@
     }
 }
 
-/// The figures of a run.
+/// Figures of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Figures {
+    /// Title of the scenario.
     pub title: String,
+    /// Seed of the scenario.
     pub seed: u64,
+    /// Number of jobs.
     pub jobs: usize,
-    /// Jobs per second of the load.
+    /// Average number of jobs per second of the load.
     pub rate: f64,
     /// Share of the requested priority weight that was served in time, from 0 to 1.
     pub share_in_time: f64,
-    /// Requests that clients sent, retries included.
+    /// Number of requests that clients sent, including client retries.
     #[serde(rename = "tries")]
     pub requests: usize,
-    /// Attempts that arrived at workers.
+    /// Number of attempts that arrived at workers.
     pub attempts: usize,
+    /// Average number of attempts per request of a client.
     #[serde(rename = "attempts_a_try")]
     pub attempts_per_request: f64,
-    /// Whether the load kept its schedule and the run was not interrupted; the figures of other runs must not be used.
+    /// Whether the run is valid: the load kept its schedule and the run was not interrupted. Figures of an
+    /// invalid run must not be used.
     pub valid: bool,
-    /// 99th percentile of the delay from the intended first send of a job to the real one, ms.
+    /// 99th percentile of the delay from the scheduled first send of a job to the actual one, in ms.
     #[serde(rename = "late_p99_ms")]
     pub send_delay_p99_ms: f64,
+    /// Figures of each class.
     pub classes: Vec<ClassFigures>,
+    /// Figures of each node.
     pub nodes: Vec<NodeFigures>,
-    /// Processor time of all nodes per job, microseconds.
+    /// Processor time of all nodes per job, in microseconds.
     #[serde(rename = "cpu_us_a_job")]
     pub cpu_us_per_job: f64,
+    /// Number of attempts that arrived at each worker.
     #[serde(rename = "attempts_of_worker")]
     pub attempts_by_worker: Vec<usize>,
     /// Number of rule violations.
     pub broken_rules: usize,
     /// Number of crashes of nodes.
     pub crashes: usize,
-    /// Results of operator actions.
+    /// Figures of operator actions.
     #[serde(default, rename = "daily")]
     pub operations: OperationFigures,
-    /// For each class, the weights of each second of the load.
+    /// Priority weights of each class, for each second of the load.
     pub seconds: Vec<Vec<SecondWeights>>,
 }
 
-/// Computes the figures of a run from its records, its samples and the violations found in it.
-pub fn compute_figures(scenario: &Scenario, played: &FinishedRun, violations: &[Violation]) -> Figures {
-    let traffic = Traffic::from_records(&played.records, scenario.worker_count());
-    let results = class_results(scenario, played.begin, &traffic.jobs);
+/// Computes the figures of a run from its records, its samples and its violations.
+pub fn compute_figures(scenario: &Scenario, run: &FinishedRun, violations: &[Violation]) -> Figures {
+    let traffic = Traffic::from_records(&run.records, scenario.worker_count());
+    let results = compute_class_results(scenario, run.begin, &traffic.jobs);
     let (classes, seconds): (Vec<_>, Vec<_>) =
         results.into_iter().map(|ClassResult { figures, seconds }| (figures, seconds)).unzip();
     let weight_requested: f64 = classes.iter().map(|class| class.weight_requested).sum();
     let weight_in_time: f64 = classes.iter().map(|class| class.weight_in_time).sum();
     let nodes: Vec<NodeFigures> =
-        (0..scenario.nodes.count).map(|node| node_figures(&played.samples, node)).collect();
+        (0..scenario.nodes.count).map(|node| node_figures(&run.samples, node)).collect();
     let cpu_s: f64 = nodes.iter().map(|node| node.cpu_s).sum();
     let jobs = traffic.jobs.len();
     let send_delay_p99_ms = traffic.send_delays.quantile_ms(0.99);
@@ -154,15 +168,15 @@
         requests: traffic.requests,
         attempts: traffic.attempts,
         attempts_per_request: traffic.attempts as f64 / traffic.requests.max(1) as f64,
-        valid: send_delay_p99_ms <= MAX_SEND_DELAY_P99_MS && !played.interrupted,
+        valid: send_delay_p99_ms <= MAX_SEND_DELAY_P99_MS && !run.interrupted,
         send_delay_p99_ms,
         cpu_us_per_job: cpu_s * 1e6 / jobs.max(1) as f64,
         classes,
         nodes,
         attempts_by_worker: traffic.attempts_by_worker,
         broken_rules: violations.len(),
-        crashes: played.crashes.len(),
-        operations: operation_figures(&played.records, &scenario.rule_parameters()),
+        crashes: run.crashes.len(),
+        operations: compute_operation_figures(&run.records, &scenario.rule_parameters()),
         seconds,
     }
 }
@@ -171,7 +185,7 @@
     let mut figures = NodeFigures::default();
     let mut previous_cpu_s = 0.0;
     for sample in samples.iter().filter(|sample| sample.node == node) {
-        // The counter of a restarted process begins at zero.
+        // The processor time of a restarted process begins at zero.
         let restarted = sample.cpu_s < previous_cpu_s;
         figures.cpu_s += if restarted { sample.cpu_s } else { sample.cpu_s - previous_cpu_s };
         previous_cpu_s = sample.cpu_s;
@@ -181,7 +195,7 @@
     figures
 }
 
-/// A part of a whole as a share from 0 to 1; 0 if there is no whole.
+/// Returns the share of a part in a whole, from 0 to 1; 0 if the whole is 0.
 fn share(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 0.0 }
 }
--- a/crates/testbed/src/report/figures/traffic.rs
+++ b/crates/testbed/src/report/figures/traffic.rs
@@ -4,22 +4,22 @@
 
 use curlewusher_model::Timestamp;
 
-use super::histogram::SpanHistogram;
+use super::histogram::DurationHistogram;
 use crate::event_log::{Event, FailureReason, Record};
 
 /// Outcome of the last request of a job.
 #[derive(Clone, Copy)]
 pub(super) enum Outcome {
-    /// A response with the worker's result arrived at this moment.
+    /// A response with the worker's result arrived at this time.
     Served { at: Timestamp },
     /// The node rejected the request, or no node could be reached.
     Rejected,
-    /// Any other response, or none.
+    /// The client received another response, or none.
     Failed,
 }
 
 impl Outcome {
-    fn of_response(at: Timestamp, status: u16, has_own_result: bool) -> Self {
+    fn from_response(at: Timestamp, status: u16, has_own_result: bool) -> Self {
         match status {
             200 if has_own_result => Outcome::Served { at },
             429 | 503 => Outcome::Rejected,
@@ -27,7 +27,7 @@
         }
     }
 
-    fn of_failure(reason: FailureReason) -> Self {
+    fn from_failure(reason: FailureReason) -> Self {
         if matches!(reason, FailureReason::Unreachable | FailureReason::NoNode) {
             Outcome::Rejected
         } else {
@@ -36,36 +36,40 @@
     }
 }
 
-/// A job as its client saw it.
+/// Job as observed by its client.
 pub(super) struct Job {
     pub(super) class: usize,
-    /// Moment of the first send according to the schedule.
-    pub(super) intended: Timestamp,
+    /// Time of the first send according to the schedule.
+    pub(super) scheduled_at: Timestamp,
     pub(super) outcome: Outcome,
 }
 
 /// Requests and attempts of a run, collected from its records.
 pub(super) struct Traffic<'log> {
-    /// By job number.
+    /// Jobs by number.
     pub(super) jobs: BTreeMap<usize, Job>,
     /// Job number of each request id.
-    job_of_request: HashMap<&'log str, usize>,
+    job_by_request: HashMap<&'log str, usize>,
+    /// Number of requests that clients sent.
     pub(super) requests: usize,
+    /// Number of attempts that arrived at workers.
     pub(super) attempts: usize,
+    /// Number of attempts that arrived at each worker.
     pub(super) attempts_by_worker: Vec<usize>,
-    /// Delays of the first send of each job.
-    pub(super) send_delays: SpanHistogram,
+    /// Delay of the first send of each job after its scheduled time.
+    pub(super) send_delays: DurationHistogram,
 }
 
 impl<'log> Traffic<'log> {
+    /// Collects the traffic of a run with this number of workers.
     pub(super) fn from_records(records: &'log [Record], workers: usize) -> Self {
         let mut traffic = Traffic {
             jobs: BTreeMap::new(),
-            job_of_request: HashMap::new(),
+            job_by_request: HashMap::new(),
             requests: 0,
             attempts: 0,
             attempts_by_worker: vec![0; workers],
-            send_delays: SpanHistogram::new(),
+            send_delays: DurationHistogram::new(),
         };
         for Record { at, event } in records {
             traffic.add(*at, event);
@@ -77,16 +81,16 @@
         match event {
             Event::RequestSent { id, job, class, delay, .. } => {
                 self.requests += 1;
-                self.job_of_request.insert(id, *job);
+                self.job_by_request.insert(id, *job);
                 self.jobs.entry(*job).or_insert_with(|| {
                     self.send_delays.record(*delay);
-                    Job { class: *class, intended: at - *delay, outcome: Outcome::Failed }
+                    Job { class: *class, scheduled_at: at - *delay, outcome: Outcome::Failed }
                 });
             }
             Event::ResponseReceived { id, status, has_own_result } => {
-                self.set_outcome(id, Outcome::of_response(at, *status, *has_own_result));
+                self.set_outcome(id, Outcome::from_response(at, *status, *has_own_result));
             }
-            Event::RequestFailed { id, reason, .. } => self.set_outcome(id, Outcome::of_failure(*reason)),
+            Event::RequestFailed { id, reason, .. } => self.set_outcome(id, Outcome::from_failure(*reason)),
             Event::AttemptArrived { worker, .. } => {
                 self.attempts += 1;
                 self.attempts_by_worker[*worker] += 1;
@@ -96,7 +100,7 @@
     }
 
     fn set_outcome(&mut self, request_id: &str, outcome: Outcome) {
-        let job = self.job_of_request.get(request_id).and_then(|job| self.jobs.get_mut(job));
+        let job = self.job_by_request.get(request_id).and_then(|job| self.jobs.get_mut(job));
         if let Some(job) = job {
             job.outcome = outcome;
         }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,6 +1,6 @@
 //! Report of a run: its figures, the summary for a terminal and the HTML page.
 //!
-//! Everything here is derived from the records and samples of a finished run; nothing is measured.
+//! All figures are derived from the records and samples of a finished run; this module measures nothing.
 
 mod chart;
 mod figures;
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page of a run: a single file without references to others.
+//! HTML page of a run: a single file without references to other files.
 
 use maud::{DOCTYPE, Markup, html};
 
@@ -12,14 +12,17 @@
 use crate::rules::Violation;
 use crate::scenario::Scenario;
 
-/// Violations that the page shows in full; of further ones it gives the number.
+/// Maximum number of violations that the page shows in full. Of the remaining violations it shows only the
+/// number.
 const MAX_SHOWN_VIOLATIONS: usize = 20;
 
+/// Style sheet of the page.
 const STYLE: &str = "body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}\
     table{border-collapse:collapse}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}\
     td:first-child,th:first-child{text-align:left}pre{background:#f6f6f6;padding:.7em;overflow:auto}\
     .bad{color:#a00}.good{color:#070}svg{max-width:100%;height:auto}";
 
+/// Headings of the table of classes.
 const CLASS_COLUMNS: [&str; 11] = [
     "class",
     "jobs",
@@ -37,11 +40,11 @@
 /// Renders the page of a run.
 pub fn render_page(
     scenario: &Scenario,
-    played: &FinishedRun,
+    run: &FinishedRun,
     figures: &Figures,
     violations: &[Violation],
 ) -> String {
-    let faults = fault_periods(played);
+    let faults = fault_periods(run);
     let page = html! {
         (DOCTYPE)
         html lang="en" {
@@ -54,10 +57,10 @@
                 h1 { (figures.title) }
                 (headline(scenario, figures))
                 (validity(figures))
-                (findings(&played.crashes, violations))
+                (crashes_and_violations(&run.crashes, violations))
                 h2 { "Classes" }
                 (class_table(&figures.classes))
-                (charts(scenario, played, figures, &faults))
+                (charts(scenario, run, figures, &faults))
                 (operations(figures))
                 h2 { "What was done" }
                 (fault_list(&faults))
@@ -93,7 +96,7 @@
     }
 }
 
-fn findings(crashes: &[String], violations: &[Violation]) -> Markup {
+fn crashes_and_violations(crashes: &[String], violations: &[Violation]) -> Markup {
     html! {
         @if violations.is_empty() && crashes.is_empty() {
             p.good { "No rule was broken, and no node crashed." }
@@ -139,18 +142,18 @@
     }
 }
 
-fn charts(scenario: &Scenario, played: &FinishedRun, figures: &Figures, faults: &[FaultPeriod]) -> Markup {
+fn charts(scenario: &Scenario, run: &FinishedRun, figures: &Figures, faults: &[FaultPeriod]) -> Markup {
     let nodes = scenario.nodes.count;
     let over_time = |series: &[Series], y_max: Option<f64>, y_label: &str| {
         Chart { series, faults, x_max: scenario.length_s, y_max, x_label: "s", y_label }.render()
     };
-    let memory = samples_by_node(played, nodes, |sample| sample.memory_mb);
-    let descriptors = samples_by_node(played, nodes, |sample| sample.descriptors as f64);
+    let memory = samples_by_node(run, nodes, |sample| sample.memory_mb);
+    let descriptors = samples_by_node(run, nodes, |sample| sample.descriptors as f64);
     html! {
         h2 { "Worth in time, by second of asking (mean of 3 s); faults as bands" }
         (over_time(&share_in_time_by_class(figures), Some(1.0), "share"))
         h2 { "Processor of each node" }
-        (over_time(&cpu_cores_by_node(played, nodes), None, "cores"))
+        (over_time(&cpu_cores_by_node(run, nodes), None, "cores"))
         h2 { "Memory of each node" }
         (over_time(&memory, None, "MB"))
         h2 { "Descriptors of each node" }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -1,4 +1,4 @@
-//! Time series of a run and the periods of its faults, as the charts of the report show them.
+//! Time series and fault periods of a run for the charts of the report.
 
 use curlewusher_model::Timestamp;
 
@@ -7,21 +7,25 @@
 use crate::play::FinishedRun;
 use crate::process_cost::Sample;
 
-/// A named line of a chart.
+/// Named line of a chart.
 pub struct Series {
+    /// Name in the legend.
     pub name: String,
-    /// Points `(x, y)` by rising x.
+    /// Points `(x, y)` in ascending order of x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// The period in which a fault was active, seconds since the begin of the load.
+/// Period in which a fault was active, in seconds from the start of the load.
 pub struct FaultPeriod {
+    /// Begin of the fault.
     pub from_s: f64,
+    /// End of the fault; the end of the load if the fault did not end before.
     pub until_s: f64,
+    /// Description of the fault, as in its events.
     pub description: String,
 }
 
-/// Share of the requested weight that was served in time, a series for each class.
+/// Returns the share of the requested priority weight that was served in time, a series for each class.
 pub fn share_in_time_by_class(figures: &Figures) -> Vec<Series> {
     figures
         .classes
@@ -31,35 +35,35 @@
         .collect()
 }
 
-/// The value of each sample, a series for each node.
-pub fn samples_by_node(played: &FinishedRun, nodes: usize, value: impl Fn(&Sample) -> f64) -> Vec<Series> {
-    let begin_s = played.begin.as_secs_f64();
+/// Returns the value of each sample, a series for each node.
+pub fn samples_by_node(run: &FinishedRun, nodes: usize, value: impl Fn(&Sample) -> f64) -> Vec<Series> {
+    let begin_s = run.begin.as_secs_f64();
     let series = |node: usize| {
-        let samples = played.samples.iter().filter(|sample| sample.node == node);
+        let samples = run.samples.iter().filter(|sample| sample.node == node);
         let points = samples.map(|sample| (sample.at_s - begin_s, value(sample))).collect();
         Series { name: format!("node {node}"), points }
     };
     (0..nodes).map(series).collect()
 }
 
-/// Processor use of each node, in cores.
-pub fn cpu_cores_by_node(played: &FinishedRun, nodes: usize) -> Vec<Series> {
-    samples_by_node(played, nodes, |sample| sample.cpu_s)
+/// Returns the processor use of each node, in cores.
+pub fn cpu_cores_by_node(run: &FinishedRun, nodes: usize) -> Vec<Series> {
+    samples_by_node(run, nodes, |sample| sample.cpu_s)
         .into_iter()
         .map(|series| Series { points: slopes(&series.points), ..series })
         .collect()
 }
 
-/// The periods of all faults of a run, by their begin.
-pub fn fault_periods(played: &FinishedRun) -> Vec<FaultPeriod> {
-    let seconds = |at: Timestamp| at.saturating_since(played.begin).as_secs_f64();
+/// Returns the periods of all faults of a run, in order of their begin.
+pub fn fault_periods(run: &FinishedRun) -> Vec<FaultPeriod> {
+    let seconds = |at: Timestamp| at.saturating_since(run.begin).as_secs_f64();
     let mut periods: Vec<FaultPeriod> = Vec::new();
-    for Record { at, event } in &played.records {
+    for Record { at, event } in &run.records {
         let Event::Fault { description } = event else { continue };
         if let Some(description) = description.strip_suffix(" begins") {
             periods.push(FaultPeriod {
                 from_s: seconds(*at),
-                until_s: seconds(played.end),
+                until_s: seconds(run.end),
                 description: description.to_owned(),
             });
         } else if let Some(description) = description.strip_suffix(" ends")
@@ -71,7 +75,8 @@
     periods
 }
 
-/// Share served in time at each second, averaged over that second and its neighbours.
+/// Returns the share of weight served in time for each second, over that second and its two neighbours.
+/// Seconds without requested weight have no point.
 fn moving_share(seconds: &[SecondWeights]) -> Vec<(f64, f64)> {
     let point = |second: usize| {
         let window = &seconds[second.saturating_sub(1)..(second + 2).min(seconds.len())];
@@ -82,7 +87,8 @@
     (0..seconds.len()).filter_map(point).collect()
 }
 
-/// Slope between neighbouring points; 0 where the line falls, as at the restart of a counter.
+/// Returns the slopes between neighbouring points; 0 for a falling line, such as after the restart of a
+/// counter.
 fn slopes(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let slope = |pair: &[(f64, f64)]| {
         let [(x0, y0), (x1, y1)] = [pair[0], pair[1]];
--- a/crates/testbed/src/report/summary.rs
+++ b/crates/testbed/src/report/summary.rs
@@ -1,9 +1,9 @@
-//! Short text forms of the figures: the summary for a terminal, and a line for each kind of operator action.
+//! Figures as short texts: the summary for a terminal, and the lines about operator actions.
 
 use super::figures::{ClassFigures, Figures, NodeFigures};
 use crate::rules::{CommandFigures, OperationFigures, UpgradeFigures};
 
-/// The figures as a few lines of text for a terminal.
+/// Renders the figures as a few lines of text for a terminal.
 pub fn render_summary(figures: &Figures) -> String {
     let mut text = headline(figures);
     text += &class_header();
@@ -65,7 +65,7 @@
     )
 }
 
-/// Results of operator actions: a line for each upgrade and for each kind of command.
+/// Renders the figures of operator actions: a line for each upgrade and for each verb of admin commands.
 pub fn operation_lines(operations: &OperationFigures) -> Vec<String> {
     let command_line = |(verb, figures): (&String, &CommandFigures)| {
         format!("{verb}: {} calls, the slowest {:.1} ms", figures.count, figures.slowest_ms)
--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -1,4 +1,4 @@
-//! The rule on size: all processes of a node together stay within the limits of one.
+//! Rule [`Rule::Size`]: all processes of a node together stay within the resource limits of a single process.
 
 use std::collections::HashSet;
 
@@ -7,17 +7,17 @@
 use super::{Rule, Violation};
 use crate::process_cost::Sample;
 
-/// The limits of a node, all of its processes together.
+/// Resource limits of a node, for the sum over all of its processes.
 #[derive(Clone, Copy, Debug)]
 pub struct FootprintLimits {
-    /// Resident memory, in MB.
+    /// Maximum resident memory, in MB.
     pub memory_mb: f64,
-    /// Open file descriptors. The system enforces the same limit for each process, so that only a sum over processes can
-    /// exceed it.
+    /// Maximum number of open file descriptors. The operating system enforces the same limit for each
+    /// process, so only the sum over several processes can exceed it.
     pub descriptors: usize,
 }
 
-/// Returns the first violation of each node.
+/// Returns the first violation of [`Rule::Size`] by each node.
 pub fn check_footprint(samples: &[Sample], limits: FootprintLimits) -> Vec<Violation> {
     let mut reported = HashSet::new();
     let mut violations = Vec::new();
@@ -32,6 +32,7 @@
     violations
 }
 
+/// Describes the limit that a sample exceeds, the descriptors first; none if it is within both limits.
 fn describe_excess(sample: &Sample, limits: FootprintLimits) -> Option<String> {
     let Sample { memory_mb, descriptors, .. } = sample;
     if *descriptors > limits.descriptors {
--- a/crates/testbed/src/rules/job_rules/violation.rs
+++ b/crates/testbed/src/rules/job_rules/violation.rs
@@ -1,4 +1,4 @@
-//! What a node did against a rule on jobs, and the text of it.
+//! Violations of the rules on jobs, and their texts.
 
 use curlewusher_model::TimeSpan;
 use thiserror::Error;
@@ -6,64 +6,84 @@
 use crate::event_log::FailureReason;
 use crate::rules::Rule;
 
-/// A broken rule on jobs.
+/// Violation of a rule on jobs.
 #[derive(Debug, Error)]
 pub(super) enum JobViolation<'log> {
+    /// The client received more than one response to a request.
     #[error("{request} was answered {responses} times")]
-    AnsweredRepeatedly { request: &'log str, responses: usize },
+    MultipleResponses { request: &'log str, responses: usize },
+    /// The response has status 200, but not the result that a worker made for the request.
     #[error("{request} was served with something that no worker made for it")]
     ForeignResult { request: &'log str },
+    /// The response arrived after the client's timeout and the tolerance.
     #[error("{request} was answered {} ms after its time", late_by.as_millis())]
     LateResponse { request: &'log str, late_by: TimeSpan },
+    /// The client received no response, and no event of the node allows it.
     #[error("{request} had no answer from node {node}: {reason:?}")]
     MissingResponse { request: &'log str, node: usize, reason: Option<FailureReason> },
+    /// An attempt arrived that the class of the job forbids.
     #[error("{request} went out {problem}")]
-    ForbiddenRepeat { request: &'log str, problem: RepeatProblem },
+    ForbiddenAttempt { request: &'log str, problem: AttemptProblem },
+    /// The node rejected the request, which states that a resubmission is safe, although an attempt may have
+    /// run.
     #[error("{request} was refused, which calls a repeat harmless, and may have run")]
     RejectedAfterStart { request: &'log str },
+    /// The node sent an attempt to a worker that was draining or had terminated, after the time within which
+    /// it must stop.
     #[error(
         "node {node} sent {request} to worker {worker} {} ms after it was notified of its drain or end, or counted as notified",
         after.as_millis()
     )]
     SentToUnavailableWorker { request: &'log str, node: usize, worker: usize, after: TimeSpan },
-    #[error("worker {worker}, just started, was sent {informed_seconds:.1} s of work by nodes that knew")]
-    OverloadedDuringWarmUp { worker: usize, informed_seconds: f64 },
+    /// A worker that was warming up crashed under work that was sent mostly by nodes that had been notified
+    /// of its start.
+    #[error(
+        "worker {worker}, just started, was sent {seconds_from_notified:.1} s of work by nodes that knew"
+    )]
+    OverloadedDuringWarmUp { worker: usize, seconds_from_notified: f64 },
 }
 
-/// Why another attempt of a job is against its class.
+/// Reason for which another attempt of a job is forbidden.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub(super) enum RepeatProblem {
+pub(super) enum AttemptProblem {
+    /// An earlier attempt has not ended.
     #[error("while an attempt of it was out")]
     WhileOutstanding,
+    /// An earlier attempt may have run, and the class allows no retry.
     #[error("again and may have run; its class allows no repeat")]
     NonIdempotent,
-    #[error("again in bay {bay} and may have run in bay {first_bay}")]
-    OtherBay { bay: u32, first_bay: u32 },
+    /// An earlier attempt may have run in another cell.
+    #[error("again in bay {cell} and may have run in bay {first_cell}")]
+    OtherCell { cell: u32, first_cell: u32 },
+    /// An earlier attempt may have run, and the deduplication window of its cell is over.
     #[error("again after the time in which its bay drops repeats")]
     AfterWindow,
 }
 
 impl<'log> JobViolation<'log> {
+    /// Returns the violated rule.
     pub(super) fn rule(&self) -> Rule {
         match self {
-            JobViolation::AnsweredRepeatedly { .. }
+            JobViolation::MultipleResponses { .. }
             | JobViolation::ForeignResult { .. }
             | JobViolation::LateResponse { .. }
             | JobViolation::MissingResponse { .. } => Rule::OneAnswer,
-            JobViolation::ForbiddenRepeat { .. } | JobViolation::RejectedAfterStart { .. } => Rule::OneEffect,
+            JobViolation::ForbiddenAttempt { .. } | JobViolation::RejectedAfterStart { .. } => {
+                Rule::OneEffect
+            }
             JobViolation::SentToUnavailableWorker { .. } => Rule::QuietDrain,
             JobViolation::OverloadedDuringWarmUp { .. } => Rule::GentleStart,
         }
     }
 
-    /// The request whose events show the violation; none if those of the workers do.
+    /// Returns the request whose events show the violation; none if events about workers show it.
     pub(super) fn request(&self) -> Option<&'log str> {
         match self {
-            JobViolation::AnsweredRepeatedly { request, .. }
+            JobViolation::MultipleResponses { request, .. }
             | JobViolation::ForeignResult { request }
             | JobViolation::LateResponse { request, .. }
             | JobViolation::MissingResponse { request, .. }
-            | JobViolation::ForbiddenRepeat { request, .. }
+            | JobViolation::ForbiddenAttempt { request, .. }
             | JobViolation::RejectedAfterStart { request }
             | JobViolation::SentToUnavailableWorker { request, .. } => Some(request),
             JobViolation::OverloadedDuringWarmUp { .. } => None,
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -1,6 +1,7 @@
-//! The rule checker: finds in the event log where a node broke one of its rules. A node may consist of two processes.
+//! Rule checker: finds violations of the nodes' rules in the event log. During an upgrade a node has two
+//! processes.
 //!
-//! It shares no code with the node and takes none of its statements as facts.
+//! The checker shares no code with the node and treats no statement of a node as a fact.
 
 mod footprint;
 mod job_rules;
@@ -14,74 +15,83 @@
 
 pub use footprint::{FootprintLimits, check_footprint};
 pub use operation_figures::{CommandFigures, OperationFigures, UpgradeFigures};
-pub use operations_rules::operation_figures;
+pub use operations_rules::compute_operation_figures;
 pub use violation::Violation;
 
 use crate::event_log::Record;
 
-/// Effects of an upgrade may be observed this long after its end: connections that were queued then fail a moment later.
-const UPGRADE_AFTERMATH: TimeSpan = TimeSpan::from_millis(500);
+/// Time after an upgrade's end, or around the kill of one of its processes, in which an observation still
+/// counts as an effect of it: connections that were queued at that time fail shortly afterwards.
+const UPGRADE_EFFECT_MARGIN: TimeSpan = TimeSpan::from_millis(500);
 
-/// Which repeats of a job that may have run a class allows.
+/// Retries that a job class allows for a job that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatPolicy {
-    /// All.
+pub enum RetryPolicy {
+    /// All retries are allowed.
     Idempotent,
-    /// Those in the bay of the first attempt that may have run, within the window from its arrival.
+    /// Retries are allowed in the cell of the first attempt that may have run, within the deduplication
+    /// window from the arrival of that attempt.
     IdempotentWithKey { window: TimeSpan },
-    /// None.
+    /// No retry is allowed.
     NonIdempotent,
 }
 
-/// The limits and tolerances of the rules.
+/// Limits and tolerances of the rules.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// By class.
-    pub classes: Vec<RepeatPolicy>,
+    /// Retry policy of each job class, by class index.
+    pub classes: Vec<RetryPolicy>,
     /// Tolerance that is added to each time limit.
-    pub slack: TimeSpan,
-    /// A response may arrive this much later than the client's timeout; it is not served in time then.
-    pub answer_slack: TimeSpan,
-    /// All nodes count as notified of a change this long after discovery had it and was up, whether it arrived or not.
-    pub notified_within: TimeSpan,
-    /// A node must send nothing to a worker from this long after it was notified that the worker is draining or has ended.
-    pub stop_within: TimeSpan,
-    /// A request that was sent later than this after SIGTERM may cross the close of its connection.
+    pub tolerance: TimeSpan,
+    /// Maximum delay of a response after the client's timeout that is not a violation. Such a response does
+    /// not count as served in time.
+    pub response_tolerance: TimeSpan,
+    /// Time after which all nodes count as notified of a change, whether or not it arrived. It is counted
+    /// from the time at which discovery had the change and was up.
+    pub max_notification_delay: TimeSpan,
+    /// Time after a notification that a worker is draining or has terminated, within which the node must stop
+    /// sending to that worker.
+    pub max_stop_delay: TimeSpan,
+    /// Time after SIGTERM from which a node closes its clients' connections, so that the close may race with
+    /// a request.
     pub drain_grace: TimeSpan,
-    /// The close of a connection is observed at most this long after the first byte of a request that crosses it.
-    pub crossing_tolerance: TimeSpan,
-    /// Window in which work that was sent to an overloaded worker is added up.
-    pub fall_window: TimeSpan,
-    /// The successor of an upgrade is bound by the registry's entries this long after it is first ready.
+    /// Maximum time from the first byte of a request to the observed close of its connection, if the close
+    /// raced with the request. It is also the time for which connections may still close after the exit of a
+    /// process, or after idle clients left.
+    pub close_race_tolerance: TimeSpan,
+    /// Period before a worker's crash under overload over which the work that arrived at it is added up.
+    pub overload_window: TimeSpan,
+    /// Time after the first readiness of an upgrade's successor before the node counts as notified of
+    /// endpoint entries that it received during the upgrade.
     pub successor_grace: TimeSpan,
 }
 
-/// A rule.
+/// Rule that a node must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request gets one response, in time, and with the result that a worker made for it.
+    /// Each request gets exactly one response, in time, and with the result that a worker made for it.
     OneAnswer,
     /// A job runs again only as its class allows.
     OneEffect,
-    /// A worker that is draining or has ended is sent no further attempts.
+    /// A worker that is draining or has terminated receives no further attempts.
     QuietDrain,
-    /// A worker that warms up is not overloaded.
+    /// A worker that is warming up is not overloaded.
     GentleStart,
     /// Admin commands are answered correctly and in time.
     Console,
-    /// A drained node closes the connections of its clients and is not ready; it is ready again after the drain.
+    /// A drained node closes its clients' connections and is not ready; after the drain it is ready again.
     NodeDrain,
-    /// A disabled worker is sent no attempts, and is used again once it is enabled.
+    /// A disabled worker receives no attempts, and is used again after it has been enabled.
     Maintenance,
-    /// An upgrade harms a bounded number of jobs.
+    /// An upgrade harms no more than a fixed number of jobs.
     Upgrade,
-    /// All processes of a node together stay within the limits of one.
+    /// All processes of a node together stay within the resource limits of a single process.
     Size,
 }
 
-/// Returns all violations: those of the rules on jobs in the order of detection, then those of the rules on operations
-/// in the order of time.
+/// Returns all violations: those of the rules on jobs in order of detection, then those of the rules on
+/// operations in order of time.
 pub fn check_rules(records: &[Record], parameters: &RuleParameters) -> Vec<Violation> {
     let mut violations = job_rules::check(records, parameters);
     violations.extend(operations_rules::check(records, parameters).violations);
--- a/crates/testbed/src/rules/operation_figures.rs
+++ b/crates/testbed/src/rules/operation_figures.rs
@@ -1,37 +1,39 @@
-//! Figures of operators' work: upgrades and admin commands. They are part of `figures.json`.
+//! Figures of operator actions: upgrades and admin commands. These figures are part of `figures.json`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// An upgrade. Times are seconds from its begin.
+/// Figures of an upgrade.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpgradeFigures {
+    /// Number of the node.
     pub node: usize,
-    /// Its begin, in seconds from the beginning of the run.
+    /// Start of the upgrade, in seconds from the beginning of the run.
     pub at_s: f64,
-    /// When the successor was first ready.
+    /// Time at which the successor was first ready, in seconds from the start of the upgrade.
     pub ready_s: Option<f64>,
-    /// When the node had a single process again.
+    /// Time at which the node had a single process again, in seconds from the start of the upgrade.
     pub ended_s: Option<f64>,
-    /// Whether the testbed killed one of both processes.
+    /// Whether the testbed killed one of the two processes.
     pub killed: bool,
-    /// Jobs whose connection was refused, or reset before any worker had the job.
+    /// Number of jobs whose connection was refused, or reset before any worker had the job.
     pub harmed: usize,
-    /// Requests that the node rejected (429, 503), or that found it closed to new connections.
+    /// Number of requests that the node rejected (429, 503), or for which no node accepted new connections.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// How often a readiness check changed to not ready.
+    /// Number of times that the result of the readiness check changed to not ready.
     #[serde(rename = "noes")]
     pub not_ready_answers: usize,
 }
 
-/// The admin commands of one kind. Written as a pair.
+/// Figures of the admin commands with the same verb. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(usize, f64)", into = "(usize, f64)")]
 pub struct CommandFigures {
+    /// Number of commands.
     pub count: usize,
-    /// The slowest answer, in milliseconds.
+    /// Duration of the slowest command, in milliseconds.
     pub slowest_ms: f64,
 }
 
@@ -47,12 +49,12 @@
     }
 }
 
-/// All figures of operators' work.
+/// Figures of all operator actions of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct OperationFigures {
-    /// In the order of their begins.
+    /// Upgrades, in order of their starts.
     pub upgrades: Vec<UpgradeFigures>,
-    /// By the first word of the command.
+    /// Admin commands, by verb: the first word of the command.
     #[serde(rename = "calls")]
     pub commands: BTreeMap<String, CommandFigures>,
 }
--- a/crates/testbed/src/rules/operations_rules/maintenance.rs
+++ b/crates/testbed/src/rules/operations_rules/maintenance.rs
@@ -1,47 +1,53 @@
-//! Workers that operators disable and enable: a disabled one gets nothing, and an enabled one is used again.
+//! Rule on maintenance: a disabled worker receives no attempts, and a worker that is enabled again is used
+//! again.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
-use super::admin_command::{ANSWER_WITHIN, AdminCommand};
-use super::violation::{Finding, OperationsViolation};
+use super::admin_command::{ANSWER_TIMEOUT, AdminCommand};
+use super::violation::{OperationsViolation, TimedViolation};
 use crate::rules::RuleParameters;
 
-/// A worker that is enabled again is used within this.
-const USED_WITHIN: TimeSpan = TimeSpan::from_secs(5);
-/// Over so many attempts for each worker, each worker should have had one.
-const ATTEMPTS_PER_WORKER: usize = 4;
+/// Maximum time from the command that enables a worker to the first attempt for that worker.
+const FIRST_ATTEMPT_TIMEOUT: TimeSpan = TimeSpan::from_secs(5);
+/// Minimum average number of attempts per used worker within [`FIRST_ATTEMPT_TIMEOUT`] at which a worker
+/// without an attempt is a violation: with so many attempts, each worker should have received one.
+const MIN_ATTEMPTS_PER_WORKER: usize = 4;
 
-/// A worker from the view of one node.
+/// Pair of a node and a worker: each node has its own state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct WorkerAtNode {
     pub(super) node: usize,
     pub(super) worker: usize,
 }
 
+/// Worker that was enabled again.
 #[derive(Debug)]
 struct EnabledWorker {
+    /// Start of the command that enabled the worker.
     since: Timestamp,
-    /// Attempts since then, by worker.
+    /// Number of attempts for each worker within [`FIRST_ATTEMPT_TIMEOUT`] from then.
     attempts: HashMap<usize, usize>,
 }
 
-/// Which workers are disabled or were enabled, and what they got.
+/// Workers that are disabled or were enabled again, and the attempts that arrived at them.
 #[derive(Debug, Default)]
 pub(super) struct Maintenance<'log> {
-    /// From when a disabled worker must get nothing.
+    /// Time from which each disabled worker must receive no attempts.
     disabled: HashMap<WorkerAtNode, Timestamp>,
-    /// Work that disabled workers got. Each finding stands unless an ENABLE turns out to have begun before; that
-    /// command is on record at its end only.
-    suspects: BTreeMap<WorkerAtNode, Vec<Finding<'log>>>,
-    /// By worker.
+    /// Attempts that disabled workers received. Each of them is a violation unless it arrived after the start
+    /// of an ENABLE command. The log contains a command only at the time of its end.
+    suspected_violations: BTreeMap<WorkerAtNode, Vec<TimedViolation<'log>>>,
+    /// Workers that were enabled again, by worker.
     enabled: BTreeMap<usize, EnabledWorker>,
+    /// Workers at which at least one attempt arrived.
     used_workers: HashSet<usize>,
 }
 
 impl<'log> Maintenance<'log> {
-    /// Records an attempt that arrived at a worker, and suspects it if the worker is disabled.
+    /// Records an attempt that arrived at a worker. If the worker is disabled, the attempt is a suspected
+    /// violation.
     pub(super) fn observe_arrival(
         &mut self,
         request: &'log str,
@@ -52,53 +58,57 @@
         let WorkerAtNode { node, worker } = target;
         self.used_workers.insert(worker);
         for enabled in self.enabled.values_mut() {
-            if (enabled.since..enabled.since + USED_WITHIN).contains(&head_at) {
+            if (enabled.since..enabled.since + FIRST_ATTEMPT_TIMEOUT).contains(&head_at) {
                 *enabled.attempts.entry(worker).or_default() += 1;
             }
         }
         let Some(since) = self.disabled.get(&target).copied() else { return };
-        let limit = since + parameters.stop_within + parameters.slack;
+        let limit = since + parameters.max_stop_delay + parameters.tolerance;
         if head_at > limit {
             let late_by = head_at - limit;
             let violation = OperationsViolation::SentToDisabledWorker { node, request, worker, late_by };
-            self.suspects.entry(target).or_default().push(Finding { at: head_at, violation });
+            self.suspected_violations
+                .entry(target)
+                .or_default()
+                .push(TimedViolation { at: head_at, violation });
         }
     }
 
-    /// Records a command that disables a worker, unless the node rejected it.
+    /// Records a command that disables a worker, unless the node rejected the command.
     pub(super) fn disable(&mut self, command: &AdminCommand<'_>, worker: usize) {
         if command.is_rejected() {
             return;
         }
-        let limit = command.begun_at + ANSWER_WITHIN;
+        let limit = command.begun_at + ANSWER_TIMEOUT;
         let since = if command.is_confirmed() { command.ended_at.min(limit) } else { limit };
         self.disabled.entry(WorkerAtNode { node: command.node, worker }).or_insert(since);
         self.enabled.remove(&worker);
     }
 
-    /// Records a command that enables a worker, which from its begin on justifies work for it; returns what it does not
-    /// justify.
-    pub(super) fn enable(&mut self, begun_at: Timestamp, target: WorkerAtNode) -> Vec<Finding<'log>> {
+    /// Records a command that enables a worker. From the start of the command on, attempts for the worker are
+    /// allowed. Returns the violations before that time.
+    pub(super) fn enable(&mut self, begun_at: Timestamp, target: WorkerAtNode) -> Vec<TimedViolation<'log>> {
         self.disabled.remove(&target);
-        let mut findings = self.suspects.remove(&target).unwrap_or_default();
-        findings.retain(|suspect| suspect.at < begun_at);
+        let mut violations = self.suspected_violations.remove(&target).unwrap_or_default();
+        violations.retain(|violation| violation.at < begun_at);
         if self.used_workers.contains(&target.worker) {
             let enabled = EnabledWorker { since: begun_at, attempts: HashMap::new() };
             self.enabled.insert(target.worker, enabled);
         }
-        findings
+        violations
     }
 
-    /// Returns what has not been justified, or has not happened, by the end of the log.
-    pub(super) fn finish(self, end: Timestamp) -> Vec<Finding<'log>> {
-        let enough_attempts = ATTEMPTS_PER_WORKER * self.used_workers.len();
+    /// Returns the remaining suspected violations, and the workers that were not used in time after they were
+    /// enabled.
+    pub(super) fn finish(self, end: Timestamp) -> Vec<TimedViolation<'log>> {
+        let min_attempts = MIN_ATTEMPTS_PER_WORKER * self.used_workers.len();
         let unused = self.enabled.into_iter().filter_map(|(worker, EnabledWorker { since, attempts })| {
-            let limit = since + USED_WITHIN;
-            let has_enough_attempts = attempts.values().sum::<usize>() >= enough_attempts;
+            let limit = since + FIRST_ATTEMPT_TIMEOUT;
+            let has_enough_attempts = attempts.values().sum::<usize>() >= min_attempts;
             let is_unused = limit <= end && has_enough_attempts && !attempts.contains_key(&worker);
             let violation = OperationsViolation::EnabledWorkerUnused { worker };
-            is_unused.then_some(Finding { at: limit, violation })
+            is_unused.then_some(TimedViolation { at: limit, violation })
         });
-        self.suspects.into_values().flatten().chain(unused).collect()
+        self.suspected_violations.into_values().flatten().chain(unused).collect()
     }
 }
--- a/crates/testbed/src/rules/operations_rules/mod.rs
+++ b/crates/testbed/src/rules/operations_rules/mod.rs
@@ -1,7 +1,7 @@
-//! The rules on operations: admin commands, drains of nodes, maintenance of workers, and upgrades.
+//! Rules on operations: admin commands, drains of nodes, maintenance of workers, and upgrades.
 //!
-//! The checker goes through the event log once and passes each event to the modules that keep the state of one kind of
-//! operation.
+//! The checker reads the event log once and passes each event to the modules, each of which keeps the state
+//! of one kind of operation.
 
 mod admin_command;
 mod maintenance;
@@ -17,24 +17,27 @@
 use maintenance::{Maintenance, WorkerAtNode};
 use node_drain::{ConnectionCount, DrainAction, NodeDrains};
 use upgrades::Upgrades;
-use violation::Finding;
+use violation::TimedViolation;
 
 use super::operation_figures::OperationFigures;
 use super::{RuleParameters, Violation};
 use crate::event_log::{Event, FailureReason, Readiness, Record};
 
-/// Violations in the order of time, and the figures.
+/// Result of the check: the violations in order of time, and the figures.
 pub(super) struct OperationsCheck {
     pub(super) violations: Vec<Violation>,
     figures: OperationFigures,
 }
 
+/// Request of a client.
 struct Request {
     job: usize,
     node: usize,
+    /// Whether an attempt for the request has arrived at a worker.
     has_reached_worker: bool,
 }
 
+/// State of the check while it reads the event log.
 struct Checker<'log> {
     parameters: &'log RuleParameters,
     requests: HashMap<&'log str, Request>,
@@ -42,10 +45,10 @@
     drains: NodeDrains,
     upgrades: Upgrades,
     figures: OperationFigures,
-    findings: Vec<Finding<'log>>,
+    violations: Vec<TimedViolation<'log>>,
 }
 
-/// Checks the rules on operations.
+/// Checks the rules on operations, and computes the figures of operator actions.
 pub(super) fn check(records: &[Record], parameters: &RuleParameters) -> OperationsCheck {
     let mut checker = Checker::new(parameters);
     for Record { at, event } in records {
@@ -54,8 +57,8 @@
     checker.finish(records.last().map_or(Timestamp::ZERO, |record| record.at))
 }
 
-/// Returns the figures of operators' work.
-pub fn operation_figures(records: &[Record], parameters: &RuleParameters) -> OperationFigures {
+/// Returns the figures of operator actions.
+pub fn compute_operation_figures(records: &[Record], parameters: &RuleParameters) -> OperationFigures {
     check(records, parameters).figures
 }
 
@@ -68,7 +71,7 @@
             drains: NodeDrains::default(),
             upgrades: Upgrades::default(),
             figures: OperationFigures::default(),
-            findings: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -101,7 +104,7 @@
             }
             Event::ConnectionsCounted { node, idle, fresh } => {
                 let connections = ConnectionCount { idle: *idle, fresh: *fresh };
-                self.findings.extend(self.drains.check_drained(at, *node, connections));
+                self.violations.extend(self.drains.check_drained(at, *node, connections));
             }
             Event::UpgradeBegan { .. }
             | Event::SuccessorReady { .. }
@@ -111,7 +114,7 @@
         }
     }
 
-    /// A job is harmed if a connection was refused or reset before any worker had the job.
+    /// Counts a job as harmed if its connection was refused or reset before any worker had the job.
     fn count_harmed_job(&mut self, at: Timestamp, id: &str) {
         if let Some(Request { job, node, has_reached_worker: false }) = self.requests.get(id) {
             self.upgrades.count_harmed_job(at, *node, *job);
@@ -134,16 +137,18 @@
     fn observe_command(&mut self, command: &AdminCommand<'log>) {
         let figures = self.figures.commands.entry(command.verb().to_owned()).or_default();
         figures.count += 1;
-        figures.slowest_ms = figures.slowest_ms.max(command.took().as_micros() as f64 / 1e3);
-        let wrong_answers =
-            [command.late_answer(self.parameters.slack), command.unexpected_answer()].into_iter().flatten();
-        self.findings.extend(wrong_answers.map(|violation| Finding { at: command.ended_at, violation }));
+        figures.slowest_ms = figures.slowest_ms.max(command.duration().as_micros() as f64 / 1e3);
+        let wrong_answers = [command.check_answer_time(self.parameters.tolerance), command.check_answer()]
+            .into_iter()
+            .flatten();
+        self.violations
+            .extend(wrong_answers.map(|violation| TimedViolation { at: command.ended_at, violation }));
         let (node, begun_at) = (command.node, command.begun_at);
         match (command.verb(), command.worker()) {
             ("DISABLE", Some(worker)) => self.maintenance.disable(command, worker),
             ("ENABLE", Some(worker)) => {
-                let findings = self.maintenance.enable(begun_at, WorkerAtNode { node, worker });
-                self.findings.extend(findings);
+                let violations = self.maintenance.enable(begun_at, WorkerAtNode { node, worker });
+                self.violations.extend(violations);
             }
             ("DRAIN", _) => self.drains.observe_command(begun_at, node, DrainAction::Begin),
             ("UNDRAIN", _) => self.drains.observe_command(begun_at, node, DrainAction::End),
@@ -151,15 +156,15 @@
         }
     }
 
-    /// Adds what has not happened by the end of the log.
+    /// Adds the violations that the end of the log shows: required events that have not occurred by then.
     fn finish(self, end: Timestamp) -> OperationsCheck {
-        let Checker { parameters, maintenance, drains, upgrades, mut figures, mut findings, .. } = self;
-        findings.extend(drains.finish(end, parameters.slack));
-        findings.extend(maintenance.finish(end));
+        let Checker { parameters, maintenance, drains, upgrades, mut figures, mut violations, .. } = self;
+        violations.extend(drains.finish(end, parameters.tolerance));
+        violations.extend(maintenance.finish(end));
         let upgrades = upgrades.finish();
-        findings.extend(upgrades.findings);
+        violations.extend(upgrades.violations);
         figures.upgrades = upgrades.figures;
-        findings.sort_by_key(|finding| finding.at);
-        OperationsCheck { violations: findings.iter().map(Finding::describe).collect(), figures }
+        violations.sort_by_key(|violation| violation.at);
+        OperationsCheck { violations: violations.iter().map(TimedViolation::describe).collect(), figures }
     }
 }
--- a/crates/testbed/src/rules/operations_rules/upgrades.rs
+++ b/crates/testbed/src/rules/operations_rules/upgrades.rs
@@ -1,14 +1,15 @@
-//! Upgrades of nodes: their course, and the jobs that they harmed.
+//! Upgrades of nodes: the times of their steps, and the jobs that they harmed.
 
 use std::collections::{BTreeMap, HashSet};
 
 use curlewusher_model::Timestamp;
 
-use super::violation::{Finding, MAX_HARMED_JOBS, OperationsViolation};
+use super::violation::{MAX_HARMED_JOBS, OperationsViolation, TimedViolation};
 use crate::event_log::Event;
-use crate::rules::UPGRADE_AFTERMATH;
+use crate::rules::UPGRADE_EFFECT_MARGIN;
 use crate::rules::operation_figures::UpgradeFigures;
 
+/// Upgrade of a node, and the effects that were observed in it.
 #[derive(Debug, Default)]
 struct UpgradeWindow {
     began_at: Timestamp,
@@ -17,17 +18,18 @@
     figures: UpgradeFigures,
 }
 
-/// All upgrades of a run, by node and oldest first.
+/// Upgrades of a run.
 #[derive(Debug, Default)]
 pub(super) struct Upgrades {
+    /// Upgrades of each node, oldest first.
     windows: BTreeMap<usize, Vec<UpgradeWindow>>,
 }
 
-/// What the upgrades of a run came to.
+/// Figures and violations of the upgrades of a run.
 pub(super) struct UpgradeOutcome<'log> {
-    /// In the order of their begins.
+    /// Figures of the upgrades, in order of their starts.
     pub(super) figures: Vec<UpgradeFigures>,
-    pub(super) findings: Vec<Finding<'log>>,
+    pub(super) violations: Vec<TimedViolation<'log>>,
 }
 
 impl Upgrades {
@@ -61,38 +63,39 @@
         self.windows.entry(node).or_default().push(window);
     }
 
-    /// The upgrade of a node that was in progress at a moment, or had just ended.
+    /// Returns the last upgrade of a node if it is in progress at a time, or ended at most
+    /// [`UPGRADE_EFFECT_MARGIN`] before.
     fn window_at(&mut self, node: usize, at: Timestamp) -> Option<&mut UpgradeWindow> {
         let last = self.windows.get_mut(&node)?.last_mut()?;
-        last.ended_at.is_none_or(|ended_at| at <= ended_at + UPGRADE_AFTERMATH).then_some(last)
+        last.ended_at.is_none_or(|ended_at| at <= ended_at + UPGRADE_EFFECT_MARGIN).then_some(last)
     }
 
-    /// Counts a job that met a refused or reset connection of a node.
+    /// Counts a job whose connection to a node was refused or reset.
     pub(super) fn count_harmed_job(&mut self, at: Timestamp, node: usize, job: usize) {
         if let Some(window) = self.window_at(node, at) {
             window.harmed_jobs.insert(job);
         }
     }
 
-    /// Counts a request that a node rejected.
+    /// Counts a request that a node rejected, or for which no node accepted new connections.
     pub(super) fn count_rejection(&mut self, at: Timestamp, node: usize) {
         if let Some(window) = self.window_at(node, at) {
             window.figures.rejected += 1;
         }
     }
 
-    /// Counts a readiness check that a node answered by no.
+    /// Counts a change of a node's readiness check to not ready.
     pub(super) fn count_not_ready_answer(&mut self, at: Timestamp, node: usize) {
         if let Some(window) = self.window_at(node, at) {
             window.figures.not_ready_answers += 1;
         }
     }
 
-    /// Returns the figures and what was wrong.
+    /// Returns the figures and the violations.
     pub(super) fn finish<'log>(self) -> UpgradeOutcome<'log> {
-        let mut outcome = UpgradeOutcome { figures: Vec::new(), findings: Vec::new() };
+        let mut outcome = UpgradeOutcome { figures: Vec::new(), violations: Vec::new() };
         for window in self.windows.into_values().flatten() {
-            outcome.findings.extend(window.check());
+            outcome.violations.extend(window.check());
             outcome.figures.push(window.into_figures());
         }
         outcome.figures.sort_by(|one, other| one.at_s.total_cmp(&other.at_s));
@@ -101,11 +104,12 @@
 }
 
 impl UpgradeWindow {
-    fn check<'log>(&self) -> Option<Finding<'log>> {
+    /// Returns a violation if the upgrade harmed too many jobs and the testbed killed neither process.
+    fn check<'log>(&self) -> Option<TimedViolation<'log>> {
         let (node, jobs) = (self.figures.node, self.harmed_jobs.len());
         let violation = OperationsViolation::HarmfulUpgrade { node, jobs };
         let harms_too_many = jobs > MAX_HARMED_JOBS && !self.figures.killed;
-        harms_too_many.then_some(Finding { at: self.began_at, violation })
+        harms_too_many.then_some(TimedViolation { at: self.began_at, violation })
     }
 
     fn into_figures(self) -> UpgradeFigures {
--- a/crates/testbed/src/rules/operations_rules/violation.rs
+++ b/crates/testbed/src/rules/operations_rules/violation.rs
@@ -1,4 +1,4 @@
-//! What a node did against a rule on operations, and the text of it.
+//! Violations of the rules on operations, and their texts.
 
 use std::fmt;
 
@@ -8,38 +8,47 @@
 use crate::event_log::ExpectedAnswer;
 use crate::rules::{Rule, Violation};
 
-/// Number of jobs that an upgrade may harm.
+/// Maximum number of jobs that an upgrade may harm.
 pub(super) const MAX_HARMED_JOBS: usize = 2;
 
-/// A broken rule on operations.
+/// Violation of a rule on operations.
 #[derive(Debug, Error)]
 pub(super) enum OperationsViolation<'log> {
+    /// The node answered an admin command too late.
     #[error("node {node} answered {command} after {} ms", took.as_millis())]
     LateAnswer { node: usize, command: &'log str, took: TimeSpan },
+    /// The node gave no answer to an admin command, or not the expected one.
     #[error("node {node} said {answer} to {command}; {expected:?} was expected")]
     UnexpectedAnswer { node: usize, command: &'log str, answer: Answer<'log>, expected: ExpectedAnswer },
+    /// Clients still hold connections to the node 4 s after the command to drain it.
     #[error(
         "node {node}, 4 s after its drain: {idle} clients' connections idle, {fresh} with a job of the last 2 s"
     )]
     ConnectionsAfterDrain { node: usize, idle: usize, fresh: usize },
+    /// The node is still ready 4 s after the command to drain it.
     #[error("node {node} says yes 4 s after the call of its drain")]
     ReadyWhileDrained { node: usize },
+    /// The node is not ready 2 s after the command that ended its drain.
     #[error("node {node} says no yes 2 s after the end of its drain was called")]
     NotReadyAfterDrain { node: usize },
+    /// The node sent an attempt to a disabled worker after the time within which it must stop.
     #[error(
         "node {node} sent {request} to worker {worker}, which is out, {} ms too late",
         late_by.as_millis()
     )]
     SentToDisabledWorker { node: usize, request: &'log str, worker: usize, late_by: TimeSpan },
+    /// The worker received no attempt within 5 s of the command that enabled it, although it had been used
+    /// before.
     #[error("worker {worker} was used before, and not for 5 s after it was called back")]
     EnabledWorkerUnused { worker: usize },
+    /// The upgrade harmed more than [`MAX_HARMED_JOBS`] jobs.
     #[error(
         "an upgrade of node {node} harmed {jobs} jobs by refused or reset connections; {MAX_HARMED_JOBS} are allowed"
     )]
     HarmfulUpgrade { node: usize, jobs: usize },
 }
 
-/// The answer to an admin command; none if the node gave none.
+/// Answer to an admin command; none if the node did not answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Answer<'log>(pub(super) Option<&'log str>);
 
@@ -53,6 +62,7 @@
 }
 
 impl OperationsViolation<'_> {
+    /// Returns the violated rule.
     fn rule(&self) -> Rule {
         match self {
             OperationsViolation::LateAnswer { .. } | OperationsViolation::UnexpectedAnswer { .. } => {
@@ -68,14 +78,15 @@
     }
 }
 
-/// A violation and the moment that it is reported for.
+/// Violation and the time at which it occurred.
 #[derive(Debug)]
-pub(super) struct Finding<'log> {
+pub(super) struct TimedViolation<'log> {
     pub(super) at: Timestamp,
     pub(super) violation: OperationsViolation<'log>,
 }
 
-impl Finding<'_> {
+impl TimedViolation<'_> {
+    /// Converts the violation into its reported form.
     pub(super) fn describe(&self) -> Violation {
         Violation::without_events(self.violation.rule(), self.at, self.violation.to_string())
     }
--- a/crates/testbed/src/rules/timeline.rs
+++ b/crates/testbed/src/rules/timeline.rs
@@ -1,36 +1,37 @@
-//! Renders the events around a violation, a line each.
+//! Rendering of the events around a violation as text, a line for each event.
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
 use crate::event_log::{Event, Record};
 
-/// Events about workers this near to a violation belong to its timeline.
-const VICINITY: TimeSpan = TimeSpan::from_secs(2);
+/// Maximum time before or after a violation of the events about workers that are part of its timeline.
+const TIMELINE_MARGIN: TimeSpan = TimeSpan::from_secs(2);
 
-/// The events of a request and of its attempts.
-pub fn of_request(records: &[Record], id: &str) -> Vec<String> {
+/// Renders the events of a request and of its attempts.
+pub fn render_request_events(records: &[Record], id: &str) -> Vec<String> {
     let mut attempts = Vec::new();
     let mut lines = Vec::new();
     for record in records {
-        let description = request_event(&record.event, id)
-            .or_else(|| arrival(&record.event, id, &mut attempts))
-            .or_else(|| attempt_event(&record.event, &attempts));
-        lines.extend(description.map(|description| timeline_line(record.at, &description)));
+        let description = describe_request_event(&record.event, id)
+            .or_else(|| describe_arrival(&record.event, id, &mut attempts))
+            .or_else(|| describe_attempt_event(&record.event, &attempts));
+        lines.extend(description.map(|description| format_line(record.at, &description)));
     }
     lines
 }
 
-/// The events about workers shortly before and after a moment.
-pub fn of_workers(records: &[Record], around: Timestamp) -> Vec<String> {
-    let near = records.iter().filter(|record| record.at.abs_diff(around) < VICINITY);
-    near.filter_map(|record| Some(timeline_line(record.at, &worker_event(&record.event)?))).collect()
+/// Renders the events about workers that are less than [`TIMELINE_MARGIN`] before or after a time.
+pub fn render_worker_events(records: &[Record], around: Timestamp) -> Vec<String> {
+    let near = records.iter().filter(|record| record.at.abs_diff(around) < TIMELINE_MARGIN);
+    near.filter_map(|record| Some(format_line(record.at, &describe_worker_event(&record.event)?))).collect()
 }
 
-fn timeline_line(at: Timestamp, description: &str) -> String {
+fn format_line(at: Timestamp, description: &str) -> String {
     format!("{:9.3} s  {description}", at.as_secs_f64())
 }
 
-fn request_event(event: &Event, request: &str) -> Option<String> {
+/// Describes an event that the client of the request recorded.
+fn describe_request_event(event: &Event, request: &str) -> Option<String> {
     match event {
         Event::RequestSent { id, node, class, timeout, .. } if id == request => {
             Some(format!("asked of node {node}, class {class}, for {:.2} s", timeout.as_secs_f64()))
@@ -44,8 +45,8 @@
     }
 }
 
-/// Describes an arrival of the request, and adds the attempt to its attempts.
-fn arrival(event: &Event, request: &str, attempts: &mut Vec<u64>) -> Option<String> {
+/// Describes the arrival of an attempt for the request, and adds the attempt to `attempts`.
+fn describe_arrival(event: &Event, request: &str, attempts: &mut Vec<u64>) -> Option<String> {
     let Event::AttemptArrived { attempt, id, node, worker, bay, .. } = event else { return None };
     if id != request {
         return None;
@@ -54,7 +55,8 @@
     Some(format!("attempt {attempt} of node {node} arrived at worker {worker} in bay {bay}"))
 }
 
-fn attempt_event(event: &Event, attempts: &[u64]) -> Option<String> {
+/// Describes an event of one of `attempts`.
+fn describe_attempt_event(event: &Event, attempts: &[u64]) -> Option<String> {
     let (attempt, outcome) = match event {
         Event::AttemptAccepted { attempt } => (attempt, "accepted"),
         Event::AttemptRejected { attempt } => (attempt, "rejected"),
@@ -68,7 +70,7 @@
     attempts.contains(attempt).then(|| format!("attempt {attempt} {outcome}"))
 }
 
-fn worker_event(event: &Event) -> Option<String> {
+fn describe_worker_event(event: &Event) -> Option<String> {
     match event {
         Event::EndpointSent { node, worker, in_service, .. } => {
             Some(format!("node {node} notified: worker {worker} in service: {in_service}"))
--- a/crates/testbed/src/rules/violation.rs
+++ b/crates/testbed/src/rules/violation.rs
@@ -1,4 +1,4 @@
-//! A broken rule, with what a person needs to see why.
+//! Violation of a rule, with its description and the events that show it.
 
 use std::fmt;
 
@@ -6,13 +6,16 @@
 
 use super::Rule;
 
-/// A broken rule.
+/// Violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// Violated rule.
     pub rule: Rule,
+    /// Time at which the rule was violated.
     pub at: Timestamp,
+    /// Description of the violation, in one line.
     pub description: String,
-    /// The events that belong to it, a line each.
+    /// Events that show the violation, a line for each.
     pub timeline: Vec<String>,
 }
 
@@ -24,7 +27,7 @@
 }
 
 impl Violation {
-    /// A violation whose timeline only names the rule.
+    /// Returns a violation whose timeline has no events and only names the rule.
     pub(super) fn without_events(rule: Rule, at: Timestamp, description: String) -> Self {
         let timeline = vec![format!("{:9.3} s  {rule:?}", at.as_secs_f64())];
         Violation { rule, at, description, timeline }
--- a/crates/testbed/src/sampling.rs
+++ b/crates/testbed/src/sampling.rs
@@ -1,4 +1,4 @@
-//! Periodic samples of what the nodes cost, and detection of processes that exit by themselves.
+//! Periodic samples of the nodes' resource use, and detection of processes that exit unexpectedly.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::event_log::Event;
 use crate::process_cost::{Sample, sample_cost};
 
-/// Interval of the samples.
+/// Interval between two samples of a node.
 const SAMPLING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Processor time in seconds of every process that a node ever had, by process id.
+/// Processor time of every process that a node has had in the run, in seconds, by process id.
 type CpuByProcess = HashMap<u32, f64>;
 
-/// Samples all nodes at a fixed interval until the task is aborted.
+/// Samples all nodes at an interval of [`SAMPLING_INTERVAL`] until the task is aborted.
 pub async fn sample_nodes(environment: Arc<Environment>, samples: Arc<Mutex<Vec<Sample>>>) {
     let mut cpu_by_node: Vec<CpuByProcess> = vec![CpuByProcess::new(); environment.node_count()];
     loop {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The cost of all processes of a node; none where it has no process.
+/// Returns the resource use of all processes of a node together; none if the node has no process.
 async fn sample_node(
     environment: &Environment,
     number: usize,
@@ -47,7 +47,8 @@
     Some(Sample { cpu_s, ..total })
 }
 
-/// Empties the slot of a node whose process has exited by itself. Whatever stops a process takes it out of its slot first.
+/// Reports a crash and clears the slot of a node if its process has exited unexpectedly. A process that the
+/// testbed stops is removed from its slot before it is stopped.
 fn detect_exit(environment: &Environment, number: usize, slot: &mut NodeSlot) {
     if let Some(node) = slot.node.as_mut()
         && let Ok(Some(status)) = node.child.try_wait()
@@ -59,12 +60,14 @@
     }
 }
 
+/// Samples a process and records its processor time; none if the process has exited.
 fn sample_process(process: u32, node: usize, at_s: f64, cpu_by_process: &mut CpuByProcess) -> Option<Sample> {
     let sample = sample_cost(process, node, at_s)?;
     cpu_by_process.insert(process, sample.cpu_s);
     Some(sample)
 }
 
+/// Returns the sum of the memory and of the descriptors of two samples.
 fn add_memory_and_descriptors(sum: Sample, other: Sample) -> Sample {
     Sample {
         memory_mb: sum.memory_mb + other.memory_mb,
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -5,7 +5,7 @@
 use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
 
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
-use crate::rules::{FootprintLimits, RepeatPolicy, RuleParameters};
+use crate::rules::{FootprintLimits, RetryPolicy, RuleParameters};
 
 // Limits and tolerances of the rules; a scenario does not change them.
 const SLACK: TimeSpan = TimeSpan::from_millis(50);
@@ -103,13 +103,13 @@
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
             classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
-            slack: SLACK,
-            answer_slack: if self.needs_proxies() { IMPAIRED_ANSWER_SLACK } else { SLACK },
-            notified_within: NOTIFIED_WITHIN,
-            stop_within: STOP_WITHIN,
+            tolerance: SLACK,
+            response_tolerance: if self.needs_proxies() { IMPAIRED_ANSWER_SLACK } else { SLACK },
+            max_notification_delay: NOTIFIED_WITHIN,
+            max_stop_delay: STOP_WITHIN,
             drain_grace: DRAIN_GRACE,
-            crossing_tolerance: MAX_NODE_PAUSE + SLACK,
-            fall_window: OVERLOAD_WINDOW,
+            close_race_tolerance: MAX_NODE_PAUSE + SLACK,
+            overload_window: OVERLOAD_WINDOW,
             successor_grace: SUCCESSOR_GRACE,
         }
     }
@@ -131,14 +131,12 @@
     }
 }
 
-impl From<Idempotence> for RepeatPolicy {
+impl From<Idempotence> for RetryPolicy {
     fn from(idempotence: Idempotence) -> Self {
         match idempotence {
-            Idempotence::Idempotent => RepeatPolicy::Idempotent,
-            Idempotence::IdempotentWithKey => {
-                RepeatPolicy::IdempotentWithKey { window: DEDUPLICATION_WINDOW }
-            }
-            Idempotence::NonIdempotent => RepeatPolicy::NonIdempotent,
+            Idempotence::Idempotent => RetryPolicy::Idempotent,
+            Idempotence::IdempotentWithKey => RetryPolicy::IdempotentWithKey { window: DEDUPLICATION_WINDOW },
+            Idempotence::NonIdempotent => RetryPolicy::NonIdempotent,
         }
     }
 }
--- a/crates/testbed/tests/unit/event_log.rs
+++ b/crates/testbed/tests/unit/event_log.rs
@@ -1,4 +1,5 @@
-//! The recorded form of events, which reports and scripts read, byte for byte.
+//! Golden test of the JSON form of events, which reports and scripts read: the form must stay the same byte
+//! for byte.
 
 use super::*;
 use crate::golden::{self, golden};
@@ -84,8 +85,8 @@
     let events = [client_events(), worker_events(), node_events()].concat();
     for (at, event) in events.into_iter().enumerate() {
         let record = Record { at: Timestamp::from_micros(at as u64), event };
-        let line = serde_json::to_string(&record).expect("JSON");
-        assert_eq!(serde_json::from_str::<Record>(&line).expect("a record"), record);
+        let line = serde_json::to_string(&record).expect("the value is serialized as JSON");
+        assert_eq!(serde_json::from_str::<Record>(&line).expect("the line is a valid record"), record);
         lines += &(line + "\n");
     }
     golden!("event_log.jsonl").assert_eq(&lines);
--- a/crates/testbed/tests/unit/golden_run.rs
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -1,4 +1,5 @@
-//! A constructed run that breaks every rule: the checker's verdict, each violation's text, the figures and the report.
+//! Golden test of a constructed run that violates every rule: the checker's verdict, the text of each
+//! violation, the figures and the report.
 
 use curlewusher_model::Timestamp;
 
@@ -11,15 +12,15 @@
 use crate::scenario::Scenario;
 
 fn scenario() -> Scenario {
-    Scenario::parse(include_str!("../golden/run_scenario.toml")).expect("a valid scenario")
+    Scenario::parse(include_str!("../golden/run_scenario.toml")).expect("the scenario is valid")
 }
 
 fn records() -> Vec<Record> {
     let lines = include_str!("../golden/run_events.jsonl").lines();
-    lines.map(|line| serde_json::from_str(line).expect("a record")).collect()
+    lines.map(|line| serde_json::from_str(line).expect("the line is a valid record")).collect()
 }
 
-/// Samples of three nodes; node 1 is restarted, and nodes 0 and 2 exceed a limit.
+/// Returns samples of three nodes; node 1 is restarted, and nodes 0 and 2 exceed a limit.
 fn samples() -> Vec<Sample> {
     let sample =
         |at_s, node, cpu_s, memory_mb, descriptors| Sample { at_s, node, cpu_s, memory_mb, descriptors };
@@ -35,7 +36,7 @@
     ]
 }
 
-fn played() -> FinishedRun {
+fn finished_run() -> FinishedRun {
     FinishedRun {
         records: records(),
         samples: samples(),
@@ -46,16 +47,16 @@
     }
 }
 
-fn violations(scenario: &Scenario, played: &FinishedRun) -> Vec<Violation> {
-    let mut violations = check_rules(&played.records, &scenario.rule_parameters());
-    violations.extend(check_footprint(&played.samples, scenario.footprint_limits()));
+fn violations(scenario: &Scenario, finished_run: &FinishedRun) -> Vec<Violation> {
+    let mut violations = check_rules(&finished_run.records, &scenario.rule_parameters());
+    violations.extend(check_footprint(&finished_run.samples, scenario.footprint_limits()));
     violations
 }
 
 #[test]
 fn constructed_run_then_the_verdict_and_each_violation_are_as_recorded() {
-    let (scenario, played) = (scenario(), played());
-    let violations = violations(&scenario, &played);
+    let (scenario, finished_run) = (scenario(), finished_run());
+    let violations = violations(&scenario, &finished_run);
     let mut verdict = format!("{} violations\n", violations.len());
     for violation in &violations {
         verdict += &violation.to_string();
@@ -65,17 +66,19 @@
 
 #[test]
 fn constructed_run_then_its_figures_and_its_report_are_as_recorded() {
-    let (scenario, played) = (scenario(), played());
-    let violations = violations(&scenario, &played);
-    let figures = compute_figures(&scenario, &played, &violations);
-    let stored = serde_json::to_string_pretty(&figures).expect("JSON");
+    let (scenario, finished_run) = (scenario(), finished_run());
+    let violations = violations(&scenario, &finished_run);
+    let figures = compute_figures(&scenario, &finished_run, &violations);
+    let stored = serde_json::to_string_pretty(&figures).expect("the value is serialized as JSON");
     golden!("run_figures.json").assert_eq(&(stored + "\n"));
     golden!("run_summary.txt").assert_eq(&render_summary(&figures));
-    golden!("run_page.html").assert_eq(&render_page(&scenario, &played, &figures, &violations));
+    golden!("run_page.html").assert_eq(&render_page(&scenario, &finished_run, &figures, &violations));
 }
 
 #[test]
 fn recorded_events_of_a_run_then_they_are_written_as_they_were_read() {
-    let lines = records().into_iter().map(|record| serde_json::to_string(&record).expect("JSON") + "\n");
+    let lines = records()
+        .into_iter()
+        .map(|record| serde_json::to_string(&record).expect("the value is serialized as JSON") + "\n");
     golden!("run_events.jsonl").assert_eq(&lines.collect::<String>());
 }
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -5,7 +5,7 @@
 
 use super::Scenario;
 use crate::golden::{self, golden};
-use crate::rules::RepeatPolicy;
+use crate::rules::RetryPolicy;
 
 const FULL: &str = include_str!("../golden/scenario_full.toml");
 
@@ -89,17 +89,21 @@
 
 fn rule_lines(scenario: &Scenario) -> Vec<String> {
     let rules = scenario.rule_parameters();
-    let repeats = |repeats: &RepeatPolicy| match repeats {
-        RepeatPolicy::Idempotent => "repeats: safe".to_owned(),
-        RepeatPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {}", window.as_micros()),
-        RepeatPolicy::NonIdempotent => "repeats: unsafe".to_owned(),
+    let repeats = |repeats: &RetryPolicy| match repeats {
+        RetryPolicy::Idempotent => "repeats: safe".to_owned(),
+        RetryPolicy::IdempotentWithKey { window } => format!("repeats: keyed for {}", window.as_micros()),
+        RetryPolicy::NonIdempotent => "repeats: unsafe".to_owned(),
     };
     let mut lines: Vec<String> = rules.classes.iter().map(repeats).collect();
-    lines.push(format!("slack {}, stop within {}", rules.slack.as_micros(), rules.stop_within.as_micros()));
+    lines.push(format!(
+        "slack {}, stop within {}",
+        rules.tolerance.as_micros(),
+        rules.max_stop_delay.as_micros()
+    ));
     lines.push(format!(
         "drain grace {}, fall window {}",
         rules.drain_grace.as_micros(),
-        rules.fall_window.as_micros()
+        rules.overload_window.as_micros()
     ));
     lines.push(format!("newer learns {}", rules.successor_grace.as_micros()));
     lines
--- a/crates/testbed/tests/unit/job_rules.rs
+++ b/crates/testbed/tests/unit/job_rules.rs
@@ -1,26 +1,26 @@
-//! The rules on jobs, checked on short sequences of events, each with its time in microseconds.
+//! Tests of the rules on jobs with short sequences of events, each with its time in microseconds.
 
 use curlewusher_model::TimeSpan;
 
 use super::*;
 use crate::event_log::{Event, FailureReason, Record};
-use crate::rules::{RepeatPolicy, Rule, RuleParameters};
+use crate::rules::{RetryPolicy, Rule, RuleParameters};
 
 fn parameters() -> RuleParameters {
     let classes = vec![
-        RepeatPolicy::Idempotent,
-        RepeatPolicy::IdempotentWithKey { window: TimeSpan::from_secs(40) },
-        RepeatPolicy::NonIdempotent,
+        RetryPolicy::Idempotent,
+        RetryPolicy::IdempotentWithKey { window: TimeSpan::from_secs(40) },
+        RetryPolicy::NonIdempotent,
     ];
     RuleParameters {
-        answer_slack: TimeSpan::from_millis(50),
-        notified_within: TimeSpan::from_secs(6),
+        response_tolerance: TimeSpan::from_millis(50),
+        max_notification_delay: TimeSpan::from_secs(6),
         classes,
-        slack: TimeSpan::from_millis(50),
-        stop_within: TimeSpan::from_millis(750),
+        tolerance: TimeSpan::from_millis(50),
+        max_stop_delay: TimeSpan::from_millis(750),
         drain_grace: TimeSpan::from_millis(700),
-        crossing_tolerance: TimeSpan::from_millis(200),
-        fall_window: TimeSpan::from_secs(2),
+        close_race_tolerance: TimeSpan::from_millis(200),
+        overload_window: TimeSpan::from_secs(2),
         successor_grace: TimeSpan::from_secs(2),
     }
 }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn request_crosses_a_close_then_violation_unless_its_first_byte_was_just_sent_unread_between_two_requests() {
+fn request_races_with_a_connection_close_then_violation_unless_just_sent_and_never_forwarded() {
     let failed = |at, on_new_connection| {
         (at, Event::RequestFailed { id: "r".into(), reason: FailureReason::Closed, on_new_connection })
     };
@@ -99,16 +99,17 @@
     let exited = (1_500_000, Event::NodeExited { node: 0, killed: false });
     let idle_clients = |present| (0, Event::IdleClients { node: 0, present });
     let cases = [
-        // Its connection was closed at that moment; 0.8 s after its first part; and a new one at that moment.
+        // Time from the first byte to the close: 0.15 s on a kept connection, 0.8 s on a kept connection, and
+        // 0.15 s on a new connection.
         (vec![sigterm.clone(), sent(800_000, 0), failed(950_000, false), exited.clone()], false),
         (vec![sigterm.clone(), sent(800_000, 0), failed(1_600_000, false), exited.clone()], true),
         (vec![sigterm.clone(), sent(800_000, 0), failed(950_000, true), exited.clone()], true),
-        // It was forwarded.
+        // An attempt of the request arrived at a worker.
         (
             vec![sigterm.clone(), sent(800_000, 0), arrived(810_000, 1, 0), failed(950_000, false), exited],
             true,
         ),
-        // Idle clients fill the node's descriptors, or have done so.
+        // Idle clients fill the node's descriptors, or disconnected before.
         (vec![idle_clients(true), sent(800_000, 0), failed(950_000, true)], false),
         (vec![idle_clients(true), sent(800_000, 0), failed(1_600_000, true)], true),
         (vec![idle_clients(true), idle_clients(false), sent(800_000, 0), failed(950_000, true)], true),
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn repeated_attempt_then_violation_unless_the_class_allows_it_and_no_attempt_is_outstanding() {
+fn retry_then_violation_unless_the_class_allows_it_and_no_attempt_is_outstanding() {
     let (lost, returned) =
         (|attempt| (1, Event::AttemptLost { attempt }), |attempt| (1, Event::AttemptReturned { attempt }));
     for (class, end, bay, at, broken) in [
@@ -138,7 +139,7 @@
         events.extend([arrived(at, 2, bay), responded(900_000, 200)]);
         assert_eq!(broken_rules(&events), if broken { vec![Rule::OneEffect] } else { vec![] }, "{events:?}");
     }
-    // A rejection states that a repeat is harmless.
+    // A rejection states that a resubmission is safe.
     for (class, end, broken) in
         [(0, lost(1), false), (1, lost(1), true), (2, lost(1), true), (2, returned(1), false)]
     {
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn successor_sends_to_a_drained_worker_then_violation_from_2_s_after_its_first_yes() {
+fn successor_sends_to_a_drained_worker_then_violation_only_after_its_grace() {
     let endpoint =
         (100_000, Event::EndpointSent { node: 0, worker: 1, in_service: false, started_at: Timestamp::ZERO });
     let began = |at| (at, Event::UpgradeBegan { node: 0 });
