--- a/crates/testbed/src/checked_run.rs
+++ b/crates/testbed/src/checked_run.rs
@@ -1,4 +1,4 @@
-//! A run with its verdict: a scenario is played, the rules are checked, and the report is written.
+//! Run of a scenario with its verdict: the scenario is run, the rules are checked, and the report is written.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,60 +14,61 @@
 use crate::scenario::Scenario;
 use crate::stress_run::StressRun;
 
-/// Number of violations that are printed; the report has all.
+/// Maximum number of violations that are printed. The report has all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// What a run showed.
+/// Verdict on a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// No rule was broken and no node crashed.
     Passed,
     /// A rule was broken, or a node crashed.
     Failed,
-    /// Nothing was found, but the load was late or the run was interrupted: its figures must not be used.
+    /// No rule was broken and no node crashed, but the load was late or the run was interrupted. The figures
+    /// of the run must not be used.
     Invalid,
 }
 
-/// A run whose files are written.
+/// Run that has finished, with its violations and figures. The files of the report are written.
 pub struct CheckedRun {
-    /// What was observed.
-    pub played: FinishedRun,
-    /// The violations of rules.
+    /// Observations of the run.
+    pub finished_run: FinishedRun,
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// The figures, as in `figures.json`.
+    /// Figures of the run, as in `figures.json`.
     pub figures: Figures,
 }
 
-/// Why a run has no result.
+/// Reason for which a run has no result.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// It could not begin.
+    /// The run could not begin.
     #[error(transparent)]
-    Play(#[from] RunStartError),
-    /// Its folder cannot be used.
+    Start(#[from] RunStartError),
+    /// The folder of the run cannot be used.
     #[error(transparent)]
     Folder(#[from] RunFolderError),
     /// A file of the report could not be written.
     #[error("{}: {source}", file.display())]
     Write {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system reported.
         source: io::Error,
     },
-    /// A result cannot be expressed in JSON.
+    /// A result cannot be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
 impl CheckedRun {
-    /// Plays a scenario, checks what was observed, writes the report into the program's folder, and prints the first
-    /// violations and all crashes.
+    /// Runs a scenario, checks the observations against the rules, writes the report into the program's
+    /// folder, and prints the first violations and all crashes.
     ///
     /// # Errors
     ///
-    /// The run could not begin, or a file could not be written.
-    pub async fn complete(
+    /// Fails if the run could not begin, or if a file could not be written.
+    pub async fn run(
         scenario: Scenario,
         program: Program,
         stress: Option<StressRun>,
@@ -75,18 +76,18 @@
     ) -> Result<CheckedRun, RunError> {
         let folder = program.folder.clone();
         let _claim = RunFolder::claim(&folder)?;
-        let played = run_scenario(scenario.clone(), program, stress, display).await?;
-        let violations = check(&scenario, &played);
-        let figures = report::compute_figures(&scenario, &played, &violations);
-        let run = CheckedRun { played, violations, figures };
+        let finished_run = run_scenario(scenario.clone(), program, stress, display).await?;
+        let violations = check(&scenario, &finished_run);
+        let figures = report::compute_figures(&scenario, &finished_run, &violations);
+        let run = CheckedRun { finished_run, violations, figures };
         run.write_files(&scenario, &folder)?;
-        run.print_findings();
+        run.print_failures();
         Ok(run)
     }
 
-    /// What the run showed.
+    /// Returns the verdict on the run.
     pub fn verdict(&self) -> Verdict {
-        if !self.violations.is_empty() || !self.played.crashes.is_empty() {
+        if !self.violations.is_empty() || !self.finished_run.crashes.is_empty() {
             Verdict::Failed
         } else if self.figures.valid {
             Verdict::Passed
@@ -96,32 +97,32 @@
     }
 
     fn write_files(&self, scenario: &Scenario, folder: &Path) -> Result<(), RunError> {
-        let CheckedRun { played, violations, figures } = self;
-        write_file(&folder.join("seen.jsonl"), &json_lines(&played.records)?)?;
+        let CheckedRun { finished_run, violations, figures } = self;
+        write_file(&folder.join("seen.jsonl"), &json_lines(&finished_run.records)?)?;
         write_file(&folder.join("figures.json"), &serde_json::to_string_pretty(figures)?)?;
-        let page = report::render_page(scenario, played, figures, violations);
+        let page = report::render_page(scenario, finished_run, figures, violations);
         write_file(&folder.join("report.html"), &page)
     }
 
-    fn print_findings(&self) {
+    fn print_failures(&self) {
         for violation in self.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             eprint!("BROKEN RULE {violation}");
         }
         if self.violations.len() > MAX_PRINTED_VIOLATIONS {
             eprintln!("... and {} more; see the report", self.violations.len() - MAX_PRINTED_VIOLATIONS);
         }
-        self.played.crashes.iter().for_each(|crash| eprintln!("CRASH {crash}"));
+        self.finished_run.crashes.iter().for_each(|crash| eprintln!("CRASH {crash}"));
     }
 }
 
-fn check(scenario: &Scenario, played: &FinishedRun) -> Vec<Violation> {
-    // An interrupted run leaves requests without a response that no node is to blame for.
-    let mut violations = if played.interrupted {
+fn check(scenario: &Scenario, finished_run: &FinishedRun) -> Vec<Violation> {
+    // The interruption leaves requests without a response. That is not a violation by a node.
+    let mut violations = if finished_run.interrupted {
         Vec::new()
     } else {
-        rules::check_rules(&played.records, &scenario.rule_parameters())
+        rules::check_rules(&finished_run.records, &scenario.rule_parameters())
     };
-    violations.extend(rules::check_footprint(&played.samples, scenario.footprint_limits()));
+    violations.extend(rules::check_footprint(&finished_run.samples, scenario.footprint_limits()));
     violations
 }
 
@@ -133,7 +134,7 @@
 ///
 /// # Errors
 ///
-/// The file cannot be written.
+/// Fails if the file cannot be written.
 pub fn write_file(file: &Path, text: &str) -> Result<(), RunError> {
     std::fs::write(file, text).map_err(|source| RunError::Write { file: file.to_owned(), source })
 }
--- a/crates/testbed/src/command_line/check.rs
+++ b/crates/testbed/src/command_line/check.rs
@@ -1,4 +1,4 @@
-//! `check`: a scenario is validated.
+//! `check`: validates a scenario.
 
 use std::path::PathBuf;
 
--- a/crates/testbed/src/command_line/compare.rs
+++ b/crates/testbed/src/command_line/compare.rs
@@ -1,10 +1,10 @@
-//! `compare`: two sides are played on the same scenario and seeds.
+//! `compare`: runs two sides with the same scenario and the same seeds.
 
 use std::path::{Path, PathBuf};
 
 use super::ExitStatus;
 use super::error::CommandError;
-use super::node_program::{node_path, program_at};
+use super::node_program::{node_path, program_without_arguments};
 use super::runtime::fleet_runtime;
 use super::scenario_file::read_scenario;
 use crate::checked_run::{CheckedRun, write_file};
@@ -38,17 +38,17 @@
     out: PathBuf,
 }
 
-/// Both sides of a comparison.
+/// Two sides of a comparison.
 struct Sides {
     first: Side,
     second: Side,
 }
 
-/// A side of a comparison.
+/// Side of a comparison.
 struct Side {
     name: &'static str,
     node: PathBuf,
-    /// The operator's file, in place of the scenario's.
+    /// Operator's file that replaces the one of the scenario.
     operator_file: Option<PathBuf>,
 }
 
@@ -63,37 +63,38 @@
         let mut pairs = Vec::new();
         for seed in scenario.seed..scenario.seed + seeds {
             let scenario = Scenario { seed, ..scenario.clone() };
-            pairs.push(sides.play(&scenario, &out)?);
+            pairs.push(sides.run(&scenario, &out)?);
         }
         let comparison = compare(&pairs)?;
         write_file(&out.join("comparison.json"), &comparison_json(&comparison)?)?;
         println!("{}", summary_line(&comparison));
         let mut figures = pairs.iter().flat_map(|(a, b)| [a, b]);
-        let has_findings = figures.any(|figures| figures.broken_rules + figures.crashes > 0);
-        Ok(if has_findings { ExitStatus::Failure } else { ExitStatus::Success })
+        let has_failures = figures.any(|figures| figures.broken_rules + figures.crashes > 0);
+        Ok(if has_failures { ExitStatus::Failure } else { ExitStatus::Success })
     }
 }
 
 impl Sides {
-    /// Plays both sides. They begin in turn, so that a machine that is warmed up favours neither.
-    fn play(&self, scenario: &Scenario, out: &Path) -> Result<(Figures, Figures), CommandError> {
+    /// Runs both sides. The side that runs first alternates between seeds, so that a machine that has warmed
+    /// up favours neither.
+    fn run(&self, scenario: &Scenario, out: &Path) -> Result<(Figures, Figures), CommandError> {
         if scenario.seed.is_multiple_of(2) {
-            let first = self.first.play(scenario, out)?;
-            Ok((first, self.second.play(scenario, out)?))
+            let first = self.first.run(scenario, out)?;
+            Ok((first, self.second.run(scenario, out)?))
         } else {
-            let second = self.second.play(scenario, out)?;
-            Ok((self.first.play(scenario, out)?, second))
+            let second = self.second.run(scenario, out)?;
+            Ok((self.first.run(scenario, out)?, second))
         }
     }
 }
 
 impl Side {
-    fn play(&self, scenario: &Scenario, out: &Path) -> Result<Figures, CommandError> {
+    fn run(&self, scenario: &Scenario, out: &Path) -> Result<Figures, CommandError> {
         let mut scenario = scenario.clone();
         let seed = scenario.seed;
         scenario.nodes.operator = self.operator_file.clone().or(scenario.nodes.operator);
-        let program = program_at(self.node.clone(), out.join(format!("{}-{seed}", self.name)));
-        let run = CheckedRun::complete(scenario, program, None, ProgressDisplay::Bar);
+        let program = program_without_arguments(self.node.clone(), out.join(format!("{}-{seed}", self.name)));
+        let run = CheckedRun::run(scenario, program, None, ProgressDisplay::Bar);
         let run = fleet_runtime()?.block_on(run)?;
         println!("seed {seed} {}: {:.3}", self.name, run.figures.share_in_time);
         Ok(run.figures)
--- a/crates/testbed/src/command_line/error.rs
+++ b/crates/testbed/src/command_line/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out.
+//! Errors of the commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,50 +10,50 @@
 use crate::scenario::ScenarioError;
 use crate::scripted::ScriptedNodeError;
 
-/// Why a command could not be carried out. The messages are for the person who typed it.
+/// Errors of the execution of a command. The messages are for the user who typed the command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The scenario's file cannot be read.
+    /// The scenario file cannot be read.
     #[error("{}: {source}", file.display())]
     ReadScenario {
-        /// The scenario's file.
+        /// Path of the scenario file.
         file: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system reported.
         source: io::Error,
     },
-    /// The scenario is not valid.
+    /// The scenario is invalid.
     #[error("{}: {problem}", file.display())]
     InvalidScenario {
-        /// The scenario's file.
+        /// Path of the scenario file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// Problem of the scenario.
         problem: ScenarioError,
     },
-    /// The value of an option is not in its range.
+    /// The value of an option is out of its range.
     #[error("{option}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// The option as it is typed.
+        /// Option as the user types it.
         option: &'static str,
-        /// Its value.
+        /// Value of the option.
         value: f64,
-        /// The least value.
+        /// Minimum value.
         min: f64,
-        /// The greatest value.
+        /// Maximum value.
         max: f64,
     },
-    /// No program of a node was named, and the folder of this program cannot be found.
-    #[error("this program's own place is not known: name the node's with --node")]
+    /// The folder of this program cannot be determined, and the node's program was not named.
+    #[error("the folder of this program cannot be determined: name the node's program with --node")]
     UnknownFolder,
-    /// The path of this program, which is the scripted node too, cannot be found.
-    #[error("this program's own place: {0}")]
+    /// The path of this program, which is also the scripted node, cannot be determined.
+    #[error("the path of this program cannot be determined: {0}")]
     UnknownProgram(#[source] io::Error),
     /// The node's program does not exist.
     #[error("no program at {}: build it, or name it with --node", program.display())]
     MissingProgram {
-        /// The path that was looked at.
+        /// Path of the missing program.
         program: PathBuf,
     },
-    /// The asynchronous runtime does not start.
+    /// The asynchronous runtime cannot be started.
     #[error("the runtime does not start: {0}")]
     Runtime(#[source] io::Error),
     /// A run has no result.
@@ -62,10 +62,10 @@
     /// The runs cannot be compared.
     #[error(transparent)]
     Compare(#[from] CompareError),
-    /// A result cannot be expressed in JSON.
+    /// A result cannot be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The scripted node does not serve.
+    /// The scripted node cannot serve.
     #[error(transparent)]
     ScriptedNode(#[from] ScriptedNodeError),
 }
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// The value is not in the range.
+    /// Fails if the value is out of the range.
     pub fn check_range(option: &'static str, value: f64, min: f64, max: f64) -> Result<(), CommandError> {
         if (min..=max).contains(&value) {
             Ok(())
--- a/crates/testbed/src/command_line/mod.rs
+++ b/crates/testbed/src/command_line/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: a module for each sub-command, with its options and what it does.
+//! Command line, with a module for the options and the execution of each subcommand.
 
 mod check;
 mod compare;
@@ -48,15 +48,16 @@
     ScriptedNode(scripted_node::ScriptedNodeOptions),
 }
 
-/// How the program ends.
+/// Exit status of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExitStatus {
+    /// The command succeeded.
     Success = 0,
     /// A rule was broken, or a node crashed.
     Failure = 1,
     /// The command could not begin.
-    NotBegun = 2,
-    /// The run does not count.
+    NotStarted = 2,
+    /// The run is invalid, and its figures must not be used.
     InvalidRun = 3,
 }
 
@@ -77,11 +78,11 @@
 }
 
 impl CommandLine {
-    /// Carries out the command, and prints why if it could not begin.
+    /// Executes the command, and prints the error if it could not begin.
     pub fn execute(self) -> ExitCode {
         let status = self.command.execute().unwrap_or_else(|error| {
             eprintln!("curlewusher-testbed: {error}");
-            ExitStatus::NotBegun
+            ExitStatus::NotStarted
         });
         status.into()
     }
--- a/crates/testbed/src/command_line/run.rs
+++ b/crates/testbed/src/command_line/run.rs
@@ -1,4 +1,4 @@
-//! `run`: a scenario is played once.
+//! `run`: runs a scenario once.
 
 use std::path::PathBuf;
 
@@ -41,7 +41,7 @@
         scenario.seed = seed.unwrap_or(scenario.seed);
         let program = choose_program(node, scripted, &out)?;
         let display = if quiet { ProgressDisplay::Hidden } else { ProgressDisplay::Bar };
-        let run = fleet_runtime()?.block_on(CheckedRun::complete(scenario, program, None, display))?;
+        let run = fleet_runtime()?.block_on(CheckedRun::run(scenario, program, None, display))?;
         print!("{}", render_summary(&run.figures));
         println!("report: {}", out.join("report.html").display());
         Ok(run.verdict().into())
--- a/crates/testbed/src/command_line/runtime.rs
+++ b/crates/testbed/src/command_line/runtime.rs
@@ -1,20 +1,20 @@
-//! The asynchronous runtime of a command.
+//! Asynchronous runtimes of the commands.
 
 use tokio::runtime::{Builder, Runtime};
 
 use super::error::CommandError;
 
-/// Threads of a command that simulates a fleet. One suffices but at large size.
+/// Number of threads of a command that simulates a fleet. One is sufficient except for large fleets.
 const FLEET_THREADS: usize = 2;
-/// Threads of a scripted node.
+/// Number of threads of a scripted node.
 const SCRIPTED_NODE_THREADS: usize = 1;
 
-/// The runtime of a command that simulates a fleet.
+/// Creates the runtime of a command that simulates a fleet.
 pub fn fleet_runtime() -> Result<Runtime, CommandError> {
     runtime(FLEET_THREADS)
 }
 
-/// The runtime of a scripted node.
+/// Creates the runtime of a scripted node.
 pub fn scripted_node_runtime() -> Result<Runtime, CommandError> {
     runtime(SCRIPTED_NODE_THREADS)
 }
--- a/crates/testbed/src/command_line/scenario_file.rs
+++ b/crates/testbed/src/command_line/scenario_file.rs
@@ -1,4 +1,4 @@
-//! Scenarios in files.
+//! Reading of scenario files.
 
 use std::path::Path;
 
@@ -9,13 +9,13 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or the scenario is not valid.
+/// Fails if the file cannot be read, or if the scenario is invalid.
 pub fn read_scenario(file: &Path) -> Result<Scenario, CommandError> {
     let text = std::fs::read_to_string(file)
         .map_err(|source| CommandError::ReadScenario { file: file.to_owned(), source })?;
     let mut scenario = Scenario::parse(&text)
         .map_err(|problem| CommandError::InvalidScenario { file: file.to_owned(), problem })?;
-    // A relative path in the file counts from the folder of the file.
+    // A relative path in the file is relative to the folder of the file.
     if let (Some(operator_file), Some(folder)) = (&scenario.nodes.operator, file.parent()) {
         scenario.nodes.operator = Some(folder.join(operator_file));
     }
--- a/crates/testbed/src/command_line/scripted_node.rs
+++ b/crates/testbed/src/command_line/scripted_node.rs
@@ -1,4 +1,4 @@
-//! `scripted-node`: this program is a node that breaks one rule, or none.
+//! `scripted-node`: runs this program as a node that breaks one rule, or none.
 
 use super::ExitStatus;
 use super::error::CommandError;
--- a/crates/testbed/src/command_line/soak.rs
+++ b/crates/testbed/src/command_line/soak.rs
@@ -1,17 +1,18 @@
-//! `soak`: soak runs, one seed after another.
+//! `soak`: executes soak runs, one seed after another.
 
 use std::path::{Path, PathBuf};
 
 use super::ExitStatus;
 use super::error::CommandError;
-use super::node_program::{node_path, program_at};
+use super::node_program::{node_path, program_without_arguments};
 use super::runtime::fleet_runtime;
 use crate::checked_run::{CheckedRun, Verdict};
 use crate::play::ProgressDisplay;
-use crate::soak::{Soak, table_head, table_row};
+use crate::soak::{SoakRun, table_head, table_row};
 
-/// Bounds of the length of a run, in seconds.
+/// Minimum length of a run, in seconds.
 const MIN_LENGTH_S: f64 = 8.0;
+/// Maximum length of a run, in seconds.
 const MAX_LENGTH_S: f64 = 3_600.0;
 
 /// The options of `soak`
@@ -47,7 +48,7 @@
 }
 
 impl SoakOptions {
-    /// A run that is late because of a busy machine does not fail the command.
+    /// Executes all runs. A run that is late because of a busy machine does not fail the command.
     pub(super) fn execute(mut self) -> Result<ExitStatus, CommandError> {
         CommandError::check_range("--length", self.length, MIN_LENGTH_S, MAX_LENGTH_S)?;
         let node = node_path(self.node.take())?;
@@ -61,9 +62,9 @@
         Ok(status)
     }
 
-    /// Plays the scenario of a seed and prints its row of the table.
+    /// Runs the scenario of a seed and prints its row of the table.
     fn run_seed(&self, seed: u64, node: &Path) -> Result<Verdict, CommandError> {
-        let soak = Soak {
+        let soak = SoakRun {
             seed,
             nodes: self.nodes as usize,
             workers: self.workers as usize,
@@ -72,18 +73,18 @@
             shutdowns: self.shutdowns,
         };
         let scenario = soak.scenario();
-        let program = program_at(node.to_owned(), self.out.join(seed.to_string()));
-        let run = CheckedRun::complete(scenario.clone(), program, None, ProgressDisplay::Hidden);
+        let program = program_without_arguments(node.to_owned(), self.out.join(seed.to_string()));
+        let run = CheckedRun::run(scenario.clone(), program, None, ProgressDisplay::Hidden);
         let run = fleet_runtime()?.block_on(run)?;
-        print!("{}", table_row(&scenario, &run.figures, &run.violations, &run.played.crashes));
-        if !run.violations.is_empty() || !run.played.crashes.is_empty() {
-            println!("        repeat: {}", self.repeat_command(seed, node));
+        print!("{}", table_row(&scenario, &run.figures, &run.violations, &run.finished_run.crashes));
+        if !run.violations.is_empty() || !run.finished_run.crashes.is_empty() {
+            println!("        repeat: {}", self.reproduction_command(seed, node));
         }
         Ok(run.verdict())
     }
 
-    /// The command that plays a seed again. All options that are part of the draw are in it.
-    fn repeat_command(&self, seed: u64, node: &Path) -> String {
+    /// Returns the command that runs a seed again, with all options that determine the generated faults.
+    fn reproduction_command(&self, seed: u64, node: &Path) -> String {
         let SoakOptions { nodes, workers, length, faults, shutdowns, .. } = self;
         format!(
             "curlewusher-testbed soak --first {seed} --seeds 1 --nodes {nodes} --workers {workers} --length {length} \
--- a/crates/testbed/src/command_line/stress_run.rs
+++ b/crates/testbed/src/command_line/stress_run.rs
@@ -1,4 +1,4 @@
-//! `drill`: a stress run on one node.
+//! `drill`: executes a stress run on one node.
 
 use std::path::PathBuf;
 
@@ -47,12 +47,12 @@
         let stress = StressRun { kind, rounds: times, max_delay_s: delay };
         let program = choose_program(node, scripted, &out)?;
         let display = if quiet { ProgressDisplay::Hidden } else { ProgressDisplay::Bar };
-        let run = CheckedRun::complete(stress.scenario(seed), program, Some(stress), display);
+        let run = CheckedRun::run(stress.scenario(seed), program, Some(stress), display);
         let run = fleet_runtime()?.block_on(run)?;
         let results = StressResults {
             run: stress,
             seed,
-            crashes: run.played.crashes.len(),
+            crashes: run.finished_run.crashes.len(),
             operations: &run.figures.operations,
             violations: &run.violations,
         };
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,6 @@
 //! Paired comparison of two sides over the same seeds: the mean difference and its confidence interval.
 //!
-//! Takes the figures of both sides; it runs nothing itself.
+//! The comparison is computed from the figures of finished runs; this module starts no runs.
 
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -16,24 +16,25 @@
 pub struct Comparison {
     /// Number of valid pairs.
     pub pairs: usize,
-    /// Mean of the differences b - a of the share in time.
+    /// Mean of the differences b - a between the shares of the priority weight that were served in time.
     pub mean: f64,
     /// Half width of the 95 % confidence interval of the mean; infinite for a single pair.
     #[serde(rename = "half")]
     pub half_width: f64,
-    /// The valid pairs, in the order in which they were given.
+    /// Shares of the valid pairs, in the order of the input.
     pub shares: Vec<PairedShares>,
 }
 
-/// Shares in time of both sides for one seed. Stored as an array `[seed, a, b]`.
+/// Shares of the requested priority weight that both sides served in time for one seed. Serialized as an
+/// array `[seed, a, b]`.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(u64, f64, f64)")]
 pub struct PairedShares {
-    /// The seed of both runs.
+    /// Seed of both runs.
     pub seed: u64,
-    /// Share in time of the first side.
+    /// Share that the first side served in time.
     pub a: f64,
-    /// Share in time of the second side.
+    /// Share that the second side served in time.
     pub b: f64,
 }
 
@@ -49,10 +50,10 @@
     }
 }
 
-/// Why runs cannot be compared.
+/// Errors of [`compare`].
 #[derive(Debug, Error)]
 pub enum CompareError {
-    /// Both runs of a pair must be of one scenario and one seed.
+    /// The runs of a pair differ in their scenario or their seed.
     #[error("a pair is no pair: {title_a} seed {seed_a} and {title_b} seed {seed_b}")]
     MismatchedPair {
         /// Title of the first run's scenario.
@@ -64,7 +65,7 @@
         /// Seed of the second run.
         seed_b: u64,
     },
-    /// Every pair has a run that is not valid.
+    /// Each pair has an invalid run.
     #[error("no pair of valid runs is left: give the machine to the runs alone, or ask for less load")]
     NoValidPair,
     /// The t distribution rejected its parameters.
@@ -73,17 +74,17 @@
 }
 
 impl Comparison {
-    /// Whether the confidence interval excludes zero.
+    /// Returns whether the confidence interval of the mean difference excludes zero.
     pub fn is_significant(&self) -> bool {
         self.pairs > 1 && self.mean.abs() > self.half_width
     }
 }
 
-/// Compares pairs `(a, b)` of runs of the same scenario; pairs with a run that is not valid are left out.
+/// Compares pairs `(a, b)` of runs of the same scenario. Ignores pairs with an invalid run.
 ///
 /// # Errors
 ///
-/// A pair is of different scenarios or seeds, or no pair is valid.
+/// Fails if the runs of a pair differ in scenario or seed, or if no pair is valid.
 pub fn compare(pairs: &[(Figures, Figures)]) -> Result<Comparison, CompareError> {
     if let Some((a, b)) = pairs.iter().find(|(a, b)| a.seed != b.seed || a.title != b.title) {
         return Err(CompareError::MismatchedPair {
@@ -106,7 +107,8 @@
     Ok(Comparison { pairs: shares.len(), mean, half_width, shares })
 }
 
-/// Half width of the 95 % confidence interval of the mean difference, by Student's t.
+/// Returns the half width of the 95 % confidence interval of the mean difference, from Student's t
+/// distribution.
 fn confidence_half_width(shares: &[PairedShares], mean: f64) -> Result<f64, CompareError> {
     if shares.len() < 2 {
         return Ok(f64::INFINITY);
@@ -119,16 +121,16 @@
     Ok(student.inverse_cdf(CONFIDENCE_QUANTILE) * (variance / count).sqrt())
 }
 
-/// The text of `comparison.json`.
+/// Returns the text of `comparison.json`.
 ///
 /// # Errors
 ///
-/// The numbers cannot be expressed in JSON.
+/// Fails if the comparison cannot be serialized as JSON.
 pub fn comparison_json(comparison: &Comparison) -> Result<String, serde_json::Error> {
     serde_json::to_string_pretty(comparison)
 }
 
-/// The result in one line for a terminal.
+/// Returns the result as one line for a terminal.
 pub fn summary_line(comparison: &Comparison) -> String {
     let verdict =
         if comparison.is_significant() { "a difference" } else { "no difference that these runs can show" };
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! The testbed: it plays scenarios on real nodes and checks what was observed. This file is its entry point.
+//! Testbed: runs scenarios on real nodes and checks the observations against the rules. This file is the
+//! entry point.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -160,7 +160,7 @@
         let (environment, begin) = (self.environment.clone(), self.begin);
         let (clients, rounds_done) = (self.clients.clone(), self.rounds_done.clone());
         tasks.others.spawn(async move {
-            stress.carry_out(&environment, begin, &rounds_done).await;
+            stress.execute(&environment, begin, &rounds_done).await;
             clients.stop();
         });
     }
--- a/crates/testbed/src/process_cost.rs
+++ b/crates/testbed/src/process_cost.rs
@@ -1,28 +1,32 @@
-//! What a node's process costs, as the system reports it in `/proc`.
+//! Resource usage of a node's process, as the operating system reports it in `/proc`.
 
 use serde::Serialize;
 
-/// Positions of the processor times after the name in `/proc/PID/stat`, in clock ticks.
+/// Index of the user processor time, in clock ticks, among the fields after the process name in
+/// `/proc/PID/stat`.
 const USER_TIME_FIELD: usize = 11;
+/// Index of the system processor time, in clock ticks, among the fields after the process name in
+/// `/proc/PID/stat`.
 const SYSTEM_TIME_FIELD: usize = 12;
+/// Number of kilobytes in a megabyte, as `/proc` counts them.
 const KILOBYTES_PER_MEGABYTE: f64 = 1024.0;
 
-/// What a node cost up to a moment.
+/// Resource usage of a node's process at one time.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Sample {
-    /// Time since the beginning of the run, in seconds.
+    /// Time of the sample since the beginning of the run, in seconds.
     pub at_s: f64,
-    /// Number of the node.
+    /// Index of the node.
     pub node: usize,
-    /// Processor time of its process so far, in seconds.
+    /// Processor time that the process has used since its start, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory of the process, in MB.
     pub memory_mb: f64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// Samples the cost of a process; none once it has exited.
+/// Samples the resource usage of a process. Returns `None` once the process has exited.
 pub fn sample_cost(process: u32, node: usize, at_s: f64) -> Option<Sample> {
     let cpu_s = processor_time_s(&read(process, "stat")?)?;
     let memory_mb = resident_kilobytes(&read(process, "status")?)? / KILOBYTES_PER_MEGABYTE;
@@ -35,7 +39,7 @@
 }
 
 fn processor_time_s(stat: &str) -> Option<f64> {
-    // The name of the process stands in brackets and may hold anything, brackets too.
+    // The name of the process is in parentheses and may contain any character, parentheses included.
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let user: f64 = fields.get(USER_TIME_FIELD)?.parse().ok()?;
     let system: f64 = fields.get(SYSTEM_TIME_FIELD)?.parse().ok()?;
--- a/crates/testbed/src/run_folder.rs
+++ b/crates/testbed/src/run_folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a run: the nodes' configurations and logs, and the report.
+//! Folder of a run, which holds the nodes' configurations and logs, and the report.
 
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -6,41 +6,41 @@
 
 use thiserror::Error;
 
-/// The file in the folder that a run has locked while it lasts.
+/// Name of the file in the folder that a run keeps locked while it lasts.
 const LOCK_FILE: &str = "run.lock";
 
-/// Why a run has no folder.
+/// Errors of [`RunFolder::claim`].
 #[derive(Debug, Error)]
 pub enum RunFolderError {
-    /// Another run has it.
+    /// Another run uses the folder.
     #[error("{}: another run has this folder; wait for its end, or name another with --out", folder.display())]
     InUse {
-        /// The folder.
+        /// Path of the folder.
         folder: PathBuf,
     },
-    /// It cannot be created or written to.
+    /// The folder cannot be created or written to.
     #[error("{}: {source}", folder.display())]
     Write {
-        /// The folder.
+        /// Path of the folder.
         folder: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system reported.
         source: io::Error,
     },
 }
 
-/// A folder that belongs to one run until this is dropped. Nodes of two runs that share a folder read each other's
-/// configurations, and their attempts count as duplicates.
+/// Exclusive claim of a run on its folder, released on drop. If two runs shared a folder, their nodes would
+/// read each other's configurations, and their attempts would count as duplicates.
 pub struct RunFolder {
-    /// The system unlocks the file as it is closed.
+    /// Locked file. The operating system releases the lock when the file is closed.
     _lock: File,
 }
 
 impl RunFolder {
-    /// Creates a folder, if there is none, and claims it.
+    /// Creates a folder if it does not exist, and claims it.
     ///
     /// # Errors
     ///
-    /// Another run has it, or it cannot be written to.
+    /// Fails if another run uses the folder, or if the folder cannot be created or written to.
     pub fn claim(folder: &Path) -> Result<RunFolder, RunFolderError> {
         let write_error = |source| RunFolderError::Write { folder: folder.to_owned(), source };
         fs::create_dir_all(folder).map_err(write_error)?;
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -1,4 +1,6 @@
 //! Conversion of a scenario into machines, model parameters, the workload and the parameters of the rules.
+//!
+//! The limits and tolerances of the rules are constants, which a scenario cannot change.
 
 use curlewusher_model::TimeSpan;
 use curlewusher_model::worker_pool::{Machine, PoolParameters};
@@ -7,47 +9,54 @@
 use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
 use crate::rules::{FootprintLimits, RetryPolicy, RuleParameters};
 
-// Limits and tolerances of the rules; a scenario does not change them.
-const SLACK: TimeSpan = TimeSpan::from_millis(50);
-/// The same for responses while links are impaired: a worker's response may be delayed on its way.
-const IMPAIRED_ANSWER_SLACK: TimeSpan = TimeSpan::from_millis(500);
-const NOTIFIED_WITHIN: TimeSpan = TimeSpan::from_secs(6);
-const STOP_WITHIN: TimeSpan = TimeSpan::from_millis(750);
+/// Tolerance that is added to each time limit of the rules.
+const TIME_TOLERANCE: TimeSpan = TimeSpan::from_millis(50);
+/// Time by which a response may exceed the client's timeout in a scenario that can impair links, because a
+/// link may delay the response of a worker.
+const IMPAIRED_RESPONSE_TOLERANCE: TimeSpan = TimeSpan::from_millis(500);
+/// Duration after which all nodes count as notified of a change that discovery has received.
+const MAX_NOTIFICATION_DELAY: TimeSpan = TimeSpan::from_secs(6);
+/// Duration within which a node must stop sending to a worker, once the node is notified that the worker is
+/// draining or has exited.
+const MAX_STOP_DELAY: TimeSpan = TimeSpan::from_millis(750);
+/// Duration after SIGTERM from which a request may cross the close of its connection.
 const DRAIN_GRACE: TimeSpan = TimeSpan::from_millis(700);
-/// A node may be held up for this long between reading its clock and writing.
+/// Maximum delay of a node between reading its clock and writing.
 const MAX_NODE_PAUSE: TimeSpan = TimeSpan::from_millis(150);
+/// Duration after the first readiness of a successor from which the registry's entries bind the successor.
 const SUCCESSOR_GRACE: TimeSpan = TimeSpan::from_secs(2);
-/// Repeats of a job with an idempotency key are dropped in a bay for this long.
+/// Duration for which a cell drops duplicate attempts of a job with an idempotency key.
 pub const DEDUPLICATION_WINDOW: TimeSpan = TimeSpan::from_secs(40);
-/// Window in which work that is sent to a worker that warms up is added up.
+/// Window over which the work that is sent to a worker that is warming up is added up.
 pub const OVERLOAD_WINDOW: TimeSpan = TimeSpan::from_secs(2);
-/// Multiple of its capacity at which a worker that warms up crashes.
+/// Multiple of its capacity at which a worker that is warming up crashes.
 pub const OVERLOAD_FACTOR: f64 = 3.0;
-/// Memory of a node, all of its processes together, in MB.
+/// Memory limit of a node, for all of its processes together, in MB.
 pub const MEMORY_MB: f64 = 192.0;
 
 /// Interval between two progress reports of a worker.
 const PROGRESS_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
-/// Units of memory of a machine for each of its slots.
+/// Units of memory of a machine for each slot.
 const MEMORY_PER_SLOT: f64 = 2.0;
-/// Workers are dealt the kinds by this stride, which has no factor in common with most sizes and so mixes the kinds.
+/// Stride through the weighted list of kinds from one worker to the next. The stride is coprime to most
+/// lengths of the list, which mixes the kinds.
 const KIND_STRIDE: usize = 7;
 
 impl Scenario {
-    /// Index of the kind of machine that a worker runs on.
+    /// Returns the index of the kind of machine on which a worker runs.
     pub fn kind_index_of(&self, worker: usize) -> usize {
         let kinds = self.fleet.kinds.iter().enumerate();
-        let dealt: Vec<usize> =
+        let weighted_kinds: Vec<usize> =
             kinds.flat_map(|(index, kind)| std::iter::repeat_n(index, kind.parts)).collect();
-        dealt[(worker * KIND_STRIDE) % dealt.len()]
+        weighted_kinds[(worker * KIND_STRIDE) % weighted_kinds.len()]
     }
 
-    /// The kind of machine that a worker runs on.
+    /// Returns the kind of machine on which a worker runs.
     pub fn kind_of(&self, worker: usize) -> &MachineKind {
         &self.fleet.kinds[self.kind_index_of(worker)]
     }
 
-    /// The machines of all workers.
+    /// Returns the machines of all workers.
     pub fn machines(&self) -> Vec<Machine> {
         (0..self.worker_count()).map(|worker| self.machine_of(worker)).collect()
     }
@@ -65,7 +74,7 @@
         }
     }
 
-    /// The parameters of the worker pool.
+    /// Returns the parameters of the worker pool.
     pub fn pool_parameters(&self) -> PoolParameters {
         PoolParameters {
             initial_capacity_fraction: self.fleet.initial_capacity_fraction,
@@ -80,7 +89,7 @@
         }
     }
 
-    /// What the jobs are drawn from.
+    /// Returns the parameters from which the jobs are generated.
     pub fn workload(&self) -> WorkloadSpec {
         WorkloadSpec {
             seed: self.seed,
@@ -94,21 +103,25 @@
         }
     }
 
-    /// The limits of a node, all of its processes together.
+    /// Returns the limits of a node, for all of its processes together.
     pub fn footprint_limits(&self) -> FootprintLimits {
         FootprintLimits { memory_mb: MEMORY_MB, descriptors: self.nodes.descriptors }
     }
 
-    /// The limits and tolerances of the rules.
+    /// Returns the limits and tolerances of the rules.
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
             classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
-            tolerance: SLACK,
-            response_tolerance: if self.needs_proxies() { IMPAIRED_ANSWER_SLACK } else { SLACK },
-            max_notification_delay: NOTIFIED_WITHIN,
-            max_stop_delay: STOP_WITHIN,
+            tolerance: TIME_TOLERANCE,
+            response_tolerance: if self.needs_proxies() {
+                IMPAIRED_RESPONSE_TOLERANCE
+            } else {
+                TIME_TOLERANCE
+            },
+            max_notification_delay: MAX_NOTIFICATION_DELAY,
+            max_stop_delay: MAX_STOP_DELAY,
             drain_grace: DRAIN_GRACE,
-            close_race_tolerance: MAX_NODE_PAUSE + SLACK,
+            close_race_tolerance: MAX_NODE_PAUSE + TIME_TOLERANCE,
             overload_window: OVERLOAD_WINDOW,
             successor_grace: SUCCESSOR_GRACE,
         }
--- a/crates/testbed/src/scenario/fault.rs
+++ b/crates/testbed/src/scenario/fault.rs
@@ -1,38 +1,42 @@
-//! Faults of a scenario: failures of workers, nodes, links and discovery, and actions of operators.
+//! Faults of a scenario: failures of workers, nodes, links and discovery, and operator actions.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest delay between the first readiness of a successor and SIGTERM for its predecessor, in seconds.
+/// Maximum delay between the first readiness of a successor and SIGTERM for its predecessor, in seconds.
 pub const MAX_DELAY_S: f64 = 6.0;
 
-/// A fault.
+/// Fault or operator action that is injected during a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Start of the fault, in seconds.
     pub at_s: f64,
-    /// Its duration; none if it lasts.
+    /// Duration of the fault, in seconds. `None` if the fault lasts until the end of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The workers or nodes, by number from 0.
+    /// Indexes of the affected workers or nodes, from 0.
     #[serde(default, rename = "of")]
     pub targets: Vec<usize>,
-    /// In place of `targets`: the fraction of all workers or nodes, those with the lowest numbers first.
+    /// Fraction of all workers or nodes that the fault affects, in place of `targets`. The lowest indexes are
+    /// affected.
     #[serde(default)]
     pub share: Option<f64>,
-    /// The slowdown, for `slow`.
+    /// Slowdown factor, for `slow` and `discovery_slow`.
     #[serde(default)]
     pub factor: Option<f64>,
-    /// The longest delay between the first readiness of the successor and SIGTERM; the delay is drawn up to it.
+    /// Maximum delay between the first readiness of the successor and SIGTERM for the predecessor, in
+    /// seconds. The delay is random up to this maximum.
     #[serde(default)]
     pub delay_s: Option<f64>,
-    /// The process that dies, for `kill_in_upgrade`; drawn if none is named.
+    /// Process that is killed, for `kill_in_upgrade`. `None` if it is picked at random.
     #[serde(default, rename = "whom")]
     pub victim: Option<UpgradeProcess>,
 }
 
 impl Fault {
-    /// A fault of a kind, with nothing else set.
+    /// Creates a fault of a kind, with nothing else set.
     pub fn of_kind(kind: FaultKind) -> Self {
         Fault {
             at_s: 0.0,
@@ -47,80 +51,88 @@
     }
 }
 
-/// One of the two processes of a node during an upgrade.
+/// Role of a process of a node during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpgradeProcess {
+    /// Process that was started first.
     #[serde(rename = "older")]
     Predecessor,
+    /// Process that replaces the predecessor.
     #[serde(rename = "newer")]
     Successor,
 }
 
-/// The kinds of faults.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A worker's process dies; after `for_s` it starts again and warms up.
+    /// A worker's process is killed. After `for_s`, the worker starts again and warms up.
     Kill,
-    /// A worker accepts connections and requests, and sends no responses.
+    /// A worker accepts connections and requests, but sends no responses.
     Silent,
-    /// A worker runs slower by `factor`.
+    /// A worker is slower by `factor`.
     Slow,
-    /// A worker completes what is running and ends; after `for_s` it starts again and warms up.
+    /// A worker completes its running jobs and exits. After `for_s`, the worker starts again and warms up.
     Drain,
-    /// Discovery lists a worker as draining, and as in service again after `for_s`; the worker accepts jobs all the while.
+    /// Discovery lists a worker as draining, and as available again after `for_s`. The worker accepts jobs
+    /// during this time.
     AnnouncedDrain,
-    /// Workers that did not exist before start and warm up.
+    /// New workers start and warm up.
     Grow,
-    /// Discovery fails its polls and ends its watches.
+    /// Discovery fails polls and ends endpoint watches.
     DiscoveryDown,
-    /// Discovery moves, and SIGHUP makes the nodes reload its address.
+    /// The address of discovery changes, and SIGHUP makes the nodes reload it.
     Reload,
-    /// A node gets SIGTERM, is killed 3.7 s (or, if that is longer, the longest timeout of a class and 0.7 s) later,
-    /// and is started again after `for_s`.
+    /// A node gets SIGTERM, then SIGKILL 3.7 s later, or the longest timeout of a class plus 0.7 s later if
+    /// that is longer. The node is started again after `for_s`.
     NodeStop,
-    /// The same for nodes whose shutdowns overlap, each under a series of signals that is drawn from the seed: SIGHUP
-    /// several times, SIGTERM twice, and SIGSTOP for up to 0.15 s at the moments of its drain.
+    /// Nodes are stopped and started again as with `node_stop`, and their shutdowns overlap. Each node gets a
+    /// series of signals that is generated from the seed: up to three times SIGHUP, up to three further
+    /// SIGTERM, and SIGSTOP for up to 0.15 s at three stages of its shutdown.
     NodeStopSignals,
-    /// A node gets SIGHUP several times in quick succession, with nothing changed.
+    /// A node gets SIGHUP several times in quick succession, with an unchanged configuration.
     ReloadSeries,
-    /// Idle clients connect to a node until they fill its descriptors, for `for_s`.
+    /// Idle clients connect to a node until its file descriptors are exhausted, and stay connected for
+    /// `for_s`.
     IdleClients,
-    /// A node is killed, and started again after `for_s`.
+    /// A node is killed, and is started again after `for_s`.
     NodeKill,
     /// An operator drains a node, and ends the drain after `for_s`.
     NodeDrain,
-    /// An operator disables a worker on all nodes, and enables it after `for_s`; half way through, the worker is
-    /// restarted and warms up.
+    /// An operator disables a worker on all nodes, and enables it after `for_s`. Halfway through this time,
+    /// the worker is restarted and warms up.
     Maintenance,
-    /// The successor of a node's process is started beside it; the predecessor gets SIGTERM a drawn time after the
+    /// A successor of a node's process is started. The predecessor gets SIGTERM after a random delay once the
     /// successor is ready.
     Upgrade,
-    /// The same, and one of both processes is killed at a drawn moment.
+    /// An upgrade takes place as with `upgrade`, and one of the two processes is killed at a random time.
     KillInUpgrade,
-    /// A node's process is paused by SIGSTOP, and continued after `for_s`.
+    /// A node's process is paused with SIGSTOP, and resumed after `for_s`.
     NodePause,
-    /// Discovery takes longer for each call, by `factor`, so that calls queue behind each other and are dropped.
+    /// Discovery serves each call more slowly, by `factor`, so that calls are queued and dropped.
     DiscoverySlow,
-    /// The link between a node and discovery drops all bytes without an error; at the end open connections are reset.
+    /// The link between a node and discovery drops all bytes without an error. At the end, open connections
+    /// are reset.
     DiscoveryLinkCut,
-    /// Connections between a node and discovery are reset, also those that are opened meanwhile.
+    /// Connections between a node and discovery are reset, including new ones during the fault.
     DiscoveryLinkRefused,
     /// All connections of a node to discovery are reset, once.
     DiscoveryLinkReset,
-    /// What discovery sends to a node arrives late and in small pieces.
+    /// Data from discovery to a node arrives late and in small pieces.
     DiscoveryLinkSlow,
-    /// The links between the nodes and a worker drop all bytes without an error; at the end open connections are reset.
+    /// The links between the nodes and a worker drop all bytes without an error. At the end, open connections
+    /// are reset.
     WorkerLinkCut,
     /// All connections of the nodes to a worker are reset, once.
     WorkerLinkReset,
-    /// What a worker sends arrives late and in small pieces; what is sent to it arrives in small pieces, without delay.
+    /// Data from a worker arrives late and in small pieces. Data to the worker arrives in small pieces
+    /// without delay.
     WorkerLinkSlow,
 }
 
 impl FaultKind {
-    /// Whether its targets are nodes, as opposed to workers.
+    /// Returns whether the targets of the fault are nodes, as opposed to workers.
     pub fn targets_nodes(self) -> bool {
         match self {
             FaultKind::Reload
@@ -152,7 +164,7 @@
         }
     }
 
-    /// Whether it is done by the proxies between the nodes and what they connect to.
+    /// Returns whether the fault is injected by the proxies between the nodes and discovery or the workers.
     pub fn needs_proxies(self) -> bool {
         matches!(
             self,
@@ -166,12 +178,12 @@
         )
     }
 
-    /// Whether it is an upgrade of nodes.
+    /// Returns whether the fault is an upgrade of nodes.
     pub fn is_upgrade(self) -> bool {
         matches!(self, FaultKind::Upgrade | FaultKind::KillInUpgrade)
     }
 
-    /// Whether it is done by commands at the nodes' admin addresses.
+    /// Returns whether the fault is injected with commands to the nodes' admin addresses.
     pub fn needs_admin_address(self) -> bool {
         self.is_upgrade() || matches!(self, FaultKind::NodeDrain | FaultKind::Maintenance)
     }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,8 +1,8 @@
-//! Scenario files: their form, their defaults, and what is valid.
+//! Scenario files: format, default values and validation.
 //!
-//! Times are seconds from the beginning of the load, as decimals; work is seconds on a core of speed 1. The names in the
-//! file are an interface; where a Rust name is another one, the field is renamed for serde. A file is validated as a
-//! whole before the first process is started.
+//! Times are seconds from the beginning of the load, as decimals. Work is seconds on a core of speed 1. The
+//! names in the file are an interface: a field whose Rust name differs is renamed for serde. The whole file
+//! is validated before the first process is started.
 
 mod conversion;
 mod error;
@@ -17,38 +17,45 @@
 pub use error::ScenarioError;
 pub use fault::{Fault, FaultKind, MAX_DELAY_S, UpgradeProcess};
 
-/// A scenario.
+/// Scenario of a run: the nodes, the fleet, the load and the faults.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows, for the report.
+    /// Subject of the scenario, for the report.
     pub title: String,
-    /// The same seed gives the same jobs, sizes, keys and machines.
+    /// Seed of the random choices. The same seed gives the same jobs, sizes, keys and machines.
     pub seed: u64,
-    /// How long jobs arrive.
+    /// Duration for which jobs arrive, in seconds.
     pub length_s: f64,
+    /// Nodes under test.
     pub nodes: Nodes,
+    /// Workers, archive and discovery.
     #[serde(default)]
     pub fleet: Fleet,
+    /// Requests that clients send.
     pub load: Load,
+    /// Classes of jobs.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
+    /// Faults that are injected during the run.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// The nodes under test.
+/// Nodes under test.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
+    /// Number of nodes.
     pub count: usize,
-    /// File descriptors that each may use.
+    /// Number of file descriptors that each node may use.
     #[serde(default = "Nodes::default_descriptors")]
     pub descriptors: usize,
-    /// The operator's file for all of them.
+    /// Path of the operator's file for all nodes.
     #[serde(default)]
     pub operator: Option<PathBuf>,
-    /// A process starts with the endpoint list that its node was sent last, in place of none.
+    /// Whether a process starts with the last endpoint list that its node was sent, instead of without a
+    /// list.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub saved_lists: bool,
 }
@@ -59,50 +66,55 @@
     }
 }
 
-/// The workers, the archive, and discovery.
+/// Workers, archive and discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Workers that are up from the beginning.
+    /// Number of workers that run from the beginning.
     pub workers: usize,
-    /// Bays that the workers are dealt to in turn.
+    /// Number of cells, to which the workers are assigned in rotation.
     pub bays: usize,
-    /// Kinds of machines, dealt in turn.
+    /// Kinds of machines, which are assigned to the workers in rotation.
     pub kinds: Vec<MachineKind>,
-    /// Jobs that may wait at a worker.
+    /// Maximum number of jobs that wait at a worker.
     pub queue: usize,
-    /// Data sets that a worker caches.
+    /// Maximum number of data sets that a worker caches.
     #[serde(rename = "sets_kept")]
     pub cached_sets: usize,
-    /// Seconds that a fetch takes at full speed.
+    /// Duration of a fetch at full speed, in seconds.
     pub fetch_s: f64,
-    /// Fetches that the archive serves at full speed.
+    /// Number of concurrent fetches that the archive serves at full speed.
     #[serde(rename = "archive")]
     pub archive_concurrency: f64,
-    /// Fraction of capacity lost when twice the cores are in demand.
+    /// Fraction of the capacity that a worker loses when the demand is twice its cores.
     #[serde(rename = "crowding")]
     pub contention_penalty: f64,
     /// Fraction of its capacity that a worker has when it starts.
     #[serde(rename = "cold_share")]
     pub initial_capacity_fraction: f64,
+    /// Duration of the warm-up of a worker, in seconds.
     pub warm_up_s: f64,
-    /// Delay between a change and its publication by discovery.
+    /// Delay between a change and its publication by discovery, in seconds.
     #[serde(rename = "list_late_s")]
     pub publication_delay_s: f64,
-    /// Discovery serves one call at a time, each for this long.
+    /// Duration for which discovery serves a call, in seconds. It serves one call at a time.
     #[serde(rename = "list_call_s")]
     pub discovery_call_s: f64,
 }
 
-/// A kind of machine.
+/// Kind of machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
+    /// Name of the kind.
     pub name: String,
+    /// Number of cores.
     pub cores: f64,
+    /// Speed of a core, as a multiple of the speed at which work is counted.
     pub speed: f64,
+    /// Number of slots.
     pub slots: u32,
-    /// Its weight when the kinds are dealt.
+    /// Weight of the kind in the assignment of kinds to workers.
     #[serde(default = "MachineKind::default_parts")]
     pub parts: usize,
 }
@@ -140,36 +152,40 @@
     }
 }
 
-/// What clients submit.
+/// Requests that clients send.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Jobs a second.
+    /// Number of jobs per second.
     pub rate: f64,
     /// Number of data sets.
     #[serde(default = "Load::default_sets")]
     pub sets: u64,
-    /// Exponent of Zipf's law by which data sets are requested.
+    /// Exponent of the Zipf distribution of the requested data sets.
     #[serde(default = "Load::default_skew")]
     pub skew: f64,
-    /// Standard deviation of the logarithm of the error of clients' estimates.
+    /// Standard deviation of the logarithm of the error in the clients' cost estimates.
     #[serde(default = "Load::default_hint_spread")]
     pub hint_spread: f64,
-    /// Retries of a client after its first request.
+    /// Maximum number of retries of a client after its first request.
     #[serde(default = "Load::default_retries")]
     pub retries: u32,
-    /// A client's backoff before each retry; the node's `Retry-After` counts where it is longer.
+    /// Backoff of a client before each retry, in seconds. If the node's `Retry-After` is longer, it applies
+    /// instead.
     #[serde(default)]
     pub retry_wait_s: f64,
-    /// Fraction of jobs that come each on a connection of its own; the others use persistent connections.
+    /// Fraction of jobs that are each sent on a connection of their own. The others use persistent
+    /// connections.
     #[serde(default)]
     pub new_connections: f64,
-    /// Requests that are written in two parts; none if absent.
+    /// Requests that are written in two parts. `None` means no such requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub split: Option<SplitRequests>,
-    /// Fraction of jobs behind whose request another request is written at once; none if absent.
+    /// Fraction of jobs behind whose request the client writes another request at once. `None` means no such
+    /// jobs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pipelined: Option<f64>,
+    /// Periods with a different rate.
     #[serde(default, rename = "tide")]
     pub load_curve: Vec<LoadCurveSegment>,
 }
@@ -193,41 +209,50 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SplitRequests {
-    /// The fraction of jobs that are requested so.
+    /// Fraction of jobs whose requests are written in two parts.
     pub share: f64,
-    /// The longest pause between both parts, in seconds.
+    /// Maximum pause between the two parts, in seconds.
     pub pause_s: f64,
 }
 
-/// A span of time in which the rate is a multiple of the base rate.
+/// Period in which the rate is a multiple of the base rate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadCurveSegment {
+    /// Start of the period, in seconds.
     pub from_s: f64,
+    /// End of the period, in seconds.
     pub until_s: f64,
+    /// Multiple of the base rate.
     pub factor: f64,
 }
 
-/// A class of jobs.
+/// Class of jobs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
+    /// Name of the class, which clients send in a header.
     pub name: String,
-    /// Its weight among the classes.
+    /// Weight of the class among all classes.
     pub share: f64,
-    /// Mean work of a job.
+    /// Mean work of a job, in seconds.
     pub mean_s: f64,
+    /// Number of slots that a job occupies.
     #[serde(default = "Class::default_slots")]
     pub slots: u32,
+    /// Idempotence of the jobs.
     #[serde(rename = "repeats")]
     pub idempotence: Idempotence,
-    /// The latency objective is this and `stretch` times the job's own work.
+    /// Fixed part of the latency objective, in seconds. The objective is the sum of this part and `stretch`
+    /// times the work of the job.
     #[serde(rename = "aim_s")]
     pub objective_s: f64,
+    /// Multiple of the work of the job in the latency objective.
     pub stretch: f64,
+    /// Timeout of clients, in seconds.
     #[serde(rename = "give_up_s")]
     pub timeout_s: f64,
-    /// Value of a second of its work that is answered within the objective.
+    /// Value of each second of work of a job that is answered within its latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
 }
@@ -238,37 +263,40 @@
     }
 }
 
-/// Whether a job may run again.
+/// Idempotence of the jobs of a class: the condition under which a job may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotence {
+    /// A job may run again.
     #[serde(rename = "safe")]
     Idempotent,
-    /// With an idempotency key.
+    /// A job has an idempotency key, and may run again in the same cell within the deduplication window.
     #[serde(rename = "keyed")]
     IdempotentWithKey,
+    /// A job must not run again.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
 impl Scenario {
-    /// Reads and validates a scenario; the error names line, field and remedy.
+    /// Parses and validates a scenario. An error names the line, the field and the remedy.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = curlewusher_toml_diagnostics::parse(text)?;
         scenario.validate().map_err(|invalid| invalid.locate(text))?;
         Ok(scenario)
     }
 
-    /// Whether the nodes need an admin address. Otherwise they get none: older programs do not know it.
+    /// Returns whether the nodes need an admin address. Otherwise they get none, because older versions of
+    /// the node do not support it.
     pub fn needs_admin_addresses(&self) -> bool {
         self.faults.iter().any(|fault| fault.kind.needs_admin_address())
     }
 
-    /// Whether the nodes connect to discovery and to workers through proxies.
+    /// Returns whether the nodes connect to discovery and to workers through proxies.
     pub fn needs_proxies(&self) -> bool {
         self.faults.iter().any(|fault| fault.kind.needs_proxies())
     }
 
-    /// The workers or nodes that a fault is for.
+    /// Returns the indexes of the workers or nodes that a fault affects.
     pub fn targets_of(&self, fault: &Fault) -> Vec<usize> {
         let all = if fault.kind.targets_nodes() { self.nodes.count } else { self.fleet.workers };
         match fault.share {
@@ -278,7 +306,7 @@
         }
     }
 
-    /// Workers that are started by a fault of kind `grow`, in ascending order.
+    /// Returns the indexes of the workers that faults of kind `grow` start, in ascending order.
     pub fn grown_workers(&self) -> Vec<usize> {
         let grows = self.faults.iter().filter(|fault| fault.kind == FaultKind::Grow);
         let mut grown: Vec<usize> = grows.flat_map(|fault| fault.targets.iter().copied()).collect();
@@ -287,10 +315,10 @@
         grown
     }
 
-    /// Number of all workers that exist at some time, grown ones included.
+    /// Returns the number of all workers of the run, including those that faults of kind `grow` start.
     pub fn worker_count(&self) -> usize {
-        let after_grown = self.grown_workers().last().map_or(0, |last| last + 1);
-        self.fleet.workers.max(after_grown)
+        let count_with_grown = self.grown_workers().last().map_or(0, |last| last + 1);
+        self.fleet.workers.max(count_with_grown)
     }
 }
 
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,18 +1,18 @@
-//! Validation of a scenario: ranges of numbers, names of classes, and what faults need.
+//! Validation of a scenario: ranges of numbers, names of classes, and requirements of faults.
 
 use super::error::{InvalidField, Problem};
 use super::{Class, Fault, FaultKind, MAX_DELAY_S, Scenario};
 
-/// The largest number of workers in a scenario.
+/// Maximum number of workers in a scenario.
 const MAX_WORKERS: usize = 10_000;
-/// An upgrade lasts as long as its longest drawn delay and this, in seconds: the successor is ready within 6 s, the
-/// predecessor is killed 3.7 s after SIGTERM, and the starts take a moment.
-const UPGRADE_LASTS_S: f64 = 10.0;
+/// Maximum duration of an upgrade in excess of its maximum delay, in seconds. The successor is ready within
+/// 6 s, the predecessor is killed 3.7 s after SIGTERM, and the starts of the processes take a short time.
+const UPGRADE_MARGIN_S: f64 = 10.0;
 
-/// A number and its range.
-struct Bound {
+/// Number in a field, with its valid range.
+struct BoundedValue {
     table: &'static str,
-    /// Index among the tables of that name.
+    /// Index of the table among the tables of the same name.
     index: usize,
     field: &'static str,
     value: f64,
@@ -20,14 +20,14 @@
     max: f64,
 }
 
-impl Bound {
-    /// A bound in a table that exists once.
-    fn single(table: &'static str, field: &'static str, value: f64, min: f64, max: f64) -> Self {
-        Bound { table, index: 0, field, value, min, max }
+impl BoundedValue {
+    /// Creates a value in a table that exists once.
+    fn in_single_table(table: &'static str, field: &'static str, value: f64, min: f64, max: f64) -> Self {
+        BoundedValue { table, index: 0, field, value, min, max }
     }
 
     fn check(&self) -> Result<(), InvalidField> {
-        let Bound { table, index, field, value, min, max } = *self;
+        let BoundedValue { table, index, field, value, min, max } = *self;
         if (min..=max).contains(&value) {
             return Ok(());
         }
@@ -35,115 +35,129 @@
     }
 }
 
-/// Gives each table of a list its index, so that its bounds need only field, value and range.
+/// Table of a list of tables. Creates the values of the table, with its name and index.
 struct IndexedTable {
     table: &'static str,
     index: usize,
 }
 
 impl IndexedTable {
-    fn bound(&self, field: &'static str, value: f64, min: f64, max: f64) -> Bound {
-        Bound { table: self.table, index: self.index, field, value, min, max }
+    fn bounded_value(&self, field: &'static str, value: f64, min: f64, max: f64) -> BoundedValue {
+        BoundedValue { table: self.table, index: self.index, field, value, min, max }
     }
 }
 
 impl Scenario {
-    /// Checks all fields. The error is about the first field that is out of its range, or that contradicts another.
+    /// Checks all fields. Returns an error for the first field that is out of its range or that contradicts
+    /// another.
     pub(super) fn validate(&self) -> Result<(), InvalidField> {
-        let mut bounds = self.single_bounds();
-        bounds.extend(self.kind_bounds());
-        bounds.extend(self.load_curve_bounds());
-        bounds.extend(self.class_bounds());
-        bounds.extend(self.fault_bounds());
-        bounds.iter().try_for_each(Bound::check)?;
+        let mut values = self.single_values();
+        values.extend(self.machine_kind_values());
+        values.extend(self.load_curve_values());
+        values.extend(self.class_values());
+        values.extend(self.fault_values());
+        values.iter().try_for_each(BoundedValue::check)?;
         self.validate_class_names()?;
         self.faults.iter().enumerate().try_for_each(|(index, fault)| self.validate_fault(index, fault))
     }
 
-    /// Bounds of the fields that exist once.
-    fn single_bounds(&self) -> Vec<Bound> {
+    /// Returns the values of the fields that exist once.
+    fn single_values(&self) -> Vec<BoundedValue> {
         let Scenario { nodes, fleet, load, .. } = self;
         vec![
-            Bound::single("", "length_s", self.length_s, 0.5, 86_400.0),
-            Bound::single("nodes", "count", nodes.count as f64, 1.0, 64.0),
-            Bound::single("nodes", "descriptors", nodes.descriptors as f64, 64.0, 65_536.0),
-            Bound::single("fleet", "workers", fleet.workers as f64, 1.0, MAX_WORKERS as f64),
-            Bound::single("fleet", "bays", fleet.bays as f64, 1.0, 1_000.0),
-            Bound::single("fleet", "kinds", fleet.kinds.len() as f64, 1.0, 64.0),
-            Bound::single("fleet", "queue", fleet.queue as f64, 0.0, 1e6),
-            Bound::single("fleet", "sets_kept", fleet.cached_sets as f64, 1.0, 1e6),
-            Bound::single("fleet", "fetch_s", fleet.fetch_s, 0.0, 3_600.0),
-            Bound::single("fleet", "archive", fleet.archive_concurrency, 0.1, 1e6),
-            Bound::single("fleet", "crowding", fleet.contention_penalty, 0.0, 100.0),
-            Bound::single("fleet", "cold_share", fleet.initial_capacity_fraction, 0.01, 1.0),
-            Bound::single("fleet", "warm_up_s", fleet.warm_up_s, 0.0, 3_600.0),
-            Bound::single("fleet", "list_late_s", fleet.publication_delay_s, 0.0, 5.0),
-            Bound::single("fleet", "list_call_s", fleet.discovery_call_s, 0.0, 2.0),
-            Bound::single("load", "rate", load.rate, 0.1, 100_000.0),
-            Bound::single("load", "sets", load.sets as f64, 1.0, 1e9),
-            Bound::single("load", "skew", load.skew, 0.0, 10.0),
-            Bound::single("load", "hint_spread", load.hint_spread, 0.0, 5.0),
-            Bound::single("load", "retries", f64::from(load.retries), 0.0, 100.0),
-            Bound::single("load", "new_connections", load.new_connections, 0.0, 1.0),
-            Bound::single("load", "split.share", load.split.map_or(0.0, |split| split.share), 0.0, 1.0),
-            Bound::single("load", "split.pause_s", load.split.map_or(0.0, |split| split.pause_s), 0.0, 60.0),
-            Bound::single("load", "pipelined", load.pipelined.unwrap_or(0.0), 0.0, 1.0),
-            Bound::single("load", "retry_wait_s", load.retry_wait_s, 0.0, 3_600.0),
-            Bound::single("", "class", self.classes.len() as f64, 1.0, 64.0),
+            BoundedValue::in_single_table("", "length_s", self.length_s, 0.5, 86_400.0),
+            BoundedValue::in_single_table("nodes", "count", nodes.count as f64, 1.0, 64.0),
+            BoundedValue::in_single_table("nodes", "descriptors", nodes.descriptors as f64, 64.0, 65_536.0),
+            BoundedValue::in_single_table("fleet", "workers", fleet.workers as f64, 1.0, MAX_WORKERS as f64),
+            BoundedValue::in_single_table("fleet", "bays", fleet.bays as f64, 1.0, 1_000.0),
+            BoundedValue::in_single_table("fleet", "kinds", fleet.kinds.len() as f64, 1.0, 64.0),
+            BoundedValue::in_single_table("fleet", "queue", fleet.queue as f64, 0.0, 1e6),
+            BoundedValue::in_single_table("fleet", "sets_kept", fleet.cached_sets as f64, 1.0, 1e6),
+            BoundedValue::in_single_table("fleet", "fetch_s", fleet.fetch_s, 0.0, 3_600.0),
+            BoundedValue::in_single_table("fleet", "archive", fleet.archive_concurrency, 0.1, 1e6),
+            BoundedValue::in_single_table("fleet", "crowding", fleet.contention_penalty, 0.0, 100.0),
+            BoundedValue::in_single_table("fleet", "cold_share", fleet.initial_capacity_fraction, 0.01, 1.0),
+            BoundedValue::in_single_table("fleet", "warm_up_s", fleet.warm_up_s, 0.0, 3_600.0),
+            BoundedValue::in_single_table("fleet", "list_late_s", fleet.publication_delay_s, 0.0, 5.0),
+            BoundedValue::in_single_table("fleet", "list_call_s", fleet.discovery_call_s, 0.0, 2.0),
+            BoundedValue::in_single_table("load", "rate", load.rate, 0.1, 100_000.0),
+            BoundedValue::in_single_table("load", "sets", load.sets as f64, 1.0, 1e9),
+            BoundedValue::in_single_table("load", "skew", load.skew, 0.0, 10.0),
+            BoundedValue::in_single_table("load", "hint_spread", load.hint_spread, 0.0, 5.0),
+            BoundedValue::in_single_table("load", "retries", f64::from(load.retries), 0.0, 100.0),
+            BoundedValue::in_single_table("load", "new_connections", load.new_connections, 0.0, 1.0),
+            BoundedValue::in_single_table(
+                "load",
+                "split.share",
+                load.split.map_or(0.0, |split| split.share),
+                0.0,
+                1.0,
+            ),
+            BoundedValue::in_single_table(
+                "load",
+                "split.pause_s",
+                load.split.map_or(0.0, |split| split.pause_s),
+                0.0,
+                60.0,
+            ),
+            BoundedValue::in_single_table("load", "pipelined", load.pipelined.unwrap_or(0.0), 0.0, 1.0),
+            BoundedValue::in_single_table("load", "retry_wait_s", load.retry_wait_s, 0.0, 3_600.0),
+            BoundedValue::in_single_table("", "class", self.classes.len() as f64, 1.0, 64.0),
         ]
     }
 
-    /// The kinds may be written in one line, which is what an error names then.
-    fn kind_bounds(&self) -> impl Iterator<Item = Bound> {
-        let bounds = |value, min, max| Bound::single("fleet", "kinds", value, min, max);
+    /// Returns the values of the kinds of machines. All of them have the field `kinds`, because the kinds may
+    /// be written in one line, which an error then names.
+    fn machine_kind_values(&self) -> impl Iterator<Item = BoundedValue> {
+        let values = |value, min, max| BoundedValue::in_single_table("fleet", "kinds", value, min, max);
         self.fleet.kinds.iter().flat_map(move |kind| {
             [
-                bounds(kind.cores, 0.1, 1_000.0),
-                bounds(kind.speed, 0.01, 100.0),
-                bounds(f64::from(kind.slots), 1.0, 1_000.0),
-                bounds(kind.parts as f64, 1.0, 1_000.0),
+                values(kind.cores, 0.1, 1_000.0),
+                values(kind.speed, 0.01, 100.0),
+                values(f64::from(kind.slots), 1.0, 1_000.0),
+                values(kind.parts as f64, 1.0, 1_000.0),
             ]
         })
     }
 
-    fn load_curve_bounds(&self) -> impl Iterator<Item = Bound> {
+    fn load_curve_values(&self) -> impl Iterator<Item = BoundedValue> {
         self.load.load_curve.iter().enumerate().flat_map(|(index, segment)| {
             let table = IndexedTable { table: "load.tide", index };
             [
-                table.bound("from_s", segment.from_s, 0.0, self.length_s),
-                table.bound("until_s", segment.until_s, segment.from_s, self.length_s),
-                table.bound("factor", segment.factor, 0.0, 1_000.0),
+                table.bounded_value("from_s", segment.from_s, 0.0, self.length_s),
+                table.bounded_value("until_s", segment.until_s, segment.from_s, self.length_s),
+                table.bounded_value("factor", segment.factor, 0.0, 1_000.0),
             ]
         })
     }
 
-    fn class_bounds(&self) -> impl Iterator<Item = Bound> {
+    fn class_values(&self) -> impl Iterator<Item = BoundedValue> {
         self.classes.iter().enumerate().flat_map(|(index, class)| {
             let table = IndexedTable { table: "class", index };
             [
-                table.bound("share", class.share, 1e-6, 1e6),
-                table.bound("mean_s", class.mean_s, 0.001, 3_600.0),
-                table.bound("slots", f64::from(class.slots), 1.0, 64.0),
-                table.bound("aim_s", class.objective_s, 0.0, 3_600.0),
-                table.bound("stretch", class.stretch, 0.0, 1_000.0),
-                table.bound("give_up_s", class.timeout_s, 0.1, 3_600.0),
-                table.bound("worth", class.priority_weight, 0.0, 1e6),
+                table.bounded_value("share", class.share, 1e-6, 1e6),
+                table.bounded_value("mean_s", class.mean_s, 0.001, 3_600.0),
+                table.bounded_value("slots", f64::from(class.slots), 1.0, 64.0),
+                table.bounded_value("aim_s", class.objective_s, 0.0, 3_600.0),
+                table.bounded_value("stretch", class.stretch, 0.0, 1_000.0),
+                table.bounded_value("give_up_s", class.timeout_s, 0.1, 3_600.0),
+                table.bounded_value("worth", class.priority_weight, 0.0, 1e6),
             ]
         })
     }
 
-    fn fault_bounds(&self) -> impl Iterator<Item = Bound> {
+    fn fault_values(&self) -> impl Iterator<Item = BoundedValue> {
         self.faults.iter().enumerate().flat_map(|(index, fault)| {
             let table = IndexedTable { table: "fault", index };
-            let begin = table.bound("at_s", fault.at_s, 0.0, self.length_s);
-            let bounds = [
+            let begin = table.bounded_value("at_s", fault.at_s, 0.0, self.length_s);
+            let values = [
                 Some(begin),
-                fault.for_s.map(|value| table.bound("for_s", value, 0.0, 86_400.0)),
-                fault.share.map(|value| table.bound("share", value, 0.0, 1.0)),
-                fault.factor.map(|value| table.bound("factor", value, 1.0, 1_000.0)),
-                fault.delay_s.map(|value| table.bound("delay_s", value, 0.0, MAX_DELAY_S)),
+                fault.for_s.map(|value| table.bounded_value("for_s", value, 0.0, 86_400.0)),
+                fault.share.map(|value| table.bounded_value("share", value, 0.0, 1.0)),
+                fault.factor.map(|value| table.bounded_value("factor", value, 1.0, 1_000.0)),
+                fault.delay_s.map(|value| table.bounded_value("delay_s", value, 0.0, MAX_DELAY_S)),
             ];
-            bounds.into_iter().flatten()
+            values.into_iter().flatten()
         })
     }
 
@@ -168,11 +182,11 @@
         if let Some(problem) = factor_problem(fault) {
             return invalid("factor", problem);
         }
-        let is_called_back = matches!(
+        let needs_duration = matches!(
             fault.kind,
             FaultKind::NodeDrain | FaultKind::Maintenance | FaultKind::NodePause | FaultKind::IdleClients
         );
-        if is_called_back && fault.for_s.is_none() {
+        if needs_duration && fault.for_s.is_none() {
             return invalid("for_s", Problem::MissingDuration);
         }
         if fault.delay_s.is_some() && !fault.kind.is_upgrade() {
@@ -196,7 +210,7 @@
     fn unknown_target(&self, fault: &Fault) -> Option<Problem> {
         let (count, targets) = match fault.kind {
             kind if kind.targets_nodes() => (self.nodes.count, "nodes"),
-            // A worker that grows exists from then on.
+            // A fault of this kind creates its targets.
             FaultKind::Grow => (MAX_WORKERS, "places for workers"),
             _ => (self.worker_count(), "workers"),
         };
@@ -204,14 +218,14 @@
         Some(Problem::UnknownTarget { target, count, targets })
     }
 
-    /// Another upgrade of the same node that may not have ended when this one begins.
+    /// Returns another upgrade of the same node that may not have ended when this one begins.
     fn overlapping_upgrade(&self, index: usize, fault: &Fault) -> Option<&Fault> {
         let overlaps = |other: &Fault| {
             let are_upgrades = fault.kind.is_upgrade() && other.kind.is_upgrade();
             let targets = self.targets_of(fault);
             let share_target = self.targets_of(other).iter().any(|node| targets.contains(node));
-            let lasts_s = other.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_LASTS_S;
-            are_upgrades && share_target && other.at_s <= fault.at_s && fault.at_s < other.at_s + lasts_s
+            let duration_s = other.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_MARGIN_S;
+            are_upgrades && share_target && other.at_s <= fault.at_s && fault.at_s < other.at_s + duration_s
         };
         let mut others = self.faults.iter().enumerate().filter(|(other, _)| *other != index);
         others.find(|(_, other)| overlaps(other)).map(|(_, other)| other)
@@ -219,7 +233,7 @@
 }
 
 fn upgrade_end_s(upgrade: &Fault) -> f64 {
-    upgrade.at_s + upgrade.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_LASTS_S
+    upgrade.at_s + upgrade.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_MARGIN_S
 }
 
 fn has_valid_name(class: &Class) -> bool {
--- a/crates/testbed/src/shared_classes.rs
+++ b/crates/testbed/src/shared_classes.rs
@@ -1,8 +1,9 @@
-//! The classes of jobs that soak runs and stress runs share: one of each idempotence.
+//! Classes of jobs that soak runs and stress runs share, one for each variant of `Idempotence`.
 
 use crate::scenario::Scenario;
 
-/// The class tables of a scenario, without the clients' timeouts, which differ between runs.
+/// Class tables of a scenario. The clients' timeouts in them are placeholders, which [`set_timeouts`]
+/// replaces because they differ between runs.
 const CLASSES: &str = r#"
 [[class]]
 name = "scan-view"
@@ -34,25 +35,25 @@
 worth = 3.0
 "#;
 
-/// The clients' timeouts in seconds.
+/// Clients' timeouts for the shared classes, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassTimeouts {
-    /// Of the class that is idempotent.
+    /// Timeout of the class `scan-view`, whose jobs are idempotent.
     pub scan_view_s: f64,
-    /// Of the class that is idempotent with an idempotency key.
+    /// Timeout of the class `sample-register`, whose jobs are idempotent with an idempotency key.
     pub sample_register_s: f64,
-    /// Of the class that is not idempotent.
+    /// Timeout of the class `release-order`, whose jobs are not idempotent.
     pub release_order_s: f64,
 }
 
-/// A scenario from the text of its other tables, with the shared classes.
+/// Parses a scenario from the text of its other tables, with the shared classes added.
 ///
 /// # Panics
 ///
-/// The text is not valid; it is a constant of the caller, which its tests parse.
+/// Panics if the text is invalid. The text is a constant of the caller, which the tests of the caller parse.
 pub fn scenario_with_shared_classes(other_tables: &str, timeouts: ClassTimeouts) -> Scenario {
     let text = format!("{other_tables}{CLASSES}");
-    let mut scenario = Scenario::parse(&text).expect("a constant that the tests parse");
+    let mut scenario = Scenario::parse(&text).expect("the constant text of a scenario is valid");
     set_timeouts(&mut scenario, timeouts);
     scenario
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,43 +1,46 @@
-//! Soak runs: a fleet of real processes under faults that are drawn from a seed and overlap, checked by the rules.
+//! Soak runs: a fleet of real processes under overlapping faults that are generated from a seed, checked
+//! against the rules.
 
-mod fault_draw;
-mod shutdown_draw;
+mod fault_generator;
+mod shutdown_generator;
 mod table;
 
-use fault_draw::FaultDraw;
-use shutdown_draw::add_shutdowns;
+use fault_generator::FaultGenerator;
+use shutdown_generator::add_shutdowns;
 pub use table::{table_head, table_row};
 
 use crate::scenario::Scenario;
 use crate::shared_classes::{ClassTimeouts, scenario_with_shared_classes};
 
-/// A soak run.
+/// Parameters of a soak run.
 #[derive(Clone, Copy, Debug)]
-pub struct Soak {
-    /// The seed of the faults and of the load.
+pub struct SoakRun {
+    /// Seed of the faults and of the load.
     pub seed: u64,
     /// Number of nodes.
     pub nodes: usize,
     /// Number of workers.
     pub workers: usize,
-    /// How long jobs arrive, in seconds.
+    /// Duration for which jobs arrive, in seconds.
     pub length_s: f64,
-    /// How many faults are drawn.
+    /// Number of generated faults.
     pub faults: usize,
-    /// How many shutdowns are drawn beside them. With none the clients do not cross shutdowns either.
+    /// Number of shutdowns that are generated in addition to the faults. If it is 0, the scenario also has no
+    /// clients that keep using their connections during shutdowns.
     pub shutdowns: usize,
 }
 
-/// Jobs a second for each worker: about half of what the workers can do.
+/// Number of jobs per second for each worker, about half of the capacity of a worker.
 const JOBS_PER_WORKER: f64 = 2.5;
-/// Number of workers in a bay.
-const WORKERS_PER_BAY: usize = 4;
+/// Number of workers in a cell.
+const WORKERS_PER_CELL: usize = 4;
 
-/// The clients' timeouts.
+/// Clients' timeouts in a soak run without shutdowns.
 const TIMEOUTS: ClassTimeouts =
     ClassTimeouts { scan_view_s: 6.0, sample_register_s: 8.0, release_order_s: 10.0 };
 
-/// The load and the fleet, without nodes, workers, classes and faults.
+/// Scenario without classes and faults. [`SoakRun::scenario`] sets the numbers of nodes and workers, and the
+/// rate.
 const SCENARIO: &str = r#"
 title = "soak"
 seed = 1
@@ -56,8 +59,8 @@
 new_connections = 0.3
 "#;
 
-impl Soak {
-    /// The scenario, with all faults drawn.
+impl SoakRun {
+    /// Returns the scenario of the run, with all generated faults and shutdowns.
     pub fn scenario(self) -> Scenario {
         let mut scenario = scenario_with_shared_classes(SCENARIO, TIMEOUTS);
         scenario.title = format!("soak {}", self.seed);
@@ -65,9 +68,9 @@
         scenario.length_s = self.length_s;
         scenario.nodes.count = self.nodes;
         scenario.fleet.workers = self.workers;
-        scenario.fleet.bays = (self.workers / WORKERS_PER_BAY).max(1);
+        scenario.fleet.bays = (self.workers / WORKERS_PER_CELL).max(1);
         scenario.load.rate = JOBS_PER_WORKER * self.workers as f64;
-        scenario.faults = FaultDraw::new(self).draw();
+        scenario.faults = FaultGenerator::new(self).generate();
         if self.shutdowns > 0 {
             add_shutdowns(self, &mut scenario);
         }
--- a/crates/testbed/src/soak/table.rs
+++ b/crates/testbed/src/soak/table.rs
@@ -1,4 +1,4 @@
-//! The table of soak runs.
+//! Table of the results of soak runs.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use crate::rules::Violation;
 use crate::scenario::Scenario;
 
-/// The head of the table of soak runs.
+/// Returns the header of the table.
 pub fn table_head() -> String {
     format!(
         "{:>6}{:>8}{:>10}{:>8}{:>12}{:>9}\n",
@@ -14,7 +14,7 @@
     )
 }
 
-/// The row of a run, and below it a line for each violation and crash.
+/// Returns the row of a run, followed by a line for each violation and crash.
 pub fn table_row(
     scenario: &Scenario,
     figures: &Figures,
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -1,4 +1,5 @@
-//! Stress runs: one action of operators, repeated many times on one node under load, and the table of its results.
+//! Stress runs: an operator action that is repeated many times on one node under load, and the table of the
+//! results.
 
 mod table;
 
@@ -23,7 +24,7 @@
 use crate::shared_classes::{ClassTimeouts, scenario_with_shared_classes};
 use crate::upgrade::{UpgradePlan, upgrade_node};
 
-/// What is repeated.
+/// Action that a stress run repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum StressKind {
     /// A newer process takes over
@@ -34,40 +35,43 @@
     Calls,
 }
 
-/// A stress run.
+/// Parameters of a stress run.
 #[derive(Clone, Copy, Debug)]
 pub struct StressRun {
-    /// What is repeated.
+    /// Action that is repeated.
     pub kind: StressKind,
-    /// How often, one after another.
+    /// Number of rounds, one after another.
     pub rounds: usize,
-    /// The longest wait between a successor's first yes and SIGTERM for its predecessor, in seconds.
+    /// Maximum delay between the first time a successor reports that it is ready and SIGTERM for its
+    /// predecessor, in seconds.
     pub max_delay_s: f64,
 }
 
-/// Length of a run without rounds, in seconds.
+/// Length of a run without any rounds, in seconds.
 const BASE_LENGTH_S: f64 = 20.0;
-/// Upper bound of an upgrade's duration in seconds: its longest delay and the waits around it.
-const MAX_ROUND_S: f64 = 18.0;
-/// Load before the first round.
-const LEAD_TIME: Duration = Duration::from_secs(1);
-/// Load after the last round, in which a worker that was enabled can be seen in use.
-const TRAIL_TIME: Duration = Duration::from_millis(5500);
-/// The shortest pause after an admin command, in seconds.
+/// Maximum duration of a round, in seconds: the maximum delay of an upgrade and the waits before and after
+/// it.
+const MAX_ROUND_DURATION_S: f64 = 18.0;
+/// Duration of the load before the first round.
+const LOAD_BEFORE_ROUNDS: Duration = Duration::from_secs(1);
+/// Duration of the load after the last round, so that a worker that was enabled can be observed in use.
+const LOAD_AFTER_ROUNDS: Duration = Duration::from_millis(5500);
+/// Minimum pause after an admin command, in seconds.
 const MIN_PAUSE_S: f64 = 0.05;
-/// The longest addition to it, in seconds; a part is drawn.
-const MAX_PAUSE_ADDITION_S: f64 = 0.6;
-/// Number of clients at once that leave an admin command unfinished.
+/// Maximum random addition to the pause after an admin command, in seconds.
+const MAX_ADDITIONAL_PAUSE_S: f64 = 0.6;
+/// Number of clients that leave an admin command unfinished at the same time.
 const STALLED_CLIENTS: usize = 3;
-/// How long each of them keeps its connection.
-const STALL_TIME: Duration = Duration::from_secs(4);
-/// Bytes of a command that each stalled client sends beyond those of the one before; the first sends none.
+/// Duration for which a client with an unfinished admin command keeps its connection.
+const STALL_DURATION: Duration = Duration::from_secs(4);
+/// Number of bytes of a command that each stalled client sends in addition to the bytes of the client before
+/// it. The first client sends none.
 const STALL_STEP_BYTES: usize = 5;
-/// The clients' timeouts.
+/// Clients' timeouts in a stress run.
 const TIMEOUTS: ClassTimeouts =
     ClassTimeouts { scan_view_s: 3.0, sample_register_s: 3.0, release_order_s: 10.0 };
 
-/// A small scenario without classes, at a load that the workers carry with ease.
+/// Small scenario without classes, with a load far below the capacity of the workers.
 const SCENARIO: &str = r#"
 title = "drill"
 seed = 1
@@ -86,23 +90,18 @@
 "#;
 
 impl StressRun {
-    /// The scenario that it runs in, long enough for all rounds.
+    /// Returns the scenario of the stress run, long enough for all rounds.
     pub fn scenario(self, seed: u64) -> Scenario {
         let mut scenario = scenario_with_shared_classes(SCENARIO, TIMEOUTS);
         scenario.title = format!("drill {:?}", self.kind).to_lowercase();
         scenario.seed = seed;
-        scenario.length_s = BASE_LENGTH_S + self.rounds as f64 * MAX_ROUND_S;
+        scenario.length_s = BASE_LENGTH_S + self.rounds as f64 * MAX_ROUND_DURATION_S;
         scenario
     }
 
-    /// Carries out all rounds on the first node, and counts those that are done.
-    pub async fn carry_out(
-        self,
-        environment: &Environment,
-        load_start: Timestamp,
-        rounds_done: &AtomicUsize,
-    ) {
-        sleep_until(environment.log.instant(load_start) + LEAD_TIME).await;
+    /// Executes all rounds on the first node, and counts the completed rounds in `rounds_done`.
+    pub async fn execute(self, environment: &Environment, load_start: Timestamp, rounds_done: &AtomicUsize) {
+        sleep_until(environment.log.instant(load_start) + LOAD_BEFORE_ROUNDS).await;
         for round in 0..self.rounds {
             match self.kind {
                 StressKind::Upgrades => self.upgrade(environment, FaultKind::Upgrade, round).await,
@@ -111,29 +110,30 @@
             }
             rounds_done.fetch_add(1, Ordering::Relaxed);
         }
-        sleep(TRAIL_TIME).await;
+        sleep(LOAD_AFTER_ROUNDS).await;
     }
 
     async fn upgrade(self, environment: &Environment, kind: FaultKind, round: usize) {
         let fault = Fault { delay_s: Some(self.max_delay_s), ..Fault::of_kind(kind) };
-        let plan = UpgradePlan::sample(&environment.scenario, &fault, &concern_of(round));
+        let plan = UpgradePlan::sample(&environment.scenario, &fault, &random_stream_name(round));
         upgrade_node(environment, 0, plan).await;
     }
 }
 
-/// Name of the random stream of a round.
-fn concern_of(round: usize) -> String {
+/// Returns the name of the random stream of a round.
+fn random_stream_name(round: usize) -> String {
     format!("drill-{round}")
 }
 
-/// One round of admin commands: a worker is disabled, disabled again and enabled, another is unknown, a command is
-/// unknown; and some clients connect and finish nothing.
+/// Executes one round of admin commands: disables a worker twice and enables it, and sends commands with an
+/// unknown worker and an unknown command. In one of every [`STALLED_CLIENTS`] rounds, as many clients connect
+/// and leave a command unfinished.
 async fn send_admin_commands(environment: &Environment, round: usize) {
-    let mut random = random_stream(environment.scenario.seed, &concern_of(round));
+    let mut random = random_stream(environment.scenario.seed, &random_stream_name(round));
     let Some(admin_address) = environment.slot(0).await.admin_address else { return };
     if round.is_multiple_of(STALLED_CLIENTS) {
         for client in 0..STALLED_CLIENTS {
-            tokio::spawn(stall(admin_address, client));
+            tokio::spawn(hold_unfinished_command(admin_address, client));
         }
     }
     let worker = worker_name(round % environment.scenario.worker_count());
@@ -146,19 +146,20 @@
         ("RESTART".to_owned(), ExpectedAnswer::No),
         (format!("ENABLE {worker}"), ExpectedAnswer::Yes),
     ] {
-        // The rule checker judges the answer by the event log.
+        // The rule checker checks the response, which is in the event log.
         let _ = send_command(environment, 0, &command, expected).await;
-        let pause_s = MIN_PAUSE_S + random.random::<f64>() * MAX_PAUSE_ADDITION_S;
+        let pause_s = MIN_PAUSE_S + random.random::<f64>() * MAX_ADDITIONAL_PAUSE_S;
         sleep(Duration::from_secs_f64(pause_s)).await;
     }
 }
 
-/// A client that sends nothing, or part of a command.
-async fn stall(admin_address: SocketAddr, client: usize) {
+/// Connects as a client that sends nothing or a part of a command, and keeps the connection for
+/// [`STALL_DURATION`].
+async fn hold_unfinished_command(admin_address: SocketAddr, client: usize) {
     let Ok(mut stream) = TcpStream::connect(admin_address).await else { return };
-    // A node may close the connection at any moment.
+    // The node may close the connection at any time.
     let _ = stream.write_all(&b"DISABLE w-0"[..client * STALL_STEP_BYTES]).await;
-    sleep(STALL_TIME).await;
+    sleep(STALL_DURATION).await;
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/stress_run/table.rs
+++ b/crates/testbed/src/stress_run/table.rs
@@ -1,4 +1,4 @@
-//! The table of a stress run: lines of a name and a value.
+//! Table of the results of a stress run. Each line has a name and a value.
 
 use std::collections::BTreeMap;
 use std::fmt::{Display, Write};
@@ -6,27 +6,27 @@
 use super::StressRun;
 use crate::rules::{OperationFigures, Rule, UpgradeFigures, Violation};
 
-/// What came of a stress run.
+/// Results of a stress run.
 pub struct StressResults<'run> {
-    /// The run.
+    /// Parameters of the stress run.
     pub run: StressRun,
-    /// The seed that decided all drawn moments.
+    /// Seed of all random times, and of the load.
     pub seed: u64,
-    /// Number of crashes of the node.
+    /// Number of times that the node crashed.
     pub crashes: usize,
-    /// Results of upgrades and admin commands.
+    /// Figures of upgrades and admin commands.
     pub operations: &'run OperationFigures,
-    /// The violations of rules.
+    /// Violations of the rules.
     pub violations: &'run [Violation],
 }
 
 impl StressResults<'_> {
-    /// Renders the table.
+    /// Returns the table as text.
     pub fn table(&self) -> String {
         let StressRun { kind, rounds, .. } = self.run;
         let mut table = Table(format!("drill {kind:?}, {rounds} times, seed {}\n", self.seed).to_lowercase());
-        let lost = self.violations.iter().filter(|violation| violation.rule == Rule::OneAnswer).count();
-        table.add("jobs lost", lost);
+        let lost_jobs = self.violations.iter().filter(|violation| violation.rule == Rule::OneAnswer).count();
+        table.add("jobs lost", lost_jobs);
         if !self.operations.upgrades.is_empty() {
             table.add_upgrades(&self.operations.upgrades);
         }
@@ -40,6 +40,7 @@
     }
 }
 
+/// Text of a table.
 struct Table(String);
 
 impl Table {
@@ -63,7 +64,7 @@
         self.add("upgrades with a kill that hit", upgrades.iter().filter(|upgrade| upgrade.killed).count());
     }
 
-    /// The number of all violations, and of those of each rule in the order of the rules' names.
+    /// Adds the number of all violations, and the number for each rule in the order of the rules' names.
     fn add_violations(&mut self, violations: &[Violation]) {
         self.add("broken rules", violations.len());
         let mut count_by_rule: BTreeMap<String, usize> = BTreeMap::new();
--- a/crates/testbed/src/waiting.rs
+++ b/crates/testbed/src/waiting.rs
@@ -1,11 +1,11 @@
-//! Waiting for moments that may not be set, and for several futures at once.
+//! Waiting for an optional time, and for several futures at once.
 
 use std::future::{pending, poll_fn};
 use std::task::Poll;
 
 use tokio::time::{Instant, sleep_until};
 
-/// Waits for a moment; never returns if there is none.
+/// Waits until a time. Never returns if the time is `None`.
 pub async fn wait_until(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
--- a/crates/testbed/tests/unit/compare.rs
+++ b/crates/testbed/tests/unit/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of two sides: noise, a steady difference, and pairs that do not count.
+//! Comparison of two sides: noise, a steady difference, and invalid pairs.
 
 use super::{compare, comparison_json, summary_line};
 use crate::golden::{self, golden};
@@ -16,19 +16,22 @@
     let noise = compare(&pairs([0.6, 0.4, 0.7, 0.35])).expect("pairs");
     assert!(!noise.is_significant() && (noise.mean - 0.0125).abs() < 1e-9, "{noise:?}");
     let gain = compare(&pairs([0.60, 0.61, 0.59, 0.60])).expect("pairs");
-    // By hand: standard deviation 0.00816, so half of the interval is 3.182 x 0.00816 / 2.
+    // Computed by hand: the standard deviation is 0.00816, so the half width is 3.182 x 0.00816 / 2.
     assert!(gain.is_significant() && (gain.half_width - 0.01299).abs() < 1e-4, "{gain:?}");
-    assert!(!compare(&pairs([0.9; 4])[..1]).expect("a pair").is_significant(), "one pair shows nothing");
+    assert!(
+        !compare(&pairs([0.9; 4])[..1]).expect("a pair").is_significant(),
+        "a single pair is never significant"
+    );
     assert!(compare(&[(run(1, 0.5, true), run(2, 0.5, true))]).is_err());
     assert!(compare(&[(run(1, 0.5, false), run(1, 0.5, true))]).is_err());
 }
 
 #[test]
-fn pairs_of_runs_then_the_written_and_the_printed_result_are_as_recorded() {
+fn pairs_of_runs_then_the_json_and_the_printed_result_are_as_recorded() {
     let pairs = |differences: &[f64]| {
         let pair = |(seed, difference): (usize, &f64)| {
             let seed = seed as u64 + 3;
-            // The third pair does not count.
+            // The third pair is invalid.
             (run(seed, 0.5, seed != 5), run(seed, 0.5 + difference, true))
         };
         differences.iter().enumerate().map(pair).collect::<Vec<_>>()
--- a/crates/testbed/tests/unit/golden_run.rs
+++ b/crates/testbed/tests/unit/golden_run.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn recorded_events_of_a_run_then_they_are_written_as_they_were_read() {
+fn recorded_events_then_they_are_serialized_as_they_were_read() {
     let lines = records()
         .into_iter()
         .map(|record| serde_json::to_string(&record).expect("the value is serialized as JSON") + "\n");
--- a/crates/testbed/tests/unit/golden_scenario.rs
+++ b/crates/testbed/tests/unit/golden_scenario.rs
@@ -1,4 +1,5 @@
-//! A scenario with every field, read: all its values by the names in the file, and what the parts are given of them.
+//! Scenario with every field: the values that are read, by their names in the file, and the parameters that
+//! the scenario is converted into.
 
 use curlewusher_model::worker_pool::Machine;
 use curlewusher_model::workload::{JobClass, LoadSegment};
@@ -7,6 +8,7 @@
 use crate::golden::{self, golden};
 use crate::rules::RetryPolicy;
 
+/// Scenario with every field.
 const FULL: &str = include_str!("../golden/scenario_full.toml");
 
 fn full() -> Scenario {
@@ -70,10 +72,10 @@
 }
 
 fn machine_lines(scenario: &Scenario) -> Vec<String> {
-    let line = |(number, machine): (usize, &Machine)| {
-        let (kind_number, kind) = (scenario.kind_index_of(number), scenario.kind_of(number));
+    let line = |(worker, machine): (usize, &Machine)| {
+        let (kind_index, kind) = (scenario.kind_index_of(worker), scenario.kind_of(worker));
         format!(
-            "worker {number}: kind {kind_number} {}, bay {}, cores {}, speed {}, slots {}, memory {}, queue {}, sets {}",
+            "worker {worker}: kind {kind_index} {}, bay {}, cores {}, speed {}, slots {}, memory {}, queue {}, sets {}",
             kind.name,
             machine.cell,
             machine.cores,
@@ -124,15 +126,15 @@
 fn scenario_with_every_field_then_every_value_is_as_recorded() {
     let values = serde_json::to_string_pretty(&full()).expect("JSON");
     golden!("scenario_values.json").assert_eq(&(values + "\n"));
-    let least = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a valid scenario");
-    let values = serde_json::to_string_pretty(&least).expect("JSON");
+    let minimal = Scenario::parse(include_str!("../golden/scenario_least.toml")).expect("a valid scenario");
+    let values = serde_json::to_string_pretty(&minimal).expect("JSON");
     golden!("scenario_least_values.json").assert_eq(&(values + "\n"));
 }
 
 #[test]
-fn scenario_with_every_field_then_what_the_parts_are_given_is_as_recorded() {
+fn scenario_with_every_field_then_the_converted_parameters_are_as_recorded() {
     let scenario = full();
-    let lines = [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines]
-        .map(|lines_of| lines_of(&scenario));
+    let lines =
+        [workload_lines, pool_lines, machine_lines, rule_lines, fault_lines].map(|lines| lines(&scenario));
     golden!("scenario_parts.txt").assert_eq(&(lines.concat().join("\n") + "\n"));
 }
--- a/crates/testbed/tests/unit/scenario.rs
+++ b/crates/testbed/tests/unit/scenario.rs
@@ -1,25 +1,27 @@
-//! Reading of scenario files: errors, and the files that are shipped.
+//! Parsing of scenario files: errors, and the shipped files.
 
 use super::*;
 
-/// A valid scenario, whose lines the tests replace.
+/// Valid scenario, in which the tests replace lines.
 const VALID: &str = include_str!("../golden/scenario_valid.toml");
 
-/// Replaces a part of the valid scenario; the error must be one line that names each of these parts.
+/// Replaces a part of the valid scenario, and asserts that the error is a single line that contains each of
+/// `parts`.
 fn assert_rejected(old: &str, new: &str, parts: [&str; 3]) {
     let text = VALID.replace(old, new);
     let error = Scenario::parse(&text).expect_err(new).to_string();
     assert!(parts.iter().all(|part| error.contains(part)) && !error.contains('\n'), "{new}: {error}");
 }
 
-/// Adds a valid fault and then one that is completed by `rest`.
+/// Adds a valid fault and a second fault that ends with `rest`, and asserts that the error contains each of
+/// `parts`.
 fn assert_second_fault_rejected(rest: &str, parts: [&str; 3]) {
     let first = "worth = 1.0\n[[fault]]\nat_s = 1.0\nkind = 'kill'\nof = [0]\n[[fault]]\nat_s = 2.0\n";
     assert_rejected("worth = 1.0", &format!("{first}{rest}"), parts);
 }
 
 #[test]
-fn valid_scenario_then_it_is_read() {
+fn valid_scenario_then_it_is_parsed() {
     assert!(Scenario::parse(VALID).is_ok(), "{:?}", Scenario::parse(VALID));
 }
 
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn number_out_of_its_range_then_the_error_names_its_line_and_the_range() {
+fn number_out_of_range_then_the_error_names_its_line_and_the_range() {
     assert_rejected("count = 1", "count = 0", ["line 5", "nodes.count", "from 1 to 64"]);
     assert_rejected("length_s = 5.0", "length_s = 0", ["line 3", "length_s", "from 0.5"]);
     for (new, parts) in [
@@ -96,10 +98,11 @@
 #[test]
 fn shipped_scenario_then_it_is_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
-    let files: Vec<_> = std::fs::read_dir(folder).expect("the folder").flatten().collect();
+    let files: Vec<_> =
+        std::fs::read_dir(folder).expect("the folder of the scenarios can be read").flatten().collect();
     assert!(!files.is_empty());
     for file in files {
-        let text = std::fs::read_to_string(file.path()).expect("a scenario");
+        let text = std::fs::read_to_string(file.path()).expect("the scenario can be read");
         if let Err(problem) = Scenario::parse(&text) {
             panic!("{:?}: {problem}", file.path());
         }
--- a/crates/testbed/tests/unit/soak.rs
+++ b/crates/testbed/tests/unit/soak.rs
@@ -1,4 +1,4 @@
-//! The same seed draws the same faults, and all that is drawn is a valid scenario.
+//! Generation of soak runs: the same seed gives the same faults, and each generated scenario is valid.
 
 use curlewusher_model::Timestamp;
 
@@ -6,15 +6,15 @@
 use crate::report::Figures;
 use crate::rules::{Rule, Violation};
 use crate::scenario::{FaultKind, Scenario};
-use crate::soak::fault_draw::MAX_PAUSE_S;
-use crate::soak::{Soak, table_head, table_row};
+use crate::soak::fault_generator::MAX_PAUSE_S;
+use crate::soak::{SoakRun, table_head, table_row};
 
-fn soak(seed: u64) -> Soak {
-    Soak { seed, nodes: 8, workers: 9, length_s: 20.0, faults: 12, shutdowns: 0 }
+fn soak(seed: u64) -> SoakRun {
+    SoakRun { seed, nodes: 8, workers: 9, length_s: 20.0, faults: 12, shutdowns: 0 }
 }
 
 #[test]
-fn faults_are_drawn_then_they_are_valid_and_the_same_for_a_seed() {
+fn generated_faults_then_they_are_valid_and_reproducible_from_the_seed() {
     for seed in 0..300 {
         let scenario = soak(seed).scenario();
         let text = toml::to_string(&scenario).expect("a scenario is TOML");
@@ -22,7 +22,7 @@
         assert_eq!(read.faults.len(), 12);
         assert_eq!(text, toml::to_string(&soak(seed).scenario()).expect("a scenario is TOML"));
         for fault in &scenario.faults {
-            let for_s = fault.for_s.expect("each ends");
+            let for_s = fault.for_s.expect("each generated fault has a duration");
             assert!(
                 fault.at_s + for_s <= 20.0 && (fault.kind != FaultKind::NodePause || for_s <= MAX_PAUSE_S)
             );
@@ -31,23 +31,24 @@
 }
 
 #[test]
-fn shutdowns_are_drawn_then_they_are_valid_and_the_same_for_a_seed() {
+fn generated_shutdowns_then_they_are_valid_and_reproducible_from_the_seed() {
     for seed in 0..300 {
-        let drawn = || Soak { shutdowns: 4, faults: 3, ..soak(seed) }.scenario();
-        let text = toml::to_string(&drawn()).expect("a scenario is TOML");
+        let generated = || SoakRun { shutdowns: 4, faults: 3, ..soak(seed) }.scenario();
+        let text = toml::to_string(&generated()).expect("a scenario is TOML");
         Scenario::parse(&text).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
-        assert_eq!(text, toml::to_string(&drawn()).expect("a scenario is TOML"));
-        let stops = drawn().faults.iter().filter(|fault| fault.kind == FaultKind::NodeStopSignals).count();
+        assert_eq!(text, toml::to_string(&generated()).expect("a scenario is TOML"));
+        let stops =
+            generated().faults.iter().filter(|fault| fault.kind == FaultKind::NodeStopSignals).count();
         assert_eq!(stops, 4);
     }
 }
 
 #[test]
-fn fixed_seeds_then_the_drawn_scenarios_are_as_recorded() {
-    let drawn = |seed: u64| toml::to_string(&soak(seed).scenario()).expect("a scenario is TOML");
-    let large = Soak { seed: 33, nodes: 24, workers: 24, length_s: 30.0, faults: 14, shutdowns: 0 };
+fn fixed_seeds_then_the_generated_scenarios_are_as_recorded() {
+    let generated = |seed: u64| toml::to_string(&soak(seed).scenario()).expect("a scenario is TOML");
+    let large = SoakRun { seed: 33, nodes: 24, workers: 24, length_s: 30.0, faults: 14, shutdowns: 0 };
     let large = toml::to_string(&large.scenario()).expect("a scenario is TOML");
-    let texts = [drawn(1), drawn(2), drawn(5), large];
+    let texts = [generated(1), generated(2), generated(5), large];
     golden!("soak_scenarios.toml").assert_eq(&texts.join("\n# Next seed.\n"));
 }
 
--- a/crates/testbed/tests/unit/stress_run.rs
+++ b/crates/testbed/tests/unit/stress_run.rs
@@ -1,4 +1,4 @@
-//! Drawing of stress runs.
+//! Random plans, scenarios and tables of stress runs.
 
 use curlewusher_model::Timestamp;
 
@@ -18,11 +18,14 @@
     assert!(first.iter().all(|plan| plan.delay.as_secs_f64() <= 2.0 && plan.kill.is_some()));
     let kills_predecessor =
         |plan: &&UpgradePlan| plan.kill.is_some_and(|kill| kill.victim == UpgradeProcess::Predecessor);
-    assert!((5..35).contains(&first.iter().filter(kills_predecessor).count()), "both are drawn");
+    assert!(
+        (5..35).contains(&first.iter().filter(kills_predecessor).count()),
+        "both processes are picked as victims"
+    );
 }
 
 #[test]
-fn kinds_of_stress_runs_then_their_scenarios_are_as_recorded() {
+fn each_kind_of_stress_run_then_the_scenario_is_as_recorded() {
     let scenario = |kind| {
         let scenario = StressRun { kind, rounds: 7, max_delay_s: 2.5 }.scenario(11);
         toml::to_string(&scenario).expect("a scenario is TOML")
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn results_of_stress_runs_then_their_tables_are_as_recorded() {
+fn results_of_stress_runs_then_the_tables_are_as_recorded() {
     let violation =
         |rule| Violation { rule, at: Timestamp::default(), description: String::new(), timeline: Vec::new() };
     let violations = [Rule::OneAnswer, Rule::Upgrade, Rule::OneAnswer, Rule::Console].map(violation);
