--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -19,8 +19,8 @@
 
 /// The place of a job in the queue.
 pub(crate) fn queue_key(fleet: &Fleet, job: &Job) -> QueueKey {
-    let start_by = job.objective_at.saturating_sub(TimeSpan::from_secs_f64(fleet.reliable_run(job)));
-    QueueKey { over_quota: job.over_quota, start_by, job: job.id }
+    let latest_start = job.objective_at.saturating_sub(TimeSpan::from_secs_f64(fleet.reliable_run(job)));
+    QueueKey { over_quota: job.over_quota, latest_start, job: job.id }
 }
 
 /// Most queued jobs that are skipped in one pass because no worker takes them.
--- a/crates/core/src/state/affinity.rs
+++ b/crates/core/src/state/affinity.rs
@@ -1,36 +1,41 @@
-//! Key affinity: which workers are likely to hold what a job's key stands for.
+//! Key affinity: the workers that are likely to have the data of a job's key.
 //!
-//! The owners of a key are the workers with the highest rendezvous weights for it, so that nodes which
-//! exchange nothing agree on them and each worker holds few keys.
+//! The owners of a key are the workers with the highest rendezvous weights for it. Nodes therefore agree on
+//! the owners without any exchange, and each worker holds few keys.
 
 use super::fleet::Fleet;
 use super::worker::Worker;
 
-/// Number of recent jobs by which the share of a key is estimated.
+/// Maximum number of recent jobs from which the share of a key is estimated.
 const MAX_RECENT_KEYS: usize = 40;
-/// Owners of a key for each worker that its share of the jobs would fill, so that some are spare.
-const SPARE_OWNER_FACTOR: f64 = 1.5;
-/// Count of a key that was seen once: it may never come again.
-const SINGLE_KEY_COUNT: f64 = 0.4;
-/// Prior count of jobs of other keys, added to those seen.
+/// Number of owners of a key, as a multiple of the workers that its share of the jobs would fill. The excess
+/// leaves some owners free.
+const OWNER_HEADROOM_FACTOR: f64 = 1.5;
+/// Count of a key that has occurred once. It is below 1, since the key may never occur again.
+const SINGLE_OCCURRENCE_COUNT: f64 = 0.4;
+/// Prior count of jobs with other keys, added to the observed count.
 const KEY_PRIOR_COUNT: f64 = 10.0;
-/// Mean time to fetch what a key stands for, as a multiple of a mean job's time.
+/// Mean time to fetch the data of a key, as a multiple of the mean time of a job.
 const FETCH_WORK_RATIO: f64 = 1.5;
-/// Probability that a worker still holds the key that was just sent there.
+/// Probability that a worker still has the data of the key that was sent there last.
 const RECENT_KEY_HIT_RATE: f64 = 0.9;
-/// After so many other keys that probability is 0.
+/// Number of other keys sent to a worker after which the probability that it still has the data of a key is
+/// 0. The probability decreases linearly until then.
 const RECENT_KEYS_RETAINED: f64 = 8.0;
-/// Probability that an owner holds its key.
+/// Probability that an owner has the data of its key.
 const OWNER_HIT_RATE: f64 = 0.8;
 
 impl Fleet {
-    /// The least rendezvous weight of a key's owners: the more owners, the larger its share of the jobs, and
-    /// one more for each cancelled attempt of the job, which waited at an owner for nothing. All nodes with
-    /// the same list agree.
+    /// Returns the minimum rendezvous weight of the owners of a key; `u64::MAX` without a key or without
+    /// workers.
+    ///
+    /// The number of owners grows with the share of the key in the jobs. Each cancelled attempt of the job
+    /// adds one, since that attempt waited at an owner in vain. All nodes with the same endpoint list agree
+    /// on the owners.
     pub fn affinity_threshold(&self, key: Option<u64>, cancelled_attempts: usize) -> u64 {
         let Some(key) = key else { return u64::MAX };
-        let wanted = self.key_share(key) * self.subset.len() as f64 * SPARE_OWNER_FACTOR;
-        let owners = (wanted.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
+        let target_owners = self.key_share(key) * self.subset.len() as f64 * OWNER_HEADROOM_FACTOR;
+        let owners = (target_owners.ceil() as usize + cancelled_attempts).clamp(1, self.subset.len().max(1));
         let weight = |index: &usize| self.workers[*index].rendezvous_weight(key);
         let mut weights: Vec<u64> = self.subset.members().iter().map(weight).collect();
         if weights.is_empty() {
@@ -39,14 +44,14 @@
         *weights.select_nth_unstable_by(owners - 1, |a, b| b.cmp(a)).1
     }
 
-    /// Estimated share of a key in the jobs, by the recent ones.
+    /// Returns the share of a key in the jobs, estimated from the recent jobs.
     fn key_share(&self, key: u64) -> f64 {
         let count = self.recent_keys.iter().filter(|recent| **recent == key).count() as f64;
         let others = (self.recent_keys.len() as f64 - 1.0).max(0.0);
-        ((count - 1.0).max(0.0) + SINGLE_KEY_COUNT) / (others + KEY_PRIOR_COUNT)
+        ((count - 1.0).max(0.0) + SINGLE_OCCURRENCE_COUNT) / (others + KEY_PRIOR_COUNT)
     }
 
-    /// Keys of the recent jobs, the oldest first.
+    /// Returns the keys of the recent jobs, oldest first.
     pub fn recent_keys(&self) -> impl Iterator<Item = u64> {
         self.recent_keys.iter().copied()
     }
@@ -59,8 +64,8 @@
         }
     }
 
-    /// Seconds that a job is likely to spend at a worker on fetching what its key stands for. Workers with a rendezvous
-    /// weight of at least `affinity_threshold` are owners of the key.
+    /// Returns the seconds that a job is likely to spend at a worker on fetching the data of its key. The
+    /// owners of the key are the workers whose rendezvous weight is at least `affinity_threshold`.
     pub(super) fn estimate_fetch(&self, worker: &Worker, key: Option<u64>, affinity_threshold: u64) -> f64 {
         let Some(key) = key else { return 0.0 };
         let sent_hit_rate = worker.keys_sent_since(key).map_or(0.0, |others| {
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Records of attempts at workers: what is updated when one is sent, starts and ends.
+//! Records of attempts at workers, and their updates when an attempt is sent, starts and ends.
 
 use super::estimates::{RunEstimate, SEND_RATE_TIME_CONSTANT};
 use super::fleet::{Fleet, LATE_START_THRESHOLD};
@@ -7,31 +7,32 @@
 use super::worker::EXCESS_WAIT_TIME_CONSTANT;
 use crate::{JobId, Outcome, Settings, TimeSpan, Timestamp};
 
-/// Shortest run that a speed is learned from.
+/// Minimum duration of a run in the measurement of a speed. A shorter run counts as this long.
 const MIN_MEASURED_RUN: TimeSpan = TimeSpan::from_millis(1);
-/// Time after which a start counts for the slots in use: the report of a start can overtake that of the end
-/// before it, and slots would be overestimated for good.
-const START_SETTLING_TIME: TimeSpan = TimeSpan::from_millis(30);
+/// Delay after which a started attempt counts in the observed slots of its worker. The report of a start can
+/// overtake that of the end before it; without the delay the slots would then be overestimated permanently.
+const SLOT_OBSERVATION_DELAY: TimeSpan = TimeSpan::from_millis(30);
 
 /// An attempt that has ended.
 pub(crate) struct EndedAttempt {
-    /// Index of its worker.
+    /// Index of the worker of the attempt.
     pub worker_index: usize,
-    /// What was known of it.
+    /// Record of the attempt while it was in flight.
     pub attempt: InFlightAttempt,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
 }
 
 impl EndedAttempt {
-    /// Whether it was lost with a connection that had ended while it was idle.
+    /// Returns whether the attempt was lost with a connection that had closed while it was idle.
     pub fn is_lost_with_stale_connection(&self) -> bool {
         self.outcome == Outcome::Lost && self.attempt.on_stale_connection
     }
 }
 
 impl Fleet {
-    /// Records an attempt that is being sent, at the worker of the estimate. Returns the job's own record of it.
+    /// Records an attempt that is being sent to the worker of the estimate. Returns the record of the attempt
+    /// for the job.
     pub fn record_send(
         &mut self,
         now: Timestamp,
@@ -63,12 +64,12 @@
         Attempt { worker: worker.id, zone: worker.zone, cell: worker.cell, sent_at: now, outcome: None }
     }
 
-    /// The record of an attempt that is in flight.
+    /// Returns the record of an attempt that is in flight.
     pub fn in_flight_attempt(&self, job: JobId, attempt: AttemptRef) -> Option<&InFlightAttempt> {
         self.workers[self.find(attempt.worker)?].attempt(AttemptId { job, number: attempt.number })
     }
 
-    /// Records a served attempt. Only a warm worker's speed is learned from it.
+    /// Records a successful attempt. The speed of the worker is learned from it only if the worker is warm.
     pub fn record_success(&mut self, now: Timestamp, settings: &Settings, ended: &EndedAttempt) {
         let (index, attempt) = (ended.worker_index, &ended.attempt);
         let worker = &mut self.workers[index];
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Records an attempt that was cancelled before it started, because another one of its job did: this
-    /// worker is at least as late as that shows.
+    /// Records an attempt that was cancelled before its start because another attempt of its job had started.
+    /// The start delay of this worker is at least the delay observed until the cancellation, and at least
+    /// [`LATE_START_THRESHOLD`].
     pub fn record_cancelled_wait(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let delay = ended.attempt.start_delay(now);
         self.record_start_delay(now, ended.worker_index, delay.max(LATE_START_THRESHOLD.as_secs_f64()));
@@ -89,11 +91,11 @@
         excess_wait.set(now, delay.max(excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT)));
     }
 
-    /// Updates how many slots each worker of the subset runs at once.
+    /// Updates the maximum number of concurrent slots of each worker of the subset.
     pub fn observe_slots(&mut self, now: Timestamp) {
         for index in self.subset.members() {
             let worker = &mut self.workers[*index];
-            let running = worker.slots_running_since(now.saturating_sub(START_SETTLING_TIME));
+            let running = worker.slots_running_since(now.saturating_sub(SLOT_OBSERVATION_DELAY));
             worker.max_concurrent_slots = worker.max_concurrent_slots.max(running);
         }
     }
--- a/crates/core/src/state/endpoints.rs
+++ b/crates/core/src/state/endpoints.rs
@@ -1,4 +1,5 @@
-//! What decides which workers take new work: the endpoint list, and what operators have disabled.
+//! Availability of workers for new work, according to the endpoint list and the maintenance commands of
+//! operators.
 
 use super::fleet::{Fleet, MAX_WORKER_SLOTS};
 use super::subset::Candidate;
@@ -6,8 +7,8 @@
 use crate::{Endpoint, EndpointUpdate, Timestamp, WorkerId, WorkerStatus};
 
 impl Fleet {
-    /// Takes over an endpoint list, or changes to it. A snapshot is complete: workers that it does not name are
-    /// gone.
+    /// Applies a complete endpoint list or changes to it. A snapshot is complete: workers that it does not
+    /// name are removed.
     pub fn apply_endpoints(&mut self, now: Timestamp, endpoints: &[Endpoint], update: EndpointUpdate) {
         if update == EndpointUpdate::Snapshot {
             self.workers.iter_mut().for_each(|worker| worker.status = WorkerStatus::Removed);
@@ -25,7 +26,7 @@
         self.rebuild_subset();
     }
 
-    /// Takes over the new entry of a known worker.
+    /// Updates a worker from its new entry in the endpoint list.
     fn update_worker(&mut self, now: Timestamp, index: usize, endpoint: &Endpoint) {
         let (kind_index, listed_slots) =
             (self.find_or_insert_kind(endpoint.kind), self.listed_slots(endpoint));
@@ -34,14 +35,14 @@
         (worker.zone, worker.kind, worker.cell) = (endpoint.zone, endpoint.kind, endpoint.cell);
         worker.status = endpoint.status;
         if started_at > worker.started_at {
-            // What has not been accepted was meant for the process before the restart.
+            // Attempts that have not been accepted were meant for the process before the restart.
             self.pending_revocations.extend(worker.revoke_unaccepted_attempts());
         }
         worker.started_at = worker.started_at.max(started_at);
         (worker.kind_index, worker.listed_slots) = (kind_index, listed_slots);
     }
 
-    /// Adds a worker at its place in the order of ids.
+    /// Inserts a worker in the order of ids.
     fn insert_worker(&mut self, index: usize, endpoint: &Endpoint) {
         let mut worker = Worker::new(endpoint, self.find_or_insert_kind(endpoint.kind));
         worker.listed_slots = self.listed_slots(endpoint);
@@ -51,13 +52,13 @@
         self.workers.insert(index, worker);
     }
 
-    /// The size of a worker in the list, in slots; 1 where the list has no sizes.
+    /// Returns the listed size of a worker, in slots; 1 if the endpoint list has no sizes.
     fn listed_slots(&self, endpoint: &Endpoint) -> f64 {
         let is_listed = self.sizes_listed && endpoint.size.is_finite();
         if is_listed { endpoint.size.round().clamp(1.0, MAX_WORKER_SLOTS as f64) } else { 1.0 }
     }
 
-    /// Disables a worker: nothing is sent to it until it is enabled again.
+    /// Disables a worker. Nothing is sent to it until it is enabled again.
     pub fn disable_worker(&mut self, now: Timestamp, id: WorkerId) {
         self.reenabled_unlisted.remove(&id);
         self.disabled.entry(id).or_insert(now);
@@ -67,26 +68,27 @@
         self.rebuild_subset();
     }
 
-    /// Enables a worker again, with its failures forgotten.
+    /// Enables a worker again and resets its recorded failures.
     pub fn reenable_worker(&mut self, now: Timestamp, id: WorkerId) {
         let Some(disabled_at) = self.disabled.remove(&id) else { return };
         match self.find(id) {
             Some(index) => self.workers[index].reenable(disabled_at, now),
-            // One for each id that was disabled: those are bounded.
+            // Bounded, since only ids that were disabled are inserted.
             None => _ = self.reenabled_unlisted.insert(id, now),
         }
         self.rebuild_subset();
     }
 
-    /// Whether a worker takes new work: ready by the list, and not disabled by operators.
+    /// Returns whether a worker accepts new work: it is listed as ready, and operators have not disabled it.
     pub fn is_available(&self, worker: &Worker) -> bool {
         worker.status == WorkerStatus::Ready && !self.disabled.contains_key(&worker.id)
     }
 
-    /// Assigns the workers that take new work to the subsets anew.
+    /// Reassigns the available workers to the subsets.
     fn rebuild_subset(&mut self) {
         let indices = (0..self.workers.len()).filter(|index| self.is_available(&self.workers[*index]));
-        let candidates: Vec<Candidate> = indices.map(|index| self.workers[index].candidate(index)).collect();
+        let candidates: Vec<Candidate> =
+            indices.map(|index| self.workers[index].to_candidate(index)).collect();
         self.subset.rebuild(candidates);
         self.workers.iter_mut().for_each(|worker| worker.in_subset = false);
         self.subset.members().iter().for_each(|index| self.workers[*index].in_subset = true);
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -1,6 +1,6 @@
 //! Estimates derived from the records: x, w and r of the cost x + w / (1 - r), for each worker and each kind.
 //!
-//! Those of a worker are cached in its record for a few milliseconds, or until something happens there.
+//! The record of a worker caches its estimates for a few milliseconds, or until an event of the worker.
 
 use arrayvec::ArrayVec;
 
@@ -10,32 +10,34 @@
 use super::worker::{Worker, WorkerEstimates};
 use crate::{JobId, Settings, TimeSpan, Timestamp, gossip};
 
-/// Upper bound of r: beyond it, 1 / (1 - r) would outweigh x.
+/// Upper bound of r. With a higher r, the factor 1 / (1 - r) would outweigh x in the cost.
 const MAX_UTILISATION: f64 = 0.9;
-/// Time constant over which the rate of work sent is averaged.
+/// Time constant of the average rate at which work is sent.
 pub(super) const SEND_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(5);
-/// Share of a job's hint that is relied on: latency objectives grow with the true work, which may be less.
+/// Share of the hint of a job that is relied on. Latency objectives grow with the true work, which may be
+/// less than the hint.
 pub(crate) const RELIABLE_HINT_SHARE: f64 = 0.3;
-/// A worker with no longer a wait than this counts as free.
-const FREE_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(25);
-/// Time for which a peer's report counts.
+/// Maximum wait at a worker that counts as free.
+const MAX_FREE_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(25);
+/// Time for which a report of another node is used.
 const REMOTE_BACKLOG_LIFETIME: TimeSpan = TimeSpan::from_millis(1500);
-/// Most slots of peers' work that count at one worker.
+/// Maximum number of slots of other nodes' work that count at one worker.
 const MAX_REMOTE_SLOTS: u32 = 32;
-/// Highest cost of one gossip entry to all nodes, as a share of the value of a job.
+/// Maximum cost of one gossip entry to all nodes, as a share of the value of a job.
 const MAX_GOSSIP_COST: f64 = 0.004;
 
-/// Times from now, in seconds, at which a worker's slots come free if its queue is served in order.
+/// Times from now, in seconds, at which the slots of a worker become free if its queue is served in order.
 struct SlotSchedule(ArrayVec<f64, MAX_WORKER_SLOTS>);
 
 impl SlotSchedule {
-    /// A schedule of `count` free slots.
+    /// Returns a schedule of `count` free slots.
     fn new(count: f64) -> Self {
         let count = (count.round() as usize).clamp(1, MAX_WORKER_SLOTS);
         SlotSchedule(std::iter::repeat_n(0.0, count).collect())
     }
 
-    /// Adds an attempt of `run` seconds in `slots` slots at the end of the queue. Returns when it starts.
+    /// Appends an attempt of `run` seconds in `slots` slots to the queue. Returns its start, in seconds from
+    /// now.
     fn enqueue(&mut self, run: f64, slots: f64) -> f64 {
         let mut start: f64 = 0.0;
         for _ in 0..(slots as usize).clamp(1, self.0.len()) {
@@ -47,22 +49,22 @@
     }
 }
 
-/// What a job would meet at a worker.
+/// Estimated wait and run of a job at a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct RunEstimate {
     /// Index of the worker.
     pub worker_index: usize,
-    /// x: seconds of running there, fetch included.
+    /// x: seconds of running at the worker, fetch included.
     pub run: f64,
-    /// The part of those that is relied on: see [`RELIABLE_HINT_SHARE`].
+    /// Part of `run` that is relied on, see [`RELIABLE_HINT_SHARE`].
     pub reliable_run: f64,
-    /// w: seconds of waiting there before.
+    /// w: seconds of waiting at the worker before the run.
     pub wait: f64,
 }
 
 impl Fleet {
-    /// Refreshes the estimates of the subset's workers that have aged, and of all kinds. Returns the capacity that
-    /// follows from them.
+    /// Refreshes the expired estimates of the workers of the subset, and the estimates of all kinds. Returns
+    /// the capacity that results from them.
     pub fn refresh_estimates(&mut self, now: Timestamp, settings: &Settings) -> Capacity {
         let (mut ready_workers, mut free_workers) = (0.0, 0.0);
         let mut capacity = Capacity { shortest_wait: f64::INFINITY, ..Capacity::default() };
@@ -75,7 +77,7 @@
             let worker = &self.workers[index];
             self.kinds[worker.kind_index].capacity += worker.estimates.speed * self.slots(worker);
             ready_workers += 1.0;
-            free_workers += f64::from(u8::from(worker.estimates.wait < FREE_WORKER_WAIT.as_secs_f64()));
+            free_workers += f64::from(u8::from(worker.estimates.wait < MAX_FREE_WORKER_WAIT.as_secs_f64()));
             capacity.warming_up += usize::from(worker.estimates.warm_up_fraction < 1.0);
             capacity.shortest_wait = capacity.shortest_wait.min(worker.estimates.wait);
         }
@@ -95,14 +97,16 @@
             / SEND_RATE_TIME_CONSTANT.as_secs_f64()
             * nodes;
         let utilisation = (send_rate / (speed * self.slots(worker))).min(MAX_UTILISATION);
-        let known = &mut self.workers[index].estimates;
-        *known = WorkerEstimates { derived_at: now, warm_up_fraction, speed, utilisation, wait: known.wait };
+        let estimates = &mut self.workers[index].estimates;
+        *estimates =
+            WorkerEstimates { derived_at: now, warm_up_fraction, speed, utilisation, wait: estimates.wait };
         let wait = self.estimate_wait(now, &self.workers[index], 1.0);
         self.workers[index].estimates.wait = wait;
     }
 
-    /// Refreshes the estimates of kinds, for what a node of many cannot see of each worker: r by this node's
-    /// part of the traffic, and w by the waits beyond the predicted ones that its own jobs had.
+    /// Refreshes the estimates of the kinds. They stand in for values that one of many nodes cannot observe
+    /// at each worker: r is derived from this node's part of the traffic, and w from the start delays of its
+    /// own attempts.
     fn refresh_kinds(&mut self, now: Timestamp, settings: &Settings) {
         let nodes = f64::from(self.subset.nodes());
         let observes_all_work = self.observes_all_work(settings);
@@ -116,8 +120,8 @@
         }
     }
 
-    /// w: seconds that a job of that many slots waits at a worker, by this node's attempts there and peers'
-    /// reports.
+    /// Returns w: the seconds that a job of `slots` slots waits at a worker, estimated from this node's
+    /// attempts there and the reports of other nodes.
     fn estimate_wait(&self, now: Timestamp, worker: &Worker, slots: f64) -> f64 {
         let unreported_wait = worker.unreported_wait(now);
         if worker.in_flight.is_empty() && worker.remote_backlogs.is_empty() {
@@ -142,8 +146,8 @@
         schedule.enqueue(0.0, slots) + unreported_wait
     }
 
-    /// What a job would meet at a worker. The owners of its key are the workers whose rendezvous weight is at least
-    /// `affinity_threshold`, see [`Fleet::affinity_threshold`].
+    /// Estimates the wait and the run of a job at a worker. The owners of the key of the job are the workers
+    /// whose rendezvous weight is at least `affinity_threshold`, see [`Fleet::affinity_threshold`].
     pub fn estimate_run(
         &self,
         now: Timestamp,
@@ -164,24 +168,26 @@
         }
     }
 
-    /// Seconds that a job runs at a typical worker, as far as its hint is relied on.
+    /// Returns the seconds that a job runs at a typical worker, based on the reliable share of its hint.
     pub fn reliable_run(&self, job: &Job) -> f64 {
         RELIABLE_HINT_SHARE * job.work / self.overall_speed.speed
     }
 
-    /// Seconds that an attempt in flight is likely to run on.
+    /// Returns the seconds that an attempt in flight is likely to continue to run; none if there is no record
+    /// of it.
     pub fn remaining_run(&self, now: Timestamp, job: JobId, attempt: AttemptRef) -> Option<f64> {
         let speed = self.workers[self.find(attempt.worker)?].estimates.speed;
         Some(self.in_flight_attempt(job, attempt)?.remaining_work(now, speed) / speed)
     }
 
-    /// Whether this node knows all work at its workers: its own is all there is, or peers gossip theirs.
+    /// Returns whether this node observes all work at its workers: it is the only node of its subset, or the
+    /// nodes gossip their work.
     pub fn observes_all_work(&self, settings: &Settings) -> bool {
         self.subset.nodes() == 1 || self.is_gossip_enabled(settings)
     }
 
-    /// Whether nodes gossip their work. With many nodes, messages cost all of them CPU and have to be so rare
-    /// that they are out of date.
+    /// Returns whether nodes gossip their work. With many nodes, messages cost CPU time at all of them and
+    /// would have to be so rare that their contents are out of date.
     pub fn is_gossip_enabled(&self, settings: &Settings) -> bool {
         let messages = f64::from(self.subset.nodes() - 1) * gossip::ENTRY_BYTES as f64
             / gossip::MAX_MESSAGE_BYTES as f64;
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -1,103 +1,103 @@
-//! One job: what its submission contained, and the attempts made for it.
+//! Record of a job: the contents of its submission, and its attempts.
 
 use arrayvec::ArrayVec;
 
 use crate::{CellId, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId, ZoneId};
 
-/// Most attempts of one job; settings that allow more are cut to this.
+/// Maximum number of attempts of one job. Settings that allow more are reduced to it.
 pub(crate) const MAX_ATTEMPTS: usize = 8;
-/// Most slots of one job; submissions that ask for more are cut to this.
+/// Maximum number of slots of one job. Submissions that request more are reduced to it.
 pub(crate) const MAX_JOB_SLOTS: f64 = 64.0;
-/// Least work of a job, in seconds at speed 1.
+/// Minimum work of a job, in seconds at speed 1.
 const MIN_JOB_WORK: f64 = 1e-4;
-/// Most work of a job, in seconds at speed 1.
+/// Maximum work of a job, in seconds at speed 1.
 const MAX_JOB_WORK: f64 = 1e4;
 
-/// Bounds the work of a job, whether hinted or estimated, in seconds at speed 1.
+/// Clamps the hinted or estimated work of a job, in seconds at speed 1.
 pub(crate) fn clamp_job_work(work: f64) -> f64 {
     work.clamp(MIN_JOB_WORK, MAX_JOB_WORK)
 }
 
-/// One attempt of a job, in flight or ended.
+/// Attempt of a job, in flight or ended.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// Worker to which the attempt was sent.
     pub worker: WorkerId,
-    /// The worker's zone when it was sent.
+    /// Zone of the worker when the attempt was sent.
     pub zone: ZoneId,
-    /// The worker's cell when it was sent.
+    /// Cell of the worker when the attempt was sent.
     pub cell: CellId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Timestamp,
-    /// How it ended; none while it is in flight.
+    /// Outcome of the attempt; none while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// When repeats of what it ran are no longer discarded, given the length of that window.
+    /// Returns the end of the deduplication window of the attempt. Duplicate runs are discarded before it.
     pub fn deduplicated_until(&self, window: TimeSpan) -> Timestamp {
         self.sent_at.saturating_add(window)
     }
 
-    /// Whether the job may have run by it.
+    /// Returns whether the attempt may have run the job.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
 }
 
-/// Names an attempt of any job.
+/// Identifier of an attempt of any job.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AttemptId {
-    /// Its job.
+    /// Job of the attempt.
     pub job: JobId,
-    /// Its number among the job's attempts, from 0.
+    /// Number of the attempt among the attempts of the job, from 0.
     pub number: u32,
 }
 
-/// Names an attempt of a known job.
+/// Reference to an attempt within its job.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptRef {
-    /// Its number among the job's attempts, from 0.
+    /// Number of the attempt among the attempts of the job, from 0.
     pub number: u32,
-    /// Where it was sent.
+    /// Worker to which the attempt was sent.
     pub worker: WorkerId,
 }
 
-/// A job that this node has taken.
+/// Job that this node has accepted.
 #[derive(Clone)]
 pub(crate) struct Job {
-    /// Its number.
+    /// Identifier of the job.
     pub id: JobId,
-    /// Index of its class in the settings.
+    /// Index of the class of the job in the settings.
     pub class: usize,
-    /// It is beyond this node's part of its tenant's quota.
+    /// Whether the job exceeds this node's part of the quota of its tenant.
     pub over_quota: bool,
-    /// Priority weight of a slot's work, as a share of the highest.
+    /// Priority weight per slot, as a share of the highest priority weight of any class.
     pub weight: f64,
-    /// It is not a retry by its client.
+    /// Whether the job is a first submission, as opposed to a client retry.
     pub is_first_submission: bool,
     /// Hinted work, in seconds at speed 1.
     pub work: f64,
-    /// It was submitted without a hint: its work is an estimate for its class.
+    /// Whether the job was submitted without a hint. `work` is then an estimate for its class.
     pub is_unhinted: bool,
-    /// Slots that it takes.
+    /// Number of slots that the job takes.
     pub slots: f64,
-    /// Affinity key: the hash of the data that it needs.
+    /// Affinity key: the hash of the data that the job needs.
     pub key: Option<u64>,
-    /// An answer after this misses its latency objective.
+    /// Time by which the job must be answered to meet its latency objective.
     pub objective_at: Timestamp,
-    /// When its client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// Its attempts in the order of sends.
+    /// Attempts in the order in which they were sent.
     pub(super) attempts: ArrayVec<Attempt, MAX_ATTEMPTS>,
-    /// Its answer has begun to stream to the client; there are no more decisions on it.
+    /// Whether the response has begun to stream to the client. No more decisions are made for the job then.
     pub(super) is_streaming: bool,
-    /// It has its final answer, or needs none any more.
+    /// Whether the job has its final response, or no longer needs one.
     pub(super) is_answered: bool,
 }
 
 impl Job {
-    /// A job as submitted, before admission has derived anything.
+    /// Returns a job as submitted, before admission has set the derived fields.
     pub fn new(submission: &JobSubmission) -> Self {
         Job {
             id: submission.job,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Work that it puts on a worker, in seconds at speed 1: all its slots for as long as it runs.
+    /// Returns the work that the job puts on a worker, in seconds at speed 1: all its slots for the time of
+    /// its run.
     pub fn load(&self) -> f64 {
         self.work * self.slots
     }
@@ -127,48 +128,48 @@
         self.attempts.push(attempt);
     }
 
-    /// Number of attempts so far.
+    /// Returns the number of attempts so far.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Its answer has begun to stream to the client.
+    /// Records that the response has begun to stream to the client.
     pub fn mark_streaming(&mut self) {
         self.is_streaming = true;
     }
 
-    /// It has its final answer, or needs none any more.
+    /// Records that the job has its final response, or no longer needs one.
     pub fn mark_answered(&mut self) {
         self.is_answered = true;
     }
 
-    /// Whether it has its final answer, or needs none any more.
+    /// Returns whether the job has its final response, or no longer needs one.
     pub fn is_answered(&self) -> bool {
         self.is_answered
     }
 
-    /// Whether its answer has not begun.
+    /// Returns whether the job needs a response that has not begun.
     pub fn is_open(&self) -> bool {
         !self.is_answered && !self.is_streaming
     }
 
-    /// Its attempts that are in flight.
+    /// Returns the attempts in flight.
     pub fn in_flight(&self) -> impl Iterator<Item = AttemptRef> {
-        let open = self.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.outcome.is_none());
-        open.map(|(attempt, number)| AttemptRef { number, worker: attempt.worker })
+        let in_flight = self.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.outcome.is_none());
+        in_flight.map(|(attempt, number)| AttemptRef { number, worker: attempt.worker })
     }
 
-    /// Whether none of its attempts is in flight.
+    /// Returns whether no attempt is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight().next().is_none()
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run the job.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// The job as it would be if one of its attempts were cancelled.
+    /// Returns a copy of the job in which one of the attempts is cancelled.
     pub fn with_cancelled_attempt(&self, number: u32) -> Job {
         let mut job = self.clone();
         if let Some(attempt) = job.attempts.get_mut(number as usize) {
@@ -177,33 +178,34 @@
         job
     }
 
-    /// Number of its attempts that were cancelled: those waited at their worker, unlike ones that failed or
-    /// could not connect.
+    /// Returns the number of cancelled attempts. Unlike attempts that failed or could not connect, these
+    /// waited at their worker.
     pub fn cancelled_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Cancelled)).count()
     }
 
-    /// Whether a worker may still report the end of an earlier attempt that was cancelled or lost. Its
-    /// callback names the job but not the attempt, and would be taken for the end of a new attempt there.
+    /// Returns whether a worker may still report the end of an earlier attempt that was cancelled or lost.
+    /// Its callback names the job but not the attempt, and would be attributed to a new attempt at that
+    /// worker.
     pub fn may_receive_stale_callback(&self, worker: WorkerId) -> bool {
-        let open = |outcome| matches!(outcome, Some(Outcome::Cancelled | Outcome::Lost));
-        self.attempts.iter().any(|attempt| attempt.worker == worker && open(attempt.outcome))
+        let may_still_end = |outcome| matches!(outcome, Some(Outcome::Cancelled | Outcome::Lost));
+        self.attempts.iter().any(|attempt| attempt.worker == worker && may_still_end(attempt.outcome))
     }
 
-    /// Whether an attempt of it went to that worker.
+    /// Returns whether an attempt of the job was sent to a worker.
     pub fn was_sent_to(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker == worker)
     }
 }
 
-/// Sort key of a job in the queue. Jobs beyond a quota come last, since their answers have little value; the
-/// others are ordered by the latest start that meets their objective.
+/// Sort key of a job in the queue. Jobs beyond a quota are last, since their responses have little value. The
+/// other jobs are ordered by the latest start that meets their latency objective.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// The job is beyond its tenant's quota.
+    /// Whether the job is beyond the quota of its tenant.
     pub over_quota: bool,
-    /// Latest start with which its objective can be met.
-    pub start_by: Timestamp,
-    /// Which job.
+    /// Latest start that meets the latency objective.
+    pub latest_start: Timestamp,
+    /// Job in the queue.
     pub job: JobId,
 }
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -4,18 +4,18 @@
 use super::job::Job;
 use crate::{TimeSpan, Timestamp};
 
-/// Time constant over which demand is summed up.
+/// Time constant of the sums of demand.
 pub(crate) const DEMAND_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(10);
 
-/// Work that was submitted and shed lately, in seconds at speed 1.
+/// Work that was recently submitted and shed, in seconds at speed 1.
 pub(crate) struct Demand {
-    /// All work that was admitted, retries of clients too.
+    /// All admitted work, client retries included.
     submitted: DecayingSum,
-    /// Of that, first submissions within their quotas.
+    /// Admitted work of first submissions within their quotas.
     within_quota: DecayingSum,
-    /// Of that, what was shed.
+    /// Work of first submissions within their quotas that was shed.
     shed: DecayingSum,
-    /// When the first job was admitted.
+    /// Time at which the first job was admitted.
     pub first_submission_at: Timestamp,
 }
 
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Work admitted lately.
+    /// Returns the recently admitted work.
     pub fn submitted(&self, now: Timestamp) -> f64 {
         self.submitted.get(now, DEMAND_TIME_CONSTANT)
     }
 
-    /// Share of the work within quotas that was shed lately.
+    /// Returns the share of the work within quotas that was recently shed.
     pub fn shed_share(&self, now: Timestamp) -> f64 {
         self.shed.get(now, DEMAND_TIME_CONSTANT) / self.within_quota.get(now, DEMAND_TIME_CONSTANT).max(1e-9)
     }
 }
 
-/// The capacity of the subset's workers, as estimated last.
+/// Last estimated capacity of the subset's workers.
 pub(crate) struct Capacity {
-    /// Share of the workers that have a slot free or about to be.
+    /// Share of the workers that have a free slot or will have one shortly.
     pub free_share: f64,
     /// Shortest wait for one slot at any worker, in seconds.
     pub shortest_wait: f64,
--- a/crates/core/src/state/migration.rs
+++ b/crates/core/src/state/migration.rs
@@ -1,24 +1,27 @@
-//! Job migration: an open job moves from one process of a node to another, with everything that was attempted for it.
+//! Migration of an open job, with all its attempts, from one process of a node to its peer.
 //!
 //! | step | process | call |
 //! | --- | --- | --- |
 //! | release | the one that releases the job | [`Dispatcher::release_job`](crate::Dispatcher::release_job) |
-//! | check | the one that takes it | [`Dispatcher::accepts_migrated_job`](crate::Dispatcher::accepts_migrated_job) |
-//! | adopt | the one that takes it | [`Dispatcher::adopt_job`](crate::Dispatcher::adopt_job) |
+//! | check | the one that adopts the job | [`Dispatcher::accepts_migrated_job`](crate::Dispatcher::accepts_migrated_job) |
+//! | adopt | the one that adopts the job | [`Dispatcher::adopt_job`](crate::Dispatcher::adopt_job) |
 //!
-//! The attempts in flight continue; the embedder reports their further events to the process that adopted the job. The
-//! record is not trusted: every figure is checked and bounded when the job is adopted. The serialized names are those
-//! that processes of all versions exchange. Times are microseconds since the Unix epoch.
+//! The attempts in flight continue. The embedder reports their further events to the process that adopted the
+//! job.
+//!
+//! The record is not trusted: every value is checked and bounded when the job is adopted. The serialized
+//! names are part of the protocol between processes of all versions. Times are in microseconds since the Unix
+//! epoch.
 
 use serde::{Deserialize, Serialize};
 
-use super::untrusted::{bounded_seconds, bounded_slots};
+use super::untrusted::{clamp_seconds, clamp_slots};
 use super::{Attempt, AttemptId, InFlightAttempt, Job, MAX_ATTEMPTS, Progress};
 use crate::{
     CellId, ClassId, JobId, JobSubmission, Outcome, Settings, TenantId, Timestamp, WorkerId, ZoneId,
 };
 
-/// A job that moves to another process of the node. Fields as in the record of a job.
+/// Job that migrates to the peer. The fields are those of the record of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MigratedJob {
@@ -37,7 +40,7 @@
     attempts: Vec<MigratedAttempt>,
 }
 
-/// An attempt of a job that moves.
+/// Attempt of a migrated job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MigratedAttempt {
@@ -52,7 +55,7 @@
     in_flight: Option<MigratedInFlight>,
 }
 
-/// What is known of an attempt in flight. Fields as in [`InFlightAttempt`].
+/// Record of an attempt in flight. The fields are those of [`InFlightAttempt`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MigratedInFlight {
@@ -66,28 +69,29 @@
     progress: Option<MigratedProgress>,
 }
 
-/// The last progress report of an attempt.
+/// Last progress report of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, Timestamp)", into = "(f64, Timestamp)")]
 struct MigratedProgress {
     /// Completed fraction, from 0 to 1.
     fraction_done: f64,
-    /// When it was reported.
+    /// Time at which the report arrived.
     at: Timestamp,
 }
 
 impl MigratedJob {
-    /// Class of the job.
+    /// Returns the class of the job.
     pub fn class(&self) -> ClassId {
         ClassId(self.class)
     }
 
-    /// The moment at which the client stops waiting.
+    /// Returns the time at which the client stops waiting.
     pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// The record of a job that is released. `remove_in_flight` removes an attempt in flight from its worker.
+    /// Creates the record of a job that is released. `remove_in_flight` removes an attempt in flight from the
+    /// record of its worker.
     pub(crate) fn capture(
         job: &Job,
         mut remove_in_flight: impl FnMut(WorkerId, AttemptId) -> Option<InFlightAttempt>,
@@ -110,15 +114,16 @@
         }
     }
 
-    /// Whether the job can be adopted: its class exists, and its figures are in range.
+    /// Returns whether the job can be adopted: its class exists, its values are finite and not negative, and
+    /// it has at most [`MAX_ATTEMPTS`] attempts.
     pub(crate) fn is_valid(&self, settings: &Settings) -> bool {
-        let figures = [self.work, self.slots, self.weight];
+        let values = [self.work, self.slots, self.weight];
         self.class < settings.classes.len()
-            && figures.iter().all(|figure| figure.is_finite() && *figure >= 0.0)
+            && values.iter().all(|value| value.is_finite() && *value >= 0.0)
             && self.attempts.len() <= MAX_ATTEMPTS
     }
 
-    /// The job under its new number.
+    /// Returns the job under its new id.
     pub(crate) fn restore(&self, id: JobId) -> Job {
         Job {
             over_quota: self.over_quota,
@@ -132,7 +137,7 @@
         }
     }
 
-    /// The attempts that are in flight, each with its worker.
+    /// Returns the attempts that are in flight, each with its worker.
     pub(crate) fn restore_in_flight(
         &self,
         now: Timestamp,
@@ -150,7 +155,7 @@
         JobSubmission {
             job: id,
             class: ClassId(self.class),
-            // Unused: the quota was charged by the process that the client submitted the job to.
+            // Not used: the process to which the client submitted the job has charged the quota.
             tenant: TenantId(0),
             deadline: self.deadline,
             cost_hint: None,
@@ -189,14 +194,14 @@
         InFlightAttempt {
             job: id.job,
             number: id.number,
-            work: bounded_seconds(self.work).unwrap_or(0.0),
-            slots: bounded_slots(self.slots).unwrap_or(1.0),
+            work: clamp_seconds(self.work).unwrap_or(0.0),
+            slots: clamp_slots(self.slots).unwrap_or(1.0),
             sent_at: sent_at.min(now),
             accepted: self.accepted,
             revoked: false,
             on_stale_connection: false,
-            predicted_wait: bounded_seconds(self.predicted_wait).unwrap_or(0.0),
-            started_at: self.started_at.map(|moment| moment.min(now)),
+            predicted_wait: clamp_seconds(self.predicted_wait).unwrap_or(0.0),
+            started_at: self.started_at.map(|time| time.min(now)),
             progress: self.progress.map(|progress| progress.restore(now)),
             unhinted: None,
         }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,20 +1,20 @@
-//! What a dispatcher knows: records, estimators and plain arithmetic. No decisions are made here, and nothing here
-//! knows the dispatcher or its decisions.
+//! State of a dispatcher: records, estimators and plain arithmetic. No module here makes a decision or refers
+//! to the dispatcher.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
 //! | `estimators` | decaying sum, averages, token bucket, estimates of speed and work |
-//! | `worker`, `job`, `in_flight` | the records of a worker, a job, and an attempt in flight |
+//! | `worker`, `job`, `in_flight` | records of a worker, a job, and an attempt in flight |
 //! | `worker_events` | updates of a worker's record |
-//! | `fleet`, `jobs` | all workers together; all jobs and the queue |
-//! | `endpoints`, `subset` | which workers take new work, and which of them this node uses |
-//! | `affinity` | which workers are likely to hold what a key stands for |
-//! | `budgets` | tenants' quotas, and what retries and hedged requests may use |
-//! | `load` | the demand of clients, and the capacity of workers |
+//! | `fleet`, `jobs` | all workers; all jobs and the queue |
+//! | `endpoints`, `subset` | workers that accept new work, and the subset of them that this node uses |
+//! | `affinity` | workers that are likely to have the data of a key |
+//! | `budgets` | quotas of tenants, and budgets of retries and hedged requests |
+//! | `load` | demand of the clients, and capacity of the workers |
 //! | `estimates` | x, w and r of the cost, derived from the records |
 //! | `attempts` | updates of the records when an attempt is sent, starts and ends |
-//! | `snapshot`, `migration` | what moves to another process of this node |
-//! | `untrusted` | bounds on figures that another process sent |
+//! | `snapshot`, `migration` | records that are transferred to the peer |
+//! | `untrusted` | bounds of values that the peer sent |
 
 mod affinity;
 mod attempts;
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -1,28 +1,30 @@
-//! The state snapshot: what a process of a node has learned of the workers, as its successor restores it.
+//! State snapshot: the state that a process of a node has learned of the workers, for its successor to
+//! restore.
 //!
-//! A snapshot is not trusted. Every figure is checked and bounded when it is restored, and it only adds to workers that
-//! the successor's own endpoint list names. Estimates that the successor has already made itself are kept.
+//! A snapshot is not trusted. Every value is checked and bounded when it is restored. A snapshot adds to the
+//! records only of workers that the successor's own endpoint list names. Estimates that the successor has
+//! already made itself are kept.
 //!
-//! The serialized names are those that processes of all versions exchange; a process rejects fields that it does not
-//! know. Times are microseconds since the Unix epoch, which both processes read.
+//! The serialized names are part of the protocol between processes of all versions. A process rejects unknown
+//! fields. Times are in microseconds since the Unix epoch, according to the clock that both processes read.
 
 use serde::{Deserialize, Serialize};
 
-use super::untrusted::{bounded_hint_error, bounded_log_speed, bounded_seconds, bounded_slots};
+use super::untrusted::{clamp_hint_error, clamp_log_speed, clamp_seconds, clamp_slots};
 use super::{Demand, Fleet, MAX_WORKER_KEYS, MachineKind, SpeedEstimate, SpeedRatio, WarmUpSend, Worker};
 use crate::{KindId, TimeSpan, Timestamp, WorkerId};
 
-/// Maximum number of workers that a snapshot holds, and that are restored from one.
+/// Maximum number of workers in a snapshot, and of workers that are restored from one.
 const MAX_WORKERS: usize = 4096;
-/// Maximum number of warm-up sends of each worker that a snapshot holds, and that are restored from one.
+/// Maximum number of warm-up sends of each worker in a snapshot, and of those that are restored from one.
 const MAX_WARM_UP_SENDS: usize = 1024;
-/// Maximum number of consecutive failures that are restored.
+/// Maximum number of consecutive failures that are restored for a worker.
 const MAX_CONSECUTIVE_FAILURES: u32 = 16;
-/// Maximum remaining time of an ejection that is restored. Ejections take seconds; one that ends much
-/// later is an error.
+/// Maximum remaining time of an ejection that is restored. Ejections take seconds, so a much later end is an
+/// error.
 const MAX_EJECTION: TimeSpan = TimeSpan::from_secs(60);
 
-/// What a dispatcher has learned.
+/// Learned state of a dispatcher.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateSnapshot {
@@ -31,20 +33,20 @@
     /// Speed of the fleet as a whole.
     #[serde(rename = "all")]
     overall_speed: SpeedSnapshot,
-    /// Mean error of hints, of the natural logarithm.
+    /// Mean error of hints, as a natural logarithm.
     hint_error: f64,
-    /// Mean work of a job, in seconds on a core of speed 1.
+    /// Mean work of a job, in seconds at speed 1.
     #[serde(rename = "usual_work")]
     mean_work: f64,
-    /// Keys of the last jobs.
+    /// Keys of the jobs that were submitted last, oldest first.
     #[serde(rename = "keys")]
     recent_keys: Vec<u64>,
-    /// When the first job was submitted.
+    /// Time at which the first job was submitted.
     #[serde(rename = "first_came")]
     first_submission_at: Timestamp,
 }
 
-/// What is known of one worker. Fields as in [`Worker`].
+/// Learned state of one worker. The fields are those of [`Worker`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WorkerSnapshot {
@@ -70,12 +72,12 @@
     warm_up_sends: Vec<WarmUpSendSnapshot>,
 }
 
-/// Work that was sent to a worker while it was warming up, which counts against its budget.
+/// Work that was sent to a worker while it was warming up. It counts against the warm-up budget.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(Timestamp, f64)", into = "(Timestamp, f64)")]
 struct WarmUpSendSnapshot {
     at: Timestamp,
-    /// In seconds on a core of speed 1, all slots together.
+    /// Work in seconds at speed 1, summed over all slots.
     work: f64,
 }
 
@@ -90,18 +92,18 @@
     samples: u32,
 }
 
-/// A speed estimate.
+/// Speed estimate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, u32)", into = "(f64, u32)")]
 struct SpeedSnapshot {
     /// Natural logarithm of the speed.
     log_speed: f64,
-    /// Number of jobs that it was learned from.
+    /// Number of jobs from which the speed was learned.
     samples: u32,
 }
 
 impl StateSnapshot {
-    /// What is known of the workers and of the demand.
+    /// Creates a snapshot of the learned state of the workers and of the demand.
     pub(crate) fn capture(fleet: &Fleet, demand: &Demand) -> Self {
         StateSnapshot {
             workers: fleet.workers.iter().take(MAX_WORKERS).map(WorkerSnapshot::from).collect(),
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Adds what it contains to what is known of workers that the present endpoint list names too.
+    /// Adds the contents of the snapshot to the state. Records of workers that the present endpoint list does
+    /// not name are ignored.
     pub(crate) fn restore_to(&self, now: Timestamp, fleet: &mut Fleet, demand: &mut Demand) {
         self.restore_speeds(fleet);
         self.restore_fleet_estimates(fleet);
@@ -135,10 +138,10 @@
     }
 
     fn restore_fleet_estimates(&self, fleet: &mut Fleet) {
-        if let Some(error) = bounded_hint_error(self.hint_error) {
+        if let Some(error) = clamp_hint_error(self.hint_error) {
             fleet.hint_error = error;
         }
-        if let Some(work) = bounded_seconds(self.mean_work) {
+        if let Some(work) = clamp_seconds(self.mean_work) {
             fleet.mean_work = work;
         }
         for key in &self.recent_keys {
@@ -163,9 +166,9 @@
         if worker.speed_ratio.samples > 0 {
             return;
         }
-        let Some(log_ratio) = bounded_log_speed(self.log_speed_ratio) else { return };
+        let Some(log_ratio) = clamp_log_speed(self.log_speed_ratio) else { return };
         worker.speed_ratio = SpeedRatio::new(log_ratio, self.speed_samples);
-        let slots = bounded_slots(self.max_concurrent_slots).unwrap_or(0.0);
+        let slots = clamp_slots(self.max_concurrent_slots).unwrap_or(0.0);
         worker.max_concurrent_slots = worker.max_concurrent_slots.max(slots);
     }
 
@@ -177,10 +180,11 @@
         worker.health.ejected_until =
             worker.health.ejected_until.max(self.ejected_until.min(latest_ejection_end));
         worker.health.unreachable |= self.unreachable;
-        worker.reenabled_at = worker.reenabled_at.or(self.reenabled_at.map(|moment| moment.min(now)));
+        worker.reenabled_at = worker.reenabled_at.or(self.reenabled_at.map(|time| time.min(now)));
     }
 
-    /// The predecessor's sends come before this process's own, as they were sent.
+    /// Inserts the sends of the predecessor before those of this process, so that all are in the order of
+    /// their times.
     fn restore_warm_up_sends(&self, now: Timestamp, worker: &mut Worker) {
         let is_valid =
             |send: &&WarmUpSendSnapshot| send.at <= now && send.work.is_finite() && send.work >= 0.0;
@@ -242,7 +246,7 @@
         if estimate.samples > 0 {
             return;
         }
-        if let Some(log_speed) = bounded_log_speed(self.log_speed) {
+        if let Some(log_speed) = clamp_log_speed(self.log_speed) {
             *estimate = SpeedEstimate { log_speed, speed: log_speed.exp(), samples: self.samples };
         }
     }
--- a/crates/core/src/state/subset.rs
+++ b/crates/core/src/state/subset.rs
@@ -1,42 +1,43 @@
-//! The subset of the workers that this node uses.
+//! Subset of the workers that this node uses.
 //!
-//! Many nodes with many workers are split into subsets, each of which works like a small deployment: its
-//! nodes know their workers' load, and can afford gossip. Nodes with the same list compute the same subsets.
+//! Deployments of many nodes with many workers are divided into subsets, each of which works like a small
+//! deployment: its nodes observe the load of their workers and can afford gossip. Nodes with the same
+//! endpoint list compute the same subsets.
 
 use crate::{KindId, Settings, ZoneId};
 
-/// Fewest nodes of a subset.
+/// Minimum number of nodes of a subset.
 const MIN_SUBSET_NODES: u32 = 8;
-/// Fewest workers of a subset.
+/// Minimum number of workers of a subset.
 const MIN_SUBSET_WORKERS: usize = 8;
 
-/// A worker that takes new work.
+/// Worker that accepts new work.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// Kind of machine of the worker.
     pub kind: KindId,
-    /// Its index in the fleet.
+    /// Index of the worker in the fleet.
     pub index: usize,
 }
 
-/// The workers that this node uses, and the nodes that use the same.
+/// Workers that this node uses, and the number of nodes that use the same workers.
 pub(crate) struct Subset {
-    /// Number of nodes that dispatch to the same workers.
+    /// Number of nodes of the deployment.
     nodes: u32,
-    /// This node's index among them.
+    /// Index of this node among the nodes of the deployment.
     node_index: u32,
-    /// Most subsets that the settings allow.
+    /// Maximum number of subsets according to the settings.
     max_count: usize,
-    /// Number of subsets that nodes and workers are parted into.
+    /// Number of subsets into which nodes and workers are divided.
     count: usize,
-    /// Indices of the workers in the fleet, in ascending order.
+    /// Indices of the workers of the subset in the fleet, in ascending order.
     members: Vec<usize>,
 }
 
 impl Subset {
-    /// A subset without workers.
+    /// Returns a subset without workers.
     pub(super) fn new(settings: &Settings) -> Self {
         Subset {
             nodes: settings.nodes,
@@ -47,39 +48,40 @@
         }
     }
 
-    /// Indices of its workers in the fleet, in ascending order.
+    /// Returns the indices of the workers of the subset in the fleet, in ascending order.
     pub fn members(&self) -> &[usize] {
         &self.members
     }
 
-    /// Number of its workers.
+    /// Returns the number of workers of the subset.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are workers that take new work outside this subset.
+    /// Returns whether workers outside this subset accept new work.
     pub fn has_outside_workers(&self) -> bool {
         self.count > 1
     }
 
-    /// Number of nodes that share this subset.
+    /// Returns the number of nodes that share this subset.
     pub fn nodes(&self) -> u32 {
         self.nodes.div_ceil(self.count as u32)
     }
 
-    /// This node's position among the nodes that share this subset.
+    /// Returns the position of this node among the nodes that share this subset.
     pub fn node_position(&self) -> u32 {
         self.node_index / self.count as u32
     }
 
-    /// Indices of the other nodes that share this subset.
+    /// Returns the indices of the other nodes that share this subset.
     pub fn other_nodes(&self) -> impl Iterator<Item = u32> {
         let count = self.count as u32;
         let nodes = (self.node_index % count..self.nodes).step_by(count as usize);
         nodes.filter(|node| *node != self.node_index)
     }
 
-    /// Assigns the workers to the subsets, each zone's and kind's evenly, and keeps this node's.
+    /// Distributes the workers of each zone and kind evenly over the subsets, and keeps the workers of this
+    /// node's subset.
     pub(super) fn rebuild(&mut self, mut candidates: Vec<Candidate>) {
         self.count = self.max_count.min(candidates.len() / MIN_SUBSET_WORKERS).max(1);
         candidates.sort_by_key(|worker| (worker.zone.0, worker.kind.0, worker.index));
@@ -91,8 +93,8 @@
     }
 }
 
-/// Most subsets that the nodes can be split into; one without gossip, since each subset would fetch the keys
-/// that others hold already.
+/// Returns the maximum number of subsets into which the nodes can be divided. Without gossip it is 1, since
+/// each subset would fetch the data of keys that workers of other subsets already have.
 fn max_subsets(settings: &Settings) -> usize {
     if !settings.may_gossip {
         return 1;
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -1,4 +1,5 @@
-//! One worker: its entry in the endpoint list, its attempts in flight, and what was learned from them.
+//! Record of a worker: its entry in the endpoint list, its attempts in flight, and the values learned from
+//! them.
 
 use std::collections::VecDeque;
 
@@ -11,60 +12,61 @@
     ZoneId,
 };
 
-/// Most keys that are remembered of one worker.
+/// Maximum number of recent keys that are recorded for one worker.
 pub(crate) const MAX_WORKER_KEYS: usize = 16;
-/// Time constant with which an unpredicted wait is forgotten.
+/// Time constant of the decay of a wait beyond the predicted one.
 pub(crate) const EXCESS_WAIT_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(300);
 
-/// Time for which the estimates of a worker hold, unless something happens there.
+/// Lifetime of the estimates of a worker. An event of the worker ends it early.
 const ESTIMATE_LIFETIME: TimeSpan = TimeSpan::from_millis(4);
-/// Lower bound of the warm-up fraction, whatever the settings are, so that speeds stay above zero.
+/// Lower bound of the warm-up fraction regardless of the settings. It keeps speeds above zero.
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 
-/// What another node reported of its own work at a worker.
+/// Work of another node at a worker, as reported by that node.
 pub(crate) struct RemoteBacklog {
-    /// Number of that node.
+    /// Index of the other node.
     pub node: u32,
-    /// Its remaining work there, in seconds at speed 1.
+    /// Remaining work of that node at the worker, in seconds at speed 1.
     pub work: f64,
-    /// Slots that its attempts take there.
+    /// Number of slots that the attempts of that node take.
     pub slots: f64,
-    /// When the report came.
+    /// Time at which the report arrived.
     pub at: Timestamp,
 }
 
-/// Work that was sent to a worker while that was warming up.
+/// Work that was sent to a worker while it was warming up.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmUpSend {
-    /// When.
+    /// Time at which the work was sent.
     pub at: Timestamp,
-    /// How much, in seconds at speed 1, all slots together.
+    /// Work in seconds at speed 1, summed over all slots.
     pub work: f64,
 }
 
-/// Health of a worker, by its recent failures.
+/// Health of a worker, based on its recent failures.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkerHealth {
-    /// Failures in a row, halved by each success.
+    /// Number of consecutive failures, halved by each success.
     pub consecutive_failures: u32,
-    /// Ejected for its failures until then.
+    /// End of the ejection of the worker for its failures.
     pub ejected_until: Timestamp,
-    /// The last attempt could not connect.
+    /// Whether the last attempt could not connect.
     pub unreachable: bool,
 }
 
 /// Estimates that are derived from the record of a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct WorkerEstimates {
-    /// When they were derived; the origin of the clock if something has happened at the worker since.
+    /// Time at which the estimates were derived; the origin of the clock after an event of the worker, which
+    /// invalidates them.
     pub derived_at: Timestamp,
-    /// Least share of its capacity that it has, by its age; 1 when warm.
+    /// Lower bound of the fraction of its capacity that the worker has at its age; 1 when warm.
     pub warm_up_fraction: f64,
     /// Present speed of a slot.
     pub speed: f64,
-    /// r: the share of its capacity that is used.
+    /// r: share of the capacity of the worker that is used.
     pub utilisation: f64,
-    /// w: the wait for one slot, in seconds.
+    /// w: wait for one slot, in seconds.
     pub wait: f64,
 }
 
@@ -80,56 +82,57 @@
     }
 }
 
-/// One worker.
+/// Record of one worker.
 pub(crate) struct Worker {
-    /// The same number at every node.
+    /// Identifier of the worker, which is the same at every node.
     pub(super) id: WorkerId,
-    /// Its zone.
+    /// Zone of the worker.
     pub(super) zone: ZoneId,
-    /// Its kind of machine.
+    /// Kind of machine of the worker.
     pub(super) kind: KindId,
-    /// Its cell.
+    /// Cell of the worker.
     pub(super) cell: CellId,
-    /// Whether it takes work, by the endpoint list.
+    /// Status of the worker in the endpoint list.
     pub(super) status: WorkerStatus,
-    /// It belongs to this node's subset: see [`Fleet::subset`](super::Fleet::subset).
+    /// Whether the worker belongs to this node's subset, see [`Fleet::subset`](super::Fleet::subset).
     pub(super) in_subset: bool,
-    /// Last start as listed or inferred; the origin of the clock: long ago.
+    /// Last start of the worker, listed or inferred. The origin of the clock stands for an unknown start long
+    /// ago.
     pub(super) started_at: Timestamp,
-    /// Listed size in slots; 1 where the list has no sizes.
+    /// Listed size in slots; 1 if the endpoint list has no sizes.
     pub(super) listed_slots: f64,
-    /// Index of its kind in [`Fleet::kinds`](super::Fleet::kinds).
+    /// Index of the kind in [`Fleet::kinds`](super::Fleet::kinds).
     pub(super) kind_index: usize,
-    /// Its speed over its kind's.
+    /// Ratio of the speed of the worker to the speed of its kind.
     pub(super) speed_ratio: SpeedRatio,
-    /// Most slots seen running at once.
+    /// Maximum number of slots observed running at once.
     pub(super) max_concurrent_slots: f64,
-    /// Hinted work sent there.
+    /// Hinted work sent to the worker.
     pub(super) sent_work: DecayingSum,
-    /// Attempts sent there that have not ended, in the order of sends.
+    /// Attempts sent to the worker that have not ended, in the order in which they were sent.
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Keys of the jobs sent there, the last one first.
+    /// Keys of the jobs sent to the worker, most recent first.
     pub(super) recent_keys: VecDeque<u64>,
-    /// Work sent there while it was warming up, as far as a budget counts it.
+    /// Work sent to the worker while it was warming up, as far as it counts against the warm-up budget.
     pub(super) warm_up_sends: VecDeque<WarmUpSend>,
-    /// Wait beyond the predicted one that starts there showed, in seconds.
+    /// Wait beyond the predicted one, derived from the starts of attempts, in seconds.
     pub(super) excess_wait: DecayingSum,
-    /// Other nodes' reports of their work there, one for each node.
+    /// Reports of other nodes on their work at the worker, at most one of each node.
     pub(super) remote_backlogs: Vec<RemoteBacklog>,
-    /// Its health.
+    /// Health of the worker.
     pub(super) health: WorkerHealth,
-    /// When operators enabled it again, while nothing has been sent there since.
+    /// Time at which operators enabled the worker again; none once something has been sent to it since.
     pub(super) reenabled_at: Option<Timestamp>,
-    /// This node's work there has changed since it was last gossiped.
+    /// Whether this node's work at the worker has changed since it was last gossiped.
     pub(super) gossip_pending: bool,
-    /// When it was last gossiped.
+    /// Time at which this node's work at the worker was last gossiped.
     pub(super) gossiped_at: Timestamp,
-    /// Estimates derived from all that.
+    /// Estimates derived from the other fields.
     pub(super) estimates: WorkerEstimates,
 }
 
 impl Worker {
-    /// A worker of which nothing but its line in the list is known.
+    /// Returns a worker without observations, from its entry in the endpoint list.
     pub fn new(endpoint: &Endpoint, kind_index: usize) -> Self {
         Worker {
             id: endpoint.worker,
@@ -157,76 +160,77 @@
         }
     }
 
-    /// Its number, the same at every node.
+    /// Returns the identifier of the worker, which is the same at every node.
     pub fn id(&self) -> WorkerId {
         self.id
     }
 
-    /// Its zone.
+    /// Returns the zone of the worker.
     pub fn zone(&self) -> ZoneId {
         self.zone
     }
 
-    /// Its kind of machine.
+    /// Returns the kind of machine of the worker.
     pub fn kind(&self) -> KindId {
         self.kind
     }
 
-    /// Whether it belongs to this node's subset.
+    /// Returns whether the worker belongs to this node's subset.
     pub fn is_in_subset(&self) -> bool {
         self.in_subset
     }
 
-    /// Its health.
+    /// Returns the health of the worker.
     pub fn health(&self) -> &WorkerHealth {
         &self.health
     }
 
-    /// What was estimated of it last.
+    /// Returns the last derived estimates.
     pub fn estimates(&self) -> &WorkerEstimates {
         &self.estimates
     }
 
-    /// When operators enabled it again, while nothing has been sent there since.
+    /// Returns the time at which operators enabled the worker again; none once something has been sent to it
+    /// since.
     pub fn reenabled_at(&self) -> Option<Timestamp> {
         self.reenabled_at
     }
 
-    /// Whether this node has no attempt in flight there.
+    /// Returns whether this node has no attempt in flight at the worker.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Work that was sent there while it was warming up, in the last `window` seconds.
+    /// Returns the work that was sent to the worker while it was warming up, in the last `window` seconds.
     pub fn recent_warm_up_work(&self, now: Timestamp, window: f64) -> f64 {
         let is_recent = |send: &&WarmUpSend| now.seconds_since(send.at) < window;
         self.warm_up_sends.iter().filter(is_recent).map(|send| send.work).sum()
     }
 
-    /// As a candidate for a subset, with its index in the fleet.
-    pub(super) fn candidate(&self, index: usize) -> Candidate {
+    /// Returns the worker as a candidate for a subset. `index` is its index in the fleet.
+    pub(super) fn to_candidate(&self, index: usize) -> Candidate {
         Candidate { zone: self.zone, kind: self.kind, index }
     }
 
-    /// Slots of the attempts that were running at that time and still are.
+    /// Returns the slots of the attempts that have been running since `time`.
     pub fn slots_running_since(&self, time: Timestamp) -> f64 {
         let running =
             |attempt: &&InFlightAttempt| attempt.started_at.is_some_and(|started_at| started_at <= time);
         self.in_flight.iter().filter(running).map(|attempt| attempt.slots).sum()
     }
 
-    /// Work that its attempts have left, in seconds at speed 1, all slots together.
+    /// Returns the remaining work of the attempts in flight, in seconds at speed 1, summed over all slots.
     pub fn remaining_load(&self, now: Timestamp) -> f64 {
         let speed = self.estimates.speed;
         self.in_flight.iter().map(|attempt| attempt.remaining_work(now, speed) * attempt.slots).sum()
     }
 
-    /// Slots that its attempts take or wait for.
+    /// Returns the number of slots that the attempts in flight take or wait for.
     pub fn requested_slots(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Whether it discards repeats of what that attempt ran.
+    /// Returns whether the worker discards duplicate runs of the job that attempt `first` ran.
     pub fn deduplicates(&self, first: &Attempt, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -235,42 +239,47 @@
         }
     }
 
-    /// Seconds by which the longest waiting attempt is past its predicted start.
+    /// Returns the seconds by which the longest waiting attempt is past its predicted start; 0 if none is.
     fn longest_start_delay(&self, now: Timestamp) -> f64 {
         let waiting = self.in_flight.iter().filter(|attempt| !attempt.has_started());
         waiting.map(|attempt| attempt.start_delay(now)).fold(0.0, f64::max)
     }
 
-    /// Seconds of waiting at it that no node has reported: the excess wait of late starts, as it decays, but
-    /// not less than what cannot have been worked off yet, since a node of many may not send there again
-    /// before that.
+    /// Returns the seconds of waiting at the worker that no node has reported.
+    ///
+    /// The value is the decayed excess wait derived from late starts, but at least the wait that the worker
+    /// cannot have worked off yet, since one of many nodes may not send to it again before that. It is also
+    /// at least the start delay of the attempt that is waiting longest.
     pub fn unreported_wait(&self, now: Timestamp) -> f64 {
         let decayed = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
         decayed.max(self.excess_wait.linearly_decayed(now)).max(self.longest_start_delay(now))
     }
 
-    /// Number of other keys that were sent there since this one; none if this one is not remembered.
+    /// Returns the number of other keys that were sent to the worker since `key`; none if `key` is not among
+    /// the recent keys.
     pub fn keys_sent_since(&self, key: u64) -> Option<usize> {
-        self.recent_keys.iter().position(|known| *known == key)
+        self.recent_keys.iter().position(|recent| *recent == key)
     }
 
-    /// Its rendezvous (highest random weight) hash for a key, the same at all nodes.
+    /// Returns the rendezvous hash (highest random weight) of the worker for a key, which is the same at all
+    /// nodes.
     pub fn rendezvous_weight(&self, key: u64) -> u64 {
         let mixed = (self.id.0 ^ key.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xd6e8_feb8_6659_fd93);
         (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93)
     }
 
-    /// Whether an attempt there should have been accepted by now and was not.
+    /// Returns whether an attempt at the worker should have been accepted by now and has not been.
     pub fn has_overdue_acceptance(&self, now: Timestamp, timeout: TimeSpan) -> bool {
         self.in_flight.iter().any(|attempt| attempt.is_acceptance_overdue(now, timeout))
     }
 
-    /// Whether its estimates have to be derived again before they are used.
+    /// Returns whether the estimates have to be derived again before they are used.
     pub fn are_estimates_expired(&self, now: Timestamp) -> bool {
         now >= self.estimates.derived_at.saturating_add(ESTIMATE_LIFETIME)
     }
 
-    /// Lower bound of the share of its capacity that it has now, growing evenly with its age; 1 when warm.
+    /// Returns the lower bound of the fraction of its capacity that the worker has now; 1 when warm. The
+    /// bound grows linearly with the age of the worker.
     pub fn warm_up_fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
         if self.started_at == Timestamp::ORIGIN || settings.warm_up.is_zero() {
             return 1.0;
@@ -280,15 +289,15 @@
         (floor + (1.0 - floor) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Whether this node's work there is to be gossiped: it has changed, or was reported more than `refresh`
-    /// ago.
+    /// Returns whether this node's work at the worker is due to be gossiped: it has changed, or the worker is
+    /// not idle and the last report is older than `refresh`.
     pub fn is_gossip_due(&self, now: Timestamp, refresh: TimeSpan) -> bool {
         let is_old = now.saturating_since(self.gossiped_at) > refresh;
         self.gossip_pending || is_old && !self.is_idle()
     }
 
-    /// An attempt that is in flight there.
+    /// Returns an attempt that is in flight at the worker.
     pub fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
-        self.in_flight.iter().find(|known| known.id() == id)
+        self.in_flight.iter().find(|attempt| attempt.id() == id)
     }
 }
--- a/crates/core/src/state/worker_events.rs
+++ b/crates/core/src/state/worker_events.rs
@@ -1,4 +1,4 @@
-//! What happens at a worker, as its record takes it in.
+//! Updates of a worker's record for events of the worker.
 
 use super::in_flight::{InFlightAttempt, Progress};
 use super::job::AttemptId;
@@ -8,53 +8,53 @@
 use crate::Timestamp;
 
 impl Worker {
-    /// Records the key of a job that is sent there.
+    /// Records the key of a job that is sent to the worker.
     pub fn record_key(&mut self, key: u64) {
-        self.recent_keys.retain(|known| *known != key);
+        self.recent_keys.retain(|recent| *recent != key);
         self.recent_keys.push_front(key);
         self.recent_keys.truncate(MAX_WORKER_KEYS);
     }
 
-    /// Marks its estimates as outdated, since something has happened there.
+    /// Invalidates the estimates after an event of the worker.
     pub fn invalidate_estimates(&mut self) {
         self.estimates.derived_at = Timestamp::ORIGIN;
     }
 
-    /// Records a sign that it can be reached.
+    /// Records evidence that the worker is reachable.
     pub fn record_reachable(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
-            // It may have restarted and be warming up long before the list shows that.
+            // It may have restarted, and be warming up long before the endpoint list shows the restart.
             self.health.unreachable = false;
             self.started_at = self.started_at.max(now);
         }
     }
 
-    /// Records that this node's work there was gossiped.
+    /// Records that this node's work at the worker was gossiped.
     pub fn record_gossip_sent(&mut self, now: Timestamp) {
         (self.gossip_pending, self.gossiped_at) = (false, now);
     }
 
-    /// Replaces what another node reported of its own work there.
+    /// Replaces the report of another node on its work at the worker.
     pub fn record_remote_backlog(&mut self, backlog: RemoteBacklog) {
-        self.remote_backlogs.retain(|known| known.node != backlog.node);
+        self.remote_backlogs.retain(|other| other.node != backlog.node);
         if backlog.slots > 0.0 {
             self.remote_backlogs.push(backlog);
         }
     }
 
-    /// Records a failure, for which it is ejected.
+    /// Records a failure, for which the worker is ejected until `ejected_until`.
     pub fn record_failure(&mut self, ejected_until: Timestamp) {
         self.health.ejected_until = ejected_until;
         self.health.consecutive_failures += 1;
     }
 
-    /// Records that no connection could be made.
+    /// Records that no connection to the worker could be established.
     pub fn record_unreachable(&mut self) {
         self.health.unreachable = true;
     }
 
-    /// Records that it has accepted an attempt. Any other report on the attempt implies that.
+    /// Records that the worker has accepted an attempt. Any other report on the attempt implies acceptance.
     pub fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id).filter(|attempt| !attempt.accepted) {
             attempt.accepted = true;
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Records that an attempt was written to a connection that had ended while it was idle.
+    /// Records that an attempt was written to a connection that had closed while it was idle.
     pub fn record_stale_connection(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.on_stale_connection = true;
         }
     }
 
-    /// Records progress: `fraction_done` of the attempt is done.
+    /// Records the completed fraction of an attempt.
     pub fn record_progress(&mut self, now: Timestamp, id: AttemptId, fraction_done: f64) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.progress = Some(Progress { fraction_done: fraction_done.clamp(0.0, 1.0), at: now });
@@ -77,20 +77,20 @@
         self.record_reachable(now);
     }
 
-    /// Records the start of an attempt. Returns by how many seconds it was later than predicted; none if the start
-    /// was known before.
+    /// Records the start of an attempt. Returns the seconds by which it was later than predicted; none if the
+    /// start has been recorded before or the attempt is not in flight.
     pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
-        let known_excess = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
+        let previous_excess = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
         let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
         attempt.started_at = Some(now);
         let delay = attempt.start_delay(now).max(0.0);
-        self.excess_wait.set(now, (known_excess + delay) / 2.0);
+        self.excess_wait.set(now, (previous_excess + delay) / 2.0);
         self.record_reachable(now);
         Some(delay)
     }
 
-    /// Records work that is being sent while it may be warming up. Sends of more than `window` seconds ago are
-    /// forgotten.
+    /// Records work that is sent while the worker may be warming up. Sends that are `window` seconds old or
+    /// older are removed.
     pub fn record_warm_up_send(&mut self, now: Timestamp, work: f64, window: f64) {
         self.warm_up_sends.retain(|send| now.seconds_since(send.at) < window);
         if self.estimates.warm_up_fraction < 1.0 {
@@ -98,8 +98,10 @@
         }
     }
 
-    /// Records that operators have enabled it again after they disabled it at `disabled_at`. They usually restart it
-    /// meanwhile, and the list is late: unless the list shows a start since then, it is assumed to start now.
+    /// Records that operators have enabled the worker again after they disabled it at `disabled_at`.
+    ///
+    /// Operators usually restart a worker meanwhile, and the endpoint list shows that late. Unless it shows a
+    /// start since `disabled_at`, the worker is assumed to start now.
     pub fn reenable(&mut self, disabled_at: Timestamp, now: Timestamp) {
         if self.started_at < disabled_at || self.started_at == Timestamp::ORIGIN {
             self.started_at = now;
@@ -109,8 +111,8 @@
         self.invalidate_estimates();
     }
 
-    /// Marks its attempts that it has not accepted as revoked, since they may not have been sent yet. Returns
-    /// those that were not marked before.
+    /// Marks the attempts that the worker has not accepted as revoked, since they may not have been sent yet.
+    /// Returns those that were not marked before.
     pub fn revoke_unaccepted_attempts(&mut self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.iter_mut().filter(|attempt| !attempt.accepted && !attempt.revoked).map(|attempt| {
             attempt.revoked = true;
@@ -118,7 +120,7 @@
         })
     }
 
-    /// Takes over an attempt of another process of this node, for a job with that key.
+    /// Adopts an attempt of the peer. `key` is the key of its job.
     pub fn adopt_attempt(&mut self, attempt: InFlightAttempt, key: Option<u64>) {
         if let Some(key) = key {
             self.record_key(key);
@@ -130,13 +132,13 @@
 
     /// Removes an attempt that has ended.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
-        let index = self.in_flight.iter().position(|known| known.id() == id)?;
+        let index = self.in_flight.iter().position(|attempt| attempt.id() == id)?;
         self.gossip_pending = true;
         self.invalidate_estimates();
         Some(self.in_flight.remove(index))
     }
 
     fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut InFlightAttempt> {
-        self.in_flight.iter_mut().find(|known| known.id() == id)
+        self.in_flight.iter_mut().find(|attempt| attempt.id() == id)
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod golden;
 
 pub const SECOND: TimeSpan = seconds(1);
-/// When the clock of a [`TestNode`] starts.
+/// Initial time of the clock of a [`TestNode`].
 pub const START: Timestamp = at(seconds(10));
 
 pub const fn micros(count: u64) -> TimeSpan {
@@ -23,21 +23,21 @@
     TimeSpan::from_secs(count)
 }
 
-/// The moment at this span after the origin of the clock.
+/// Returns the time at a duration after the origin of the clock.
 pub const fn at(since_origin: TimeSpan) -> Timestamp {
     Timestamp::ORIGIN.saturating_add(since_origin)
 }
 
-/// The moments from `begin` to before `end`, one every `step`.
-pub fn moments(begin: Timestamp, end: Timestamp, step: TimeSpan) -> impl Iterator<Item = Timestamp> {
+/// Returns the times from `begin` to before `end`, at intervals of `step`.
+pub fn times(begin: Timestamp, end: Timestamp, step: TimeSpan) -> impl Iterator<Item = Timestamp> {
     let step = step.as_micros() as usize;
     (begin.as_micros()..end.as_micros()).step_by(step).map(Timestamp::from_micros)
 }
 
-/// A random span within a range.
+/// Returns a random duration within a range.
 pub fn random_span(rng: &mut fastrand::Rng, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
-    let min = range.start_bound().map(|span| span.as_micros());
-    let max = range.end_bound().map(|span| span.as_micros());
+    let min = range.start_bound().map(|duration| duration.as_micros());
+    let max = range.end_bound().map(|duration| duration.as_micros());
     micros(rng.u64((min, max)))
 }
 
@@ -52,7 +52,8 @@
     }
 }
 
-/// Class 0 is idempotent, class 1 idempotent with a key within a cell, class 2 not idempotent.
+/// Returns settings with three classes. Class 0 is idempotent, class 1 is idempotent with a key within a
+/// cell, and class 2 is not idempotent.
 pub fn settings() -> Settings {
     let with_key = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: seconds(5) };
     Settings {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The settings of one node of several.
+/// Returns the settings of one of several nodes.
 pub fn node_settings(nodes: u32, node_index: u32) -> Settings {
     Settings { nodes, node_index, ..settings() }
 }
@@ -99,12 +100,12 @@
     }
 }
 
-/// Endpoints of workers 0 to `count - 1`, two in each cell.
+/// Returns the endpoints of workers 0 to `count - 1`, two in each cell.
 pub fn endpoints(count: u64) -> Vec<Endpoint> {
     (0..count).map(endpoint).collect()
 }
 
-/// A job with this many seconds of work, whose client waits for 5 s.
+/// Returns a job with `work` seconds of work whose client waits for 5 s.
 pub fn submission(job: u64, class: usize, work: f64, now: Timestamp) -> JobSubmission {
     JobSubmission {
         job: JobId(job),
@@ -118,29 +119,32 @@
     }
 }
 
-/// An operator disables a worker, or enables it again.
+/// Returns the event that an operator disables a worker or enables it again.
 pub fn maintenance_event(worker: WorkerId, disabled: bool) -> Event<'static> {
     if disabled { Event::WorkerDisabled { worker } } else { Event::WorkerEnabled { worker } }
 }
 
-/// The kind of an update of the endpoint list.
+/// Returns the kind of an update of the endpoint list.
 pub fn endpoint_update(is_snapshot: bool) -> EndpointUpdate {
     if is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta }
 }
 
-/// A dispatcher with a virtual clock.
+/// Dispatcher with a virtual clock.
 pub struct TestNode {
     pub dispatcher: Dispatcher,
     pub now: Timestamp,
 }
 
 impl TestNode {
-    /// A node that has just started and has no endpoint list yet.
+    /// Returns a node that has just started and has no endpoint list yet.
     pub fn starting(settings: Settings, seed: u64) -> Self {
-        TestNode { dispatcher: Dispatcher::new(settings, seed).expect("valid settings"), now: START }
+        TestNode {
+            dispatcher: Dispatcher::new(settings, seed).expect("the settings are invalid"),
+            now: START,
+        }
     }
 
-    /// A node with an endpoint list.
+    /// Returns a node with an endpoint list.
     pub fn new(settings: Settings, workers: &[Endpoint]) -> Self {
         let mut node = TestNode::starting(settings, 7);
         node.handle(Event::TimerExpired);
@@ -149,7 +153,7 @@
         node
     }
 
-    /// A node with usual settings that knows the speeds of the first workers.
+    /// Returns a node with default settings that has observed the speeds of the first workers.
     pub fn with_speeds(workers: &[Endpoint], speeds: &[f64]) -> Self {
         let mut node = TestNode::new(settings(), workers);
         for (index, speed) in speeds.iter().enumerate() {
@@ -164,10 +168,10 @@
         actions
     }
 
-    /// Advances the clock with a timer expiry every 10 ms. Returns all actions but `SetTimer`.
-    pub fn advance(&mut self, span: TimeSpan) -> Vec<Action> {
+    /// Advances the clock, with a timer expiry every 10 ms. Returns all actions except `SetTimer`.
+    pub fn advance(&mut self, duration: TimeSpan) -> Vec<Action> {
         let mut all = Vec::new();
-        let end = self.now + span;
+        let end = self.now + duration;
         while self.now < end {
             self.now += millis(10).min(end - self.now);
             all.extend(self.handle(Event::TimerExpired));
@@ -181,12 +185,12 @@
         self.handle(Event::EndpointsChanged { endpoints, update: EndpointUpdate::Snapshot })
     }
 
-    /// Discovery confirms that the endpoint list is current.
+    /// Confirms that the endpoint list is current, as discovery does.
     pub fn confirm_endpoints(&mut self) -> Vec<Action> {
         self.handle(Event::EndpointsConfirmed { as_of: self.now })
     }
 
-    /// An operator disables a worker, or enables it again.
+    /// Disables a worker or enables it again, as an operator does.
     pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
         self.handle(maintenance_event(WorkerId(worker), disabled))
     }
@@ -227,14 +231,14 @@
         self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, job_answered })
     }
 
-    /// The reused connection of a first attempt breaks before a response.
+    /// Loses the reused connection of the first attempt of a job before a response.
     pub fn lose_reused_connection(&mut self, job: u64) -> Vec<Action> {
         self.handle(Event::ReusedConnectionLost { job: JobId(job), attempt: 0 });
         self.end(job, 0, Outcome::Lost)
     }
 
-    pub fn end_after(&mut self, span: TimeSpan, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.now += span;
+    pub fn end_after(&mut self, duration: TimeSpan, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.now += duration;
         self.end(job, attempt, outcome)
     }
 
@@ -244,20 +248,21 @@
         self.start(job, 0);
     }
 
-    /// The first attempt of a job starts, and is done after this span.
+    /// Starts the first attempt of a job, and completes it after `duration`.
     pub fn serve(&mut self, job: u64, duration: TimeSpan) -> Vec<Action> {
         self.start(job, 0);
         self.end_after(duration, job, 0, Outcome::Done)
     }
 
-    /// Submits a job and serves it. Returns its worker.
+    /// Submits a job and completes it. Returns its worker.
     pub fn run_job(&mut self, job: u64, class: usize, work: f64, duration: TimeSpan) -> Option<u64> {
         let worker = self.place(job, class, work);
         self.serve(job, duration);
         worker
     }
 
-    /// Lets the node observe the speed of a worker, by jobs numbered from `first_job` while all other workers drain.
+    /// Lets the node observe the speed of a worker. The jobs are numbered from `first_job` and run while all
+    /// other workers drain.
     pub fn observe_speed(&mut self, workers: &[Endpoint], index: usize, speed: f64, first_job: u64) {
         let mut drained = workers.to_vec();
         let others = drained.iter_mut().filter(|other| other.worker != workers[index].worker);
@@ -271,7 +276,7 @@
     }
 }
 
-/// The worker of the first attempt that the actions send.
+/// Returns the worker of the first attempt that the actions send.
 pub fn sent_to(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|action| match action {
         Action::SendAttempt { worker, .. } => Some(worker.0),
--- a/crates/core/tests/decisions/poll_schedule.rs
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -36,7 +36,7 @@
     let mut all: Vec<TestNode> = (0..nodes).map(start).collect();
     let mut poll_begins: Vec<Option<Timestamp>> = vec![None; all.len()];
     let (mut queue, mut free_at, mut without_list) = (VecDeque::new(), Timestamp::ORIGIN, nodes);
-    for now in moments(START, at(seconds(60)), STEP) {
+    for now in times(START, at(seconds(60)), STEP) {
         for (index, node) in all.iter_mut().enumerate() {
             node.now = now;
             if poll_begins[index].is_some_and(|begin| now >= begin + POLL_TIMEOUT) {
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -1,6 +1,6 @@
-//! Fleets of nodes in virtual time with one modelled discovery that serves polls one after another, has an outage,
-//! closes watches and stops sending on them. Each scenario is drawn from a seed. No node may send to a worker later
-//! than 750 ms after the worker's drain counts as notified.
+//! Fleets of nodes in virtual time with a model of discovery. Discovery serves polls one after another, has
+//! an outage, closes watches, and stops sending on them. Each scenario is sampled from a seed. No node may
+//! send to a worker later than 750 ms after the node counts as notified of the worker's drain.
 //!
 //!     FLEETS_SEED=7 FLEETS_COUNT=300 cargo test -p curlewusher-core --test fleets -- --nocapture
 
@@ -10,56 +10,67 @@
 
 use common::*;
 
+/// Interval between two steps of the simulation.
 const STEP: TimeSpan = millis(10);
-const LENGTH: TimeSpan = seconds(45);
-const NOTIFIED_WITHIN: TimeSpan = seconds(6);
-const STOP_SENDING_WITHIN: TimeSpan = millis(750);
+/// Simulated duration of a scenario.
+const SCENARIO_DURATION: TimeSpan = seconds(45);
+/// Time after a change from which a node counts as notified of it, if discovery is available.
+const MAX_NOTIFICATION_DELAY: TimeSpan = seconds(6);
+/// Maximum time for which a node may send to a worker after it counts as notified of the drain.
+const MAX_STOP_DELAY: TimeSpan = millis(750);
+/// Timeout of a poll.
 const POLL_TIMEOUT: TimeSpan = seconds(2);
-/// A watch without an event for this long counts as failed.
+/// Time without an event after which a watch counts as failed.
 const WATCH_TIMEOUT: TimeSpan = seconds(3);
+/// Interval between two events of a watch without changes.
 const HEARTBEAT_INTERVAL: TimeSpan = seconds(2);
 
-/// The events of a fleet.
+/// Parameters and events of a simulated fleet.
 #[derive(Debug)]
 struct Scenario {
+    /// Number of nodes.
     nodes: u32,
     /// Time that discovery takes to serve a poll.
     poll_duration: TimeSpan,
-    /// The same before the outage of discovery, while there are no changes to send. Zero: `poll_duration`.
+    /// Time that discovery takes to serve a poll before its outage, while there are no changes to send. Zero
+    /// stands for `poll_duration`.
     quiet_poll_duration: TimeSpan,
-    /// A poll that has timed out takes that time too.
+    /// Whether discovery also spends that time on polls that have timed out.
     serves_timed_out_polls: bool,
+    /// Beginning of the outage of discovery.
     down_from: Timestamp,
+    /// End of the outage of discovery.
     down_until: Timestamp,
-    /// All watches are closed.
+    /// Time at which discovery closes all watches.
     watches_close: Option<Timestamp>,
-    /// All watches fall silent.
+    /// Time at which discovery stops sending on all watches.
     watches_fall_silent: Option<Timestamp>,
-    /// Most nodes are killed and restart.
+    /// Time at which 70% of the nodes are killed and restart.
     nodes_restart: Option<Timestamp>,
-    /// When each of the first workers begins to drain.
+    /// Time at which each of the first workers begins to drain.
     drains: Vec<Timestamp>,
 }
 
 impl Scenario {
-    fn draw(seed: u64) -> Scenario {
+    fn sample(seed: u64) -> Scenario {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut draw_time = |from, to| START + random_span(&mut rng, seconds(from)..seconds(to));
-        let down_from = draw_time(8, 14);
-        let [closed_at, silent_at, killed_at] =
-            [(2, 34), (2, 34), (5, 30)].map(|(from, to)| draw_time(from, to));
-        let drains = (0..4).map(|_| draw_time(6, 38)).collect();
-        let nodes = *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("not empty");
+        let mut random_time = |from, to| START + random_span(&mut rng, seconds(from)..seconds(to));
+        let down_from = random_time(8, 14);
+        let [closed_at, stalled_at, killed_at] =
+            [(2, 34), (2, 34), (5, 30)].map(|(from, to)| random_time(from, to));
+        let drains = (0..4).map(|_| random_time(6, 38)).collect();
+        let nodes =
+            *rng.choice(&[3, 8, 17, 30, 60, 100, 200, 300, 350]).expect("the list of node counts is empty");
         Scenario {
             nodes,
-            // One poll of each node takes no longer than 10 s, as on the known sites.
+            // One poll of each node takes at most 10 s in total, as at the known sites.
             poll_duration: millis(rng.u64(5..70)).min(seconds(10) / u64::from(nodes)),
             quiet_poll_duration: TimeSpan::ZERO,
             serves_timed_out_polls: rng.bool(),
             down_from,
             down_until: down_from + seconds(rng.u64(0..15)),
             watches_close: rng.bool().then_some(closed_at),
-            watches_fall_silent: rng.bool().then_some(silent_at),
+            watches_fall_silent: rng.bool().then_some(stalled_at),
             nodes_restart: rng.bool().then_some(killed_at),
             drains,
         }
@@ -69,24 +80,26 @@
         !(self.down_from..self.down_until).contains(&now)
     }
 
-    /// When a change made at that time counts as notified to a node that has not received it.
-    fn notified_at(&self, changed: Timestamp) -> Timestamp {
-        (if self.is_discovery_up(changed) { changed } else { self.down_until }) + NOTIFIED_WITHIN
+    /// Returns the time at which a node that has not received a change counts as notified of it. `changed_at`
+    /// is the time of the change.
+    fn notified_at(&self, changed_at: Timestamp) -> Timestamp {
+        (if self.is_discovery_up(changed_at) { changed_at } else { self.down_until }) + MAX_NOTIFICATION_DELAY
     }
 }
 
-/// Whether an event of this time happens in the step that begins now.
-fn happens(event_at: Option<Timestamp>, now: Timestamp) -> bool {
-    event_at.is_some_and(|moment| (now..now + STEP).contains(&moment))
+/// Returns whether an event falls in the step that begins at `now`.
+fn occurs_in_step(event_at: Option<Timestamp>, now: Timestamp) -> bool {
+    event_at.is_some_and(|time| (now..now + STEP).contains(&time))
 }
 
+/// Poll that a node has sent to discovery.
 #[derive(Clone, Copy, PartialEq)]
 struct Poll {
     node_index: usize,
-    begin: Timestamp,
+    sent_at: Timestamp,
 }
 
-/// Discovery serves polls one after another.
+/// Model of discovery, which serves polls one after another.
 #[derive(Default)]
 struct Discovery {
     queue: VecDeque<Poll>,
@@ -95,18 +108,18 @@
 }
 
 impl Discovery {
-    /// Serves until now. Returns the node whose poll is answered, if one is.
+    /// Serves polls until `now`. Returns the node whose poll is answered, if any.
     fn serve(&mut self, scenario: &Scenario, nodes: &[SimulatedNode], now: Timestamp) -> Option<usize> {
         let is_up = scenario.is_discovery_up(now);
         if !is_up {
-            // Polls that it has received are never served.
+            // Discovery never serves polls that it has received before or during the outage.
             *self = Discovery { free_at: now, ..Discovery::default() };
         }
         let is_waiting = |poll: &Poll| nodes[poll.node_index].connection == Connection::Polling(*poll);
         let answered = self.serving.take_if(|_| self.free_at <= now).filter(is_waiting);
         while self.free_at <= now && is_up {
             let Some(poll) = self.queue.pop_front() else { break };
-            let in_time = is_waiting(&poll) && now < poll.begin + POLL_TIMEOUT;
+            let in_time = is_waiting(&poll) && now < poll.sent_at + POLL_TIMEOUT;
             if in_time || scenario.serves_timed_out_polls {
                 let is_quiet = now < scenario.down_from && !scenario.quiet_poll_duration.is_zero();
                 self.free_at =
@@ -118,25 +131,26 @@
     }
 }
 
-/// A node's connection with discovery.
+/// Connection of a node to discovery.
 #[derive(Clone, Copy, PartialEq)]
 enum Connection {
     Closed,
     Polling(Poll),
-    Watching { last_event: Timestamp, is_silent: bool },
+    Watching { last_event: Timestamp, is_stalled: bool },
 }
 
 struct SimulatedNode {
     node: TestNode,
     index: usize,
     connection: Connection,
+    /// Time at which the next timer expires.
     timer: Timestamp,
-    /// When it received each worker's drain.
+    /// Time at which the node received the drain of each worker.
     drains_received: Vec<Option<Timestamp>>,
-    started: Timestamp,
+    started_at: Timestamp,
     submitted: u64,
     sent: u64,
-    /// Actions of this step that are not carried out yet.
+    /// Actions of this step that have not been executed yet.
     actions: Vec<Action>,
 }
 
@@ -144,7 +158,7 @@
     fn start(scenario: &Scenario, node_index: u32, now: Timestamp, seed: u64) -> Self {
         let settings = Settings {
             endpoints_on_request: true,
-            assumed_notified_after: NOTIFIED_WITHIN,
+            assumed_notified_after: MAX_NOTIFICATION_DELAY,
             ..node_settings(scenario.nodes, node_index)
         };
         SimulatedNode {
@@ -153,7 +167,7 @@
             connection: Connection::Closed,
             timer: now,
             drains_received: vec![None; scenario.drains.len()],
-            started: now,
+            started_at: now,
             submitted: 0,
             sent: 0,
             actions: Vec::new(),
@@ -164,26 +178,26 @@
         self.actions.extend(self.node.handle(event));
     }
 
-    /// Ends a poll or a watch that has failed. Returns whether a list is received.
+    /// Ends a poll or a watch that has failed. Returns whether the node receives an endpoint list.
     fn update_connection(&mut self, scenario: &Scenario, is_answered: bool, report: &mut Report) -> bool {
         let now = self.node.now;
         if is_answered && let Connection::Polling(poll) = self.connection {
-            self.handle(Event::PollAnswered { duration: now - poll.begin });
-            self.connection = Connection::Watching { last_event: now, is_silent: false };
+            self.handle(Event::PollAnswered { duration: now - poll.sent_at });
+            self.connection = Connection::Watching { last_event: now, is_stalled: false };
         }
         match self.connection {
-            Connection::Polling(poll) if now >= poll.begin + POLL_TIMEOUT => {
+            Connection::Polling(poll) if now >= poll.sent_at + POLL_TIMEOUT => {
                 report.failed_polls += 1;
                 self.close_connection();
             }
-            Connection::Watching { last_event, is_silent } => {
-                let is_closed = happens(scenario.watches_close, now) || !scenario.is_discovery_up(now);
-                let is_silent = is_silent || happens(scenario.watches_fall_silent, now);
+            Connection::Watching { last_event, is_stalled } => {
+                let is_closed = occurs_in_step(scenario.watches_close, now) || !scenario.is_discovery_up(now);
+                let is_stalled = is_stalled || occurs_in_step(scenario.watches_fall_silent, now);
                 let changed = scenario.drains.iter().any(|drain| (now - STEP..now).contains(drain));
-                let has_event = !is_silent && (changed || now >= last_event + HEARTBEAT_INTERVAL);
+                let has_event = !is_stalled && (changed || now >= last_event + HEARTBEAT_INTERVAL);
                 let last_event = if has_event { now } else { last_event };
-                self.connection = Connection::Watching { last_event, is_silent };
-                if is_closed || is_silent && now >= last_event + WATCH_TIMEOUT {
+                self.connection = Connection::Watching { last_event, is_stalled };
+                if is_closed || is_stalled && now >= last_event + WATCH_TIMEOUT {
                     self.close_connection();
                 } else if has_event {
                     return true;
@@ -217,20 +231,20 @@
     fn expire_timer(&mut self, workers: &[Endpoint]) {
         self.timer = Timestamp::MAX;
         self.handle(Event::TimerExpired);
-        if self.node.now == self.started {
-            // The saved list is read at the first timer expiry.
+        if self.node.now == self.started_at {
+            // The saved endpoint list is read at the first timer expiry.
             self.handle(Event::EndpointsChanged { endpoints: workers, update: EndpointUpdate::Snapshot });
         }
     }
 
-    /// Carries out all actions of this step. Every attempt is done at once.
-    fn carry_out_actions(&mut self, scenario: &Scenario, discovery: &mut Discovery, report: &mut Report) {
+    /// Executes all actions of this step. Every attempt completes immediately.
+    fn execute_actions(&mut self, scenario: &Scenario, discovery: &mut Discovery, report: &mut Report) {
         let now = self.node.now;
         let mut actions = VecDeque::from(std::mem::take(&mut self.actions));
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::WatchEndpoints if self.connection == Connection::Closed => {
-                    let poll = Poll { node_index: self.index, begin: now };
+                    let poll = Poll { node_index: self.index, sent_at: now };
                     self.connection = Connection::Polling(poll);
                     discovery.queue.push_back(poll);
                 }
@@ -245,30 +259,34 @@
         }
     }
 
-    /// When the node counts as notified of the drain of a worker, if the worker is draining.
+    /// Returns the time at which the node counts as notified of the drain of a worker; none if the worker is
+    /// not draining.
     fn notified_at(&self, scenario: &Scenario, worker: usize) -> Option<Timestamp> {
-        let begin = *scenario.drains.get(worker).filter(|begin| **begin < self.node.now)?;
-        // This holds for a process that has just started too.
-        Some(self.drains_received[worker].unwrap_or_else(|| scenario.notified_at(begin)))
+        let drain_begin = *scenario.drains.get(worker).filter(|drain_begin| **drain_begin < self.node.now)?;
+        // This also applies to a process that has just started.
+        Some(self.drains_received[worker].unwrap_or_else(|| scenario.notified_at(drain_begin)))
     }
 }
 
-/// The result of a scenario.
+/// Result of a scenario.
 #[derive(Debug, Default)]
 struct Report {
-    /// Number of sends that were too late after a drain counted as notified, and the largest delay of one.
+    /// Number of sends later than [`MAX_STOP_DELAY`] after the node counted as notified of the drain.
     late_sends: u64,
+    /// Largest delay of a late send.
     largest_delay: TimeSpan,
-    /// Jobs that were submitted, and those sent within the step, without those of processes that were killed.
+    /// Number of submitted jobs, without those of processes that were killed.
     submitted: u64,
+    /// Number of jobs sent within the step of their submission, without those of processes that were killed.
     sent: u64,
+    /// Number of polls that timed out.
     failed_polls: u64,
 }
 
 impl Report {
     fn check_send(&mut self, notified_at: Option<Timestamp>, now: Timestamp) {
-        let late = notified_at.map_or(TimeSpan::ZERO, |moment| now.saturating_since(moment));
-        if late > STOP_SENDING_WITHIN {
+        let late = notified_at.map_or(TimeSpan::ZERO, |time| now.saturating_since(time));
+        if late > MAX_STOP_DELAY {
             self.late_sends += 1;
             self.largest_delay = self.largest_delay.max(late);
         }
@@ -281,8 +299,8 @@
     let mut start = |node_index, now| SimulatedNode::start(scenario, node_index, now, rng.u64(..));
     let mut nodes: Vec<_> = (0..scenario.nodes).map(|node_index| start(node_index, START)).collect();
     let (mut discovery, mut report, mut last_job) = (Discovery::default(), Report::default(), 0);
-    for (step, now) in moments(START, START + LENGTH, STEP).enumerate() {
-        if happens(scenario.nodes_restart, now) {
+    for (step, now) in times(START, START + SCENARIO_DURATION, STEP).enumerate() {
+        if occurs_in_step(scenario.nodes_restart, now) {
             (0..scenario.nodes * 7 / 10).for_each(|index| nodes[index as usize] = start(index, now));
         }
         let answered = discovery.serve(scenario, &nodes, now);
@@ -299,7 +317,7 @@
                 node.submitted += 1;
                 node.actions.extend(node.node.submit(last_job, 0, 0.02));
             }
-            node.carry_out_actions(scenario, &mut discovery, &mut report);
+            node.execute_actions(scenario, &mut discovery, &mut report);
         }
     }
     report.submitted = nodes.iter().map(|node| node.submitted).sum();
@@ -308,14 +326,14 @@
 }
 
 fn number_from_env(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
+    std::env::var(name).map_or(default, |text| text.parse().expect("the value is not a number"))
 }
 
 #[test]
 fn drain_counts_as_notified_then_no_node_of_the_fleet_sends_there() {
     let (first, count) = (number_from_env("FLEETS_SEED", 1), number_from_env("FLEETS_COUNT", 6));
     for seed in first..first + count {
-        let scenario = Scenario::draw(seed);
+        let scenario = Scenario::sample(seed);
         let report = run(&scenario, seed);
         println!("seed {seed}: {scenario:?}\n    {report:?}");
         assert_eq!(report.late_sends, 0, "seed {seed}: {scenario:?} {report:?}");
@@ -323,8 +341,9 @@
     }
 }
 
-/// The first polls cost little, since there are no changes to send. If the nodes spread their polls by that, a
-/// discovery that has more to send after an outage is overloaded and never answers a poll in time again.
+/// The first polls are cheap, since there are no changes to send. If the nodes spread their polls based on
+/// that cost, discovery is overloaded once it has more to send after an outage, and never answers a poll in
+/// time again.
 #[test]
 fn first_polls_were_cheap_then_discovery_recovers_from_an_overload() {
     for nodes in [60, 100, 140] {
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -1,5 +1,7 @@
-//! The records that one process of a node writes for another, byte for byte; records with unknown fields are rejected.
-//! `CURLEWUSHER_RECORD=1` writes the recorded files anew. Their figures depend on the platform's `exp` and `ln`.
+//! Golden files of the records that one process of a node writes for its peer, compared byte for byte.
+//! Records with unknown fields are rejected.
+//!
+//! `CURLEWUSHER_RECORD=1` writes the golden files. Their values depend on the `exp` and `ln` of the platform.
 
 mod common;
 
@@ -20,14 +22,15 @@
     workers
 }
 
-/// A node whose record of each worker has speeds, slots, keys, failures, a start or maintenance.
+/// Returns a node whose records of its workers contain speeds, slots, keys, failures, a start and
+/// maintenance.
 fn node_with_observations() -> TestNode {
     let mut node = TestNode::new(Settings { overload_factor: 30.0, ..settings() }, &workers());
     for job in 0..24 {
         let (key, slots) = (Some(1000 + job % 7), if job % 5 == 0 { 2.0 } else { 1.0 });
         let submission = JobSubmission { key, slots, ..submission(job, 0, 0.05, node.now) };
         let actions = node.submit_job(submission);
-        let worker = sent_to(&actions).expect("a free worker");
+        let worker = sent_to(&actions).expect("the job was not sent");
         node.advance(millis(1));
         node.start(job, 0);
         node.advance(millis(40 + 9 * worker));
@@ -49,7 +52,7 @@
     node
 }
 
-/// The same node with a job that has two attempts that have ended and one that is half done.
+/// Returns the same node with one more job, which has two ended attempts and one that is half done.
 fn node_with_migrated_job() -> TestNode {
     let mut node = node_with_observations();
     let submission = submission(MIGRATED_JOB, 0, 0.4, node.now);
@@ -65,7 +68,7 @@
     node
 }
 
-/// JSON pointers of all objects in a value.
+/// Returns the JSON pointers of all objects in a value.
 fn object_pointers(value: &Value, pointer: &str) -> Vec<String> {
     let nested = |(name, value): (String, &Value)| object_pointers(value, &format!("{pointer}/{name}"));
     match value {
@@ -80,7 +83,8 @@
     }
 }
 
-/// Whether two values are equal except for rounding: `serde_json` reads a fraction to within a unit of its last place.
+/// Returns whether two values are equal except for rounding: `serde_json` reads a fraction with an error of
+/// at most one unit in the last place.
 fn is_equal_within_rounding(left: &Value, right: &Value) -> bool {
     match (left, right) {
         (Value::Number(left), Value::Number(right)) if left.is_f64() && right.is_f64() => {
@@ -100,21 +104,23 @@
     }
 }
 
-/// Compares a record with its file, and what is read from the file with the record. Unknown fields must be rejected.
+/// Compares a record with its golden file, and the record with what is read back from the file. Requires that
+/// unknown fields are rejected.
 #[track_caller]
 fn assert_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, record: &T) {
-    let written = serde_json::to_string(record).expect("JSON");
+    let written = serde_json::to_string(record).expect("serialization failed");
     assert_golden(name, &format!("{written}\n"));
-    let read: T = serde_json::from_str(&written).expect("a record");
-    let value = serde_json::to_value(record).expect("JSON");
-    let again = serde_json::to_value(&read).expect("JSON");
-    assert!(is_equal_within_rounding(&again, &value), "{again} was read from {value}");
+    let read: T = serde_json::from_str(&written).expect("deserialization failed");
+    let value = serde_json::to_value(record).expect("serialization failed");
+    let reread = serde_json::to_value(&read).expect("serialization failed");
+    assert!(is_equal_within_rounding(&reread, &value), "{reread} was read from {value}");
     let pointers = object_pointers(&value, "");
     assert!(!pointers.is_empty());
     for pointer in pointers {
         let mut changed = value.clone();
-        changed.pointer_mut(&pointer).expect("an object")["unknown"] = Value::from(1);
-        let error = serde_json::from_value::<T>(changed.clone()).expect_err("an unknown field");
+        changed.pointer_mut(&pointer).expect("the pointer does not name an object")["unknown"] =
+            Value::from(1);
+        let error = serde_json::from_value::<T>(changed.clone()).expect_err("an unknown field was accepted");
         assert!(error.to_string().starts_with("unknown field `unknown`"), "{error}: {changed}");
     }
 }
@@ -126,23 +132,23 @@
 }
 
 #[test]
-fn state_snapshot_is_restored_then_the_next_one_is_equal() {
-    let older = node_with_migrated_job();
-    let mut newer = TestNode::new(settings(), &workers());
-    newer.now = older.now;
-    newer.dispatcher.restore(newer.now, &older.dispatcher.snapshot());
-    assert_eq!(newer.dispatcher.snapshot(), older.dispatcher.snapshot());
+fn state_snapshot_is_restored_then_the_next_snapshot_is_equal() {
+    let predecessor = node_with_migrated_job();
+    let mut successor = TestNode::new(settings(), &workers());
+    successor.now = predecessor.now;
+    successor.dispatcher.restore(successor.now, &predecessor.dispatcher.snapshot());
+    assert_eq!(successor.dispatcher.snapshot(), predecessor.dispatcher.snapshot());
 }
 
 #[test]
 fn job_is_released_then_its_bytes_are_as_recorded_and_it_is_adopted_unchanged() {
-    let mut older = node_with_migrated_job();
-    let migrated = older.dispatcher.release_job(JobId(MIGRATED_JOB)).expect("an open job");
+    let mut predecessor = node_with_migrated_job();
+    let migrated = predecessor.dispatcher.release_job(JobId(MIGRATED_JOB)).expect("the job is not open");
     assert_record("migrated_job.json", &migrated);
-    let mut newer = TestNode::new(settings(), &workers());
-    newer.now = older.now;
-    assert!(newer.dispatcher.adopt_job(newer.now, JobId(1), &migrated, &mut Vec::new()));
-    assert_eq!(newer.dispatcher.release_job(JobId(1)), Some(migrated));
+    let mut successor = TestNode::new(settings(), &workers());
+    successor.now = predecessor.now;
+    assert!(successor.dispatcher.adopt_job(successor.now, JobId(1), &migrated, &mut Vec::new()));
+    assert_eq!(successor.dispatcher.release_job(JobId(1)), Some(migrated));
 }
 
 #[test]
@@ -157,7 +163,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    let written = serde_json::to_string(&outcomes).expect("JSON");
+    let written = serde_json::to_string(&outcomes).expect("serialization failed");
     assert_golden("outcomes.json", &format!("{written}\n"));
-    assert_eq!(serde_json::from_str::<[Outcome; 8]>(&written).expect("a record"), outcomes);
+    assert_eq!(serde_json::from_str::<[Outcome; 8]>(&written).expect("deserialization failed"), outcomes);
 }
--- a/crates/core/tests/rules/checker.rs
+++ b/crates/core/tests/rules/checker.rs
@@ -1,47 +1,53 @@
-//! The rules as invariants of the actions of a node. The checker shares no code with the dispatcher.
+//! Checker of the four rules, as invariants of the actions of a node. The checker shares no code with the
+//! dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::common::*;
 
-/// A final answer may be given this long after the deadline.
-const ANSWER_TOLERANCE: TimeSpan = millis(20);
+/// Maximum time between the deadline of a job and its final response.
+const RESPONSE_TOLERANCE: TimeSpan = millis(20);
+/// Maximum length of a gossip message.
 const MAX_GOSSIP_BYTES: usize = 256;
 
+/// Errors of [`Checker`]: violations of the rules and of the interface of the dispatcher.
 #[derive(Debug, PartialEq)]
 pub enum Violation {
-    /// Rule 1: one answer for each job, in time.
+    /// Rule 1: a job has a single final response, at most [`RESPONSE_TOLERANCE`] after its deadline.
     SecondOrLateAnswer,
-    /// Rule 1.
+    /// Rule 1: every job has a final response.
     NoAnswer(JobId),
-    /// Rule 1: no attempt after the answer, or past the deadline.
+    /// Rule 1: no attempt is sent after the final response, or can last past the deadline.
     LateAttempt,
-    /// Rule 2: what may have run is retried only as far as the class allows it.
+    /// Rule 2: a job that may have run is retried only as far as the idempotency of its class allows.
     UnsafeRetry,
-    /// Rule 2: what may have run is rejected only if every worker discards repeats.
+    /// Rule 2: a job that may have run is rejected only if it is idempotent or every worker discards
+    /// duplicate runs.
     UnsafeRejection,
-    /// Rule 3: attempts go to workers that are listed as ready and not disabled.
+    /// Rule 3: attempts are sent only to workers that are listed as ready and not disabled.
     UnavailableWorker,
-    /// Rule 4: a worker that warms up gets no more than its budget, in seconds of work.
-    WarmUpBudgetExceeded {
-        work: f64,
-        budget: f64,
-    },
+    /// Rule 4: a worker that is warming up is sent at most its budget, in seconds of work.
+    WarmUpBudgetExceeded { work: f64, budget: f64 },
+    /// An action refers to a job that was not submitted.
     UnknownJob,
+    /// A job has more attempts, or more attempts in flight, than the settings allow.
     TooManyAttempts,
+    /// An attempt that was not sent was cancelled, or the settings do not allow cancellation.
     CancelledUnsentAttempt,
+    /// An attempt that is not in flight was revoked.
     RevokedEndedAttempt,
+    /// A gossip message is too long, or the settings do not allow gossip.
     ForbiddenGossip,
 }
 
-pub type Checked = Result<(), Violation>;
+pub type CheckResult = Result<(), Violation>;
 
-fn require(condition: bool, violation: Violation) -> Checked {
+fn require(condition: bool, violation: Violation) -> CheckResult {
     if condition { Ok(()) } else { Err(violation) }
 }
 
 pub struct Attempt {
-    /// The worker as it was listed when the attempt was sent.
+    /// Endpoint of the worker as listed when the attempt was sent.
     pub endpoint: Endpoint,
     sent_at: Timestamp,
     pub outcome: Option<Outcome>,
@@ -60,20 +66,20 @@
 }
 
 impl Job {
-    /// Seconds of work, over all slots.
+    /// Returns the seconds of work, summed over all slots.
     pub fn load(&self) -> f64 {
         self.submission.cost_hint.unwrap_or(0.1) * self.submission.slots
     }
 }
 
-/// The events that the node has received, and the actions that it has returned.
+/// State of the checker: the events that the node has received, and the actions that it has returned.
 pub struct Checker {
     settings: Settings,
     pub jobs: BTreeMap<JobId, Job>,
     pub endpoints: BTreeMap<WorkerId, Endpoint>,
-    /// Disabled by an operator.
+    /// Workers that an operator has disabled.
     pub disabled: BTreeSet<WorkerId>,
-    /// Maximum of slots that any worker was observed to use; bounds the capacity at speed 1.
+    /// Maximum number of slots observed in use at any worker. It bounds the capacity at speed 1.
     pub slots: f64,
 }
 
@@ -92,7 +98,7 @@
         self.jobs.insert(submission.job, Job { submission, attempts: Vec::new(), is_answered: false });
     }
 
-    pub fn check(&mut self, now: Timestamp, action: &Action) -> Checked {
+    pub fn check(&mut self, now: Timestamp, action: &Action) -> CheckResult {
         match action {
             Action::SendAttempt { job, worker, timeout, send_deadline, .. } => {
                 let endpoint = self.endpoints.get(worker).cloned().ok_or(Violation::UnavailableWorker)?;
@@ -102,10 +108,10 @@
                 Ok(())
             }
             Action::Reject { job, .. } => {
-                self.check_answer(now, *job)?;
+                self.check_final_response(now, *job)?;
                 self.check_rejection(&self.jobs[job])
             }
-            Action::Fail { job } => self.check_answer(now, *job),
+            Action::Fail { job } => self.check_final_response(now, *job),
             Action::CancelAttempt { job, attempt } => {
                 let is_sent = (*attempt as usize) < self.job(*job)?.attempts.len();
                 require(is_sent && self.settings.may_cancel, Violation::CancelledUnsentAttempt)
@@ -123,8 +129,8 @@
         }
     }
 
-    pub fn check_all_answered(&self, now: Timestamp) -> Checked {
-        let is_overdue = |job: &Job| !job.is_answered && now > job.submission.deadline + ANSWER_TOLERANCE;
+    pub fn check_all_answered(&self, now: Timestamp) -> CheckResult {
+        let is_overdue = |job: &Job| !job.is_answered && now > job.submission.deadline + RESPONSE_TOLERANCE;
         let overdue = self.jobs.iter().find(|(_, job)| is_overdue(job));
         overdue.map_or(Ok(()), |(id, _)| Err(Violation::NoAnswer(*id)))
     }
@@ -133,15 +139,15 @@
         self.jobs.get_mut(&job).ok_or(Violation::UnknownJob)
     }
 
-    fn check_answer(&mut self, now: Timestamp, job: JobId) -> Checked {
+    fn check_final_response(&mut self, now: Timestamp, job: JobId) -> CheckResult {
         let job = self.job(job)?;
-        let is_late = now > job.submission.deadline + ANSWER_TOLERANCE;
+        let is_late = now > job.submission.deadline + RESPONSE_TOLERANCE;
         require(!job.is_answered && !is_late, Violation::SecondOrLateAnswer)?;
         job.is_answered = true;
         Ok(())
     }
 
-    fn check_rejection(&self, job: &Job) -> Checked {
+    fn check_rejection(&self, job: &Job) -> CheckResult {
         let may_run_anywhere = matches!(
             self.idempotency(job),
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
@@ -150,9 +156,9 @@
         require(!may_have_run || may_run_anywhere, Violation::UnsafeRejection)
     }
 
-    fn check_in_time(&mut self, job: JobId, timeout_at: Timestamp) -> Checked {
+    fn check_in_time(&mut self, job: JobId, times_out_at: Timestamp) -> CheckResult {
         let job = self.job(job)?;
-        require(!job.is_answered && timeout_at <= job.submission.deadline, Violation::LateAttempt)
+        require(!job.is_answered && times_out_at <= job.submission.deadline, Violation::LateAttempt)
     }
 
     fn check_send(
@@ -161,7 +167,7 @@
         job: &Job,
         to: &Endpoint,
         send_deadline: Option<Timestamp>,
-    ) -> Checked {
+    ) -> CheckResult {
         let is_available = to.status == WorkerStatus::Ready && !self.disabled.contains(&to.worker);
         require(is_available, Violation::UnavailableWorker)?;
         let has_attempt_in_flight = job.attempts.iter().any(|attempt| attempt.outcome.is_none());
@@ -182,7 +188,7 @@
         to: &Endpoint,
         now: Timestamp,
         send_deadline: Option<Timestamp>,
-    ) -> Checked {
+    ) -> CheckResult {
         let may_follow = |earlier: &Attempt| match self.idempotency(job) {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
@@ -206,7 +212,7 @@
         endpoint.started_at > Timestamp::ORIGIN && now < endpoint.started_at + self.settings.warm_up
     }
 
-    fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Timestamp) -> Checked {
+    fn check_warm_up_budget(&self, job: &Job, to: &Endpoint, now: Timestamp) -> CheckResult {
         if !self.is_warming_up(to, now) {
             return Ok(());
         }
@@ -214,7 +220,7 @@
         let warm_up_progress = now.seconds_since(to.started_at) / settings.warm_up.as_secs_f64();
         let warm_up_fraction = settings.warm_up_floor + (1.0 - settings.warm_up_floor) * warm_up_progress;
         let window = settings.overload_window.as_secs_f64();
-        // The rotation may allow much to one of many nodes, but never the whole budget.
+        // The rotation may allow one of many nodes a large part of the budget, but never the whole budget.
         let share = f64::from(settings.nodes.min(2));
         let budget = settings.overload_factor * warm_up_fraction * self.slots * window / share;
         let is_counted = |attempt: &&Attempt| {
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -1,16 +1,17 @@
-//! A node under random but legal events. All speeds are 1, so that the checker can bound capacity; no service times
-//! are modelled beyond that.
+//! Environment of a node with random but valid events. All speeds are 1, so that the checker can bound the
+//! capacity. Service times are not modelled beyond that.
 
-use crate::checker::{Checked, Checker};
+use crate::checker::{CheckResult, Checker};
 use crate::common::*;
 
+/// Interval between two steps of the environment.
 const STEP: TimeSpan = millis(5);
 
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     job: JobId,
     attempt: u32,
-    /// When its start was reported.
+    /// Time at which the start was reported.
     started_at: Option<Timestamp>,
 }
 
@@ -22,7 +23,7 @@
     in_flight: Vec<InFlightAttempt>,
 }
 
-fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+fn sample_settings(rng: &mut fastrand::Rng) -> Settings {
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     let scope = scopes[rng.usize(0..3)];
     let mut settings = settings();
@@ -42,12 +43,12 @@
 impl Environment {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let settings = draw_settings(&mut rng);
+        let settings = sample_settings(&mut rng);
         let node = TestNode::starting(settings.clone(), seed);
         Environment { rng, node, checker: Checker::new(settings), submitted_jobs: 0, in_flight: Vec::new() }
     }
 
-    fn handle(&mut self, event: Event) -> Checked {
+    fn handle(&mut self, event: Event) -> CheckResult {
         for action in self.node.handle(event) {
             self.checker.check(self.node.now, &action)?;
             if let Action::SendAttempt { job, .. } = action {
@@ -58,8 +59,8 @@
         Ok(())
     }
 
-    /// Delivers an endpoint list, or changes to it.
-    pub fn change_endpoints(&mut self) -> Checked {
+    /// Delivers an endpoint list or changes to it.
+    pub fn change_endpoints(&mut self) -> CheckResult {
         let snapshot = self.rng.bool();
         let mut endpoints = Vec::new();
         let max_workers = if self.rng.bool() { 7 } else { 30 };
@@ -71,7 +72,7 @@
             let status_count = if snapshot { 2 } else { 3 };
             entry.status = statuses[self.rng.usize(0..status_count).min(self.rng.usize(0..3))];
             let started_at =
-                self.checker.endpoints.get(&entry.worker).map_or(Timestamp::ORIGIN, |known| known.started_at);
+                self.checker.endpoints.get(&entry.worker).map_or(Timestamp::ORIGIN, |old| old.started_at);
             entry.started_at = if self.rng.u8(0..4) == 0 { self.node.now } else { started_at };
             endpoints.push(entry);
         }
@@ -87,8 +88,8 @@
         self.handle(Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(snapshot) })
     }
 
-    /// Advances time by one step, with at most one event from outside.
-    pub fn step(&mut self) -> Checked {
+    /// Advances the time by one step, with at most one external event.
+    pub fn step(&mut self) -> CheckResult {
         self.node.now += STEP;
         match self.rng.u32(0..100) {
             0..2 => self.change_endpoints()?,
@@ -108,7 +109,7 @@
         self.checker.check_all_answered(self.node.now)
     }
 
-    fn submit_job(&mut self) -> Checked {
+    fn submit_job(&mut self) -> CheckResult {
         let class = self.rng.usize(0..3);
         let work = 0.02 + self.rng.f64() * 0.3;
         let mut submission = submission(self.submitted_jobs, class, work, self.node.now);
@@ -119,7 +120,7 @@
         self.handle(Event::JobSubmitted(submission))
     }
 
-    fn disconnect_client(&mut self) -> Checked {
+    fn disconnect_client(&mut self) -> CheckResult {
         let job = JobId(self.rng.u64(0..self.submitted_jobs));
         if let Some(state) = self.checker.jobs.get_mut(&job) {
             state.is_answered = true;
@@ -127,7 +128,7 @@
         self.handle(Event::ClientDisconnected { job })
     }
 
-    fn change_maintenance(&mut self) -> Checked {
+    fn change_maintenance(&mut self) -> CheckResult {
         let (worker, disabled) = (WorkerId(self.rng.u64(0..8)), self.rng.bool());
         if disabled {
             self.checker.disabled.insert(worker);
@@ -137,11 +138,11 @@
         self.handle(maintenance_event(worker, disabled))
     }
 
-    /// Starts and ends attempts; a job that is served takes just its work.
-    fn advance_attempts(&mut self) -> Checked {
+    /// Starts and ends attempts. The run of a job that succeeds takes as long as its work.
+    fn advance_attempts(&mut self) -> CheckResult {
         for in_flight in std::mem::take(&mut self.in_flight) {
             let InFlightAttempt { job, attempt, started_at } = in_flight;
-            if let Some(outcome) = self.draw_outcome(in_flight) {
+            if let Some(outcome) = self.sample_outcome(in_flight) {
                 let state = self.checker.job(job)?;
                 state.attempts[attempt as usize].outcome = Some(outcome);
                 state.is_answered |= outcome == Outcome::Done;
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    fn draw_outcome(&mut self, in_flight: InFlightAttempt) -> Option<Outcome> {
+    fn sample_outcome(&mut self, in_flight: InFlightAttempt) -> Option<Outcome> {
         let (now, job) = (self.node.now, &self.checker.jobs[&in_flight.job]);
         match (in_flight.started_at, self.rng.u32(0..1000)) {
             (Some(at), _) if now >= at + TimeSpan::from_secs_f64(job.load()) => Some(Outcome::Done),
@@ -175,7 +176,7 @@
         self.checker.jobs[&in_flight.job].attempts[in_flight.attempt as usize].endpoint.worker
     }
 
-    /// Records how many attempts run at the worker of one that has just started.
+    /// Records the number of attempts that run at the worker of an attempt that has just started.
     fn observe_slots(&mut self, started: InFlightAttempt) {
         let worker = self.worker_of(&started);
         let running = self.in_flight.iter().filter(|other| other.started_at.is_some());
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -30,7 +30,7 @@
 const NOW: Timestamp = START;
 const FAIL: Action = Action::Fail { job: JobId(1) };
 
-/// A checker with four workers and job 1.
+/// Returns a checker with four workers and job 1.
 fn checker_with_job(class: usize) -> Checker {
     let mut checker = Checker::new(settings());
     checker.endpoints = endpoints(4).into_iter().map(|endpoint| (endpoint.worker, endpoint)).collect();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn answer_is_repeated_or_late_then_rule_1_is_violated() {
+fn final_response_is_repeated_or_late_then_rule_1_is_violated() {
     let mut checker = checker_with_job(0);
     assert_eq!(checker.check(NOW, &FAIL), Ok(()));
     assert_eq!(checker.check(NOW, &FAIL), Err(Violation::SecondOrLateAnswer));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn large_job_is_sent_to_a_warming_worker_then_rule_4_is_violated() {
+fn large_job_is_sent_to_worker_that_is_warming_up_then_rule_4_is_violated() {
     let mut checker = checker_with_job(0);
     checker.endpoints.get_mut(&WorkerId(0)).unwrap().started_at = NOW - micros(1);
     checker.record_submission(submission(1, 0, 2.0, NOW));
--- a/crates/core/tests/unit/gossip.rs
+++ b/crates/core/tests/unit/gossip.rs
@@ -1,9 +1,9 @@
-//! The wire format of gossip.
+//! Tests of the wire format of gossip.
 
 use super::*;
 
 #[test]
-fn entries_are_written_then_they_are_read_rounded_and_limited() {
+fn entries_are_written_then_read_values_are_rounded_and_clamped() {
     let long_id = WorkerId(0x1234_5678_9abc_def0);
     let mut message = Vec::new();
     append_entry(&mut message, long_id, 1.25, 3.0);
