--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,5 +1,6 @@
-//! `curlewusher check`: prints each value in effect and where it comes from. It reads the configuration by the same
-//! code as a start, and starts nothing: a configuration that passes the check is one that a start accepts.
+//! Implements `curlewusher check`: prints each effective value and its source. The check reads the
+//! configuration with the same code as a start, and starts nothing: a configuration that passes the check is
+//! accepted by a start.
 
 use std::fmt::{Display, Write as _};
 use std::io::Write as _;
@@ -11,21 +12,21 @@
     Config, ConfigError, ConfigFile, ConfigSources, DEFAULT_SOCKETS, Override, parse_operator_file,
 };
 
-/// Source of a value that is not configured.
+/// Printed source of a value that is not configured.
 const DEFAULT: &str = "default";
 
-/// Prints all values, or returns the error that a start would end with.
+/// Prints all values, or returns the error with which a start would fail.
 pub fn run(sources: &ConfigSources) -> Result<(), ConfigError> {
     Config::read(sources)?;
     let mut report = Report::default();
     report.add_platform_file(&ConfigSources::read_platform_file()?)?;
     report.add_operator_file(sources.read_operator_file()?)?;
-    // The reader may close its end before it has read everything.
+    // The reader may close the pipe before it has read everything.
     let _ = std::io::stdout().write_all(report.text.as_bytes());
     Ok(())
 }
 
-/// The values in effect, one a line.
+/// The effective values, one per line.
 #[derive(Default)]
 struct Report {
     text: String,
@@ -61,7 +62,7 @@
         Ok(())
     }
 
-    /// Adds a field that a variable may override.
+    /// Adds a field that an environment variable may override.
     fn add_overridable_field(&mut self, field: Override, configured: &Value, path: &str) {
         let name = field.field();
         match field.value() {
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Adds the leaves of a part of the settings object; `configured` is the same part as the file has it, if it does.
+    /// Adds the leaves of a part of the settings object. `configured` is the same part in the file, or `None`
+    /// if the file does not have it.
     fn add_settings(&mut self, name: &str, effective: &Value, configured: Option<&Value>, path: &str) {
         match effective {
             Value::Object(fields) => {
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why the configuration cannot be used.
+//! Errors of the configuration.
 
 use std::io;
 use std::net::AddrParseError;
@@ -10,57 +10,58 @@
 
 use super::MIN_SOCKETS;
 
-/// Why the configuration cannot be used. Each text names the place and a correct form.
+/// Reason for which the configuration cannot be used. Each message names the place of the error and a valid
+/// value.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment does not name the platform's file.
+    /// The environment does not contain the path of the platform's file.
     #[error("RELAY_CONFIG is not set; set it to the path of the platform's JSON file")]
     PlatformFileUnset,
     /// The platform's file is missing or cannot be read.
     #[error("RELAY_CONFIG: {path}: {source}; name a file that this user can read")]
     PlatformFileUnreadable {
-        /// The path that the environment gives.
+        /// Path from the environment.
         path: String,
-        /// What the system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The operator's file is missing or cannot be read.
     #[error("operator file: {path}: {source}; name a file that this user can read, or none")]
     OperatorFileUnreadable {
-        /// The path that the command line or the environment gives.
+        /// Path from the command line or the environment.
         path: String,
-        /// What the system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A field of the operator's file cannot be used. The source has line, field and remedy.
+    /// A field of the operator's file cannot be used. The source contains the line, the field and the remedy.
     #[error("operator file: {path}: {source}")]
     OperatorFile {
-        /// The path that the command line or the environment gives.
+        /// Path from the command line or the environment.
         path: String,
-        /// Line, field and remedy.
+        /// Error with the line, the field and the remedy.
         source: ParseError,
     },
     /// The platform's file is not JSON.
     #[error("config: {0}")]
     Syntax(#[source] serde_json::Error),
-    /// The platform's file is not JSON, or a field of it is missing or has another type. The source has the path of the
-    /// field and its place.
+    /// The platform's file is not JSON, or one of its fields is missing or has the wrong type. The source
+    /// contains the path of the field and its place in the file.
     #[error("config: {0}")]
     Form(#[source] FormError),
-    /// A field that should be a socket address is none.
+    /// The value of a field is not a valid socket address.
     #[error("config: {field}: not an address and port: {text}; give one such as 10.0.0.4:8000")]
     Address {
         /// Name of the field in the platform's file.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         text: String,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: AddrParseError,
     },
     /// The settings object cannot be used.
     #[error("config: settings.{0}")]
     Settings(#[source] ReadError),
-    /// The values in effect of the settings object cannot be shown.
+    /// The effective values of the settings object cannot be computed.
     #[error("config: settings.{0}")]
     EffectiveSettings(#[source] EffectiveValuesError),
     /// The limit on file descriptors is too low.
@@ -71,9 +72,9 @@
         "config: seed: not a hexadecimal number of 64 bits: {text}; give up to 16 digits of 0 to 9 and a to f"
     )]
     Seed {
-        /// The field's value.
+        /// Value of the field.
         text: String,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: ParseIntError,
     },
 }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,5 +1,6 @@
-//! The configuration: the platform's file, the variables that override it, and the operator's file, read as a whole.
-//! Nothing is started or changed here; the parts of the node take from [`Config`] what concerns them.
+//! Configuration of the node: the platform's file, the environment variables that override it, and the
+//! operator's file, read as a whole. This module starts and changes nothing. Each part of the node takes its
+//! values from [`Config`].
 
 mod error;
 mod sources;
@@ -14,17 +15,17 @@
 pub use self::sources::{ConfigFile, ConfigSources, Override};
 use crate::discovery::endpoint_list::EndpointListMessage;
 
-/// Fewest file descriptors with which a node can serve.
+/// Minimum number of file descriptors with which a node can serve.
 const MIN_SOCKETS: usize = 64;
-/// Most file descriptors that a node uses, whatever it is allowed.
+/// Maximum number of file descriptors that a node uses, even if its limit is higher.
 const MAX_SOCKETS: usize = 1 << 20;
-/// File descriptors where the platform's file does not set a number.
+/// Number of file descriptors if the platform's file does not set one.
 pub const DEFAULT_SOCKETS: usize = 1024;
 
 /// Resources that a node may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
@@ -33,18 +34,18 @@
     DEFAULT_SOCKETS
 }
 
-/// The platform's file. Error messages show the name of this type.
+/// Content of the platform's file. Error messages contain the name of this type.
 #[derive(Deserialize)]
 struct File {
     name: String,
     listen: String,
     discovery: String,
-    /// The address for operators, if there is to be one.
+    /// Address for operators, if configured.
     #[serde(default, rename = "console")]
     admin: Option<String>,
     seed: String,
     limits: Limits,
-    /// The endpoints that were valid when the file was written.
+    /// Endpoints that were valid when the file was written.
     known: EndpointListMessage,
     settings: serde_json::Value,
 }
@@ -63,22 +64,23 @@
     pub seed: u64,
     /// Resources that the node may use.
     pub limits: Limits,
-    /// The endpoints that were valid when the file was written.
+    /// Endpoints that were valid when the file was written.
     pub known: EndpointListMessage,
-    /// The settings object.
+    /// Settings object.
     pub site: Site,
-    /// The operator's file, or its defaults.
+    /// Content of the operator's file, or its defaults.
     pub operator: OperatorFile,
 }
 
 impl Config {
-    /// Reads the configuration for a start: variables override the platform's file.
+    /// Reads the configuration for a start. Environment variables override the platform's file.
     pub fn read(sources: &ConfigSources) -> Result<Self, ConfigError> {
         Self::read_with_overrides(sources, Override::value)
     }
 
-    /// Reads the configuration again, for a reload. For the address of discovery the platform's file counts, as the
-    /// variable is as old as the process. A configuration with any error is rejected as a whole.
+    /// Reads the configuration again, for a reload. The address of discovery comes from the platform's file,
+    /// since the environment variable does not change after the process has started. A configuration with any
+    /// error is rejected as a whole.
     pub fn read_again(sources: &ConfigSources) -> Result<Self, ConfigError> {
         Self::read_with_overrides(sources, |field| match field {
             Override::Discovery => None,
@@ -117,7 +119,7 @@
     }
 }
 
-/// Parses the text of the operator's file; the path is for the error.
+/// Parses the text of the operator's file. `path` is used in the error message.
 pub fn parse_operator_file(path: &str, text: &str) -> Result<OperatorFile, ConfigError> {
     OperatorFile::parse(text).map_err(|source| ConfigError::OperatorFile { path: path.to_owned(), source })
 }
--- a/crates/node/src/config/sources.rs
+++ b/crates/node/src/config/sources.rs
@@ -1,15 +1,15 @@
-//! Where the configuration comes from: the platform's file, variables that override fields of it, and the operator's
-//! file.
+//! Sources of the configuration: the platform's file, environment variables that override fields of it, and
+//! the operator's file.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use super::ConfigError;
 
-/// Variable with the path of the platform's file.
+/// Environment variable with the path of the platform's file.
 const PLATFORM_FILE_VARIABLE: &str = "RELAY_CONFIG";
 
-/// A variable that overrides a field of the platform's file.
+/// An environment variable that overrides a field of the platform's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Override {
     /// Name of the node.
@@ -23,10 +23,10 @@
 }
 
 impl Override {
-    /// All overrides, in the order in which `curlewusher check` shows them.
+    /// All overrides, in the order in which `curlewusher check` prints them.
     pub const ALL: [Override; 4] = [Override::Name, Override::Listen, Override::Discovery, Override::Admin];
 
-    /// Name of the field in the platform's file.
+    /// Returns the name of the field in the platform's file.
     pub fn field(self) -> &'static str {
         match self {
             Override::Name => "name",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Name of the variable.
+    /// Returns the name of the environment variable.
     pub fn variable(self) -> &'static str {
         match self {
             Override::Name => "RELAY_NAME",
@@ -46,18 +46,18 @@
         }
     }
 
-    /// The variable's value, if it is set.
+    /// Returns the value of the environment variable, or `None` if it is not set.
     pub fn value(self) -> Option<String> {
         std::env::var(self.variable()).ok()
     }
 }
 
-/// A file of the configuration, read.
+/// Content of a configuration file.
 #[derive(Default)]
 pub struct ConfigFile {
-    /// Its path, as messages show it.
+    /// Path of the file, for messages.
     pub path: String,
-    /// Its content.
+    /// Content of the file.
     pub text: String,
 }
 
@@ -68,9 +68,9 @@
     }
 }
 
-/// Where the configuration comes from: the environment, and the operator's file if there is one.
+/// Sources of the configuration: the environment, and the operator's file if there is one.
 pub struct ConfigSources {
-    /// Path of the operator's file.
+    /// Path of the operator's file, if there is one.
     pub operator_file: Option<PathBuf>,
 }
 
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -1,13 +1,14 @@
-//! The number of connections that one side of the node, clients' or upstream, may have open.
+//! Limit on the number of open connections on one side of the node, towards clients or upstream.
 //!
-//! Each connection holds a [`ConnectionPermit`] for as long as it has a descriptor. While two processes of one node
-//! run, each halves its budget, so that both together stay within the limit on descriptors. A budget never closes a
-//! connection by itself. It has a size, which counts the permits that exist, and a target size:
+//! Each connection holds a [`ConnectionPermit`] for as long as it has a descriptor. While two processes of
+//! one node run, each halves its budget, so that both together stay within the limit on descriptors. A budget
+//! never closes a connection by itself. It has a size, which counts the permits that exist, and a target
+//! size:
 //!
-//! | size and target | state | what happens |
+//! | size and target | state | behavior |
 //! | --- | --- | --- |
-//! | equal | settled | permits are acquired and returned |
-//! | size above target | shrinking | free permits are removed at once, others as they are returned; where none is free, an eviction is requested |
+//! | equal | stable | permits are acquired and returned |
+//! | size above target | shrinking | free permits are removed at once, others as they are returned; if none is free, an eviction is requested |
 //! | size below target | growing | the missing permits are added at once |
 
 use std::cell::Cell;
@@ -20,27 +21,27 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The right to have one connection open; returned to its budget when dropped.
+/// Permit for one open connection. Dropping the permit returns it to its budget.
 pub type ConnectionPermit = OwnedSemaphorePermit;
 
-/// Longest wait for a permit to be returned before shrinking looks at the target again.
+/// Maximum wait for a permit to be returned before the shrinking budget checks its target again.
 const SHRINK_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A number of connection permits that can be halved. Clones share the permits.
+/// Number of connection permits, which can be halved. Clones share the permits.
 #[derive(Clone)]
 pub struct ConnectionBudget {
     full_size: usize,
     halved_size: usize,
-    /// Permits that exist, free or in use.
+    /// Number of permits that exist, free or in use.
     size: Rc<Cell<usize>>,
-    /// Permits that should exist.
+    /// Number of permits that should exist.
     target_size: Rc<Cell<usize>>,
-    /// Hands out the permits.
+    /// Semaphore that hands out the permits.
     permits: Arc<Semaphore>,
 }
 
 impl ConnectionBudget {
-    /// A budget of `full_size` permits, or `halved_size` while another process of the node runs.
+    /// Creates a budget of `full_size` permits, or `halved_size` while another process of the node runs.
     pub fn new(full_size: usize, halved_size: usize) -> ConnectionBudget {
         ConnectionBudget {
             full_size,
@@ -51,28 +52,29 @@
         }
     }
 
-    /// Permits that are not in use.
+    /// Returns the number of permits that are not in use.
     pub fn free(&self) -> usize {
         self.permits.available_permits()
     }
 
-    /// Connections that may be open at present. While the budget shrinks, more may still be.
+    /// Returns the number of connections that may be open at present. While the budget shrinks, more
+    /// connections may still be open.
     pub fn target(&self) -> usize {
         self.target_size.get()
     }
 
-    /// Waits for a permit. Never returns none: the semaphore is not closed.
+    /// Waits for a permit. Never returns `None`, since the semaphore is never closed.
     pub async fn acquire(&self) -> Option<ConnectionPermit> {
         self.permits.clone().acquire_owned().await.ok()
     }
 
-    /// A permit that is free now.
+    /// Returns a permit if one is free now.
     pub fn try_acquire(&self) -> Option<ConnectionPermit> {
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// Resizes the budget to its full size or to half of it. Where it cannot shrink at once, `request_eviction` is
-    /// called: it has one connection end soon.
+    /// Resizes the budget to its full or its halved size. If it cannot shrink at once, calls
+    /// `request_eviction`, which makes one connection close soon.
     pub fn set_share(&self, share: DescriptorShare, request_eviction: impl Fn()) {
         self.target_size.set(match share {
             DescriptorShare::All => self.full_size,
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Removes permits as they are returned, until the target is reached. The target may change meanwhile.
+    /// Removes permits as they are returned, until the target is reached. The target may change in the
+    /// meantime.
     async fn shrink_to_target(self) {
         while self.is_above_target() {
             if let Ok(Some(permit)) = timeout(SHRINK_CHECK_INTERVAL, self.acquire()).await
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,8 +1,10 @@
-//! The node: curlewusher's decisions on real sockets. This file is its command line and its exit codes.
+//! The node: applies curlewusher's decisions to real sockets. This file contains the command line and the
+//! exit codes.
 //!
-//! The node is a program without a library target. In a library every public item counts as used, so that the compiler
-//! would no longer report unused code, and the testbed could share code with the node that it judges. Unit tests
-//! reach private items as `#[path]` modules under `tests/unit`; all other tests run the program as a process.
+//! The node is a program without a library target. In a library every public item counts as used, so the
+//! compiler would no longer report unused code, and the testbed could share code with the node that it
+//! checks. Unit tests access private items as `#[path]` modules under `tests/unit`. All other tests run the
+//! program as a process.
 
 #![forbid(unsafe_code)]
 
@@ -55,9 +57,9 @@
     },
 }
 
-/// Exit code where another start with the same configuration would fail in the same way.
+/// Exit code if another start with the same configuration would fail in the same way.
 const EXIT_PERMANENT_FAILURE: u8 = 2;
-/// Exit code where another start may succeed.
+/// Exit code if another start may succeed.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
@@ -71,9 +73,9 @@
             Ok(())
         }
     };
-    let Err(problem) = result else { return ExitCode::SUCCESS };
-    eprintln!("curlewusher: {problem}");
-    ExitCode::from(if problem.is_permanent() { EXIT_PERMANENT_FAILURE } else { EXIT_FAILURE })
+    let Err(error) = result else { return ExitCode::SUCCESS };
+    eprintln!("curlewusher: {error}");
+    ExitCode::from(if error.is_permanent() { EXIT_PERMANENT_FAILURE } else { EXIT_FAILURE })
 }
 
 fn print_completions(shell: clap_complete::Shell) {
--- a/crates/node/src/server/callback.rs
+++ b/crates/node/src/server/callback.rs
@@ -1,5 +1,5 @@
-//! The body of a worker's callback: a JSON object that reports the progress or the end of a delivery attempt.
-//! Parsing does not look for the job that it reports on.
+//! Body of a worker's callback: a JSON object that reports the progress or the end of an attempt. Parsing
+//! does not look up the job of the callback.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -8,34 +8,36 @@
 
 use crate::dispatch::CallbackState;
 
-/// Why a callback cannot be used; the worker's own log shows what it sent.
+/// Errors of [`CallbackReport::parse`]. The messages do not repeat the callback, since the worker's own log
+/// shows what it sent.
 #[derive(Debug, Error)]
 pub enum CallbackError {
-    /// The body is not JSON, or a field is missing, unknown in its value or of another type.
+    /// The body is not valid JSON, a field is missing or has the wrong type, or the state is unknown.
     #[error("the call cannot be read: {0}")]
     Unreadable(#[source] serde_json::Error),
-    /// State `running` comes with the share of the work that is done, from 0 to 1.
+    /// State `running` requires the completed fraction of the work in the field `share`, from 0 to 1.
     #[error("field share is missing or no share")]
     InvalidShare,
-    /// State `done` comes with a result.
+    /// State `done` requires a result.
     #[error("field result is missing")]
     MissingResult,
-    /// The result is a JSON string with an invalid escape.
+    /// The result is a JSON string with an invalid escape sequence.
     #[error("field result: {0}")]
     InvalidResult(#[source] serde_json::Error),
 }
 
-/// A worker's report on a job.
+/// A worker's report on an attempt.
 pub struct CallbackReport {
     /// X-Request-Id of the job.
     pub request_id: String,
-    /// Name of the worker, as in the endpoint list.
+    /// Name of the worker in the endpoint list.
     pub worker_name: String,
-    /// What the worker reports.
+    /// Reported state of the attempt.
     pub state: CallbackState,
 }
 
-/// The JSON form of a callback. serde's errors name this type, and they are part of the 400 answer.
+/// JSON representation of a callback. The name of this type is part of serde's error messages, which are sent
+/// in the response with status 400.
 #[derive(Deserialize)]
 struct Callback<'a> {
     id: String,
@@ -46,7 +48,7 @@
     result: Option<&'a RawValue>,
 }
 
-/// The states that a callback can name.
+/// Values of the field `state` of a callback.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum State {
@@ -59,7 +61,7 @@
 }
 
 impl CallbackReport {
-    /// Parses the body of a callback. A result without escapes shares the memory of the body.
+    /// Parses the body of a callback. A result without escape sequences shares the memory of the body.
     pub fn parse(body: &Bytes) -> Result<CallbackReport, CallbackError> {
         let fields: Callback = serde_json::from_slice(body).map_err(CallbackError::Unreadable)?;
         let state = match fields.state {
@@ -74,12 +76,13 @@
     }
 }
 
-/// The share of the work that is done, from 0 to 1.
+/// Returns the completed fraction of the work, from 0 to 1.
 fn parse_share(share: Option<f64>) -> Result<f64, CallbackError> {
     share.filter(|share| (0.0..=1.0).contains(share)).ok_or(CallbackError::InvalidShare)
 }
 
-/// The bytes that the client gets: the text of a JSON string, any other value as it stands.
+/// Returns the body of the client's response: the content of a JSON string, or the JSON text of any other
+/// value.
 fn parse_result(body: &Bytes, result: Option<&RawValue>) -> Result<Bytes, CallbackError> {
     let json = result.ok_or(CallbackError::MissingResult)?.get();
     match json.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -1,5 +1,5 @@
-//! Handles callbacks of workers: delivers them to the dispatch task, or forwards them to the other process of
-//! this node where that may hold the job.
+//! Handles callbacks of workers: delivers them to the dispatch task, or forwards them to the peer process of
+//! this node if that process may own the job.
 
 use bytes::Bytes;
 use curlewusher_control::takeover::{CallbackRoute, ForwardTarget, LocalOwnership, route_callback};
@@ -17,26 +17,27 @@
 use crate::dispatch::{DispatchMessage, JobOwner};
 use crate::handover::{ForwardResult, PeerLink};
 
-/// Whether a worker needs to repeat a callback.
+/// Reply to a callback of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallbackDelivery {
-    /// It was delivered to the process that owns its job, or no process owns it.
-    Settled,
-    /// It may be that another process owns its job and has not received it.
-    Unsettled,
+enum CallbackReply {
+    /// The callback was delivered to the process that owns the job, or no process owns the job.
+    Acknowledge,
+    /// The worker has to send the callback again, because another process may own the job and may not have
+    /// received the callback.
+    RequestResend,
 }
 
 impl Server {
-    /// Delivers a callback that the other process of this node has forwarded. The owner of its job; None once
-    /// the dispatch task has ended.
+    /// Delivers a callback that the peer process of this node has forwarded. Returns the owner of the job, or
+    /// `None` if the dispatch task has ended.
     pub async fn handle_forwarded_callback(&self, body: Bytes) -> Option<JobOwner> {
         deliver_forwarded_callback(&self.state, &body).await
     }
 }
 
 impl ConnectionService {
-    /// Serves a worker's callback. It is acknowledged only once the process that owns its job has it; until then the
-    /// worker is to repeat it.
+    /// Serves a worker's callback. Acknowledges it only once the process that owns the job has received it;
+    /// until then the worker is expected to send it again.
     pub(super) async fn handle_callback(
         &self,
         request: Request<Incoming>,
@@ -45,20 +46,20 @@
         let body = read_body(request.into_body(), &self.connection).await?;
         let report = CallbackReport::parse(&body)?;
         Ok(match self.deliver_callback(report, &body).await? {
-            CallbackDelivery::Settled => response::with_status(StatusCode::NO_CONTENT, ""),
-            CallbackDelivery::Unsettled => {
+            CallbackReply::Acknowledge => response::with_status(StatusCode::NO_CONTENT, ""),
+            CallbackReply::RequestResend => {
                 response::with_status(StatusCode::SERVICE_UNAVAILABLE, "not handled; send it again\n")
             }
         })
     }
 
-    /// Delivers a callback to the dispatch task and, where that does not hold its job, to the other process
-    /// of this node.
+    /// Delivers a callback to the dispatch task and, if the dispatch task does not own the job, to the peer
+    /// process of this node.
     async fn deliver_callback(
         &self,
         report: CallbackReport,
         body: &Bytes,
-    ) -> Result<CallbackDelivery, RequestError> {
+    ) -> Result<CallbackReply, RequestError> {
         let peer = &self.state.peer;
         let link = peer.link();
         let may_have_unknown_peer = peer.may_have_unknown_peer();
@@ -79,13 +80,14 @@
             _ => ForwardTarget::None,
         };
         Ok(match (owner, route_callback(ownership, forward_target), link) {
-            (JobOwner::Migrating, ..) => CallbackDelivery::Unsettled,
+            (JobOwner::Migrating, ..) => CallbackReply::RequestResend,
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
             }
-            // A process may hold it that this one cannot reach: the repeated callback may find it.
-            (JobOwner::Unknown, ..) if may_have_unknown_peer => CallbackDelivery::Unsettled,
-            (JobOwner::Local | JobOwner::Unknown, ..) => CallbackDelivery::Settled,
+            // A process that is not reachable from here may own the job: the next attempt of the worker to
+            // deliver the callback may reach it.
+            (JobOwner::Unknown, ..) if may_have_unknown_peer => CallbackReply::RequestResend,
+            (JobOwner::Local | JobOwner::Unknown, ..) => CallbackReply::Acknowledge,
         })
     }
 
@@ -98,22 +100,22 @@
         self.state.queue.send(message).await.map_err(|_| RequestError::CallbackUndelivered)
     }
 
-    /// Forwards a callback to the other process of this node.
-    async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> CallbackDelivery {
+    /// Forwards a callback to the peer process of this node.
+    async fn forward_callback(&self, link: &PeerLink, body: &Bytes) -> CallbackReply {
         match link.forward_callback(body.clone()).await {
-            ForwardResult::Handled => CallbackDelivery::Settled,
-            // Its job may have migrated here since it was looked for here.
+            ForwardResult::Handled => CallbackReply::Acknowledge,
+            // The job may have migrated to this process after the lookup in this process.
             ForwardResult::NotHeld => match deliver_forwarded_callback(&self.state, body).await {
-                Some(JobOwner::Local | JobOwner::Unknown) => CallbackDelivery::Settled,
-                Some(JobOwner::Migrating) | None => CallbackDelivery::Unsettled,
+                Some(JobOwner::Local | JobOwner::Unknown) => CallbackReply::Acknowledge,
+                Some(JobOwner::Migrating) | None => CallbackReply::RequestResend,
             },
-            ForwardResult::NoAnswer => CallbackDelivery::Unsettled,
+            ForwardResult::NoAnswer => CallbackReply::RequestResend,
         }
     }
 }
 
-/// Delivers a callback whose job the other process does not hold. The owner of its job; None once the
-/// dispatch task has ended.
+/// Delivers a callback whose job the peer process does not own. Returns the owner of the job, or `None` if
+/// the dispatch task has ended.
 async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<JobOwner> {
     let Ok(report) = CallbackReport::parse(body) else { return Some(JobOwner::Unknown) };
     let (owner_channel, owner) = oneshot::channel();
@@ -121,7 +123,8 @@
     owner.await.ok()
 }
 
-/// The message for the dispatch task; `owner_channel` is given where the owner of the job is queried.
+/// Builds the message for the dispatch task. `owner_channel` receives the owner of the job and is set only if
+/// the caller needs the owner.
 fn dispatch_message<P>(
     report: CallbackReport,
     owner_channel: Option<oneshot::Sender<JobOwner>>,
--- a/crates/node/src/server/connection/filtered_stream.rs
+++ b/crates/node/src/server/connection/filtered_stream.rs
@@ -1,4 +1,4 @@
-//! The stream that hyper reads and writes: reads go through the [`ReadFilter`], writes to the socket.
+//! Stream that hyper reads and writes: reads go through the [`ReadFilter`], writes go directly to the socket.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,11 +10,11 @@
 
 use super::ReadFilter;
 
-/// A connection's socket behind its read filter, which the connection's task inspects as well.
+/// Socket of a connection behind its read filter. The connection's task inspects the filter as well.
 pub struct FilteredStream(Rc<RefCell<ReadFilter>>);
 
 impl FilteredStream {
-    /// A stream that reads through that filter.
+    /// Creates a stream that reads through this filter.
     pub fn new(read_filter: Rc<RefCell<ReadFilter>>) -> FilteredStream {
         FilteredStream(read_filter)
     }
--- a/crates/node/src/server/connection/lingering_close.rs
+++ b/crates/node/src/server/connection/lingering_close.rs
@@ -1,6 +1,6 @@
-//! The lingering close of a connection: its write side is shut down, and what the peer still sends is read
-//! and discarded for a bounded time. To close a socket over unread bytes resets the connection, and the reset
-//! can destroy a response that the peer has not read yet.
+//! Lingering close of a connection: its write side is shut down, and all data that the remote end still sends
+//! is read and discarded for a bounded time. Closing a socket with unread bytes resets the connection, and
+//! the reset can destroy a response that the remote end has not read yet.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 
 use super::{Connection, ConnectionState, READ_CHUNK_BYTES};
 
-/// Longest time for which a lingering connection is read.
+/// Maximum duration for which a lingering connection is read.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most bytes that are read from a lingering connection.
+/// Maximum number of bytes that are read from a lingering connection.
 const MAX_LINGER_BYTES: usize = 256 << 10;
 
-/// Shuts the write side down, and discards what the peer sends until it closes or a bound is reached.
+/// Shuts the write side down, and discards all data that the remote end sends until it closes the connection
+/// or a limit is reached.
 pub async fn discard_and_close(mut stream: TcpStream) {
-    // Where HTTP ended regularly, hyper has done this already. A connection that is reset yields no more
-    // bytes.
+    // If HTTP ended regularly, hyper has already done this. A connection that is reset yields no more bytes.
     let _ = stream.shutdown().await;
     let discard = async {
         let mut remaining_bytes = MAX_LINGER_BYTES;
@@ -29,11 +29,11 @@
             remaining_bytes -= read;
         }
     };
-    // A peer that sends nothing and does not close gets no more time than that.
+    // The timeout bounds the wait for a remote end that sends nothing and does not close the connection.
     let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// Closes a connection with [`discard_and_close`], or at once when it is evicted or aborted.
+/// Closes a connection with [`discard_and_close`], or immediately when it is evicted or aborted.
 pub async fn lingering_close(stream: TcpStream, connection: &Connection) {
     connection.read_expired.set(false);
     connection.enter(ConnectionState::Lingering);
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -1,9 +1,9 @@
-//! Inspects what arrives on a connection before hyper parses it.
+//! Inspects the data that arrives on a connection before hyper parses it.
 //!
-//! Each head is checked here first: of a request that carries both Content-Length and Transfer-Encoding hyper
-//! drops the length, by which another server may see a second request in the body (request smuggling). The
-//! filter also applies the read timeout, and keeps reading while a request is being answered, so that a peer
-//! that has closed is noticed.
+//! Each head is checked here first: if a request has both Content-Length and Transfer-Encoding, hyper drops
+//! the length, and another server that uses the length may see a second request in the body (request
+//! smuggling). The filter also applies the read timeout, and keeps reading while a request is being answered,
+//! so that a closed connection is noticed.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -21,31 +21,33 @@
 use super::{Connection, ConnectionState, MAX_HEAD_BYTES, READ_CHUNK_BYTES};
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// Most headers of a request, as in hyper.
+/// Maximum number of headers of a request, as in hyper.
 const MAX_HEADERS: usize = 100;
-/// What hyper reads in place of a request that must not be served: it answers 400 and closes.
+/// Substitute that hyper reads instead of a request that must not be served. hyper answers it with status 400
+/// and closes the connection.
 const INVALID_REQUEST: &[u8] = b"REFUSED\r\n\r\n";
-/// What hyper reads in place of half a request at a shutdown; see [`Connection::is_request_rejected`].
+/// Substitute that hyper reads instead of an incomplete request at a shutdown; see
+/// [`Connection::is_request_rejected`].
 const REJECTED_REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
-/// Value of [`ReadFilter::forwardable_bytes`] for a stream that is passed on to its end.
+/// Value of [`ReadFilter::forwardable_bytes`] for a stream that is forwarded to its end.
 const UNLIMITED: u64 = u64::MAX;
 
-/// The reading side of a connection, between its socket and hyper.
+/// Read side of a connection, between its socket and hyper.
 pub struct ReadFilter {
     pub(super) stream: TcpStream,
     pub(super) connection: Rc<Connection>,
-    /// Bytes that were read from the socket and not passed on.
+    /// Bytes that were read from the socket and not yet forwarded.
     buffered: BytesMut,
-    /// How many bytes may be passed on: a head that was inspected, and its body.
+    /// Number of bytes that may be forwarded: an inspected head and its body.
     forwardable_bytes: u64,
     metrics: Metrics,
-    /// Set once this node accepts no jobs any more: half a request is then rejected, so that its client may send
-    /// it to another node.
+    /// Whether this node has stopped accepting jobs. Incomplete requests are then rejected, so that their
+    /// clients may send them to another node.
     intake_closed: Rc<Cell<bool>>,
 }
 
 impl ReadFilter {
-    /// A filter for a connection that was just accepted.
+    /// Creates the filter for a connection that was just accepted.
     pub fn new(
         stream: TcpStream,
         connection: Rc<Connection>,
@@ -56,13 +58,14 @@
         ReadFilter { stream, connection, buffered, forwardable_bytes: 0, metrics, intake_closed }
     }
 
-    /// The socket, once hyper is done with it; buffered bytes are dropped.
+    /// Returns the socket, once hyper has finished with it. Buffered bytes are dropped.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// A duplicate of the socket's descriptor. None where bytes have arrived behind the request, which would
-    /// be lost, or where the descriptor cannot be duplicated.
+    /// Duplicates the socket's descriptor. Returns `None` if bytes have arrived after the request, since
+    /// these would be lost, if the request is the last one on the connection, or if the descriptor cannot be
+    /// duplicated.
     pub fn duplicate_socket(&self) -> Option<OwnedFd> {
         if !self.buffered.is_empty() || self.connection.is_last_request() {
             return None;
@@ -70,17 +73,18 @@
         self.stream.as_fd().try_clone_to_owned().ok()
     }
 
-    /// Whether something has arrived that was not passed on, in the buffer or in the socket.
+    /// Returns whether data has arrived that was not forwarded yet, in the buffer or in the socket.
     pub fn has_pending_input(&self) -> bool {
         !self.buffered.is_empty() || self.has_unread_input()
     }
 
-    /// Whether the socket has bytes, its end or an error that was not read.
+    /// Returns whether the socket has unread bytes, an unread end of the stream or an unread error.
     fn has_unread_input(&self) -> bool {
         !self.peek().is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the peer has closed or reset the connection, and all that it sent before was read.
+    /// Returns whether the remote end has closed or reset the connection, and all data that it sent before
+    /// was read.
     pub fn is_disconnected(&self) -> bool {
         match self.peek() {
             Ok(bytes) => bytes == 0,
@@ -88,14 +92,14 @@
         }
     }
 
-    /// Number of bytes that can be read at once, one at most. Asks the operating system: the runtime may not know
-    /// yet of what has arrived.
+    /// Returns the number of bytes that can be read immediately, limited to 1. Queries the operating system,
+    /// since the runtime may not have been notified yet of data that has arrived.
     fn peek(&self) -> io::Result<usize> {
         socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// Continues to read while a request is being answered: the end of the stream lies behind all that was sent before
-    /// it. Ready once the peer has closed.
+    /// Keeps reading while a request is being answered, since the end of the stream can only be read after
+    /// all data that was sent before it. Returns `Ready` once the remote end has closed the connection.
     pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.connection.state() == ConnectionState::Busy {
             let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
@@ -105,7 +109,7 @@
                 return Poll::Ready(());
             }
             if self.buffered.len() + chunk.filled().len() > MAX_HEAD_BYTES {
-                // No client that waits for its response sends so much.
+                // No client that waits for its response sends that much data.
                 self.connection.mark_last_request();
                 self.buffered.clear();
             }
@@ -113,11 +117,11 @@
                 self.buffered.extend_from_slice(chunk.filled());
             }
         }
-        // No waker is needed: only hyper makes the connection busy, and this is polled after hyper.
+        // No waker is needed: only hyper makes the connection busy, and this function is polled after hyper.
         Poll::Pending
     }
 
-    /// Reads for hyper: passes on what was inspected, and nothing while a request is being answered.
+    /// Reads for hyper: forwards the inspected data, and nothing while a request is being answered.
     pub(super) fn poll_read(
         &mut self,
         context: &mut Context<'_>,
@@ -128,11 +132,11 @@
                 self.forward_buffered(out);
                 return Poll::Ready(Ok(()));
             }
-            // hyper expects that only the socket can wake what is pending here.
+            // hyper expects that only the socket can wake a pending read.
             self.connection.read_waker.replace(Some(context.waker().clone()));
             if self.connection.state() == ConnectionState::Busy {
-                // What follows is inspected once this request is answered; `poll_disconnected` reads until
-                // then.
+                // Data after the request is inspected once this request is answered. Until then,
+                // `poll_disconnected` reads it.
                 return Poll::Pending;
             }
             if self.forwardable_bytes == 0 && !self.buffered.is_empty() {
@@ -144,7 +148,7 @@
                     continue;
                 }
             }
-            // What has arrived is read first, however late that is: it may be the end of a request, which
+            // Data that has arrived is read first, even if it is late: it may be the end of a request, which
             // would be lost. Its length is bounded.
             if self.connection.read_expired.replace(false) && !self.has_unread_input() {
                 self.metrics.add(Counter::ConnectionsTimedOut);
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Moves buffered bytes that may be passed on to the reader.
+    /// Moves buffered bytes that may be forwarded to the reader.
     fn forward_buffered(&mut self, out: &mut ReadBuf<'_>) {
         let limit = usize::try_from(self.forwardable_bytes).unwrap_or(usize::MAX);
         let part = self.buffered.split_to(limit.min(self.buffered.len()).min(out.remaining()));
@@ -174,27 +178,28 @@
         }
     }
 
-    /// Reads from the socket into the buffer. The number of bytes, 0 at the end of the stream.
+    /// Reads from the socket into the buffer. Returns the number of bytes, which is 0 at the end of the
+    /// stream.
     fn poll_fill_buffer(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
         let mut chunk = ReadBuf::uninit(&mut chunk);
         ready!(Pin::new(&mut self.stream).poll_read(context, &mut chunk))?;
         let read = chunk.filled().len();
         if read > 0 {
-            self.connection.last_progress.set(Instant::now());
+            self.connection.last_progress_at.set(Instant::now());
             self.buffered.extend_from_slice(chunk.filled());
         }
         Poll::Ready(Ok(read))
     }
 
-    /// Inspects the buffered head, as far as it has arrived, and passes it on with its body.
+    /// Inspects the buffered head. If the head is complete, allows it to be forwarded together with its body.
     fn inspect_head(&mut self) {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let head_bytes = match head.parse(&self.buffered) {
             Ok(httparse::Status::Complete(head_bytes)) => head_bytes as u64,
             Ok(httparse::Status::Partial) if self.buffered.len() <= MAX_HEAD_BYTES => return,
-            // hyper answers what is wrong with it more precisely; nothing behind it is read.
+            // hyper answers a malformed head with a more precise status, and reads nothing after it.
             Ok(httparse::Status::Partial) | Err(_) => {
                 self.metrics.add(Counter::RequestsMalformed);
                 self.forwardable_bytes = UNLIMITED;
@@ -206,7 +211,7 @@
                 self.forwardable_bytes = head_bytes.saturating_add(body_bytes);
             }
             BodyFraming::Chunked => {
-                // The end of a chunked body is known to hyper alone.
+                // Only hyper can determine the end of a chunked body.
                 self.connection.mark_last_request();
                 self.forwardable_bytes = UNLIMITED;
             }
@@ -214,19 +219,19 @@
         }
     }
 
-    /// Has hyper answer 400 in place of serving what is buffered.
+    /// Makes hyper answer with status 400 instead of serving the buffered request.
     fn substitute_invalid_request(&mut self) {
         self.metrics.add(Counter::RequestsMalformed);
         self.substitute(INVALID_REQUEST);
     }
 
-    /// Has the service answer 503 in place of serving what is buffered.
+    /// Makes the service answer with status 503 instead of serving the buffered request.
     fn substitute_rejected_request(&mut self) {
-        self.connection.reject_request();
+        self.connection.mark_request_rejected();
         self.substitute(REJECTED_REQUEST);
     }
 
-    /// Passes on a request in place of what is buffered, and then all that follows.
+    /// Forwards `request` instead of the buffered data, and then all data that follows.
     fn substitute(&mut self, request: &[u8]) {
         self.buffered.clear();
         self.buffered.extend_from_slice(request);
@@ -234,22 +239,22 @@
     }
 }
 
-/// How the end of a request's body is found.
+/// Framing of a request's body, which determines the end of the body.
 enum BodyFraming {
-    /// Length in bytes; 0 where the request has no body.
+    /// The body has this length in bytes, which is 0 if the request has no body.
     Length(u64),
-    /// Transfer-Encoding alone.
+    /// The request has Transfer-Encoding and no Content-Length.
     Chunked,
-    /// Several lengths, one that is no number, or a length beside Transfer-Encoding.
+    /// The request has several lengths, an invalid length, or a length besides Transfer-Encoding.
     Ambiguous,
 }
 
 impl BodyFraming {
     fn of(headers: &[httparse::Header]) -> BodyFraming {
-        let named =
+        let headers_named =
             |name: &'static str| headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
-        let is_chunked = named("transfer-encoding").next().is_some();
-        let mut lengths = named("content-length").map(parse_content_length);
+        let is_chunked = headers_named("transfer-encoding").next().is_some();
+        let mut lengths = headers_named("content-length").map(parse_content_length);
         match (lengths.next(), lengths.next(), is_chunked) {
             (None, _, false) => BodyFraming::Length(0),
             (Some(Some(length)), None, false) => BodyFraming::Length(length),
@@ -259,7 +264,7 @@
     }
 }
 
-/// The value of a Content-Length header: digits only, no sign and no list.
+/// Parses the value of a Content-Length header, which must consist of digits only, without a sign or a list.
 fn parse_content_length(header: &httparse::Header) -> Option<u64> {
     let digits_only = !header.value.is_empty() && header.value.iter().all(u8::is_ascii_digit);
     if !digits_only {
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a request is answered with an error: the status and the text of each answer.
+//! Errors of requests, with the status and the text of each response.
 
 use hyper::StatusCode;
 use hyper::header::HeaderName;
@@ -6,62 +6,62 @@
 
 use super::callback::CallbackError;
 
-/// Why a request is not served. The text is the body of the answer, so that the sender of the request can correct
-/// it.
+/// Reason for which a request is not served. The message is the body of the response, so that the sender can
+/// correct the request.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// A header that the request needs.
+    /// A required header is missing.
     #[error("header {0} is missing")]
     MissingHeader(HeaderName),
-    /// A header whose value is not text or out of its bounds.
+    /// The value of a header is not ASCII text or is out of range.
     #[error("header {0} is malformed")]
     MalformedHeader(HeaderName),
-    /// A header that may appear once; another server might use the other value.
+    /// A header that must appear at most once is repeated. Another server might use the other value.
     #[error("header {0} is repeated")]
     RepeatedHeader(HeaderName),
-    /// X-Class names a class that the configuration does not have.
+    /// X-Class names a class that is not configured.
     #[error("header x-class names no class: {0}")]
     UnknownClass(String),
-    /// X-Tenant names a tenant that the configuration does not have.
+    /// X-Tenant names a tenant that is not configured.
     #[error("header x-tenant names no tenant: {0}")]
     UnknownTenant(String),
-    /// X-Extras requests fewer slots than one or more than any job can have.
+    /// X-Extras requests fewer slots than one or more than the maximum of a job.
     #[error("header x-extras asks for an impossible number of slots")]
-    ImpossibleSlots,
-    /// The path is missing or not ASCII.
+    SlotsOutOfRange,
+    /// The path is missing or contains non-ASCII characters.
     #[error("the path is malformed")]
     MalformedPath,
-    /// The path and its query are longer than what is passed on.
+    /// The path with its query is longer than the maximum that is forwarded to a worker.
     #[error("the path is too long")]
     PathTooLong,
-    /// The body is longer than what is passed on.
+    /// The body is larger than the maximum that is forwarded to a worker.
     #[error("the body is over 64 KiB")]
     BodyTooLarge,
-    /// The connection broke, or the body's encoding is invalid.
+    /// The connection failed, or the transfer encoding of the body is invalid.
     #[error("the body cannot be read: {0}")]
     UnreadableBody(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The client was too slow.
+    /// The client did not send the complete body in time.
     #[error("the body did not come in time")]
     BodyTimedOut,
-    /// The body is no callback.
+    /// The body is not a valid callback.
     #[error(transparent)]
     Callback(#[from] CallbackError),
-    /// No resource has this path.
+    /// No resource has the requested path.
     #[error("nothing is here")]
     NotFound,
-    /// A job of this id is not finished yet, here or at the other process of this node.
+    /// A job with the same id is still open, in this process or in the peer process of this node.
     #[error("a job of this x-request-id is in hand")]
     DuplicateJob,
-    /// The dispatch task has ended before it answered the job.
+    /// The dispatch task ended before it answered the job.
     #[error("this node has ended")]
     JobAbandoned,
-    /// The dispatch task has ended before it took the callback.
+    /// The dispatch task ended before it received the callback.
     #[error("this node has ended")]
     CallbackUndelivered,
 }
 
 impl RequestError {
-    /// Status of the answer.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::MissingHeader(_)
@@ -69,7 +69,7 @@
             | RequestError::RepeatedHeader(_)
             | RequestError::UnknownClass(_)
             | RequestError::UnknownTenant(_)
-            | RequestError::ImpossibleSlots
+            | RequestError::SlotsOutOfRange
             | RequestError::MalformedPath
             | RequestError::UnreadableBody(_)
             | RequestError::Callback(_) => StatusCode::BAD_REQUEST,
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts connections within the connection budget, closes those that have timed out, and evicts connections
-//! when the budget is exhausted.
+//! Accepts connections within the connection budget, closes connections that have timed out, and evicts
+//! connections when the budget is exhausted.
 
 use std::convert::Infallible;
 use std::io;
@@ -23,25 +23,25 @@
 use crate::telemetry::logging::SERVER;
 use crate::telemetry::metrics::Counter;
 
-/// Length of the kernel's queue of connections that wait to be accepted.
+/// Length of the kernel's accept queue, in connections.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How often connections are checked for timeouts.
+/// Interval between two checks of the connections for timeouts.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a failed accept, as when descriptors have run out; also how long a connection of the budget is
-/// waited for before connections are evicted again.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Connections of the budget that are kept free for the next clients.
-const SPARE_CONNECTIONS: usize = 4;
-/// With this many lingering connections, eviction closes only those: at least one is left for the next
-/// eviction.
-const ENOUGH_LINGERING_CONNECTIONS: usize = 2;
+/// Delay before the next accept after a failed one, for example when file descriptors are exhausted. Also the
+/// maximum wait for a free permit of the connection budget before connections are evicted again.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Minimum number of free connections in the budget, kept for the next clients.
+const MIN_FREE_CONNECTIONS: usize = 4;
+/// Minimum number of lingering connections for an eviction that closes only lingering ones. At least one of
+/// them remains for the next eviction.
+const MIN_LINGERING_CONNECTIONS: usize = 2;
 
-/// Whether other processes may listen at the address of a listener.
+/// Sharing of a listener's address with other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortSharing {
-    /// No other process may.
+    /// No other process may listen at the address.
     Exclusive,
-    /// Another process of this node may.
+    /// Another process of this node may listen at the address.
     Shared,
 }
 
@@ -49,7 +49,8 @@
     /// Opens the listening socket.
     pub fn listen(address: SocketAddr, sharing: PortSharing) -> io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        // A restart must not wait until the kernel has forgotten the old connections.
+        // Without SO_REUSEADDR a restart would fail until the kernel has removed the connections in
+        // TIME_WAIT.
         socket.set_reuseaddr(true)?;
         if sharing == PortSharing::Shared {
             socket.set_reuseport(true)?;
@@ -58,8 +59,8 @@
         socket.listen(LISTEN_BACKLOG)?.into_std()
     }
 
-    /// Accepts connections within the budget and closes those that have timed out. Returns once the listener is
-    /// closed.
+    /// Accepts connections within the budget and closes those that have timed out. Returns once the listener
+    /// is closed.
     pub async fn accept(self, listener: TcpListener) {
         tokio::select! {
             () = accept_connections(&self.state, listener) => {}
@@ -68,13 +69,14 @@
     }
 }
 
-/// Closes connections that have timed out, and in a process that is superseded those whose clients can go
-/// elsewhere.
+/// Closes connections that have timed out. In a superseded process, also closes those whose clients can
+/// safely be redirected.
 async fn close_timed_out_connections(state: &ServerState) -> Infallible {
     loop {
         sleep(TIMEOUT_CHECK_INTERVAL).await;
         let idle_timeout = state.options.get().idle_timeout.duration();
-        // A node that shuts down keeps idle connections a little longer: clients use them until then.
+        // A node that shuts down keeps idle connections open a little longer, because clients use them until
+        // then.
         let phase = state.lifecycle.phase();
         let redirects = phase.redirects_clients() && !phase.is_shutting_down();
         let timed_out = CloseReason::Timeout { idle_timeout };
@@ -90,45 +92,46 @@
     }
 }
 
-/// Accepts connections as the mode of the listener says, until it is closed.
+/// Accepts connections according to the mode of the listener, until the listener is closed.
 async fn accept_connections(state: &Rc<ServerState>, listener: TcpListener) {
     let mut mode = state.listener_mode.subscribe();
     loop {
         let current = *mode.borrow_and_update();
         match current {
             ListenerMode::Paused => {
-                // It fails only without a sender, which the state owns.
+                // This fails only if the sender has been dropped, but the state owns the sender.
                 let _ = mode.changed().await;
             }
             ListenerMode::Accepting => tokio::select! {
                 biased;
                 _ = mode.changed() => {}
-                () = accept_connection(state, &listener) => {}
+                () = accept_next(state, &listener) => {}
             },
-            ListenerMode::AcceptingRest => return accept_rest(state, &listener),
+            ListenerMode::AcceptingBacklog => return accept_backlog(state, &listener),
             ListenerMode::Closed => return,
         }
     }
 }
 
-/// Waits for the next connection and serves it.
-async fn accept_connection(state: &Rc<ServerState>, listener: &TcpListener) {
-    let permit = acquire_connection(state).await;
+/// Accepts the next connection and serves it.
+async fn accept_next(state: &Rc<ServerState>, listener: &TcpListener) {
+    let permit = acquire_permit(state).await;
     match listener.accept().await {
         Ok((stream, _)) => spawn_connection(state, stream, permit),
-        // Descriptors have run out, or a client has closed at once: the listener must survive both.
+        // File descriptors are exhausted, or a client closed its connection before the accept. The listener
+        // must survive both.
         Err(error) => {
             warn!(target: SERVER, %error, "client accept failed");
             state.metrics.add(Counter::AcceptFailures);
             evict_connections(state);
-            sleep(ACCEPT_RETRY_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
         }
     }
 }
 
-/// Serves the connections that wait at the listener now, so that its close resets none of them. What the kernel
-/// holds is read directly: the runtime may not know of it yet.
-fn accept_rest(state: &Rc<ServerState>, listener: &TcpListener) {
+/// Serves the connections that are in the accept queue, so that closing the listener does not reset them.
+/// Accepts from the socket directly, since the runtime may not have received its readiness event yet.
+fn accept_backlog(state: &Rc<ServerState>, listener: &TcpListener) {
     let listener = SockRef::from(listener);
     while let Some(permit) = state.connection_budget.try_acquire()
         && let Ok((socket, _)) = listener.accept()
@@ -140,24 +143,25 @@
     }
 }
 
-/// Waits for a connection of the budget; it is free again once the permit is dropped.
-async fn acquire_connection(state: &ServerState) -> Option<ConnectionPermit> {
-    // All connections may be busy now and idle later: evicting once is not enough.
+/// Waits for a permit to open a connection. The connection counts against the budget until the permit is
+/// dropped.
+async fn acquire_permit(state: &ServerState) -> Option<ConnectionPermit> {
+    // All connections may be busy now and idle later, so that evicting once is not sufficient.
     loop {
-        if state.connection_budget.free() <= SPARE_CONNECTIONS {
+        if state.connection_budget.free() <= MIN_FREE_CONNECTIONS {
             evict_connections(state);
         }
-        if let Ok(permit) = timeout(ACCEPT_RETRY_PAUSE, state.connection_budget.acquire()).await {
+        if let Ok(permit) = timeout(ACCEPT_RETRY_DELAY, state.connection_budget.acquire()).await {
             return permit;
         }
     }
 }
 
-/// Serves a connection in a task of its own.
+/// Spawns a task that serves a connection.
 fn spawn_connection(state: &Rc<ServerState>, stream: TcpStream, permit: Option<ConnectionPermit>) {
-    // It is registered here, not when its task first runs: a burst is accepted before that, and would exhaust
-    // the budget with connections that cannot be evicted.
-    let connection = Rc::new(Connection::new(state.number_connection()));
+    // The connection is registered here rather than by its task. A burst of connections is accepted before
+    // their tasks first run, and unregistered connections would exhaust the budget without being evictable.
+    let connection = Rc::new(Connection::new(state.next_connection_number()));
     state.connections.borrow_mut().push(Rc::downgrade(&connection));
     let state = state.clone();
     spawn_local(async move {
@@ -166,24 +170,26 @@
     });
 }
 
-/// Evicts the connection whose loss matters least: a client's before a worker's, then in the order of
-/// [`ConnectionState`], then the one that has been longest in its state. It lingers first; of the lingering
-/// connections the oldest is closed as well.
+/// Evicts the least valuable connection: connections of clients before those of workers, then in the order of
+/// [`ConnectionState`], then the one that has been in its state for longest. The evicted connection lingers
+/// first. The oldest of the connections that are already lingering is closed as well.
 pub fn evict_connections(state: &ServerState) {
     let connections = state.live_connections();
     let new_connections =
         connections.iter().filter(|connection| connection.state() == ConnectionState::New).count();
-    // Among many new connections one is about to be old enough for eviction: idle ones are spared until then.
-    let spares_idle = new_connections > connections.len() / 4;
+    // With many new connections, one of them will soon be old enough for eviction. Until then, idle
+    // connections are not evicted.
+    let keeps_idle = new_connections > connections.len() / 4;
     let is_candidate = |connection: &Connection| {
-        connection.is_evictable() && !(spares_idle && connection.state() == ConnectionState::Idle)
+        connection.is_evictable() && !(keeps_idle && connection.state() == ConnectionState::Idle)
     };
     let (lingering, others): (Vec<_>, Vec<_>) = connections
         .iter()
         .filter(|connection| is_candidate(connection))
         .partition(|connection| connection.state() == ConnectionState::Lingering);
-    // One always lingers for the next eviction, or every other eviction would free nothing.
-    let least_missed = if lingering.len() < ENOUGH_LINGERING_CONNECTIONS {
+    // One connection must always remain lingering for the next eviction, otherwise every second eviction
+    // would free no connection.
+    let least_valuable = if lingering.len() < MIN_LINGERING_CONNECTIONS {
         others
             .into_iter()
             .min_by_key(|connection| (connection.is_worker(), connection.state(), connection.state_since()))
@@ -191,7 +197,7 @@
         None
     };
     let oldest_lingering = lingering.into_iter().min_by_key(|connection| connection.state_since());
-    for connection in oldest_lingering.into_iter().chain(least_missed) {
+    for connection in oldest_lingering.into_iter().chain(least_valuable) {
         connection.evict();
     }
 }
--- a/crates/node/src/server/listener_mode.rs
+++ b/crates/node/src/server/listener_mode.rs
@@ -1,14 +1,14 @@
-//! The state of the listener, which the server's state holds and the listener follows.
+//! Mode of the listener. The server's state holds the mode, and the listener follows its changes.
 
-/// What a process does with the connections that wait at its listener.
+/// Handling of the connections in the accept queue of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerMode {
-    /// It leaves them for the other process of the node.
+    /// The process leaves the connections for the peer process of the node.
     Paused,
-    /// It accepts them.
+    /// The process accepts connections.
     Accepting,
-    /// It accepts those that wait now, and closes the listener.
-    AcceptingRest,
-    /// It has closed the listener, or is about to.
+    /// The process accepts the connections that are in the queue now, and then closes the listener.
+    AcceptingBacklog,
+    /// The listener is closed or about to be closed.
     Closed,
 }
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -1,4 +1,4 @@
-//! Migrates open jobs to and from the other process of this node, together with the sockets of their clients.
+//! Migrates open jobs to and from the peer process of this node, together with the sockets of their clients.
 
 use std::convert::Infallible;
 use std::io;
@@ -27,26 +27,28 @@
 use crate::handover::PeerLink;
 use crate::upstream::RequestPayload;
 
-/// Pause after a job could not migrate.
-pub const MIGRATION_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the next attempt to migrate a job after a failed one.
+pub const MIGRATION_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Migrates a job to the other process of this node, with a duplicate of its client's socket.
+/// Migrates a job to the peer process of this node, with a duplicate of the client's socket.
 pub async fn migrate_job(
     state: &ServerState,
     job_handle: &JobHandle,
     client: Option<OwnedFd>,
 ) -> MigrationOutcome {
     let (Some(link), Some(client)) = (state.peer.link(), client) else { return MigrationOutcome::RolledBack };
-    // Dropped with this future when the client closes meanwhile.
+    // The sender is dropped together with this future when the client closes its connection during the
+    // migration.
     let (_client_connected, client_disconnected) = oneshot::channel();
     let outgoing =
         OutgoingJob { queue: state.queue.clone(), job_handle: job_handle.clone(), client_disconnected };
-    // A task of its own: a client that closes now must not leave the job between both processes.
-    let migrated = spawn_local(outgoing.hand_over(link, client)).await;
+    // The migration runs in a separate task: if the client closes its connection now, the migration must
+    // still complete, so that exactly one process owns the job.
+    let migrated = spawn_local(outgoing.migrate(link, client)).await;
     migrated.ok().flatten().unwrap_or(MigrationOutcome::RolledBack)
 }
 
-/// A job that is about to migrate to the other process.
+/// A job that is being migrated to the peer process.
 struct OutgoingJob {
     queue: DispatchQueue<RequestPayload>,
     job_handle: JobHandle,
@@ -55,8 +57,9 @@
 }
 
 impl OutgoingJob {
-    /// Has the other process adopt the job. None once the dispatch task has ended or does not release the job.
-    async fn hand_over(mut self, link: PeerLink, client: OwnedFd) -> Option<MigrationOutcome> {
+    /// Migrates the job to the peer process. Returns `None` if the dispatch task has ended or does not
+    /// release the job.
+    async fn migrate(mut self, link: PeerLink, client: OwnedFd) -> Option<MigrationOutcome> {
         let (migration_channel, migration) = oneshot::channel();
         let request = DispatchMessage::MigrateJob { job_handle: self.job_handle.clone(), migration_channel };
         self.queue.send(request).await.ok()?;
@@ -68,17 +71,18 @@
         let outcome = if is_adopted { MigrationOutcome::Accepted } else { MigrationOutcome::RolledBack };
         let finished = DispatchMessage::MigrationFinished { job_handle: self.job_handle.clone(), outcome };
         self.queue.send(finished).await.ok()?;
-        let is_client_gone = self.client_disconnected.try_recv() == Err(TryRecvError::Closed);
-        if outcome == MigrationOutcome::RolledBack && is_client_gone {
-            // The dispatch task ignores this message while a job migrates; the other process would see it by
-            // itself.
+        let is_client_disconnected = self.client_disconnected.try_recv() == Err(TryRecvError::Closed);
+        if outcome == MigrationOutcome::RolledBack && is_client_disconnected {
+            // The dispatch task ignores this message while a job migrates. After a successful migration, the
+            // peer process detects the disconnection itself.
             self.queue.send(DispatchMessage::ClientDisconnected(self.job_handle)).await.ok()?;
         }
         Some(outcome)
     }
 }
 
-/// A job that has arrived from the other process. Its fields are dropped in this order.
+/// A job that has migrated here from the peer process. The fields are dropped in the order of their
+/// declaration.
 struct AdoptedJob {
     response_receiver: oneshot::Receiver<JobResponse>,
     job_handle: JobHandle,
@@ -86,29 +90,29 @@
 }
 
 impl Server {
-    /// Takes over a job that the other process of this node migrates here, and answers its client.
-    /// `is_adopted` reports to the other process whether this one holds the job; `response_written` completes
-    /// once the link has written that report.
+    /// Adopts a job that the peer process of this node migrates to this process, and responds to its client.
+    /// `adopted_channel` reports to the peer process whether this process has adopted the job;
+    /// `report_written` completes once the link has written that report.
     pub async fn adopt_job(
         self,
         job: Bytes,
         client: OwnedFd,
-        is_adopted: oneshot::Sender<bool>,
-        response_written: oneshot::Receiver<()>,
+        adopted_channel: oneshot::Sender<bool>,
+        report_written: oneshot::Receiver<()>,
     ) {
         let stream = into_tcp_stream(client);
-        // Unless this process reports that it has adopted the job, the job stays with the other one.
+        // The job stays with the peer process unless this process reports that it has adopted the job.
         let (Some((migration, payload)), Ok(mut stream), Some(_connection_permit), false) = (
             migration_record::decode(&job),
             stream,
             self.state.connection_budget.try_acquire(),
             self.state.intake_closed.get(),
         ) else {
-            // The link may have been lost meanwhile; the other process keeps the job in either case.
-            let _ = is_adopted.send(false);
+            // The link may have failed in the meantime. The peer process keeps the job in either case.
+            let _ = adopted_channel.send(false);
             return;
         };
-        let Some(mut job) = self.confirm_adoption(migration, payload, is_adopted, response_written).await
+        let Some(mut job) = self.confirm_adoption(migration, payload, adopted_channel, report_written).await
         else {
             return;
         };
@@ -118,21 +122,21 @@
         let response =
             response::from_job_response(job_response).unwrap_or_else(|error| response::from_error(&error));
         let written = timeout(CLOSE_TIMEOUT, response::write_last_response(&mut stream, response)).await;
-        // The shutdown waits for the response alone, not for the close.
+        // The shutdown waits only for the response, not for the close of the connection.
         drop(job);
         if matches!(written, Ok(Ok(()))) {
             discard_and_close(stream).await;
         }
     }
 
-    /// Submits a migrated job to the dispatch task and waits until both processes agree on where it is. None
-    /// where it stays at the other process, or the dispatch task has ended.
+    /// Submits a migrated job to the dispatch task and waits until both processes agree on its owner. Returns
+    /// `None` if the job stays with the peer process or the dispatch task has ended.
     async fn confirm_adoption(
         &self,
         migration: JobMigration,
         payload: RequestPayload,
-        is_adopted: oneshot::Sender<bool>,
-        response_written: oneshot::Receiver<()>,
+        adopted_channel: oneshot::Sender<bool>,
+        report_written: oneshot::Receiver<()>,
     ) -> Option<AdoptedJob> {
         let queue = &self.state.queue;
         let mut open_job = OpenJob::new(&self.state);
@@ -144,11 +148,11 @@
             payload,
             job_handle: job_handle.clone(),
             response_channel,
-            accepted: is_adopted,
+            accepted: adopted_channel,
         };
         queue.send(DispatchMessage::ReceiveMigration(incoming)).await.ok()?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
-        let outcome = match response_written.await {
+        let outcome = match report_written.await {
             Ok(()) => MigrationOutcome::Accepted,
             Err(_) => MigrationOutcome::RolledBack,
         };
@@ -160,21 +164,21 @@
         Some(AdoptedJob { response_receiver, job_handle, open_job })
     }
 
-    /// Waits for the response to a job that has migrated here. None once its client has closed, or it has
-    /// migrated back.
+    /// Awaits the response to a job that has migrated here. Returns `None` if the client has closed its
+    /// connection, or if the job has migrated back.
     async fn await_adopted_response(
         &self,
         job: &mut AdoptedJob,
         stream: &mut TcpStream,
     ) -> Option<Result<JobResponse, oneshot::error::RecvError>> {
-        let mut pause = Duration::ZERO;
+        let mut retry_delay = Duration::ZERO;
         loop {
             tokio::select! {
                 biased;
                 received = &mut job.response_receiver => return Some(received),
                 () = wait_for_disconnect(stream) => return None,
-                () = self.state.migration_requested(pause) => {
-                    pause = MIGRATION_RETRY_PAUSE;
+                () = self.state.migration_requested(retry_delay) => {
+                    retry_delay = MIGRATION_RETRY_DELAY;
                     let client = stream.as_fd().try_clone_to_owned().ok();
                     let outcome = migrate_job(&self.state, &job.job_handle, client).await;
                     if outcome == MigrationOutcome::Accepted {
@@ -187,15 +191,15 @@
     }
 }
 
-/// The stream of a client's socket that the other process has passed on.
+/// Converts the client's socket that the peer process has sent into a stream.
 fn into_tcp_stream(client: OwnedFd) -> io::Result<TcpStream> {
     let stream = std::net::TcpStream::from(client);
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
-/// Returns once the client has closed. The end of the stream lies behind all that the client sends meanwhile,
-/// which is discarded.
+/// Returns once the client has closed its connection. Discards all data that the client sends before, since
+/// the end of the stream can only be read after that data.
 async fn wait_for_disconnect(stream: &mut TcpStream) {
     while stream.read(&mut [0; READ_CHUNK_BYTES]).await.is_ok_and(|read| read > 0) {}
 }
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -1,7 +1,7 @@
-//! The form in which a job is migrated from one process of a node to the other: the length of the record in four
-//! bytes, big-endian; the record in JSON; the body of the request.
+//! Serialized form in which a job migrates from one process of a node to the other: the length of the record
+//! in four bytes, big-endian; the record in JSON; the body of the request.
 //!
-//! The other process may run another version, so the form must not change.
+//! The peer process may run another version, so the format must not change.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hyper::header::HeaderValue;
@@ -10,7 +10,7 @@
 use crate::dispatch::JobMigration;
 use crate::upstream::RequestPayload;
 
-/// Bytes of the length before the record.
+/// Size in bytes of the length field in front of the record.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// A job and the head of its request.
@@ -26,7 +26,8 @@
     content_type: Option<String>,
 }
 
-/// Encodes a job and its request. None where a header is not text, which cannot be transferred.
+/// Encodes a job and its request. Returns `None` if a header is not text, since such a header cannot be
+/// represented in the record.
 pub fn encode(migration: &JobMigration, payload: &RequestPayload) -> Option<Bytes> {
     let record = MigrationRecord {
         migration: migration.clone(),
@@ -43,7 +44,8 @@
     Some(bytes.freeze())
 }
 
-/// Decodes a job and its request; the body shares the memory of `bytes`. None where they are malformed.
+/// Decodes a job and its request. The body shares the memory of `bytes`. Returns `None` if `bytes` are
+/// malformed.
 pub fn decode(bytes: &Bytes) -> Option<(JobMigration, RequestPayload)> {
     let mut rest = bytes.clone();
     let record_bytes = rest.try_get_u32().ok()? as usize;
@@ -62,12 +64,12 @@
     Some((record.migration, payload))
 }
 
-/// The text of a header, if the request has it; None where the header is not text.
+/// Converts an optional header to text. Returns `None` if the header is present but not text.
 fn header_to_text(value: Option<&HeaderValue>) -> Option<Option<String>> {
     value.map(|value| value.to_str().map(str::to_owned)).transpose().ok()
 }
 
-/// The header of that text, if there is one; None where the text cannot be a header.
+/// Converts an optional text to a header. Returns `None` if the text is present but not a valid header value.
 fn text_to_header(text: Option<String>) -> Option<Option<HeaderValue>> {
     text.map(|text| HeaderValue::from_str(&text)).transpose().ok()
 }
--- a/crates/node/src/server/open_job.rs
+++ b/crates/node/src/server/open_job.rs
@@ -1,4 +1,4 @@
-//! The guard of a job between its arrival and its response.
+//! Guard of a job from the end of its request to its response.
 
 use std::rc::Rc;
 
@@ -8,28 +8,30 @@
 use crate::dispatch::{DispatchMessage, JobHandle};
 use crate::upstream::RequestPayload;
 
-/// Counts a job as open until it is dropped. Dropped with a disconnect message armed, as when hyper drops the
-/// request of a client that has closed, it sends that message to the dispatch task.
+/// Guard that counts a job as open until it is dropped. If the disconnect message is armed, the drop also
+/// sends that message to the dispatch task, for example when hyper drops the request of a client that has
+/// closed its connection.
 pub struct OpenJob {
     disconnect_message: Option<DisconnectMessage>,
     state: Rc<ServerState>,
 }
 
-/// What the dispatch task gets when the client closes before its response.
+/// Message to the dispatch task that the client has closed its connection before the response.
 struct DisconnectMessage {
-    /// Capacity of the queue that is reserved for the message, since a drop cannot wait for any.
+    /// Reserved capacity of the queue for the message, since a drop cannot wait for capacity.
     permit: OwnedPermit<DispatchMessage<RequestPayload>>,
     job_handle: JobHandle,
 }
 
 impl OpenJob {
-    /// Counts a job as open. The dispatch task does not know it yet.
+    /// Counts a job as open. The job has not been submitted to the dispatch task yet.
     pub fn new(state: &Rc<ServerState>) -> OpenJob {
         state.open_jobs.set(state.open_jobs.get() + 1);
         OpenJob { disconnect_message: None, state: state.clone() }
     }
 
-    /// From now on the drop of this guard sends the message that the client has closed.
+    /// Arms the disconnect message: dropping this guard notifies the dispatch task that the client has closed
+    /// its connection.
     pub fn arm_disconnect_message(
         &mut self,
         permit: OwnedPermit<DispatchMessage<RequestPayload>>,
@@ -38,7 +40,8 @@
         self.disconnect_message = Some(DisconnectMessage { permit, job_handle });
     }
 
-    /// The job is answered, or is no more this process's: the client may close.
+    /// Disarms the disconnect message, because the job is answered or another process owns it now. The client
+    /// may then close its connection.
     pub fn disarm_disconnect_message(&mut self) {
         self.disconnect_message = None;
     }
@@ -49,7 +52,8 @@
         self.state.open_jobs.set(self.state.open_jobs.get() - 1);
         self.state.job_closed.notify_waiters();
         if let Some(DisconnectMessage { permit, job_handle }) = self.disconnect_message.take() {
-            // At once, for an attempt that is about to begin: the message may wait behind many others.
+            // Set immediately for an attempt that is about to begin, since the message may be queued behind
+            // many others.
             job_handle.mark_client_gone();
             permit.send(DispatchMessage::ClientDisconnected(job_handle));
         }
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -21,27 +21,28 @@
 const X_COST_HINT: HeaderName = HeaderName::from_static("x-cost-hint");
 const X_EXTRAS: HeaderName = HeaderName::from_static("x-extras");
 
-/// Path of jobs without an affinity key; one with a key has `/KEY` behind it.
+/// Path of jobs without an affinity key. Jobs with a key append `/KEY`.
 const JOBS_PATH: &str = "/api";
-/// Longest X-Request-Id, in bytes.
+/// Maximum length of an X-Request-Id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// Characters of an X-Request-Id besides ASCII letters and digits: those that stand in a path as they are.
+/// Characters allowed in an X-Request-Id besides ASCII letters and digits: those that need no escaping in a
+/// path.
 const REQUEST_ID_PUNCTUATION: &[u8] = b"-._~:@!$&'()*+,;=";
-/// Longest path with its query, in bytes.
+/// Maximum length of a path with its query, in bytes.
 const MAX_PATH_BYTES: usize = 2048;
-/// Largest X-Deadline, in seconds: no client waits for longer.
+/// Maximum value of X-Deadline, in seconds. No client waits for longer than a day.
 const MAX_DEADLINE_SECONDS: f64 = 86_400.0;
-/// X-Cost-Hint is in microseconds.
+/// Microseconds per second, to convert X-Cost-Hint, which is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Slots that a job may request.
+/// Range of the number of slots that a job may request.
 const ALLOWED_SLOTS: std::ops::RangeInclusive<f64> = 1.0..=64.0;
-/// Slots of a job that requests none.
+/// Number of slots of a job that does not request a number.
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// The classes and tenants that requests can name.
+/// The configured classes and tenants, by which requests are validated.
 pub struct JobCatalog {
     classes: Vec<JobClass>,
-    /// Names of the tenants; with none of them all jobs share one quota.
+    /// Names of the tenants. If there are none, all jobs share one quota.
     tenants: Vec<String>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl JobCatalog {
-    /// The classes and tenants of the configuration.
+    /// Creates the catalog of the configured classes and tenants.
     pub fn new(site: &Site) -> JobCatalog {
         let classes = site.class_names.iter().zip(&site.dispatcher.classes);
         let classes = classes.map(|(name, class)| JobClass {
@@ -67,8 +68,9 @@
         index.map(ClassId).ok_or_else(|| RequestError::UnknownClass(name.to_owned()))
     }
 
-    /// The tenant whose quota a job counts against: by name, or by its index in the configuration. Where
-    /// there are tenants the header is mandatory, since a job of no tenant would count against no quota.
+    /// Returns the tenant whose quota the job counts against. The header holds the tenant's name or its index
+    /// in the configuration. If tenants are configured, the header is mandatory, since a job without a tenant
+    /// would count against no quota.
     fn tenant(&self, name: Option<&str>) -> Result<TenantId, RequestError> {
         if self.tenants.is_empty() {
             return Ok(TenantId(0));
@@ -80,7 +82,7 @@
     }
 }
 
-/// Whether jobs are submitted at this path: `/api/KEY`, or `/api` where jobs have no affinity key.
+/// Returns whether jobs are submitted at this path: `/api/KEY`, or `/api` for jobs without an affinity key.
 pub fn is_job_path(path: &str) -> bool {
     path.strip_prefix(JOBS_PATH)
         .is_some_and(|rest| rest.is_empty() || rest.len() > 1 && rest.starts_with('/'))
@@ -88,23 +90,23 @@
 
 /// The head of a client's job.
 pub struct JobRequest {
-    /// X-Request-Id.
+    /// Value of X-Request-Id.
     pub request_id: Rc<str>,
     class: ClassId,
     tenant: TenantId,
     deadline: Timestamp,
-    /// The client's estimate of the work, in seconds.
+    /// Work of the job as estimated by the client, in seconds.
     cost_hint: Option<f64>,
     slots: f64,
-    /// Hash of the last segment of the path, the same at every node.
+    /// Hash of the last segment of the path. All nodes compute the same hash.
     affinity_key: Option<u64>,
     /// Whether the client has sent this job before.
     is_retry: bool,
-    /// What is passed on to the worker, beside the body.
+    /// Parts of the request that are forwarded to the worker, besides the body.
     forwarded: ForwardedHead,
 }
 
-/// The parts of a job's head that are forwarded to a worker unchanged.
+/// Parts of a job's head that are forwarded to a worker unchanged.
 struct ForwardedHead {
     method: Method,
     path: PathAndQuery,
@@ -114,7 +116,7 @@
 }
 
 impl JobRequest {
-    /// Parses the head of a job that was received at that time.
+    /// Parses the head of a job that was received at `received_at`.
     pub fn parse(
         head: Parts,
         catalog: &JobCatalog,
@@ -152,7 +154,8 @@
         })
     }
 
-    /// The message with which the job is submitted to the dispatch task, which answers on `response_channel`.
+    /// Converts the request into its submission to the dispatch task, which sends the response on
+    /// `response_channel`.
     pub fn into_submission(
         self,
         body: Bytes,
@@ -176,7 +179,7 @@
 }
 
 impl ForwardedHead {
-    /// What a worker gets. The path is in origin form, without a scheme and a host.
+    /// Builds the request to a worker. The path is in origin form, without scheme and host.
     fn into_payload(self, body: Bytes) -> RequestPayload {
         RequestPayload {
             method: self.method,
@@ -189,7 +192,8 @@
     }
 }
 
-/// The id of a job. It must stand in a path as it is: the request that cancels the job has it there.
+/// Parses the id of a job. The id must need no escaping in a path, since the request that cancels the job
+/// contains it in its path.
 fn parse_request_id(headers: &HeaderMap) -> Result<Rc<str>, RequestError> {
     let request_id = required_text(headers, X_REQUEST_ID)?;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || REQUEST_ID_PUNCTUATION.contains(&byte);
@@ -201,7 +205,7 @@
     if is_valid { Ok(request_id.into()) } else { Err(RequestError::MalformedHeader(X_REQUEST_ID)) }
 }
 
-/// The idempotency key, which jobs of some classes need.
+/// Parses the idempotency key, which jobs of some classes require.
 fn parse_idempotency_key(
     headers: &HeaderMap,
     catalog: &JobCatalog,
@@ -215,31 +219,32 @@
     Ok(key)
 }
 
-/// When the client stops waiting. X-Deadline counts in seconds from the arrival of the head.
+/// Parses the time at which the client stops waiting. X-Deadline is in seconds, counted from the arrival of
+/// the head.
 fn parse_deadline(headers: &HeaderMap, received_at: Timestamp) -> Result<Timestamp, RequestError> {
     let seconds = optional_number(headers, &X_DEADLINE, MAX_DEADLINE_SECONDS)?;
     let seconds = seconds.ok_or(RequestError::MissingHeader(X_DEADLINE))?;
     Ok(received_at + TimeSpan::from_secs_f64(seconds))
 }
 
-/// The client's estimate of the work, in seconds.
+/// Parses the client's estimate of the work, and converts it to seconds.
 fn parse_cost_hint(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
     let micros = optional_number(headers, &X_COST_HINT, MAX_DEADLINE_SECONDS * MICROS_PER_SECOND)?;
     Ok(micros.map(|micros| micros / MICROS_PER_SECOND))
 }
 
-/// How many slots of a worker the job occupies.
+/// Parses the number of slots of a worker that the job occupies.
 fn parse_slots(headers: &HeaderMap) -> Result<f64, RequestError> {
     let slots = parse_extra(headers, "slots")?.unwrap_or(DEFAULT_SLOTS);
-    if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::ImpossibleSlots) }
+    if ALLOWED_SLOTS.contains(&slots) { Ok(slots) } else { Err(RequestError::SlotsOutOfRange) }
 }
 
-/// One of the figures of X-Extras, a list of `name=figure`; the last one of that name counts.
+/// Parses a value of X-Extras, a list of `name=number`. The last value with the name counts.
 fn parse_extra(headers: &HeaderMap, wanted: &str) -> Result<Option<f64>, RequestError> {
     let Some(extras) = optional_text(headers, &X_EXTRAS)? else { return Ok(None) };
     let mut found = None;
     for pair in extras.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
-        let (name, value) = parse_figure(pair).ok_or(RequestError::MalformedHeader(X_EXTRAS))?;
+        let (name, value) = parse_pair(pair).ok_or(RequestError::MalformedHeader(X_EXTRAS))?;
         if name == wanted {
             found = Some(value);
         }
@@ -247,14 +252,14 @@
     Ok(found)
 }
 
-/// Parses `name=figure`; the figure is finite and not negative.
-fn parse_figure(pair: &str) -> Option<(&str, f64)> {
+/// Parses `name=number`. The number must be finite and not negative.
+fn parse_pair(pair: &str) -> Option<(&str, f64)> {
     let (name, value) = pair.split_once('=')?;
     let value = value.parse::<f64>().ok()?;
     (value.is_finite() && value >= 0.0).then_some((name, value))
 }
 
-/// The path with its query.
+/// Returns the path with its query.
 fn parse_path(uri: &Uri) -> Result<PathAndQuery, RequestError> {
     let path = uri.path_and_query().filter(|path| path.as_str().is_ascii());
     let path = path.ok_or(RequestError::MalformedPath)?;
@@ -264,19 +269,19 @@
     Ok(path.clone())
 }
 
-/// Hash of the last segment of a job's path, by which jobs that concern the same thing go to the same worker.
-/// None where the path has no segment behind [`JOBS_PATH`].
+/// Returns the hash of the last segment of a job's path. Jobs with the same affinity key go to the same
+/// worker. Returns `None` if the path has no segment after [`JOBS_PATH`].
 fn affinity_key(path: &str) -> Option<u64> {
     let key = path.strip_prefix(JOBS_PATH)?.rsplit('/').next()?;
     (!key.is_empty()).then(|| stable_hash(key))
 }
 
-/// The text of a header that must be there.
+/// Returns the text of a required header.
 fn required_text(headers: &HeaderMap, name: HeaderName) -> Result<&str, RequestError> {
     optional_text(headers, &name)?.ok_or(RequestError::MissingHeader(name))
 }
 
-/// The text of a header that may appear once.
+/// Returns the text of a header that may appear at most once.
 fn optional_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).into_iter();
     match (values.next(), values.next()) {
@@ -289,7 +294,7 @@
     }
 }
 
-/// A header with a figure from 0 to `max`.
+/// Parses a header with a number from 0 to `max`.
 fn optional_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Result<Option<f64>, RequestError> {
     let Some(text) = optional_text(headers, name)? else { return Ok(None) };
     match text.parse::<f64>() {
--- a/crates/node/src/server/request_body.rs
+++ b/crates/node/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request, within its bounds of size and time.
+//! Reads the body of a request, within limits on its size and on the time to receive it.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 use super::connection::{Connection, ConnectionState};
 use super::error::RequestError;
 
-/// Largest body, in bytes.
+/// Maximum size of a body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A body must be complete this long before the read timeout of its connection, which leaves time for the 408.
+/// Time between the limit for a complete body and the read timeout of its connection. It leaves time to send
+/// the response with status 408.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Reads a body to its end; the connection is busy from then on.
+/// Reads a body to its end. The connection then enters the state [`ConnectionState::Busy`].
 pub async fn read_body(incoming: Incoming, connection: &Connection) -> Result<Bytes, RequestError> {
     if incoming.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -15,21 +15,21 @@
 use crate::lifecycle::Phase;
 
 /// Media type of the metrics.
-const OPENMETRICS: HeaderValue =
+const OPENMETRICS_MEDIA_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
 /// A response with its complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// A response with that status and body.
+/// Builds a response with this status and body.
 pub fn with_status(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
 }
 
-/// 503 with Retry-After. A duration of 0 means that there is no advice, and the header is omitted: it would
-/// request an immediate retry.
+/// Builds a response with status 503 and Retry-After. If the duration is 0, there is no advice, and the
+/// header is omitted because it would request an immediate retry.
 pub fn rejected(retry_after: Duration) -> HttpResponse {
     let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "deferred: come again later\n");
     if !retry_after.is_zero()
@@ -40,7 +40,7 @@
     response
 }
 
-/// The response to a job; an error where its request should not have been sent.
+/// Builds the response to a job. Returns an error if the client should not have sent the request.
 pub fn from_job_response(job_response: JobResponse) -> Result<HttpResponse, RequestError> {
     match job_response {
         JobResponse::Served(result) => Ok(with_status(StatusCode::OK, result)),
@@ -50,12 +50,12 @@
     }
 }
 
-/// The response to a request that is not served: its text in a line.
+/// Builds the response to a request that is not served. The body is the error message on one line.
 pub fn from_error(error: &RequestError) -> HttpResponse {
     with_status(error.status(), format!("{error}\n"))
 }
 
-/// Whether this node accepts new clients, for the load balancer in front of it.
+/// Builds the response to a readiness check of the load balancer: whether this node accepts new clients.
 pub fn readiness(phase: Phase) -> HttpResponse {
     if phase.accepts_new_clients() {
         with_status(StatusCode::OK, "ready\n")
@@ -64,27 +64,27 @@
     }
 }
 
-/// All metrics in their text form.
+/// Builds the response with all metrics, given in their text format.
 pub fn metrics(text: String) -> HttpResponse {
     let mut response = with_status(StatusCode::OK, text);
-    response.headers_mut().insert(CONTENT_TYPE, OPENMETRICS);
+    response.headers_mut().insert(CONTENT_TYPE, OPENMETRICS_MEDIA_TYPE);
     response
 }
 
-/// 405 with the method that the path has.
+/// Builds a response with status 405 that names the method of the path.
 pub fn method_not_allowed(allowed: &'static str) -> HttpResponse {
     let mut response = with_status(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-/// Has the client close the connection after this response.
+/// Tells the client to close the connection after this response.
 pub fn set_connection_close(response: &mut HttpResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Writes the response to a request whose socket came from the other process of this node. It is the last one
-/// on that connection.
+/// Writes the response to a request whose socket was sent by the peer process of this node. It is the last
+/// response on that connection.
 pub async fn write_last_response(stream: &mut TcpStream, response: HttpResponse) -> io::Result<()> {
     let (parts, body) = response.into_parts();
     let Ok(body) = body.collect().await;
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -26,36 +26,38 @@
 use crate::telemetry::logging::SERVER;
 use crate::telemetry::metrics::Counter;
 
-/// The server for one connection. Handlers of requests are in the modules of their concern.
+/// HTTP service of one connection. The modules `job_handler` and `callback_handler` implement the handlers of
+/// jobs and callbacks.
 #[derive(Clone)]
 pub struct ConnectionService {
     pub(super) state: Rc<ServerState>,
     pub(super) connection: Rc<Connection>,
-    /// What hyper reads the connection through.
+    /// Filter through which hyper reads from the connection. Dropped once HTTP has ended on the connection.
     read_filter: Weak<RefCell<ReadFilter>>,
 }
 
-/// Who closes a connection on which HTTP has ended.
+/// Method of closing a connection on which HTTP has ended.
 #[derive(PartialEq, Eq)]
-enum CloseBy {
-    /// This process, with a lingering close.
-    LingeringClose,
-    /// Nobody any more: the peer has closed, the other process of this node has the connection, or the peer
-    /// reads nothing.
-    Drop,
+enum CloseMode {
+    /// This process shuts the write side down and lingers.
+    Linger,
+    /// The socket is dropped at once: the remote end has closed the connection, the peer process of this node
+    /// has adopted it, or the remote end reads nothing.
+    Immediate,
 }
 
 /// Serves an accepted connection until it is closed.
 pub async fn serve_connection(state: Rc<ServerState>, connection: Rc<Connection>, stream: TcpStream) {
-    // Without it a response could wait for the peer's delayed acknowledgement, but would arrive.
+    // If this fails, responses may be delayed by the delayed acknowledgements of the remote end, but they
+    // still arrive.
     let _ = stream.set_nodelay(true);
     let read_filter =
         ReadFilter::new(stream, connection.clone(), state.metrics.clone(), state.intake_closed.clone());
     let read_filter = Rc::new(RefCell::new(read_filter));
     let service =
         ConnectionService { state, connection: connection.clone(), read_filter: Rc::downgrade(&read_filter) };
-    let close_by = service.run_http(&connection, &read_filter).await;
-    if close_by == CloseBy::LingeringClose
+    let close_mode = service.run_http(&connection, &read_filter).await;
+    if close_mode == CloseMode::Linger
         && let Ok(read_filter) = Rc::try_unwrap(read_filter)
     {
         lingering_close(read_filter.into_inner().into_stream(), &connection).await;
@@ -63,11 +65,11 @@
 }
 
 impl ConnectionService {
-    /// Has hyper serve the requests of the connection.
-    async fn run_http(self, connection: &Connection, read_filter: &Rc<RefCell<ReadFilter>>) -> CloseBy {
+    /// Serves the requests of the connection with hyper.
+    async fn run_http(self, connection: &Connection, read_filter: &Rc<RefCell<ReadFilter>>) -> CloseMode {
         let stream = TokioIo::new(FilteredStream::new(read_filter.clone()));
         let http = http1::Builder::new()
-            // Timeouts are kept by `Connection`: that of a head begins with its first byte.
+            // `Connection` keeps the timeouts. The timeout of a head starts with its first byte.
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(stream, TowerToHyperService::new(self));
@@ -75,36 +77,38 @@
         loop {
             tokio::select! {
                 biased;
-                // Whether it ended well makes no difference here: an open job reports its end by its drop.
+                // The result makes no difference here: an open job reports its end when it is dropped.
                 _ = http.as_mut() => {
                     let (connection, state) = (connection.number(), connection.state());
                     trace!(target: SERVER, connection, ?state, "connection carries no more requests");
-                    return CloseBy::LingeringClose;
+                    return CloseMode::Linger;
                 },
                 () = connection.close_requested() => {
                     if connection.is_aborted() {
-                        return CloseBy::Drop;
+                        return CloseMode::Immediate;
                     }
                     if connection.state() == ConnectionState::Reading
                         || read_filter.borrow().has_pending_input()
                     {
-                        // hyper, which does not see half a head, would close over a request that has just
-                        // begun. It is read to its end and is the last one.
+                        // hyper does not see an incomplete head and would close the connection although a
+                        // request has just begun. That request is read to its end and is the last one.
                         connection.mark_last_request();
                         let (connection, state) = (connection.number(), connection.state());
                         debug!(target: SERVER, connection, ?state, "connection close deferred");
                     } else if !connection.is_read_expired() {
-                        // An expired connection ends by what the filter returns when it is next polled.
+                        // An expired connection ends with the result of the filter's next poll.
                         http.as_mut().graceful_shutdown();
                     }
                 },
-                // Last, because a peer that floods the connection uses up the task's budget here.
-                () = poll_fn(|context| read_filter.borrow_mut().poll_disconnected(context)) => return CloseBy::Drop,
+                // Polled last, because a remote end that floods the connection uses up the task's budget
+                // here.
+                () = poll_fn(|context| read_filter.borrow_mut().poll_disconnected(context)) =>
+                    return CloseMode::Immediate,
             }
         }
     }
 
-    /// Answers a request.
+    /// Handles a request and returns its response.
     async fn respond(self, request: Request<Incoming>) -> HttpResponse {
         let mut response = if self.connection.is_request_rejected() {
             self.state.reject_job()
@@ -131,7 +135,8 @@
         outcome.unwrap_or_else(|error| self.reject_request(&error))
     }
 
-    /// The response to a request that is not served; its connection is closed to free its descriptor.
+    /// Builds the response to a request that is not served. The connection is closed afterwards, to free its
+    /// descriptor.
     fn reject_request(&self, error: &RequestError) -> HttpResponse {
         self.state.metrics.add(Counter::RequestsMalformed);
         debug!(target: SERVER, status = error.status().as_u16(), reason = %error, "request rejected");
@@ -140,13 +145,14 @@
         response
     }
 
-    /// A duplicate of the connection's descriptor, for the migration of its job.
+    /// Duplicates the connection's descriptor for the migration of its job.
     pub(super) fn duplicate_socket(&self) -> Option<OwnedFd> {
         self.read_filter.upgrade()?.borrow().duplicate_socket()
     }
 
-    /// A function that looks whether the peer has disconnected. Once HTTP has ended on the connection it tells
-    /// nothing: the server reports the disconnection, or another process has the connection.
+    /// Returns a function that checks whether the remote end has disconnected. Once HTTP has ended on the
+    /// connection, the function returns false: the server then reports the disconnection itself, or another
+    /// process owns the connection.
     pub(super) fn disconnect_probe(&self) -> impl Fn() -> bool + 'static {
         let read_filter = self.read_filter.clone();
         move || {
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Whether the connection closes after the response that is made now.
+    /// Returns whether the connection closes after the response that is being built.
     fn closes_after_response(&self) -> bool {
         let redirects = self.state.lifecycle.phase().redirects_clients() && !self.connection.is_worker();
         redirects || self.connection.is_last_request() || self.state.intake_closed.get()
@@ -177,7 +183,7 @@
     }
 }
 
-/// The resource that a request names.
+/// Resource that a request addresses, or the reason why there is none.
 enum Route {
     Job,
     Callback,
--- a/crates/node/src/server/state.rs
+++ b/crates/node/src/server/state.rs
@@ -1,4 +1,4 @@
-//! What all connections and handlers of the server share.
+//! State that is shared by all connections and handlers of the server.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -20,23 +20,23 @@
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::RequestPayload;
 
-/// The parts of the node that the server works with.
+/// Parts of the node that the server uses.
 pub struct ServerParts<'a> {
-    /// Queue of the dispatch task, which decides what becomes of each job.
+    /// Queue of the dispatch task, which decides on the outcome of each job.
     pub queue: DispatchQueue<RequestPayload>,
     /// Clock of the node, for deadlines.
     pub clock: Clock,
-    /// The configuration, for the names of classes and tenants.
+    /// Configuration, for the names of classes and tenants.
     pub site: &'a Site,
     /// Phase of the process.
     pub lifecycle: Lifecycle,
     /// Metrics of the node.
     pub metrics: Metrics,
-    /// The other process of this node, while there is one.
+    /// The peer process of this node, while there is one.
     pub peer: Peer,
-    /// How many connections may be open.
+    /// Limit on the number of open connections.
     pub connection_budget: ConnectionBudget,
-    /// The operator's settings, which may change while the node runs.
+    /// Operator's settings, which may change while the node runs.
     pub options: Rc<Cell<ServerOptions>>,
 }
 
@@ -46,7 +46,7 @@
     pub queue: DispatchQueue<RequestPayload>,
     /// Clock of the node.
     pub clock: Clock,
-    /// Classes and tenants that requests can name.
+    /// Configured classes and tenants, by which requests are validated.
     pub catalog: JobCatalog,
     /// Phase of the process.
     pub lifecycle: Lifecycle,
@@ -54,28 +54,29 @@
     pub metrics: Metrics,
     /// The operator's settings.
     pub options: Rc<Cell<ServerOptions>>,
-    /// How many connections may be open.
+    /// Limit on the number of open connections.
     pub connection_budget: ConnectionBudget,
-    /// The other process of this node, while there is one.
+    /// The peer process of this node, while there is one.
     pub peer: Peer,
-    /// Accepted connections; those that have ended are removed by [`ServerState::live_connections`].
+    /// Accepted connections. [`ServerState::live_connections`] removes those that have closed.
     pub connections: RefCell<Vec<Weak<Connection>>>,
-    /// How many connections were accepted.
+    /// Number of connections accepted so far.
     accepted_connections: Cell<u64>,
-    /// Jobs whose body was read to its end and that are not answered.
+    /// Number of jobs whose body was read to its end and that are not answered.
     pub open_jobs: Cell<usize>,
     /// Notified whenever `open_jobs` has decreased.
     pub job_closed: Notify,
-    /// Set once the shutdown has seen that no job is open; no job is taken from then on.
+    /// Whether the shutdown has closed the intake, which it does once no job is open. No job is accepted from
+    /// then on.
     pub intake_closed: Rc<Cell<bool>>,
-    /// Whether this process accepts new connections.
+    /// Mode of the listener, which determines whether this process accepts new connections.
     pub listener_mode: watch::Sender<ListenerMode>,
-    /// Whether open jobs are to migrate to the other process of this node.
+    /// Whether open jobs are to migrate to the peer process of this node.
     pub migrating: watch::Sender<bool>,
 }
 
 impl ServerState {
-    /// State of a server without connections, which accepts none yet.
+    /// Creates the state of a server without connections, which accepts no connections yet.
     pub fn new(parts: ServerParts) -> ServerState {
         ServerState {
             queue: parts.queue,
@@ -96,35 +97,35 @@
         }
     }
 
-    /// Most jobs that may be open: three quarters of the connection budget. The other connections of the
-    /// budget are left for callbacks and for requests that must be answered with a rejection.
+    /// Returns the maximum number of open jobs: three quarters of the connection budget. The remaining
+    /// connections are left for callbacks and for requests that are answered with a rejection.
     pub fn max_open_jobs(&self) -> usize {
         self.connection_budget.target() * 3 / 4
     }
 
-    /// The number of a connection that was just accepted: how many were accepted before it.
-    pub fn number_connection(&self) -> u64 {
+    /// Returns the number of a connection that was just accepted: how many were accepted before it.
+    pub fn next_connection_number(&self) -> u64 {
         let number = self.accepted_connections.get();
         self.accepted_connections.set(number + 1);
         number
     }
 
-    /// The response to a job that is rejected before the dispatch task knows it.
+    /// Builds the response to a job that is rejected without being submitted to the dispatch task.
     pub fn reject_job(&self) -> HttpResponse {
         response::rejected(self.options.get().overload_retry_after.duration())
     }
 
-    /// The connections that have not ended.
+    /// Returns the connections that have not closed.
     pub fn live_connections(&self) -> Vec<Rc<Connection>> {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| connection.strong_count() > 0);
         connections.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Returns once open jobs are to migrate, after a pause.
-    pub async fn migration_requested(&self, pause: Duration) {
-        sleep(pause).await;
-        // It fails only without a sender, which this state owns.
+    /// Waits for `delay`, then returns as soon as open jobs are to migrate.
+    pub async fn migration_requested(&self, delay: Duration) {
+        sleep(delay).await;
+        // This fails only if the sender has been dropped, but this state owns the sender.
         let _ = self.migrating.subscribe().wait_for(|migrating| *migrating).await;
     }
 }
--- a/crates/node/src/telemetry/logging/line_filter.rs
+++ b/crates/node/src/telemetry/logging/line_filter.rs
@@ -1,4 +1,5 @@
-//! Which lines are written: a level and a rate limit for each target. Both can change while lines are written.
+//! Filter of the log lines: a level for each target, and a rate limit that applies to each target separately.
+//! Both can change while lines are written.
 
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,7 +15,7 @@
 
 const TARGET_COUNT: usize = LogTarget::ALL.len();
 
-/// The least severe level that is written.
+/// Least severe level that is written, shared between threads.
 #[derive(Default)]
 struct AtomicLevel(AtomicU8);
 
@@ -41,14 +42,14 @@
 /// Levels and rate limits of the targets, by their index in [`LogTarget::ALL`].
 pub struct LineFilter {
     levels: [AtomicLevel; TARGET_COUNT],
-    /// Rate limit of each target.
+    /// Rate limit of each target, in lines per second.
     lines_per_s: AtomicU64,
     rate_limiters: Mutex<[RateLimiter; TARGET_COUNT]>,
     rate_limited: AtomicU64,
 }
 
 impl LineFilter {
-    /// A filter whose targets have not written anything yet.
+    /// Creates a filter for targets that have not written any line yet.
     pub fn new(options: &LogOptions) -> Self {
         let lines_per_s = options.lines_per_s.get();
         let new_rate_limiter = |_| RateLimiter::new(lines_per_s as f64, Instant::now());
@@ -62,7 +63,7 @@
         filter
     }
 
-    /// Changes levels and rate limit.
+    /// Applies changed levels and a changed rate limit.
     pub fn apply(&self, options: &LogOptions) {
         for (level, target) in self.levels.iter().zip(LogTarget::ALL) {
             level.store(options.level_of(target));
@@ -70,12 +71,12 @@
         self.lines_per_s.store(options.lines_per_s.get(), Ordering::Relaxed);
     }
 
-    /// Lines that the rate limit has dropped so far.
+    /// Returns the number of lines that the rate limit has dropped so far.
     pub fn rate_limited(&self) -> u64 {
         self.rate_limited.load(Ordering::Relaxed)
     }
 
-    /// Whether a target may write a line now; counts the line as dropped if not.
+    /// Returns whether a target may write a line now. If not, counts the line as dropped.
     fn try_acquire(&self, target: usize, now: Instant) -> bool {
         let lines_per_s = self.lines_per_s.load(Ordering::Relaxed) as f64;
         let mut rate_limiters = self.rate_limiters.lock().unwrap_or_else(PoisonError::into_inner);
@@ -87,12 +88,12 @@
     }
 }
 
-/// Index of the target of a line. Lines of other crates have none and are not written.
+/// Returns the index of the target of a line. Lines of other crates have no such target and are not written.
 fn target_index(line: &Metadata<'_>) -> Option<usize> {
     LogTarget::ALL.iter().position(|target| target.name() == line.target())
 }
 
-/// The filter in the form in which the subscriber takes it.
+/// Adapter that implements the subscriber's filter trait for a shared [`LineFilter`].
 pub struct SharedLineFilter(pub Arc<LineFilter>);
 
 impl<S: Subscriber> Filter<S> for SharedLineFilter {
--- a/crates/node/src/telemetry/logging/mod.rs
+++ b/crates/node/src/telemetry/logging/mod.rs
@@ -1,6 +1,6 @@
-//! The log on standard error. Writing a line never blocks: lines go through a bounded queue to a thread of their own,
-//! and one that finds the queue full is dropped. Lines above the rate limit of their target are dropped too. Both are
-//! counted.
+//! Log on standard error. Writing a line never blocks: lines go through a bounded queue to a separate thread.
+//! A line is dropped if the queue is full or if the line exceeds the rate limit of its target. Both kinds of
+//! dropped lines are counted.
 
 mod line_filter;
 mod rate_limiter;
@@ -28,24 +28,24 @@
 /// Target of the endpoint watch.
 pub const DISCOVERY: &str = LogTarget::Discovery.name();
 
-/// Why the log cannot be written.
+/// Errors of [`Logging::start`].
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// The process has a log already.
+    /// The process already has a log.
     #[error("the log does not start: {0}")]
     Subscriber(#[from] TryInitError),
 }
 
-/// Lines that have been dropped since the start, by reason.
+/// Numbers of lines dropped since the start, by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DroppedLines {
-    /// A target wrote more lines than its rate limit allows.
+    /// Lines dropped because their target exceeded its rate limit.
     pub rate_limited: u64,
-    /// The queue was full because standard error did not take lines fast enough.
+    /// Lines dropped because the queue was full: standard error did not accept lines fast enough.
     pub queue_full: u64,
 }
 
-/// The log of the process. When dropped it writes what is queued, for a second at most.
+/// Log of the process. When dropped, it writes the queued lines, for one second at most.
 pub struct Logging {
     filter: Arc<LineFilter>,
     format: LogFormat,
@@ -54,7 +54,7 @@
 }
 
 impl Logging {
-    /// Starts to write to standard error. Fails in a process that has a log already.
+    /// Starts to write to standard error. Fails if the process already has a log.
     pub fn start(options: &LogOptions) -> Result<Self, LoggingError> {
         let (queue, writer) = NonBlockingBuilder::default()
             .lossy(true)
@@ -78,7 +78,7 @@
         tracing::callsite::rebuild_interest_cache();
     }
 
-    /// A function that counts the lines dropped so far.
+    /// Returns a function that returns the numbers of lines dropped so far.
     pub fn dropped_lines(&self) -> impl Fn() -> DroppedLines + Send + Sync + 'static {
         let (filter, queue_errors) = (self.filter.clone(), self.queue.error_counter());
         move || DroppedLines {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Writes the final metrics: as they are in the text format, as one object in the JSON format.
+    /// Writes the final metrics: unchanged in the text format, as one object in the JSON format.
     pub fn write_final_metrics(&self, metrics: &str) {
         let lines = match self.format {
             LogFormat::Text => metrics.to_owned(),
@@ -97,7 +97,7 @@
                     + "\n"
             }
         };
-        // The queue may be full; at this point of the exit nothing can handle that.
+        // The queue may be full. At this point of the exit, the error cannot be handled.
         let _ = self.queue.clone().write(lines.as_bytes());
     }
 }
--- a/crates/node/src/telemetry/logging/rate_limiter.rs
+++ b/crates/node/src/telemetry/logging/rate_limiter.rs
@@ -1,21 +1,21 @@
-//! A token bucket with a burst of one second.
+//! Token bucket with a burst of one second.
 
 use std::time::Instant;
 
-/// Admits a number of lines at once, and as many again in each second.
+/// Token bucket that admits a burst of up to `lines_per_s` lines, and is refilled at that rate.
 pub struct RateLimiter {
-    /// Lines that may still be written; grows with time up to the rate.
+    /// Number of lines that may be written now. It grows with time, up to the number of lines per second.
     tokens: f64,
     refilled_at: Instant,
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(lines_per_s: f64, now: Instant) -> Self {
         RateLimiter { tokens: lines_per_s, refilled_at: now }
     }
 
-    /// Whether a line may be written now; if so it is counted against the limit.
+    /// Returns whether a line may be written now. If so, counts the line against the limit.
     pub fn try_acquire(&mut self, lines_per_s: f64, now: Instant) -> bool {
         self.refill(lines_per_s, now);
         if self.tokens < 1.0 {
--- a/crates/node/src/telemetry/metrics/counter.rs
+++ b/crates/node/src/telemetry/metrics/counter.rs
@@ -1,18 +1,18 @@
-//! What is counted: each counter with its metric family, label and help text.
+//! Counters of the node, each with its metric family, label and help text.
 
 /// A metric family with one set of labels, as `/metrics` shows it.
 pub(super) struct Series {
     /// Name of the family.
     pub(super) family: &'static str,
-    /// Labels as name and value; several series of a family differ in them.
+    /// Labels as pairs of name and value. Several series of a family differ in their labels.
     pub(super) labels: &'static [(&'static str, &'static str)],
-    /// Help text of the family; only that of its first series counts.
+    /// Help text of the family. Only the text of the family's first series is used.
     pub(super) help: &'static str,
 }
 
 macro_rules! counters {
     ($($name:ident, $family:literal $({ $label:literal = $value:literal })?, $help:literal;)*) => {
-        /// A counter of the node. Its names on `/metrics` are part of the interface and stay as they are.
+        /// A counter of the node. The names on `/metrics` are part of the interface and must not change.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Counter {
             $(
@@ -22,7 +22,7 @@
         }
 
         impl Counter {
-            /// The series of each counter, in the order of the variants. Those of one family stand together.
+            /// Series of each counter, in the order of the variants. Series of the same family are adjacent.
             pub(super) const SERIES: &[Series] =
                 &[$(Series { family: $family, labels: &[$(($label, $value))?], help: $help }),*];
         }
@@ -66,10 +66,10 @@
     LogLinesQueueFull, "curlewusher_log_lines_dropped" { "why" = "stalled" }, "";
 }
 
-/// How a job ended for its client.
+/// Kind of the response with which a job ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// A worker's response was passed on.
+    /// The result of a worker was returned to the client.
     Served,
     /// The job was shed, with advice when to retry.
     Rejected,
@@ -82,7 +82,7 @@
     pub(super) const ALL: [ResponseKind; 3] =
         [ResponseKind::Served, ResponseKind::Rejected, ResponseKind::Failed];
 
-    /// Value of the label `kind`.
+    /// Returns the value of the label `kind`.
     pub(super) fn label(self) -> &'static str {
         match self {
             ResponseKind::Served => "served",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The counter of responses of this kind.
+    /// Returns the counter of responses of this kind.
     pub(super) fn counter(self) -> Counter {
         match self {
             ResponseKind::Served => Counter::ResponsesServed,
--- a/crates/node/src/telemetry/metrics/mod.rs
+++ b/crates/node/src/telemetry/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! The metrics of the node: counters, and histograms of response times by class. They are for people and their tools;
-//! no decision depends on them.
+//! Metrics of the node: counters, and histograms of response times by class. They are for operators and their
+//! tools; no decision of the node depends on them.
 
 mod counter;
 
@@ -19,27 +19,28 @@
 
 type Labels = Vec<(&'static str, String)>;
 
-/// Response times of a class, by index in [`ResponseKind::ALL`].
+/// Histograms of the response times of a class, by index in [`ResponseKind::ALL`].
 type ClassHistograms = [Histogram; ResponseKind::ALL.len()];
 
-/// The metrics of this node; clones share them.
+/// Metrics of this node. Clones share them.
 #[derive(Clone)]
 pub struct Metrics(Arc<Inner>);
 
 struct Inner {
-    /// By [`Counter`].
+    /// Counters, indexed by [`Counter`].
     counters: Vec<RegisteredCounter>,
-    /// By [`Denial`].
+    /// Counters of violations, indexed by [`Denial`].
     violations: Vec<RegisteredCounter>,
-    /// By index of the class.
+    /// Histograms of response times, by index of the class.
     response_times: Vec<ClassHistograms>,
     registry: Registry,
-    /// The log counts its dropped lines itself.
+    /// Returns the numbers of dropped log lines, which the log counts itself.
     dropped_lines: Box<dyn Fn() -> DroppedLines + Send + Sync>,
 }
 
 impl Metrics {
-    /// Metrics at zero. The classes have their names as labels; the upper bounds of the response times are in seconds.
+    /// Creates the metrics with all values at zero. The class names are used as labels. The upper bounds of
+    /// the histogram buckets are in seconds.
     pub fn new(
         class_names: &[String],
         response_time_bounds_s: &[f64],
@@ -58,17 +59,17 @@
         }))
     }
 
-    /// Adds one to a counter.
+    /// Increments a counter.
     pub fn add(&self, counter: Counter) {
         self.0.counters[counter as usize].inc();
     }
 
-    /// Counts something that was decided or done without permission.
+    /// Counts an action that was decided or executed without permission.
     pub fn record_violation(&self, reason: Denial) {
         self.0.violations[reason as usize].inc();
     }
 
-    /// Counts a response, and its time for a class that this node knows.
+    /// Counts a response, and records its time if this node has the class.
     pub fn record_response(&self, kind: ResponseKind, class: usize, elapsed: Duration) {
         self.add(kind.counter());
         if let Some(histograms) = self.0.response_times.get(class) {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// All metrics in the OpenMetrics text format, which Prometheus reads.
+    /// Returns all metrics in the OpenMetrics text format, which Prometheus reads.
     pub fn encode(&self) -> String {
         let DroppedLines { rate_limited, queue_full } = (self.0.dropped_lines)();
         self.raise_to(Counter::LogLinesRateLimited, rate_limited);
@@ -87,7 +88,7 @@
         text
     }
 
-    /// Raises a counter to the value that its owner has counted.
+    /// Raises a counter to a value that is counted elsewhere.
     fn raise_to(&self, counter: Counter, value: u64) {
         let counter = &self.0.counters[counter as usize];
         counter.inc_by(value.saturating_sub(counter.get()));
--- a/crates/node/src/telemetry/mod.rs
+++ b/crates/node/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What the node reports about itself: metrics and the log.
+//! Metrics and log of the node.
 
 pub mod logging;
 pub mod metrics;
--- a/crates/node/tests/unit/connection_budget.rs
+++ b/crates/node/tests/unit/connection_budget.rs
@@ -1,4 +1,4 @@
-//! A budget is halved and made full again while permits are in use. Time is the test's.
+//! Tests of a connection budget that is halved and restored while permits are in use, on a paused clock.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -19,24 +19,24 @@
         assert_eq!((evictions.get(), budget.target()), (1, 2));
         permits.truncate(2);
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
-        assert_eq!(budget.free(), 0, "both that were returned are removed");
+        assert_eq!(budget.free(), 0, "both returned permits are removed");
         permits.truncate(1);
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
-        assert_eq!(budget.free(), 1, "the target is reached");
+        assert_eq!(budget.free(), 1, "the budget has reached its target");
 
-        budget.set_share(DescriptorShare::All, || panic!("a growing budget evicts nothing"));
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget must not request an eviction"));
         assert_eq!((budget.free(), budget.target()), (3, 4));
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_budget_is_made_full_while_it_shrinks_then_no_permit_is_lost() {
+async fn the_full_size_is_restored_while_the_budget_shrinks_then_no_permit_is_lost() {
     let test = async {
         let budget = ConnectionBudget::new(3, 1);
         let permits: Vec<_> = std::iter::from_fn(|| budget.try_acquire()).collect();
         budget.set_share(DescriptorShare::Half, || {});
-        budget.set_share(DescriptorShare::All, || panic!("a growing budget evicts nothing"));
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget must not request an eviction"));
         drop(permits);
         sleep(Duration::from_secs(1)).await;
         assert_eq!((budget.free(), budget.target()), (3, 3));
@@ -47,7 +47,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_permit_is_free_then_a_caller_waits_until_one_is_returned() {
     let budget = ConnectionBudget::new(1, 1);
-    let permit = budget.try_acquire().expect("it is free");
+    let permit = budget.try_acquire().expect("one permit is free");
     let since = Instant::now();
     let hold_permit = async {
         sleep(Duration::from_secs(5)).await;
--- a/crates/node/tests/unit/line_filter.rs
+++ b/crates/node/tests/unit/line_filter.rs
@@ -1,4 +1,4 @@
-//! The rate limit of the targets.
+//! Rate limits of the log targets.
 
 use std::time::Duration;
 
@@ -15,6 +15,10 @@
     assert_eq!(passed(0, start), 10);
     assert_eq!(passed(1, start), 10, "another target has its own limit");
     assert_eq!(passed(0, start + Duration::from_millis(500)), 5);
-    assert_eq!(passed(0, start + Duration::from_mins(1)), 10, "what was not used does not add up");
+    assert_eq!(
+        passed(0, start + Duration::from_mins(1)),
+        10,
+        "unused lines do not accumulate beyond one second"
+    );
     assert_eq!(filter.rate_limited(), 90 + 90 + 95 + 90);
 }
