--- a/crates/core/src/dispatcher/attempt_lifecycle.rs
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -1,4 +1,4 @@
-//! What workers and connections report on attempts, from acceptance to the end.
+//! Reports of workers and connections on attempts, from acceptance to the end.
 
 use super::Dispatcher;
 use super::job_lifecycle::cancellations;
@@ -7,39 +7,40 @@
 use crate::state::{AttemptId, EndedAttempt};
 use crate::{Outcome, Timestamp};
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptEnd {
-    /// Which attempt.
+    /// Attempt that ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The client has its answer: the job needs no further attempt.
+    /// Whether the client has its response, so that the job needs no further attempt.
     pub job_answered: bool,
 }
 
 impl Dispatcher {
-    /// A worker has accepted an attempt, or reported something on it that implies that.
+    /// Records that a worker has accepted an attempt, or has reported something on it that implies
+    /// acceptance.
     pub(super) fn record_acceptance(&mut self, now: Timestamp, id: AttemptId) {
         if let Some(index) = self.worker_index_of(id) {
             self.fleet.worker_mut(index).record_acceptance(now, id);
         }
     }
 
-    /// The connection of an attempt had ended while it was idle.
+    /// Records that the connection of an attempt had been closed while it was idle.
     pub(super) fn record_stale_connection(&mut self, id: AttemptId) {
         if let Some(index) = self.worker_index_of(id) {
             self.fleet.worker_mut(index).record_stale_connection(id);
         }
     }
 
-    /// A worker has started to run an attempt.
+    /// Handles the report that a worker has started to run an attempt.
     pub(super) fn handle_start(&mut self, now: Timestamp, id: AttemptId) {
         self.record_acceptance(now, id);
         self.record_start(now, id);
     }
 
-    /// An attempt has started to run, or to answer.
+    /// Records that an attempt has started to run, or to respond.
     fn record_start(&mut self, now: Timestamp, id: AttemptId) {
         let Some(index) = self.worker_index_of(id) else { return };
         let Some(delay) = self.fleet.worker_mut(index).record_start(now, id) else { return };
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A worker has reported the progress of an attempt.
+    /// Handles a progress report of a worker on an attempt.
     pub(super) fn handle_progress(&mut self, now: Timestamp, id: AttemptId, fraction_done: f64) {
         self.record_acceptance(now, id);
         if let Some(index) = self.worker_index_of(id) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The answer of an attempt has begun to stream to the client.
+    /// Handles the beginning of the response of an attempt, which streams to the client.
     pub(super) fn handle_stream(&mut self, now: Timestamp, id: AttemptId) {
         self.record_start(now, id);
         if let Some(job) = self.jobs.get_mut(id.job) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// An attempt has ended, by what its worker or its connection reported.
+    /// Handles the end of an attempt as reported by its worker or its connection.
     pub(super) fn handle_end(&mut self, now: Timestamp, end: AttemptEnd) {
         let AttemptEnd { attempt: id, outcome, job_answered } = end;
         let was_revoked = outcome == Outcome::NotSent && self.is_revoked(id);
@@ -93,7 +94,7 @@
         Some(EndedAttempt { worker_index, attempt, outcome })
     }
 
-    /// Updates a worker's health and estimates by the end of an attempt there.
+    /// Updates the health and the estimates of a worker after the end of an attempt there.
     fn assess_worker(&mut self, now: Timestamp, ended: &EndedAttempt) {
         match assess_end(now, &self.settings, ended) {
             EndAssessment::Success => self.fleet.record_success(now, &self.settings, ended),
@@ -115,13 +116,13 @@
         worker.record_failure(ejected_until);
     }
 
-    /// Whether an attempt that is in flight was revoked.
+    /// Returns whether an attempt that is in flight was revoked.
     fn is_revoked(&self, id: AttemptId) -> bool {
         let worker = self.worker_index_of(id).map(|index| self.fleet.worker(index));
         worker.and_then(|worker| worker.attempt(id)).is_some_and(|attempt| attempt.revoked)
     }
 
-    /// Index of the worker that has an attempt, in flight or ended.
+    /// Returns the index of the worker of an attempt that is in flight or has ended.
     fn worker_index_of(&self, id: AttemptId) -> Option<usize> {
         self.fleet.find(self.jobs.attempt(id)?.worker)
     }
--- a/crates/core/src/dispatcher/endpoints.rs
+++ b/crates/core/src/dispatcher/endpoints.rs
@@ -1,10 +1,10 @@
-//! Which workers take new work: changes of the endpoint list, and workers that operators disable.
+//! Availability of workers: changes of the endpoint list, and workers that operators disable.
 
 use super::Dispatcher;
 use crate::{Action, Endpoint, EndpointUpdate, Timestamp, WorkerId};
 
 impl Dispatcher {
-    /// An endpoint list, or changes to it, arrived.
+    /// Applies an endpoint list, or changes to it, on arrival.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
@@ -16,19 +16,19 @@
         self.revoke_attempts();
     }
 
-    /// Operators have disabled a worker.
+    /// Disables a worker at the request of operators.
     pub(super) fn disable_worker(&mut self, now: Timestamp, worker: WorkerId) {
         self.fleet.disable_worker(now, worker);
         self.revoke_attempts();
     }
 
-    /// Operators have enabled a worker again.
+    /// Enables a worker again at the request of operators.
     pub(super) fn enable_worker(&mut self, now: Timestamp, worker: WorkerId) {
         self.fleet.reenable_worker(now, worker);
         self.dispatch_pending(now);
     }
 
-    /// Revokes attempts whose worker accepts no new ones any more.
+    /// Revokes attempts whose workers accept no new ones any more.
     fn revoke_attempts(&mut self) {
         let revoked = self.fleet.take_revocations();
         self.outbox.extend(
--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -1,31 +1,31 @@
-//! Gossip: the nodes of a subset report to each other their own work at its workers.
+//! Gossip: reports of the nodes of a subset to each other about their own work at its workers.
 
 use super::Dispatcher;
 use crate::gossip::{self, GossipEntry};
 use crate::state::{RemoteBacklog, Worker};
 use crate::{Action, TimeSpan, Timestamp};
 
-/// Work at a worker is reported again after this though it has not changed.
-const GOSSIP_REFRESH: TimeSpan = TimeSpan::from_millis(500);
-/// Nodes gossip no more often than this, for each other node of the subset: all must read each message.
+/// Time after which work at a worker is reported again although it has not changed.
+const GOSSIP_REFRESH_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
+/// Minimum interval between messages, for each other node of the subset: all of them must read each message.
 const GOSSIP_INTERVAL_PER_NODE: TimeSpan = TimeSpan::from_millis(2);
 
-/// When this node's work is gossiped.
+/// Schedule of the gossip about this node's work.
 #[derive(Default)]
 pub(super) struct GossipSchedule {
-    /// This node's work at some worker has changed since it was last gossiped.
+    /// Whether this node's work at some worker has changed since it was last gossiped.
     has_changes: bool,
-    /// When the next messages are due.
+    /// Time at which the next messages are due.
     due_at: Option<Timestamp>,
 }
 
 impl GossipSchedule {
-    /// This node's work at some worker has changed.
+    /// Records that this node's work at some worker has changed.
     pub fn record_change(&mut self) {
         self.has_changes = true;
     }
 
-    /// When the next messages are due.
+    /// Returns the time at which the next messages are due.
     pub fn due_at(&self) -> Option<Timestamp> {
         self.due_at
     }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns whether messages are due, and takes them off the schedule.
+    /// Returns whether messages are due, and removes them from the schedule.
     pub fn clear_if_due(&mut self, now: Timestamp) -> bool {
         let is_due = self.due_at.is_some_and(|due| due <= now);
         if is_due {
@@ -48,7 +48,7 @@
 }
 
 impl Dispatcher {
-    /// Reports this node's own work to the other nodes of its subset, at workers where it has changed.
+    /// Reports this node's own work to the other nodes of its subset, for the workers where it has changed.
     pub(super) fn send_gossip(&mut self, now: Timestamp) {
         self.gossip.has_changes = false;
         let mut data = Vec::new();
@@ -56,7 +56,7 @@
         for position in 0..self.fleet.subset().len() {
             let index = self.fleet.subset().members()[position];
             let worker = self.fleet.worker_mut(index);
-            let is_due = worker.is_gossip_due(now, GOSSIP_REFRESH);
+            let is_due = worker.is_gossip_due(now, GOSSIP_REFRESH_INTERVAL);
             if is_due && free_entries == 0 {
                 self.gossip.has_changes = true;
             } else if is_due {
@@ -76,15 +76,15 @@
         }
     }
 
-    /// Takes in another node's report. Entries of workers that are not in this node's subset are ignored.
+    /// Records the report of another node. Entries of workers that are not in this node's subset are ignored.
     pub(super) fn receive_gossip(&mut self, now: Timestamp, node: u32, data: &[u8]) {
-        // Bounds the memory: one record for each worker and node.
+        // This bounds the memory: one record for each worker and node.
         if node >= self.settings.nodes {
             return;
         }
         for GossipEntry { worker_hash: hash, work, slots } in gossip::read_entries(data) {
-            let has_hash = |worker: &Worker| gossip::hash_worker_id(worker.id()) == hash;
-            if let Some(index) = self.fleet.find_in_subset(has_hash) {
+            let matches_hash = |worker: &Worker| gossip::hash_worker_id(worker.id()) == hash;
+            if let Some(index) = self.fleet.find_in_subset(matches_hash) {
                 self.fleet.worker_mut(index).record_remote_backlog(RemoteBacklog {
                     node,
                     work,
--- a/crates/core/src/dispatcher/job_lifecycle.rs
+++ b/crates/core/src/dispatcher/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A job from its submission to its final answer.
+//! Lifecycle of a job, from its submission to its final response.
 
 use super::Dispatcher;
 use crate::permission::{redirect, reject_or_fail};
@@ -10,7 +10,7 @@
 use crate::{Action, JobId, JobSubmission, Settings, Timestamp};
 
 impl Dispatcher {
-    /// Takes a submitted job into the queue, or answers it at once.
+    /// Queues a submitted job, or answers it at once.
     pub(super) fn admit_job(&mut self, now: Timestamp, submission: &JobSubmission) {
         if submission.class.0 >= self.settings.classes.len() {
             self.outbox.push(Action::Fail { job: submission.job });
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes a job that is admitted into the queue and into the estimates of demand.
+    /// Queues an admitted job and adds it to the estimates of demand.
     fn accept_job(&mut self, now: Timestamp, job: Job) {
         self.budgets.credit_job(&job, self.fleet.prompt_start_share());
         self.demand.record_submitted(now, &job);
@@ -41,14 +41,14 @@
         self.dispatch_pending(now);
     }
 
-    /// Puts a job that has no attempt in flight into the queue.
+    /// Queues a job that has no attempt in flight.
     pub(super) fn enqueue_job(&mut self, job: Job) {
         let key = queue_key(&self.fleet, &job);
         self.jobs.enqueue(key, job);
     }
 
-    /// Carries out what follows the end of an attempt: the job is over, retried, or answered unserved. `job_answered`:
-    /// its client has its answer.
+    /// Closes or retries a job after an attempt has ended, or answers it without a result. `job_answered`
+    /// tells whether the client has its response.
     pub(super) fn close_or_retry_job(
         &mut self,
         now: Timestamp,
@@ -61,7 +61,7 @@
             self.close_job(&mut job);
         }
         if !job.is_answered() && job.is_idle() {
-            // Retries are bounded: when much fails, more attempts would only add to the load.
+            // Retries are limited: when many attempts fail, more attempts would only add to the load.
             let is_affordable = charge == RetryCharge::None || self.budgets.has_retry_budget();
             if is_affordable && may_be_retried(now, &self.send_rules(), &job) {
                 if charge == RetryCharge::Budget {
@@ -77,7 +77,8 @@
         self.dispatch_pending(now);
     }
 
-    /// Queues a job again whose revoked attempt was not sent, if that is no retry. Returns whether it was queued.
+    /// Requeues a job whose revoked attempt was not sent, if that does not count as a retry. Returns whether
+    /// the job was queued.
     pub(super) fn requeue_unsent_job(&mut self, now: Timestamp, id: JobId) -> bool {
         if !self.jobs.get(id).is_some_and(|job| may_requeue_unsent(&self.settings, job)) {
             return false;
@@ -89,7 +90,7 @@
         true
     }
 
-    /// The client of a job has disconnected: no answer is needed any more.
+    /// Closes a job whose client has disconnected: no response is needed any more.
     pub(super) fn disconnect_client(&mut self, id: JobId) {
         let Some(mut job) = self.jobs.take(id) else { return };
         if !job.is_answered() {
@@ -104,14 +105,14 @@
         self.close_job(job);
     }
 
-    /// Marks a job as answered and cancels what is still in flight for it.
+    /// Marks a job as answered and cancels its attempts in flight.
     fn close_job(&mut self, job: &mut Job) {
         job.mark_answered();
         self.outbox.extend(cancellations(&self.settings, job, None));
     }
 }
 
-/// The cancellations of a job's attempts in flight, but for the one that is to continue.
+/// Returns the cancellations of a job's attempts in flight, except for the one that is to continue.
 pub(super) fn cancellations(
     settings: &Settings,
     job: &Job,
--- a/crates/core/src/dispatcher/migration.rs
+++ b/crates/core/src/dispatcher/migration.rs
@@ -1,11 +1,11 @@
-//! Jobs that move to or from another process of this node.
+//! Migration of jobs to or from the other process of this node (the peer).
 
 use super::Dispatcher;
 use crate::{Action, JobId, MigratedJob, Timestamp};
 
 impl Dispatcher {
-    /// Removes a job that has no response yet, so that another process can adopt it. Its attempts in flight are not
-    /// cancelled. None where there is no such job, or its response has begun.
+    /// Removes a job that has no response yet, so that the peer can adopt it. Its attempts in flight are not
+    /// cancelled. Returns None if there is no such job, or if its response has begun.
     pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
         if !self.jobs.get(job)?.is_open() {
             return None;
@@ -19,13 +19,13 @@
         Some(MigratedJob::capture(&job, remove_in_flight))
     }
 
-    /// Whether a job can be adopted here: its class exists, and its figures are in range.
+    /// Returns whether a job can be adopted here: its class exists, and its values are in range.
     pub fn accepts_migrated_job(&self, migrated: &MigratedJob) -> bool {
         migrated.is_valid(&self.settings)
     }
 
-    /// Adopts a job that another process of this node released, under a new number of this process. Returns false and
-    /// changes nothing where the job cannot be adopted or the number is in use.
+    /// Adopts a job that the peer released, under a new number of this process. Returns false and changes
+    /// nothing if the job cannot be adopted or the number is in use.
     pub fn adopt_job(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -1,16 +1,17 @@
-//! The dispatcher: owns the state, passes each event to the records in `state`, calls the decisions in `policy` and
-//! `permission` in their order, and carries out what they return. `docs/design/decisions.md` shows that order.
+//! Dispatcher: owns the state, passes each event to the records in `state`, calls the decisions in `policy`
+//! and `permission` in their order, and carries out their results. `docs/design/decisions.md` shows that
+//! order.
 //!
-//! | module | what it does |
+//! | module | purpose |
 //! | --- | --- |
-//! | `job_lifecycle` | a job from its submission to its final answer |
-//! | `attempt_lifecycle` | what workers and connections report on attempts |
+//! | `job_lifecycle` | a job from its submission to its final response |
+//! | `attempt_lifecycle` | reports of workers and connections on attempts |
 //! | `sending` | the queue, the choice of a worker, and each send |
 //! | `review` | the sweep over open jobs: deadlines, relocation, hedging |
-//! | `timers` | the one timer |
-//! | `endpoints` | the endpoint list, and what operators disable |
+//! | `timers` | the single timer |
+//! | `endpoints` | the endpoint list, and workers that operators disable |
 //! | `gossip` | reports from and to other nodes |
-//! | `migration`, `snapshot` | what moves to another process of this node |
+//! | `migration`, `snapshot` | migration of jobs and state to or from the other process of this node |
 
 mod attempt_lifecycle;
 mod endpoints;
@@ -31,17 +32,17 @@
 use crate::state::{AdmissionState, AttemptId, Budgets, Capacity, Demand, Fleet, JobTable};
 use crate::{Action, Event, Settings, SettingsError, Timestamp};
 
-/// The dispatcher of one node: give it events, carry out its actions.
+/// Dispatcher of one node: takes events and returns actions.
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     /// All workers.
     fleet: Fleet,
-    /// Jobs that are open, or that have an attempt in flight, and the queue.
+    /// Jobs that are open or have an attempt in flight, and the queue.
     jobs: JobTable,
     admission: AdmissionState,
     demand: Demand,
-    /// The capacity of the subset's workers, as estimated last.
+    /// Most recent estimate of the capacity of the workers of the subset.
     capacity: Capacity,
     budgets: Budgets,
     lifecycle: Lifecycle,
@@ -53,20 +54,20 @@
     outbox: Vec<Action>,
 }
 
-/// Where this process is in the lifecycle of its node.
+/// Position of this process in the lifecycle of its node.
 struct Lifecycle {
-    /// All jobs must be answered by then; [`Timestamp::MAX`] while the node does not shut down.
+    /// Time by which all jobs must be answered. [`Timestamp::MAX`] if the node does not shut down.
     shutdown_deadline: Timestamp,
-    /// Another process of this node has taken over.
+    /// Whether the successor of this process has taken over.
     is_superseded: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing but its settings. Give it
-    /// [`Event::TimerExpired`] first.
+    /// Creates a dispatcher that has only its settings and no other state. Pass it [`Event::TimerExpired`]
+    /// first.
     ///
     /// # Errors
-    /// Where the settings contradict themselves; the error names the field.
+    /// Returns the first field of the settings that is out of its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Dispatcher {
@@ -87,29 +88,31 @@
         })
     }
 
-    /// Takes an event in and appends the actions that are to be carried out.
+    /// Handles an event and appends the actions to perform.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.apply(now, event);
         self.set_timer(now);
         actions.append(&mut self.outbox);
     }
 
-    /// Whether new attempts may be decided on by the endpoint list. If not, jobs wait for the next confirmation.
+    /// Checks whether new attempts may be decided on with the present endpoint list. If not, jobs wait for
+    /// the next confirmation.
     ///
     /// # Errors
-    /// Why the list may not be used: discovery has not confirmed it, or too long ago.
+    /// Returns the reason for which the list may not be used: discovery has not confirmed it, or did so too
+    /// long ago.
     pub fn check_endpoint_lease(&self, now: Timestamp) -> Result<(), Denial> {
         self.poll_schedule.lease().check(now)
     }
 
-    /// The moment before which all attempts that were decided on so far must be written, by the lease on the endpoint
-    /// list as it is now. None: the lease does not bound them. An attempt that is not written by then is ended with
-    /// [`Outcome::NotSent`](crate::Outcome::NotSent).
+    /// Returns the time before which all attempts that were decided on so far must be written, according to
+    /// the present lease on the endpoint list. None: the lease does not bound them. An attempt that is not
+    /// written by then is ended with [`Outcome::NotSent`](crate::Outcome::NotSent).
     pub fn endpoint_write_deadline(&self) -> Option<Timestamp> {
         self.poll_schedule.lease().write_deadline()
     }
 
-    /// What was decided without permission and therefore not done, by reason.
+    /// Returns the counts, by reason, of decisions without permission, which were therefore not carried out.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
@@ -155,7 +158,7 @@
         }
     }
 
-    /// What permission to send depends on, as it is now.
+    /// Returns the present inputs of the permission to send.
     fn send_rules(&self) -> SendRules<'_> {
         SendRules {
             settings: &self.settings,
@@ -171,7 +174,7 @@
         }
     }
 
-    /// What decisions on deadlines depend on, as it is now.
+    /// Returns the present inputs of decisions on deadlines.
     fn deadline_context(&self, now: Timestamp) -> DeadlineContext<'_> {
         DeadlineContext {
             now,
--- a/crates/core/src/dispatcher/review.rs
+++ b/crates/core/src/dispatcher/review.rs
@@ -1,4 +1,5 @@
-//! The sweep over open jobs: those whose time is up are answered, and those that do not start are tried elsewhere.
+//! Sweep over open jobs: answers those whose deadline is about to pass, and tries those that do not start at
+//! other workers.
 
 use super::Dispatcher;
 use crate::policy::deadlines::Review;
@@ -16,7 +17,8 @@
         }
     }
 
-    /// Reviews an open job: answers it when its time is up, else attempts to have it started at another worker.
+    /// Reviews an open job: answers it if its deadline is about to pass, otherwise tries to have it started
+    /// at another worker.
     fn review_job(&mut self, now: Timestamp, id: JobId) {
         let Some(mut job) = self.jobs.take(id) else { return };
         match self.deadline_context(now).review(&job) {
@@ -34,14 +36,15 @@
         self.jobs.store(job);
     }
 
-    /// Cancels an attempt that its worker does not accept, or that would now cost less elsewhere.
+    /// Cancels an attempt that its worker does not accept, or whose job would now cost less at another
+    /// worker.
     fn cancel_stuck_attempt(&mut self, now: Timestamp, job: &Job) {
         let unaccepted = find_unaccepted_attempt(now, &self.send_rules(), job);
         let attempt = unaccepted.or_else(|| self.find_attempt_to_relocate(now, job));
         self.outbox.extend(attempt.map(|attempt| Action::CancelAttempt { job: job.id, attempt }));
     }
 
-    /// Finds an attempt to cancel because the job would now cost less elsewhere.
+    /// Finds an attempt to cancel because the job would now cost less at another worker.
     fn find_attempt_to_relocate(&mut self, now: Timestamp, job: &Job) -> Option<u32> {
         if !self.budgets.has_retry_budget() || self.check_endpoint_lease(now).is_err() {
             return None;
@@ -50,11 +53,11 @@
         self.refresh_estimates(now);
         let cancelled = job.with_cancelled_attempt(late.number);
         let request = PlacementRequest::new(now, &self.fleet, &cancelled);
-        let there = self.choose_worker(&request)?;
-        late.costs_less_at(&self.fleet, &request, &there).then_some(late.number)
+        let alternative = self.choose_worker(&request)?;
+        late.costs_less_at(&self.fleet, &request, &alternative).then_some(late.number)
     }
 
-    /// Sends a second attempt of a job that should have started, where another worker has a slot free.
+    /// Sends a hedged request for a job that should have started, if another worker has a free slot.
     fn hedge_job(&mut self, now: Timestamp, job: &mut Job) {
         let may_send = self.settings.may_cancel && self.check_endpoint_lease(now).is_ok();
         if !may_send
--- a/crates/core/src/dispatcher/sending.rs
+++ b/crates/core/src/dispatcher/sending.rs
@@ -1,4 +1,4 @@
-//! The queue, the choice of a worker for a job, and each send.
+//! Dispatch of queued jobs: the queue, the choice of a worker for a job, and each send.
 
 use super::Dispatcher;
 use crate::permission::slow_start_window;
@@ -11,7 +11,8 @@
 impl Dispatcher {
     /// Sends queued jobs while workers are free for them.
     pub(super) fn dispatch_pending(&mut self, now: Timestamp) {
-        // Rule 3: a node whose list may be out of date sends nothing by it. Jobs wait for the next confirmation.
+        // Rule 3: a node whose list may be out of date sends nothing based on it. Jobs wait for the next
+        // confirmation.
         if self.jobs.queue_len() == 0 || self.check_endpoint_lease(now).is_err() {
             return;
         }
@@ -26,12 +27,12 @@
         }
     }
 
-    /// Refreshes what is estimated of workers, where that has aged.
+    /// Refreshes the estimates about workers that are out of date.
     pub(super) fn refresh_estimates(&mut self, now: Timestamp) {
         self.capacity = self.fleet.refresh_estimates(now, &self.settings);
     }
 
-    /// Sends a queued job if a worker is free for it. Returns whether it has left the queue.
+    /// Sends a queued job if a worker is free for it. Returns whether the job has left the queue.
     fn dispatch_job(&mut self, now: Timestamp, key: QueueKey, reserved_share: f64) -> bool {
         let context = self.queue_context(now, reserved_share);
         if self.jobs.get(key.job).is_some_and(|job| context.must_wait(job)) {
@@ -50,8 +51,8 @@
         is_sent
     }
 
-    /// Chooses a worker of this node's subset or, when none of those may take the job, one of as many others. Near ties
-    /// are broken at random.
+    /// Chooses a worker of this node's subset or, if none of those may take the job, one of as many others.
+    /// Near ties are broken at random.
     pub(super) fn choose_worker(&mut self, request: &PlacementRequest) -> Option<Placement> {
         let tied = request.cheapest_workers(&self.send_rules(), self.fleet.subset().members());
         let chosen = self.pick_worker(&tied);
@@ -67,14 +68,14 @@
         chosen.map(|worker| request.place(&self.fleet, worker))
     }
 
-    /// Draws one of several workers.
+    /// Picks one of several workers at random.
     fn pick_worker(&mut self, workers: &[RatedWorker]) -> Option<RatedWorker> {
         let picked = self.rng.usize(0..workers.len().max(1));
         workers.get(picked).copied()
     }
 
-    /// Sends an attempt to the chosen worker and records it. All sends pass here: one without permission is counted as a
-    /// violation and not made. Returns whether it was made.
+    /// Sends an attempt to the chosen worker and records it. All sends use this function. A send without
+    /// permission is counted as a violation and not made. Returns whether the attempt was sent.
     pub(super) fn send_attempt(&mut self, now: Timestamp, job: &mut Job, placement: &Placement) -> bool {
         let index = placement.estimate.worker_index;
         let rules = self.send_rules();
--- a/crates/core/src/dispatcher/snapshot.rs
+++ b/crates/core/src/dispatcher/snapshot.rs
@@ -1,16 +1,16 @@
-//! The state snapshot that a successor process of this node takes over.
+//! State snapshot that a successor of this process restores.
 
 use super::Dispatcher;
 use crate::{StateSnapshot, Timestamp};
 
 impl Dispatcher {
-    /// What is known now, for a successor.
+    /// Captures the present state for a successor.
     pub fn snapshot(&self) -> StateSnapshot {
         StateSnapshot::capture(&self.fleet, &self.demand)
     }
 
-    /// Adds what the predecessor has learned of workers that this process's endpoint list names too. Estimates for
-    /// which this process has samples of its own are kept.
+    /// Adds the estimates of the predecessor for workers that are also in this process's endpoint list.
+    /// Estimates for which this process has samples of its own are kept.
     pub fn restore(&mut self, now: Timestamp, snapshot: &StateSnapshot) {
         snapshot.restore_to(now, &mut self.fleet, &mut self.demand);
     }
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -1,31 +1,31 @@
-//! The timer of a dispatcher: a single one for all periodic work, set again after each event.
+//! Timer of a dispatcher: a single one for all periodic work, set again after each event.
 
 use super::Dispatcher;
 use crate::policy::deadlines::SWEEP_INTERVAL;
 use crate::{Action, TimeSpan, Timestamp};
 
-/// Shortest time to which the timer is set.
-const MIN_TIMER: TimeSpan = TimeSpan::from_micros(1);
+/// Minimum delay to which the timer is set.
+const MIN_TIMER_DELAY: TimeSpan = TimeSpan::from_micros(1);
 
-/// The embedder's timer.
+/// Timer of the embedder.
 #[derive(Default)]
 pub(super) struct Timer {
-    /// When it expires; none where it is not set.
+    /// Time at which the timer expires. None if it is not set.
     expires_at: Option<Timestamp>,
 }
 
 impl Timer {
-    /// Forgets a timer that has expired.
+    /// Clears a timer that has expired.
     fn record_expiry(&mut self, now: Timestamp) {
         self.expires_at = self.expires_at.filter(|expiry| *expiry > now);
     }
 
-    /// Sets the timer, unless it is set to expire early enough. Returns after how long it is to expire.
+    /// Sets the timer, unless it already expires early enough. Returns the delay after which it is to expire.
     fn set(&mut self, now: Timestamp, next: Timestamp) -> Option<TimeSpan> {
         if self.expires_at.is_some_and(|expiry| expiry <= next && expiry >= now) {
             return None;
         }
-        let after = next.saturating_since(now).max(MIN_TIMER);
+        let after = next.saturating_since(now).max(MIN_TIMER_DELAY);
         self.expires_at = Some(now + after);
         Some(after)
     }
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -1,41 +1,41 @@
-//! Actions: what the dispatcher asks the embedder to do.
+//! Actions: requests of the dispatcher to its embedder.
 
 use super::{JobId, TimeSpan, Timestamp, WorkerId};
 
-/// Something to be done. Carry out the actions of one event in their order.
+/// Request of the dispatcher to its embedder. Perform the actions of one event in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of the job to the worker; report its end by
+    /// Send an attempt of the job to the worker, and report its end as
     /// [`Event::AttemptEnded`](crate::Event::AttemptEnded).
     SendAttempt {
-        /// Which job.
+        /// Job of the attempt.
         job: JobId,
-        /// Which worker.
+        /// Worker that receives the attempt.
         worker: WorkerId,
-        /// End the attempt with [`Outcome::TimedOut`](crate::Outcome::TimedOut) after this long.
+        /// Time after which the attempt ends with [`Outcome::TimedOut`](crate::Outcome::TimedOut).
         timeout: TimeSpan,
-        /// The first byte must be written before this moment, else the attempt ends with
+        /// Time before which the first byte must be written; otherwise the attempt ends with
         /// [`Outcome::NotSent`](crate::Outcome::NotSent). None: only the timeout applies.
         send_deadline: Option<Timestamp>,
-        /// Send it over a new connection: one that was idle may have ended unnoticed, and the loss of this attempt could
-        /// not be repaired by a retry.
+        /// Whether the attempt must be sent over a new connection. An idle connection may have been closed
+        /// unnoticed, and a retry could not make up for the loss of this attempt.
         needs_new_connection: bool,
     },
-    /// End the job without a result; it has not run, so the client may safely retry.
+    /// End the job without a result. The job has not run, so the client may safely retry.
     Reject {
-        /// Which job.
+        /// Job to end.
         job: JobId,
-        /// Advise the client not to retry before this long; zero: no advice.
+        /// Minimum delay before a client retry, as advice to the client. Zero: no advice.
         retry_after: TimeSpan,
     },
-    /// End the job with an error; it may have run, so a retry may run it twice.
+    /// End the job with an error. The job may have run, so a client retry may run it twice.
     Fail {
-        /// Which job.
+        /// Job to end.
         job: JobId,
     },
-    /// Do not send this attempt, because its worker accepts no new jobs any more. If no byte of it has been
-    /// written, it ends with [`Outcome::NotSent`](crate::Outcome::NotSent); otherwise it continues unaffected. An
-    /// embedder that writes an attempt at once on [`Action::SendAttempt`] can ignore this.
+    /// Do not send this attempt, because its worker accepts no new jobs any more. If no byte of the attempt
+    /// has been written, it ends with [`Outcome::NotSent`](crate::Outcome::NotSent); otherwise it continues
+    /// unaffected. An embedder that writes an attempt at once on [`Action::SendAttempt`] can ignore this.
     RevokeAttempt {
         /// Job of the attempt.
         job: JobId,
@@ -49,18 +49,18 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Send a message of at most 256 bytes to another node; it gets it by
+    /// Send a message of at most 256 bytes to another node, which receives it as
     /// [`Event::GossipReceived`](crate::Event::GossipReceived).
     SendGossip {
         /// Index of the receiving node.
         to: u32,
-        /// The message.
+        /// Message to send.
         data: Vec<u8>,
     },
-    /// Send [`Event::TimerExpired`](crate::Event::TimerExpired) after this long. It replaces an earlier timer that
-    /// expires later; an earlier timer that still expires does no harm.
+    /// Send [`Event::TimerExpired`](crate::Event::TimerExpired) after this delay. The timer replaces an
+    /// earlier one that expires later. An earlier timer that still expires does no harm.
     SetTimer {
-        /// Time span from now.
+        /// Delay from now.
         after: TimeSpan,
     },
     /// Poll discovery for the endpoint list and watch it for changes.
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -1,31 +1,31 @@
-//! Entries of the endpoint list: which workers there are, and in what state.
+//! Entries of the endpoint list: the workers and their status.
 
 use super::{CellId, KindId, Timestamp, WorkerId, ZoneId};
 
-/// State of a worker according to the endpoint list.
+/// Status of a worker according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// Accepts new jobs.
+    /// The worker accepts new jobs.
     Ready,
-    /// Completes the jobs that it has and accepts no new ones.
+    /// The worker completes its jobs and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The worker was removed.
     Removed,
 }
 
-/// How the entries of a message of discovery change the endpoint list.
+/// Way in which the entries of a message of discovery change the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// These are all entries: a worker that is not among them is gone.
+    /// The entries are the whole list: a worker that is not among them was removed.
     Snapshot,
     /// The entries have changed; all others stay as they are.
     Delta,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Which worker it describes.
+    /// Worker that the entry describes.
     pub worker: WorkerId,
     /// Zone of the worker.
     pub zone: ZoneId,
@@ -33,10 +33,12 @@
     pub kind: KindId,
     /// Cell of the worker.
     pub cell: CellId,
-    /// Whether the worker accepts new jobs.
+    /// Status of the worker.
     pub status: WorkerStatus,
-    /// When the worker's process started; [`Timestamp::ORIGIN`]: long ago.
+    /// Time at which the process of the worker started. [`Timestamp::ORIGIN`] means that it has run for a
+    /// long time.
     pub started_at: Timestamp,
-    /// Approximate number of slots; used only where [`Settings::sizes_listed`](crate::Settings::sizes_listed).
+    /// Approximate number of slots. Used only if [`Settings::sizes_listed`](crate::Settings::sizes_listed) is
+    /// set.
     pub size: f64,
 }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,33 +1,34 @@
-//! Events: what the embedder reports to the dispatcher.
+//! Events: reports of the embedder to the dispatcher.
 
 use super::{Endpoint, EndpointUpdate, JobId, JobSubmission, Outcome, TimeSpan, Timestamp, WorkerId};
 
-/// Something that has happened. Pass each to [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
+/// Report of the embedder to the dispatcher. Pass each event to
+/// [`Dispatcher::handle`](crate::Dispatcher::handle) with its time.
 ///
 /// Attempts of a job are numbered from 0, in the order of its
-/// [`Action::SendAttempt`](crate::Action::SendAttempt). Events about jobs and attempts that the dispatcher does
-/// not know (any more) are ignored.
+/// [`Action::SendAttempt`](crate::Action::SendAttempt). Events about unknown or removed jobs and attempts are
+/// ignored.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The endpoint list or changes to it arrived, from a poll, a watch or a push.
     EndpointsChanged {
-        /// The entries.
+        /// Entries of the message.
         endpoints: &'a [Endpoint],
-        /// Whether these are all entries or changes.
+        /// Whether the entries are the whole list or changes to it.
         update: EndpointUpdate,
     },
-    /// Discovery confirmed the known endpoint list, by an answer to a poll, a change or a heartbeat.
+    /// Discovery confirmed the endpoint list of this node, by a response to a poll, a change or a heartbeat.
     EndpointsConfirmed {
-        /// The list is known to have been current at this moment: when the line of the watch was read, or when the
-        /// poll was sent. A moment after that of the event counts as that of the event.
+        /// Time at which the list is known to have been current: when the line of the watch was read, or when
+        /// the poll was sent. A time later than that of the event is treated as the time of the event.
         as_of: Timestamp,
     },
     /// Discovery answered a poll.
     PollAnswered {
-        /// Time from the request to the answer.
+        /// Time from the request to the response.
         duration: TimeSpan,
     },
-    /// Discovery sent something that could not be parsed as an endpoint list.
+    /// Discovery sent a message that could not be parsed as an endpoint list.
     EndpointsMalformed,
     /// The address of discovery was changed: from now on the endpoint list comes from another service.
     DiscoveryAddressChanged,
@@ -35,7 +36,7 @@
     WatchFailed,
     /// A client submitted a job.
     JobSubmitted(JobSubmission),
-    /// A worker has accepted an attempt, and has not necessarily started it.
+    /// A worker has accepted an attempt, but has not necessarily started it.
     AttemptAccepted {
         /// Job of the attempt.
         job: JobId,
@@ -66,8 +67,8 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The reused connection of an attempt broke before a byte of a response: it is likely to have ended while it was
-    /// idle. The end of the attempt follows, and does not count against its worker.
+    /// The reused connection of an attempt broke before the first byte of a response: it was probably closed
+    /// while it was idle. The end of the attempt is reported next and does not count against its worker.
     ReusedConnectionLost {
         /// Job of the attempt.
         job: JobId,
@@ -80,46 +81,46 @@
         job: JobId,
         /// Number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// The client has its response: the job needs no further attempt.
+        /// Whether the client has its response, so that the job needs no further attempt.
         job_answered: bool,
     },
-    /// The client has disconnected: the job needs no response any more.
+    /// The client has disconnected: the job no longer needs a response.
     ClientDisconnected {
-        /// Its job.
+        /// Job of the client.
         job: JobId,
     },
-    /// The gossip that another node sent by [`Action::SendGossip`](crate::Action::SendGossip) arrived.
+    /// Gossip arrived that another node sent by [`Action::SendGossip`](crate::Action::SendGossip).
     GossipReceived {
         /// Index of the sending node.
         from: u32,
-        /// The message.
+        /// Received message.
         data: &'a [u8],
     },
-    /// An operator disabled a worker for maintenance, so that it gets no jobs whatever the endpoint list says. No effect
-    /// on a worker that is disabled already.
+    /// An operator disabled a worker for maintenance: it gets no jobs, regardless of the endpoint list. No
+    /// effect on a worker that is already disabled.
     WorkerDisabled {
-        /// Which worker.
+        /// Disabled worker.
         worker: WorkerId,
     },
     /// An operator enabled a worker again. No effect on a worker that is not disabled.
     WorkerEnabled {
-        /// Which worker.
+        /// Enabled worker.
         worker: WorkerId,
     },
-    /// Another process of this node has taken over, or has exited again. While it is active, filling the workers
-    /// that are warming up is left to it.
+    /// The successor of this process has taken over, or has exited again. While it is active, only the
+    /// successor sends jobs to workers that are warming up.
     SuccessorActive {
-        /// Whether the other process is the active one.
+        /// Whether the successor is active.
         active: bool,
     },
     /// A graceful shutdown of this node has begun.
     ShutdownStarted {
-        /// The moment by which all submitted jobs must be answered.
+        /// Time by which all submitted jobs must be answered.
         deadline: Timestamp,
     },
-    /// The timer of [`Action::SetTimer`](crate::Action::SetTimer) expired. Send it once right after the start
-    /// too.
+    /// The timer of [`Action::SetTimer`](crate::Action::SetTimer) expired. Send this event also once right
+    /// after the start.
     TimerExpired,
 }
--- a/crates/core/src/interface/job.rs
+++ b/crates/core/src/interface/job.rs
@@ -1,55 +1,56 @@
-//! Jobs as they are submitted, and how attempts to run them end.
+//! Submitted jobs, and the outcomes of attempts to run them.
 
 use serde::{Deserialize, Serialize};
 
 use super::{ClassId, JobId, TenantId, Timestamp};
 
-/// A job that this node has taken from a client.
+/// Job that this node has received from a client.
 #[derive(Clone, Debug)]
 pub struct JobSubmission {
-    /// Its number.
+    /// Number of the job.
     pub job: JobId,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassId,
-    /// The tenant whose quota it counts against.
+    /// Tenant whose quota the job counts against.
     pub tenant: TenantId,
-    /// The moment at which the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// Estimate of its work, in seconds on a core of speed 1.
+    /// Estimate of the work of the job, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
-    /// Number of slots that it occupies at a worker.
+    /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// Hash of the data that it needs: a worker that has recently run a job of the same key has the data cached.
+    /// Hash of the data that the job needs. A worker that has recently run a job with the same key has the
+    /// data cached.
     pub key: Option<u64>,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked the job as a retry.
     pub is_retry: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The worker answered with a result.
+    /// The worker responded with a result.
     Done,
-    /// The worker answered with an error; the job may have run.
+    /// The worker responded with an error; the job may have run.
     Error,
-    /// The worker was full and rejected it; the job did not run.
+    /// The worker was full and rejected the attempt; the job did not run.
     #[serde(rename = "Full")]
     Rejected,
-    /// No answer within the attempt's timeout; the job may have run.
+    /// No response arrived within the timeout of the attempt; the job may have run.
     TimedOut,
     /// No connection could be made; the job did not run.
     Unreachable,
     /// The connection broke; the job may have run.
     Lost,
-    /// Cancelled by the dispatcher; the job may have run.
+    /// The dispatcher cancelled the attempt; the job may have run.
     Cancelled,
-    /// No byte of it was sent; the job did not run.
+    /// No byte of the attempt was sent; the job did not run.
     #[serde(rename = "NeverSent")]
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the job is certain not to have run.
+    /// Returns whether the job is certain not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent)
     }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface between a [`Dispatcher`](crate::Dispatcher) and its embedder: identifiers, settings, events and
+//! Interface between a [`Dispatcher`](crate::Dispatcher) and its embedder: identifiers, settings, events and
 //! actions.
 //!
-//! All moments are of one clock that never goes backwards; work is in seconds on a core of speed 1.
+//! All times are those of one clock that never goes backwards. Work is in seconds on a core of speed 1.
 
 mod action;
 mod endpoint;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,116 +1,120 @@
-//! The settings of a dispatcher, which are given once, at its start, and their validation.
+//! Settings of a dispatcher, which are given once, at its start, and their validation.
 
 use std::fmt;
 
 use super::{KindId, TimeSpan, ZoneId};
 
-/// Which workers discard a second attempt that carries the same idempotency key.
+/// Set of workers that discard a second attempt with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every worker.
     All,
-    /// The workers in the zone of the first attempt.
+    /// Workers in the zone of the first attempt.
     Zone,
-    /// The workers in the cell of the first attempt.
+    /// Workers in the cell of the first attempt.
     Cell,
 }
 
-/// What happens when a job of a class runs twice.
+/// Effect of running a job of a class twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second run does no harm: attempts may go anywhere at any time.
+    /// A duplicate run does no harm: attempts may go to any worker at any time.
     Idempotent,
-    /// Workers discard a second run by the job's idempotency key.
+    /// Workers discard a duplicate run, which they recognise by the idempotency key of the job.
     WithKey {
-        /// Which workers discard it.
+        /// Workers that discard the duplicate run.
         scope: DeduplicationScope,
-        /// For how long they do, from the first attempt that might have run.
+        /// Time for which they do so, from the first attempt that might have run.
         window: TimeSpan,
     },
-    /// A second run does harm: no further attempt once one might have run.
+    /// A duplicate run does harm: no further attempt is sent once one might have run.
     NonIdempotent,
 }
 
-/// A class of jobs.
+/// Properties of a class of jobs.
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// What a second run of a job does.
+    /// Effect of a duplicate run of a job.
     pub idempotency: Idempotency,
-    /// A response is in time within `latency_objective + latency_objective_work_factor x work`.
+    /// Constant part of the latency objective. A response is in time within `latency_objective +
+    /// latency_objective_work_factor x work`.
     pub latency_objective: TimeSpan,
-    /// Factor of a job's own work in its latency objective.
+    /// Factor of the work of a job in its latency objective.
     pub latency_objective_work_factor: f64,
-    /// Value of a response in time, relative to other classes; where the work of jobs differs, per unit of work.
+    /// Value of a response in time, relative to other classes. If the work of jobs differs, per unit of work.
     pub priority_weight: f64,
-    /// How long a client waits in total.
+    /// Total time for which a client waits.
     pub client_timeout: TimeSpan,
-    /// The only kind of machine that can run jobs of this class, if there is such a restriction.
+    /// Only kind of machine that can run jobs of this class. None: no such restriction.
     pub required_kind: Option<KindId>,
 }
 
-/// Everything that a dispatcher is configured with.
+/// Complete configuration of a dispatcher.
 ///
 /// A "price" or "weight" without a unit is a fraction of the value of one job.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of nodes that dispatch to the same workers, this one included.
+    /// Number of nodes that dispatch to the same workers, including this one.
     pub nodes: u32,
     /// Index of this node among them, from 0.
     pub node_index: u32,
     /// Zone of this node.
     pub zone: ZoneId,
-    /// The job classes; [`ClassId`](crate::ClassId) is an index into them.
+    /// Job classes; [`ClassId`](crate::ClassId) is an index into them.
     pub classes: Vec<JobClass>,
     /// Quota of each tenant in jobs per second, over all nodes. Empty: there are no tenants.
     pub tenant_quotas: Vec<f64>,
-    /// Weight of a job over its tenant's quota, as a fraction of its class's weight.
+    /// Weight of a job above the quota of its tenant, as a fraction of the weight of its class.
     pub over_quota_weight: f64,
-    /// The endpoint list is sent only in answer to a poll or on a watch, never unasked.
+    /// Whether the endpoint list is sent only in response to a poll or on a watch, never unsolicited.
     pub endpoints_on_request: bool,
-    /// A node without a watch polls at least this often: after a silence this long it counts as notified of
-    /// every change of the endpoint list.
+    /// Maximum time between two polls of a node without a watch. A node that has received nothing for this
+    /// long counts as notified of every change of the endpoint list.
     pub max_poll_interval: TimeSpan,
-    /// A node counts as notified of a change this long after the change was available to it, whether its polls
-    /// succeeded or not. A node whose list may be older than that sends nothing by it. Zero: no such limit.
+    /// Time after which a node counts as notified of a change that was available to it, whether its polls
+    /// succeeded or not. A node whose list may be older than that sends no attempts based on it. Zero: no
+    /// such limit.
     pub assumed_notified_after: TimeSpan,
-    /// The endpoint list says how large the workers are, see [`Endpoint::size`](crate::Endpoint::size).
+    /// Whether the endpoint list contains the sizes of workers, see
+    /// [`Endpoint::size`](crate::Endpoint::size).
     pub sizes_listed: bool,
-    /// Workers report when a job starts to run.
+    /// Whether workers report when a job starts to run.
     pub reports_start: bool,
-    /// A worker that has not accepted an attempt after this long counts as unresponsive; zero: workers do not
-    /// report acceptance.
+    /// Time after which a worker that has not accepted an attempt counts as unresponsive. Zero: workers do
+    /// not report acceptance.
     pub accept_timeout: TimeSpan,
-    /// [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
+    /// Whether [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
     pub may_cancel: bool,
-    /// A job may have two attempts in flight at once (a hedged request).
+    /// Whether a job may have two attempts in flight at once (a hedged request).
     pub may_hedge: bool,
-    /// [`Action::SendGossip`](crate::Action::SendGossip) may be used.
+    /// Whether [`Action::SendGossip`](crate::Action::SendGossip) may be used.
     pub may_gossip: bool,
-    /// Price of one full gossip message (256 bytes) to one node for each job.
+    /// Price, for each job, of one full gossip message (256 bytes) to one node.
     pub gossip_price: f64,
     /// Maximum number of attempts for a job.
     pub max_attempts: u32,
-    /// Maximum of the retry delay that a rejection can advise; zero: rejections carry no advice.
+    /// Maximum retry delay that a rejection can advise. Zero: rejections carry no advice.
     pub max_retry_after: TimeSpan,
     /// Price of sending a job to a worker in another zone.
     pub cross_zone_price: f64,
     /// Fraction of its capacity that a worker has at its start, while it warms up.
     pub warm_up_floor: f64,
-    /// Time from a worker's start until it has its full capacity.
+    /// Time from the start of a worker until it has its full capacity.
     pub warm_up: TimeSpan,
-    /// A worker that is warming up fails when it is sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which a worker that is warming up fails. The limit applies to
+    /// the work that all nodes together send to it within [`Settings::overload_window`].
     pub overload_factor: f64,
-    /// ... within this time span, by all nodes together.
+    /// Time window in which work sent to a worker that is warming up counts towards its overload.
     pub overload_window: TimeSpan,
 }
 
-/// Settings that a dispatcher cannot work with: names one field and what is wrong with its value.
+/// Invalid settings: names one field and the problem of its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Path of the field in a fixed vocabulary of error messages, which differs from the Rust names: embedders map it
-    /// to the name under which their operators know the field.
+    /// Path of the field in a fixed vocabulary of error messages, which differs from the Rust names.
+    /// Embedders map it to the name that their operators use for the field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Problem of the value.
     pub problem: &'static str,
 }
 
@@ -123,7 +127,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether jobs of a class may run any number of times, anywhere.
+    /// Returns whether jobs of a class may run any number of times, at any worker.
     pub(crate) fn is_idempotent(&self, class: usize) -> bool {
         self.classes[class].idempotency == Idempotency::Idempotent
     }
@@ -131,7 +135,7 @@
     /// Checks every field that has a restricted range.
     ///
     /// # Errors
-    /// Where a field is out of its range; the error names the first one.
+    /// Returns the first field that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let all_classes = |holds: fn(&JobClass) -> bool| self.classes.iter().all(holds);
         require(!self.classes.is_empty(), "classes", "is empty")?;
@@ -162,7 +166,7 @@
     (0.0..=1.0).contains(&value)
 }
 
-/// Neither negative nor infinite nor NaN.
+/// Returns whether a value is neither negative nor infinite nor NaN.
 fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/core/src/interface/time.rs
+++ b/crates/core/src/interface/time.rs
@@ -1,10 +1,11 @@
-//! Moments and spans of time, as two types, so that neither can be passed for the other.
+//! Points in time and durations as two types, so that neither can be passed in place of the other.
 //!
-//! Both count whole microseconds in a `u64`. [`std::time::Duration`] is not used for spans: it is twice as large, and its
-//! conversion to seconds rounds differently, whereas all nodes and versions must compute the same estimates.
+//! Both count whole microseconds in a `u64`. [`std::time::Duration`] is not used for durations: it is twice
+//! as large, and its conversion to seconds rounds differently, whereas all nodes and versions must compute
+//! the same estimates.
 //!
-//! The operators `+` and `-` require a result within the bounds of the type; where it may be out of bounds, use the
-//! `saturating_` methods.
+//! The operators `+` and `-` require a result within the bounds of the type. Use the `saturating_` methods
+//! for results that may be out of bounds.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
@@ -12,13 +13,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds in a second.
+/// Number of microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A moment on the embedder's clock: microseconds since an origin that the embedder chooses. The clock never goes
-/// backwards. Moments of different clocks must not be mixed; an embedder converts a foreign one where it enters.
+/// Time of the clock of the embedder, in microseconds since an origin that the embedder chooses. The clock
+/// never goes backwards. Times of different clocks must not be mixed: an embedder converts the time of
+/// another clock before it passes it on.
 ///
-/// Two moments have no sum, and a span is no moment:
+/// Two timestamps cannot be added, and a duration cannot be used as a timestamp:
 ///
 /// ```compile_fail
 /// use curlewusher_core::Timestamp;
@@ -35,93 +37,93 @@
 #[serde(transparent)]
 pub struct Timestamp(u64);
 
-/// A span of time: a whole number of microseconds.
+/// Duration in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeSpan(u64);
 
 impl Timestamp {
-    /// The origin of the clock.
+    /// Origin of the clock.
     pub const ORIGIN: Self = Timestamp(0);
-    /// The latest moment.
+    /// Latest time that can be represented.
     pub const MAX: Self = Timestamp(u64::MAX);
 
-    /// The moment at a number of microseconds after the origin.
+    /// Creates a timestamp from a number of microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the number of microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span since an earlier moment; zero where `earlier` is the later one.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this timestamp.
     pub const fn saturating_since(self, earlier: Timestamp) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
 
-    /// Seconds since an earlier moment; 0 where `earlier` is the later one.
+    /// Returns the seconds since `earlier`, or 0 if `earlier` is later than this timestamp.
     pub fn seconds_since(self, earlier: Timestamp) -> f64 {
         self.saturating_since(earlier).as_secs_f64()
     }
 
-    /// The moment that follows this one by a span, at most [`Timestamp::MAX`].
+    /// Adds a duration. The result is at most [`Timestamp::MAX`].
     #[must_use]
-    pub const fn saturating_add(self, span: TimeSpan) -> Self {
-        Timestamp(self.0.saturating_add(span.0))
+    pub const fn saturating_add(self, duration: TimeSpan) -> Self {
+        Timestamp(self.0.saturating_add(duration.0))
     }
 
-    /// The moment that precedes this one by a span, at least [`Timestamp::ORIGIN`].
+    /// Subtracts a duration. The result is at least [`Timestamp::ORIGIN`].
     #[must_use]
-    pub const fn saturating_sub(self, span: TimeSpan) -> Self {
-        Timestamp(self.0.saturating_sub(span.0))
+    pub const fn saturating_sub(self, duration: TimeSpan) -> Self {
+        Timestamp(self.0.saturating_sub(duration.0))
     }
 }
 
 impl TimeSpan {
-    /// The empty span.
+    /// Duration of length zero.
     pub const ZERO: Self = TimeSpan(0);
-    /// The longest span.
+    /// Longest duration that can be represented.
     pub const MAX: Self = TimeSpan(u64::MAX);
 
-    /// A span of whole microseconds.
+    /// Creates a duration from a number of microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         TimeSpan(micros)
     }
 
-    /// A span of whole milliseconds.
+    /// Creates a duration from a number of milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         TimeSpan(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a duration from a number of seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         TimeSpan(seconds * 1_000_000)
     }
 
-    /// A span of seconds, rounded down to a microsecond. A negative number and NaN count as zero, and a number that is
-    /// too large as [`TimeSpan::MAX`].
+    /// Creates a duration from a number of seconds, rounded down to a microsecond. A negative number and NaN
+    /// become zero, and a number that is too large becomes [`TimeSpan::MAX`].
     pub fn from_secs_f64(seconds: f64) -> Self {
         TimeSpan((seconds.max(0.0) * MICROS_PER_SECOND) as u64)
     }
 
-    /// The span in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span in seconds.
+    /// Returns the duration in seconds.
     pub const fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// Whether the span is [`TimeSpan::ZERO`].
+    /// Returns whether the duration is [`TimeSpan::ZERO`].
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// The difference to a shorter span; zero where `shorter` is the longer one.
+    /// Subtracts a duration. The result is zero if `shorter` is the longer one.
     #[must_use]
     pub const fn saturating_sub(self, shorter: TimeSpan) -> Self {
         TimeSpan(self.0.saturating_sub(shorter.0))
@@ -129,34 +131,34 @@
 }
 
 impl From<TimeSpan> for Duration {
-    fn from(span: TimeSpan) -> Self {
-        Duration::from_micros(span.0)
+    fn from(duration: TimeSpan) -> Self {
+        Duration::from_micros(duration.0)
     }
 }
 
 impl Add<TimeSpan> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, span: TimeSpan) -> Timestamp {
-        Timestamp(self.0 + span.0)
+    fn add(self, duration: TimeSpan) -> Timestamp {
+        Timestamp(self.0 + duration.0)
     }
 }
 
 impl AddAssign<TimeSpan> for Timestamp {
-    fn add_assign(&mut self, span: TimeSpan) {
-        self.0 += span.0;
+    fn add_assign(&mut self, duration: TimeSpan) {
+        self.0 += duration.0;
     }
 }
 
 impl Sub<TimeSpan> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, span: TimeSpan) -> Timestamp {
-        Timestamp(self.0 - span.0)
+    fn sub(self, duration: TimeSpan) -> Timestamp {
+        Timestamp(self.0 - duration.0)
     }
 }
 
-/// The span from the right moment to the left one, which must not be the earlier one.
+/// Time from the right timestamp to the left one, which must not be earlier.
 impl Sub for Timestamp {
     type Output = TimeSpan;
 
@@ -204,7 +206,7 @@
 }
 
 impl Sum for TimeSpan {
-    fn sum<I: Iterator<Item = TimeSpan>>(spans: I) -> TimeSpan {
-        spans.fold(TimeSpan::ZERO, Add::add)
+    fn sum<I: Iterator<Item = TimeSpan>>(durations: I) -> TimeSpan {
+        durations.fold(TimeSpan::ZERO, Add::add)
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,16 @@
-//! The decisions of a job dispatcher: which worker gets which job, and what to do when something fails.
+//! Decision logic of a job dispatcher: selects a worker for each job and handles failures.
 //!
-//! A [`Dispatcher`] decides for one node that pushes jobs to workers. It does no input or output and has no
-//! clock, no threads and no global state: its embedder passes it [`Event`]s with the time of each and carries out the
-//! [`Action`]s that come back. The same settings, seed and events give the same actions.
+//! A [`Dispatcher`] makes the decisions of one node that pushes jobs to workers. It does no input or output
+//! and has no clock, no threads and no global state. Its embedder passes it [`Event`]s, each with its time,
+//! and performs the [`Action`]s that it returns. The same settings, seed and events produce the same actions.
 //!
-//! An ordinary job goes to the ready worker with the lowest `x + w / (1 - r)`: the job's run time there, plus the wait
-//! for the work that is already there, weighted by the worker's utilisation. `docs/design.md` describes what was added
-//! to this rule and why.
+//! An ordinary job goes to the ready worker with the lowest `x + w / (1 - r)`, where `x` is the run time of
+//! the job at the worker, `w` is the wait for the work that is already there, and `r` is the utilisation of
+//! the worker. `docs/design.md` describes the additions to this rule and the reasons for them.
 //!
 //! # Quick start
 //!
-//! Create a dispatcher and start its timer:
+//! Create a dispatcher, submit a job and report the end of its attempt:
 //!
 //! ```
 //! use curlewusher_core::{
@@ -54,11 +54,12 @@
 //! let random_seed = 42;
 //! let mut dispatcher = Dispatcher::new(settings, random_seed)?;
 //! let mut actions = Vec::new();
-//! // The embedder's clock, here in milliseconds since its origin.
+//! // Time of the embedder's clock, here in milliseconds since its origin.
 //! let at = |millis| Timestamp::ORIGIN + TimeSpan::from_millis(millis);
+//! // The first event starts the timer.
 //! dispatcher.handle(at(1), Event::TimerExpired, &mut actions);
 //!
-//! // The endpoint list, from wherever the embedder has it.
+//! // The embedder passes the endpoint list, from any source.
 //! let endpoint = Endpoint {
 //!     worker: WorkerId(7),
 //!     zone: ZoneId(0),
@@ -84,18 +85,18 @@
 //! };
 //! dispatcher.handle(at(3), Event::JobSubmitted(submission), &mut actions);
 //!
-//! // The embedder carries out the actions in their order.
+//! // The embedder performs the actions in their order.
 //! let mut sent = Vec::new();
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::SendAttempt { job, worker, timeout, .. } => sent.push((job, worker, timeout)),
 //!         Action::SetTimer { after } => println!("send Event::TimerExpired in {} s", after.as_secs_f64()),
-//!         other => println!("carry out {other:?}"),
+//!         other => println!("perform {other:?}"),
 //!     }
 //! }
 //! assert_eq!(sent, [(JobId(1), WorkerId(7), TimeSpan::from_secs(5))]);
 //!
-//! // It reports what becomes of each attempt.
+//! // The embedder reports the start and the end of each attempt.
 //! let (job, attempt) = (JobId(1), 0);
 //! dispatcher.handle(at(4), Event::AttemptStarted { job, attempt }, &mut actions);
 //! let ended = Event::AttemptEnded { job, attempt, outcome: Outcome::Done, job_answered: true };
--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -1,59 +1,60 @@
-//! Permission to close a connection of a client, so that no request is lost by it.
+//! Permission to close a client connection without losing a request.
 
 use std::time::Duration;
 
 use super::Denial;
 
-/// A request must be complete this long after its first byte, and a new connection must have sent one by then. Ordinary
-/// clients take up to 2 s to write a request; one that cannot be read must be answered or closed within 3 s.
+/// Time within which a request must be complete after its first byte, and within which a new connection must
+/// have sent its first byte after it was accepted. Ordinary clients take up to 2 s to write a request. A
+/// request that cannot be read must be answered, or its connection closed, within 3 s.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
-/// A new connection may be evicted after this: its first request may be on its way.
+/// Minimum age at which a new connection may be evicted: its first request may be on its way.
 const MIN_NEW_AGE: Duration = Duration::from_millis(50);
-/// An idle connection may be evicted this long after its last response.
+/// Minimum time since its last response after which an idle connection may be evicted.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(200);
-/// A peer that has neither sent a byte of its request nor read one of its response for this long has
-/// stalled.
+/// Time after which a client has stalled if it has neither sent a byte of its request nor read a byte of its
+/// response.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a connection carries.
+/// Present use of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// This process has sent its last byte and discards what the peer still sends.
+    /// This process has sent its last byte and discards all further input of the client.
     Lingering,
     /// Nothing has arrived yet.
     New {
-        /// Since it was accepted, or was last chosen for eviction.
+        /// Time since the connection was accepted, or was last chosen for eviction.
         age: Duration,
-        /// Since it was accepted.
+        /// Time since the connection was accepted.
         request_age: Duration,
     },
     /// A request has begun and is not complete.
     Reading {
-        /// Since the request began.
+        /// Time since the request began.
         request_age: Duration,
-        /// Since its last byte.
+        /// Time since the last byte of the request.
         stalled_for: Duration,
     },
-    /// Between two requests.
+    /// The connection is between two requests.
     Idle {
-        /// Since the last response, or since it was last chosen for eviction.
+        /// Time since the last response, or since the connection was last chosen for eviction.
         age: Duration,
     },
-    /// A request is complete and is not answered.
+    /// A request is complete and has not been answered.
     Busy,
 }
 
-/// Why a connection is to be closed.
+/// Reason for which a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The time limit for a request, or between two requests, has passed.
     Timeout {
-        /// How long a connection may be idle.
+        /// Maximum time for which a connection may be idle.
         idle_timeout: Duration,
     },
-    /// Its descriptor is needed.
+    /// The descriptor of the connection is needed.
     Eviction,
-    /// Its client is redirected to another node.
+    /// The client is redirected to another node.
     Redirection,
     /// The process shuts down and still accepts jobs: only connections without a request are closed.
     Drain,
@@ -61,39 +62,39 @@
     Shutdown,
 }
 
-/// Whether a connection may be closed now without losing a request: none may be read and unanswered on it, and none is
-/// likely to be on its way.
+/// Checks whether a connection may be closed now without losing a request. No request on it may be read but
+/// unanswered, and none may be likely to be on its way.
 ///
 /// # Errors
-/// The reason for which it has to stay open.
-pub fn may_close_connection(carries: ConnectionUse, reason: CloseReason) -> Result<(), Denial> {
-    match (carries, reason) {
+/// Returns the reason for which the connection has to stay open.
+pub fn may_close_connection(connection_use: ConnectionUse, reason: CloseReason) -> Result<(), Denial> {
+    match (connection_use, reason) {
         (ConnectionUse::Busy, _) => Err(Denial::RequestUnanswered),
         (ConnectionUse::Lingering, CloseReason::Eviction) => Ok(()),
         (ConnectionUse::Lingering, _) => Err(Denial::RequestUnanswered),
         (ConnectionUse::New { request_age, .. }, CloseReason::Timeout { .. }) => {
-            after(request_age, READ_TIMEOUT, Denial::RequestMayArrive)
+            require_min_age(request_age, READ_TIMEOUT, Denial::RequestMayArrive)
         }
         (ConnectionUse::Reading { request_age, .. }, CloseReason::Timeout { .. }) => {
-            after(request_age, READ_TIMEOUT, Denial::RequestUnanswered)
+            require_min_age(request_age, READ_TIMEOUT, Denial::RequestUnanswered)
         }
         (ConnectionUse::Idle { age }, CloseReason::Timeout { idle_timeout }) => {
-            after(age, idle_timeout, Denial::RequestMayArrive)
+            require_min_age(age, idle_timeout, Denial::RequestMayArrive)
         }
-        (ConnectionUse::New { age, .. }, _) => after(age, MIN_NEW_AGE, Denial::RequestMayArrive),
-        // A request that makes progress is a slow client's; one that has stalled is abandoned.
+        (ConnectionUse::New { age, .. }, _) => require_min_age(age, MIN_NEW_AGE, Denial::RequestMayArrive),
+        // A request that makes progress comes from a slow client. A request that has stalled is abandoned.
         (ConnectionUse::Reading { stalled_for, .. }, CloseReason::Eviction | CloseReason::Shutdown) => {
-            after(stalled_for, STALL_TIMEOUT, Denial::RequestUnanswered)
+            require_min_age(stalled_for, STALL_TIMEOUT, Denial::RequestUnanswered)
         }
         (ConnectionUse::Reading { .. }, CloseReason::Redirection | CloseReason::Drain) => {
             Err(Denial::RequestUnanswered)
         }
         // Clients that find a used connection closed by a shutdown send their request to another node.
         (ConnectionUse::Idle { .. }, CloseReason::Drain | CloseReason::Shutdown) => Ok(()),
-        (ConnectionUse::Idle { age }, _) => after(age, MIN_IDLE_AGE, Denial::RequestMayArrive),
+        (ConnectionUse::Idle { age }, _) => require_min_age(age, MIN_IDLE_AGE, Denial::RequestMayArrive),
     }
 }
 
-fn after(age: Duration, least: Duration, otherwise: Denial) -> Result<(), Denial> {
-    if age >= least { Ok(()) } else { Err(otherwise) }
+fn require_min_age(age: Duration, min_age: Duration, denial: Denial) -> Result<(), Denial> {
+    if age >= min_age { Ok(()) } else { Err(denial) }
 }
--- a/crates/core/src/permission/denial.rs
+++ b/crates/core/src/permission/denial.rs
@@ -1,21 +1,23 @@
-//! Reasons for which something may not be done now.
+//! Reasons for which an operation is not permitted now.
 
 use std::fmt;
 
-/// Why something may not be done now.
+/// Reason for which an operation is not permitted now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
-    /// Discovery has not confirmed the endpoint list since this process started: it may be of any age.
+    /// Discovery has not confirmed the endpoint list since this process started, so the list may be of any
+    /// age.
     EndpointsUnconfirmed,
-    /// Discovery has not confirmed the endpoint list for so long that an unknown change counts as notified.
+    /// Discovery confirmed the endpoint list so long ago that this node counts as notified of changes that it
+    /// may not have received.
     EndpointsExpired,
-    /// The worker is draining or gone, or operators have disabled it.
+    /// The worker is draining or was removed, or operators have disabled it.
     WorkerUnavailable,
-    /// The worker is of another kind than the class of the job needs.
+    /// The worker is of a different kind from the one that the class of the job requires.
     WorkerUnsuitable,
-    /// A worker that is warming up has received as much as it can take.
+    /// The worker is warming up and has received as much work as it can take.
     WarmUpBudgetExhausted,
-    /// The job has its final answer, or its answer has begun.
+    /// The job has its final response, or its response has begun.
     JobAnswered,
     /// The client no longer waits.
     DeadlinePassed,
@@ -25,17 +27,19 @@
     NoAttemptsLeft,
     /// Another attempt of the job is in flight, and the settings allow one at a time.
     AttemptInFlight,
-    /// The worker may still report the end of an earlier attempt, which would be taken for the end of the next.
+    /// The worker may still report the end of an earlier attempt, which would be mistaken for the end of the
+    /// next one.
     StaleCallbackPossible,
-    /// The job may have run, and may not run twice.
+    /// The job may have run, and must not run twice.
     MayHaveRun,
-    /// The job may have run where the worker does not know of it.
+    /// The job may have run at a worker outside the deduplication scope of this worker, which has no record
+    /// of that run.
     OutsideDeduplicationScope,
-    /// The job may have run so long ago that the worker no longer discards a repeat.
+    /// The job may have run so long ago that the worker no longer discards a duplicate run.
     DeduplicationWindowOver,
     /// The attempt was decided on too long ago.
     WriteTooLate,
-    /// A request on the connection has no answer yet.
+    /// A request on the connection has not been answered yet.
     RequestUnanswered,
     /// A request may be on its way on the connection.
     RequestMayArrive,
@@ -63,7 +67,7 @@
         Denial::RequestMayArrive,
     ];
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the reason in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Denial::EndpointsUnconfirmed => "endpoints_unconfirmed",
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -1,53 +1,54 @@
-//! The lease on the endpoint list: how long a node may act on the list that it has.
+//! Lease on the endpoint list: the time for which a node may act on its list.
 //!
-//! Where changes count as notified without an answer, a node counts as notified of a change
-//! [`Settings::assumed_notified_after`] after the change was available to it, whether its polls succeeded or not, and
-//! nothing may be sent to a draining worker later than 0.75 s after that. So the list is used on a lease, which begins
-//! at the moment up to which discovery has confirmed it:
+//! Settings may define that a node counts as notified of a change without an acknowledgement:
+//! [`Settings::assumed_notified_after`] after the change was available to it, whether its polls succeeded or
+//! not. Nothing may be sent to a draining worker later than 0.75 s after that. The list is therefore used on
+//! a lease, which begins at the time up to which discovery has confirmed the list:
 //!
-//! | time since the list was confirmed | the node |
+//! | time since the list was confirmed | permitted to the node |
 //! | --- | --- |
-//! | never confirmed: only the saved list is there | sends nothing: the list may be of any age |
-//! | up to `assumed_notified_after` + 0.1 s | sends by the list |
-//! | from then on ([`EndpointLease::check`]) | decides on no new attempts: jobs wait in the queue |
-//! | up to `assumed_notified_after` + 0.4 s ([`EndpointLease::write_deadline`]) | still writes attempts decided on earlier |
+//! | never confirmed: only the saved list is available | no sends: the list may be of any age |
+//! | up to `assumed_notified_after` + 0.1 s | new attempts based on the list |
+//! | from then on ([`EndpointLease::check`]) | no new attempts: jobs wait in the queue |
+//! | up to `assumed_notified_after` + 0.4 s ([`EndpointLease::write_deadline`]) | writes of attempts decided on earlier |
 //!
-//! Only a confirmation by discovery renews the lease ([`EndpointLease::renew`]). A failed poll, the end of a watch, a
-//! start of the process and the passing of time confirm nothing, since discovery may have been up in between or at
-//! that moment; every other method can only shorten the lease.
+//! Only a confirmation by discovery renews the lease ([`EndpointLease::renew`]). A failed poll, the end of a
+//! watch, a start of the process and the passing of time confirm nothing, since discovery may have been up in
+//! between or at that time. Every other method can only shorten the lease.
 
 use crate::permission::Denial;
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// New attempts stop this long after an unknown change would count as notified; the attempts
-/// decided on before are on their way by [`SEND_GRACE`].
+/// Delay between the time at which an unknown change would count as notified and the time from which no new
+/// attempts are decided on. Attempts decided on earlier are written within [`WRITE_GRACE`].
 const DECISION_GRACE: TimeSpan = TimeSpan::from_millis(100);
-/// No attempt is written later than this after an unknown change would count as notified. The rule
-/// is 0.75 s; a node may be held up for 0.15 s between reading its clock and writing, and what confirms the list may
-/// have been on its way for 0.2 s.
-const SEND_GRACE: TimeSpan = TimeSpan::from_millis(400);
-/// How long a process without any confirmation holds jobs before clients are better off at other nodes: it reports that it
-/// is ready after 5 s.
+/// Delay between the time at which an unknown change would count as notified and the time from which no
+/// attempt is written. The rule allows 0.75 s. A node may be delayed by 0.15 s between reading its clock and
+/// writing, and the confirmation of the list may have been on its way for 0.2 s.
+const WRITE_GRACE: TimeSpan = TimeSpan::from_millis(400);
+/// Time after its start for which a process without any confirmation holds jobs. From then on, clients are
+/// better served by other nodes. The process reports that it is ready after 5 s.
 const MAX_HOLD_BEFORE_CONFIRMATION: TimeSpan = TimeSpan::from_secs(7);
-/// The same once the lease has expired. Jobs are held for a shorter time than this.
+/// Time after the expiry of the lease from which clients are better served by other nodes. Jobs are held for
+/// a shorter time than this.
 const MAX_HOLD_AFTER_EXPIRY: TimeSpan = TimeSpan::from_secs(2);
-/// The service that discovery moved to counts as having had a change this much earlier.
+/// Assumed age of the oldest unknown change at the new service when the address of discovery changes.
 const ADDRESS_CHANGE_ALLOWANCE: TimeSpan = TimeSpan::from_secs(2);
 
-/// The moment up to which the endpoint list is known to be current, and the limits that follow from it.
+/// Time up to which the endpoint list is known to be current, and the limits that follow from it.
 pub(crate) struct EndpointLease {
-    /// See [`Settings::assumed_notified_after`]; none where changes count as notified by an event only, so that the
-    /// list needs no lease.
+    /// Duration from [`Settings::assumed_notified_after`]. None if changes count as notified by an event
+    /// only, so that the list needs no lease.
     assumed_notified_after: Option<TimeSpan>,
-    /// No change that this node does not know was available to it before this moment. None before the first
+    /// Time up to which this node has received every change that was available to it. None before the first
     /// confirmation.
     confirmed_at: Option<Timestamp>,
-    /// The moment of the first event.
+    /// Time of the first event.
     started_at: Option<Timestamp>,
 }
 
 impl EndpointLease {
-    /// The lease of a process that has just started: the list was never confirmed.
+    /// Creates the lease of a process that has just started and whose list was never confirmed.
     pub(crate) fn new(settings: &Settings) -> Self {
         let limit = settings.assumed_notified_after;
         EndpointLease {
@@ -57,50 +58,57 @@
         }
     }
 
-    /// The process runs; no effect after the first event. A start does not renew the lease.
+    /// Records that the process runs. No effect after the first event. A start does not renew the lease.
     pub(crate) fn record_start(&mut self, now: Timestamp) {
         self.started_at.get_or_insert(now);
     }
 
-    /// Discovery has confirmed that the list was current at this moment. Nothing else renews the lease.
+    /// Records that discovery has confirmed that the list was current at `confirmed_at`. Nothing else renews
+    /// the lease.
     pub(crate) fn renew(&mut self, confirmed_at: Timestamp) {
-        self.confirmed_at = Some(self.confirmed_at.map_or(confirmed_at, |known| known.max(confirmed_at)));
+        self.confirmed_at =
+            Some(self.confirmed_at.map_or(confirmed_at, |previous| previous.max(confirmed_at)));
     }
 
-    /// A list that could not be parsed may contain any change, so every change counts as notified now.
+    /// Records that a list could not be parsed. It may contain any change, so every change counts as notified
+    /// now.
     pub(crate) fn record_malformed_list(&mut self, now: Timestamp) {
-        self.limit_to(now.saturating_sub(self.assumed_notified_after.unwrap_or_default()));
+        self.cap_confirmation(now.saturating_sub(self.assumed_notified_after.unwrap_or_default()));
     }
 
-    /// Discovery moved: the new service may have had changes for [`ADDRESS_CHANGE_ALLOWANCE`].
+    /// Records that the address of discovery has changed. The new service may have had changes for
+    /// [`ADDRESS_CHANGE_ALLOWANCE`].
     pub(crate) fn record_discovery_address_change(&mut self, now: Timestamp) {
-        self.limit_to(now.saturating_sub(ADDRESS_CHANGE_ALLOWANCE));
+        self.cap_confirmation(now.saturating_sub(ADDRESS_CHANGE_ALLOWANCE));
     }
 
-    /// Whether new attempts may be decided on by the list.
+    /// Checks whether new attempts may be decided on with this list.
     pub(crate) fn check(&self, now: Timestamp) -> Result<(), Denial> {
         let Some(limit) = self.assumed_notified_after else { return Ok(()) };
         let confirmed_at = self.confirmed_at.ok_or(Denial::EndpointsUnconfirmed)?;
         if now < confirmed_at + limit + DECISION_GRACE { Ok(()) } else { Err(Denial::EndpointsExpired) }
     }
 
-    /// The moment before which an attempt decided on by the list must be written. None: the lease does not bound it.
+    /// Returns the time before which an attempt that was decided on with this list must be written. None: the
+    /// lease does not bound it.
     pub(crate) fn write_deadline(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
-        Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + SEND_GRACE))
+        Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + WRITE_GRACE))
     }
 
-    /// Whether jobs have been held for so long that clients are better off at other nodes, which may have been confirmed.
+    /// Returns whether jobs have been held for so long that clients are better served by other nodes, whose
+    /// lists may have been confirmed.
     pub(crate) fn is_hold_limit_exceeded(&self, now: Timestamp) -> bool {
         let Some(limit) = self.assumed_notified_after else { return false };
-        let long_at = match self.confirmed_at {
+        let hold_limit_at = match self.confirmed_at {
             Some(at) => at + limit + DECISION_GRACE + MAX_HOLD_AFTER_EXPIRY,
             None => self.started_at.unwrap_or(now) + MAX_HOLD_BEFORE_CONFIRMATION,
         };
-        now >= long_at
+        now >= hold_limit_at
     }
 
-    fn limit_to(&mut self, latest: Timestamp) {
-        self.confirmed_at = self.confirmed_at.map(|known| known.min(latest));
+    /// Limits the time of the confirmation to `latest`.
+    fn cap_confirmation(&mut self, latest: Timestamp) {
+        self.confirmed_at = self.confirmed_at.map(|previous| previous.min(latest));
     }
 }
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -1,23 +1,23 @@
-//! Permission: whether something may be sent, retried, closed or started now.
+//! Permission rules: checks whether something may be sent, retried, closed or started now.
 //!
-//! The modules of `policy` decide what is useful; what they choose must be permitted here as well. Every send, every
-//! rejection, the readiness of a process, and the closing of a client's connection by timeout, eviction, redirection or
-//! shutdown is checked here. Not checked yet are closings at a job's migration, and of a peer that reads nothing; the
-//! embedder's server decides on those.
+//! The modules of `policy` decide what is useful; their choices must also be permitted here. Every send,
+//! every rejection, the readiness of a process, and the closing of a client connection by timeout, eviction,
+//! redirection or shutdown is checked here. The closing of a connection at the migration of a job, or of one
+//! whose client reads nothing, is not checked yet; the server of the embedder decides on those.
 //!
 //! | question | asked by | answered by |
 //! | --- | --- | --- |
 //! | may a job be sent to a worker: first attempt, retry or hedged request? | placement, retries, and each send itself | `SendRules::may_send`, `SendRules::check_send` |
-//! | how much work may a worker that is warming up get? | the same | `SlowStart::budget` |
+//! | how much work may be sent to a worker that is warming up? | placement, retries, and each send itself | `SlowStart::budget` |
 //! | may the endpoint list be used? | pending queue, hedging, relocation | `EndpointLease::check` |
-//! | until when may the first byte of an attempt be written? | the embedder's transport, by [`Action::SendAttempt`](crate::Action::SendAttempt) and [`Dispatcher::endpoint_write_deadline`](crate::Dispatcher::endpoint_write_deadline) | `EndpointLease::write_deadline`, `SendRules::send_deadline` |
+//! | until when may the first byte of an attempt be written? | the transport of the embedder, by [`Action::SendAttempt`](crate::Action::SendAttempt) and [`Dispatcher::endpoint_write_deadline`](crate::Dispatcher::endpoint_write_deadline) | `EndpointLease::write_deadline`, `SendRules::send_deadline` |
 //! | may a job be rejected, so that its client may retry it? | deadlines, retries, admission | `answering` |
-//! | may a client's connection be closed? | the embedder's server | [`may_close_connection`] |
-//! | may a process report that it is ready? | the embedder's start | [`ServingPermission`] |
+//! | may a client connection be closed? | the server of the embedder | [`may_close_connection`] |
+//! | may a process report that it is ready? | the start of the embedder | [`ServingPermission`] |
 //!
-//! A limit that expires unless something positive is learned is renewed by that alone: never by a failure, an end, a
-//! start or the passing of time. Something that was decided without permission is a violation: it is not carried out,
-//! and [`Violations`] counts it.
+//! Some limits expire unless a positive confirmation arrives. Only that confirmation renews such a limit; a
+//! failure, an end, a start or the passing of time never does. A decision without permission is a violation:
+//! it is not carried out, and [`Violations`] counts it.
 
 mod answering;
 mod closing;
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -1,39 +1,40 @@
-//! Permission to send: first attempts, retries and hedged requests.
+//! Permission to send first attempts, retries and hedged requests.
 
 use super::slow_start::SlowStart;
 use super::{Denial, EndpointLease};
 use crate::state::{Fleet, Job, MAX_ATTEMPTS, Worker};
 use crate::{Idempotency, Settings, TimeSpan, Timestamp};
 
-/// A retry with an idempotency key is sent at least this long before its deduplication window closes.
+/// Minimum time before the end of its deduplication window at which a retry with an idempotency key is sent.
 const DEDUPLICATION_MARGIN: TimeSpan = TimeSpan::from_millis(200);
 
-/// Most attempts of a job.
+/// Returns the maximum number of attempts of a job.
 pub(crate) fn max_attempts(settings: &Settings) -> usize {
     (settings.max_attempts as usize).min(MAX_ATTEMPTS)
 }
 
-/// What permission to send depends on.
+/// Inputs of the permission to send.
 pub(crate) struct SendRules<'a> {
-    /// The settings of this node.
+    /// Settings of this node.
     pub settings: &'a Settings,
     /// All workers.
     pub fleet: &'a Fleet,
-    /// The lease on the endpoint list.
+    /// Lease on the endpoint list.
     pub lease: &'a EndpointLease,
-    /// The budgets of workers that are warming up.
+    /// Budgets of workers that are warming up.
     pub slow_start: SlowStart<'a>,
 }
 
 impl SendRules<'_> {
-    /// Whether this attempt may be sent now. Every send is checked by this, whatever led to it.
+    /// Checks whether an attempt may be sent now. Every send is checked by this function, regardless of its
+    /// cause.
     pub fn check_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         self.lease.check(now)?;
         self.may_send(now, worker, job)
     }
 
-    /// Whether a job may be sent to a worker, if the endpoint list may be used: by the four rules and the limits of
-    /// the settings.
+    /// Checks whether a job may be sent to a worker according to the four rules and the limits of the
+    /// settings, provided that the endpoint list may be used.
     pub fn may_send(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         check_job(now, self.settings, job)?;
         self.check_worker(worker, job)?;
@@ -48,7 +49,8 @@
         Ok(())
     }
 
-    /// Rule 3: no new job to a worker that is draining or gone, or that operators have disabled.
+    /// Checks rule 3: no new job to a worker that is draining or was removed, or that operators have
+    /// disabled.
     fn check_worker(&self, worker: &Worker, job: &Job) -> Result<(), Denial> {
         if !self.fleet.is_available(worker) {
             return Err(Denial::WorkerUnavailable);
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Rule 2: whether a job may go to a worker without its effect happening twice.
+    /// Checks rule 2: a job may be sent to a worker only if its effect cannot happen twice.
     pub fn check_duplicate_run(&self, now: Timestamp, worker: &Worker, job: &Job) -> Result<(), Denial> {
         let Some(first) = job.first_possible_run() else { return Ok(()) };
         match self.settings.classes[job.class].idempotency {
@@ -73,8 +75,8 @@
                 Err(Denial::OutsideDeduplicationScope)
             }
             Idempotency::WithKey { window, .. } => {
-                // Where workers report acceptance, attempts are sent over sockets and a connection may be late: a
-                // retry that reaches its worker after the window would run again.
+                // Workers that report acceptance receive attempts over sockets, and a connection may be late.
+                // A retry that reaches its worker after the window would run again.
                 let transit = DEDUPLICATION_MARGIN.max(self.settings.accept_timeout);
                 if now + transit < first.deduplicated_until(window) {
                     Ok(())
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Latest time at which the next attempt of a job may be sent: while this node may rely on its endpoint
-    /// list and, if the job may have run, while workers still discard retries.
+    /// Returns the latest time at which the next attempt of a job may be sent: while this node may rely on
+    /// its endpoint list and, if the job may have run, while workers still discard duplicate runs.
     pub fn send_deadline(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
@@ -99,7 +101,8 @@
     }
 }
 
-/// Rule 1: no attempt after the final answer or the deadline, and no more attempts than the settings allow.
+/// Checks rule 1: no attempt after the final response or the deadline, and no more attempts than the settings
+/// allow.
 fn check_job(now: Timestamp, settings: &Settings, job: &Job) -> Result<(), Denial> {
     if !job.is_open() {
         return Err(Denial::JobAnswered);
--- a/crates/core/src/permission/serving.rs
+++ b/crates/core/src/permission/serving.rs
@@ -2,25 +2,27 @@
 
 use crate::TimeSpan;
 
-/// How long after its start a process waits for its first answer of discovery before it reports that it is ready with its
-/// saved list alone. A ready process without an answer holds the jobs that it takes, so that clients are better off at
-/// other nodes; but while discovery is unavailable for long, no node would take jobs at all.
+/// Maximum time after its start for which a process waits for the first response of discovery. Then it
+/// reports that it is ready with its saved list alone. A ready process without a response holds the jobs that
+/// it accepts, so clients are better served by other nodes. But if processes waited throughout a long outage
+/// of discovery, no node would accept jobs at all.
 const MAX_WAIT_FOR_ENDPOINTS: TimeSpan = TimeSpan::from_secs(5);
-/// The same for a process beside an older one, which continues to serve meanwhile; an upgrade has 6 s in all.
+/// Maximum time after its start for which a successor waits for the first response of discovery. Its
+/// predecessor continues to serve in the meantime. An upgrade has 6 s in all.
 const MAX_WAIT_BESIDE_PREDECESSOR: TimeSpan = TimeSpan::from_secs(3);
 
-/// When a process may report that it is ready.
+/// Conditions under which a process may report that it is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingPermission {
-    /// The configuration has an endpoint list of an earlier run.
+    /// Whether the configuration has an endpoint list from an earlier run.
     pub has_saved_endpoints: bool,
-    /// Another process of this node serves.
+    /// Whether a predecessor of this process serves.
     pub has_predecessor: bool,
 }
 
 impl ServingPermission {
-    /// How long after its start the process may report that it is ready without an answer of discovery.
-    /// None: never. With an answer it may at once.
+    /// Returns the time after its start at which the process may report that it is ready without a response
+    /// of discovery. None: never. With a response, it may do so at once.
     pub fn max_discovery_wait(self) -> Option<TimeSpan> {
         match self {
             ServingPermission { has_saved_endpoints: false, .. } => None,
--- a/crates/core/src/permission/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -1,50 +1,52 @@
-//! Slow start: how much work this node may send to a worker that is warming up.
+//! Slow start: limits on the work that this node may send to a worker that is warming up.
 //!
-//! Such a worker fails when all nodes together send too much within a window, so the nodes share a budget. With many
-//! nodes an equal part of it would be too small for any job; therefore nodes take turns by the clock.
+//! Such a worker fails when all nodes together send too much within a window, so the nodes share a budget.
+//! With many nodes, an equal part of it would be too small for any job; therefore nodes take turns according
+//! to the clock.
 
 use crate::state::{DEMAND_TIME_CONSTANT, Demand, Fleet, Worker};
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// Share of the budget that a node without others uses: hints are rough.
+/// Fraction of the budget that the only node uses: hints are rough.
 const SINGLE_NODE_SHARE: f64 = 0.4;
-/// Share that the one node whose turn it is uses: two turns may fall into one window.
+/// Fraction of the budget that a node uses if it alone has a turn: two turns may fall into one window.
 const SINGLE_TURN_SHARE: f64 = 0.25;
-/// Share that each node uses by itself where several have a turn at once.
+/// Fraction of the budget that each node uses if several have a turn at once.
 const SHARED_TURN_SHARE: f64 = 0.33;
-/// At most one in this many nodes has a turn at once.
+/// Minimum number of nodes for each concurrent turn.
 const MIN_NODES_PER_TURN: u32 = 3;
-/// A single worker may get this many times an even part of a node's work.
+/// Maximum work of this node that a single worker may get, as a multiple of an even part.
 const MAX_TRAFFIC_SKEW: f64 = 2.0;
-/// Share of a node's work that goes to workers that are warming up when the warm ones are saturated.
+/// Fraction of the work of a node that goes to workers that are warming up when the warm ones are saturated.
 const SATURATED_WARM_UP_SHARE: f64 = 0.1;
-/// Most slots that a worker counts for, as a multiple of those that this node itself has seen there.
+/// Maximum number of slots that a worker counts for, as a multiple of those that this node itself has
+/// observed there.
 const MAX_SLOT_EXTRAPOLATION: f64 = 1.5;
 /// Factor by which the window is extended: work arrives some time after it is sent.
 const WINDOW_EXTENSION_FACTOR: f64 = 1.25;
 
-/// Seconds for which work sent to a worker that is warming up counts.
+/// Returns the seconds for which work sent to a worker that is warming up counts.
 pub(crate) fn window(settings: &Settings) -> f64 {
     settings.overload_window.as_secs_f64() * WINDOW_EXTENSION_FACTOR
 }
 
-/// What the budget of a worker that is warming up depends on.
+/// Inputs of the budget of a worker that is warming up.
 pub(crate) struct SlowStart<'a> {
-    /// The settings of this node.
+    /// Settings of this node.
     pub settings: &'a Settings,
     /// All workers.
     pub fleet: &'a Fleet,
-    /// The work that this node's clients submitted lately.
+    /// Work that the clients of this node submitted recently.
     pub demand: &'a Demand,
     /// Number of workers of the subset that are warming up.
     pub warming_up_workers: usize,
-    /// Another process of this node has taken over.
+    /// Whether the successor of this process has taken over.
     pub is_superseded: bool,
 }
 
 impl SlowStart<'_> {
-    /// Rule 4: work that this node may send to a worker now; infinite for a warm one. Rejected work counts
-    /// as sent.
+    /// Returns the work that this node may send to a worker now (rule 4), which is infinite for a warm
+    /// worker. Rejected work counts as sent.
     pub fn budget(&self, now: Timestamp, worker: &Worker) -> f64 {
         let warm_up_fraction = worker.warm_up_fraction(now, self.settings);
         if warm_up_fraction >= 1.0 {
@@ -60,13 +62,13 @@
         slot_budget * reliable_slots * share - worker.recent_warm_up_work(now, window(self.settings))
     }
 
-    /// The share of a worker's whole budget that this node may use now.
+    /// Returns the fraction of the whole budget of a worker that this node may use now.
     fn budget_share(&self, now: Timestamp, worker: &Worker, budget: f64) -> f64 {
         match (self.fleet.subset().nodes(), self.concurrent_turns(now, budget)) {
-            // Both processes of a node share one budget: the rest of it is the successor's.
+            // Both processes of a node share one budget: the rest of it belongs to the successor.
             _ if self.is_superseded => 0.0,
             (1, _) => SINGLE_NODE_SHARE,
-            // Operators have enabled it and wait to see it used: any node may send one job.
+            // Operators have enabled the worker again and wait to see it used: any node may send one job.
             _ if worker.reenabled_at().is_some() => SINGLE_TURN_SHARE,
             (nodes, turns) if !worker.is_in_subset() || !self.has_turn(now, worker, nodes, turns) => 0.0,
             (_, 1) => SINGLE_TURN_SHARE,
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Number of nodes that have a turn at a worker at once: as many as are likely to use up their share of
-    /// its budget, by the work that this node sends in a window. When warm workers are saturated, more work
-    /// goes to those that are warming up, and fewer nodes have a turn.
+    /// Returns the number of nodes that have a turn at a worker at once: as many as are likely to use up
+    /// their share of its budget, estimated from the work that this node sends in a window. When warm workers
+    /// are saturated, more work goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
         let observed_for =
             now.seconds_since(self.demand.first_submission_at).min(DEMAND_TIME_CONSTANT.as_secs_f64());
@@ -93,8 +95,9 @@
         (share / work_per_worker.max(1e-9)).clamp(1.0, f64::from((nodes / MIN_NODES_PER_TURN).max(1))) as u64
     }
 
-    /// The slow-start rotation: whether this node has one of the turns at a worker. A window overlaps at most
-    /// two turns. Nodes may differ in the number of turns that they compute; it is right on average.
+    /// Returns whether this node has one of the turns at a worker in the slow-start rotation. A window
+    /// overlaps at most two turns. Nodes may compute different numbers of turns; the result is right on
+    /// average.
     fn has_turn(&self, now: Timestamp, worker: &Worker, nodes: u32, turns: u64) -> bool {
         let round = now.as_micros() / TimeSpan::from_secs_f64(window(self.settings)).as_micros().max(1);
         let position = u64::from(self.fleet.subset().node_position());
--- a/crates/core/src/permission/violations.rs
+++ b/crates/core/src/permission/violations.rs
@@ -1,8 +1,8 @@
-//! Counts of what was decided or done without permission.
+//! Counts of decisions and operations without permission.
 
 use super::Denial;
 
-/// How often something was decided without permission, by reason. All counts are zero unless the program has a fault.
+/// Counts of decisions without permission, by reason. All counts are zero unless the program has a bug.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
     counts: [u64; Denial::ALL.len()],
@@ -16,12 +16,12 @@
         self.total += 1;
     }
 
-    /// Number of violations for this reason.
+    /// Returns the number of violations for this reason.
     pub fn count(&self, reason: Denial) -> u64 {
         self.counts[reason as usize]
     }
 
-    /// Number of all violations.
+    /// Returns the number of all violations.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,39 +1,41 @@
-//! Admission: what a submitted job may claim, and whether it is taken at all.
+//! Admission: the resources that a submitted job may claim, and whether the job is accepted.
 
 use super::deadlines::{DeadlineContext, RESPONSE_MARGIN};
 use crate::permission::EndpointLease;
 use crate::state::{AdmissionState, Fleet, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work};
 use crate::{JobSubmission, Settings, TimeSpan, Timestamp};
 
-/// A job that has waited no longer than this, on its way here, is a first submission.
+/// Maximum time that a first submission has spent on its way to this node. A job that has waited longer
+/// counts as a client retry.
 const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(15);
 
-/// What becomes of a submitted job.
+/// Decision on a submitted job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// It is queued.
+    /// The job is queued.
     Queue,
-    /// It is answered at once, since it cannot be served in time.
+    /// The job is answered at once, since it cannot be served in time.
     RejectOrFail,
-    /// Its client is sent to another node.
+    /// The client of the job is redirected to another node.
     Redirect,
 }
 
 /// Decides on a submitted job.
 pub(crate) fn decide(context: &DeadlineContext, lease: &EndpointLease, job: &Job) -> AdmissionDecision {
     if context.now + RESPONSE_MARGIN >= job.deadline || context.exceeds_shutdown_deadline(job) {
-        // Probably a client's last retry: its time would be up before the next sweep.
+        // This is probably the last retry of a client: its deadline would pass before the next sweep.
         return AdmissionDecision::RejectOrFail;
     }
     if job.is_first_submission && lease.is_hold_limit_exceeded(context.now) {
-        // This node alone may be cut off from discovery: the client is sent elsewhere once. Its retry is queued, since
-        // all nodes may be in the same state.
+        // This node alone may be cut off from discovery, so the client is redirected once. Its retry is
+        // queued, since all nodes may be in the same state.
         return AdmissionDecision::Redirect;
     }
     AdmissionDecision::Queue
 }
 
-/// Derives a job's work, weight and latency objective from its submission, and charges its tenant's quota.
+/// Derives the work, weight and latency objective of a job from its submission, and charges the quota of its
+/// tenant.
 pub(crate) fn assess_job(
     now: Timestamp,
     settings: &Settings,
@@ -46,7 +48,8 @@
     let hint = submission.cost_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
     let estimate = fleet.estimate_unhinted_work(class_index);
     let work = hint.map_or(estimate, clamp_job_work);
-    // A client's retry has less time left than a first submission: its objective counts from the latter.
+    // A client retry has less time left than a first submission. Its objective counts from the first
+    // submission.
     let time_left = submission.deadline.saturating_since(now).min(class.client_timeout);
     let waited = admission.estimate_client_wait(class_index, time_left);
     let is_first_submission = !submission.is_retry && waited < MAX_TRANSIT;
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -1,38 +1,41 @@
-//! Deadlines: which open jobs can no longer be served in time.
+//! Deadlines: detection of open jobs that can no longer be served in time.
 
 use crate::state::{Fleet, InFlightAttempt, Job, RELIABLE_HINT_SHARE};
 use crate::{Settings, TimeSpan, Timestamp};
 
 /// Time between two sweeps over the open jobs.
 pub(crate) const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_millis(10);
-/// A job is answered this long before its client leaves or this node ends: it may just miss one sweep.
+/// Lead time with which a job is answered before its client disconnects or this node exits. It is two sweep
+/// intervals, since the job may just miss one sweep.
 pub(super) const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_micros(2 * SWEEP_INTERVAL.as_micros());
-/// A queued job is shed when less than this share of its usual run is left to its objective.
+/// Minimum time left to its objective with which a queued job is kept, as a fraction of its usual run time.
+/// With less, the job is shed.
 const MIN_RUN_SHARE_LEFT: f64 = 0.6;
-/// Hints are assumed to be off by at most this many times their mean error (of the logarithm).
+/// Maximum assumed error of a hint, as a multiple of the mean error of hints (of the logarithm).
 const MAX_HINT_ERRORS: f64 = 5.0;
 
-/// What the review of an open job shows.
+/// Result of the review of an open job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Review {
-    /// Its time is up, or the node shuts down before it can be served: it is answered now.
+    /// The deadline of the job is about to pass, or the node shuts down before the job can be served: it is
+    /// answered now.
     RejectOrFail,
-    /// It is unlikely to meet its objective: it is shed. In overload, work that can no longer be in time, queued here
-    /// or at a worker, only delays work that can.
+    /// The job is unlikely to meet its objective, so it is shed. In overload, work that can no longer be in
+    /// time, queued here or at a worker, only delays work that can.
     Shed,
-    /// It can still be served.
+    /// The job can still be served.
     Keep,
 }
 
-/// What decisions on deadlines depend on.
+/// Inputs of decisions on deadlines.
 pub(crate) struct DeadlineContext<'a> {
-    /// The present moment.
+    /// Present time.
     pub now: Timestamp,
-    /// The settings of this node.
+    /// Settings of this node.
     pub settings: &'a Settings,
     /// All workers.
     pub fleet: &'a Fleet,
-    /// All jobs must be answered by then; [`Timestamp::MAX`] while the node does not shut down.
+    /// Time by which all jobs must be answered. [`Timestamp::MAX`] if the node does not shut down.
     pub shutdown_deadline: Timestamp,
 }
 
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Whether this node ends before a job is likely to be served, while another may run it.
+    /// Returns whether this node exits before a job is likely to be served, while another node may run it.
     pub fn exceeds_shutdown_deadline(&self, job: &Job) -> bool {
         if self.shutdown_deadline == Timestamp::MAX {
             return false;
@@ -64,16 +67,17 @@
         }
     }
 
-    /// Whether a job is unlikely to meet its objective: a queued one by its usual run, one in flight where it
-    /// waits at a worker beyond the last start that could still be in time.
+    /// Returns whether a job is unlikely to meet its objective. A queued job is judged by its usual run time.
+    /// A job in flight is judged by its wait at the worker: it must have passed the last start that could
+    /// still be in time.
     fn is_beyond_objective(&self, job: &Job) -> bool {
         let time_left = job.objective_at.seconds_since(self.now);
         if job.is_idle() {
             return time_left < MIN_RUN_SHARE_LEFT * self.fleet.reliable_run(job);
         }
-        // Objectives grow with the true work, which may exceed the hint by as much as hints have been off.
-        // While few attempts start promptly, less of that doubt counts in favour of the job, since those
-        // behind it wait.
+        // Objectives grow with the true work, which may exceed the hint by as much as hints have been wrong.
+        // The fewer attempts start promptly, the less of that uncertainty counts in favour of the job, since
+        // the jobs behind it wait.
         let max_error = (MAX_HINT_ERRORS * self.fleet.hint_error() * self.fleet.prompt_start_share()).exp();
         let work_factor = self.settings.classes[job.class].latency_objective_work_factor;
         let hint_allowance =
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -1,33 +1,33 @@
-//! Outlier ejection: which workers are avoided, and for how long after failures.
+//! Outlier ejection: the workers that are avoided after failures, and the time for which they are ejected.
 
 use crate::state::{EndedAttempt, Job, Worker};
 use crate::{Outcome, Settings, TimeSpan, Timestamp};
 
-/// Mean time of a first ejection, in seconds; it doubles with each failure in a row.
-const BASE_EJECTION: TimeSpan = TimeSpan::from_millis(100);
-/// Most doublings of that time.
+/// Mean time of a first ejection. It doubles with each consecutive failure.
+const BASE_EJECTION_TIME: TimeSpan = TimeSpan::from_millis(100);
+/// Maximum number of doublings of [`BASE_EJECTION_TIME`].
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
-/// The jitter factor of an ejection is drawn from this ...
-const MIN_JITTER: f64 = 0.75;
-/// ... to this much more.
-const JITTER_RANGE: f64 = 0.5;
+/// Minimum of the random factor of an ejection time.
+const MIN_JITTER_FACTOR: f64 = 0.75;
+/// Difference between the maximum and the minimum of that factor.
+const JITTER_FACTOR_RANGE: f64 = 0.5;
 
-/// What the end of an attempt shows of its worker.
+/// Conclusion about a worker from the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndAssessment {
-    /// It served the job.
+    /// The worker served the job.
     Success,
-    /// It could not be reached. It may have restarted.
+    /// The worker could not be reached. It may have restarted.
     ConnectFailure,
-    /// It failed.
+    /// The worker failed.
     Failure,
-    /// The job waited there for as long as it was in flight.
+    /// The job waited at the worker for as long as it was in flight.
     CancelledWait,
-    /// Nothing.
+    /// The end of the attempt shows nothing about the worker.
     Inconclusive,
 }
 
-/// What the end of an attempt shows of its worker.
+/// Assesses a worker by the end of an attempt.
 pub(crate) fn assess_end(now: Timestamp, settings: &Settings, ended: &EndedAttempt) -> EndAssessment {
     let attempt = &ended.attempt;
     match ended.outcome {
@@ -45,21 +45,22 @@
     }
 }
 
-/// Whether a worker is avoided: while it does not accept what it was sent, while it is ejected, and then
-/// until an idempotent job has been served there. A late start counts in w instead.
+/// Returns whether a worker is avoided: while it does not accept an attempt that it was sent, while it is
+/// ejected, and afterwards until it has served an idempotent job. A late start is not a reason to avoid it;
+/// it increases the wait w instead.
 pub(super) fn is_avoided(now: Timestamp, settings: &Settings, worker: &Worker, job: &Job) -> bool {
     let may_probe = settings.is_idempotent(job.class) && worker.is_idle();
-    let on_trial = worker.health().consecutive_failures > 1 && !may_probe;
+    let awaits_probe = worker.health().consecutive_failures > 1 && !may_probe;
     now < worker.health().ejected_until
-        || on_trial
+        || awaits_probe
         || worker.has_overdue_acceptance(now, settings.accept_timeout)
 }
 
-/// How long a worker is ejected after a failure that follows so many others: with exponential backoff, so that a dead
-/// one costs few attempts, and with jitter, so that nodes do not return in step. `random_fraction` is a random number
-/// from 0 to 1.
+/// Returns the duration of an ejection after a failure that follows `earlier_failures` others. Exponential
+/// backoff limits the attempts that a dead worker costs, and jitter keeps nodes from returning to it
+/// simultaneously. `random_fraction` is a random number from 0 to 1.
 pub(crate) fn ejection_duration(earlier_failures: u32, random_fraction: f64) -> TimeSpan {
-    let jitter = MIN_JITTER + JITTER_RANGE * random_fraction;
+    let jitter = MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * random_fraction;
     let factor = f64::from(1u32 << earlier_failures.min(MAX_EJECTION_DOUBLINGS));
-    TimeSpan::from_secs_f64(BASE_EJECTION.as_secs_f64() * factor * jitter)
+    TimeSpan::from_secs_f64(BASE_EJECTION_TIME.as_secs_f64() * factor * jitter)
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,18 +1,19 @@
-//! The decisions of a dispatcher: each module takes one kind of them, as functions of the records in `state`. A function's
-//! parameters are all that the decision depends on, and its result is what was decided; the dispatcher carries it out.
-//! `docs/design/decisions.md` shows the order of the calls.
+//! Decisions of a dispatcher. Each module makes one kind of decision, as functions of the records in `state`.
+//! A function takes as parameters all that the decision depends on and returns the decision, which the
+//! dispatcher carries out. `docs/design/decisions.md` shows the order of the calls.
 //!
-//! | module | what it decides |
+//! | module | decision |
 //! | --- | --- |
-//! | `admission` | what a submitted job may claim, and whether it is taken |
-//! | `pending_queue` | when a job is sent, and in which order |
-//! | `placement` | which worker gets it: the lowest `x + w/(1-r)` |
-//! | `ejection` | which workers are avoided after failures |
-//! | `retries`, `hedging` | what follows an attempt that failed, or that does not start |
-//! | `deadlines` | when a job is shed or answered unserved |
-//! | `unsent_attempts` | what becomes of an attempt of which nothing was sent |
+//! | `admission` | the weight, quota and objective of a submitted job, and whether the job is accepted |
+//! | `pending_queue` | the time at which a job is sent, and the order of jobs |
+//! | `placement` | the worker for a job: the one with the lowest `x + w/(1-r)` |
+//! | `ejection` | the workers that are avoided after failures |
+//! | `retries`, `hedging` | the reaction to an attempt that failed, or that does not start |
+//! | `deadlines` | the time at which a job is shed, or answered without being served |
+//! | `unsent_attempts` | the reaction to an attempt of which nothing was sent |
 //!
-//! What is allowed at all stands in [`crate::permission`]: every send and every final answer passes it.
+//! The rules in [`crate::permission`] determine what is allowed at all: every send and every final response
+//! is checked there.
 
 pub(crate) mod admission;
 pub(crate) mod deadlines;
--- a/crates/core/src/policy/unsent_attempts.rs
+++ b/crates/core/src/policy/unsent_attempts.rs
@@ -1,12 +1,12 @@
 //! Attempts that were decided on and of which no byte was sent. An attempt of which a byte may have been sent
-//! is not withdrawn.
+//! is not revoked.
 
 use crate::Settings;
 use crate::permission::max_attempts;
 use crate::state::Job;
 
-/// Whether a job whose revoked attempt was not sent is queued again as if it had just been submitted, because no other
-/// attempt may have run: that was no failure and costs no retry.
+/// Returns whether a job whose revoked attempt was not sent is requeued as if it had just been submitted,
+/// because no other attempt may have run. The unsent attempt was no failure and costs no retry.
 pub(crate) fn may_requeue_unsent(settings: &Settings, job: &Job) -> bool {
     !job.is_answered()
         && job.is_idle()
