--- a/crates/node/src/attempt/cancel_signal.rs
+++ b/crates/node/src/attempt/cancel_signal.rs
@@ -1,12 +1,12 @@
-//! The request of the dispatch task to cancel an attempt, as the attempt sees it.
+//! Cancellation request from the dispatch task to an attempt.
 
 use std::future::pending;
 
 use tokio::sync::oneshot;
 
-/// Whether the dispatch task has requested the cancellation of an attempt. It does so at most once.
+/// State of the cancellation request for an attempt. The dispatch task sends the request at most once.
 ///
-/// It stands in place of `tokio_util::sync::CancellationToken`, because a token cannot represent the third state:
+/// This type replaces `tokio_util::sync::CancellationToken` because a token cannot represent the third state:
 /// the attempt has ended, and no cancellation will be requested any more.
 pub enum CancelSignal {
     /// A cancellation may still be requested.
@@ -18,17 +18,18 @@
 }
 
 impl CancelSignal {
-    /// A signal that is never received.
+    /// Creates a signal that is never received.
     pub fn never() -> Self {
         CancelSignal::Closed
     }
 
-    /// Whether it has been received.
+    /// Returns whether the signal has been received.
     pub fn is_received(&self) -> bool {
         matches!(self, CancelSignal::Received)
     }
 
-    /// Returns once it is received; never returns if it will not be. Cancel-safe.
+    /// Waits until the signal is received. Never returns if the signal is closed without being received.
+    /// Cancel-safe.
     pub async fn received(&mut self) {
         if let CancelSignal::Waiting(receiver) = self {
             let received = receiver.await.is_ok();
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Waits until it is received or will not be any more. Returns whether it was received.
+    /// Waits until the signal is received or closed. Returns whether it was received.
     pub async fn received_before_close(self) -> bool {
         match self {
             CancelSignal::Waiting(receiver) => receiver.await.is_ok(),
--- a/crates/node/src/attempt/client_presence.rs
+++ b/crates/node/src/attempt/client_presence.rs
@@ -1,4 +1,4 @@
-//! Whether the client of a job is still connected.
+//! Connection state of the client of a job.
 
 use std::cell::OnceCell;
 use std::time::Duration;
@@ -7,46 +7,48 @@
 
 use super::cancel_flag::CancelFlag;
 
-/// Whether a socket shows that its peer has disconnected.
+/// Function that checks the client socket, and returns whether it shows that the client has disconnected.
 type DisconnectProbe = Box<dyn Fn() -> bool>;
 
-/// Whether the client of a job is still connected. Once it is gone, it stays gone.
+/// Connection state of the client of a job. A disconnected client stays disconnected.
 ///
-/// The server's task of the connection reports a disconnection when it runs. A process that was held up may be
-/// about to write before that, so whoever is about to write looks at the client's socket as well.
+/// The connection task of the server reports a disconnection when that task runs. After a stall of the
+/// process, an attempt may be about to be written before that. Therefore the client socket is also checked
+/// before each write.
 #[derive(Default)]
 pub struct ClientPresence {
-    gone: CancelFlag,
+    disconnected: CancelFlag,
     probe: OnceCell<DisconnectProbe>,
 }
 
 impl ClientPresence {
-    /// Sets how to look at the client's socket. Only the first probe of a job counts.
-    pub fn set_probe(&self, is_disconnected: impl Fn() -> bool + 'static) {
-        // A job has one connection in this process.
-        let _ = self.probe.set(Box::new(is_disconnected));
+    /// Sets the probe of the client socket. Only the first probe of a job is used.
+    pub fn set_probe(&self, probe: impl Fn() -> bool + 'static) {
+        // Each job has a single client connection in this process.
+        let _ = self.probe.set(Box::new(probe));
     }
 
-    /// The client has disconnected.
-    pub fn mark_gone(&self) {
-        self.gone.raise();
+    /// Records that the client has disconnected.
+    pub fn mark_disconnected(&self) {
+        self.disconnected.raise();
     }
 
-    /// Whether the client has disconnected; looks at its socket.
-    pub fn is_gone(&self) -> bool {
-        if !self.gone.is_raised() && self.probe.get().is_some_and(|is_disconnected| is_disconnected()) {
-            self.mark_gone();
+    /// Returns whether the client has disconnected, and checks its socket if no disconnection has been
+    /// recorded.
+    pub fn is_disconnected(&self) -> bool {
+        if !self.disconnected.is_raised() && self.probe.get().is_some_and(|probe| probe()) {
+            self.mark_disconnected();
         }
-        self.gone.is_raised()
+        self.disconnected.is_raised()
     }
 
-    /// Whether its disconnection was noticed more than `span` before `now`.
-    pub(super) fn was_gone_before(&self, now: Instant, span: Duration) -> bool {
-        self.gone.was_raised_before(now, span)
+    /// Returns whether the disconnection was recorded more than `tolerance` before `now`.
+    pub(super) fn was_disconnected_before(&self, now: Instant, tolerance: Duration) -> bool {
+        self.disconnected.was_raised_before(now, tolerance)
     }
 
-    /// Returns once its disconnection is noticed.
-    pub async fn wait_until_gone(&self) {
-        self.gone.wait().await;
+    /// Waits until a disconnection of the client is recorded.
+    pub async fn wait_until_disconnected(&self) {
+        self.disconnected.wait().await;
     }
 }
--- a/crates/node/src/attempt/interface.rs
+++ b/crates/node/src/attempt/interface.rs
@@ -1,4 +1,4 @@
-//! The interface between the dispatch task, which decides on attempts, and the transport, which carries them to
+//! Interface between the dispatch task, which decides on attempts, and the transport, which sends them to
 //! workers.
 
 use std::future::Future;
@@ -12,72 +12,74 @@
 
 use super::send_permit::SendPermit;
 
-/// Identifies an attempt of a job.
+/// Identifier of an attempt of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The job.
+    /// Job of the attempt.
     pub job: JobId,
-    /// Position among the job's attempts, from 0 in the order of sends.
+    /// Position among the attempts of the job, counted from 0 in the order of sending.
     pub number: u32,
 }
 
-/// An attempt that the transport is to make, or to take over.
+/// A request to the transport to send an attempt, or to resume an attempt of another process.
 pub struct AttemptRequest<P> {
-    /// Identifies the attempt in the transport's reports.
+    /// Identifier of the attempt in the reports of the transport.
     pub id: AttemptId,
-    /// The client's id of the job.
+    /// Request id that the client gave the job.
     pub request_id: Rc<str>,
-    /// The worker.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// What is sent.
+    /// Payload that is sent to the worker.
     pub payload: Rc<P>,
-    /// The time that is left for the attempt.
+    /// Remaining duration until the attempt times out.
     pub timeout: Duration,
-    /// Whether it must be sent over a new connection: its loss over one that has ended unnoticed could not be repaired.
+    /// Whether the attempt must be sent over a new connection. If a reused connection had closed unnoticed,
+    /// the attempt would be lost and could not be retried.
     pub needs_new_connection: bool,
-    /// Receives a value where the attempt is to be cancelled. Once the sending half is dropped, the attempt
-    /// has ended and only its connection is left to be cleaned up.
+    /// Receives a value if the attempt is to be cancelled. Once the sender is dropped, the attempt has ended,
+    /// and only its connection remains to be cleaned up.
     pub cancel: oneshot::Receiver<()>,
-    /// Checked before the first byte is written: where it has been revoked, nothing is written and the
-    /// attempt ends as not sent.
+    /// Permit that is checked before the first byte is written. If it has been revoked, nothing is written,
+    /// and the attempt ends as not sent.
     pub send_permit: Rc<SendPermit>,
 }
 
-/// What the transport reports on an attempt: either `Accepted`, followed by `Cancelled` or nothing; or
-/// `Cancelled`; or `Ended`; or `LostWithReusedConnection`.
+/// Report of the transport on an attempt. The possible sequences are `Accepted`, optionally followed by
+/// `Cancelled`; `Cancelled` alone; `Ended` alone; and `LostWithReusedConnection` alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReport {
     /// The worker has accepted the attempt.
     Accepted(AttemptId),
     /// The attempt has ended with this outcome.
     Ended(AttemptId, Outcome),
-    /// The attempt was to be cancelled and has been cancelled.
+    /// The requested cancellation of the attempt is complete.
     Cancelled(AttemptId),
-    /// The attempt has ended as lost: its connection, which had carried an earlier request, broke before a byte of a
-    /// response.
+    /// The attempt has ended as lost: its connection, which had served an earlier request, broke before the
+    /// first byte of a response.
     LostWithReusedConnection(AttemptId),
 }
 
-/// The future of a report; see [`AttemptReporter::report`].
+/// Future of a report; see [`AttemptReporter::report`].
 pub type ReportFuture<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// Receives the transport's reports on attempts.
+/// Receiver of the reports of the transport on attempts.
 pub trait AttemptReporter {
-    /// Reports on an attempt. The future completes once the report is queued; a receiver that has ended ignores it.
+    /// Reports on an attempt. The future completes once the report is queued. If the receiver has finished,
+    /// the report is dropped.
     fn report(&self, report: AttemptReport) -> ReportFuture<'_>;
 }
 
-/// Carries attempts to workers, and reports on each to an [`AttemptReporter`].
+/// Transport that sends attempts to workers, and reports on each attempt to an [`AttemptReporter`].
 pub trait AttemptTransport {
-    /// What is sent to workers; the dispatch task never reads it.
+    /// Payload that is sent to workers. The dispatch task never reads it.
     type Payload;
 
     /// Sends an attempt.
     fn start_attempt(&self, attempt: AttemptRequest<Self::Payload>);
 
-    /// Takes over an attempt that a worker has accepted from another process of this node.
+    /// Resumes an attempt that a worker has accepted from another process of this node.
     fn resume_attempt(&self, attempt: AttemptRequest<Self::Payload>);
 
-    /// Closes the idle connections to a worker: the process that they lead to has ended.
+    /// Closes the idle connections to a worker whose process has exited.
     fn discard_connections(&self, address: SocketAddr);
 }
--- a/crates/node/src/attempt/mod.rs
+++ b/crates/node/src/attempt/mod.rs
@@ -1,10 +1,11 @@
-//! What the dispatch task and the client side of workers share of an attempt. Neither of the two uses the other.
+//! Types of an attempt that the dispatch task and the worker client share. Neither of the two depends on the
+//! other.
 //!
-//! - [`interface`]: the requests of the dispatch task, and the reports that it receives.
-//! - [`send_permit`]: whether the first byte of an attempt may still be sent.
-//! - [`cancel_signal`]: whether the dispatch task has requested the cancellation of an attempt.
-//! - [`client_presence`]: whether the client of a job is still connected.
-//! - [`cancel_flag`]: a flag that revokes permits, with the moment at which it was raised.
+//! - [`interface`]: requests of the dispatch task, and reports that it receives.
+//! - [`send_permit`]: permit to send the first byte of an attempt.
+//! - [`cancel_signal`]: cancellation request from the dispatch task to an attempt.
+//! - [`client_presence`]: connection state of the client of a job.
+//! - [`cancel_flag`]: flag that revokes permits, with the time at which it was raised.
 
 mod cancel_flag;
 mod cancel_signal;
--- a/crates/node/src/attempt/send_permit.rs
+++ b/crates/node/src/attempt/send_permit.rs
@@ -1,8 +1,8 @@
-//! Whether the first byte of an attempt may still be sent.
+//! Permit to send the first byte of an attempt.
 //!
-//! The party that withdraws the permit and the socket that is about to write look at the same value, in one
-//! thread, so that a permit is never withdrawn too late. Once the first byte of an attempt has been sent, its
-//! permit has no meaning any more.
+//! The task that revokes the permit and the socket that is about to write read the same value in one thread,
+//! so a revocation always takes effect before the write. Once the first byte of an attempt has been sent, its
+//! permit has no further effect.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -15,17 +15,19 @@
 use super::cancel_flag::CancelFlag;
 use super::client_presence::ClientPresence;
 
-/// A node may be stalled for this long between reading its clock and writing; the limits of permits allow for it.
-const MAX_HOLD: Duration = Duration::from_millis(150);
-/// A first byte that is written later than this after the client's disconnection counts as a violation.
-const MAX_WRITE_AFTER_CLIENT: Duration = Duration::from_millis(100);
+/// Maximum stall of the node between reading its clock and writing. The limits of permits allow for it.
+const MAX_STALL: Duration = Duration::from_millis(150);
+/// Maximum delay of the first byte after the disconnection of the client. A later write counts as a
+/// violation.
+const MAX_WRITE_DELAY_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 
-/// The lease on the endpoint list, as the permits of all attempts see it. The dispatch task alone changes it.
+/// Deadline of the lease on the endpoint list, shared by the permits of all attempts. Only the dispatch task
+/// changes it.
 #[derive(Default)]
 pub struct SendLease(Cell<Option<Instant>>);
 
 impl SendLease {
-    /// Attempts that were decided on so far may be written before this moment; None: at any time.
+    /// Sets the time before which attempts that have been decided on may be written; None for no limit.
     pub fn set_deadline(&self, deadline: Option<Instant>) {
         self.0.set(deadline);
     }
@@ -35,89 +37,98 @@
     }
 }
 
-/// Whether the first byte of one attempt may still be sent. It ends by the first of four:
+/// Permit to send the first byte of one attempt. The first of these events ends it:
 ///
-/// - the dispatch task, which alone creates and revokes permits, revokes it;
-/// - the client disconnects: its socket is looked at, and the job's server task reports it directly, since in
-///   the queue of the dispatch task it might wait behind others;
-/// - a deadline passes, which was fixed when the attempt was decided on;
-/// - the lease on the endpoint list expires, which may have been shortened since.
+/// - The dispatch task, which alone creates and revokes permits, revokes it.
+/// - The client disconnects. The client socket is checked, and the server task of the job reports the
+///   disconnection directly, because in the queue of the dispatch task the report might wait behind others.
+/// - The deadline passes that was set when the attempt was decided on.
+/// - The lease on the endpoint list expires. The lease may have been shortened since the decision.
 #[derive(Default)]
 pub struct SendPermit {
     parts: SendPermitParts,
     revoked: CancelFlag,
 }
 
-/// What a [`SendPermit`] is made of.
+/// Parts of a [`SendPermit`].
 #[derive(Default)]
 pub struct SendPermitParts {
-    /// The client's id of the job, for the log.
+    /// Request id that the client gave the job, for the log.
     pub request_id: Rc<str>,
-    /// Whether the client is still connected.
+    /// Connection state of the client.
     pub client: Rc<ClientPresence>,
-    /// The first byte must be sent before this moment.
+    /// Time before which the first byte must be sent; None if only the other parts limit it.
     pub deadline: Option<Instant>,
-    /// The lease on the endpoint list.
+    /// Lease on the endpoint list.
     pub lease: Rc<SendLease>,
 }
 
 impl SendPermit {
-    /// A permit that nothing has ended yet.
+    /// Creates a valid permit.
     pub fn new(parts: SendPermitParts) -> Rc<SendPermit> {
         Rc::new(SendPermit { parts, revoked: CancelFlag::default() })
     }
 
-    /// The client's id of the job.
+    /// Returns the request id that the client gave the job.
     pub fn request_id(&self) -> &str {
         &self.parts.request_id
     }
 
-    /// Ends the permit.
+    /// Revokes the permit.
     pub fn revoke(&self) {
         self.revoked.raise();
     }
 
-    /// Whether the first byte may be sent now.
+    /// Returns whether the first byte may be sent now.
     pub fn is_valid(&self) -> bool {
         self.check(Instant::now()).is_ok()
     }
 
-    /// Whether the first byte may be sent at this moment.
+    /// Checks whether the first byte may be sent at the time `now`.
     pub fn check(&self, now: Instant) -> Result<(), Denial> {
-        self.check_with_delay(now, Duration::ZERO, Duration::ZERO)
+        self.check_with_tolerances(now, Duration::ZERO, Duration::ZERO)
     }
 
-    /// Checks a first byte that was sent by this moment, with the delays that the rules allow for.
+    /// Checks a first byte that had been sent by the time `now`, with the delays that the rules allow.
     pub fn check_sent(&self, now: Instant) -> Result<(), Denial> {
-        self.check_with_delay(now, MAX_HOLD, MAX_WRITE_AFTER_CLIENT)
+        self.check_with_tolerances(now, MAX_STALL, MAX_WRITE_DELAY_AFTER_DISCONNECT)
     }
 
-    fn check_with_delay(&self, now: Instant, hold: Duration, after_client: Duration) -> Result<(), Denial> {
-        if self.revoked.is_raised() && (hold.is_zero() || self.revoked.was_raised_before(now, hold)) {
+    fn check_with_tolerances(
+        &self,
+        now: Instant,
+        max_stall: Duration,
+        max_delay_after_disconnect: Duration,
+    ) -> Result<(), Denial> {
+        if self.revoked.is_raised() && (max_stall.is_zero() || self.revoked.was_raised_before(now, max_stall))
+        {
             return Err(Denial::WorkerUnavailable);
         }
         let client = &self.parts.client;
-        let is_client_gone =
-            if hold.is_zero() { client.is_gone() } else { client.was_gone_before(now, after_client) };
-        if is_client_gone {
+        let is_client_disconnected = if max_stall.is_zero() {
+            client.is_disconnected()
+        } else {
+            client.was_disconnected_before(now, max_delay_after_disconnect)
+        };
+        if is_client_disconnected {
             return Err(Denial::ClientGone);
         }
-        let latest = now.checked_sub(hold).unwrap_or(now);
-        if self.parts.deadline.is_some_and(|deadline| latest >= deadline) {
+        let earliest_check = now.checked_sub(max_stall).unwrap_or(now);
+        if self.parts.deadline.is_some_and(|deadline| earliest_check >= deadline) {
             return Err(Denial::WriteTooLate);
         }
-        if self.parts.lease.has_expired(latest) {
+        if self.parts.lease.has_expired(earliest_check) {
             return Err(Denial::EndpointsExpired);
         }
         Ok(())
     }
 
-    /// Returns once the permit is not valid any more, but for a lease that was shortened.
+    /// Waits until the permit is no longer valid. A shortened lease does not end the wait.
     pub async fn invalidated(&self) {
         tokio::select! {
             biased;
             () = self.revoked.wait() => {}
-            () = self.parts.client.wait_until_gone() => {}
+            () = self.parts.client.wait_until_disconnected() => {}
             () = self.expired() => {}
         }
     }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list as discovery writes it, and its translation into the dispatcher's numbers.
+//! Messages of discovery, and their translation into the identifiers of the dispatcher.
 //!
-//! A message is one JSON object: either a complete list (`snapshot`) or the endpoints that have changed since
-//! the version before it. [`EndpointListParser`](super::list_parser::EndpointListParser) finds these objects
-//! in a stream of bytes.
+//! A message is one JSON object: either the complete endpoint list (`snapshot`) or the endpoints that have
+//! changed since the previous version. [`EndpointListParser`](super::list_parser::EndpointListParser) finds
+//! these objects in a byte stream.
 
 use std::net::SocketAddr;
 
@@ -12,35 +12,35 @@
 
 use crate::dispatch::{NamedEndpoint, WallTime};
 
-/// Version of the endpoint list by which the complete list is requested.
+/// Version of the endpoint list with which a poll requests the complete list.
 pub const NO_LIST_INDEX: u64 = 0;
 
-/// A complete endpoint list, or the endpoints that changed.
+/// A complete endpoint list, or a change to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListMessage {
-    /// The version of the list that this message leads to.
+    /// Version of the list once this message has been applied.
     pub index: u64,
-    /// Whether `endpoints` is the complete list, so that an endpoint that it does not name is no longer listed.
+    /// Whether `endpoints` is the complete list, so that an endpoint missing from it is no longer listed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The complete list, or the changed endpoints of it.
+    /// Complete list, or the changed endpoints.
     #[serde(default)]
     pub endpoints: Vec<EndpointRecord>,
 }
 
 impl EndpointListMessage {
-    /// How the message changes the endpoint list.
+    /// Returns how the message changes the endpoint list.
     pub fn update(&self) -> EndpointUpdate {
         if self.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta }
     }
 
-    /// A message that changes nothing: the list of this version is still valid.
+    /// Creates a message without changes, which states that the list of version `index` is still valid.
     pub fn unchanged(index: u64) -> Self {
         EndpointListMessage { index, snapshot: false, endpoints: Vec::new() }
     }
 }
 
-/// One worker in a message of discovery.
+/// Record of one worker in a message of discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointRecord {
     name: String,
@@ -48,14 +48,14 @@
     zone: String,
     #[serde(rename = "type")]
     kind: String,
-    /// The cell of the worker.
+    /// Cell of the worker.
     #[serde(default)]
     group: u32,
     status: ServiceStatus,
-    /// Capacity relative to a usual worker of its kind.
+    /// Capacity relative to a usual worker of the same kind.
     #[serde(default = "EndpointRecord::default_weight")]
     weight: f64,
-    /// When the worker started, in milliseconds since the Unix epoch; 0 if that is not known.
+    /// Time at which the worker started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(default)]
     since_ms: u64,
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// The state of a worker as discovery names it.
+/// State of a worker in a message of discovery.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum ServiceStatus {
@@ -85,22 +85,22 @@
     }
 }
 
-/// Translates the names of zones and kinds into the numbers that the dispatcher uses.
+/// Translates the names of zones and kinds into the indexes that the dispatcher uses.
 ///
-/// A name of the settings has its position there. Any other name is appended when it is first seen, so that
-/// it keeps one number for the lifetime of the process.
+/// The index of a name in the settings is its position there. Any other name is appended when it is first
+/// received, so that it keeps its index for the lifetime of the process.
 pub struct EndpointResolver {
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
 impl EndpointResolver {
-    /// A resolver that knows the names of these settings.
+    /// Creates a resolver with the zone and kind names of the settings.
     pub fn new(site: &Site) -> Self {
         EndpointResolver { zones: site.zone_names.clone(), kinds: site.kind_names.clone() }
     }
 
-    /// The endpoints in the dispatcher's terms, in the order of the message.
+    /// Converts records into endpoints of the dispatcher, in the order of the message.
     pub fn resolve(&mut self, records: &[EndpointRecord]) -> Vec<NamedEndpoint> {
         records.iter().map(|record| self.resolve_record(record)).collect()
     }
@@ -108,20 +108,20 @@
     fn resolve_record(&mut self, record: &EndpointRecord) -> NamedEndpoint {
         let endpoint = Endpoint {
             worker: WorkerId::from_name(&record.name),
-            zone: ZoneId(index_of_name(&mut self.zones, &record.zone)),
-            kind: KindId(index_of_name(&mut self.kinds, &record.kind)),
+            zone: ZoneId(find_or_append(&mut self.zones, &record.zone)),
+            kind: KindId(find_or_append(&mut self.kinds, &record.kind)),
             cell: CellId(record.group),
             status: record.status.into(),
-            started_at: WallTime::from_unix_millis(record.since_ms).moment(),
+            started_at: WallTime::from_unix_millis(record.since_ms).to_timestamp(),
             size: record.weight,
         };
         NamedEndpoint { name: record.name.as_str().into(), address: record.address, endpoint }
     }
 }
 
-/// The position of a name, which is appended if it is not there yet.
-fn index_of_name(names: &mut Vec<String>, name: &str) -> u32 {
-    let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
+/// Returns the position of a name, and appends the name if it is missing.
+fn find_or_append(names: &mut Vec<String>, name: &str) -> u32 {
+    let index = names.iter().position(|existing| existing == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     });
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -1,12 +1,12 @@
-//! One endpoint watch: a long-lived `GET` on discovery whose response is a stream of endpoint lists and
-//! heartbeats.
+//! An endpoint watch: a long-lived `GET` request to discovery whose response is a stream of endpoint lists
+//! and heartbeats.
 //!
-//! A watch is opened by a *poll*: connect, send the request, and read up to the first list or heartbeat. From
-//! then on [`EndpointWatch::next_event`] reads until the watch fails. Every failure is final: another poll
-//! has to follow.
+//! A *poll* opens a watch: it connects, sends the request, and reads up to the first list or heartbeat.
+//! [`EndpointWatch::next_event`] then reads until the watch fails. Every failure is final: a new poll must
+//! open the next watch.
 //!
-//! The connection is driven by the caller that waits for its data and by no task of its own, so that it is closed,
-//! and its descriptor free, as soon as the watch or the poll is dropped.
+//! The caller that awaits data drives the connection, not a separate task. Dropping the watch or the poll
+//! therefore closes the connection and frees its descriptor at once.
 
 use std::future::poll_fn;
 use std::io;
@@ -28,17 +28,20 @@
 use crate::discovery::endpoint_list::EndpointListMessage;
 use crate::discovery::list_parser::{EndpointListError, EndpointListParser, Parsed};
 
-/// A watch without a list or a heartbeat for this long has failed. Discovery sends a heartbeat every 2 s;
-/// half of that is added for a slow network or machine, since otherwise all nodes would poll at once.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bound of a complete poll. Discovery serves polls one after another and abandons those that wait for 2 s.
+/// Maximum duration without a list or a heartbeat, after which a watch has failed. Discovery sends a
+/// heartbeat every 2 s. Half of that interval is added for a slow network or machine; otherwise all nodes
+/// would poll at once.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a complete poll. Discovery serves polls one after another and abandons those that have waited
+/// for 2 s.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Timeout of connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Why a watch could not be opened, or has failed. Each is counted, and another poll follows.
+/// Errors of opening and reading a watch. Each failure is counted and followed by another poll.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// No process listens at the address, or the connection was refused.
+    /// No process listens at the address, or it refused the connection.
     #[error("discovery cannot be reached: {0}; see that it runs at the address in the configuration")]
     Unreachable(#[source] io::Error),
     /// No connection was established within [`CONNECT_TIMEOUT`].
@@ -47,7 +50,7 @@
          lets calls through"
     )]
     ConnectTimeout,
-    /// The process at the address does not speak HTTP, or the connection broke before a response.
+    /// The process at the address does not use HTTP, or the connection broke before a response.
     #[error(
         "discovery does not answer: {0}; see that it runs, and that its address is that of no other service"
     )]
@@ -55,7 +58,7 @@
     /// The address cannot be written into a request.
     #[error("discovery cannot be asked: {0}; give it an address and port in the configuration")]
     Request(#[from] hyper::http::Error),
-    /// A response other than 200.
+    /// Discovery returned a status other than 200.
     #[error("discovery answered {0}; where that lasts, see whether it is overloaded")]
     Status(StatusCode),
     /// The poll took longer than [`POLL_TIMEOUT`].
@@ -69,78 +72,79 @@
     /// Discovery ended the response.
     #[error("the watch ended; where that lasts, see whether discovery serves watches at that address")]
     Ended,
-    /// Neither a list nor a heartbeat arrived within [`SILENCE_TIMEOUT`].
+    /// Neither a list nor a heartbeat arrived within [`HEARTBEAT_TIMEOUT`].
     #[error("the watch fell silent; where that lasts, see whether discovery hangs or the network is cut")]
-    Silent,
-    /// A change has an older version than the list that it is to change, so that others may be missing.
+    HeartbeatTimeout,
+    /// A change has an older version than the list that it applies to, so that other changes may be missing.
     #[error(
         "the watch sent version {sent} after version {known}; see whether two discoveries serve one address"
     )]
     OutOfOrder {
-        /// The version of the change.
+        /// Version of the change.
         sent: u64,
-        /// The version that was known.
+        /// Version of the list before the change.
         known: u64,
     },
-    /// The response holds something other than endpoint lists.
+    /// The response contains something other than endpoint lists.
     #[error("a list of the watch cannot be read: {0}")]
     Malformed(#[from] EndpointListError),
 }
 
 impl WatchError {
-    /// Whether a message that was due did not arrive, so that later changes of discovery are unknown.
-    pub fn is_silence(&self) -> bool {
-        matches!(self, WatchError::Silent | WatchError::PollTimeout)
+    /// Returns whether an expected message did not arrive in time, so that changes made since then are
+    /// unknown.
+    pub fn is_response_timeout(&self) -> bool {
+        matches!(self, WatchError::HeartbeatTimeout | WatchError::PollTimeout)
     }
 
-    /// Whether the list that is known may lack any change, however recent.
-    pub fn leaves_list_unknown(&self) -> bool {
+    /// Returns whether any change, however recent, may be missing from the list of this node.
+    pub fn invalidates_list(&self) -> bool {
         matches!(self, WatchError::Malformed(_) | WatchError::OutOfOrder { .. })
     }
 }
 
-/// An event of a watch, and the moment up to which the list is known with it.
+/// An event of a watch, and the time as of which the list is current after it.
 pub struct ReceivedEvent {
-    /// What was read.
+    /// Event that was read.
     pub event: WatchEvent,
-    /// The list, with this event applied, is known to have been current at this moment. None if the event arrived after
-    /// a silence: it may have been delayed, and others after it.
+    /// Time at which the list, with this event applied, was current. None if the event arrived after
+    /// [`HEARTBEAT_TIMEOUT`]: this event and later ones may have been delayed.
     pub current_as_of: Option<Instant>,
 }
 
-/// What an open watch delivers.
+/// Event of an open watch.
 pub enum WatchEvent {
-    /// A complete list or a change of it.
+    /// A complete list or a change to it.
     List(EndpointListMessage),
-    /// Nothing has changed since the last list.
+    /// No change since the last list.
     Heartbeat,
 }
 
-/// A poll to be made: the address of discovery, and the version after which changes are requested.
+/// Parameters of a poll: address of discovery, and version after which changes are requested.
 pub struct PollRequest {
-    /// Where discovery is.
+    /// Address of discovery.
     pub address: SocketAddr,
-    /// The known version of the list, or
+    /// Version of the list of this node, or
     /// [`NO_LIST_INDEX`](crate::discovery::endpoint_list::NO_LIST_INDEX).
     pub known_index: u64,
-    /// When the poll was started.
+    /// Time at which the poll was started.
     pub started_at: Instant,
 }
 
-/// The result of a successful poll.
+/// Result of a successful poll.
 pub struct OpenedWatch {
-    /// The watch, to be read on.
+    /// Opened watch, from which further events are read.
     pub watch: EndpointWatch,
-    /// The list or heartbeat that it began with.
+    /// First list or heartbeat of the watch.
     pub first_event: WatchEvent,
-    /// When the poll was started. Discovery has answered later, so that its list was current then.
+    /// Time at which the poll was started. Discovery responded later, so its list was current at this time.
     pub started_at: Instant,
-    /// From the start of the poll to the first event.
+    /// Duration from the start of the poll to the first event.
     pub poll_duration: Duration,
 }
 
 impl PollRequest {
-    /// Makes the poll, within [`POLL_TIMEOUT`].
+    /// Opens a watch and reads its first event, within [`POLL_TIMEOUT`].
     pub async fn run(self) -> Result<OpenedWatch, WatchError> {
         let open = async {
             let mut watch = EndpointWatch::open(self.address, self.known_index).await?;
@@ -152,17 +156,18 @@
     }
 }
 
-/// An open watch. Dropping it closes its connection.
+/// An open watch. Dropping the watch closes its connection.
 pub struct EndpointWatch {
     connection: DrivenConnection,
     body: Incoming,
     parser: EndpointListParser,
-    /// When the last complete list or heartbeat was read; at first, when the response began.
+    /// Time at which the last complete list or heartbeat was read; initially the time of the response head.
     last_event_at: Instant,
-    /// When the last bytes were read.
+    /// Time at which the last bytes were read.
     read_at: Instant,
-    /// Bytes were read only after the watch had been silent for too long, as when this process was stalled.
-    has_been_silent: bool,
+    /// Whether the last bytes were read after [`HEARTBEAT_TIMEOUT`], for example because this process was
+    /// stalled.
+    is_heartbeat_overdue: bool,
 }
 
 impl EndpointWatch {
@@ -186,48 +191,48 @@
             parser,
             last_event_at: now,
             read_at: now,
-            has_been_silent: false,
+            is_heartbeat_overdue: false,
         })
     }
 
-    /// The next list or heartbeat.
+    /// Returns the next list or heartbeat.
     ///
-    /// Cancel-safe: bytes that were read and the time of the last event stay with the watch.
+    /// Cancel-safe: the watch keeps the bytes that were read and the time of the last event.
     pub async fn next_event(&mut self) -> Result<ReceivedEvent, WatchError> {
         loop {
             if let Some(event) = self.parse_event()? {
-                let current_as_of = (!self.has_been_silent).then_some(self.read_at);
+                let current_as_of = (!self.is_heartbeat_overdue).then_some(self.read_at);
                 return Ok(ReceivedEvent { event, current_as_of });
             }
-            if self.has_been_silent {
-                return Err(WatchError::Silent);
+            if self.is_heartbeat_overdue {
+                return Err(WatchError::HeartbeatTimeout);
             }
             self.read_frame().await?;
         }
     }
 
-    /// The next event among the bytes that were read.
+    /// Parses the next event from the bytes that were read.
     fn parse_event(&mut self) -> Result<Option<WatchEvent>, WatchError> {
         let event = match self.parser.parse_next()? {
             Parsed::Incomplete => return Ok(None),
             Parsed::Heartbeat => WatchEvent::Heartbeat,
             Parsed::List(list) => WatchEvent::List(list),
         };
-        // Bytes alone do not count as activity: a list that never ends delivers nothing.
+        // Only complete events count as activity: a list that never ends delivers nothing.
         self.last_event_at = self.read_at;
         Ok(Some(event))
     }
 
     async fn read_frame(&mut self) -> Result<(), WatchError> {
-        let silent_at = self.last_event_at + SILENCE_TIMEOUT;
+        let heartbeat_deadline = self.last_event_at + HEARTBEAT_TIMEOUT;
         let frame = self.connection.drive(|context| Pin::new(&mut self.body).poll_frame(context));
-        let frame = match timeout_at(silent_at, frame).await {
+        let frame = match timeout_at(heartbeat_deadline, frame).await {
             Ok(Some(frame)) => frame.map_err(WatchError::Broken)?,
             Ok(None) => return Err(WatchError::Ended),
-            Err(_) => return Err(WatchError::Silent),
+            Err(_) => return Err(WatchError::HeartbeatTimeout),
         };
         self.read_at = Instant::now();
-        self.has_been_silent = self.read_at >= silent_at;
+        self.is_heartbeat_overdue = self.read_at >= heartbeat_deadline;
         if let Ok(data) = frame.into_data() {
             self.parser.push_bytes(&data);
         }
@@ -240,7 +245,7 @@
         Ok(stream) => stream.map_err(WatchError::Unreachable)?,
         Err(_) => return Err(WatchError::ConnectTimeout),
     };
-    // Without it the connection is slower, but works.
+    // If the option cannot be set, the connection is slower but works.
     let _ = stream.set_nodelay(true);
     let (requests, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(WatchError::NoResponse)?;
@@ -249,21 +254,21 @@
 
 type HttpConnection = http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>;
 
-/// A connection to discovery that makes progress only while a caller waits for its data.
+/// A connection to discovery that makes progress only while a caller awaits data.
 struct DrivenConnection {
-    /// `None` once the connection has ended.
+    /// Open connection; `None` once it has closed.
     open: Option<Box<HttpConnection>>,
 }
 
 impl DrivenConnection {
-    /// Waits for `poll` while driving the connection. The connection is polled first, so that what it has
-    /// read counts before any timeout.
+    /// Awaits `poll` while driving the connection. The connection is polled first, so that data that it has
+    /// already read takes precedence over any timeout.
     async fn drive<T>(&mut self, mut poll: impl FnMut(&mut Context<'_>) -> Poll<T>) -> T {
         poll_fn(|context| {
             if let Some(connection) = &mut self.open
                 && Pin::new(connection).poll(context).is_ready()
             {
-                // The response or its body reports how the connection ended.
+                // The response or its body reports the reason for the close.
                 self.open = None;
             }
             poll(context)
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -1,11 +1,11 @@
-//! Incremental parser of the stream of endpoint lists that an endpoint watch delivers.
+//! Incremental parser of the byte stream of an endpoint watch.
 //!
-//! The stream is a sequence of JSON objects, one or more on a line or indented over several, and of empty
-//! lines, which are heartbeats. The parser tracks nesting and strings byte by byte to find where an object
-//! ends, and leaves the object itself to `serde_json`. Each byte is scanned once.
+//! The stream is a sequence of JSON objects and of empty lines, which are heartbeats. A line may contain
+//! several objects, and an indented object spans several lines. The parser tracks nesting and strings byte by
+//! byte to find the end of an object, and `serde_json` parses the object itself. Each byte is scanned once.
 //!
-//! An object that is malformed could otherwise swallow all that follow it, since its end would never be
-//! found. So the incomplete object is checked as well while it arrives: see
+//! The end of a malformed object may never be found, and the parser would then take all later objects for a
+//! part of it. Therefore an incomplete object is also checked while it arrives: see
 //! [`EndpointListParser::check_incomplete_object`].
 
 use std::mem;
@@ -16,82 +16,85 @@
 
 use crate::discovery::endpoint_list::EndpointListMessage;
 
-/// Upper bound of one endpoint list, in bytes. An indented record with a name of 200 characters has some 450
-/// bytes, so that it is enough for 9,000 workers.
+/// Maximum size of one endpoint list, in bytes. An indented record with a name of 200 characters has about
+/// 450 bytes, so the limit suffices for 9,000 workers.
 const MAX_LIST_BYTES: usize = 1 << 22;
 
-/// Why the stream of a watch cannot be read. What follows on that watch cannot be distinguished from the
-/// malformed part.
+/// Errors of parsing the stream of a watch. The data after a malformed part cannot be distinguished from it,
+/// so the rest of the stream is unusable.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// An object that is not JSON, or not an endpoint list.
+    /// An object is not valid JSON or not a valid endpoint list.
     #[error("{0}; see that discovery's version is one that this node knows")]
-    NotAList(#[from] serde_json::Error),
-    /// A byte outside an object with which none can begin.
+    InvalidList(#[from] serde_json::Error),
+    /// A byte outside an object cannot begin an object.
     #[error("there is a byte {0:#04x} where a list should be; see whether something spoils it on the way")]
     UnexpectedByte(u8),
-    /// An object above [`MAX_LIST_BYTES`].
+    /// An object is larger than [`MAX_LIST_BYTES`].
     #[error("it is over {MAX_LIST_BYTES} bytes; see whether discovery lists far too much")]
     TooLong,
 }
 
-/// What the parser has found next.
+/// Result of a parser step.
 #[derive(Debug)]
 pub enum Parsed {
-    /// Nothing yet: more bytes are needed.
+    /// No complete item; more bytes are needed.
     Incomplete,
-    /// An empty line between lists: nothing has changed.
+    /// An empty line between lists, which states that nothing has changed.
     Heartbeat,
-    /// A complete list or a change of it.
+    /// A complete list or a change to it.
     List(EndpointListMessage),
 }
 
-/// Finds endpoint lists and heartbeats in a stream of bytes, however the stream is split and the lists are
-/// indented.
+/// Finds endpoint lists and heartbeats in a byte stream, regardless of how the stream is split and the lists
+/// are indented.
 #[derive(Default)]
 pub struct EndpointListParser {
-    /// Bytes that belong to no result yet.
+    /// Bytes that have not been returned as part of a result.
     buffer: BytesMut,
-    /// How many bytes of the buffer have been scanned. What follows describes the state at this position.
-    scanned: usize,
-    /// Open braces and brackets.
+    /// Number of bytes of the buffer that have been scanned. The following fields describe the state at this
+    /// position.
+    scanned_len: usize,
+    /// Number of open braces and brackets.
     depth: usize,
-    /// Inside a string.
+    /// Whether the position is inside a string.
     in_string: bool,
-    /// Behind a backslash in a string.
+    /// Whether the position follows a backslash in a string.
     escaped: bool,
-    /// An object has ended on the present line, whose end is no heartbeat therefore.
+    /// Whether an object has ended on the current line. The end of such a line is not a heartbeat.
     line_has_object: bool,
     /// Length of the prefix of the incomplete object that was found to be well-formed.
-    checked: usize,
-    /// Length of the longest prefix that ends behind a punctuation mark or a string. What follows it may be a
+    checked_len: usize,
+    /// Length of the longest prefix that ends after a punctuation mark or a string. The bytes after it may be
     /// part of a number, which by itself is not valid JSON.
-    checkable: usize,
+    checkable_len: usize,
 }
 
 impl EndpointListParser {
-    /// Appends bytes that were read, in pieces of any size.
+    /// Appends bytes that were read. The stream may be split anywhere.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next list or heartbeat. To be called until it returns [`Parsed::Incomplete`].
+    /// Returns the next list or heartbeat. The caller repeats the call until it returns
+    /// [`Parsed::Incomplete`].
     ///
     /// # Errors
     ///
-    /// After an error the stream is unusable, and so is the parser.
+    /// The stream is malformed, or a list is too large. After an error neither the stream nor the parser is
+    /// usable.
     pub fn parse_next(&mut self) -> Result<Parsed, EndpointListError> {
-        while let Some(&byte) = self.buffer.get(self.scanned) {
-            self.scanned += 1;
+        while let Some(&byte) = self.buffer.get(self.scanned_len) {
+            self.scanned_len += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
                 b'\\' if self.in_string => self.escaped = true,
                 b'"' if self.depth > 0 => {
                     self.in_string = !self.in_string;
-                    self.checkable = self.scanned;
+                    self.checkable_len = self.scanned_len;
                 }
                 _ if self.in_string => {}
-                b',' | b':' if self.depth > 0 => self.checkable = self.scanned,
+                b',' | b':' if self.depth > 0 => self.checkable_len = self.scanned_len,
                 b'{' => self.depth += 1,
                 b'[' if self.depth > 0 => self.depth += 1,
                 b'}' | b']' if self.depth > 0 => {
@@ -118,28 +121,28 @@
         Ok(Parsed::Incomplete)
     }
 
-    /// Fails if the incomplete object cannot become a list, whatever follows.
+    /// Returns an error if no continuation can make the incomplete object a list.
     ///
-    /// An object is checked again only once its checkable prefix has doubled, so that small pieces cost no
-    /// more than twice the complete text. The check stops at the last punctuation mark or string, because the JSON
-    /// parser reports a number that breaks off behind its point, its sign or its exponent as a syntax error
-    /// and not as a missing end.
+    /// An object is checked again only once its checkable prefix has doubled, so that for small pieces the
+    /// total cost is at most twice that of the complete text. The check stops at the last punctuation mark or
+    /// string, because the JSON parser reports a number that is cut after its decimal point, sign or exponent
+    /// as a syntax error instead of an unexpected end.
     fn check_incomplete_object(&mut self) -> Result<(), EndpointListError> {
-        if self.depth == 0 || self.checkable < 2 * self.checked {
+        if self.depth == 0 || self.checkable_len < 2 * self.checked_len {
             return Ok(());
         }
-        self.checked = self.checkable;
-        match serde_json::from_slice::<IgnoredAny>(&self.buffer[..self.checkable]) {
+        self.checked_len = self.checkable_len;
+        match serde_json::from_slice::<IgnoredAny>(&self.buffer[..self.checkable_len]) {
             Err(error) if !error.is_eof() => Err(error.into()),
             Ok(_) | Err(_) => Ok(()),
         }
     }
 
-    /// Removes the scanned bytes from the buffer.
+    /// Removes the scanned bytes from the buffer and returns them.
     fn take_scanned(&mut self) -> BytesMut {
-        self.checked = 0;
-        self.checkable = 0;
-        self.buffer.split_to(mem::take(&mut self.scanned))
+        self.checked_len = 0;
+        self.checkable_len = 0;
+        self.buffer.split_to(mem::take(&mut self.scanned_len))
     }
 }
 
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,15 +1,15 @@
-//! Discovery: where this node learns which workers exist, at which addresses and in which state.
+//! Discovery: the source of the existing workers, their addresses and their states.
 //!
 //! The node keeps an *endpoint watch* open, a request whose response is a stream of endpoint lists. Each list
-//! goes to the dispatch task as soon as it is read; nothing here holds a list back, reorders lists or decides
-//! by them.
+//! is sent to the dispatch task as soon as it is read. This module never delays or reorders lists, and makes
+//! no decisions based on them.
 //!
-//! - [`endpoint_list`]: the messages of discovery and their translation into the dispatcher's numbers.
-//! - [`list_parser`]: finds the messages in the stream.
-//! - [`endpoint_watch`]: one poll and the watch that it opens.
-//! - [`watch_state`]: the state machine: when to poll, and which polls and watches count.
-//! - [`watch_timing`]: the delays of its polls.
-//! - [`watcher`]: the task that waits for the events of that state and reports to the dispatch task.
+//! - [`endpoint_list`]: messages of discovery and their translation into the identifiers of the dispatcher.
+//! - [`list_parser`]: parser that finds the messages in the stream.
+//! - [`endpoint_watch`]: a poll and the watch that it opens.
+//! - [`watch_state`]: state machine that decides when to poll, and which polls and watches are current.
+//! - [`watch_timing`]: delays of polls.
+//! - [`watcher`]: task that awaits the events of the state machine and reports to the dispatch task.
 
 pub mod endpoint_list;
 mod endpoint_watch;
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -1,30 +1,32 @@
-//! The state machine of the endpoint watch: when discovery is polled, and which polls and watches count.
+//! State machine of the endpoint watch, which decides when to poll discovery, and which polls and watches are
+//! current.
 //!
-//! Discovery serves polls one after another. So that a fleet does not poll it all at once, a node polls when
-//! the dispatch task requests it (which spreads the requests of the nodes) and, unrequested, only within the
-//! bounds of [`WatchTiming`].
+//! Discovery serves polls one after another. To keep a fleet from polling all at once, a node polls when its
+//! dispatch task requests it, which spreads the requests of the nodes. Unrequested polls are limited by
+//! [`WatchTiming`].
 //!
 //! # States
 //!
-//! The address of discovery can change while watches and polls of the old address go on. Each of them has the
-//! [`AddressGeneration`] in which it was started. For the present generation the watch is in one of these
-//! states:
+//! The address of discovery can change while watches and polls of the old address continue. Each of them
+//! stores the [`AddressGeneration`] in which it was started. The watch of the current generation is in one of
+//! these states:
 //!
-//! | state | held in | left by |
+//! | state | stored in | left when |
 //! | --- | --- | --- |
-//! | idle | nothing below | a request of the dispatch task, or a change of address: a poll is started |
-//! | scheduled | `next_poll_at` | that moment: a poll is started |
-//! | polling | `pending_polls` | a poll that opens a watch, or the failure of the last one |
-//! | watching | `open_watch` | the failure of the watch |
+//! | idle | none of the fields below | the dispatch task requests a poll or the address changes: a poll is started |
+//! | scheduled | `next_poll_at` | that time is reached: a poll is started |
+//! | polling | `pending_polls` | a poll opens a watch, or the last pending poll fails |
+//! | watching | `open_watch` | the watch fails |
 //!
 //! Several polls may be pending, and a poll may be scheduled while another is pending or a watch of an
-//! earlier generation is open. The first poll of the present generation that opens a watch cancels all
+//! earlier generation is open. The first poll of the current generation that opens a watch cancels all
 //! others.
 //!
-//! After a failure the next state is *scheduled* if lists are pushed or unrequested polls are left, else
-//! *idle*: then the caller notifies the dispatch task, once. A watch of an earlier generation stays open
-//! until one of the present generation replaces it, since it may still deliver changes. While it is open it
-//! keeps the dispatch task from requesting polls, so that the state never stays *idle* beside it.
+//! After a failure the next state is *scheduled* if discovery pushes lists or unrequested polls are left.
+//! Otherwise it is *idle*, and the caller notifies the dispatch task once. A watch of an earlier generation
+//! may still deliver changes, so it stays open until a watch of the current generation replaces it. While it
+//! is open, it keeps the dispatch task from requesting polls. Therefore the state never stays *idle* beside
+//! it.
 
 use std::future::{Future, pending, poll_fn};
 use std::net::SocketAddr;
@@ -42,7 +44,7 @@
 use crate::discovery::watch_timing::WatchTiming;
 use crate::telemetry::logging::DISCOVERY;
 
-/// Counts the changes of discovery's address.
+/// Number of changes of the address of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressGeneration(u32);
 
@@ -52,108 +54,108 @@
     }
 }
 
-/// A poll in flight.
+/// A poll that has not finished.
 struct PendingPoll {
     generation: AddressGeneration,
     result: Pin<Box<dyn Future<Output = Result<OpenedWatch, WatchError>>>>,
 }
 
-/// The watch that is open, and the generation of the poll that opened it.
+/// The open watch, and the generation of the poll that opened it.
 struct OpenWatch {
     generation: AddressGeneration,
     watch: EndpointWatch,
 }
 
-/// What the watcher waits for; to be passed to [`WatchState::apply_event`].
+/// Event that the watcher awaits and passes to [`WatchState::apply_event`].
 pub enum StateEvent {
-    /// It is time for the scheduled poll.
-    PollDue,
+    /// The time of the scheduled poll has been reached.
+    PollTimerExpired,
     /// A poll has opened a watch or failed.
     PollFinished(PollOutcome),
-    /// The open watch has delivered something or failed.
+    /// The open watch has delivered an event or failed.
     WatchAdvanced(WatchOutcome),
 }
 
-/// How a poll ended.
+/// Outcome of a poll.
 pub struct PollOutcome {
     generation: AddressGeneration,
     result: Result<OpenedWatch, WatchError>,
 }
 
-/// What the open watch delivered.
+/// Event or failure of the open watch.
 pub struct WatchOutcome {
     generation: AddressGeneration,
     result: Result<ReceivedEvent, WatchError>,
 }
 
-/// What has to be passed on after an event.
+/// Update that the caller reports to the dispatch task.
 pub enum WatchUpdate {
-    /// A list, or a change of it.
+    /// A list, or a change to it.
     List(ListUpdate),
-    /// The watch at the present address confirms that nothing has changed up to this moment.
+    /// The watch of the current address confirms that the list was current at this time.
     Confirmed(Instant),
-    /// A watch or a poll has failed. The caller reports it and calls [`WatchState::record_failure`].
+    /// A watch or a poll has failed. The caller reports the failure and calls [`WatchState::record_failure`].
     Failed(WatchFailure),
 }
 
-/// A list that has been read.
+/// A list or a change that has been read.
 pub struct ListUpdate {
-    /// The list.
+    /// Content of the message.
     pub list: EndpointListMessage,
-    /// The moment at which the complete list, with this update applied, was current. None if that is unknown: the list
-    /// is of an earlier address, or arrived after a silence.
+    /// Time at which the complete list, with this update applied, was current. None if that is unknown: the
+    /// list is from an earlier address, or arrived after a heartbeat timeout.
     pub current_as_of: Option<Instant>,
-    /// How long the poll took of which it is the first answer.
+    /// Duration of the poll if this list is the first one of its watch.
     pub poll_duration: Option<Duration>,
 }
 
-/// A failed watch or poll.
+/// Failure of a watch or a poll.
 pub struct WatchFailure {
-    /// Why it failed.
+    /// Reason for the failure.
     pub error: WatchError,
-    /// Whether it was at the present address.
+    /// Whether the watch or poll was of the current address.
     pub is_current: bool,
-    /// Whether a poll failed and not an open watch. A poll has waited for this node's slot already.
+    /// Whether a poll failed and not an open watch. A poll has already waited for the slot of this node.
     is_poll: bool,
 }
 
-/// Where the next poll comes from after a failure.
+/// Source of the next poll after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextPoll {
-    /// It is scheduled, or the dispatch task has been notified of an earlier failure already.
+    /// The poll is scheduled, or the dispatch task has already been notified of an earlier failure.
     Pending,
-    /// The state was active before the failure and is idle now: the dispatch task has to be notified, which then
+    /// The state was active before the failure and is now idle. The dispatch task must be notified, and then
     /// requests the poll.
     OnRequest,
 }
 
 impl WatchFailure {
-    /// Whether a poll failed and not an open watch.
+    /// Returns whether a poll failed and not an open watch.
     pub fn is_poll(&self) -> bool {
         self.is_poll
     }
 }
 
-/// The open watch, the polls in flight, and the time of the next poll. See the module's documentation for the
-/// states.
+/// State of the endpoint watch: open watch, pending polls, and time of the next poll. See the module
+/// documentation for the states.
 pub struct WatchState {
     timing: WatchTiming,
     address: SocketAddr,
     generation: AddressGeneration,
-    /// Version of the list that is known, or [`NO_LIST_INDEX`].
+    /// Version of the list of this node, or [`NO_LIST_INDEX`].
     known_index: u64,
     open_watch: Option<OpenWatch>,
     pending_polls: Vec<PendingPoll>,
     next_poll_at: Option<Instant>,
-    /// How many unrequested polls are left since a silence or a change of address; `None` if there was
-    /// neither since a watch was opened at the present address.
+    /// Number of unrequested polls left since a response timeout or a change of the address; `None` if
+    /// neither has occurred since a watch of the current address was opened.
     unrequested_polls_left: Option<u32>,
-    /// Failures since an open watch has delivered something after its first event.
+    /// Number of failures since an open watch last delivered an event after its first one.
     consecutive_failures: u32,
 }
 
 impl WatchState {
-    /// A state that begins with a poll at once if lists are pushed, else idle.
+    /// Creates a state with an immediate poll if discovery pushes lists, otherwise an idle state.
     pub fn new(timing: WatchTiming, address: SocketAddr, known_index: u64) -> Self {
         WatchState {
             timing,
@@ -162,31 +164,31 @@
             known_index,
             open_watch: None,
             pending_polls: Vec::new(),
-            next_poll_at: timing.lists_are_pushed().then(Instant::now),
+            next_poll_at: timing.is_push_mode().then(Instant::now),
             unrequested_polls_left: None,
             consecutive_failures: 0,
         }
     }
 
-    /// Polls at the request of the dispatch task, unless a watch is open, a poll in flight or one scheduled:
-    /// these answer the request as well.
+    /// Starts a poll on request of the dispatch task, unless a watch is open or a poll is pending or
+    /// scheduled: these serve the request as well.
     pub fn request_poll(&mut self) {
         if !self.is_active() {
             self.start_poll();
         }
     }
 
-    /// Takes over another address of discovery and polls it. The watch and the polls of the address before go
-    /// on until a watch is opened at the new one: they may still deliver changes.
+    /// Changes the address of discovery and polls it. The watch and the polls of the previous address
+    /// continue until a watch of the new address is opened, since they may still deliver changes.
     pub fn change_address(&mut self, address: SocketAddr) {
         let previous = self.generation;
         self.address = address;
         self.generation = previous.next();
-        // Another discovery numbers its versions in its own way, so that the complete list is needed.
+        // Another discovery has its own version numbers, so the complete list is needed.
         self.known_index = NO_LIST_INDEX;
-        // All changes must be known 4 s later: a poll that hangs must leave time for others.
-        self.unrequested_polls_left = Some(self.timing.unrequested_polls());
-        // Polls of older addresses are cancelled, or they would accumulate descriptors.
+        // The node must be notified of all changes within 4 s: a poll that hangs must leave time for others.
+        self.unrequested_polls_left = Some(self.timing.max_unrequested_polls());
+        // Polls of older addresses are cancelled; otherwise they would accumulate descriptors.
         self.pending_polls.retain(|poll| poll.generation >= previous);
         self.start_poll();
     }
@@ -196,15 +198,15 @@
         tokio::select! {
             biased;
             outcome = next_poll_outcome(&mut self.pending_polls) => StateEvent::PollFinished(outcome),
-            () = sleep_until_or_forever(self.next_poll_at) => StateEvent::PollDue,
+            () = sleep_until_or_forever(self.next_poll_at) => StateEvent::PollTimerExpired,
             outcome = next_watch_outcome(&mut self.open_watch) => StateEvent::WatchAdvanced(outcome),
         }
     }
 
-    /// Changes the state for an event, and returns what has to be passed on.
+    /// Applies an event, and returns the update that the caller reports.
     pub fn apply_event(&mut self, event: StateEvent) -> Option<WatchUpdate> {
         match event {
-            StateEvent::PollDue => {
+            StateEvent::PollTimerExpired => {
                 self.unrequested_polls_left = self.unrequested_polls_left.map(|left| left.saturating_sub(1));
                 self.start_poll();
                 None
@@ -223,7 +225,7 @@
                         Some(self.accept_change(generation, list, received.current_as_of))
                     }
                     WatchEvent::Heartbeat => {
-                        // The heartbeat of an old address does not confirm the list at the present one.
+                        // A heartbeat of an old address does not confirm the list of the current one.
                         let as_of = received.current_as_of.filter(|_| generation == self.generation);
                         as_of.map(WatchUpdate::Confirmed)
                     }
@@ -237,17 +239,15 @@
         }
     }
 
-    /// Schedules the next poll after a failure, or returns that the dispatch task has to request it.
+    /// Schedules the next poll after a failure, and returns whether the dispatch task must request it
+    /// instead.
     pub fn record_failure(&mut self, failure: &WatchFailure) -> NextPoll {
         let was_active = failure.is_current || self.is_active();
         if failure.is_current {
             self.schedule_retry(failure);
-        } else if self.open_watch.is_none()
-            && !self.has_unrequested_polls()
-            && !self.timing.lists_are_pushed()
-        {
-            // The poll was scheduled because of the old watch. Without that watch the dispatch task is
-            // notified, and requests a poll sooner.
+        } else if self.open_watch.is_none() && !self.has_unrequested_polls() && !self.timing.is_push_mode() {
+            // The poll was scheduled because of the old watch. Once that watch has closed, the dispatch task
+            // is notified and requests a poll sooner.
             self.next_poll_at = None;
         }
         self.schedule_poll_beside_old_watch();
@@ -260,7 +260,7 @@
         debug!(target: DISCOVERY, address = %request.address, known_index = request.known_index, "endpoint poll sent");
         let poll = PendingPoll { generation: self.generation, result: Box::pin(request.run()) };
         self.pending_polls.push(poll);
-        let may_hedge = self.timing.lists_are_pushed() || self.has_unrequested_polls();
+        let may_hedge = self.timing.is_push_mode() || self.has_unrequested_polls();
         let hedge_delay = self.timing.hedge_delay().filter(|_| may_hedge);
         self.next_poll_at = hedge_delay.map(|delay| Instant::now() + delay);
     }
@@ -273,7 +273,7 @@
         self.pending_polls.iter().any(|poll| poll.generation == self.generation)
     }
 
-    /// Whether the state of the present generation is any but idle.
+    /// Returns whether the state of the current generation is not idle.
     fn is_active(&self) -> bool {
         let is_watching = self.open_watch.as_ref().is_some_and(|open| open.generation == self.generation);
         is_watching || self.has_pending_poll() || self.next_poll_at.is_some()
@@ -283,7 +283,7 @@
         let OpenedWatch { watch, first_event, started_at, poll_duration } = opened;
         let is_current = generation == self.generation;
         if is_current {
-            // This watch delivers all that the other polls could.
+            // This watch delivers everything that the other polls could.
             self.pending_polls.clear();
             self.next_poll_at = None;
             self.unrequested_polls_left = None;
@@ -293,14 +293,15 @@
         }
         let list = match first_event {
             WatchEvent::List(list) => list,
-            // The dispatch task waits for the answer to its request even if nothing has changed.
+            // The dispatch task awaits the result of its request even if nothing has changed.
             WatchEvent::Heartbeat if is_current => EndpointListMessage::unchanged(self.known_index),
             WatchEvent::Heartbeat => return None,
         };
         Some(self.accept_list(generation, list, Some(started_at), Some(poll_duration)))
     }
 
-    /// Takes a list of the open watch. A change whose version is older than the known one cannot follow it.
+    /// Accepts a list of the open watch. A change whose version is older than the current version is a
+    /// failure of the watch.
     fn accept_change(
         &mut self,
         generation: AddressGeneration,
@@ -333,13 +334,13 @@
         WatchUpdate::List(ListUpdate { list, current_as_of, poll_duration })
     }
 
-    /// Schedules the poll that follows a failure at the present address, if it needs no request.
+    /// Schedules the poll after a failure at the current address, unless the dispatch task must request it.
     fn schedule_retry(&mut self, failure: &WatchFailure) {
         let now = Instant::now();
-        if failure.error.is_silence() && self.unrequested_polls_left.is_none() {
-            self.unrequested_polls_left = Some(self.timing.unrequested_polls());
+        if failure.error.is_response_timeout() && self.unrequested_polls_left.is_none() {
+            self.unrequested_polls_left = Some(self.timing.max_unrequested_polls());
         }
-        if self.timing.lists_are_pushed() {
+        if self.timing.is_push_mode() {
             let retry_at = now + WatchTiming::retry_delay(self.consecutive_failures);
             self.consecutive_failures += 1;
             self.next_poll_at = Some(self.next_poll_at.map_or(retry_at, |scheduled| scheduled.min(retry_at)));
@@ -349,8 +350,8 @@
         }
     }
 
-    /// Schedules a poll in this node's slot if only a watch at an old address is open: its lists keep the
-    /// dispatch task from requesting one.
+    /// Schedules a poll in the slot of this node if only a watch of an old address is open. The lists of that
+    /// watch keep the dispatch task from requesting a poll.
     fn schedule_poll_beside_old_watch(&mut self) {
         if self.open_watch.is_some() && !self.is_active() {
             self.next_poll_at = Some(Instant::now() + self.timing.fallback_delay());
@@ -358,8 +359,8 @@
     }
 }
 
-/// Removes the first poll that has finished, in the order in which they were started. Never returns
-/// without polls.
+/// Removes the first finished poll, in the order in which the polls were started, and returns its outcome.
+/// Never returns if there are no polls.
 async fn next_poll_outcome(polls: &mut Vec<PendingPoll>) -> PollOutcome {
     poll_fn(|context| {
         for index in 0..polls.len() {
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! The task that watches discovery. It waits for the events of the [`WatchState`] and passes each list on to
-//! the dispatch task as soon as it is read, in the order in which lists are read.
+//! Task that watches discovery. It awaits the events of the [`WatchState`] and sends each list to the
+//! dispatch task as soon as the list is read, in the order of reading.
 
 use std::net::SocketAddr;
 
@@ -16,29 +16,29 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::RequestPayload;
 
-/// Watches discovery whenever the dispatch task requests it or [`WatchTiming`] schedules it.
+/// Watches discovery. Polls are made on request of the dispatch task or as scheduled by [`WatchTiming`].
 pub struct EndpointWatcher {
-    /// Address of discovery until the watcher is notified of another one.
+    /// Initial address of discovery, valid until the watcher is notified of another one.
     pub address: SocketAddr,
-    /// Turns the names of a list into the numbers of the dispatcher.
+    /// Translates the names of a list into the identifiers of the dispatcher.
     pub resolver: EndpointResolver,
-    /// The version of the endpoint list that is known at the start, or
+    /// Version of the endpoint list at the start, or
     /// [`NO_LIST_INDEX`](crate::discovery::endpoint_list::NO_LIST_INDEX).
     pub known_index: u64,
-    /// The queue of the dispatch task.
+    /// Queue of the dispatch task.
     pub queue: DispatchQueue<RequestPayload>,
-    /// Becomes true with the first list that is read.
+    /// Set to true when the first list is read.
     pub list_received: watch::Sender<bool>,
-    /// The counters of this node.
+    /// Counters of this node.
     pub metrics: Metrics,
-    /// When polls are made that the dispatch task did not request.
+    /// Delays of the polls that the dispatch task has not requested.
     pub timing: WatchTiming,
 }
 
-/// The dispatch task has ended, so that the watch has no receiver.
+/// Error returned once the dispatch task has finished, so that updates have no receiver.
 struct DispatchStopped;
 
-/// What the watcher waits for.
+/// Event that the watcher awaits.
 enum WatcherEvent {
     AddressChanged(SocketAddr),
     PollRequested,
@@ -46,8 +46,8 @@
 }
 
 impl EndpointWatcher {
-    /// Runs until the dispatch task ends. It requests polls through `poll_requests`; `address` has the
-    /// address of discovery each time that it changes.
+    /// Runs until the dispatch task finishes. The dispatch task requests polls through `poll_requests`, and
+    /// `address` holds the current address of discovery.
     pub async fn run(
         mut self,
         mut poll_requests: mpsc::Receiver<()>,
@@ -81,13 +81,13 @@
                     debug!(target: DISCOVERY, "endpoint list confirmed");
                     self.notify(DispatchMessage::EndpointsConfirmed { as_of }).await
                 }
-                Some(WatchUpdate::List(update)) => self.forward_list(update).await,
+                Some(WatchUpdate::List(update)) => self.handle_list(update).await,
                 Some(WatchUpdate::Failed(failure)) => self.handle_failure(state, failure).await,
             },
         }
     }
 
-    async fn forward_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
+    async fn handle_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
         let ListUpdate { list, current_as_of, poll_duration } = update;
         self.list_received.send_replace(true);
         let endpoints = self.resolver.resolve(&list.endpoints);
@@ -106,7 +106,7 @@
         let call = if failure.is_poll() { "poll" } else { "watch" };
         let (is_current, error) = (failure.is_current, &failure.error);
         warn!(target: DISCOVERY, call, is_current, %error, "endpoint watch failed");
-        if failure.is_current && failure.error.leaves_list_unknown() {
+        if failure.is_current && failure.error.invalidates_list() {
             self.notify(DispatchMessage::EndpointsMalformed).await?;
         }
         if state.record_failure(&failure) == NextPoll::OnRequest {
@@ -120,7 +120,8 @@
     }
 }
 
-/// A change of address comes before a request, and a request before anything of discovery.
+/// Awaits the next event. A change of the address precedes a request, and a request precedes events of the
+/// watch state.
 async fn next_event(
     state: &mut WatchState,
     poll_requests: &mut mpsc::Receiver<()>,
--- a/crates/node/src/dispatch/endpoints.rs
+++ b/crates/node/src/dispatch/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: name and address of each worker that discovery lists.
+//! Endpoint table with the name and address of each worker that discovery lists.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,48 +6,49 @@
 
 use curlewusher_core::{Endpoint, Timestamp, WorkerId, WorkerStatus};
 
-/// An entry of discovery's endpoint list, with what the dispatcher does not need to know.
+/// An entry of the endpoint list of discovery, including the parts that the dispatcher does not use.
 pub struct NamedEndpoint {
-    /// The worker's name.
+    /// Name of the worker.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// What the dispatcher knows of it.
+    /// Part of the entry that the dispatcher uses.
     pub endpoint: Endpoint,
 }
 
-/// A worker's name and address.
+/// Name and address of a worker.
 #[derive(Clone)]
 pub(super) struct WorkerAddress {
     pub(super) name: Rc<str>,
     pub(super) address: SocketAddr,
 }
 
-/// Whether connections to an endpoint that were opened before a change of the list can still be used.
+/// Validity of connections to an endpoint that were opened before a change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExistingConnections {
-    /// They lead to the process that is listed.
+    /// The connections lead to the listed process.
     Valid,
-    /// They lead to a process that has ended.
+    /// The connections lead to a process that has exited.
     Stale,
 }
 
-/// The listed workers.
+/// Table of the listed workers.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     workers: HashMap<WorkerId, WorkerAddress>,
-    /// When each worker was last listed to have started. Kept when the table is cleared, so that a worker
-    /// that was restarted is recognized in the next list.
+    /// Start time of each worker according to its last entry. It is kept when the table is cleared, so that a
+    /// restarted worker is recognized in the next list.
     started_at: HashMap<WorkerId, Timestamp>,
 }
 
 impl EndpointTable {
-    /// Removes all workers, before a snapshot of the list is added.
+    /// Removes all workers. Called before a snapshot of the list is added.
     pub(super) fn clear(&mut self) {
         self.workers.clear();
     }
 
-    /// Applies an entry of the list.
+    /// Applies an entry of the list, and returns whether existing connections to the endpoint are still
+    /// valid.
     pub(super) fn apply(&mut self, listed: NamedEndpoint) -> ExistingConnections {
         let NamedEndpoint { name, address, endpoint } = listed;
         let previous_start = self.started_at.insert(endpoint.worker, endpoint.started_at);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Name and address of a worker that is listed.
+    /// Returns the name and address of a listed worker.
     pub(super) fn get(&self, worker: WorkerId) -> Option<&WorkerAddress> {
         self.workers.get(&worker)
     }
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -1,5 +1,4 @@
-//! The jobs that are open at this process: their ids, what is known of each, and the handle by which the
-//! server reaches a job.
+//! Open jobs of this process: their ids, their state, and the handle that links a job to the server.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -14,61 +13,61 @@
 use crate::attempt::AttemptId;
 use crate::attempt::ClientPresence;
 
-/// The final response to a job.
+/// Final response to a job.
 #[derive(Debug)]
 pub enum JobResponse {
-    /// A worker's result.
+    /// The worker returned this result.
     Served(Bytes),
-    /// Not run; it can safely be sent again, preferably after `retry_after`.
+    /// The job did not run and can safely be resubmitted, preferably after `retry_after`.
     Rejected {
-        /// Zero where there is no advice.
+        /// Recommended delay of the resubmission; zero for no recommendation.
         retry_after: Duration,
     },
-    /// No result; it may have run.
+    /// The job has no result and may have run.
     Failed,
-    /// A job of the same request id is open already.
+    /// A job with the same request id is already open.
     Duplicate,
 }
 
-/// Which process of this node owns the job of a request id.
+/// Owner of the job with a request id, among the processes of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOwner {
-    /// This one.
+    /// This process owns the job.
     Local,
-    /// The job is being migrated to the other process or from there.
+    /// The job is being migrated to or from the peer process.
     Migrating,
-    /// Not this one.
+    /// This process does not own such a job.
     Unknown,
 }
 
-/// A job as the server submits it.
+/// A job that the server submits.
 pub struct SubmittedJob<P> {
-    /// The client's id of it.
+    /// Request id that the client gave the job.
     pub request_id: Rc<str>,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassId,
-    /// Whose quota it counts against.
+    /// Tenant whose quota the job is charged to.
     pub tenant: TenantId,
-    /// The moment at which the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// The client's estimate of its work, in seconds on a core of speed 1.
+    /// Estimate by the client of the work of the job, in seconds on a core of speed 1.
     pub cost_hint: Option<f64>,
-    /// Slots that it occupies at a worker.
+    /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// Hash of what it concerns, the same at every node.
+    /// Hash of the data that the job uses, the same at every node.
     pub affinity_key: Option<u64>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the job as a retry.
     pub is_retry: bool,
-    /// What is sent to workers; the dispatch task never reads it.
+    /// Payload that is sent to workers. The dispatch task never reads it.
     pub payload: P,
-    /// The server's handle of the job.
+    /// Handle of the job at the server.
     pub job_handle: JobHandle,
-    /// Receives the one response.
+    /// Receives the single response.
     pub response_channel: oneshot::Sender<JobResponse>,
 }
 
-/// Links a job at the server with its entry at the dispatch task: the task records the job's id in it, the
-/// server records that the client has disconnected.
+/// Link between a job at the server and its entry in the dispatch task. The dispatch task records the job id
+/// in it, and the server records the disconnection of the client.
 #[derive(Clone, Default)]
 pub struct JobHandle {
     id: Rc<Cell<Option<JobId>>>,
@@ -76,33 +75,34 @@
 }
 
 impl JobHandle {
-    /// From now on no attempt of the job is sent. Everything else that follows from the disconnection waits
-    /// for [`DispatchMessage::ClientDisconnected`](super::DispatchMessage::ClientDisconnected).
-    pub fn mark_client_gone(&self) {
-        self.client.mark_gone();
+    /// Records that the client has disconnected, so that no further attempt of the job is sent. The other
+    /// consequences of the disconnection follow with
+    /// [`DispatchMessage::ClientDisconnected`](super::DispatchMessage::ClientDisconnected).
+    pub fn mark_client_disconnected(&self) {
+        self.client.mark_disconnected();
     }
 
-    /// Sets how to look at the client's socket, which is done before an attempt is sent.
-    pub fn probe_client(&self, is_disconnected: impl Fn() -> bool + 'static) {
-        self.client.set_probe(is_disconnected);
+    /// Sets the probe of the client socket, which is called before an attempt is sent.
+    pub fn set_client_probe(&self, probe: impl Fn() -> bool + 'static) {
+        self.client.set_probe(probe);
     }
 
-    /// The job's id, once the dispatch task has taken the job.
+    /// Returns the job id; None until the dispatch task has accepted the job.
     pub(super) fn job_id(&self) -> Option<JobId> {
         self.id.get()
     }
 
-    /// Records the job's id.
+    /// Records the job id.
     pub(super) fn set_job_id(&self, id: JobId) {
         self.id.set(Some(id));
     }
 
-    /// Whether the client has disconnected.
-    pub(super) fn is_client_gone(&self) -> bool {
-        self.client.is_gone()
+    /// Returns whether the client has disconnected.
+    pub(super) fn is_client_disconnected(&self) -> bool {
+        self.client.is_disconnected()
     }
 
-    /// The client, as the permits of the job's attempts see it.
+    /// Returns the connection state of the client, for the send permits of the attempts of the job.
     pub(super) fn client(&self) -> Rc<ClientPresence> {
         self.client.clone()
     }
@@ -112,31 +112,32 @@
 pub(super) struct Job<P> {
     pub(super) request_id: Rc<str>,
     pub(super) class: ClassId,
-    /// When its last byte was read from the client, in whichever process of this node that was.
+    /// Time at which the last byte of the job was read from the client, by either process of this node.
     pub(super) submitted_at: Timestamp,
     pub(super) deadline: Timestamp,
     pub(super) payload: Rc<P>,
-    /// Taken when the job is answered or its client disconnects.
+    /// Sender of the response; taken when the job is answered or its client disconnects.
     pub(super) response_channel: Option<oneshot::Sender<JobResponse>>,
     pub(super) job_handle: JobHandle,
-    /// In the order of sends.
+    /// Attempts of the job, in the order of sending.
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl<P> Job<P> {
-    /// Whether it has been answered, or its client has disconnected.
-    pub(super) fn is_settled(&self) -> bool {
+    /// Returns whether the job needs no further response: it has been answered, or its client has
+    /// disconnected.
+    pub(super) fn is_answered(&self) -> bool {
         self.response_channel.is_none()
     }
 
-    /// Whether it is settled and no attempt is in flight.
+    /// Returns whether the job needs no further response and all of its attempts have ended.
     fn is_finished(&self) -> bool {
-        self.is_settled() && self.attempts.iter().all(Attempt::has_ended)
+        self.is_answered() && self.attempts.iter().all(Attempt::has_ended)
     }
 }
 
-/// The open jobs, and the request ids that are in use. A job that is being migrated is not in the table,
-/// but its request id stays in use until the migration has ended. Ids of jobs are never used again.
+/// Table of the open jobs and of the request ids in use. A job that is being migrated is not in the table,
+/// but its request id stays in use until the migration has ended. Job ids are never reused.
 pub(super) struct JobTable<P> {
     next_id: u64,
     jobs: HashMap<JobId, Job<P>>,
@@ -150,12 +151,12 @@
 }
 
 impl<P> JobTable<P> {
-    /// The job of a request id that is in use.
+    /// Returns the id of the job with a request id that is in use.
     pub(super) fn find(&self, request_id: &str) -> Option<JobId> {
         self.ids_by_request.get(request_id).copied()
     }
 
-    /// Puts a request id in use, for a job with a new id.
+    /// Reserves a request id for a job, and returns the new id of the job.
     pub(super) fn reserve(&mut self, request_id: Rc<str>) -> JobId {
         let job_id = JobId(self.next_id);
         self.next_id += 1;
@@ -163,22 +164,22 @@
         job_id
     }
 
-    /// Ends the use of a request id.
+    /// Releases a request id.
     pub(super) fn release(&mut self, request_id: &str) {
         self.ids_by_request.remove(request_id);
     }
 
-    /// Adds a job whose request id is in use.
+    /// Adds a job whose request id has been reserved.
     pub(super) fn insert(&mut self, id: JobId, job: Job<P>) {
         self.jobs.insert(id, job);
     }
 
-    /// Removes a job whose request id stays in use.
+    /// Removes a job; its request id stays in use.
     pub(super) fn remove(&mut self, id: JobId) -> Option<Job<P>> {
         self.jobs.remove(&id)
     }
 
-    /// Removes a job that is finished, and ends the use of its request id.
+    /// Removes a job that is finished, and releases its request id.
     pub(super) fn remove_if_finished(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(Job::is_finished)
             && let Some(job) = self.jobs.remove(&id)
@@ -187,17 +188,17 @@
         }
     }
 
-    /// A job that is not being migrated.
+    /// Returns a job that is not being migrated.
     pub(super) fn get(&self, id: JobId) -> Option<&Job<P>> {
         self.jobs.get(&id)
     }
 
-    /// The same, to change it.
+    /// Returns a mutable reference to a job that is not being migrated.
     pub(super) fn get_mut(&mut self, id: JobId) -> Option<&mut Job<P>> {
         self.jobs.get_mut(&id)
     }
 
-    /// An attempt of a job that is not being migrated, to change it.
+    /// Returns a mutable reference to an attempt of a job that is not being migrated.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.jobs.get_mut(&id.job)?.attempts.get_mut(id.number as usize)
     }
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -1,5 +1,5 @@
-//! What the rest of the node sends to the dispatch task: messages of clients, workers and discovery, and the
-//! commands of operators and of the other process of this node.
+//! Messages that the rest of the node sends to the dispatch task: messages of clients, workers and discovery,
+//! and commands of operators and of the peer process.
 
 use std::time::Duration;
 
@@ -16,15 +16,16 @@
 use super::migration::{IncomingMigration, MigrationOutcome, OutgoingMigration};
 use crate::attempt::{AttemptReport, AttemptReporter, ReportFuture};
 
-/// Messages that can wait in the queue, beside one slot for each connection. Each open job has a slot
-/// reserved for the message that its client has disconnected; without these of their own, jobs could fill the
-/// queue and no message that ends a job would reach the task any more.
+/// Number of messages that can wait in the queue, in addition to one slot per connection. Each open job has a
+/// slot reserved for the message that its client has disconnected. If these reserved slots were not
+/// additional, jobs could fill the queue, and no message that ends a job would reach the task any more.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// The sending half of the dispatch task's queue.
+/// Sender of the queue of the dispatch task.
 pub type DispatchQueue<P> = mpsc::Sender<DispatchMessage<P>>;
 
-/// Creates the dispatch task's queue, for a node that has at most that many connections with one job each.
+/// Creates the queue of the dispatch task, for a node with at most `max_connections` connections that have
+/// one job each.
 pub fn create_queue<P>(max_connections: usize) -> (DispatchQueue<P>, mpsc::Receiver<DispatchMessage<P>>) {
     mpsc::channel(QUEUE_CAPACITY + max_connections)
 }
@@ -32,57 +33,57 @@
 impl<P> AttemptReporter for DispatchQueue<P> {
     fn report(&self, report: AttemptReport) -> ReportFuture<'_> {
         Box::pin(async move {
-            // The dispatch task ends last; once it has ended, reports have no receiver.
+            // The dispatch task finishes last; after that, reports have no receiver.
             let _ = self.send(DispatchMessage::Attempt(report)).await;
         })
     }
 }
 
-/// A message to the dispatch task.
+/// Message to the dispatch task.
 pub enum DispatchMessage<P> {
-    /// A client has sent a job.
+    /// A client has submitted a job.
     Submit(SubmittedJob<P>),
-    /// The client of that job has disconnected.
+    /// The client of the job has disconnected.
     ClientDisconnected(JobHandle),
-    /// A worker reports on a job.
+    /// A worker has sent a callback for a job.
     Callback {
-        /// The job.
+        /// Request id of the job.
         request_id: String,
-        /// The worker's name in the endpoint list.
+        /// Name of the worker in the endpoint list.
         worker_name: String,
-        /// What it reports.
+        /// State that the worker reports.
         state: CallbackState,
-        /// Receives which process owns the job, for a caller that would look for it elsewhere.
+        /// Receives the owner of the job, for a caller that would forward the callback to the peer.
         owner: Option<oneshot::Sender<JobOwner>>,
     },
-    /// Queries whether a job of that request id is open.
+    /// Query whether a job with the request id is open.
     QueryJob {
-        /// The request id.
+        /// Request id of the job.
         request_id: String,
-        /// Receives the answer.
-        held: oneshot::Sender<bool>,
+        /// Receives the result of the query.
+        is_open: oneshot::Sender<bool>,
     },
-    /// A job is to be migrated to the other process.
+    /// The server requests the migration of a job to the peer process.
     MigrateJob {
-        /// The job.
+        /// Handle of the job.
         job_handle: JobHandle,
-        /// Receives the job; dropped where it cannot be migrated now.
+        /// Receives the job; dropped if the job cannot be migrated now.
         migration_channel: oneshot::Sender<OutgoingMigration<P>>,
     },
-    /// The other process has answered to a migration, or has not answered in time.
+    /// The peer process has responded to a migration, or has not responded in time.
     MigrationFinished {
-        /// The job.
+        /// Handle of the job.
         job_handle: JobHandle,
-        /// Which process owns it now.
+        /// Outcome of the migration, which determines the owner of the job.
         outcome: MigrationOutcome,
     },
-    /// A job has arrived from the other process.
+    /// A job has arrived from the peer process.
     ReceiveMigration(IncomingMigration<P>),
-    /// The answer to the other process about an incoming job has been written, or could not be.
+    /// The response to the peer process about an incoming job has been written, or could not be written.
     MigrationConfirmed {
-        /// The job.
+        /// Handle of the job.
         job_handle: JobHandle,
-        /// Which process owns it now.
+        /// Outcome of the migration, which determines the owner of the job.
         outcome: MigrationOutcome,
     },
     /// The transport reports on an attempt.
@@ -91,72 +92,72 @@
     EndpointsChanged(EndpointChange),
     /// The open watch reports that nothing has changed.
     EndpointsConfirmed {
-        /// Up to this moment.
+        /// Time at which the list was still current.
         as_of: Instant,
     },
-    /// The open watch has sent a list that cannot be read.
+    /// The open watch has sent a malformed list.
     EndpointsMalformed,
-    /// Discovery has another address from now on.
+    /// The address of discovery has changed.
     DiscoveryAddressChanged,
-    /// The watch could not be opened, or has broken.
+    /// The watch could not be opened, or has failed.
     WatchFailed,
-    /// This node shuts down after that long.
+    /// This node shuts down after this duration.
     ShutdownStarted(Duration),
 }
 
 /// An endpoint list that discovery has sent, or a change to it.
 pub struct EndpointChange {
-    /// The entries.
+    /// Entries of the list or change.
     pub endpoints: Vec<NamedEndpoint>,
-    /// Whether these are all endpoints or changes.
+    /// Type of the message: complete list or change.
     pub update: EndpointUpdate,
-    /// The moment at which the complete list, with this message applied, was current; none if that is unknown.
+    /// Time at which the complete list, with this message applied, was current; None if unknown.
     pub current_as_of: Option<Instant>,
-    /// How long the poll took that it answers.
+    /// Duration of the poll to which this message is the response; None for later messages of a watch.
     pub poll_duration: Option<Duration>,
 }
 
-/// A command of an operator or of the other process of this node. Commands have a queue of their own, which
-/// is read before [`DispatchMessage`]s, so that they need not wait behind those of a busy node.
+/// Command of an operator or of the peer process. Commands have a separate queue, which is read before
+/// [`DispatchMessage`]s, so that commands do not wait behind the messages of a busy node.
 pub enum DispatchCommand {
-    /// Disables or enables the worker of that name for an operator.
+    /// Disables or enables the worker with this name for an operator.
     ChangeMaintenance {
-        /// The worker.
+        /// Name of the worker.
         name: String,
-        /// Whether it is disabled or enabled.
+        /// Action on the worker: disable or enable.
         action: MaintenanceAction,
-        /// Receives the answer to the operator.
+        /// Receives the result for the operator.
         result: oneshot::Sender<CommandResult>,
     },
-    /// The same for a worker that the other process of this node knows, whether or not a list here has named
-    /// it.
+    /// Disables or enables a worker that the peer process has listed, even if no list of this process has
+    /// contained it.
     ChangeMaintenanceForPeer {
-        /// The worker.
+        /// Name of the worker.
         name: String,
-        /// Whether it is disabled or enabled.
+        /// Action on the worker: disable or enable.
         action: MaintenanceAction,
-        /// Receives the answer to the operator.
+        /// Receives the result for the operator.
         result: oneshot::Sender<CommandResult>,
     },
-    /// Requests the present state, for a successor.
+    /// Requests the current state, for the successor.
     TakeSnapshot(oneshot::Sender<TransferableState>),
-    /// Adopts what the predecessor of this process knew.
+    /// Restores the state of the predecessor of this process.
     RestoreSnapshot(Box<TransferableState>),
-    /// The successor of this process has taken over, or has ended.
+    /// The successor of this process has taken over, or has exited.
     SetSuccessorActive {
-        /// Whether it has taken over.
+        /// Whether the successor has taken over.
         active: bool,
     },
 }
 
-/// What a process passes on to its successor.
+/// State that a process transfers to its successor.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TransferableState {
     /// Workers that operators have disabled.
     #[serde(rename = "bans")]
     pub disabled_workers: DisabledWorkers,
-    /// What the dispatcher has learned; None where only the operators' commands are to be adopted.
+    /// State that the dispatcher has learned; None if only the commands of operators are transferred.
     #[serde(rename = "learned")]
     pub snapshot: Option<StateSnapshot>,
 }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,15 +1,16 @@
-//! Dispatching of jobs: one task owns the [`Dispatcher`](curlewusher_core::Dispatcher) and the state that its
-//! decisions need, and the rest of the node reaches it by messages only.
+//! Dispatching of jobs. One task owns the [`Dispatcher`](curlewusher_core::Dispatcher) and the state that its
+//! decisions need. The rest of the node communicates with the task through messages only.
 //!
-//! | module | what it owns |
+//! | module | content |
 //! | --- | --- |
-//! | [`messages`] | what the task is sent |
-//! | [`jobs`], [`attempts`], [`callbacks`] | open jobs, their attempts, what callbacks mean for these |
-//! | [`migration`] | jobs being migrated between the two processes of the node |
+//! | [`messages`] | messages and commands to the task |
+//! | [`jobs`], [`attempts`], [`callbacks`] | open jobs, their attempts, and effects of callbacks on attempts |
+//! | [`migration`] | jobs in migration between the two processes of the node |
 //! | [`endpoints`] | name and address of each listed worker |
-//! | [`timers`] | when the task acts without a message |
-//! | [`clock`] | the node's clock, and conversions between its moments and those of other clocks |
-//! | [`outcomes`] | which counters outcomes and responses go to |
+//! | [`timers`] | timers of the task |
+//! | [`permission_monitor`] | lease on the endpoint list and permission violations |
+//! | [`clock`] | clock of the node, and conversions between its times and those of other clocks |
+//! | [`outcomes`] | counters of outcomes and responses |
 //! | [`task`] | the task itself |
 
 mod attempts;
--- a/crates/node/src/dispatch/outcomes.rs
+++ b/crates/node/src/dispatch/outcomes.rs
@@ -1,11 +1,11 @@
-//! What an attempt's outcome and a job's response are counted as.
+//! Counters of attempt outcomes and job responses.
 
 use curlewusher_core::Outcome;
 
 use super::jobs::JobResponse;
 use crate::telemetry::metrics::{Counter, ResponseKind};
 
-/// The counter of attempts that ended so.
+/// Returns the counter of attempts with this outcome.
 pub(super) fn outcome_counter(outcome: Outcome) -> Counter {
     match outcome {
         Outcome::Done => Counter::AttemptsSucceeded,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The kind that a job's response is counted as.
+/// Returns the kind under which a job response is counted.
 pub(super) fn response_kind(response: &JobResponse) -> ResponseKind {
     match response {
         JobResponse::Served(_) => ResponseKind::Served,
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -1,5 +1,5 @@
-//! Watches what the dispatcher permits: keeps the lease on the endpoint list where sockets can see it, logs when the
-//! node begins and ends to hold jobs, and counts violations.
+//! Monitor of the permissions of the dispatcher. It shares the lease on the endpoint list with the sockets,
+//! logs the start and end of periods in which the node holds jobs, and counts violations.
 
 use std::rc::Rc;
 
@@ -12,18 +12,18 @@
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Metrics;
 
-/// What was last seen of the dispatcher's permissions.
+/// Monitor of the permissions of the dispatcher, with the last observed state.
 pub(super) struct PermissionMonitor {
     clock: Clock,
     metrics: Metrics,
     lease: Rc<SendLease>,
-    /// Why jobs are held; none while they are sent.
+    /// Reason for which jobs are held; None while jobs are sent.
     denial: Option<Denial>,
     violations: Violations,
 }
 
 impl PermissionMonitor {
-    /// A monitor of a dispatcher that has handled no event.
+    /// Creates a monitor for a dispatcher that has not yet handled an event.
     pub(super) fn new(clock: Clock, metrics: Metrics) -> Self {
         PermissionMonitor {
             clock,
@@ -34,26 +34,27 @@
         }
     }
 
-    /// The lease that the permits of all attempts share.
+    /// Returns the lease that the permits of all attempts share.
     pub(super) fn lease(&self) -> Rc<SendLease> {
         Rc::clone(&self.lease)
     }
 
-    /// To be called after each event that the dispatcher has handled, and before its actions are performed.
+    /// Records the permissions of the dispatcher. Must be called after each event that the dispatcher has
+    /// handled, before its actions are performed.
     pub(super) fn observe(&mut self, now: Timestamp, dispatcher: &Dispatcher) {
         let write_deadline = dispatcher.endpoint_write_deadline();
-        self.lease.set_deadline(write_deadline.map(|moment| self.clock.instant_at(moment)));
+        self.lease.set_deadline(write_deadline.map(|deadline| self.clock.instant_at(deadline)));
         let denial = dispatcher.check_endpoint_lease(now).err();
         if denial != self.denial {
             self.denial = denial;
-            log_lease(denial);
+            log_lease_change(denial);
         }
         if dispatcher.violations().total() > self.violations.total() {
             self.report_violations(*dispatcher.violations());
         }
     }
 
-    /// Counts an attempt that was about to be sent without permission.
+    /// Counts and logs an attempt that was about to be sent without permission.
     pub(super) fn record_violation(&self, reason: Denial, request_id: &str) {
         self.metrics.record_violation(reason);
         error!(target: DISPATCH, %reason, request_id, "permission violation prevented");
@@ -70,7 +71,7 @@
     }
 }
 
-fn log_lease(denial: Option<Denial>) {
+fn log_lease_change(denial: Option<Denial>) {
     match denial {
         None => info!(target: DISPATCH, "endpoint lease confirmed"),
         Some(Denial::EndpointsUnconfirmed) => info!(target: DISPATCH, "endpoint lease not confirmed yet"),
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the dispatcher's actions.
+//! Execution of the actions of the dispatcher.
 
 use std::rc::Rc;
 
@@ -16,26 +16,28 @@
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
-/// Where and how an attempt is to be sent.
+/// Parameters of an attempt that is to be sent.
 struct AttemptSpec {
     job: JobId,
     worker: WorkerId,
     timeout: TimeSpan,
-    /// The first byte may be written until then; None where only the timeout bounds it.
+    /// Time until which the first byte may be written; None if only the timeout limits it.
     send_deadline: Option<Timestamp>,
     needs_new_connection: bool,
 }
 
-/// Whether an attempt was passed to the transport.
+/// Result of sending an attempt.
 enum SendResult {
+    /// The attempt was passed to the transport.
     Sent,
-    /// The worker is not listed any more, the client has disconnected, or it is too late.
+    /// The attempt was not passed to the transport: the worker is no longer listed, the client has
+    /// disconnected, the time limit has passed, or the attempt would be a duplicate.
     NotSent(AttemptId),
-    /// There is no such job.
+    /// The job does not exist.
     NoJob,
 }
 
-/// An attempt that is recorded and not yet passed to the transport.
+/// An attempt that has been recorded and not yet passed to the transport.
 struct RecordedAttempt<P> {
     id: AttemptId,
     request_id: Rc<str>,
@@ -43,13 +45,13 @@
     expires_at: Timestamp,
     cancel: oneshot::Receiver<()>,
     send_permit: Rc<SendPermit>,
-    /// Another attempt of the job at the same worker has not ended.
+    /// Whether another attempt of the job at the same worker has not ended.
     is_duplicate: bool,
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Performs the dispatcher's actions in their order. Attempts that could not be sent are reported to
-    /// it afterwards.
+    /// Performs the actions of the dispatcher in order. Attempts that could not be sent are reported to the
+    /// dispatcher afterwards.
     pub(super) fn perform_actions(&mut self) {
         let mut not_sent = Vec::new();
         for action in std::mem::take(&mut self.actions) {
@@ -77,8 +79,8 @@
                 Action::SetTimer { after } => {
                     self.timers.schedule(self.clock.now() + after, Timer::Dispatcher);
                 }
-                // A request that waits already stands for this one as well.
-                Action::WatchEndpoints => _ = self.watch_requests.try_send(()),
+                // A request that is already queued covers this one as well.
+                Action::WatchEndpoints => _ = self.poll_requests.try_send(()),
                 // The settings allow no messages between nodes, and no protocol carries any.
                 Action::SendGossip { .. } => {}
             }
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Records an attempt and passes it to the transport, if it can still be sent.
+    /// Records an attempt, and passes it to the transport if it can still be sent.
     fn send_attempt(&mut self, spec: &AttemptSpec) -> SendResult {
         let worker = self.endpoints.get(spec.worker).cloned();
         let Some(recorded) = self.record_attempt(spec, worker.as_ref()) else { return SendResult::NoJob };
@@ -101,7 +103,7 @@
         let Some(worker) = worker.filter(|_| send_permit.is_valid()) else { return SendResult::NotSent(id) };
         self.timers.schedule(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(Counter::AttemptsStarted);
-        let send_window = spec.send_deadline.map(|moment| moment.saturating_since(self.clock.now()));
+        let send_window = spec.send_deadline.map(|deadline| deadline.saturating_since(self.clock.now()));
         debug!(
             target: DISPATCH,
             %request_id,
@@ -124,7 +126,7 @@
         SendResult::Sent
     }
 
-    /// Records an attempt as in flight. None where there is no such job.
+    /// Records an attempt as in flight. Returns None if the job does not exist.
     fn record_attempt(
         &mut self,
         spec: &AttemptSpec,
@@ -136,7 +138,7 @@
         let send_permit = SendPermit::new(SendPermitParts {
             request_id: Rc::clone(&job.request_id),
             client: job.job_handle.client(),
-            deadline: spec.send_deadline.map(|moment| self.clock.instant_at(moment)),
+            deadline: spec.send_deadline.map(|deadline| self.clock.instant_at(deadline)),
             lease: self.permissions.lease(),
         });
         let worker_name = worker.map_or_else(|| "".into(), |worker| Rc::clone(&worker.name));
@@ -147,7 +149,8 @@
             expires_at,
             cancel,
             send_permit: Rc::clone(&send_permit),
-            // The dispatcher knows of its attempts by their reports; what is recorded here was seen on sockets.
+            // The dispatcher learns the state of its attempts from reports; the attempts recorded here
+            // reflect what was observed on sockets.
             is_duplicate: job
                 .attempts
                 .iter()
@@ -167,7 +170,7 @@
         Some(recorded)
     }
 
-    /// Forbids that the first byte of an attempt is written, where that has not happened.
+    /// Revokes the permit to write the first byte of an attempt. Has no effect if the byte has been written.
     fn revoke_send_permit(&mut self, id: AttemptId) {
         if let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) {
             attempt.send_permit.revoke();
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt after it was sent: acceptance, callbacks, cancellation, end.
+//! Lifecycle of an attempt after it was sent: acceptance, callbacks, cancellation, end.
 
 use curlewusher_core::{Event, Outcome};
 use tracing::{debug, trace};
@@ -14,7 +14,7 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Records what the transport reports on an attempt.
+    /// Handles a report of the transport on an attempt.
     pub(super) fn handle_attempt_report(&mut self, report: AttemptReport) {
         match report {
             AttemptReport::Accepted(id) => self.handle_attempt_accepted(id),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Records that a worker has accepted an attempt, whatever has become of it in the meantime.
+    /// Records that a worker has accepted an attempt, regardless of the current state of the attempt.
     fn handle_attempt_accepted(&mut self, id: AttemptId) {
         let Some(attempt) = self.jobs.attempt_mut(id) else { return };
         attempt.accepted = true;
@@ -35,7 +35,8 @@
         self.apply_event(Event::AttemptAccepted { job: id.job, attempt: id.number });
     }
 
-    /// Ends an attempt that was to be cancelled, with the outcome that was recorded at that time.
+    /// Ends an attempt whose cancellation is complete, with the outcome that was recorded when the
+    /// cancellation was requested.
     fn handle_attempt_cancelled(&mut self, id: AttemptId) {
         if let Some(AttemptState::Cancelling(outcome)) =
             self.jobs.attempt_mut(id).map(|attempt| attempt.state)
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Applies a callback to the latest attempt of that job at that worker, where it has not ended; any other
-    /// is ignored.
+    /// Applies a callback to the latest attempt of the job at the worker that has not ended. Any other
+    /// callback is ignored.
     pub(super) fn handle_callback(&mut self, request_id: &str, worker: &str, state: CallbackState) {
         self.metrics.add(Counter::Callbacks);
         trace!(target: DISPATCH, request_id, worker, "callback received");
@@ -77,7 +78,8 @@
         }
     }
 
-    /// The attempt that a callback concerns, and what it means for it. None where it concerns no attempt.
+    /// Returns the attempt to which a callback applies, and the effect of the callback. None if it applies to
+    /// no attempt.
     fn interpret_callback(
         &self,
         request_id: &str,
@@ -88,13 +90,13 @@
         let attempts = &self.jobs.get(job)?.attempts;
         let target = find_target(attempts, worker, state)?;
         let attempt = attempts.get(target.number as usize)?;
-        let effect = interpret(attempt, state, target.repetition);
+        let effect = interpret(attempt, state, target.redelivery);
         Some((AttemptId { job, number: target.number }, effect))
     }
 
-    /// Requests the cancellation of an attempt that is in flight. The dispatcher learns of its end only
-    /// once the transport has confirmed the cancellation, or a callback has arrived before that, so that no two
-    /// attempts of a job overlap.
+    /// Requests the cancellation of an attempt that is in flight. The dispatcher is notified of the end of
+    /// the attempt only once the transport has confirmed the cancellation, or a callback has arrived before
+    /// that. So no two attempts of a job overlap.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
             return;
@@ -103,11 +105,11 @@
         self.metrics.add(Counter::AttemptsAbandoned);
     }
 
-    /// Records the end of an attempt; only the first end of each counts.
+    /// Records the end of an attempt. Only the first end of each attempt has an effect.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
-        if self.jobs.get(id.job).is_some_and(|job| job.job_handle.is_client_gone()) {
-            // The message of that may be further back in the queue, and no other attempt is to follow this
-            // one.
+        if self.jobs.get(id.job).is_some_and(|job| job.job_handle.is_client_disconnected()) {
+            // The message of the disconnection may be further back in the queue, and no other attempt may
+            // follow this one.
             self.handle_client_disconnect(id.job);
         }
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| !attempt.has_ended()) else { return };
@@ -116,7 +118,7 @@
         self.timers.cancel(expires_at, Timer::AttemptTimeout(id));
         self.metrics.add(outcome_counter(outcome));
         self.log_attempt_end(id, outcome);
-        let job_answered = self.jobs.get(id.job).is_some_and(Job::is_settled);
+        let job_answered = self.jobs.get(id.job).is_some_and(Job::is_answered);
         self.apply_event(Event::AttemptEnded { job: id.job, attempt: id.number, outcome, job_answered });
         self.jobs.remove_if_finished(id.job);
     }
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A job from its submission to its response, and who owns it.
+//! Lifecycle of a job from its submission to its response, and its owner.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,8 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Accepts a job, unless its request id is in use: a callback would not identify which of two jobs it is for.
+    /// Accepts a job, unless its request id is in use: a callback could not be matched to one of two jobs
+    /// with the same id.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
             // A client that has disconnected needs no response.
@@ -51,9 +52,9 @@
         self.apply_event(Event::JobSubmitted(submission));
     }
 
-    /// Records that a job's client has disconnected, which may be reported twice. For a job that is on its
-    /// way to the other process the dispatcher has no use for the event, and is given it again where the job
-    /// is rolled back.
+    /// Records that the client of a job has disconnected, which may be reported twice. For a job that is
+    /// being migrated to the peer process, the event has no effect on the dispatcher. The dispatcher receives
+    /// the event again if the migration is rolled back.
     pub(super) fn handle_client_disconnect(&mut self, id: JobId) {
         let outgoing = self.migrations.outgoing_job_mut(id);
         let Some(job) = self.jobs.get_mut(id).or(outgoing) else { return };
@@ -66,7 +67,7 @@
         self.jobs.remove_if_finished(id);
     }
 
-    /// Which process owns the job of a request id.
+    /// Returns which process owns the job with a request id.
     pub(super) fn job_owner(&self, request_id: &str) -> JobOwner {
         match self.jobs.find(request_id) {
             Some(id) if self.migrations.contains(id) => JobOwner::Migrating,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Answers a job; only the first response counts.
+    /// Sends the response to a job. Only the first response has an effect.
     pub(super) fn respond(&mut self, id: JobId, response: JobResponse) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(response_channel) = job.response_channel.take() else { return };
@@ -84,12 +85,12 @@
         self.metrics.record_response(kind, job.class.0, elapsed);
         let elapsed_ms = elapsed.as_millis() as u64;
         debug!(target: DISPATCH, request_id = %job.request_id, response = ?kind, elapsed_ms, "job answered");
-        // A client that disconnects in this moment needs no response.
+        // A client that is disconnecting needs no response.
         let _ = response_channel.send(response);
     }
 }
 
-/// Logs what a client has submitted.
+/// Logs the submission of a job.
 fn log_submission<P>(job: &SubmittedJob<P>) {
     debug!(
         target: DISPATCH,
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -1,4 +1,4 @@
-//! The steps of a job's migration to the other process of this node and from there; see
+//! Steps of the migration of a job to or from the peer process; see
 //! [`migration`](crate::dispatch::migration).
 
 use std::rc::Rc;
@@ -28,7 +28,8 @@
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Removes a job from the table and sends it to the caller for the other process, if it can be migrated now.
+    /// Removes a job from the table and sends it to the caller, which sends it to the peer process. Has no
+    /// effect if the job cannot be migrated now.
     pub(super) fn start_outgoing_migration(
         &mut self,
         job_handle: &JobHandle,
@@ -50,14 +51,14 @@
         let migration = JobMigration::new(&job, released);
         debug!(target: DISPATCH, request_id = %job.request_id, "job migration started");
         let outgoing = OutgoingMigration { migration: migration.clone(), payload: Rc::clone(&job.payload) };
-        let receiver_is_gone = migration_channel.send(outgoing).is_err();
+        let is_receiver_closed = migration_channel.send(outgoing).is_err();
         self.migrations.insert_outgoing(id, OutgoingJob { migration, job });
-        if receiver_is_gone {
+        if is_receiver_closed {
             self.finish_outgoing_migration(job_handle, MigrationOutcome::RolledBack);
         }
     }
 
-    /// Ends a migration to the other process: that one owns the job now, or the job is rolled back.
+    /// Ends a migration to the peer process: either the peer now owns the job, or the job is rolled back.
     pub(super) fn finish_outgoing_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(outgoing) = self.migrations.remove_outgoing(id) else { return };
@@ -70,11 +71,12 @@
         }
     }
 
-    /// Puts a job back into the table that the other process has not accepted.
+    /// Returns a job that the peer process has not accepted to the table.
     fn rollback_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
         let OutgoingJob { migration, job } = outgoing;
-        let is_client_gone = job.is_settled();
-        if is_client_gone && !migration.has_attempt_in_flight() {
+        // An outgoing job is sent no response, so only a disconnection can have taken its response channel.
+        let is_client_disconnected = job.is_answered();
+        if is_client_disconnected && !migration.has_attempt_in_flight() {
             self.jobs.release(&job.request_id);
             return;
         }
@@ -82,23 +84,23 @@
         let in_flight = migration.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.in_flight);
         for (attempt, number) in in_flight {
             let timer = Timer::AttemptTimeout(AttemptId { job: id, number });
-            self.timers.schedule(attempt.expires_at.moment(), timer);
+            self.timers.schedule(attempt.expires_at.to_timestamp(), timer);
         }
-        // The dispatcher accepts what it has released a moment ago.
+        // The dispatcher always accepts a job that it has just released.
         self.dispatcher.adopt_job(self.clock.now(), id, &migration.job, &mut self.actions);
         self.perform_actions();
-        if is_client_gone {
+        if is_client_disconnected {
             self.apply_event(Event::ClientDisconnected { job: id });
         }
     }
 
-    /// Reserves the request id of a job that comes from the other process, and reports whether it can be accepted.
+    /// Reserves the request id of a job from the peer process, and reports whether the job can be accepted.
     pub(super) fn start_incoming_migration(&mut self, incoming: IncomingMigration<T::Payload>) {
         let IncomingMigration { migration, payload, job_handle, response_channel, accepted } = incoming;
         let request_id = Rc::<str>::from(migration.request_id());
         let is_in_use = self.jobs.find(&request_id).is_some();
         if is_in_use || !self.dispatcher.accepts_migrated_job(&migration.job) {
-            // Fails where the link is lost: the other process keeps the job in either case.
+            // Fails if the link is lost: the peer keeps the job in either case.
             let _ = accepted.send(false);
             return;
         }
@@ -106,11 +108,12 @@
         job_handle.set_job_id(job_id);
         let incoming = IncomingJob { request_id, migration, payload, response_channel, job_handle };
         self.migrations.insert_incoming(job_id, incoming);
-        // Fails where the link is lost: `MigrationConfirmed` then reports that the job was rolled back.
+        // Fails if the link is lost: `MigrationConfirmed` then reports that the migration was rolled back.
         let _ = accepted.send(true);
     }
 
-    /// Ends a migration from the other process: this one owns the job now, or the job stays with the other.
+    /// Ends a migration from the peer process: either this process now owns the job, or the peer still owns
+    /// it.
     pub(super) fn finish_incoming_migration(&mut self, job_handle: &JobHandle, outcome: MigrationOutcome) {
         let Some(id) = job_handle.job_id() else { return };
         let Some(incoming) = self.migrations.remove_incoming(id) else { return };
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Adds a job to the table that the dispatcher has adopted, and resumes its attempts.
+    /// Adds a job that the dispatcher has adopted to the table, and resumes its attempts.
     fn add_migrated_job(&mut self, id: JobId, now: Timestamp, incoming: IncomingJob<T::Payload>) {
         let IncomingJob { request_id, migration, payload, response_channel, job_handle } = incoming;
         let payload = Rc::new(payload);
@@ -142,7 +145,7 @@
             Job {
                 request_id,
                 class: migration.job.class(),
-                submitted_at: migration.submitted_at.moment(),
+                submitted_at: migration.submitted_at.to_timestamp(),
                 deadline: migration.job.deadline(),
                 payload,
                 response_channel: Some(response_channel),
@@ -153,17 +156,17 @@
         self.perform_actions();
     }
 
-    /// Passes an attempt that is in flight to the transport; any other is only recorded, as ended.
+    /// Passes an attempt that is in flight to the transport. Any other attempt is only recorded, as ended.
     fn resume_attempt(
         &mut self,
         job: &ResumedJob<'_, T::Payload>,
         number: u32,
         migrated: MigratedAttempt,
     ) -> Attempt {
-        let expires_at = migrated.expires_at.moment();
+        let expires_at = migrated.expires_at.to_timestamp();
         let mut state = AttemptState::Ended;
         let mut cancel = None;
-        // Its first byte was written by the other process.
+        // The peer process has written the first byte of the attempt.
         let send_permit = Rc::<SendPermit>::default();
         if let (true, Some(address)) = (migrated.in_flight, migrated.address) {
             let attempt_id = AttemptId { job: job.id, number };
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -1,9 +1,9 @@
-//! The dispatch task: it owns the dispatcher and everything that the dispatcher's decisions need, and alone
-//! changes them.
+//! Dispatch task, which owns the dispatcher and all state that its decisions need. Only this task changes
+//! them.
 //!
 //! Each message, command and expired timer becomes an event for the dispatcher, and the actions that the
-//! dispatcher returns are performed at once, before the next message is read. The task decides nothing about
-//! jobs itself, knows no protocol, and touches no socket: attempts are carried by an [`AttemptTransport`].
+//! dispatcher returns are performed before the next message is read. The task makes no decisions about jobs
+//! itself, handles no protocol, and accesses no socket: an [`AttemptTransport`] sends the attempts.
 
 mod actions;
 mod attempt_lifecycle;
@@ -32,34 +32,35 @@
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// What a [`DispatchTask`] is made of and connected to.
+/// Parts and connections of a [`DispatchTask`].
 pub struct DispatchParts<T: AttemptTransport> {
-    /// Decides what to do with each job.
+    /// Dispatcher that decides on each job.
     pub dispatcher: Dispatcher,
-    /// The node's clock.
+    /// Clock of the node.
     pub clock: Clock,
-    /// Carries attempts to workers.
+    /// Transport that sends attempts to workers.
     pub worker_client: T,
     /// Messages of clients, workers and discovery.
     pub messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
-    /// Commands of operators and of the other process of this node.
+    /// Commands of operators and of the peer process.
     pub commands: mpsc::Receiver<DispatchCommand>,
-    /// Requests a poll of discovery's endpoint list.
-    pub watch_requests: mpsc::Sender<()>,
-    /// The node's counters.
+    /// Requests polls of the endpoint list of discovery.
+    pub poll_requests: mpsc::Sender<()>,
+    /// Counters of the node.
     pub metrics: Metrics,
-    /// The other process of this node has answered to a migration by then, or counts as having rejected it.
+    /// Maximum duration in which the peer process must respond to a migration; after that, the peer counts as
+    /// having rejected it.
     pub migration_timeout: Duration,
 }
 
-/// The task; see the module's documentation.
+/// The dispatch task; see the module documentation.
 pub struct DispatchTask<T: AttemptTransport> {
     dispatcher: Dispatcher,
     clock: Clock,
     worker_client: T,
     messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
     commands: mpsc::Receiver<DispatchCommand>,
-    watch_requests: mpsc::Sender<()>,
+    poll_requests: mpsc::Sender<()>,
     metrics: Metrics,
     migration_timeout: TimeSpan,
     jobs: JobTable<T::Payload>,
@@ -68,12 +69,12 @@
     disabled_workers: DisabledWorkers,
     timers: TimerQueue,
     permissions: PermissionMonitor,
-    /// The dispatcher's actions; empty between two events.
+    /// Actions of the dispatcher that have not been performed; empty between two events.
     actions: Vec<Action>,
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// A task without jobs and without endpoints.
+    /// Creates a task without jobs and endpoints.
     pub fn new(parts: DispatchParts<T>) -> Self {
         DispatchTask {
             permissions: PermissionMonitor::new(parts.clock, parts.metrics.clone()),
@@ -82,7 +83,7 @@
             worker_client: parts.worker_client,
             messages: parts.messages,
             commands: parts.commands,
-            watch_requests: parts.watch_requests,
+            poll_requests: parts.poll_requests,
             metrics: parts.metrics,
             migration_timeout: time_span(parts.migration_timeout),
             jobs: JobTable::default(),
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Runs until the queue of messages is closed. `saved_endpoints` is the list of the configuration, which
-    /// counts until discovery has sent its own.
+    /// Runs until the message queue is closed. `saved_endpoints` is the list of the configuration, which is
+    /// used until discovery has sent its own.
     pub async fn run(mut self, saved_endpoints: Vec<NamedEndpoint>) {
-        // The saved list has the same time as the first expiry of a timer: by that the dispatcher knows that
-        // it does not come from discovery.
+        // The saved list has the same time as the first timer expiry. That tells the dispatcher that the list
+        // does not come from discovery.
         let now = self.clock.now();
-        self.decide(now, Event::TimerExpired);
+        self.apply_event_at(now, Event::TimerExpired);
         self.update_endpoints(now, saved_endpoints, EndpointUpdate::Snapshot);
         loop {
             let next_expiry = self.timers.next_expiry().map(|expiry| self.clock.instant_at(expiry));
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Handles the timers that have expired at this moment.
+    /// Handles the timers that have expired by now.
     fn handle_expired_timers(&mut self) {
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_expired(now) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Carries out a command of an operator or of the other process of this node.
+    /// Executes a command of an operator or of the peer process.
     fn handle_command(&mut self, command: DispatchCommand) {
         match command {
             DispatchCommand::ChangeMaintenance { name, action, result } => {
@@ -147,7 +148,8 @@
             DispatchCommand::TakeSnapshot(snapshot_channel) => {
                 let snapshot = Some(self.dispatcher.snapshot());
                 let disabled_workers = self.disabled_workers.clone();
-                // Fails where the link to the successor was lost meanwhile: the snapshot is not needed any more.
+                // Fails if the link to the successor was lost in the meantime: the snapshot is no longer
+                // needed.
                 let _ = snapshot_channel.send(TransferableState { disabled_workers, snapshot });
             }
             DispatchCommand::RestoreSnapshot(state) => self.restore_state(&state),
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Disables or enables a worker, and answers the operator.
+    /// Disables or enables a worker, and returns the result to the operator.
     fn change_maintenance(
         &mut self,
         name: &str,
@@ -168,11 +170,11 @@
         if changed.is_ok() {
             self.apply_maintenance(name, action);
         }
-        // An operator who does not wait any more may repeat the command.
+        // An operator that has stopped waiting may repeat the command.
         let _ = result.send(changed);
     }
 
-    /// Has the dispatcher use a worker no longer, or use it again.
+    /// Notifies the dispatcher that a worker has been disabled or enabled.
     fn apply_maintenance(&mut self, name: &str, action: MaintenanceAction) {
         let worker = WorkerId::from_name(name);
         self.apply_event(match action {
@@ -181,7 +183,7 @@
         });
     }
 
-    /// Adopts what the predecessor of this process knew.
+    /// Restores the state of the predecessor of this process.
     fn restore_state(&mut self, state: &TransferableState) {
         for change in self.disabled_workers.merge_predecessor(&state.disabled_workers) {
             self.apply_maintenance(&change.name, change.action);
@@ -202,15 +204,15 @@
             }
             DispatchMessage::Callback { request_id, worker_name, state, owner } => {
                 if let Some(owner) = owner {
-                    // Before the callback is handled, which may end the job. A caller that does not wait has
-                    // ended.
+                    // The owner is sent before the callback is handled, which may end the job. Sending fails
+                    // if the caller has stopped waiting.
                     let _ = owner.send(self.job_owner(&request_id));
                 }
                 self.handle_callback(&request_id, &worker_name, state);
             }
-            DispatchMessage::QueryJob { request_id, held } => {
-                // A caller that has stopped waiting needs no answer.
-                let _ = held.send(self.job_owner(&request_id) != JobOwner::Unknown);
+            DispatchMessage::QueryJob { request_id, is_open } => {
+                // A caller that has stopped waiting needs no result.
+                let _ = is_open.send(self.job_owner(&request_id) != JobOwner::Unknown);
             }
             DispatchMessage::MigrateJob { job_handle, migration_channel } => {
                 self.start_outgoing_migration(&job_handle, migration_channel);
@@ -235,7 +237,8 @@
         }
     }
 
-    /// Applies what discovery has sent in answer to a poll, or over the open watch.
+    /// Applies an endpoint list, or a change to it, that discovery has sent in response to a poll or over the
+    /// open watch.
     fn handle_endpoint_change(&mut self, change: EndpointChange) {
         let EndpointChange { endpoints, update, current_as_of, poll_duration } = change;
         if let Some(duration) = poll_duration {
@@ -247,7 +250,7 @@
         }
     }
 
-    /// Applies a list of endpoints or, where it is no snapshot, a change to the list.
+    /// Applies a complete endpoint list or a change to it.
     fn update_endpoints(&mut self, now: Timestamp, endpoints: Vec<NamedEndpoint>, update: EndpointUpdate) {
         self.metrics.add(Counter::EndpointListUpdates);
         self.disabled_workers.record_listed(endpoints.iter().map(|listed| &*listed.name));
@@ -269,21 +272,22 @@
             }
         }
         let event = Event::EndpointsChanged { endpoints: &entries, update };
-        self.decide(now, event);
+        self.apply_event_at(now, event);
     }
 
-    /// Discovery has confirmed the list as it was at this moment, which may be some time ago.
+    /// Records that discovery has confirmed the list as of a time that may be some time ago.
     fn confirm_endpoints(&mut self, as_of: Instant) {
-        let as_of = self.clock.moment_of(as_of);
+        let as_of = self.clock.timestamp_of(as_of);
         self.apply_event(Event::EndpointsConfirmed { as_of });
     }
 
-    /// Has the dispatcher handle an event, and performs its actions.
+    /// Passes an event to the dispatcher, and performs its actions.
     fn apply_event(&mut self, event: Event) {
-        self.decide(self.clock.now(), event);
+        self.apply_event_at(self.clock.now(), event);
     }
 
-    fn decide(&mut self, now: Timestamp, event: Event) {
+    /// Passes an event of the time `now` to the dispatcher, and performs its actions.
+    fn apply_event_at(&mut self, now: Timestamp, event: Event) {
         self.dispatcher.handle(now, event, &mut self.actions);
         self.permissions.observe(now, &self.dispatcher);
         self.perform_actions();
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -217,7 +217,7 @@
             worker_client: upstream.clone(),
             messages: dispatch_messages,
             commands: received_commands,
-            watch_requests: poll_requester,
+            poll_requests: poll_requester,
             metrics: shared.metrics.clone(),
             migration_timeout: MIGRATION_TIMEOUT,
         });
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -59,7 +59,7 @@
             None => None,
         };
         let job_handle = JobHandle::default();
-        job_handle.probe_client(self.disconnect_probe());
+        job_handle.set_client_probe(self.disconnect_probe());
         let permit = state.queue.clone().reserve_owned().await.map_err(|_| RequestError::JobAbandoned)?;
         open_job.arm_disconnect_message(permit, job_handle.clone());
         let (response_channel, response_receiver) = oneshot::channel();
--- a/crates/node/src/server/mod.rs
+++ b/crates/node/src/server/mod.rs
@@ -98,7 +98,7 @@
     /// Returns whether a job with this id is open.
     pub async fn holds_job(&self, id: String) -> bool {
         let (held_channel, held) = oneshot::channel();
-        let query = DispatchMessage::QueryJob { request_id: id, held: held_channel };
+        let query = DispatchMessage::QueryJob { request_id: id, is_open: held_channel };
         self.state.queue.send(query).await.is_ok() && held.await.unwrap_or(false)
     }
 }
--- a/crates/node/src/server/open_job.rs
+++ b/crates/node/src/server/open_job.rs
@@ -54,7 +54,7 @@
         if let Some(DisconnectMessage { permit, job_handle }) = self.disconnect_message.take() {
             // Set immediately for an attempt that is about to begin, since the message may be queued behind
             // many others.
-            job_handle.mark_client_gone();
+            job_handle.mark_client_disconnected();
             permit.send(DispatchMessage::ClientDisconnected(job_handle));
         }
     }
--- a/crates/node/tests/unit/list_parser.rs
+++ b/crates/node/tests/unit/list_parser.rs
@@ -1,10 +1,10 @@
-//! Parsing of endpoint lists that arrive in pieces.
+//! Tests of parsing endpoint lists that arrive in pieces.
 
 use super::*;
 
 const ENDPOINTS: usize = 202;
 
-/// An indented list whose names contain the punctuation of JSON.
+/// Returns an indented list whose names contain JSON punctuation.
 fn indented_list() -> String {
     let entry = |index: usize| {
         format!(
@@ -31,7 +31,7 @@
         matches!(&parsed, Ok(Parsed::List(list)) if list.index == 43 && list.endpoints.len() == ENDPOINTS),
         "{parsed:?}"
     );
-    // The end of its line is no heartbeat.
+    // The end of the line of an object is not a heartbeat.
     parser.push_bytes(b"\n");
     assert!(matches!(parser.parse_next(), Ok(Parsed::Incomplete)));
 }
--- a/crates/node/tests/unit/send_permit.rs
+++ b/crates/node/tests/unit/send_permit.rs
@@ -1,4 +1,5 @@
-//! Each cause that ends a send permit is seen at once and wakes whoever waits. Time is the test's.
+//! Tests that each cause invalidates a send permit at once and wakes its waiters. The tests control the
+//! clock.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,11 +8,11 @@
 
 use super::{ClientPresence, Denial, SendLease, SendPermit, SendPermitParts};
 
-const LONG: Duration = Duration::from_hours(1);
-const PERMIT_TIME: Duration = Duration::from_secs(1);
+const LONG_TIMEOUT: Duration = Duration::from_hours(1);
+const PERMIT_DURATION: Duration = Duration::from_secs(1);
 const JUST_BEFORE_DEADLINE: Duration = Duration::from_millis(999);
 
-/// What ends a permit.
+/// Cause that invalidates a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cause {
     Revoked,
@@ -23,7 +24,7 @@
 async fn when_revoked_or_client_gone_or_expired_then_invalid_at_once_and_waiters_woken() {
     for cause in [Cause::Revoked, Cause::ClientGone, Cause::Deadline] {
         let client = Rc::<ClientPresence>::default();
-        let deadline = (cause == Cause::Deadline).then(|| Instant::now() + PERMIT_TIME);
+        let deadline = (cause == Cause::Deadline).then(|| Instant::now() + PERMIT_DURATION);
         let lease = Rc::<SendLease>::default();
         let send_permit = SendPermit::new(SendPermitParts {
             client: client.clone(),
@@ -36,28 +37,32 @@
             assert!(send_permit.is_valid());
             match cause {
                 Cause::Revoked => send_permit.revoke(),
-                Cause::ClientGone => client.mark_gone(),
+                Cause::ClientGone => client.mark_disconnected(),
                 Cause::Deadline => {}
             }
-            assert_eq!(send_permit.is_valid(), cause == Cause::Deadline, "{cause:?} ends it in that moment");
+            assert_eq!(
+                send_permit.is_valid(),
+                cause == Cause::Deadline,
+                "{cause:?} must take effect at once"
+            );
         };
-        let (woken, ()) = tokio::join!(timeout(LONG, send_permit.invalidated()), end_permit);
+        let (woken, ()) = tokio::join!(timeout(LONG_TIMEOUT, send_permit.invalidated()), end_permit);
         assert!(woken.is_ok() && !send_permit.is_valid(), "{cause:?}");
-        let woken_later = timeout(LONG, send_permit.invalidated()).await;
-        assert!(woken_later.is_ok(), "{cause:?}: who waits only now is not held up");
+        let woken_later = timeout(LONG_TIMEOUT, send_permit.invalidated()).await;
+        assert!(woken_later.is_ok(), "{cause:?}: a later waiter must return at once");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn when_nothing_ends_it_then_permit_stays_valid() {
+async fn when_nothing_ends_the_permit_then_it_stays_valid() {
     let send_permit = SendPermit::default();
-    assert!(timeout(LONG, send_permit.invalidated()).await.is_err() && send_permit.is_valid());
+    assert!(timeout(LONG_TIMEOUT, send_permit.invalidated()).await.is_err() && send_permit.is_valid());
 }
 
 #[tokio::test(start_paused = true)]
-async fn when_the_lease_is_shortened_then_a_permit_given_before_ends_with_it() {
+async fn when_the_lease_is_shortened_then_earlier_permits_end_with_it() {
     let lease = Rc::<SendLease>::default();
-    lease.set_deadline(Some(Instant::now() + PERMIT_TIME));
+    lease.set_deadline(Some(Instant::now() + PERMIT_DURATION));
     let parts = SendPermitParts { lease: lease.clone(), ..SendPermitParts::default() };
     let send_permit = SendPermit::new(parts);
     assert!(send_permit.is_valid());
@@ -66,10 +71,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn when_a_byte_is_sent_too_late_then_the_check_after_it_says_why() {
-    let (now, held_up) = (Instant::now(), Duration::from_millis(151));
+async fn when_the_first_byte_is_sent_too_late_then_the_later_check_returns_the_reason() {
+    let (now, over_max_stall) = (Instant::now(), Duration::from_millis(151));
     let client = Rc::<ClientPresence>::default();
-    client.mark_gone();
+    client.mark_disconnected();
     let lease = Rc::<SendLease>::default();
     lease.set_deadline(Some(now));
     let cases = [
@@ -80,10 +85,14 @@
     for (parts, reason) in cases {
         let send_permit = SendPermit::new(parts);
         assert_eq!(send_permit.check(now), Err(reason));
-        assert_eq!(send_permit.check_sent(now), Ok(()), "{reason}: the limits allow for a hold");
-        assert_eq!(send_permit.check_sent(now + held_up), Err(reason));
+        assert_eq!(
+            send_permit.check_sent(now),
+            Ok(()),
+            "{reason}: a write within the limits must be allowed"
+        );
+        assert_eq!(send_permit.check_sent(now + over_max_stall), Err(reason));
     }
     let send_permit = SendPermit::default();
     send_permit.revoke();
-    assert_eq!(send_permit.check_sent(now + held_up), Err(Denial::WorkerUnavailable));
+    assert_eq!(send_permit.check_sent(now + over_max_stall), Err(Denial::WorkerUnavailable));
 }
