--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,16 @@
-//! Why a settings object cannot be used. Each message names the field under the name that the platform gives it.
+//! Errors of reading a settings object. Each message contains the platform's name of the field.
 
 use curlewusher_core::SettingsError;
 use thiserror::Error;
 
-/// A settings object whose form is wrong: a field is missing or has another type. Names the path of the field.
+/// Error of a settings object in which a field is missing or has the wrong type. Its message contains the
+/// path of the field.
 pub type FormError = serde_path_to_error::Error<serde_json::Error>;
 
-/// Why a settings object cannot be used.
+/// Errors of [`read`](crate::read) and [`read_from`](crate::read_from).
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// A field is missing or has another type.
+    /// A field is missing or has the wrong type.
     #[error("{0}")]
     Form(#[source] FormError),
     /// `discovery` has an unknown value.
@@ -21,31 +22,31 @@
     /// `idempotency` of a service has an unknown value.
     #[error("services.idempotency is none of safe, keyed, unsafe")]
     UnknownIdempotency,
-    /// A value is out of its bounds.
+    /// The value of a field is out of bounds.
     #[error("{field}: {} {}; {remedy}", source.field, source.problem)]
     OutOfBounds {
         /// Name of the field in the settings object.
         field: &'static str,
-        /// What would be right.
+        /// Instruction for the operator that names valid values.
         remedy: &'static str,
-        /// The dispatcher's name of the field, and what is wrong.
+        /// Error of the dispatcher, with its own name of the field and the problem.
         source: SettingsError,
     },
 }
 
-/// Why the values in effect cannot be shown.
+/// Errors of [`effective`](crate::effective).
 #[derive(Debug, Error)]
 pub enum EffectiveValuesError {
-    /// A field is missing or has another type.
+    /// A field is missing or has the wrong type.
     #[error("config: settings.{0}")]
     Form(#[source] FormError),
-    /// The values have no JSON form.
+    /// The values cannot be serialized to JSON.
     #[error("config: settings: {0}")]
     Serialization(#[source] serde_json::Error),
 }
 
 impl ReadError {
-    /// Reports settings that the dispatcher rejects, in the platform's terms.
+    /// Converts the dispatcher's error to one with the platform's name of the field and a remedy.
     pub(crate) fn from_dispatcher(source: SettingsError) -> Self {
         let (field, remedy) = match source.field {
             "classes" => ("services", "name one class of requests at least"),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the configuration that real nodes and simulated ones have in common: the platform's settings object, and the
+//! Configuration that real and simulated nodes have in common: the platform's settings object, and the
 //! operator's file ([`operator`]).
 //!
-//! [`read`] turns the object into a [`Site`]: the dispatcher's settings, and beside them what only real sockets need.
-//! [`effective`] shows the object with all defaults.
+//! [`read`] converts the settings object to a [`Site`]: the dispatcher's settings, and the settings that only
+//! real connections need. [`effective`] returns the settings object with all defaults filled in.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,11 +18,11 @@
 pub use self::site::Site;
 use self::wire::Wire;
 
-/// The settings object with every value in effect, defaults included, in the platform's form.
+/// Returns a settings object with every value in effect, defaults included, in the platform's form.
 ///
 /// # Errors
 ///
-/// If a field is missing or has another type.
+/// Fails if a field is missing or has the wrong type.
 pub fn effective(object: serde_json::Value) -> Result<serde_json::Value, EffectiveValuesError> {
     let wire: Wire = serde_path_to_error::deserialize(object).map_err(EffectiveValuesError::Form)?;
     serde_json::to_value(wire).map_err(EffectiveValuesError::Serialization)
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// If a field is missing, has another type, or has a value that it cannot have. The error names the field.
+/// Fails if a field is missing, has the wrong type, or has an invalid value. The error names the field.
 pub fn read(text: &str) -> Result<Site, ReadError> {
     read_from(&mut serde_json::Deserializer::from_str(text))
 }
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// As [`read`].
+/// Fails for the same reasons as [`read`].
 pub fn read_from<'de, D>(deserializer: D) -> Result<Site, ReadError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
--- a/crates/settings/src/operator/bounded_integer.rs
+++ b/crates/settings/src/operator/bounded_integer.rs
@@ -1,4 +1,4 @@
-//! Numbers whose types hold their bounds, so that a value out of bounds is an error where the file is read.
+//! Integers with bounds in their types, so that a value out of bounds is an error when the file is parsed.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,44 +6,45 @@
 use serde::de::{self, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
 
-/// A whole number from `MIN` to `MAX`, both allowed.
+/// Integer from `MIN` to `MAX`, inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct BoundedInteger<const MIN: u64, const MAX: u64>(u64);
 
 impl<const MIN: u64, const MAX: u64> BoundedInteger<MIN, MAX> {
-    /// Wraps a value.
+    /// Creates a bounded integer from a value.
     ///
     /// # Panics
     ///
-    /// If the value is out of bounds; in a constant this is a compile error.
+    /// Panics if the value is out of bounds. In a constant, this is a compile error.
     pub const fn new(value: u64) -> Self {
         assert!(MIN <= value && value <= MAX);
         BoundedInteger(value)
     }
 
-    /// The value.
+    /// Returns the value.
     pub fn get(self) -> u64 {
         self.0
     }
 }
 
-/// A time span of `MIN` to `MAX` milliseconds, both allowed. The file has it as a whole number of milliseconds.
+/// Duration of `MIN` to `MAX` milliseconds, inclusive. The file contains it as an integer number of
+/// milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BoundedMillis<const MIN: u64, const MAX: u64>(BoundedInteger<MIN, MAX>);
 
 impl<const MIN: u64, const MAX: u64> BoundedMillis<MIN, MAX> {
-    /// A span of milliseconds.
+    /// Creates a duration from a number of milliseconds.
     ///
     /// # Panics
     ///
-    /// As [`BoundedInteger::new`].
+    /// Panics if the number is out of bounds, like [`BoundedInteger::new`].
     pub const fn new(millis: u64) -> Self {
         BoundedMillis(BoundedInteger::new(millis))
     }
 
-    /// The span.
+    /// Returns the duration.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0.get())
     }
@@ -71,7 +72,7 @@
         Ok(BoundedInteger(value))
     }
 
-    /// TOML integers are signed.
+    /// Visits a signed integer, because TOML integers are signed.
     fn visit_i64<E: de::Error>(self, value: i64) -> Result<Self::Value, E> {
         match u64::try_from(value) {
             Ok(value) => self.visit_u64(value),
--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's file: a TOML file in which operators configure logging, the server, upstream connections and
-//! metrics. Every field is optional; an empty file gives the defaults. This module reads texts, never files, and only
-//! checks the form and bounds of a field: what a field does is up to the node.
+//! Operator's file: a TOML file in which operators configure logging, the server, upstream connections and
+//! metrics. Every field is optional, and an empty file gives the defaults. This module parses text and never
+//! reads files. It only validates the form and bounds of the fields, and the node applies their values.
 
 mod bounded_integer;
 mod options;
@@ -15,7 +15,7 @@
 };
 pub use self::reference::{FIELDS, Field, TakesEffect, reference_table};
 
-/// The operator's file, with the defaults of the fields that it does not set.
+/// Parsed operator's file, with defaults for the fields that it does not set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Operator", deny_unknown_fields, default)]
 pub struct OperatorFile {
@@ -36,26 +36,27 @@
     ///
     /// # Errors
     ///
-    /// If the text is not TOML, or a field is unknown or out of its bounds. The error names line, field and remedy.
+    /// Fails if the text is not valid TOML, or if a field is unknown or out of bounds. The error names the
+    /// line, the field and the remedy.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
         curlewusher_toml_diagnostics::parse(text)
     }
 
-    /// Every field with its value in effect, in TOML, in the order of [`FIELDS`].
+    /// Returns every field with its value in effect, as TOML, in the order of [`FIELDS`].
     pub fn values(&self) -> Vec<(&'static Field, String)> {
         let Ok(root) = toml::Value::try_from(self) else { return Vec::new() };
         let value_of = |field: &'static Field| Some((field, lookup(&root, field.path)?.to_string()));
         FIELDS.iter().filter_map(value_of).collect()
     }
 
-    /// Whether the text of a file sets a field.
+    /// Returns whether the text of a file sets a field.
     pub fn sets(text: &str, field: &Field) -> bool {
         let Ok(table) = text.parse::<toml::Table>() else { return false };
         lookup(&toml::Value::Table(table), field.path).is_some()
     }
 }
 
-/// The value at a path of names that are separated by dots.
+/// Returns the value at a path of names that are separated by dots.
 fn lookup<'value>(root: &'value toml::Value, path: &str) -> Option<&'value toml::Value> {
     path.split('.').try_fold(root, |value, name| value.get(name))
 }
--- a/crates/settings/src/operator/options.rs
+++ b/crates/settings/src/operator/options.rs
@@ -1,8 +1,8 @@
-//! The sections of the operator's file: their fields, bounds and defaults.
+//! Sections of the operator's file, with their fields, bounds and defaults.
 //!
-//! The name of a field ends in its unit where its type does not say it. Where a Rust name differs from the name in the
-//! file, the latter stands in `serde(rename)`; how error messages name a section that has another type stands in
-//! `serde(expecting)`.
+//! The name of a field ends in its unit, unless its type determines the unit. `serde(rename)` gives the name
+//! in the file where it differs from the Rust name. `serde(expecting)` gives the name of a type in error
+//! messages where it differs from the Rust name.
 
 use std::collections::BTreeMap;
 
@@ -11,39 +11,39 @@
 
 use super::bounded_integer::{BoundedInteger, BoundedMillis};
 
-/// Form of a log line.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people: time, level, target, message and fields.
+    /// Human-readable text: time, level, target, message and fields.
     Text,
-    /// For machines: one JSON object a line.
+    /// Machine-readable: one JSON object per line.
     Json,
 }
 
-/// Level of a log line, or the least severe level that is written.
+/// Level of a log line, or least severe level that is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Nothing is written.
+    /// No lines are written.
     Off,
-    /// The node cannot do a part of its work.
+    /// Failures that prevent the node from doing a part of its work.
     Error,
-    /// An operator may have to act.
+    /// Conditions that may require an action of the operator.
     Warn,
-    /// Phases, reloads, discovery.
+    /// Phases, reloads and discovery.
     Info,
     /// Each job, with its id.
     Debug,
-    /// Each callback and connection as well.
+    /// Each callback and each connection.
     Trace,
 }
 
-/// The component of the node that a log line comes from.
+/// Component of the node that writes a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(expecting = "enum Part", rename_all = "snake_case")]
 pub enum LogTarget {
-    /// Startup, phases, reloads, shutdown.
+    /// Startup, phases, reloads and shutdown.
     Node,
     /// Jobs and their attempts.
     Dispatch,
@@ -53,7 +53,7 @@
     /// Connections to workers.
     #[serde(rename = "next_hop")]
     Upstream,
-    /// The endpoint watch.
+    /// Endpoint watch.
     #[serde(rename = "transport_map")]
     Discovery,
 }
@@ -63,7 +63,7 @@
     pub const ALL: [LogTarget; 5] =
         [LogTarget::Node, LogTarget::Dispatch, LogTarget::Server, LogTarget::Upstream, LogTarget::Discovery];
 
-    /// The name that the file and the log lines give the target.
+    /// Returns the name of the target in the file and in log lines.
     pub const fn name(self) -> &'static str {
         match self {
             LogTarget::Node => "node",
@@ -75,20 +75,20 @@
     }
 }
 
-/// The log on standard error.
+/// Options of the log on standard error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Log", deny_unknown_fields, default)]
 pub struct LogOptions {
-    /// Form of a line.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Level of all targets that `target_levels` does not name.
+    /// Level of all targets that `target_levels` does not contain.
     pub level: LogLevel,
-    /// Levels of single targets.
+    /// Levels of individual targets.
     #[serde(rename = "parts")]
     pub target_levels: BTreeMap<LogTarget, LogLevel>,
-    /// Rate limit of each target.
+    /// Maximum number of lines per second of each target.
     pub lines_per_s: BoundedInteger<1, 100_000>,
-    /// Capacity of the queue in front of standard error, in lines.
+    /// Maximum number of lines that are queued for standard error.
     #[serde(rename = "waiting_lines")]
     pub max_queued_lines: BoundedInteger<16, 65_536>,
 }
@@ -106,17 +106,17 @@
 }
 
 impl LogOptions {
-    /// The level of a target.
+    /// Returns the level of a target.
     pub fn level_of(&self, target: LogTarget) -> LogLevel {
         self.target_levels.get(&target).copied().unwrap_or(self.level)
     }
 }
 
-/// The server for clients and callbacks.
+/// Options of the server for clients and callbacks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerOptions {
-    /// A connection without a request for this long is closed.
+    /// Time without a request after which a connection is closed.
     #[serde(rename = "idle_ms")]
     pub idle_timeout: BoundedMillis<1_000, 3_600_000>,
     /// `Retry-After` of a request that is rejected because the node has no capacity for another job.
@@ -133,14 +133,15 @@
     }
 }
 
-/// The connections to workers.
+/// Options of the connections to workers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UpstreamOptions {
-    /// A connection that was idle for longer is not reused.
+    /// Maximum idle time of a connection that is reused.
     #[serde(rename = "reuse_ms")]
     pub max_reuse_idle: BoundedMillis<0, 600_000>,
-    /// A cancellation that a worker does not acknowledge within this is sent again, until the job's deadline.
+    /// Time after which a cancellation that a worker has not acknowledged is sent again, until the job's
+    /// deadline.
     #[serde(rename = "withdrawal_ms")]
     pub cancellation_timeout: BoundedMillis<50, 10_000>,
 }
@@ -154,11 +155,11 @@
     }
 }
 
-/// The metrics on `/metrics`.
+/// Options of the metrics on `/metrics`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Metrics", deny_unknown_fields, default)]
 pub struct MetricsOptions {
-    /// Upper bounds of the buckets of the response time histograms, rising.
+    /// Upper bounds of the buckets of the response time histograms, in increasing order.
     #[serde(rename = "answer_bounds_ms", deserialize_with = "deserialize_bucket_bounds")]
     pub response_time_bounds_ms: Vec<u64>,
 }
@@ -171,14 +172,14 @@
     }
 }
 
-/// Bounds the number of time series that one histogram adds.
+/// Maximum number of buckets of a histogram. It limits the number of time series that one histogram adds.
 const MAX_HISTOGRAM_BUCKETS: usize = 32;
 
 fn deserialize_bucket_bounds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u64>, D::Error> {
     let bounds: Vec<u64> = Vec::deserialize(deserializer)?;
     let count_is_allowed = (1..=MAX_HISTOGRAM_BUCKETS).contains(&bounds.len());
-    let is_rising = bounds.is_sorted_by(|lower, upper| lower < upper);
-    if !count_is_allowed || bounds[0] == 0 || !is_rising {
+    let is_increasing = bounds.is_sorted_by(|lower, upper| lower < upper);
+    if !count_is_allowed || bounds[0] == 0 || !is_increasing {
         return Err(de::Error::custom(format_args!(
             "expected 1 to {MAX_HISTOGRAM_BUCKETS} rising whole numbers above 0"
         )));
--- a/crates/settings/src/operator/reference.rs
+++ b/crates/settings/src/operator/reference.rs
@@ -1,8 +1,9 @@
-//! The reference of the operator's file: what each field means, and the table that `docs/operator-file.md` shows.
+//! Reference of the operator's file: the meaning of each field, and the table of the page
+//! `docs/operator-file.md`.
 
 use super::OperatorFile;
 
-/// When a changed field of the file counts in a running node.
+/// Time at which a changed field of the file takes effect in a running node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
     /// On SIGHUP.
@@ -11,19 +12,19 @@
     AtNextStart,
 }
 
-/// A field as the reference page shows it.
+/// Field of the operator's file, as the reference page describes it.
 pub struct Field {
-    /// Its table and name, separated by a dot.
+    /// Section and name of the field, separated by a dot.
     pub path: &'static str,
-    /// Its unit or shape, and its bounds.
+    /// Unit or form of the value, and its bounds.
     pub shape: &'static str,
-    /// When a change of it counts.
+    /// Time at which a change of the field takes effect.
     pub takes_effect: TakesEffect,
-    /// What it does.
+    /// Effect of the field.
     pub meaning: &'static str,
 }
 
-/// Every field, in the order of the file.
+/// All fields, in the order of the file.
 pub const FIELDS: &[Field] = &[
     Field {
         path: "log.format",
@@ -93,7 +94,7 @@
 const REFERENCE_TABLE_HEAD: &str =
     "| field | shape | default | on SIGHUP | meaning |\n| --- | --- | --- | --- | --- |\n";
 
-/// The table of the reference page with every field and its default, in Markdown.
+/// Returns the table of the reference page, in Markdown, with every field and its default.
 pub fn reference_table() -> String {
     let mut table = REFERENCE_TABLE_HEAD.to_owned();
     table.extend(OperatorFile::default().values().into_iter().map(|(field, default)| {
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,17 +1,17 @@
-//! The settings of a site in the terms of this project, made from the object that the platform writes.
+//! Settings of a site in the terms of this project, converted from the platform's settings object.
 
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, Settings, TimeSpan, ZoneId};
 
 use crate::error::ReadError;
 use crate::wire::{Customer, DEFAULT_CONNECT_TIMEOUT, FamilyInfo, Service, Wire};
 
-/// Upper bound of every time span: a year. A value that stands for "without end" must not overflow where a moment is
-/// computed from it.
+/// Upper bound of every duration: a year. A value that stands for "unlimited" must not overflow when a time
+/// is computed from it.
 const MAX_TIME_SPAN: TimeSpan = TimeSpan::from_secs(365 * 86_400);
-/// Lower bound of the poll interval that the platform gives, so that discovery is not polled too often.
+/// Lower bound of the platform's poll interval, so that discovery is not polled too often.
 const MIN_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
-/// The settings of a site.
+/// Settings of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Settings of the dispatcher.
@@ -24,11 +24,11 @@
     pub zone_names: Vec<String>,
     /// Names of the kinds of machine, by index.
     pub kind_names: Vec<String>,
-    /// A connection that is not up after this long counts as refused.
+    /// Time after which a connection that is not established counts as refused.
     pub connect_timeout: TimeSpan,
-    /// Workers close a connection that was idle for this long.
+    /// Idle time after which workers close a connection.
     pub keepalive: TimeSpan,
-    /// The longest `Retry-After` that a client follows.
+    /// Maximum `Retry-After` that a client follows.
     pub max_retry_after: TimeSpan,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Settings of the dispatcher, not yet validated.
+/// Converts the settings of the dispatcher, without validation.
 fn dispatcher_settings(wire: &Wire) -> Result<Settings, ReadError> {
     let Wire { limits, prices, rules, family_info, .. } = wire;
     let services = wire.services.iter().enumerate();
@@ -75,12 +75,12 @@
         over_quota_weight: wire.over_quota_weight,
         endpoints_on_request: endpoints_on_request(&wire.discovery_mode)?,
         max_poll_interval: rules.max_poll_interval.clamp(MIN_POLL_INTERVAL, MAX_TIME_SPAN),
-        // The node sets it: only real connections acknowledge.
+        // The node sets this value, because only real connections acknowledge.
         assumed_notified_after: TimeSpan::ZERO,
-        // A size that changes with the load, or is the same for all workers, does not show how many slots there are.
+        // Sizes that change with the load or are the same for all workers do not show the number of slots.
         sizes_listed: matches!(wire.size_meaning.as_str(), "nominal" | "rough"),
         reports_start: family_info.reports_start,
-        // The node sets it: only real connections time out.
+        // The node sets this value, because only real connections time out.
         accept_timeout: TimeSpan::ZERO,
         may_cancel: limits.may_cancel,
         may_hedge: limits.may_hedge,
@@ -97,19 +97,23 @@
 }
 
 fn job_class(index: usize, service: &Service, family_info: &FamilyInfo) -> Result<JobClass, ReadError> {
-    let family_stretch = family_info.class_stretches.get(index).copied();
+    let family_work_factor = family_info.class_work_factors.get(index).copied();
     let family_kind = family_info.class_kinds.get(index);
     Ok(JobClass {
         idempotency: idempotency(service)?,
         latency_objective: service.latency_objective.min(MAX_TIME_SPAN),
-        latency_objective_work_factor: service.latency_objective_stretch.or(family_stretch).unwrap_or(0.0),
+        latency_objective_work_factor: service
+            .latency_objective_work_factor
+            .or(family_work_factor)
+            .unwrap_or(0.0),
         client_timeout: service.client_timeout.min(MAX_TIME_SPAN),
         priority_weight: service.priority_weight,
         required_kind: family_kind.and_then(|kind| u32::try_from(*kind).ok()).map(KindId),
     })
 }
 
-/// The scope is checked for every service, also where it has no meaning.
+/// Converts the idempotency of a service. The scope of keys is validated for every service, even if the
+/// service does not use it.
 fn idempotency(service: &Service) -> Result<Idempotency, ReadError> {
     let scope = match service.key_scope.as_str() {
         "zone" => DeduplicationScope::Zone,
@@ -126,7 +130,7 @@
     }
 }
 
-/// Whether the endpoint list comes only on request.
+/// Returns whether discovery sends the endpoint list only on request.
 fn endpoints_on_request(discovery_mode: &str) -> Result<bool, ReadError> {
     match discovery_mode {
         "subscribe" => Ok(true),
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -1,19 +1,18 @@
-//! The wire form of the settings object, as the platform writes it.
+//! Wire form of the settings object, as the platform writes it.
 //!
-//! Fields have the terms of this project; where the platform has another name, that stands in `serde(rename)`. Error
-//! messages show the names of the types and the number of their fields. Unknown fields are accepted: the platform may
-//! add some.
+//! The fields have names in the terms of this project. `serde(rename)` gives the platform's name where it
+//! differs. Error messages contain the names of the types and the number of their fields. Unknown fields are
+//! accepted, because the platform may add fields.
 
 use curlewusher_core::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Time within which a connection must be established where the settings give none or 0, with which no attempt could be
-/// sent.
+/// Connect timeout if the settings contain none, or contain 0, with which no attempt could be sent.
 pub(crate) const DEFAULT_CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
-/// Idle time for which workers keep a connection open where the settings give none.
+/// Idle time after which workers close a connection, if the settings contain none.
 const DEFAULT_KEEPALIVE: TimeSpan = TimeSpan::from_secs(1);
 
-/// The complete settings object.
+/// Complete settings object.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Wire {
@@ -33,7 +32,7 @@
     #[serde(default)]
     pub(crate) prices: Prices,
     pub(crate) rules: Rules,
-    /// What the sizes of workers in the endpoint list mean.
+    /// Meaning of the sizes of workers in the endpoint list.
     #[serde(default, rename = "weights")]
     pub(crate) size_meaning: String,
     #[serde(default)]
@@ -44,7 +43,7 @@
     pub(crate) kind_names: Vec<String>,
 }
 
-/// A job class.
+/// Job class.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Service {
@@ -58,14 +57,14 @@
     #[serde(rename = "objectiveUs")]
     pub(crate) latency_objective: TimeSpan,
     #[serde(default, rename = "aimStretch")]
-    pub(crate) latency_objective_stretch: Option<f64>,
+    pub(crate) latency_objective_work_factor: Option<f64>,
     #[serde(rename = "giveUpUs")]
     pub(crate) client_timeout: TimeSpan,
     #[serde(default = "default_weight", rename = "worth")]
     pub(crate) priority_weight: f64,
 }
 
-/// A tenant.
+/// Tenant.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Customer {
@@ -75,7 +74,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What the platform allows.
+/// Actions and limits that the platform allows.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Limits {
@@ -107,7 +106,7 @@
     pub(crate) gossip: f64,
 }
 
-/// How workers and discovery behave.
+/// Behaviour of workers and discovery.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Rules {
@@ -122,16 +121,17 @@
     pub(crate) overload_window: TimeSpan,
 }
 
-/// Properties of classes that only some families of sites give, by the index of the class.
+/// Properties of job classes and workers that only some families of sites define. The lists are indexed by
+/// class.
 #[derive(Deserialize, Serialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct FamilyInfo {
-    /// Kind of machine that a class requires; negative for any.
+    /// Kind of machine that each class requires. A negative value allows any kind.
     #[serde(default, rename = "classKind")]
     pub(crate) class_kinds: Vec<i64>,
-    /// Stretch of the latency objective of a class that does not give its own.
+    /// Work factor of the latency objective of each class, for classes that do not define their own.
     #[serde(default, rename = "classStretch")]
-    pub(crate) class_stretches: Vec<f64>,
+    pub(crate) class_work_factors: Vec<f64>,
     /// Whether workers report that they have started a job.
     #[serde(default, rename = "tellsStart")]
     pub(crate) reports_start: bool,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,7 @@
-//! The operator's file and the settings object: all values of complete ones, and the exact message of each error.
+//! Golden tests of the operator's file and the settings object: all values of complete ones, and the message
+//! of each error, byte for byte.
 //!
-//! The recorded files are older than the terms of the code, and so are the labels of the values in them.
+//! The golden files are older than the terms of the code, so their labels use earlier terms.
 
 use curlewusher_core::{DeduplicationScope, Idempotency, JobClass, KindId, TimeSpan};
 use curlewusher_settings::operator::{FIELDS, LogTarget, OperatorFile, TakesEffect};
@@ -15,7 +16,7 @@
 const FULL_OBJECT: &str = include_str!("golden/settings_full.json");
 const MINIMAL_OBJECT: &str = include_str!("golden/settings_least.json");
 
-/// The values of an operator's file, one a line.
+/// Returns the values of an operator's file, one per line.
 fn operator_values(file: &OperatorFile) -> String {
     let (log, metrics) = (&file.log, &file.metrics);
     let mut lines = vec![
@@ -42,10 +43,10 @@
         FIELDS.iter().all(|field| OperatorFile::sets(FULL_FILE, field)),
         "the complete file sets every field"
     );
-    let file = OperatorFile::parse(FULL_FILE).expect("a valid file");
+    let file = OperatorFile::parse(FULL_FILE).expect("the complete file is valid");
     let defaults = OperatorFile::default().values();
     for ((field, value), (_, default)) in file.values().iter().zip(&defaults) {
-        assert_ne!(value, default, "{} has another value than its default", field.path);
+        assert_ne!(value, default, "the complete file sets {} to a value other than its default", field.path);
     }
     golden!("operator_full.txt").assert_eq(&operator_values(&file));
     golden!("operator_default.txt").assert_eq(&operator_values(&OperatorFile::default()));
@@ -84,14 +85,14 @@
     let JobClass {
         idempotency,
         latency_objective,
-        latency_objective_work_factor: stretch,
+        latency_objective_work_factor: work_factor,
         priority_weight,
         client_timeout,
         required_kind,
     } = class;
     let (idempotency, kind) = (idempotency_text(idempotency), required_kind.map(|KindId(number)| number));
     format!(
-        "class {index}: {idempotency}, aim {}, stretch {stretch}, worth {priority_weight}, give up {}, kind {kind:?}",
+        "class {index}: {idempotency}, aim {}, stretch {work_factor}, worth {priority_weight}, give up {}, kind {kind:?}",
         latency_objective.as_micros(),
         client_timeout.as_micros()
     )
@@ -136,9 +137,9 @@
     lines
 }
 
-/// The values of a settings object, one a line.
+/// Returns the values of a settings object, one per line.
 fn values_of(object: &str) -> Vec<String> {
-    site_values(&read(object).expect("a valid object"))
+    site_values(&read(object).expect("the settings object is valid"))
 }
 
 #[test]
@@ -147,26 +148,30 @@
     golden!("settings_least.txt").assert_eq(&(values_of(MINIMAL_OBJECT).join("\n") + "\n"));
     let shown = |object: &str| {
         let written = serde_json::from_str(object).expect("JSON");
-        serde_json::to_string_pretty(&effective(written).expect("a valid object")).expect("JSON") + "\n"
+        serde_json::to_string_pretty(&effective(written).expect("the settings object is valid"))
+            .expect("JSON")
+            + "\n"
     };
     golden!("settings_full_effective.json").assert_eq(&shown(FULL_OBJECT));
     golden!("settings_least_effective.json").assert_eq(&shown(MINIMAL_OBJECT));
 }
 
-/// The full object after an edit: `/path/of/field = value`, or `/path/of/field removed`.
+/// Returns the full object after an edit. The form of an edit is `/path/of/field = value` or
+/// `/path/of/field removed`.
 fn edited(edit: &str) -> Value {
     let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
     if let Some(path) = edit.strip_suffix(" removed") {
-        let (parent, name) = path.rsplit_once('/').expect("a path");
-        let table = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("a table");
+        let (parent, name) = path.rsplit_once('/').expect("the path has a parent");
+        let table =
+            object.pointer_mut(parent).and_then(Value::as_object_mut).expect("the parent is an object");
         assert!(table.remove(name).is_some(), "{edit}");
         return object;
     }
-    let (path, value) = edit.split_once(" = ").expect("an edit");
+    let (path, value) = edit.split_once(" = ").expect("the edit has a value");
     let value = serde_json::from_str(value).expect("JSON");
-    let (parent, name) = path.rsplit_once('/').expect("a path");
-    match object.pointer_mut(parent).expect("a field") {
-        Value::Array(list) => list[name.parse::<usize>().expect("a field")] = value,
+    let (parent, name) = path.rsplit_once('/').expect("the path has a parent");
+    match object.pointer_mut(parent).expect("the object has the parent") {
+        Value::Array(list) => list[name.parse::<usize>().expect("the name is an index")] = value,
         table => table[name] = value,
     }
     object
@@ -183,11 +188,12 @@
                 let changed: Vec<_> = values.into_iter().filter(|line| !unchanged.contains(line)).collect();
                 if changed.is_empty() { "no change".to_owned() } else { changed.join("; ") }
             }
-            // A value is out of bounds; the form is right, so that the values can be shown.
+            // A value is out of bounds. All fields have the right types, so the values can be shown.
             (Err(error), Ok(_)) => error.to_string(),
             (site, Err(form_error)) => {
-                let message = site.expect_err("its form is wrong").to_string();
-                let (without_position, _) = message.rsplit_once(" at line ").expect("a position");
+                let message = site.expect_err("a field is missing or has the wrong type").to_string();
+                let (without_position, _) =
+                    message.rsplit_once(" at line ").expect("the message ends with a position");
                 assert_eq!(form_error.to_string(), format!("config: settings.{without_position}"));
                 message
             }
@@ -199,7 +205,7 @@
 fn time_span_exceeds_a_year_then_it_is_limited_to_a_year() {
     const YEAR: TimeSpan = TimeSpan::from_secs(365 * 86_400);
     let mut object: Value = serde_json::from_str(FULL_OBJECT).expect("JSON");
-    let spans = [
+    let duration_paths = [
         "/services/1/dedupWindowUs",
         "/services/1/objectiveUs",
         "/services/1/giveUpUs",
@@ -210,16 +216,16 @@
         "/rules/warmUpUs",
         "/rules/fallUs",
     ];
-    for path in &spans {
-        *object.pointer_mut(path).expect("a span") = json!(u64::MAX);
+    for path in &duration_paths {
+        *object.pointer_mut(path).expect("the object has the field") = json!(u64::MAX);
     }
     let values = values_of(&object.to_string()).join("\n");
-    // `maxRetryAfterUs` counts twice: it also limits the `Retry-After` of the dispatcher's rejections.
-    assert_eq!(values.matches(&YEAR.as_micros().to_string()).count(), spans.len() + 1, "{values}");
+    // `maxRetryAfterUs` occurs twice: it also limits the `Retry-After` of the dispatcher's rejections.
+    assert_eq!(values.matches(&YEAR.as_micros().to_string()).count(), duration_paths.len() + 1, "{values}");
 }
 
 #[test]
 fn settings_object_is_a_list_then_the_message_shows_the_number_of_fields() {
-    let message = read("[]").expect_err("a list").to_string();
+    let message = read("[]").expect_err("a list is not a settings object").to_string();
     assert_eq!(message, "invalid length 0, expected struct Wire with 14 elements at line 1 column 2");
 }
--- a/crates/settings/tests/operator_file.rs
+++ b/crates/settings/tests/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file: its reference page, the file that is shipped, and the form of error messages.
+//! Tests of the operator's file: its reference page, the shipped file, and the form of error messages.
 
 use curlewusher_settings::operator::{FIELDS, OperatorFile, reference_table};
 
@@ -6,10 +6,13 @@
 fn reference_page_is_read_then_it_shows_every_field_and_no_other() {
     let page = include_str!("../../../docs/operator-file.md");
     assert!(page.contains(&reference_table()), "docs/operator-file.md should hold:\n{}", reference_table());
-    // A field that FIELDS lacks would be read and never shown.
-    let all = toml::Table::try_from(OperatorFile::default()).expect("a table");
-    let written = all.values().map(|section| section.as_table().expect("a section").len()).sum::<usize>();
-    assert_eq!(written, FIELDS.len());
+    // A field that is missing from FIELDS would be read and never shown.
+    let sections = toml::Table::try_from(OperatorFile::default()).expect("the defaults can be serialized");
+    let field_count = sections
+        .values()
+        .map(|section| section.as_table().expect("each section is a table").len())
+        .sum::<usize>();
+    assert_eq!(field_count, FIELDS.len());
     assert_eq!(OperatorFile::default().values().len(), FIELDS.len());
 }
 
--- a/crates/simulator-adapter/src/catalog.rs
+++ b/crates/simulator-adapter/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, which the simulator sends once for all instances as numbered catalogs.
+//! Catalogs: numbered endpoint lists, which the simulator sends once for all instances.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,24 @@
 use crate::error::{FieldError, LineError};
 use crate::fields::{Fields, malformed};
 
-/// One endpoint list.
+/// Endpoint list.
 #[derive(Default)]
 pub struct Catalog {
-    /// Its entries.
+    /// Entries of the list.
     pub endpoints: Vec<Endpoint>,
-    /// The workers' names on the wire, in the order of the entries.
+    /// Names of the workers on the wire, in the order of the entries.
     pub worker_names: Vec<String>,
 }
 
-/// The catalog that the next `executor` lines belong to.
+/// Catalog to which the next `executor` lines belong.
 struct OpenCatalog {
+    /// Number of the catalog.
     table: u64,
-    /// Number of endpoints still to come.
+    /// Number of endpoints that have not been received yet.
     remaining: usize,
 }
 
-/// All catalogs by their numbers, and the one that is being received.
+/// All catalogs by number, and the catalog that is being received.
 #[derive(Default)]
 pub struct Catalogs {
     by_table: BTreeMap<u64, Catalog>,
@@ -31,7 +32,7 @@
 }
 
 impl Catalogs {
-    /// Handles `catalog`: begins a catalog, in place of an earlier one of the same number.
+    /// Handles `catalog`: begins a catalog, which replaces an earlier one with the same number.
     pub fn open(&mut self, fields: Fields) -> Result<(), FieldError> {
         let table = fields.required("table")?;
         self.open = Some(OpenCatalog { table, remaining: fields.required("nodesList")? });
@@ -51,8 +52,8 @@
         Ok(())
     }
 
-    /// The catalog that the field `table` names.
-    pub fn named_by(&self, fields: Fields) -> Result<&Catalog, FieldError> {
+    /// Returns the catalog whose number is in the field `table`.
+    pub fn find(&self, fields: Fields) -> Result<&Catalog, FieldError> {
         let table = fields.required("table")?;
         self.by_table.get(&table).ok_or(FieldError::UnknownCatalog { table })
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,55 +1,55 @@
-//! What can be wrong with a line of the simulator's wire.
+//! Errors of the lines on the simulator's wire.
 
 use curlewusher_core::SettingsError;
 use curlewusher_settings::ReadError;
 
-/// A field that is missing or cannot be used.
+/// Errors of the fields of a line.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
-    /// A required field is not on the line.
+    /// A required field is missing.
     #[error("field {field} is missing")]
     Missing {
         /// Name of the field.
         field: &'static str,
     },
-    /// The value has the wrong type, or is none of the values that the field can have.
+    /// The value has the wrong type or is not a valid value of the field.
     #[error("field {field} is malformed: {value}")]
     Malformed {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// The value is not a sequence of hexadecimal byte values.
+    /// The value is not a sequence of bytes in hexadecimal digits.
     #[error("field {field} is malformed")]
     NotHexadecimal {
         /// Name of the field.
         field: &'static str,
     },
-    /// The simulator has sent no catalog of this number.
+    /// The simulator has not sent a catalog with this number.
     #[error("field table names no list: {table}")]
     UnknownCatalog {
-        /// The number of the catalog.
+        /// Number of the catalog.
         table: u64,
     },
 }
 
-/// A line that cannot be carried out. The simulator has a fault or speaks another version of the wire: the adapter
-/// stops.
+/// Errors of the execution of a line. The adapter stops after an error, because the simulator has a fault or
+/// uses another version of the wire.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// A field of a message to the adapter itself is wrong.
+    /// A field of a message to the adapter itself is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// A field of a message to an instance is wrong.
+    /// A field of a message to an instance is missing or invalid.
     #[error("{message}: {source}")]
     MessageField {
         /// Name of the message.
         message: String,
-        /// Which field, and what is wrong with it.
+        /// Error of the field.
         source: FieldError,
     },
-    /// An endpoint outside a catalog, or one more than the catalog announced.
+    /// An endpoint was sent outside a catalog or after the last one that the catalog announced.
     #[error("executor: no catalog is open")]
     NoOpenCatalog,
     /// No `on` line selected an instance in this batch.
@@ -58,7 +58,7 @@
         /// Name of the message.
         message: String,
     },
-    /// The selected instance was not started, or has exited.
+    /// The selected instance was not started or has exited.
     #[error("{message}: instance {instance} is not running")]
     InstanceNotRunning {
         /// Name of the message.
@@ -66,7 +66,7 @@
         /// Number of the selected instance.
         instance: u64,
     },
-    /// The settings object of a new instance cannot be used.
+    /// The settings object of a new instance is invalid.
     #[error("field bootInfo: {0}")]
     Settings(#[source] ReadError),
     /// The dispatcher rejects the settings of a new instance.
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a line: `name=value` pairs, separated by single spaces.
+//! Fields of a line: `name=value` pairs, separated by single spaces.
 
 use std::str::FromStr;
 
@@ -6,57 +6,57 @@
 
 use crate::error::FieldError;
 
-/// Value of a field that stands for an empty sequence of bytes.
+/// Value of a field that represents an empty sequence of bytes.
 const NO_BYTES: &str = "-";
 
-/// The fields of one line. Unknown fields are ignored.
+/// Fields of one line. Unknown fields are ignored.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// The fields in the part of a line after the message's name.
+    /// Creates the fields from the part of a line after the name of the message.
     pub fn new(text: &'a str) -> Self {
         Fields(text)
     }
 
-    /// The value of a required field, parsed.
+    /// Returns the parsed value of a required field.
     pub fn required<T: FromStr>(&self, field: &'static str) -> Result<T, FieldError> {
         self.optional(field)?.ok_or(FieldError::Missing { field })
     }
 
-    /// The value of a field, parsed, where the line has it.
+    /// Returns the parsed value of a field, or `None` if the line does not have the field.
     pub fn optional<T: FromStr>(&self, field: &'static str) -> Result<Option<T>, FieldError> {
         let parse = |value: &str| value.parse().map_err(|_| malformed(field, value));
         self.find(field).map(parse).transpose()
     }
 
-    /// The value of a field, parsed, or the default where the line does not have it.
+    /// Returns the parsed value of a field, or the default if the line does not have the field.
     pub fn value_or<T: FromStr>(&self, field: &'static str, default: T) -> Result<T, FieldError> {
         Ok(self.optional(field)?.unwrap_or(default))
     }
 
-    /// Whether a field is 1.
+    /// Returns whether the value of a field is 1. A missing field counts as 0.
     pub fn flag(&self, field: &'static str) -> Result<bool, FieldError> {
         Ok(self.value_or(field, 0u8)? == 1)
     }
 
-    /// The moment that a required field names in microseconds.
-    pub fn moment(&self, field: &'static str) -> Result<Timestamp, FieldError> {
+    /// Returns the time that a required field contains in microseconds.
+    pub fn timestamp(&self, field: &'static str) -> Result<Timestamp, FieldError> {
         self.required(field).map(Timestamp::from_micros)
     }
 
-    /// The text of a required field.
+    /// Returns the text of a required field.
     pub fn text(&self, field: &'static str) -> Result<&'a str, FieldError> {
         self.find(field).ok_or(FieldError::Missing { field })
     }
 
-    /// The rest of the line from the value of a required field on, spaces included.
+    /// Returns the rest of the line from the value of a required field on, spaces included.
     pub fn rest_of_line(&self, field: &'static str) -> Result<&'a str, FieldError> {
         let start = self.0.find(&format!("{field}=")).ok_or(FieldError::Missing { field })?;
         Ok(&self.0[start + field.len() + 1..])
     }
 
-    /// The bytes of a required field, which are written as hexadecimal digits.
+    /// Returns the bytes of a required field, which the line contains as hexadecimal digits.
     pub fn bytes(&self, field: &'static str) -> Result<Vec<u8>, FieldError> {
         let digits = self.text(field)?;
         if digits == NO_BYTES {
@@ -77,7 +77,7 @@
     }
 }
 
-/// The error of a value that a field cannot have.
+/// Returns the error of an invalid value of a field.
 pub fn malformed(field: &'static str, value: &str) -> FieldError {
     FieldError::Malformed { field, value: value.to_owned() }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts all simulated nodes: carries out the lines of a batch, and writes the actions that follow.
+//! Host of all simulated nodes: executes the lines of a batch and writes the resulting actions.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -10,34 +10,34 @@
 use crate::fields::Fields;
 use crate::instance::Instance;
 
-/// Whether a batch of lines is complete after a line.
+/// State of a batch of lines after a line.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Batch {
-    /// More lines follow before the actions are written.
-    Continues,
-    /// The line ended the batch: the simulator waits for the actions.
-    Ended,
+pub enum BatchState {
+    /// More lines of the batch follow.
+    Incomplete,
+    /// The line ended the batch, and the simulator waits for the actions.
+    Complete,
 }
 
-/// All nodes of a simulation. They share only the catalogs, which the wire sends once for all.
+/// All nodes of a simulation. They share only the catalogs, which the simulator sends once for all nodes.
 #[derive(Default)]
 pub struct Host {
     now: Timestamp,
     instances: BTreeMap<u64, Instance>,
-    /// Number of the instance that the following messages are for.
+    /// Number of the instance to which the following messages are addressed.
     selected: Option<u64>,
     catalogs: Catalogs,
 }
 
 impl Host {
-    /// Carries out one line: a message's name and its fields.
-    pub fn handle_line(&mut self, line: &str) -> Result<Batch, LineError> {
+    /// Executes one line, which contains the name of a message and its fields.
+    pub fn handle_line(&mut self, line: &str) -> Result<BatchState, LineError> {
         let (message, fields) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::new(fields);
         match message {
             "" => {}
             "round" => self.begin_batch(fields)?,
-            "commit" => return Ok(Batch::Ended),
+            "commit" => return Ok(BatchState::Complete),
             "on" => self.selected = Some(fields.required("i")?),
             "catalog" => self.catalogs.open(fields)?,
             "executor" => self.catalogs.append(fields)?,
@@ -48,10 +48,10 @@
             }
             _ => self.forward(message, fields)?,
         }
-        Ok(Batch::Continues)
+        Ok(BatchState::Incomplete)
     }
 
-    /// Writes the actions of all instances since the last call, and the line that ends them.
+    /// Writes the actions of all instances since the last call, and the line that marks their end.
     pub fn write_actions(&mut self, out: &mut String) -> fmt::Result {
         for (number, instance) in &mut self.instances {
             if instance.has_actions() {
@@ -63,12 +63,12 @@
     }
 
     fn begin_batch(&mut self, fields: Fields) -> Result<(), LineError> {
-        self.now = fields.moment("simTimeUs")?;
+        self.now = fields.timestamp("simTimeUs")?;
         self.selected = None;
         Ok(())
     }
 
-    /// Starts an instance, in place of an earlier one of the same number.
+    /// Starts an instance, which replaces an earlier one with the same number.
     fn start_instance(&mut self, message: &str, fields: Fields) -> Result<(), LineError> {
         let number = self.selected_instance(message)?;
         let seed = fields.required("prng")?;
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Passes a message to the selected instance.
+    /// Forwards a message to the selected instance.
     fn forward(&mut self, message: &str, fields: Fields) -> Result<(), LineError> {
         let number = self.selected_instance(message)?;
         let Some(instance) = self.instances.get_mut(&number) else {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated node: its dispatcher, and the names of its jobs and workers on the wire.
+//! Simulated node: its dispatcher, and the names of its jobs and workers on the wire.
 
 use std::collections::HashMap;
 use std::fmt::{self, Write};
@@ -17,10 +17,10 @@
 const TOPIC_STARTED: u32 = 1;
 /// Value of the field `topic` of a progress report: a fraction of the attempt's work is done.
 const TOPIC_FRACTION_DONE: u32 = 2;
-/// Microseconds in a second; the wire has the work of jobs in microseconds.
+/// Number of microseconds in a second. The wire has the work of jobs in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// One simulated node.
+/// Simulated node.
 pub struct Instance {
     dispatcher: Dispatcher,
     jobs: JobNames,
@@ -29,7 +29,7 @@
     actions: Vec<Action>,
 }
 
-/// An attempt as the wire names it.
+/// Identification of an attempt on the wire.
 struct AttemptRef {
     job: JobId,
     attempt: u32,
@@ -48,7 +48,8 @@
         instance
     }
 
-    /// Handles a message to this node. Unknown messages are ignored: later versions of the wire add some.
+    /// Handles a message to this node. Unknown messages are ignored, because later versions of the wire add
+    /// messages.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Whether there are actions to be written.
+    /// Returns whether there are actions that have not been written yet.
     pub fn has_actions(&self) -> bool {
         !self.actions.is_empty()
     }
 
-    /// Writes the actions that have not been written yet, one a line.
+    /// Writes the actions that have not been written yet, one per line.
     pub fn write_actions(&mut self, out: &mut String) -> fmt::Result {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.write_action(action, out)?;
         }
-        // Keeps the allocation.
+        // The emptied vector is kept for its allocation.
         self.actions = actions;
         Ok(())
     }
@@ -102,7 +103,7 @@
             "F" | "C" => EndpointUpdate::Snapshot,
             other => return Err(malformed("form", other)),
         };
-        let catalog = catalogs.named_by(fields)?;
+        let catalog = catalogs.find(fields)?;
         for (endpoint, name) in catalog.endpoints.iter().zip(&catalog.worker_names) {
             self.worker_names.entry(endpoint.worker).or_insert_with(|| name.clone());
         }
@@ -115,7 +116,7 @@
             job: self.jobs.add(fields.text("corr")?),
             class: ClassId(fields.required("type")?),
             tenant: TenantId(fields.value_or("team", 0)?),
-            deadline: fields.moment("dropDeadUs")?,
+            deadline: fields.timestamp("dropDeadUs")?,
             cost_hint: fields.optional::<f64>("workUs")?.map(|work| work / MICROS_PER_SECOND),
             slots: fields.value_or("coresNeeded", 1.0)?,
             key: fields.optional("affinity")?,
@@ -156,7 +157,7 @@
 
     fn handle_client_abort(&mut self, now: Timestamp, fields: Fields) -> Result<(), FieldError> {
         let Some(job) = self.jobs.id(fields.text("corr")?) else { return Ok(()) };
-        self.jobs.record_settled(job);
+        self.jobs.record_answered(job);
         self.dispatch(now, Event::ClientDisconnected { job });
         self.jobs.remove_if_finished(job);
         Ok(())
@@ -174,7 +175,8 @@
         Ok(AttemptRef { job, attempt: fields.required("copy")? })
     }
 
-    /// Writes one action as a line. Nothing is written for jobs that were removed and workers that were never listed.
+    /// Writes an action as one line. Actions on removed jobs and on workers that were never listed are not
+    /// written.
     fn write_action(&mut self, action: Action, out: &mut String) -> fmt::Result {
         match action {
             Action::SendAttempt { job, worker, timeout, .. } => self.write_attempt(job, worker, timeout, out),
@@ -192,7 +194,7 @@
                 self.end_job(job);
                 Ok(())
             }
-            // The simulator sends an attempt as soon as it reads the line: none can be revoked.
+            // No attempt can be revoked, because the simulator sends it as soon as it reads the line.
             Action::RevokeAttempt { .. } => Ok(()),
             Action::CancelAttempt { job, attempt } => match self.jobs.name(job) {
                 Some(name) => writeln!(out, "undo_send corr={name} copy={attempt}"),
@@ -217,7 +219,7 @@
     }
 
     fn end_job(&mut self, job: JobId) {
-        self.jobs.record_settled(job);
+        self.jobs.record_answered(job);
         self.jobs.remove_if_finished(job);
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,15 +1,15 @@
-//! Lets curlewusher's dispatcher decide in a simulation: hosts one dispatcher for each simulated node and speaks the
-//! simulator's wire on standard input and output.
+//! Adapter that runs curlewusher's dispatcher in a simulation. It hosts one dispatcher for each simulated
+//! node and exchanges messages with the simulator on standard input and output, the wire.
 //!
-//! The wire is a dialogue of batches of lines. A line is the name of a message and its fields, `name=value`; unknown
-//! messages and fields are ignored. The simulator begins a batch by `round` and ends it by `commit`; the adapter
-//! answers with the actions of all instances and ends them by `next`. A line that cannot be carried out ends the
-//! program with exit code 1 and one line on standard error.
+//! Messages are exchanged in batches of lines. A line contains the name of a message and its fields as
+//! `name=value`. Unknown messages and fields are ignored. The simulator begins a batch with `round` and ends
+//! it with `commit`. The adapter responds with the actions of all instances and ends them with `next`. After
+//! a line that cannot be executed, the program exits with code 1 and one line on standard error.
 //!
 //! | from the simulator | meaning |
 //! | --- | --- |
 //! | `round`, `commit` | begins a batch with the time, ends it |
-//! | `on` | selects the instance that the following messages are for |
+//! | `on` | selects the instance to which the following messages are addressed |
 //! | `hello`, `exit` | starts an instance with its settings, ends it |
 //! | `catalog`, `executor` | begins an endpoint list for all instances, one endpoint of it |
 //! | `sync` | a poll of the endpoint list was answered, the watch reported changes, or it failed |
@@ -20,7 +20,7 @@
 //!
 //! | to the simulator | meaning |
 //! | --- | --- |
-//! | `source` | the following actions are those of an instance |
+//! | `source` | the following actions are those of the given instance |
 //! | `try`, `undo_send` | send an attempt, cancel it |
 //! | `shed`, `abort` | reject a job, fail it |
 //! | `announce` | send gossip |
@@ -43,25 +43,25 @@
 use std::process::ExitCode;
 
 use error::LineError;
-use host::{Batch, Host};
+use host::{BatchState, Host};
 
-/// Why the adapter stopped before the end of its input.
+/// Errors that stop the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// A line of the input could not be read, or is not UTF-8.
+    /// A line of the input could not be read or is not valid UTF-8.
     #[error("line {line}: {source}")]
     Read {
-        /// Number of the line, from 1 on.
+        /// Number of the line, starting at 1.
         line: u64,
-        /// The error of standard input.
+        /// Error of standard input.
         source: io::Error,
     },
-    /// A line could not be carried out.
+    /// A line could not be executed.
     #[error("line {line}: {source}")]
     Line {
-        /// Number of the line, from 1 on.
+        /// Number of the line, starting at 1.
         line: u64,
-        /// What is wrong with it.
+        /// Error of the line.
         source: LineError,
     },
     /// The actions could not be encoded.
@@ -82,11 +82,11 @@
     }
 }
 
-/// Answers batches until the end of the input.
+/// Responds to batches until the end of the input.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut text = String::new();
-    let mut answer = String::new();
+    let mut response = String::new();
     for line in 1u64.. {
         text.clear();
         let length = input.read_line(&mut text).map_err(|source| AdapterError::Read { line, source })?;
@@ -94,11 +94,11 @@
             break;
         }
         let message = text.trim_end_matches(['\n', '\r']);
-        let batch = host.handle_line(message).map_err(|source| AdapterError::Line { line, source })?;
-        if batch == Batch::Ended {
-            answer.clear();
-            host.write_actions(&mut answer)?;
-            output.write_all(answer.as_bytes())?;
+        let batch_state = host.handle_line(message).map_err(|source| AdapterError::Line { line, source })?;
+        if batch_state == BatchState::Complete {
+            response.clear();
+            host.write_actions(&mut response)?;
+            output.write_all(response.as_bytes())?;
             output.flush()?;
         }
     }
--- a/crates/simulator-adapter/tests/common/mod.rs
+++ b/crates/simulator-adapter/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the built adapter.
+//! Execution of the adapter's binary.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// The exit code of the adapter and what it writes when it reads this input.
+/// Runs the adapter with the given input and returns its exit status and output.
 pub fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_curlewusher-drill"))
         .stdin(Stdio::piped())
@@ -11,10 +11,10 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     std::thread::scope(|scope| {
-        // An adapter that has stopped at an invalid line reads no further.
+        // The write fails if the adapter has stopped at an invalid line, which is not an error here.
         scope.spawn(move || _ = stdin.write_all(input.as_bytes()));
-        child.wait_with_output().expect("the adapter ends")
+        child.wait_with_output().expect("the adapter exits")
     })
 }
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -1,4 +1,5 @@
-//! A recorded run of a small simulation: what the adapter reads, and what it must write, byte for byte.
+//! Golden tests on the transcript of a small simulation: the adapter must write the recorded output, byte for
+//! byte.
 
 mod common;
 
@@ -10,8 +11,8 @@
 
 const TRANSCRIPT: &str = include_str!("golden/transcript_in.txt");
 
-/// Texts that must occur in the transcript: each message, and each value of a field that names one of a few.
-const MESSAGES: [&str; 35] = [
+/// Texts that must occur in the input: each message, and each value of the fields with a fixed set of values.
+const REQUIRED_INPUTS: [&str; 35] = [
     "round ",
     "commit",
     "on ",
@@ -48,33 +49,37 @@
     "wakeup ",
     "novelty ",
 ];
-/// Messages of the adapter, each of which the recorded answer must hold.
-const ANSWERS: [&str; 9] =
+/// Messages of the adapter that must occur in the output.
+const REQUIRED_OUTPUTS: [&str; 9] =
     ["source ", "next", "try ", "shed ", "abort ", "undo_send ", "announce ", "wake_me ", "watch "];
 
 #[test]
-fn recorded_transcript_is_read_then_the_answer_is_as_recorded() {
+fn recorded_transcript_is_read_then_the_output_is_as_recorded() {
     let recorded = golden!("transcript_out.txt");
-    for part in MESSAGES {
-        assert!(TRANSCRIPT.contains(part), "no {part} in the transcript");
+    for part in REQUIRED_INPUTS {
+        assert!(TRANSCRIPT.contains(part), "the input contains no {part}");
     }
     let output = run_adapter(TRANSCRIPT);
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
-    let written = String::from_utf8(output.stdout).expect("text");
+    let written = String::from_utf8(output.stdout).expect("the output is UTF-8");
     let is_written = |part: &str| written.lines().any(|line| format!("{line} ").starts_with(part));
-    for part in ANSWERS {
-        assert!(is_written(part), "no {part} in the answer");
+    for part in REQUIRED_OUTPUTS {
+        assert!(is_written(part), "the output contains no {part}");
     }
     recorded.assert_eq(&written);
 }
 
 #[test]
 fn invalid_line_is_read_then_the_message_and_the_exit_code_are_as_recorded() {
-    // The first batch starts instances and fills a list; the line under test follows.
-    let (first_batch, _) = TRANSCRIPT.split_once("commit\n").expect("a batch");
+    // The first batch starts instances and sends a catalog. The invalid line follows.
+    let (first_batch, _) = TRANSCRIPT.split_once("commit\n").expect("the transcript has a batch");
     golden!("bad_lines.txt").assert_outputs(|line| {
         let output = run_adapter(&format!("{first_batch}{line}\ncommit\n"));
-        let message = String::from_utf8(output.stderr).expect("text");
-        format!("{} {}", output.status.code().expect("it ends by itself"), message.trim_end())
+        let message = String::from_utf8(output.stderr).expect("the output is UTF-8");
+        format!(
+            "{} {}",
+            output.status.code().expect("the adapter is not killed by a signal"),
+            message.trim_end()
+        )
     });
 }
--- a/crates/testbed/src/client_connections/exchange.rs
+++ b/crates/testbed/src/client_connections/exchange.rs
@@ -1,5 +1,5 @@
-//! One request of a client and its response, on one connection. The request is written as it is given; of the response only
-//! what the clients need is read.
+//! Exchange of one request and its response on a client's connection. The request is written unchanged. Only
+//! the parts of the response that the clients need are parsed.
 
 use std::mem::MaybeUninit;
 use std::time::Duration;
@@ -10,45 +10,48 @@
 
 use crate::event_log::FailureReason;
 
-/// A response may have this many bytes, its head included.
+/// Maximum size of a response, its head included.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// Maximum number of header fields of a response.
 const MAX_HEADERS: usize = 32;
+/// Initial capacity of the buffer for a response.
 const INITIAL_BUFFER_BYTES: usize = 512;
-/// The minor version of HTTP/1.1, whose connections are persistent.
+/// Minor version of HTTP/1.1, in which connections are persistent by default.
 const PERSISTENT_MINOR_VERSION: u8 = 1;
 
-/// A complete response.
+/// Complete response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The seconds of `Retry-After`, if the response has it.
+    /// Value of `Retry-After` in seconds, if the response has this header.
     pub retry_after: Option<f64>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// A response, and what became of its connection.
+/// Response, and state of its connection after it.
 pub(super) struct Exchange {
     pub(super) response: Response,
     /// Whether the connection may carry another request.
     pub(super) is_reusable: bool,
 }
 
-/// Whether the node has left an idle connection open. Asks the operating system: the runtime learns of a close only when
-/// it polls the socket.
+/// Returns whether the node has left an idle connection open. The check reads the socket directly, because
+/// the runtime observes a close only when it polls the socket.
 pub(super) fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = socket2::SockRef::from(stream).peek(&mut byte);
     matches!(peeked, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// The bytes of a request, and how they are written.
+/// Bytes of a request, and the way in which they are written.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingRequest<'run> {
-    /// What is written.
+    /// Bytes of the request.
     pub bytes: &'run [u8],
-    /// How many bytes are written first, and the pause after them; none if all are written at once.
+    /// Number of bytes that are written first, and the pause after them. `None` if all bytes are written at
+    /// once.
     pub split: Option<(usize, Duration)>,
 }
 
@@ -65,7 +68,8 @@
     }
 }
 
-/// Sends a request and reads its response. A response may have come although the request could not be written.
+/// Sends a request and reads its response. The response is read even if the write fails, because the node may
+/// have responded before.
 pub(super) async fn exchange(
     stream: &mut TcpStream,
     request: OutgoingRequest<'_>,
@@ -76,7 +80,7 @@
         match stream.read_buf(&mut received).await {
             Ok(1..) => {}
             Ok(0) if received.is_empty() && !is_written => return Err(FailureReason::Reset),
-            Ok(0) if received.is_empty() => return Err(failure_of_silent_end(stream)),
+            Ok(0) if received.is_empty() => return Err(classify_early_close(stream)),
             Err(_) if received.is_empty() => return Err(FailureReason::Reset),
             Ok(0) | Err(_) => return Err(FailureReason::Closed),
         }
@@ -89,16 +93,18 @@
     }
 }
 
-/// Why a connection ended before the first byte of a response. A node that had read the request closes the connection; if
-/// it had not, the operating system resets the connection, which shows as an error of the socket.
-fn failure_of_silent_end(stream: &TcpStream) -> FailureReason {
+/// Returns the failure reason of a connection that ended before the first byte of a response. If the node had
+/// read the request, the connection was closed. Otherwise the operating system reset it, which leaves an
+/// error on the socket.
+fn classify_early_close(stream: &TcpStream) -> FailureReason {
     match stream.take_error() {
         Ok(None) => FailureReason::Closed,
         _ => FailureReason::Reset,
     }
 }
 
-/// Parses a response; none while it is incomplete. Text that is no response counts as a closed connection.
+/// Parses a response. Returns `None` while it is incomplete. A malformed response counts as a closed
+/// connection.
 fn parse(received: &[u8]) -> Result<Option<Exchange>, FailureReason> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -111,7 +117,7 @@
         let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.value).ok().map(str::trim)
     };
-    // Without a length the client does not know where the response ends.
+    // Without `Content-Length` the end of the response cannot be determined.
     let length = field("content-length").and_then(|value| value.parse::<usize>().ok());
     let length = length.ok_or(FailureReason::Closed)?;
     let Some(body) = received.get(body_start..body_start + length) else { return Ok(None) };
--- a/crates/testbed/src/client_connections/mod.rs
+++ b/crates/testbed/src/client_connections/mod.rs
@@ -1,5 +1,5 @@
-//! Clients' connections to the nodes: which are idle, and which have a request in flight. The node of a request is chosen
-//! elsewhere. No request is repeated here, so that the event log shows each reset connection.
+//! Connections of the clients to the nodes, idle or with a request in flight. The caller chooses the node of
+//! a request. No request is retried here, so that the event log shows each reset connection.
 
 mod exchange;
 
@@ -15,41 +15,42 @@
 pub use self::exchange::{OutgoingRequest, Response};
 use crate::event_log::FailureReason;
 
+/// Timeout for opening a connection to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection that was idle for this long is not used again.
+/// Idle time after which a connection is not reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A request counts as fresh for this long after it was sent.
-const FRESH_FOR: Duration = Duration::from_secs(2);
+/// Time after its send for which a request in flight counts as fresh.
+const MAX_FRESH_AGE: Duration = Duration::from_secs(2);
 
-/// Where a request is sent.
+/// Destination of a request.
 pub struct Route {
     /// Number of the node.
     pub node: usize,
-    /// Its address.
+    /// Address of the node.
     pub address: SocketAddr,
-    /// An idle connection to the node; a new one is opened if there is none.
+    /// Idle connection to the node. If it is `None`, a new connection is opened.
     pub idle_connection: Option<TcpStream>,
 }
 
-/// Open connections of all clients to one node.
+/// Numbers of open connections of all clients to one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Connections without a request.
+    /// Number of connections without a request.
     pub idle: usize,
-    /// Connections with a request that was sent within the last two seconds.
+    /// Number of connections with a request that was sent within the last two seconds.
     pub fresh: usize,
 }
 
-/// All connections of all clients, by node.
+/// Connections of all clients, by node.
 pub struct ClientConnections(Vec<Mutex<NodeConnections>>);
 
 #[derive(Default)]
 struct NodeConnections {
-    /// In the order of their last use, the latest at the end.
+    /// Idle connections in the order of their last use, the most recently used last.
     idle: Vec<IdleConnection>,
-    /// When each request in flight was sent, by its number.
+    /// Send times of the requests in flight, by request number.
     in_flight: HashMap<u64, Instant>,
-    last_number: u64,
+    last_request_number: u64,
 }
 
 struct IdleConnection {
@@ -57,7 +58,7 @@
     stream: TcpStream,
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Guard that counts a request as in flight until the guard is dropped.
 struct InFlightRequest<'a> {
     connections: &'a Mutex<NodeConnections>,
     number: u64,
@@ -66,8 +67,8 @@
 impl<'a> InFlightRequest<'a> {
     fn begin(connections: &'a Mutex<NodeConnections>) -> Self {
         let mut locked = connections.lock();
-        locked.last_number += 1;
-        let number = locked.last_number;
+        locked.last_request_number += 1;
+        let number = locked.last_request_number;
         locked.in_flight.insert(number, Instant::now());
         InFlightRequest { connections, number }
     }
@@ -80,13 +81,13 @@
 }
 
 impl ClientConnections {
-    /// No connections yet.
-    pub fn new(nodes: usize) -> Self {
-        ClientConnections((0..nodes).map(|_| Mutex::default()).collect())
+    /// Creates an empty set of connections for each node.
+    pub fn new(node_count: usize) -> Self {
+        ClientConnections((0..node_count).map(|_| Mutex::default()).collect())
     }
 
-    /// Takes the idle connection to a node that was used last and is still open.
-    pub fn take(&self, node: usize) -> Option<TcpStream> {
+    /// Takes an idle connection to a node: the most recently used one that is still open.
+    pub fn take_idle(&self, node: usize) -> Option<TcpStream> {
         let mut connections = self.0[node].lock();
         connections.idle.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT && is_open(&idle.stream));
         connections.idle.pop().map(|idle| idle.stream)
@@ -96,33 +97,33 @@
     pub fn count(&self, node: usize) -> ConnectionCounts {
         let mut connections = self.0[node].lock();
         connections.idle.retain(|idle| is_open(&idle.stream));
-        let fresh = connections.in_flight.values().filter(|sent| sent.elapsed() < FRESH_FOR).count();
+        let fresh = connections.in_flight.values().filter(|sent| sent.elapsed() < MAX_FRESH_AGE).count();
         ConnectionCounts { idle: connections.idle.len(), fresh }
     }
 
-    /// Sends a request and reads the response. With `keep` the connection is kept for another request, if the node allows
-    /// that.
+    /// Sends a request and reads the response. With `keep_alive` the connection is kept for another request,
+    /// if the node allows that.
     ///
     /// # Errors
     ///
-    /// Fails if the connection cannot be opened, or ends before the response is complete.
+    /// Fails if the connection cannot be opened, or closes before the response is complete.
     pub async fn send(
         &self,
         route: Route,
         request: OutgoingRequest<'_>,
-        keep: bool,
+        keep_alive: bool,
     ) -> Result<Response, FailureReason> {
         let Route { node, address, idle_connection } = route;
         let mut stream = match idle_connection {
             Some(stream) => stream,
             None => connect(address).await?,
         };
-        // Without the option the connection is only slower.
+        // A failure to set the option is ignored: without it, the connection is only slower.
         let _ = stream.set_nodelay(true);
         let in_flight = InFlightRequest::begin(&self.0[node]);
         let Exchange { response, is_reusable } = exchange(&mut stream, request).await?;
         drop(in_flight);
-        if is_reusable && keep {
+        if is_reusable && keep_alive {
             self.0[node].lock().idle.push(IdleConnection { since: Instant::now(), stream });
         }
         Ok(response)
--- a/crates/testbed/src/client_router.rs
+++ b/crates/testbed/src/client_router.rs
@@ -1,4 +1,5 @@
-//! The router in front of the nodes: it checks their readiness and chooses the node for each request in turn.
+//! Router in front of the nodes. It checks their readiness and assigns requests to the ready nodes
+//! round-robin.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,44 +16,45 @@
 
 /// Interval of the readiness checks of a node.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// New connections still go to a node for this long after the first check that it failed.
-const CLOSE_AFTER_NOT_READY: TimeSpan = TimeSpan::from_millis(200);
-/// The same after the first check without an answer: one check that is lost does not close a node.
-const CLOSE_AFTER_NO_ANSWER: TimeSpan = TimeSpan::from_secs(2);
+/// Delay from the first readiness check with a negative response until the node gets no new connections.
+const NOT_READY_CLOSE_DELAY: TimeSpan = TimeSpan::from_millis(200);
+/// Delay from the first readiness check without a response until the node gets no new connections. It is
+/// longer, so that one lost check does not close a node.
+const NO_RESPONSE_CLOSE_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
-/// The moment at which a node closes that is open.
+/// Close time of a node that is open.
 const NEVER: u64 = u64::MAX;
 
-/// Spreads clients over the nodes that are ready.
+/// Router that distributes the requests of clients over the nodes that are ready.
 pub struct ClientRouter {
-    /// The moment from which each node gets no new connections, in microseconds of the event log.
+    /// Time from which each node gets no new connections, in microseconds since the start of the event log.
     closes_at: Vec<AtomicU64>,
-    /// Number of requests that were routed.
-    routed: AtomicUsize,
+    /// Number of requests that were routed. It determines the node at which the next search begins.
+    routed_requests: AtomicUsize,
     addresses: NodeAddresses,
-    /// The connections that clients hold to the nodes.
+    /// Connections of the clients to the nodes.
     pub connections: ClientConnections,
     log: EventLog,
 }
 
 impl ClientRouter {
-    /// A router that has closed all nodes.
+    /// Creates a router with all nodes closed.
     pub fn new(node_count: usize, addresses: NodeAddresses, log: EventLog) -> Self {
         ClientRouter {
             closes_at: (0..node_count).map(|_| AtomicU64::new(0)).collect(),
-            routed: AtomicUsize::new(0),
+            routed_requests: AtomicUsize::new(0),
             addresses,
             connections: ClientConnections::new(node_count),
             log,
         }
     }
 
-    /// Lets new connections go to a node.
+    /// Routes new connections to a node from now on.
     pub fn open(&self, node: usize) {
         self.closes_at[node].store(NEVER, Ordering::Relaxed);
     }
 
-    /// Lets no new connections go to a node from now on.
+    /// Routes no new connections to a node from now on.
     pub fn close(&self, node: usize) {
         self.closes_at[node].store(self.log.now().as_micros(), Ordering::Relaxed);
     }
@@ -64,14 +66,15 @@
     fn apply_readiness(&self, node: usize, readiness: Readiness) {
         let delay = match readiness {
             Readiness::Yes => return self.open(node),
-            Readiness::No => CLOSE_AFTER_NOT_READY,
-            Readiness::Nothing => CLOSE_AFTER_NO_ANSWER,
+            Readiness::No => NOT_READY_CLOSE_DELAY,
+            Readiness::Nothing => NO_RESPONSE_CLOSE_DELAY,
         };
-        // Counted from the first failed check: later ones do not defer the moment.
+        // The delay counts from the first failed check. Later failed checks do not postpone the close time.
         self.closes_at[node].fetch_min((self.log.now() + delay).as_micros(), Ordering::Relaxed);
     }
 
-    /// Checks the readiness of a node at a fixed interval until the task is aborted, and records its changes.
+    /// Checks the readiness of a node at a fixed interval until the task is aborted, and records changes of
+    /// the readiness.
     pub async fn watch_readiness(self: Arc<Self>, node: usize) {
         let mut ticks = interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -92,10 +95,10 @@
         self.addresses.get(node)
     }
 
-    /// The route to the next node in turn that is open, or to which a connection is kept: kept connections stay in use
-    /// while they are open.
+    /// Returns the route to the next node, round-robin, that is open or has an idle connection. Idle
+    /// connections stay in use until they close, even if their node gets no new connections.
     pub fn route(&self, may_reuse_connection: bool) -> Option<Route> {
-        let first = self.routed.fetch_add(1, Ordering::Relaxed);
+        let first = self.routed_requests.fetch_add(1, Ordering::Relaxed);
         let node_count = self.closes_at.len();
         (0..node_count)
             .map(|offset| (first + offset) % node_count)
@@ -104,7 +107,7 @@
 
     fn route_to(&self, node: usize, may_reuse_connection: bool) -> Option<Route> {
         let address = self.address_of(node)?;
-        let idle_connection = if may_reuse_connection { self.connections.take(node) } else { None };
+        let idle_connection = if may_reuse_connection { self.connections.take_idle(node) } else { None };
         let is_usable = self.is_open(node) || idle_connection.is_some();
         is_usable.then_some(Route { node, address, idle_connection })
     }
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -64,7 +64,7 @@
         let must_reserve = self.has_admin_addresses && listen.port() == 0;
         let listen = if must_reserve { reserve_address() } else { listen };
         let temporary_folder = self.temporary_folder.join(format!("n{number}"));
-        let saved_list = self.fleet.saved_list(number).filter(|_| self.scenario.nodes.saved_lists);
+        let saved_list = self.fleet.last_sent_list(number).filter(|_| self.scenario.nodes.saved_lists);
         let spec = ProcessSpec {
             number,
             version: 0,
--- a/crates/testbed/src/faults/workers.rs
+++ b/crates/testbed/src/faults/workers.rs
@@ -28,9 +28,9 @@
 
     /// Makes the targets accept connections and requests without a response until the end of the fault.
     pub(super) async fn make_workers_unresponsive(&self) {
-        self.apply_to_targets(FleetCommand::Silence);
+        self.apply_to_targets(FleetCommand::MakeUnresponsive);
         self.wait_for_end().await;
-        self.apply_to_targets(FleetCommand::Unsilence);
+        self.apply_to_targets(FleetCommand::MakeResponsive);
     }
 
     /// Slows the targets down by the factor of the fault until its end.
--- a/crates/testbed/src/fleet/attempt_table.rs
+++ b/crates/testbed/src/fleet/attempt_table.rs
@@ -1,4 +1,4 @@
-//! The attempts that workers have.
+//! Attempts in flight at workers.
 
 use std::collections::HashMap;
 
@@ -9,33 +9,33 @@
 use super::callback::{AttemptReport, Callback};
 use super::message::Admission;
 
-/// An attempt that a worker has.
+/// Attempt that a worker has received and that has not ended.
 pub(super) struct InFlightAttempt {
     pub(super) request_id: String,
     pub(super) worker: WorkerIndex,
-    /// Until the worker has accepted or rejected the attempt.
+    /// Channel for the worker's decision. `None` once the worker has accepted or rejected the attempt.
     pub(super) admission: Option<oneshot::Sender<Admission>>,
     pub(super) callbacks: UnboundedSender<Callback>,
 }
 
-/// All attempts that workers have.
+/// All attempts in flight at workers.
 pub(super) struct AttemptTable {
-    next: AttemptNumber,
+    next_number: AttemptNumber,
     in_flight: HashMap<AttemptNumber, InFlightAttempt>,
-    /// The newest attempt of a request at a worker.
+    /// Newest attempt of each request at each worker.
     by_request: HashMap<(WorkerIndex, String), AttemptNumber>,
 }
 
 impl AttemptTable {
-    /// No attempts yet; the first one gets number 1.
+    /// Creates an empty table. The first attempt gets the number 1.
     pub(super) fn new() -> Self {
-        AttemptTable { next: 1, in_flight: HashMap::new(), by_request: HashMap::new() }
+        AttemptTable { next_number: 1, in_flight: HashMap::new(), by_request: HashMap::new() }
     }
 
-    /// Numbers a new attempt.
+    /// Returns the number for a new attempt.
     pub(super) fn allocate_number(&mut self) -> AttemptNumber {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         number
     }
 
@@ -45,26 +45,26 @@
         self.in_flight.insert(number, attempt);
     }
 
-    /// Whether the worker still has an attempt.
+    /// Returns whether an attempt is in flight.
     pub(super) fn contains(&self, number: AttemptNumber) -> bool {
         self.in_flight.contains_key(&number)
     }
 
-    /// The attempt of a request that a worker has.
+    /// Returns the newest attempt in flight of a request at a worker.
     pub(super) fn find(&self, worker: WorkerIndex, request_id: String) -> Option<AttemptNumber> {
         self.by_request.get(&(worker, request_id)).copied()
     }
 
-    /// Lets the worker respond to the request of an attempt.
-    pub(super) fn admit(&mut self, number: AttemptNumber, admission: Admission) {
-        let waiting = self.in_flight.get_mut(&number).and_then(|attempt| attempt.admission.take());
-        if let Some(waiting) = waiting {
-            // Fails if the node has closed its connection, which cancels the attempt.
-            let _ = waiting.send(admission);
+    /// Sends the worker's decision on an attempt to its server, which responds to the request.
+    pub(super) fn send_admission(&mut self, number: AttemptNumber, admission: Admission) {
+        let sender = self.in_flight.get_mut(&number).and_then(|attempt| attempt.admission.take());
+        if let Some(sender) = sender {
+            // Fails if the node has closed the connection, which cancels the attempt.
+            let _ = sender.send(admission);
         }
     }
 
-    /// Sends a callback on an attempt.
+    /// Queues a callback that reports the state of an attempt.
     pub(super) fn report(&self, number: AttemptNumber, report: AttemptReport) {
         let Some(attempt) = self.in_flight.get(&number) else { return };
         let callback = Callback { request_id: attempt.request_id.clone(), worker: attempt.worker, report };
@@ -72,12 +72,12 @@
         let _ = attempt.callbacks.send(callback);
     }
 
-    /// The id of the request that an attempt is of.
+    /// Returns the request id of an attempt.
     pub(super) fn request_id(&self, number: AttemptNumber) -> Option<&str> {
         self.in_flight.get(&number).map(|attempt| attempt.request_id.as_str())
     }
 
-    /// Forgets an attempt that has ended.
+    /// Removes an attempt that has ended.
     pub(super) fn remove(&mut self, number: AttemptNumber) {
         if let Some(attempt) = self.in_flight.remove(&number) {
             let key = (attempt.worker, attempt.request_id);
--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -1,4 +1,4 @@
-//! Callbacks of workers to the node that sent an attempt.
+//! Callbacks of workers to the nodes that sent the attempts.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,33 +16,37 @@
 use super::endpoint_encoder::worker_name;
 use super::node_addresses::NodeAddresses;
 
-/// How often a callback is sent at most.
-const MAX_DELIVERY_ATTEMPTS: usize = 10;
-/// Wait before a callback is sent again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time that one delivery attempt may take.
+/// Maximum number of times that a callback is sent.
+const MAX_DELIVERIES: usize = 10;
+/// Delay between a failed delivery of a callback and the next one.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of one delivery of a callback.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A report of a worker on an attempt.
+/// Report of a worker on an attempt.
 pub(super) struct Callback {
     pub(super) request_id: String,
     pub(super) worker: WorkerIndex,
     pub(super) report: AttemptReport,
 }
 
-/// The state of an attempt in a callback.
+/// State of an attempt in a callback.
 pub(super) enum AttemptReport {
+    /// The job has started to run.
     Started,
-    /// The job has run to this fraction.
+    /// The job is running.
     Running {
+        /// Fraction of the job that has run.
         fraction: f64,
     },
+    /// The job has completed.
     Done {
+        /// Result of the job.
         result: String,
     },
-    /// A draining worker returned the job; it has not run.
+    /// A draining worker returned the job, which has not run.
     Returned,
-    /// The worker's process died with the job; sent by the agent on its machine.
+    /// The worker's process died while it had the job. The agent on the worker's machine sends this report.
     Lost,
 }
 
@@ -58,7 +62,7 @@
     }
 }
 
-/// The JSON form of a callback. The order of its fields is fixed.
+/// Writes the JSON form of a callback. The order of the fields is fixed.
 impl fmt::Display for Callback {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Callback { request_id, worker, report } = self;
@@ -67,7 +71,7 @@
     }
 }
 
-/// Delivers callbacks to nodes.
+/// HTTP client that delivers callbacks to nodes.
 #[derive(Clone)]
 pub(super) struct CallbackDelivery {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -75,14 +79,14 @@
 }
 
 impl CallbackDelivery {
-    /// Delivers to the nodes at these addresses.
+    /// Creates a client that delivers callbacks to the nodes at the given addresses.
     pub(super) fn new(nodes: NodeAddresses) -> Self {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         CallbackDelivery { client, nodes }
     }
 
-    /// Opens the queue of one attempt's callbacks to a node: each is sent after the one before was acknowledged, or has
-    /// failed for good.
+    /// Opens a queue for the callbacks of one attempt to a node. Each callback is sent after the previous one
+    /// was acknowledged or its last delivery has failed.
     pub(super) fn open_queue(&self, node: usize) -> UnboundedSender<Callback> {
         let (queue, callbacks) = unbounded_channel();
         tokio::spawn(self.clone().deliver_all(node, callbacks));
@@ -95,25 +99,25 @@
         }
     }
 
-    /// Sends a callback until the node acknowledges it, or the last attempt has failed.
+    /// Sends a callback until the node acknowledges it or the last delivery has failed.
     async fn deliver(&self, node: usize, body: Bytes) {
-        for _ in 0..MAX_DELIVERY_ATTEMPTS {
+        for _ in 0..MAX_DELIVERIES {
             let delivery = self.try_deliver(node, body.clone());
             if timeout(DELIVERY_TIMEOUT, delivery).await == Ok(true) {
                 return;
             }
-            sleep(RETRY_INTERVAL).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Sends a callback once; whether the node acknowledged it.
+    /// Sends a callback once. Returns whether the node acknowledged it.
     async fn try_deliver(&self, node: usize, body: Bytes) -> bool {
         let Some(address) = self.nodes.get(node) else { return false };
         let request = Request::post(format!("http://{address}/callback")).body(Full::new(body));
         let Ok(request) = request else { return false };
         let Ok(response) = self.client.request(request).await else { return false };
         let is_acknowledged = matches!(response.status(), StatusCode::OK | StatusCode::NO_CONTENT);
-        // The body is read to its end so that the connection can be reused; its content has no meaning.
+        // The body has no meaning. It is read to its end so that the connection can be reused.
         let _ = response.into_body().collect().await;
         is_acknowledged
     }
--- a/crates/testbed/src/fleet/discovery_server.rs
+++ b/crates/testbed/src/fleet/discovery_server.rs
@@ -1,5 +1,5 @@
-//! The discovery servers, one for each node: their listeners, the time that a poll takes, and the streams of the endpoint
-//! watches. What a watch says is decided by `DiscoveryState`.
+//! Discovery servers, one for each node: their listeners, the duration of polls, and the streams of the
+//! endpoint watches. `DiscoveryState` determines the content of the watches.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,13 +23,14 @@
 use super::http_response::{HttpResponse, respond, stream};
 use super::message::{DiscoveryServerId, EndpointPoll, FleetMessage};
 
+/// Path of the endpoint list.
 const ENDPOINTS_PATH: &str = "/v1/endpoints";
-/// A poll that has waited this long for its turn fails.
+/// Maximum time that a poll may take, including its wait for earlier polls. A poll that takes longer fails.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The watches of a server that was replaced stay open for this long.
+/// Time for which the watches of a replaced server stay open.
 const REPLACED_WATCH_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// The discovery servers of all nodes.
+/// Discovery servers of all nodes.
 pub(super) struct DiscoveryServers {
     messages: UnboundedSender<FleetMessage>,
     running: Mutex<Vec<RunningServer>>,
@@ -50,7 +51,7 @@
 }
 
 impl DiscoveryServers {
-    /// No servers yet; each poll takes `poll_duration`.
+    /// Creates an empty set of servers. Each poll will take `poll_duration`.
     pub(super) fn new(messages: UnboundedSender<FleetMessage>, poll_duration: Duration) -> Self {
         DiscoveryServers {
             messages,
@@ -61,12 +62,13 @@
         }
     }
 
-    /// Sets the time that each poll takes from now on.
+    /// Sets the duration of each poll from now on.
     pub(super) fn set_poll_duration(&self, poll_duration: Duration) {
         self.poll_duration.send_replace(poll_duration);
     }
 
-    /// Starts a server for a node. The node's earlier server accepts no more polls, and its watches end a little later.
+    /// Starts a server for a node. The node's earlier server accepts no more polls, and its watches close
+    /// after [`REPLACED_WATCH_LIFETIME`].
     pub(super) async fn start(&self, node: usize) -> Result<SocketAddr, FleetError> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(FleetError::DiscoveryPort)?;
         let address = listener.local_addr().map_err(FleetError::DiscoveryPort)?;
@@ -85,7 +87,7 @@
         Ok(address)
     }
 
-    /// Stops the earlier server of the same node.
+    /// Adds a running server and stops the earlier server of its node.
     fn replace(&self, server: RunningServer) {
         let mut running = self.running.lock();
         for replaced in running.extract_if(.., |other| other.id.node == server.id.node) {
@@ -93,7 +95,7 @@
             let messages = self.messages.clone();
             tokio::spawn(async move {
                 sleep(REPLACED_WATCH_LIFETIME).await;
-                // Fails only when the fleet has ended.
+                // Fails only when the fleet has shut down.
                 let _ = messages.send(FleetMessage::CloseWatches(replaced.id));
             });
         }
@@ -101,12 +103,12 @@
     }
 }
 
-/// The discovery server of one node.
+/// Discovery server of one node.
 #[derive(Clone)]
 struct DiscoveryServer {
     id: DiscoveryServerId,
     messages: UnboundedSender<FleetMessage>,
-    /// Held by the poll that is served: polls of all nodes are served one after another.
+    /// Lock that a poll holds for its duration, because polls of all nodes are served one after another.
     poll_turn: Arc<tokio::sync::Mutex<()>>,
     poll_duration: watch::Receiver<Duration>,
 }
@@ -128,15 +130,15 @@
         if request.uri().path() != ENDPOINTS_PATH {
             return respond(StatusCode::NOT_FOUND, "nothing is here\n");
         }
-        if timeout(POLL_TIMEOUT, self.take_turn()).await.is_err() {
+        if timeout(POLL_TIMEOUT, self.wait_for_turn()).await.is_err() {
             return unavailable();
         }
         let (lines, mut watch) = unbounded_channel();
         let since = query_number(request.uri(), "since").unwrap_or(0);
         let poll = EndpointPoll { server: self.id, since, lines };
-        // Fails only when the fleet has ended; then the watch is closed too.
+        // Fails only when the fleet has shut down, which closes the watch too.
         let _ = self.messages.send(FleetMessage::EndpointsPolled(poll));
-        // Discovery that is down closes the watch before its first message.
+        // If discovery is down, the watch is closed before its first message.
         let Some(first) = watch.recv().await else { return unavailable() };
         if query_number(request.uri(), "follow") == Some(1) {
             stream(prepend(first, watch))
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Waits for the polls before this one, and for the time that a poll takes.
-    async fn take_turn(&self) {
+    /// Waits until earlier polls are done, and then for the duration of a poll.
+    async fn wait_for_turn(&self) {
         let _turn = self.poll_turn.lock().await;
         let poll_duration = *self.poll_duration.borrow();
         sleep(poll_duration).await;
@@ -157,20 +159,20 @@
     respond(StatusCode::SERVICE_UNAVAILABLE, "not now\n")
 }
 
-/// A number in the query part of a URI.
+/// Returns a number from the query part of a URI.
 fn query_number(uri: &Uri, name: &str) -> Option<u64> {
     let query = uri.query().unwrap_or_default();
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// Puts a message that was received already back in front of those that follow.
+/// Returns a receiver of a message that was already received and of the messages that follow it.
 fn prepend(first: Bytes, mut rest: UnboundedReceiver<Bytes>) -> UnboundedReceiver<Bytes> {
-    let (all, body) = unbounded_channel();
-    // The receiver is still here.
-    let _ = all.send(first);
+    let (sender, body) = unbounded_channel();
+    // Cannot fail: the receiver is not dropped yet.
+    let _ = sender.send(first);
     tokio::spawn(async move {
         while let Some(message) = rest.recv().await {
-            if all.send(message).is_err() {
+            if sender.send(message).is_err() {
                 return;
             }
         }
--- a/crates/testbed/src/fleet/endpoint_encoder.rs
+++ b/crates/testbed/src/fleet/endpoint_encoder.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the form of discovery's protocol.
+//! Encoding of the endpoint list in the form of discovery's protocol.
 
 use std::net::SocketAddr;
 
@@ -7,48 +7,48 @@
 use curlewusher_model::worker_pool::WorkerIndex;
 use serde_json::{Value, json};
 
-/// The name of a worker on the endpoint list.
+/// Returns the name of a worker on the endpoint list.
 pub fn worker_name(worker: WorkerIndex) -> String {
     format!("w-{worker:05}")
 }
 
-/// What the endpoint list says of a worker beside its status.
+/// Fixed attributes of a worker on the endpoint list.
 pub(super) struct EndpointAttributes {
     pub(super) address: SocketAddr,
-    /// The name of its kind.
+    /// Name of the worker's kind.
     pub(super) kind: String,
-    pub(super) bay: u32,
+    pub(super) cell: u32,
 }
 
-/// Writes entries of the endpoint list.
+/// Encoder of endpoint lists.
 pub(super) struct EndpointEncoder {
-    /// By worker.
+    /// Attributes of the workers, by worker.
     pub(super) attributes: Vec<EndpointAttributes>,
-    /// The beginning of the event log in milliseconds of Unix time.
+    /// Start of the event log, in milliseconds of Unix time.
     pub(super) log_start_unix_ms: u64,
 }
 
 impl EndpointEncoder {
     fn endpoint(&self, entry: &EndpointEntry) -> Value {
-        let EndpointAttributes { address, kind, bay } = &self.attributes[entry.worker];
+        let EndpointAttributes { address, kind, cell } = &self.attributes[entry.worker];
         json!({
-            "name": worker_name(entry.worker), "address": address, "zone": "lab", "type": kind, "group": bay,
+            "name": worker_name(entry.worker), "address": address, "zone": "lab", "type": kind, "group": cell,
             "status": status_name(entry.status), "weight": 1.0,
             "since_ms": entry.started_at.map_or(0, |started_at| self.log_start_unix_ms + started_at.as_micros() / 1000),
         })
     }
 
-    /// The complete endpoint list.
+    /// Encodes the complete endpoint list.
     pub(super) fn snapshot(&self, index: u64, entries: &[EndpointEntry]) -> Value {
         self.message(index, true, entries)
     }
 
-    /// A line of a watch with the complete list.
+    /// Encodes the complete list as a line of a watch.
     pub(super) fn snapshot_line(&self, index: u64, entries: &[EndpointEntry]) -> Bytes {
         line(&self.message(index, true, entries))
     }
 
-    /// A line of a watch with changes.
+    /// Encodes changes as a line of a watch.
     pub(super) fn changes_line(&self, index: u64, entries: &[EndpointEntry]) -> Bytes {
         line(&self.message(index, false, entries))
     }
--- a/crates/testbed/src/fleet/http_response.rs
+++ b/crates/testbed/src/fleet/http_response.rs
@@ -1,4 +1,4 @@
-//! Responses of the simulated workers and of discovery.
+//! HTTP responses of the simulated workers and of discovery.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A body that is written as its parts arrive, until the channel is closed.
+/// Body whose parts are written as they arrive, until the channel is closed.
 pub(super) struct StreamedBody(pub(super) UnboundedReceiver<Bytes>);
 
 impl Body for StreamedBody {
@@ -25,17 +25,17 @@
     }
 }
 
-/// A response with a complete or a streamed body.
+/// Response with a complete or a streamed body.
 pub(super) type HttpResponse = Response<Either<Full<Bytes>, StreamedBody>>;
 
-/// A response with a complete body.
+/// Returns a response with a complete body.
 pub(super) fn respond(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Either::Left(Full::new(text.into())));
     *response.status_mut() = status;
     response
 }
 
-/// A response whose body is written as its parts arrive.
+/// Returns a response whose body is written as its parts arrive.
 pub(super) fn stream(parts: UnboundedReceiver<Bytes>) -> HttpResponse {
     Response::new(Either::Right(StreamedBody(parts)))
 }
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -1,21 +1,21 @@
-//! The links between nodes and the fleet, whose state the faults of a scenario change.
+//! Links between the nodes and the fleet. The faults of a scenario change the state of the links.
 
 use tokio::sync::watch;
 
 use crate::proxy::LinkState;
 
-/// The links between nodes and the fleet. They have an effect only if the scenario needs proxies.
+/// State of the links between the nodes and the fleet. It has an effect only if the scenario needs proxies.
 pub struct FleetLinks {
-    /// The links to discovery, by node.
+    /// Links to discovery, by node.
     pub discovery: Vec<watch::Sender<LinkState>>,
-    /// The links to workers, by worker.
+    /// Links to workers, by worker.
     pub workers: Vec<watch::Sender<LinkState>>,
 }
 
 impl FleetLinks {
-    /// Links without faults.
-    pub(super) fn new(nodes: usize, workers: usize) -> Self {
+    /// Creates links without faults.
+    pub(super) fn new(node_count: usize, worker_count: usize) -> Self {
         let links = |count| (0..count).map(|_| watch::Sender::default()).collect();
-        FleetLinks { discovery: links(nodes), workers: links(workers) }
+        FleetLinks { discovery: links(node_count), workers: links(worker_count) }
     }
 }
--- a/crates/testbed/src/fleet/message.rs
+++ b/crates/testbed/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the task that owns the models of the fleet.
+//! Messages to the task that owns the models of the fleet ([`FleetOwner`](super::owner::FleetOwner)).
 
 use bytes::Bytes;
 use curlewusher_model::Timestamp;
@@ -9,74 +9,74 @@
 
 use super::sent_requests::RequestOrigin;
 
-/// A change of the fleet that a scenario demands.
+/// Change of the fleet that a scenario requests.
 #[derive(Clone, Copy, Debug)]
 pub enum FleetCommand {
-    /// Kills a worker's process; its connections are reset.
+    /// Kills a worker's process, which resets its connections.
     Kill(WorkerIndex),
     /// Starts a worker's process.
     Start(WorkerIndex),
-    /// Sets the factor by which a worker takes longer than usual.
+    /// Sets the factor by which a worker takes longer than normal.
     SetSlowdown(WorkerIndex, f64),
-    /// Drains a worker; discovery lists it as terminating.
+    /// Drains a worker, which discovery then lists as terminating.
     Drain(WorkerIndex),
-    /// Changes only the status under which discovery lists a worker.
+    /// Changes only the status with which discovery lists a worker.
     SetListedStatus(WorkerIndex, EndpointStatus),
-    /// Makes a worker read requests without a response.
-    Silence(WorkerIndex),
-    /// Lets a silent worker respond again.
-    Unsilence(WorkerIndex),
+    /// Makes a worker unresponsive: it reads requests and does not respond.
+    MakeUnresponsive(WorkerIndex),
+    /// Makes an unresponsive worker respond again.
+    MakeResponsive(WorkerIndex),
     /// Stops discovery and closes all endpoint watches.
     StopDiscovery,
     /// Starts discovery again.
     StartDiscovery,
 }
 
-/// Identifies one of the discovery servers that a node has had.
+/// Id of a discovery server. A node has several of them in the course of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DiscoveryServerId {
     /// Number of the node that the server is for.
     pub(super) node: usize,
-    /// Distinguishes the servers of a node.
+    /// Number of the server, which distinguishes the servers of a node.
     pub(super) generation: u64,
 }
 
-/// A worker's response to an attempt.
+/// Decision of a worker on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     Accepted,
     Rejected,
 }
 
-/// An attempt whose last byte has arrived at a worker.
+/// Attempt of which a worker has received the last byte.
 pub(super) struct AttemptArrival {
     pub(super) worker: WorkerIndex,
     pub(super) request_id: String,
     pub(super) origin: RequestOrigin,
-    /// When the request's head arrived.
+    /// Time at which the head of the request was received.
     pub(super) head_received_at: Timestamp,
     pub(super) admission: oneshot::Sender<Admission>,
 }
 
-/// A poll of the endpoint list.
+/// Poll of the endpoint list.
 pub(super) struct EndpointPoll {
     pub(super) server: DiscoveryServerId,
-    /// Index of the newest change that the node has.
+    /// Index of the newest change that the node has received.
     pub(super) since: u64,
-    /// Receives the messages of the watch; dropped if discovery is down.
+    /// Channel for the lines of the watch. It is dropped if discovery is down.
     pub(super) lines: UnboundedSender<Bytes>,
 }
 
-/// An input of the task that owns the models.
+/// Input of the task that owns the models.
 pub(super) enum FleetMessage {
+    /// An attempt has arrived at a worker.
     AttemptArrived(AttemptArrival),
-    /// A node cancelled an attempt by its id, or closed its connection before the 202.
-    CancelAttempt {
-        worker: WorkerIndex,
-        request_id: String,
-    },
+    /// A node cancelled an attempt by its request id, or closed the connection before the response (202).
+    CancelAttempt { worker: WorkerIndex, request_id: String },
+    /// A node polled the endpoint list.
     EndpointsPolled(EndpointPoll),
-    /// Closes the watches of a discovery server that was replaced.
+    /// Closes the watches of a replaced discovery server.
     CloseWatches(DiscoveryServerId),
+    /// Changes the fleet.
     Apply(FleetCommand),
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,17 +1,18 @@
-//! The simulated fleet: servers of workers and of discovery on loopback, driven by the models of `curlewusher-model`.
+//! Simulated fleet: servers of the workers and of discovery on loopback, driven by the models of
+//! `curlewusher-model`.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
 //! | `worker_server` | listener, connections and requests of one worker |
 //! | `discovery_server` | listeners of discovery and the streams of endpoint watches |
-//! | `owner` | the task that owns the models and carries out their effects |
-//! | `discovery_state` | endpoint registry, open watches, and what each node was sent |
-//! | `attempt_table` | the attempts that workers have |
+//! | `owner` | task that owns the models and applies their effects |
+//! | `discovery_state` | endpoint registry, open watches, and the endpoint list that each node was sent |
+//! | `attempt_table` | attempts in flight at workers |
 //! | `callback` | delivery of callbacks to nodes |
 //! | `message` | inputs of the owner |
 //!
-//! The servers send messages to the owner, and the owner alone changes the models. The fleet records all that it observes
-//! in the event log.
+//! The servers send messages to the owner, and only the owner changes the models. The fleet records all its
+//! observations in the event log.
 
 mod attempt_table;
 mod callback;
@@ -55,14 +56,14 @@
 use crate::proxy::Proxy;
 use crate::scenario::Scenario;
 
-/// A running fleet. Its servers end when it is dropped.
+/// Running fleet. Dropping it stops its servers.
 pub struct Fleet {
     messages: UnboundedSender<FleetMessage>,
     discovery: DiscoveryServers,
-    /// The links between nodes and the fleet.
+    /// Links between the nodes and the fleet.
     pub links: Arc<FleetLinks>,
     sent_lists: SentLists,
-    /// Whether nodes connect through proxies.
+    /// Whether the nodes connect to the fleet through proxies.
     has_proxies: bool,
     proxies: Mutex<Vec<Proxy>>,
     tasks: Vec<JoinHandle<()>>,
@@ -120,24 +121,24 @@
         })
     }
 
-    /// The endpoint list that a node was sent last.
-    pub fn saved_list(&self, node: usize) -> Option<serde_json::Value> {
+    /// Returns the endpoint list that a node was sent last.
+    pub fn last_sent_list(&self, node: usize) -> Option<serde_json::Value> {
         self.sent_lists.lock()[node].clone()
     }
 
-    /// Sets the time that discovery takes for each poll from now on.
+    /// Sets the duration of each poll of discovery from now on.
     pub fn set_poll_duration(&self, poll_duration: Duration) {
         self.discovery.set_poll_duration(poll_duration);
     }
 
-    /// Changes the fleet; returns before the change is done.
+    /// Requests a change of the fleet. Returns before the change takes effect.
     pub fn apply(&self, command: FleetCommand) {
-        // Fails only when the fleet has ended.
+        // Fails only when the fleet has shut down.
         let _ = self.messages.send(FleetMessage::Apply(command));
     }
 
-    /// Starts a discovery server for a node and returns its address. The node's earlier server accepts no more polls, and
-    /// its watches end a little later.
+    /// Starts a discovery server for a node and returns its address. The node's earlier server accepts no
+    /// more polls, and its watches close after a delay.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/fleet/node_addresses.rs
+++ b/crates/testbed/src/fleet/node_addresses.rs
@@ -1,21 +1,21 @@
-//! Where the nodes serve.
+//! Addresses of the nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use parking_lot::Mutex;
 
-/// The addresses at which the nodes serve, by their numbers. Clones share one table.
+/// Addresses at which the nodes serve, by node number. Clones share one table.
 #[derive(Clone)]
 pub struct NodeAddresses(Arc<Mutex<Vec<Option<SocketAddr>>>>);
 
 impl NodeAddresses {
-    /// A table for so many nodes, none of which has started.
+    /// Creates a table for `node_count` nodes, none of which has started.
     pub fn new(node_count: usize) -> Self {
         NodeAddresses(Arc::new(Mutex::new(vec![None; node_count])))
     }
 
-    /// The address of a node; none until it has started.
+    /// Returns the address of a node, or `None` until it has started.
     pub fn get(&self, node: usize) -> Option<SocketAddr> {
         self.0.lock()[node]
     }
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -1,5 +1,5 @@
-//! The task that owns the models of the workers and of discovery. It drives them by the messages of the servers and by the
-//! clock, and carries out their effects; it decides nothing itself.
+//! Task that owns the models of the workers and of discovery. It passes the messages of the servers and the
+//! passing of time to the models, and applies their effects. All decisions are made by the models.
 
 use std::sync::Arc;
 
@@ -21,15 +21,15 @@
 use super::worker_server::ListenerState;
 use crate::event_log::{Event, EventLog};
 
-/// A worker's process as its server shows it.
+/// State of a worker's process that its server shows to the nodes.
 pub(super) struct WorkerProcess {
     pub(super) listener: watch::Sender<ListenerState>,
-    /// Whether the process reads requests without a response; the pool does not get the jobs that arrive.
-    pub(super) is_silent: bool,
-    pub(super) bay: u32,
+    /// Whether the process reads requests and does not respond. The pool does not get the jobs that arrive.
+    pub(super) is_unresponsive: bool,
+    pub(super) cell: u32,
 }
 
-/// The owner of the models.
+/// Owner of the models.
 pub(super) struct FleetOwner {
     pub(super) pool: WorkerPool,
     pub(super) discovery: DiscoveryState,
@@ -41,7 +41,7 @@
 }
 
 impl FleetOwner {
-    /// Runs until the fleet has ended.
+    /// Runs until the fleet has shut down.
     pub(super) async fn run(mut self, mut messages: UnboundedReceiver<FleetMessage>) {
         let mut heartbeat = interval(HEARTBEAT_INTERVAL);
         loop {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// When one of the models changes without an input.
+    /// Returns the next time at which one of the models changes without an input.
     fn next_event(&self) -> Option<Timestamp> {
         [self.pool.next_event(), self.discovery.next_publication()].into_iter().flatten().min()
     }
@@ -93,15 +93,15 @@
             id: request_id.clone(),
             node,
             worker,
-            bay: self.workers[worker].bay,
+            bay: self.workers[worker].cell,
             work_seconds: demand.work_seconds,
             head_at: head_received_at,
         });
         let callbacks = self.callbacks.open_queue(node);
         let in_flight = InFlightAttempt { request_id, worker, admission: Some(admission), callbacks };
         self.attempts.insert(attempt, in_flight);
-        // A silent process has read the attempt, does nothing with it, and does not respond.
-        if !self.workers[worker].is_silent {
+        // An unresponsive process has read the attempt. It does not process the attempt and does not respond.
+        if !self.workers[worker].is_unresponsive {
             self.drive_pool(PoolInput::Arrive(Arrival { worker, attempt, demand }));
         }
     }
@@ -110,7 +110,7 @@
         let Some(attempt) = self.attempts.find(worker, request_id) else { return };
         self.drive_pool(PoolInput::Cancel { worker, attempt });
         if self.attempts.contains(attempt) {
-            // It arrived at a silent process, so that the pool never had it.
+            // The attempt arrived at an unresponsive process, so the pool never received it.
             self.log.record(Event::AttemptCancelled { attempt });
             self.attempts.remove(attempt);
         }
@@ -126,7 +126,7 @@
             }
             FleetCommand::Start(worker) => {
                 self.drive_pool(PoolInput::Start(worker));
-                self.workers[worker].is_silent = false;
+                self.workers[worker].is_unresponsive = false;
                 self.log.record_at(now, Event::WorkerStarted { worker });
                 self.set_listener(worker, ListenerState::Open);
                 self.discovery.record_start(now, worker);
@@ -141,12 +141,12 @@
             FleetCommand::SetListedStatus(worker, status) => {
                 self.discovery.record_change(now, worker, status);
             }
-            FleetCommand::Silence(worker) => {
-                self.workers[worker].is_silent = true;
-                self.set_listener(worker, ListenerState::Silent);
+            FleetCommand::MakeUnresponsive(worker) => {
+                self.workers[worker].is_unresponsive = true;
+                self.set_listener(worker, ListenerState::Unresponsive);
             }
-            FleetCommand::Unsilence(worker) => {
-                self.workers[worker].is_silent = false;
+            FleetCommand::MakeResponsive(worker) => {
+                self.workers[worker].is_unresponsive = false;
                 self.set_listener(worker, ListenerState::Open);
             }
             FleetCommand::StopDiscovery => self.discovery.stop(),
@@ -174,11 +174,11 @@
         match effect {
             PoolEffect::Accepted(attempt) => {
                 self.log.record(Event::AttemptAccepted { attempt });
-                self.attempts.admit(attempt, Admission::Accepted);
+                self.attempts.send_admission(attempt, Admission::Accepted);
             }
             PoolEffect::Rejected(attempt) => {
                 self.log.record(Event::AttemptRejected { attempt });
-                self.attempts.admit(attempt, Admission::Rejected);
+                self.attempts.send_admission(attempt, Admission::Rejected);
                 self.attempts.remove(attempt);
             }
             PoolEffect::Started(attempt) => {
@@ -225,7 +225,7 @@
         slots: planned.slots,
         memory: f64::from(planned.slots),
         data_set: planned.data_set,
-        // All requests of a job carry the same idempotency key.
+        // All requests of a job have the same idempotency key.
         idempotency_key: Some(job as u64),
     }
 }
--- a/crates/testbed/src/fleet/sent_requests.rs
+++ b/crates/testbed/src/fleet/sent_requests.rs
@@ -1,11 +1,11 @@
-//! The requests that clients have sent to nodes. A worker finds here which node forwarded an attempt, and for which job.
+//! Requests that clients have sent to nodes. Workers look up the node and the job of an attempt in them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use parking_lot::Mutex;
 
-/// The node that a client sent a request to, and the job that it is for.
+/// Node to which a client sent a request, and job of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOrigin {
     /// Number of the node.
@@ -14,7 +14,7 @@
     pub job: usize,
 }
 
-/// The requests that clients have sent, by their ids.
+/// Requests that clients have sent, by request id. Clones share one table.
 #[derive(Clone, Default)]
 pub struct SentRequests(Arc<Mutex<HashMap<String, RequestOrigin>>>);
 
@@ -24,13 +24,13 @@
         self.0.lock().insert(id.to_owned(), origin);
     }
 
-    /// The origin of a request; none if no client has sent it.
+    /// Returns the origin of a request, or `None` if no client has sent it.
     pub(super) fn origin_of(&self, id: &str) -> Option<RequestOrigin> {
         self.0.lock().get(id).copied()
     }
 }
 
-/// The result that a worker makes for a request, and that the client expects.
+/// Returns the result that a worker produces for a request and that the client expects.
 pub fn expected_result(id: &str) -> String {
     format!("result of {id}")
 }
--- a/crates/testbed/src/fleet/startup.rs
+++ b/crates/testbed/src/fleet/startup.rs
@@ -1,4 +1,4 @@
-//! Builds what a fleet starts with: the servers of the workers, and the models in their initial state.
+//! Startup of a fleet: the servers of the workers, and the initial state of the models.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::discovery_state::{DiscoveryState, SentEndpoints, SentLists};
+use super::discovery_state::{DiscoveryState, SentListRecorder, SentLists};
 use super::endpoint_encoder::{EndpointAttributes, EndpointEncoder};
 use super::error::FleetError;
 use super::links::FleetLinks;
@@ -23,7 +23,7 @@
 use crate::proxy::Proxy;
 use crate::scenario::Scenario;
 
-/// What the parts of a fleet are built from.
+/// Builder of the parts of a fleet.
 pub(super) struct FleetBuilder<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) links: Arc<FleetLinks>,
@@ -32,24 +32,24 @@
     pub(super) log: EventLog,
 }
 
-/// The started servers of all workers, by worker.
+/// Started servers of all workers, by worker.
 #[derive(Default)]
 pub(super) struct WorkerServers {
     pub(super) processes: Vec<WorkerProcess>,
     pub(super) attributes: Vec<EndpointAttributes>,
-    /// Empty unless the scenario needs proxies.
+    /// Proxies in front of the workers. Empty unless the scenario needs proxies.
     pub(super) proxies: Vec<Proxy>,
     pub(super) tasks: Vec<JoinHandle<()>>,
 }
 
 impl FleetBuilder<'_> {
-    /// Starts the servers of all workers. Those that join the fleet later refuse connections until then.
+    /// Starts the servers of all workers. Workers that join the fleet later refuse connections until then.
     pub(super) async fn start_workers(&self) -> Result<WorkerServers, FleetError> {
         let grown = self.scenario.grown_workers();
         let mut servers = WorkerServers::default();
         for (worker, machine) in self.scenario.machines().iter().enumerate() {
-            let is_absent = grown.contains(&worker);
-            let state = if is_absent { ListenerState::Closed } else { ListenerState::Open };
+            let joins_later = grown.contains(&worker);
+            let state = if joins_later { ListenerState::Closed } else { ListenerState::Open };
             self.start_worker(worker, machine.cell, state, &mut servers).await?;
         }
         Ok(servers)
@@ -58,7 +58,7 @@
     async fn start_worker(
         &self,
         worker: WorkerIndex,
-        bay: u32,
+        cell: u32,
         initial_state: ListenerState,
         servers: &mut WorkerServers,
     ) -> Result<(), FleetError> {
@@ -79,23 +79,23 @@
             state,
         };
         let kind = self.scenario.kind_of(worker).name.clone();
-        servers.processes.push(WorkerProcess { listener, is_silent: false, bay });
-        servers.attributes.push(EndpointAttributes { address, kind, bay });
+        servers.processes.push(WorkerProcess { listener, is_unresponsive: false, cell });
+        servers.attributes.push(EndpointAttributes { address, kind, cell });
         servers.tasks.push(tokio::spawn(server.run(port)));
         Ok(())
     }
 
-    /// The model of the workers; those that join the fleet later are down.
+    /// Creates the model of the workers. Workers that join the fleet later are down.
     pub(super) fn worker_pool(&self) -> WorkerPool {
         let mut pool = WorkerPool::new(self.scenario.machines(), self.scenario.pool_parameters());
         for worker in self.scenario.grown_workers() {
-            // A worker without jobs has nothing to lose: the kill has no effects.
+            // The kill has no effects, because the worker has no jobs to lose.
             pool.handle(Timestamp::ZERO, PoolInput::Kill(worker), &mut Vec::new());
         }
         pool
     }
 
-    /// The model of discovery, which lists all workers but those that join the fleet later.
+    /// Creates the state of discovery, which lists all workers except those that join the fleet later.
     pub(super) fn discovery_state(
         &self,
         attributes: Vec<EndpointAttributes>,
@@ -107,12 +107,12 @@
             EndpointRegistry::new(listed, TimeSpan::from_secs_f64(self.scenario.fleet.publication_delay_s));
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let log_start_unix_ms = (unix_time.as_micros() as u64 - self.log.now().as_micros()) / 1000;
-        let sent = SentEndpoints {
+        let recorder = SentListRecorder {
             encoder: EndpointEncoder { attributes, log_start_unix_ms },
             links: self.links.clone(),
             lists: sent_lists,
             log: self.log.clone(),
         };
-        DiscoveryState::new(registry, sent)
+        DiscoveryState::new(registry, recorder)
     }
 }
--- a/crates/testbed/src/fleet/worker_server.rs
+++ b/crates/testbed/src/fleet/worker_server.rs
@@ -1,5 +1,5 @@
-//! The server of one worker: its listener, its connections, and the requests on them. The worker pool decides about the
-//! jobs; the server forwards its decisions.
+//! Server of one worker: its listener, its connections, and the requests on them. The worker pool decides on
+//! the jobs, and the server sends the decisions to the nodes.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -23,24 +23,25 @@
 use super::sent_requests::SentRequests;
 use crate::event_log::EventLog;
 
+/// Header with the id of a request.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Marks a rejection of a job that has not run.
+/// Header of the rejection of a job that has not run.
 const NOT_RUN_HEADER: &str = "x-not-run";
-/// Wait before the next attempt to listen, for instance when descriptors have run out.
-const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay before the next attempt to open a listener after a failure, for example a lack of file descriptors.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The state of a worker's process, as its sockets show it.
+/// State of a worker's process that its sockets show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
     /// Connections and requests are served.
     Open,
-    /// Connections are accepted and requests are read; no response is sent.
-    Silent,
-    /// Connections are refused, and open ones are reset.
+    /// Connections are accepted and requests are read, but no responses are sent.
+    Unresponsive,
+    /// New connections are refused, and open connections are reset.
     Closed,
 }
 
-/// The server of one worker.
+/// Server of one worker.
 #[derive(Clone)]
 pub(super) struct WorkerServer {
     pub(super) worker: WorkerIndex,
@@ -51,7 +52,7 @@
 }
 
 impl WorkerServer {
-    /// Listens at the worker's port while its process runs. Returns when the fleet has ended.
+    /// Listens at the worker's port while its process runs. Returns when the fleet has shut down.
     pub(super) async fn run(mut self, port: ReservedPort) {
         loop {
             if *self.state.borrow_and_update() == ListenerState::Closed {
@@ -66,12 +67,12 @@
                         return;
                     }
                 }
-                Err(_) => sleep(LISTEN_RETRY_INTERVAL).await,
+                Err(_) => sleep(LISTEN_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Accepts connections until the listener has to close. Fails when the fleet has ended.
+    /// Accepts connections until the worker's process dies. Fails when the fleet has shut down.
     async fn accept_connections(&mut self, listener: TcpListener) -> Result<(), watch::error::RecvError> {
         while *self.state.borrow_and_update() != ListenerState::Closed {
             tokio::select! {
@@ -85,11 +86,11 @@
         Ok(())
     }
 
-    /// Serves one connection until it ends or the worker's process dies.
+    /// Serves one connection until it closes or the worker's process dies.
     async fn serve_connection(self, stream: TcpStream) {
-        // Without the option the connection is only slower.
+        // A failure to set the option is ignored: without it, the connection is only slower.
         let _ = stream.set_nodelay(true);
-        // The connections of a process that dies are reset. The option fails only on a connection that has ended.
+        // The death of the process resets its connections. The option fails only on a closed connection.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let mut state = self.state.clone();
         let service = service_fn(move |request| {
@@ -98,7 +99,7 @@
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         let process_death = async {
-            // An error means that the fleet has ended, which closes the connection too.
+            // An error means that the fleet has shut down, which closes the connection too.
             let _ = state.wait_for(|state| *state == ListenerState::Closed).await;
         };
         tokio::select! {
@@ -120,7 +121,7 @@
             return respond(StatusCode::NOT_FOUND, "nothing is here\n");
         };
         self.send(FleetMessage::CancelAttempt { worker: self.worker, request_id });
-        self.delay_while_silent(respond(StatusCode::NO_CONTENT, "")).await
+        self.delay_while_unresponsive(respond(StatusCode::NO_CONTENT, "")).await
     }
 
     async fn receive_attempt(self, request: Request<Incoming>) -> HttpResponse {
@@ -140,7 +141,7 @@
             request_id: Some(request_id.clone()),
             messages: self.messages.clone(),
         };
-        let (admission, decided) = oneshot::channel();
+        let (admission, decision) = oneshot::channel();
         let worker = self.worker;
         self.send(FleetMessage::AttemptArrived(AttemptArrival {
             worker,
@@ -149,24 +150,24 @@
             head_received_at,
             admission,
         }));
-        let response = match decided.await.unwrap_or(Admission::Rejected) {
+        let response = match decision.await.unwrap_or(Admission::Rejected) {
             Admission::Accepted => respond(StatusCode::ACCEPTED, ""),
             Admission::Rejected => rejection(),
         };
-        let response = self.delay_while_silent(response).await;
+        let response = self.delay_while_unresponsive(response).await;
         disconnect_guard.disarm();
         response
     }
 
-    /// Delays a response until the worker is not silent.
-    async fn delay_while_silent(mut self, response: HttpResponse) -> HttpResponse {
-        // An error means that the fleet has ended: nobody waits for the response.
-        let _ = self.state.wait_for(|state| *state != ListenerState::Silent).await;
+    /// Delays a response while the worker is unresponsive.
+    async fn delay_while_unresponsive(mut self, response: HttpResponse) -> HttpResponse {
+        // An error means that the fleet has shut down. No node waits for the response then.
+        let _ = self.state.wait_for(|state| *state != ListenerState::Unresponsive).await;
         response
     }
 
     fn send(&self, message: FleetMessage) {
-        // Fails only when the fleet has ended, and its connections with it.
+        // Fails only when the fleet has shut down, which closes its connections too.
         let _ = self.messages.send(message);
     }
 }
@@ -177,10 +178,10 @@
     response
 }
 
-/// Cancels an attempt if its connection ends before the response.
+/// Guard that cancels an attempt if its connection closes before the response is ready.
 struct DisconnectGuard {
     worker: WorkerIndex,
-    /// None once the response is ready.
+    /// Request id of the attempt. `None` once the response is ready.
     request_id: Option<String>,
     messages: UnboundedSender<FleetMessage>,
 }
@@ -194,7 +195,7 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(request_id) = self.request_id.take() {
-            // Fails only when the fleet has ended.
+            // Fails only when the fleet has shut down.
             let _ = self.messages.send(FleetMessage::CancelAttempt { worker: self.worker, request_id });
         }
     }
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -1,16 +1,17 @@
-//! The testbed as a process: short scenarios on the real node, the rule checker against scripted nodes that each break one
-//! rule, and the messages of runs that cannot begin. No durations are asserted.
+//! Tests of the testbed's binary: short scenarios on the real node, the rule checker on scripted nodes that
+//! each break one rule, and the messages of runs that cannot start. No durations are asserted.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::{Condvar, LazyLock, Mutex};
 
+/// Path of a short scenario on real nodes.
 const SMOKE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/smoke.toml");
 
-/// A folder of this process: other processes of these tests may run beside it.
+/// Folder of this test process, because other processes of these tests may run at the same time.
 static FOLDER: LazyLock<PathBuf> = LazyLock::new(|| {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("lab-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder can be created");
     folder
 });
 
@@ -18,8 +19,9 @@
     FOLDER.join(name)
 }
 
-/// Limits how many testbeds run at once to the number of cores. Each simulates a fleet in real time beside real processes;
-/// with many more of them than cores, nodes are late and break rules that they keep otherwise.
+/// Limit of concurrent testbeds: the number of cores. Each testbed simulates a fleet in real time beside real
+/// processes. With many more testbeds than cores, nodes respond late and break rules that they otherwise
+/// keep.
 struct RunLimit {
     running: Mutex<usize>,
     finished: Condvar,
@@ -27,28 +29,28 @@
 
 static RUN_LIMIT: RunLimit = RunLimit { running: Mutex::new(0), finished: Condvar::new() };
 
-/// The permit to run a testbed, which is released when it is dropped.
+/// Permit to run a testbed. Dropping it releases the permit.
 struct RunPermit;
 
 impl RunLimit {
     fn acquire(&self) -> RunPermit {
         let limit = std::thread::available_parallelism().map_or(1, usize::from);
-        let running = self.running.lock().expect("no holder panics");
-        let is_full = |running: &mut usize| *running >= limit;
-        *self.finished.wait_while(running, is_full).expect("no holder panics") += 1;
+        let running = self.running.lock().expect("the lock is not poisoned");
+        let is_at_limit = |running: &mut usize| *running >= limit;
+        *self.finished.wait_while(running, is_at_limit).expect("the lock is not poisoned") += 1;
         RunPermit
     }
 }
 
 impl Drop for RunPermit {
     fn drop(&mut self) {
-        *RUN_LIMIT.running.lock().expect("no holder panics") -= 1;
+        *RUN_LIMIT.running.lock().expect("the lock is not poisoned") -= 1;
         RUN_LIMIT.finished.notify_one();
     }
 }
 
-/// Runs the testbed with a folder for its report, and returns what it printed.
-fn testbed(folder_name: &str, arguments: &[&str]) -> Output {
+/// Runs the testbed with a folder for its report, and returns its output.
+fn run_testbed(folder_name: &str, arguments: &[&str]) -> Output {
     let _permit = RUN_LIMIT.acquire();
     Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
         .args(arguments)
@@ -58,69 +60,78 @@
         .expect("the testbed starts")
 }
 
-fn run(scenario: &str, name: &str, more: &[&str]) -> Output {
-    testbed(name, &[&["run", scenario, "--quiet"], more].concat())
+/// Runs a scenario with additional arguments.
+fn run_scenario(scenario: &str, name: &str, extra_arguments: &[&str]) -> Output {
+    run_testbed(name, &[&["run", scenario, "--quiet"], extra_arguments].concat())
 }
 
-/// Asserts that no rule was broken. The exit code 3 means that a busy machine made the load late, which is no fault of the
-/// node.
+/// Asserts that no rule was broken. The exit code 3 means that a busy machine delayed the load, which is not
+/// a failure of the node.
 fn assert_no_rule_is_broken(output: &Output) {
     assert!(matches!(output.status.code(), Some(0 | 3)), "{output:?}");
 }
 
 fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+    std::str::from_utf8(bytes).expect("the output is UTF-8")
 }
 
 fn figures(name: &str) -> serde_json::Value {
-    let text = std::fs::read_to_string(folder(name).join("figures.json")).expect("figures");
-    serde_json::from_str(&text).expect("JSON")
+    let text = std::fs::read_to_string(folder(name).join("figures.json")).expect("the figures can be read");
+    serde_json::from_str(&text).expect("the figures are JSON")
 }
 
 #[test]
 fn short_scenario_on_real_nodes_then_no_rule_is_broken_and_a_report_is_written() {
     let node = Path::new(env!("CARGO_BIN_EXE_curlewusher-testbed")).with_file_name("curlewusher");
     assert!(node.is_file(), "build the node first: cargo test --workspace does");
-    let out = run(SMOKE, "smoke", &[]);
+    let out = run_scenario(SMOKE, "smoke", &[]);
     assert_no_rule_is_broken(&out);
     let figures = figures("smoke");
     let count = |field: &str| figures[field].as_u64();
     assert_eq!((count("jobs"), count("broken_rules"), count("crashes")), (Some(120), Some(0), Some(0)));
-    let classes = figures["classes"].as_array().expect("classes");
-    let of = |field: &str| classes.iter().map(|class| class[field].as_u64().expect("a count")).sum::<u64>();
-    assert_eq!(of("in_time") + of("late") + of("refused") + of("failed"), 120, "each job has one end");
-    let page = std::fs::read_to_string(folder("smoke").join("report.html")).expect("a report");
+    let classes = figures["classes"].as_array().expect("the figures of the classes");
+    let total =
+        |field: &str| classes.iter().map(|class| class[field].as_u64().expect("a count")).sum::<u64>();
+    assert_eq!(
+        total("in_time") + total("late") + total("refused") + total("failed"),
+        120,
+        "each job has exactly one result"
+    );
+    let page = std::fs::read_to_string(folder("smoke").join("report.html")).expect("the report can be read");
     assert!(page.matches("<svg").count() >= 5 && page.contains("Reload of") && !page.contains("src=\""));
-    let seen = std::fs::read_to_string(folder("smoke").join("seen.jsonl")).expect("an event log");
-    assert!(seen.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()));
+    let event_log =
+        std::fs::read_to_string(folder("smoke").join("seen.jsonl")).expect("the event log can be read");
+    assert!(event_log.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()));
 }
 
-/// The incident of 2026-12-02: restarted nodes sent to workers that had started to drain while the nodes were down.
+/// Regression test of the incident of 2026-12-02: restarted nodes sent attempts to workers that had begun to
+/// drain while the nodes were down.
 #[test]
 fn nodes_come_back_with_old_lists_then_nothing_is_sent_to_workers_that_drain() {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/restart-with-old-list.toml");
-    let out = run(scenario, "restart-with-old-list", &[]);
+    let out = run_scenario(scenario, "restart-with-old-list", &[]);
     assert_no_rule_is_broken(&out);
 }
 
 #[test]
 fn soak_runs_of_fixed_seeds_then_no_rule_is_broken() {
     let arguments = "soak --first 5 --seeds 2 --nodes 8 --workers 9 --length 15 --faults 9";
-    let out = testbed("soak", &arguments.split(' ').collect::<Vec<_>>());
+    let out = run_testbed("soak", &arguments.split(' ').collect::<Vec<_>>());
     assert_eq!(out.status.code(), Some(0), "{out:?}");
     assert_eq!(text(&out.stdout).lines().count(), 3, "{out:?}");
 }
 
 #[test]
 fn soak_runs_with_shutdowns_then_no_request_is_lost() {
-    // Guards against requests that are closed without a response while nodes shut down: the incident of 2026-12-03.
+    // Regression test of the incident of 2026-12-03: nodes that shut down closed connections without a
+    // response to the request.
     let arguments = "soak --first 2 --seeds 2 --nodes 8 --workers 9 --length 10 --faults 0 --shutdowns 4";
-    let out = testbed("soak-shutdowns", &arguments.split(' ').collect::<Vec<_>>());
+    let out = run_testbed("soak-shutdowns", &arguments.split(' ').collect::<Vec<_>>());
     assert_eq!(out.status.code(), Some(0), "{out:?}");
     assert_eq!(text(&out.stdout).lines().count(), 3, "{out:?}");
 }
 
-/// The only class of the scenarios of scripted nodes.
+/// Only job class of the scenarios with scripted nodes.
 const ORDER_CLASS: &str = r#"
 [[class]]
 name = "order"
@@ -133,7 +144,7 @@
 worth = 1.0
 "#;
 
-/// Workers that drain, end and start: what the rules on jobs are about.
+/// Scenario for the rules on jobs: workers drain, are killed and start.
 const EVERY_RULE: &str = r#"
 title = "every rule in reach"
 seed = 3
@@ -162,37 +173,42 @@
 of = [6]
 "#;
 
-/// Plays a scenario on scripted nodes side by side. With each flaw the checker must print its words, and without a flaw
-/// nothing at all.
-fn assert_findings(name: &str, scenario: &str, findings: &[(&str, &str)]) {
+/// Runs a scenario on scripted nodes, once for each flaw and once without a flaw, concurrently. The checker
+/// must print the expected message for each flaw, and nothing without a flaw.
+fn assert_violations(name: &str, scenario: &str, expected_messages: &[(&str, &str)]) {
     let file = folder(&format!("{name}.toml"));
-    std::fs::write(&file, [scenario, ORDER_CLASS].concat()).expect("a scenario file");
-    let play =
-        |flaw: &str| run(file.to_str().expect("a path"), &format!("{name}-{flaw}"), &["--scripted", flaw]);
-    let play = &play;
+    std::fs::write(&file, [scenario, ORDER_CLASS].concat()).expect("the scenario file can be written");
+    let run_with_flaw = |flaw: &str| {
+        run_scenario(
+            file.to_str().expect("the path is UTF-8"),
+            &format!("{name}-{flaw}"),
+            &["--scripted", flaw],
+        )
+    };
+    let run_with_flaw = &run_with_flaw;
     std::thread::scope(|scope| {
-        scope.spawn(|| assert_nothing_is_found(&play("none")));
-        for (flaw, words) in findings {
-            scope.spawn(move || assert_flaw_is_found(flaw, &play(flaw), words));
+        scope.spawn(|| assert_nothing_is_reported(&run_with_flaw("none")));
+        for (flaw, message) in expected_messages {
+            scope.spawn(move || assert_violation_is_reported(flaw, &run_with_flaw(flaw), message));
         }
     });
 }
 
-fn assert_nothing_is_found(output: &Output) {
+fn assert_nothing_is_reported(output: &Output) {
     assert_no_rule_is_broken(output);
     assert!(output.stderr.is_empty(), "{output:?}");
 }
 
-fn assert_flaw_is_found(flaw: &str, output: &Output, words: &str) {
+fn assert_violation_is_reported(flaw: &str, output: &Output, message: &str) {
     let printed = text(&output.stderr);
-    assert!(output.status.code() == Some(1) && printed.contains(words), "{flaw}: {printed}");
-    // A person reads the timeline of the request or command.
+    assert!(output.status.code() == Some(1) && printed.contains(message), "{flaw}: {printed}");
+    // The timeline of the request or command explains a violation.
     assert!(printed.starts_with("CRASH") || printed.contains(" s  "), "{flaw}: {printed}");
 }
 
 #[test]
 fn scripted_node_breaks_a_rule_then_the_checker_reports_it_and_otherwise_nothing() {
-    assert_findings(
+    assert_violations(
         "every-rule",
         EVERY_RULE,
         &[
@@ -209,7 +225,7 @@
     );
 }
 
-/// A drain of a node, maintenance of a worker and an upgrade: what the rules on operations are about.
+/// Scenario for the rules on operations: a drain of a node, maintenance of a worker, and an upgrade.
 const DAILY_OPERATION: &str = r#"
 title = "operators' work"
 seed = 3
@@ -244,7 +260,7 @@
 
 #[test]
 fn scripted_node_fails_in_upgrades_drains_or_maintenance_then_the_checker_reports_it_and_otherwise_nothing() {
-    assert_findings(
+    assert_violations(
         "daily-operation",
         DAILY_OPERATION,
         &[
@@ -267,10 +283,10 @@
 fn stress_runs_then_they_exit_by_themselves_with_a_table_and_find_what_is_wrong() {
     let stress_run = |arguments: &[&str]| {
         let folder_name = format!("drill-{}", arguments.concat());
-        testbed(&folder_name, &[&["drill", "--quiet"], arguments].concat())
+        run_testbed(&folder_name, &[&["drill", "--quiet"], arguments].concat())
     };
     std::thread::scope(|scope| {
-        for (arguments, code, words) in [
+        for (arguments, code, message) in [
             (["upgrades", "--times", "2", "--delay", "0.3", "--scripted", "none"], 0, "jobs lost   "),
             (
                 ["upgrades", "--times", "2", "--delay", "0.3", "--scripted", "resets-its-queue"],
@@ -283,8 +299,9 @@
         ] {
             scope.spawn(move || {
                 let out = stress_run(&arguments);
-                let right = out.status.code() == Some(code) || code == 0 && out.status.code() == Some(3);
-                assert!(right && text(&out.stdout).contains(words), "{arguments:?}: {out:?}");
+                let is_expected_code =
+                    out.status.code() == Some(code) || code == 0 && out.status.code() == Some(3);
+                assert!(is_expected_code && text(&out.stdout).contains(message), "{arguments:?}: {out:?}");
             });
         }
     });
@@ -292,39 +309,46 @@
 
 #[test]
 fn run_is_interrupted_then_its_nodes_stop_and_the_event_log_is_written() {
-    // The node's log shows when the load has begun.
-    std::fs::write(folder("debug.toml"), "[log.parts]\ndispatch = \"debug\"\n").expect("a place");
-    let text = std::fs::read_to_string(SMOKE).expect("a scenario");
-    let long = text
+    // With this level, the node's log shows that the load has begun.
+    std::fs::write(folder("debug.toml"), "[log.parts]\ndispatch = \"debug\"\n")
+        .expect("the operator file can be written");
+    let smoke = std::fs::read_to_string(SMOKE).expect("the scenario can be read");
+    let long_scenario = smoke
         .replace("length_s = 4.0", "length_s = 600.0")
         .replace("count = 2", "count = 2\noperator = \"debug.toml\"");
-    std::fs::write(folder("long.toml"), long).expect("a place");
+    std::fs::write(folder("long.toml"), long_scenario).expect("the scenario can be written");
     let out = folder("interrupted");
     let _ = std::fs::remove_dir_all(&out);
     let _permit = RUN_LIMIT.acquire();
     let mut testbed = Command::new(env!("CARGO_BIN_EXE_curlewusher-testbed"))
-        .args(["run", folder("long.toml").to_str().expect("a path"), "--quiet", "--out"])
+        .args(["run", folder("long.toml").to_str().expect("the path is UTF-8"), "--quiet", "--out"])
         .arg(&out)
         .stdout(std::process::Stdio::piped())
         .spawn()
         .expect("the testbed starts");
     let log = |node: u32| std::fs::read_to_string(out.join(format!("n{node}.log"))).unwrap_or_default();
     while !log(0).contains("job accepted") {
-        let ended = testbed.try_wait().expect("a child");
-        assert!(ended.is_none(), "it ended before its load began, {ended:?}: is the node built?");
+        let exit_status = testbed.try_wait().expect("the status of the testbed can be read");
+        assert!(
+            exit_status.is_none(),
+            "the testbed exited before its load began, {exit_status:?}: is the node built?"
+        );
         std::thread::yield_now();
     }
     let kill =
-        Command::new("kill").args(["-INT", &testbed.id().to_string()]).status().expect("kill is there");
+        Command::new("kill").args(["-INT", &testbed.id().to_string()]).status().expect("kill can be run");
     assert!(kill.success());
-    let ended = testbed.wait_with_output().expect("it ends");
-    assert_eq!(ended.status.code(), Some(3), "such a run does not count: {ended:?}");
+    let output = testbed.wait_with_output().expect("the testbed exits");
+    assert_eq!(output.status.code(), Some(3), "an interrupted run is invalid: {output:?}");
     assert!(figures("interrupted")["jobs"].as_u64().is_some_and(|jobs| jobs > 0));
     for node in 0..2 {
         let log = log(node);
-        let address =
-            log.split("serves on ").nth(1).and_then(|rest| rest.lines().next()).expect("an address");
-        assert!(std::net::TcpStream::connect(address).is_err(), "node {node} is left running");
+        let address = log
+            .split("serves on ")
+            .nth(1)
+            .and_then(|rest| rest.lines().next())
+            .expect("the log names the address");
+        assert!(std::net::TcpStream::connect(address).is_err(), "node {node} still listens");
     }
 }
 
@@ -332,27 +356,28 @@
 fn run_cannot_begin_then_it_says_why_and_leaves_nothing_running() {
     let bad = folder("bad.toml");
     std::fs::write(&bad, [EVERY_RULE, ORDER_CLASS].concat().replace("rate = 40.0", "rate = -1"))
-        .expect("a place");
-    let out = run(bad.to_str().expect("a path"), "bad", &[]);
+        .expect("the file can be written");
+    let out = run_scenario(bad.to_str().expect("the path is UTF-8"), "bad", &[]);
     let printed = text(&out.stderr);
     assert!(
         out.status.code() == Some(2) && printed.contains("bad.toml: line 12: load.rate: -1 is not from 0.1"),
         "{printed}"
     );
-    assert!(!folder("bad").exists(), "nothing was started");
+    assert!(!folder("bad").exists(), "the run has not started");
 
-    let out = run(SMOKE, "absent", &["--node", "no-such-program"]);
+    let out = run_scenario(SMOKE, "absent", &["--node", "no-such-program"]);
     assert!(
         out.status.code() == Some(2) && text(&out.stderr).contains("no program at no-such-program"),
         "{out:?}"
     );
 
-    // A node that exits at once: its standard error is shown.
+    // The node exits at once, and its standard error is shown.
     let broken = folder("broken-node");
-    std::fs::write(&broken, "#!/bin/sh\necho 'no valid configuration' >&2\nexit 1\n").expect("a place");
+    std::fs::write(&broken, "#!/bin/sh\necho 'no valid configuration' >&2\nexit 1\n")
+        .expect("the file can be written");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
-    std::fs::set_permissions(&broken, mode).expect("a mode");
-    let out = run(SMOKE, "broken", &["--node", broken.to_str().expect("a path")]);
+    std::fs::set_permissions(&broken, mode).expect("the mode can be set");
+    let out = run_scenario(SMOKE, "broken", &["--node", broken.to_str().expect("the path is UTF-8")]);
     let printed = text(&out.stderr);
     assert!(out.status.code() == Some(2) && printed.contains("node 0 ended before it served"), "{printed}");
     assert!(printed.contains("no valid configuration"), "{printed}");
@@ -360,12 +385,12 @@
 
 #[test]
 fn another_run_has_the_folder_then_the_run_does_not_begin() {
-    // Two runs in one folder would mix their nodes, whose attempts then count as duplicates.
+    // The nodes of two runs in one folder would share files, and their attempts would count as duplicates.
     let taken = folder("taken");
-    std::fs::create_dir_all(&taken).expect("a folder");
-    let lock = std::fs::File::create(taken.join("run.lock")).expect("a file");
-    lock.lock().expect("nobody else has it");
-    let out = run(SMOKE, "taken", &[]);
+    std::fs::create_dir_all(&taken).expect("the folder can be created");
+    let lock = std::fs::File::create(taken.join("run.lock")).expect("the lock file can be created");
+    lock.lock().expect("no other process holds the lock");
+    let out = run_scenario(SMOKE, "taken", &[]);
     assert_eq!(out.status.code(), Some(2), "{out:?}");
     assert!(text(&out.stderr).contains("another run has this folder"), "{out:?}");
 }
--- a/crates/testbed/tests/unit/client_connections.rs
+++ b/crates/testbed/tests/unit/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, against a server driven by hand.
+//! Tests of the clients' connections against a server whose steps each test performs itself.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
@@ -9,8 +9,8 @@
     Route { node: 0, address, idle_connection }
 }
 
-/// A request that is written at once.
-fn whole(bytes: &[u8]) -> OutgoingRequest<'_> {
+/// Returns a request that is written at once.
+fn unsplit(bytes: &[u8]) -> OutgoingRequest<'_> {
     OutgoingRequest { bytes, split: None }
 }
 
@@ -19,22 +19,24 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let connections = ClientConnections::new(1);
-    let dropped = async {
+    let read_then_close = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let mut all = [0; 4];
-        stream.read_exact(&mut all).await.expect("all of it");
+        let mut request = [0; 4];
+        stream.read_exact(&mut request).await.expect("the whole request");
     };
-    let (seen, ()) = tokio::join!(connections.send(route(address, None), whole(b"read"), true), dropped);
-    assert_eq!(seen, Err(FailureReason::Closed));
-    // A queue that ends with what is in it.
-    let (seen, ()) = tokio::join!(connections.send(route(address, None), whole(b"unread"), true), async {
-        let (stream, _) = listener.accept().await.expect("a connection");
-        stream.readable().await.expect("something");
-    });
-    assert_eq!(seen, Err(FailureReason::Reset));
+    let (result, ()) =
+        tokio::join!(connections.send(route(address, None), unsplit(b"read"), true), read_then_close);
+    assert_eq!(result, Err(FailureReason::Closed));
+    // The server closes the connection with unread bytes, which resets it.
+    let (result, ()) =
+        tokio::join!(connections.send(route(address, None), unsplit(b"unread"), true), async {
+            let (stream, _) = listener.accept().await.expect("a connection");
+            stream.readable().await.expect("the request has arrived");
+        });
+    assert_eq!(result, Err(FailureReason::Reset));
     drop(listener);
     assert_eq!(
-        connections.send(route(address, None), whole(b"none"), true).await,
+        connections.send(route(address, None), unsplit(b"none"), true).await,
         Err(FailureReason::Unreachable)
     );
 }
@@ -48,38 +50,48 @@
     let connections = ClientConnections::new(1);
     let serve = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let mut all = [0; 3];
-        stream.read_exact(&mut all).await.expect("all of it");
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").await.expect("an answer");
+        let mut request = [0; 3];
+        stream.read_exact(&mut request).await.expect("the whole request");
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+            .await
+            .expect("the response is written");
         stream
     };
-    let (seen, mut server) = tokio::join!(connections.send(route(address, None), whole(b"ask"), true), serve);
-    assert_eq!(seen.map(|response| (response.status, response.body)), Ok((200, b"hi".to_vec())));
+    let (result, mut server) =
+        tokio::join!(connections.send(route(address, None), unsplit(b"ask"), true), serve);
+    assert_eq!(result.map(|response| (response.status, response.body)), Ok((200, b"hi".to_vec())));
     assert_eq!(connections.count(0), ConnectionCounts { idle: 1, fresh: 0 });
-    let taken = connections.take(0).expect("the same");
-    let again = async {
-        let mut all = [0; 3];
-        server.read_exact(&mut all).await.expect("all of it");
-        let end = b"HTTP/1.1 503 No\r\nConnection: close\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
-        server.write_all(end).await.expect("an answer");
+    let taken = connections.take_idle(0).expect("the idle connection");
+    let serve_again = async {
+        let mut request = [0; 3];
+        server.read_exact(&mut request).await.expect("the whole request");
+        let closing_response =
+            b"HTTP/1.1 503 No\r\nConnection: close\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
+        server.write_all(closing_response).await.expect("the response is written");
     };
-    let (seen, ()) = tokio::join!(connections.send(route(address, Some(taken)), whole(b"ask"), true), again);
-    assert_eq!(seen.map(|response| (response.status, response.retry_after)), Ok((503, Some(1.5))));
-    assert_eq!(connections.count(0), ConnectionCounts { idle: 0, fresh: 0 }, "the node asked to close it");
+    let (result, ()) =
+        tokio::join!(connections.send(route(address, Some(taken)), unsplit(b"ask"), true), serve_again);
+    assert_eq!(result.map(|response| (response.status, response.retry_after)), Ok((503, Some(1.5))));
+    assert_eq!(
+        connections.count(0),
+        ConnectionCounts { idle: 0, fresh: 0 },
+        "the response has `Connection: close`"
+    );
 }
 
 #[tokio::test]
-async fn node_answers_before_second_part_and_closes_then_response_is_read() {
+async fn node_responds_before_second_part_and_closes_then_response_is_read() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let connections = ClientConnections::new(1);
     let request = OutgoingRequest { bytes: b"firstsecond", split: Some((5, Duration::from_millis(50))) };
-    let answer_early = async {
+    let respond_early = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         stream.read_exact(&mut [0; 5]).await.expect("the first part");
-        let answer = b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-        stream.write_all(answer).await.expect("an answer");
+        let response = b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+        stream.write_all(response).await.expect("the response is written");
     };
-    let (seen, ()) = tokio::join!(connections.send(route(address, None), request, true), answer_early);
-    assert_eq!(seen.map(|response| response.status), Ok(503));
+    let (result, ()) = tokio::join!(connections.send(route(address, None), request, true), respond_early);
+    assert_eq!(result.map(|response| response.status), Ok(503));
 }
