--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -8,9 +8,10 @@
 /// have sent its first byte after it was accepted. Ordinary clients take up to 2 s to write a request. A
 /// request that cannot be read must be answered, or its connection closed, within 3 s.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2700);
-/// Minimum age at which a new connection may be evicted: its first request may be on its way.
-const MIN_NEW_AGE: Duration = Duration::from_millis(50);
-/// Minimum time since its last response after which an idle connection may be evicted.
+/// Minimum age at which a new connection may be closed for any reason but a timeout: its first request may be
+/// on its way.
+const MIN_NEW_CONNECTION_AGE: Duration = Duration::from_millis(50);
+/// Minimum time since its last response after which an idle connection may be evicted or redirected.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(200);
 /// Time after which a client has stalled if it has neither sent a byte of its request nor read a byte of its
 /// response.
@@ -81,7 +82,9 @@
         (ConnectionUse::Idle { age }, CloseReason::Timeout { idle_timeout }) => {
             require_min_age(age, idle_timeout, Denial::RequestMayArrive)
         }
-        (ConnectionUse::New { age, .. }, _) => require_min_age(age, MIN_NEW_AGE, Denial::RequestMayArrive),
+        (ConnectionUse::New { age, .. }, _) => {
+            require_min_age(age, MIN_NEW_CONNECTION_AGE, Denial::RequestMayArrive)
+        }
         // A request that makes progress comes from a slow client. A request that has stalled is abandoned.
         (ConnectionUse::Reading { stalled_for, .. }, CloseReason::Eviction | CloseReason::Shutdown) => {
             require_min_age(stalled_for, STALL_TIMEOUT, Denial::RequestUnanswered)
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -35,12 +35,13 @@
 }
 
 /// Returns a random duration within a range.
-pub fn random_span(rng: &mut fastrand::Rng, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
+pub fn random_duration(rng: &mut fastrand::Rng, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
     let min = range.start_bound().map(|duration| duration.as_micros());
     let max = range.end_bound().map(|duration| duration.as_micros());
     micros(rng.u64((min, max)))
 }
 
+/// Returns a job class with the given idempotency and otherwise default values.
 pub fn class(idempotency: Idempotency) -> JobClass {
     JobClass {
         idempotency,
@@ -88,6 +89,7 @@
     Settings { nodes, node_index, ..settings() }
 }
 
+/// Returns the endpoint of a ready worker.
 pub fn endpoint(worker: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
@@ -105,7 +107,7 @@
     (0..count).map(endpoint).collect()
 }
 
-/// Returns a job with `work` seconds of work whose client waits for 5 s.
+/// Returns a submission with `work` seconds of work whose client waits for 5 s.
 pub fn submission(job: u64, class: usize, work: f64, now: Timestamp) -> JobSubmission {
     JobSubmission {
         job: JobId(job),
@@ -119,7 +121,7 @@
     }
 }
 
-/// Returns the event that an operator disables a worker or enables it again.
+/// Returns the event of an operator who disables or enables a worker.
 pub fn maintenance_event(worker: WorkerId, disabled: bool) -> Event<'static> {
     if disabled { Event::WorkerDisabled { worker } } else { Event::WorkerEnabled { worker } }
 }
@@ -137,7 +139,7 @@
 
 impl TestNode {
     /// Returns a node that has just started and has no endpoint list yet.
-    pub fn starting(settings: Settings, seed: u64) -> Self {
+    pub fn without_endpoints(settings: Settings, seed: u64) -> Self {
         TestNode {
             dispatcher: Dispatcher::new(settings, seed).expect("the settings are invalid"),
             now: START,
@@ -146,10 +148,10 @@
 
     /// Returns a node with an endpoint list.
     pub fn new(settings: Settings, workers: &[Endpoint]) -> Self {
-        let mut node = TestNode::starting(settings, 7);
+        let mut node = TestNode::without_endpoints(settings, 7);
         node.handle(Event::TimerExpired);
         node.now += micros(1);
-        node.list(workers);
+        node.deliver_endpoints(workers);
         node
     }
 
@@ -181,7 +183,7 @@
     }
 
     /// Delivers a complete endpoint list.
-    pub fn list(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+    pub fn deliver_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
         self.handle(Event::EndpointsChanged { endpoints, update: EndpointUpdate::Snapshot })
     }
 
@@ -190,7 +192,7 @@
         self.handle(Event::EndpointsConfirmed { as_of: self.now })
     }
 
-    /// Disables a worker or enables it again, as an operator does.
+    /// Disables or enables a worker, as an operator does.
     pub fn set_disabled(&mut self, worker: u64, disabled: bool) -> Vec<Action> {
         self.handle(maintenance_event(WorkerId(worker), disabled))
     }
@@ -203,75 +205,81 @@
         self.submit_job(submission(job, class, work, self.now))
     }
 
-    /// Submits a job. Returns the worker to which it is sent immediately.
-    pub fn place(&mut self, job: u64, class: usize, work: f64) -> Option<u64> {
+    /// Submits a job. Returns the worker to which the job is sent immediately, if any.
+    pub fn place_job(&mut self, job: u64, class: usize, work: f64) -> Option<u64> {
         sent_to(&self.submit(job, class, work))
     }
 
-    pub fn place_with_key(&mut self, job: u64, class: usize, work: f64, key: u64) -> Option<u64> {
+    pub fn place_job_with_key(&mut self, job: u64, class: usize, work: f64, key: u64) -> Option<u64> {
         let key = Some(key);
         sent_to(&self.submit_job(JobSubmission { key, ..submission(job, class, work, self.now) }))
     }
 
-    pub fn place_for_tenant(&mut self, job: u64, class: usize, work: f64, tenant: usize) -> Option<u64> {
+    pub fn place_job_for_tenant(&mut self, job: u64, class: usize, work: f64, tenant: usize) -> Option<u64> {
         let tenant = TenantId(tenant);
         sent_to(&self.submit_job(JobSubmission { tenant, ..submission(job, class, work, self.now) }))
     }
 
-    pub fn accept(&mut self, job: u64, attempt: u32) -> Vec<Action> {
+    pub fn accept_attempt(&mut self, job: u64, attempt: u32) -> Vec<Action> {
         self.handle(Event::AttemptAccepted { job: JobId(job), attempt })
     }
 
-    pub fn start(&mut self, job: u64, attempt: u32) -> Vec<Action> {
+    pub fn start_attempt(&mut self, job: u64, attempt: u32) -> Vec<Action> {
         self.handle(Event::AttemptStarted { job: JobId(job), attempt })
     }
 
-    pub fn end(&mut self, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let job_answered = outcome == Outcome::Done;
         self.handle(Event::AttemptEnded { job: JobId(job), attempt, outcome, job_answered })
     }
 
-    /// Loses the reused connection of the first attempt of a job before a response.
+    /// Reports that the reused connection of the first attempt of a job was lost before a response.
     pub fn lose_reused_connection(&mut self, job: u64) -> Vec<Action> {
         self.handle(Event::ReusedConnectionLost { job: JobId(job), attempt: 0 });
-        self.end(job, 0, Outcome::Lost)
+        self.end_attempt(job, 0, Outcome::Lost)
     }
 
-    pub fn end_after(&mut self, duration: TimeSpan, job: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt_after(
+        &mut self,
+        duration: TimeSpan,
+        job: u64,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.now += duration;
-        self.end(job, attempt, outcome)
+        self.end_attempt(job, attempt, outcome)
     }
 
     /// Submits a job whose first attempt starts immediately.
     pub fn start_job(&mut self, job: u64, class: usize, work: f64) {
         self.submit(job, class, work);
-        self.start(job, 0);
+        self.start_attempt(job, 0);
     }
 
-    /// Starts the first attempt of a job, and completes it after `duration`.
-    pub fn serve(&mut self, job: u64, duration: TimeSpan) -> Vec<Action> {
-        self.start(job, 0);
-        self.end_after(duration, job, 0, Outcome::Done)
+    /// Starts the first attempt of a job, and completes the attempt after `duration`.
+    pub fn run_first_attempt(&mut self, job: u64, duration: TimeSpan) -> Vec<Action> {
+        self.start_attempt(job, 0);
+        self.end_attempt_after(duration, job, 0, Outcome::Done)
     }
 
-    /// Submits a job and completes it. Returns its worker.
+    /// Submits a job, and completes its first attempt after `duration`. Returns the worker of the job.
     pub fn run_job(&mut self, job: u64, class: usize, work: f64, duration: TimeSpan) -> Option<u64> {
-        let worker = self.place(job, class, work);
-        self.serve(job, duration);
+        let worker = self.place_job(job, class, work);
+        self.run_first_attempt(job, duration);
         worker
     }
 
-    /// Lets the node observe the speed of a worker. The jobs are numbered from `first_job` and run while all
-    /// other workers drain.
+    /// Lets the node observe the speed of a worker, by 12 jobs that are numbered from `first_job`. All other
+    /// workers drain meanwhile.
     pub fn observe_speed(&mut self, workers: &[Endpoint], index: usize, speed: f64, first_job: u64) {
         let mut drained = workers.to_vec();
         let others = drained.iter_mut().filter(|other| other.worker != workers[index].worker);
         others.for_each(|other| other.status = WorkerStatus::Draining);
-        self.list(&drained);
+        self.deliver_endpoints(&drained);
         for job in first_job..first_job + 12 {
             self.run_job(job, 0, 0.1, TimeSpan::from_secs_f64(0.1 / speed));
         }
-        self.list(workers);
+        self.deliver_endpoints(workers);
         self.advance(seconds(20));
     }
 }
--- a/crates/core/tests/decision_lock/driver.rs
+++ b/crates/core/tests/decision_lock/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the nodes of a fleet with random events, and carries out their actions in virtual time.
+//! Simulation of a fleet in virtual time: sends random events to the nodes and executes their actions.
 
 mod external_events;
 
@@ -8,45 +8,55 @@
 use crate::common::*;
 use crate::recorder::Recorder;
 
-/// Number of external events of one fleet, without those during its shutdown.
-const EVENTS: u64 = 3_000;
+/// Number of external events of a run before its shutdown.
+const EVENT_COUNT: u64 = 3_000;
+/// Time from the start of the shutdown to its deadline.
 const SHUTDOWN_TIMEOUT: TimeSpan = seconds(3);
-/// Load in the parts of a run, in percent of the usual load.
-const LOADS: [u64; 5] = [60, 100, 220, 90, 150];
+/// Load in each part of a run, in percent of the usual load. All parts have the same number of events.
+const LOAD_PERCENTAGES: [u64; 5] = [60, 100, 220, 90, 150];
 
+/// Parameters of a simulated fleet.
 pub struct Fleet {
-    /// Settings of the first node; the others differ in their index only.
+    /// Settings of the first node. Those of the other nodes differ in their index only.
     pub settings: Settings,
-    /// Nodes that are driven, by index from that of the settings.
-    pub driven_nodes: u32,
+    /// Number of nodes that are simulated. Their indexes begin at that of `settings`.
+    pub simulated_nodes: u32,
+    /// Number of workers.
     pub workers: u64,
-    /// Mean time between events at usual load.
-    pub mean_gap: TimeSpan,
-    /// Maximum time for which work of other nodes occupies a worker before each attempt.
-    pub max_other_work: TimeSpan,
+    /// Mean time between external events at the usual load.
+    pub mean_event_interval: TimeSpan,
+    /// Maximum time for which jobs of other nodes occupy a worker before each attempt.
+    pub max_remote_work: TimeSpan,
 }
 
-enum Scheduled {
+/// Event that the simulation has scheduled for a later time.
+enum TimedEvent {
     Timer { process: usize },
     Gossip { to: usize, from: u32, data: Vec<u8> },
     PollEnd { process: usize, begin: Timestamp, is_answered: bool },
     Attempt { job: JobId, attempt: u32, event: Event<'static> },
 }
 
+/// Process of a simulated node.
 struct Process {
     node: TestNode,
     node_index: u32,
+    /// Whether the watch of the endpoint list is open.
     is_watching: bool,
 }
 
+/// Job that has been submitted.
 struct Job {
+    /// Index of the process that has the job.
     process: usize,
+    /// Number of attempts so far.
     attempts: u32,
-    /// Attempts in flight, and whether each was accepted.
+    /// Attempts in flight, each with whether its worker has accepted it.
     in_flight: BTreeMap<u32, bool>,
     is_answered: bool,
 }
 
+/// Simulation of a fleet.
 pub struct Driver {
     fleet: Fleet,
     seed: u64,
@@ -54,19 +64,21 @@
     now: Timestamp,
     processes: Vec<Process>,
     endpoints: Vec<Endpoint>,
+    /// Time from which each worker is free.
     workers_free_at: Vec<Timestamp>,
-    /// By time, then in the order in which they were scheduled.
-    schedule: BTreeMap<(Timestamp, u64), Scheduled>,
-    scheduled: u64,
+    /// Scheduled events, ordered by time and then by the order in which they were scheduled.
+    schedule: BTreeMap<(Timestamp, u64), TimedEvent>,
+    /// Number of events scheduled so far.
+    scheduled_count: u64,
     jobs: BTreeMap<JobId, Job>,
     recorder: Recorder,
 }
 
 impl Driver {
-    /// Plays all events of a fleet. Returns the record of its actions.
+    /// Simulates a fleet. Returns the record of its actions.
     pub fn run(fleet: Fleet, seed: u64) -> Recorder {
         let mut driver = Driver::new(fleet, seed);
-        driver.play_events();
+        driver.simulate_events();
         driver.shut_down();
         driver.recorder
     }
@@ -87,7 +99,7 @@
             now: START,
             processes: Vec::new(),
             schedule: BTreeMap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             jobs: BTreeMap::new(),
             recorder: Recorder::default(),
             fleet,
@@ -96,21 +108,21 @@
             endpoints,
         };
         let first = driver.fleet.settings.node_index;
-        (first..first + driver.fleet.driven_nodes).for_each(|node_index| driver.start_process(node_index));
+        (first..first + driver.fleet.simulated_nodes).for_each(|node_index| driver.start_process(node_index));
         driver
     }
 
-    fn play_events(&mut self) {
-        for event in 0..EVENTS {
-            let load = LOADS[(event * LOADS.len() as u64 / EVENTS) as usize];
-            let gap = self.random_span(micros(1)..self.fleet.mean_gap * 2) * 100 / load;
-            self.advance(self.now + gap);
-            self.play_external_event();
-            if event == EVENTS / 2 {
+    fn simulate_events(&mut self) {
+        for event in 0..EVENT_COUNT {
+            let load = LOAD_PERCENTAGES[(event * LOAD_PERCENTAGES.len() as u64 / EVENT_COUNT) as usize];
+            let interval = self.random_duration(micros(1)..self.fleet.mean_event_interval * 2) * 100 / load;
+            self.advance(self.now + interval);
+            self.simulate_external_event();
+            if event == EVENT_COUNT / 2 {
                 self.start_process(self.fleet.settings.node_index);
                 self.hand_over(0, self.processes.len() - 1);
                 self.handle(0, Event::SuccessorActive { active: true });
-            } else if event == EVENTS / 10 * 9 {
+            } else if event == EVENT_COUNT / 10 * 9 {
                 self.handle(0, Event::SuccessorActive { active: false });
                 self.hand_over(self.processes.len() - 1, 0);
             }
@@ -119,10 +131,10 @@
 
     fn shut_down(&mut self) {
         let deadline = self.now + SHUTDOWN_TIMEOUT;
-        self.handle_at_all(&Event::ShutdownStarted { deadline });
+        self.handle_in_all_processes(&Event::ShutdownStarted { deadline });
         while self.now < deadline {
-            self.advance(self.now + self.fleet.mean_gap * 2);
-            self.play_external_event();
+            self.advance(self.now + self.fleet.mean_event_interval * 2);
+            self.simulate_external_event();
         }
         self.advance(deadline + SECOND);
         for process in &self.processes {
@@ -130,28 +142,29 @@
         }
     }
 
-    /// Starts a process: its timer expires, and it reads the saved list at the same moment.
+    /// Starts a process of a node. Its timer expires and it reads its saved endpoint list, both at the
+    /// current time.
     fn start_process(&mut self, node_index: u32) {
         let process = self.processes.len();
         let settings = Settings { node_index, ..self.fleet.settings.clone() };
-        let node = TestNode::starting(settings, self.seed + process as u64);
+        let node = TestNode::without_endpoints(settings, self.seed + process as u64);
         let is_watching = !self.fleet.settings.endpoints_on_request;
         self.processes.push(Process { node, node_index, is_watching });
         self.handle(process, Event::TimerExpired);
-        self.deliver_list(process, true);
+        self.deliver_endpoints(process, true);
     }
 
-    fn random_span(&mut self, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
-        random_span(&mut self.rng, range)
+    fn random_duration(&mut self, range: impl RangeBounds<TimeSpan>) -> TimeSpan {
+        random_duration(&mut self.rng, range)
     }
 
-    fn schedule(&mut self, at: Timestamp, event: Scheduled) {
-        self.scheduled += 1;
-        self.schedule.insert((at, self.scheduled), event);
+    fn schedule(&mut self, at: Timestamp, event: TimedEvent) {
+        self.scheduled_count += 1;
+        self.schedule.insert((at, self.scheduled_count), event);
     }
 
     fn schedule_attempt_event(&mut self, at: Timestamp, job: JobId, attempt: u32, event: Event<'static>) {
-        self.schedule(at, Scheduled::Attempt { job, attempt, event });
+        self.schedule(at, TimedEvent::Attempt { job, attempt, event });
     }
 
     fn schedule_end(&mut self, at: Timestamp, job: JobId, attempt: u32, outcome: Outcome) {
@@ -168,76 +181,77 @@
         let node = &mut self.processes[process].node;
         node.now = self.now;
         let actions = node.handle(event);
-        self.carry_out(process, actions);
+        self.execute(process, actions);
     }
 
-    fn handle_at_all(&mut self, event: &Event) {
+    fn handle_in_all_processes(&mut self, event: &Event) {
         for process in 0..self.processes.len() {
             self.handle(process, event.clone());
         }
     }
 
-    fn deliver_list(&mut self, process: usize, snapshot: bool) {
-        let is_listed = |endpoint: &&Endpoint| !snapshot || endpoint.status != WorkerStatus::Removed;
+    fn deliver_endpoints(&mut self, process: usize, is_snapshot: bool) {
+        let is_listed = |endpoint: &&Endpoint| !is_snapshot || endpoint.status != WorkerStatus::Removed;
         let endpoints: Vec<Endpoint> = self.endpoints.iter().filter(is_listed).cloned().collect();
         self.handle(
             process,
-            Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(snapshot) },
+            Event::EndpointsChanged { endpoints: &endpoints, update: endpoint_update(is_snapshot) },
         );
     }
 
-    fn carry_out(&mut self, process: usize, actions: Vec<Action>) {
+    fn execute(&mut self, process: usize, actions: Vec<Action>) {
         for action in actions {
             self.recorder.record(self.now, process, &action);
             match action {
                 Action::SendAttempt { job, worker, timeout, .. } => self.send_attempt(job, worker, timeout),
                 Action::Reject { job, .. } | Action::Fail { job } => self.mark_answered(job),
-                Action::RevokeAttempt { job, attempt } => self.end_early(job, attempt, Outcome::NotSent),
-                Action::CancelAttempt { job, attempt } => self.end_early(job, attempt, Outcome::Cancelled),
+                Action::RevokeAttempt { job, attempt } => self.stop_attempt(job, attempt, Outcome::NotSent),
+                Action::CancelAttempt { job, attempt } => self.stop_attempt(job, attempt, Outcome::Cancelled),
                 Action::SendGossip { to, data } => self.send_gossip(process, to, &data),
-                Action::SetTimer { after } => self.schedule(self.now + after, Scheduled::Timer { process }),
+                Action::SetTimer { after } => self.schedule(self.now + after, TimedEvent::Timer { process }),
                 Action::WatchEndpoints => {
-                    let ends_at = self.now + self.random_span(millis(5)..millis(200));
+                    let ends_at = self.now + self.random_duration(millis(5)..millis(200));
                     let is_answered = self.rng.u8(0..3) > 0;
-                    self.schedule(ends_at, Scheduled::PollEnd { process, begin: self.now, is_answered });
+                    self.schedule(ends_at, TimedEvent::PollEnd { process, begin: self.now, is_answered });
                 }
             }
         }
     }
 
     fn send_gossip(&mut self, process: usize, to_node: u32, data: &[u8]) {
-        let received_at = self.now + self.random_span(micros(1)..millis(4));
+        let received_at = self.now + self.random_duration(micros(1)..millis(4));
         let from = self.processes[process].node_index;
         for to in 0..self.processes.len() {
             if self.processes[to].node_index == to_node {
-                self.schedule(received_at, Scheduled::Gossip { to, from, data: data.to_vec() });
+                self.schedule(received_at, TimedEvent::Gossip { to, from, data: data.to_vec() });
             }
         }
     }
 
-    /// An attempt waits for its worker, runs there for a random time, and ends with a random outcome.
+    /// Simulates an attempt. It waits for its worker, runs there for a random time, and ends with a random
+    /// outcome.
     fn send_attempt(&mut self, job: JobId, worker: WorkerId, timeout: TimeSpan) {
-        let state = self.jobs.get_mut(&job).expect("a submitted job");
+        let state = self.jobs.get_mut(&job).expect("a job was sent that has not been submitted");
         let attempt = state.attempts;
         state.attempts += 1;
         state.in_flight.insert(attempt, false);
         let worker = worker.0 as usize;
-        let other_work = self.random_span(..=self.fleet.max_other_work);
-        let begin = self.now.max(self.workers_free_at[worker]) + other_work + millis(1);
-        let end = begin + self.random_span(millis(5)..millis(220));
+        let remote_work = self.random_duration(..=self.fleet.max_remote_work);
+        let begin = self.now.max(self.workers_free_at[worker]) + remote_work + millis(1);
+        let end = begin + self.random_duration(millis(5)..millis(220));
         let middle = begin + (end - begin) / 2;
         let timeout_at = self.now + timeout;
-        let accepted_at = self.now + self.random_span(micros(1)..millis(20));
-        let early =
+        let accepted_at = self.now + self.random_duration(micros(1)..millis(20));
+        let early_outcomes =
             [Outcome::Rejected, Outcome::Unreachable, Outcome::NotSent, Outcome::Lost, Outcome::Error];
-        let late = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
-        let draw = self.rng.usize(0..120);
-        if let Some(outcome) = early.get(draw) {
+        let late_outcomes = [Outcome::Error, Outcome::Lost, Outcome::TimedOut];
+        let sample = self.rng.usize(0..120);
+        if let Some(outcome) = early_outcomes.get(sample) {
             return self.schedule_end(accepted_at.min(timeout_at), job, attempt, *outcome);
         }
         self.workers_free_at[worker] = end;
-        // A few attempts get no response until they time out.
-        let is_unanswered = draw >= 118;
+        // A few attempts receive no response until they time out.
+        let is_unanswered = sample >= 118;
         if !is_unanswered {
             self.schedule_attempt_event(accepted_at, job, attempt, Event::AttemptAccepted { job, attempt });
             self.schedule_attempt_event(
@@ -257,7 +271,7 @@
             1 => self.schedule_attempt_event(middle, job, attempt, Event::AttemptStreaming { job, attempt }),
             _ => {}
         }
-        let outcome = late.get(draw - early.len()).copied().unwrap_or(Outcome::Done);
+        let outcome = late_outcomes.get(sample - early_outcomes.len()).copied().unwrap_or(Outcome::Done);
         let times_out = is_unanswered || end > timeout_at;
         let (at, outcome) = if times_out { (timeout_at, Outcome::TimedOut) } else { (end, outcome) };
         self.schedule_end(at, job, attempt, outcome);
@@ -267,45 +281,46 @@
         self.jobs.entry(job).and_modify(|state| state.is_answered = true);
     }
 
-    /// Ends a revoked attempt if it has not been accepted, and a cancelled one soon unless it ends by itself before.
-    fn end_early(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
+    /// Schedules the end of a revoked attempt if its worker has not accepted it, and of a cancelled attempt
+    /// in any case. The attempt ends within 2 ms, or by itself if that is earlier.
+    fn stop_attempt(&mut self, job: JobId, attempt: u32, outcome: Outcome) {
         let is_accepted = self.jobs.get(&job).and_then(|state| state.in_flight.get(&attempt));
         if is_accepted.is_some_and(|is_accepted| !is_accepted || outcome == Outcome::Cancelled) {
-            let ends_at = self.now + self.random_span(..millis(2));
+            let ends_at = self.now + self.random_duration(..millis(2));
             self.schedule_end(ends_at, job, attempt, outcome);
         }
     }
 
-    /// Plays all scheduled events until a moment.
+    /// Advances the time to `until` and handles all events that are scheduled until then.
     fn advance(&mut self, until: Timestamp) {
         while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.play_scheduled(event);
+            self.handle_scheduled_event(event);
         }
         self.now = until;
     }
 
-    fn play_scheduled(&mut self, event: Scheduled) {
+    fn handle_scheduled_event(&mut self, event: TimedEvent) {
         match event {
-            Scheduled::Timer { process } => self.handle(process, Event::TimerExpired),
-            Scheduled::Gossip { to, from, data } => {
+            TimedEvent::Timer { process } => self.handle(process, Event::TimerExpired),
+            TimedEvent::Gossip { to, from, data } => {
                 self.handle(to, Event::GossipReceived { from, data: &data });
             }
-            Scheduled::PollEnd { process, is_answered: false, .. } => {
+            TimedEvent::PollEnd { process, is_answered: false, .. } => {
                 self.handle(process, Event::WatchFailed);
             }
-            Scheduled::PollEnd { process, begin, is_answered: true } => {
+            TimedEvent::PollEnd { process, begin, is_answered: true } => {
                 self.processes[process].is_watching = true;
                 self.handle(process, Event::PollAnswered { duration: self.now - begin });
-                self.deliver_list(process, true);
+                self.deliver_endpoints(process, true);
                 self.handle(process, Event::EndpointsConfirmed { as_of: self.now });
             }
-            Scheduled::Attempt { job, attempt, event } => self.report_attempt_event(job, attempt, event),
+            TimedEvent::Attempt { job, attempt, event } => self.report_attempt_event(job, attempt, event),
         }
     }
 
-    /// Reports an event of an attempt that is still in flight.
+    /// Reports an event of an attempt to the process of the job, if the attempt is still in flight.
     fn report_attempt_event(&mut self, job: JobId, attempt: u32, event: Event) {
         let Some(state) = self.jobs.get_mut(&job).filter(|state| state.in_flight.contains_key(&attempt))
         else {
@@ -323,7 +338,8 @@
         self.handle(process, event);
     }
 
-    /// Transfers the state snapshot of one process to another, and then most of its open jobs.
+    /// Transfers the state snapshot of one process to another, and migrates each open job with a probability
+    /// of three in four.
     fn hand_over(&mut self, from: usize, to: usize) {
         let snapshot = self.processes[from].node.dispatcher.snapshot();
         self.recorder.record_json(&snapshot);
@@ -343,6 +359,6 @@
         self.jobs.entry(job).and_modify(|state| state.process = to);
         let mut actions = Vec::new();
         assert!(self.processes[to].node.dispatcher.adopt_job(self.now, job, &migrated, &mut actions));
-        self.carry_out(to, actions);
+        self.execute(to, actions);
     }
 }
--- a/crates/core/tests/decision_lock/main.rs
+++ b/crates/core/tests/decision_lock/main.rs
@@ -1,11 +1,12 @@
-//! Locks what dispatchers decide. Seeded fleets get every kind of event, with a second process of a node that takes
-//! over in mid-run and hands its jobs over to the first later. Every action is hashed with its node and time, and so
-//! are the records that are transferred between the processes. Counts and hashes are recorded in
+//! Regression test of all decisions of the dispatcher. Fleets with fixed seeds receive every kind of event.
+//! In the middle of each run, a second process of a node takes over and receives most open jobs. Later, it
+//! returns most of its open jobs to the first process. The test hashes every action with its process and
+//! time, and all records that are transferred between the processes. The counts and hashes are recorded in
 //! `tests/golden/decision_lock.txt`.
 //!
-//! The driver draws from its own generator only; a change of the driver needs a new recording:
-//! `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-core --test decision_lock`. The hash depends on `exp` and `ln` of
-//! the platform's mathematical library.
+//! The driver samples its events from its own random generator only. A change of the driver needs a new
+//! recording: `CURLEWUSHER_RECORD=1 cargo test -p curlewusher-core --test decision_lock`. The hash depends on
+//! `exp` and `ln` of the platform's mathematical library.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,14 +18,21 @@
 use common::*;
 use driver::{Driver, Fleet};
 
-/// One node with few workers and tenants, which may hedge.
+/// Returns a fleet of one node with few workers and tenants, which may hedge.
 fn few_workers() -> Fleet {
     let settings = Settings { tenant_quotas: vec![6.0, 20.0, 40.0], ..settings() };
-    Fleet { settings, driven_nodes: 1, workers: 5, mean_gap: millis(20), max_other_work: TimeSpan::ZERO }
+    Fleet {
+        settings,
+        simulated_nodes: 1,
+        workers: 5,
+        mean_event_interval: millis(20),
+        max_remote_work: TimeSpan::ZERO,
+    }
 }
 
-/// A node of many that polls for its endpoint list and relocates jobs. Its workers report when they accept, have listed
-/// sizes, and are divided into subsets.
+/// Returns a fleet of many nodes, of which one is simulated. The node polls for its endpoint list and
+/// relocates jobs. The workers report that they accept attempts, have listed sizes, and are divided into
+/// subsets.
 fn many_nodes() -> Fleet {
     let mut settings = Settings {
         endpoints_on_request: true,
@@ -40,11 +48,12 @@
     settings.classes[1].idempotency =
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window: SECOND };
     settings.classes.push(JobClass { priority_weight: 0.2, ..class(Idempotency::Idempotent) });
-    let max_other_work = millis(40);
-    Fleet { settings, driven_nodes: 1, workers: 40, mean_gap: millis(14), max_other_work }
+    let max_remote_work = millis(40);
+    Fleet { settings, simulated_nodes: 1, workers: 40, mean_event_interval: millis(14), max_remote_work }
 }
 
-/// Three nodes that gossip about their work at workers of two zones, which do not report starts.
+/// Returns a fleet of three nodes that gossip about their work. The workers are in two zones and do not
+/// report starts.
 fn gossip() -> Fleet {
     let mut settings = Settings {
         may_gossip: true,
@@ -55,11 +64,17 @@
     };
     settings.classes[1].idempotency =
         Idempotency::WithKey { scope: DeduplicationScope::All, window: seconds(2) };
-    Fleet { settings, driven_nodes: 3, workers: 9, mean_gap: millis(14), max_other_work: TimeSpan::ZERO }
+    Fleet {
+        settings,
+        simulated_nodes: 3,
+        workers: 9,
+        mean_event_interval: millis(14),
+        max_remote_work: TimeSpan::ZERO,
+    }
 }
 
 #[test]
-fn seeded_fleets_are_driven_then_all_actions_are_as_recorded() {
+fn seeded_fleets_run_then_all_actions_match_the_recording() {
     let fleets = [("few workers", few_workers()), ("many nodes", many_nodes()), ("gossip", gossip())];
     let summaries = fleets
         .into_iter()
--- a/crates/core/tests/decision_lock/recorder.rs
+++ b/crates/core/tests/decision_lock/recorder.rs
@@ -1,23 +1,28 @@
-//! Counts and hashes the actions of all processes of a run.
+//! Recorder that counts and hashes the actions of all processes of a run.
 
 use std::fmt;
 use std::hash::Hasher;
 
 use crate::common::*;
 
-/// Names of the actions in the recorded file, which is older than the terms of the code, in the order of their counts.
+/// Names of the actions in the golden file, in the order of [`Recorder::counts`]. These names are older than
+/// those of the variants of [`Action`].
 const ACTION_NAMES: [&str; 8] = ["send", "refuse", "fail", "recall", "cancel", "tell", "wake", "watch"];
+/// Value that is hashed in place of an absent field.
 const NO_FIELD: u64 = u64::MAX;
 
+/// Counts and hash of the actions of a run.
 #[derive(Default)]
 pub struct Recorder {
     hash: fnv::FnvHasher,
+    /// Number of actions of each kind.
     counts: [u64; ACTION_NAMES.len()],
+    /// Number of jobs that were migrated from one process to another.
     pub migrated_jobs: u64,
 }
 
 impl Recorder {
-    /// Hashes an action field by field, by kind numbers that belong to this test only.
+    /// Counts an action and hashes it field by field. The kind numbers are used in this test only.
     pub fn record(&mut self, now: Timestamp, process: usize, action: &Action) {
         let (kind, fields) = match action {
             Action::SendAttempt { job, worker, timeout, send_deadline, needs_new_connection: _ } => {
@@ -41,8 +46,9 @@
         }
     }
 
+    /// Hashes the JSON form of a value.
     pub fn record_json(&mut self, value: &impl serde::Serialize) {
-        self.hash.write(&serde_json::to_vec(value).expect("JSON"));
+        self.hash.write(&serde_json::to_vec(value).expect("the value cannot be serialized to JSON"));
     }
 }
 
--- a/crates/core/tests/decisions/ejection.rs
+++ b/crates/core/tests/decisions/ejection.rs
@@ -1,4 +1,5 @@
-//! Ejection and maintenance: no attempt goes to a worker that is draining, disabled, unresponsive or unreachable.
+//! Ejection and maintenance: no attempt goes to a worker that is draining, disabled, unresponsive or
+//! unreachable.
 
 use crate::common::*;
 
@@ -9,12 +10,12 @@
     workers[0].status = WorkerStatus::Draining;
     node.handle(Event::EndpointsChanged { endpoints: &workers[..1], update: EndpointUpdate::Delta });
     for job in 0..20 {
-        assert_ne!(node.place(job, 0, 0.01), Some(0));
+        assert_ne!(node.place_job(job, 0, 0.01), Some(0));
         node.advance(millis(100));
     }
-    // A complete list that does not name a worker removes it.
-    node.list(&[]);
-    assert_eq!(node.place(50, 0, 0.01), None);
+    // A complete list without a worker removes the worker.
+    node.deliver_endpoints(&[]);
+    assert_eq!(node.place_job(50, 0, 0.01), None);
 }
 
 #[test]
@@ -23,36 +24,42 @@
     let mut node = TestNode::new(settings(), &workers);
     node.set_disabled(0, true);
     node.set_disabled(0, true);
-    // The endpoint list does not change that: the worker is removed, listed again, restarted.
+    // The endpoint list does not enable the worker: it is removed, listed again and restarted.
     let mut restarted = workers.clone();
     restarted[0].started_at = node.now;
     for (job, list) in [&workers[1..], &workers[..], &restarted[..]].into_iter().enumerate() {
-        node.list(list);
+        node.deliver_endpoints(list);
         assert_eq!(node.run_job(job as u64, 0, 0.1, TimeSpan::ZERO), Some(1));
         node.now += millis(10);
     }
-    // The other worker is removed, so that the job waits.
-    node.list(&restarted[..1]);
-    assert_eq!(node.place(9, 0, 0.1), None);
-    // One call enables the worker, however often it was disabled.
+    // The other worker is removed so that the job waits.
+    node.deliver_endpoints(&restarted[..1]);
+    assert_eq!(node.place_job(9, 0, 0.1), None);
+    // One call enables the worker, although it was disabled twice.
     assert_eq!(sent_to(&node.set_disabled(0, false)), Some(0));
 }
 
 #[test]
 fn worker_is_enabled_after_failures_then_it_gets_a_job_and_warms_up() {
     let mut node = TestNode::with_speeds(&endpoints(2), &[1.0]);
-    // Its failures would eject the worker for seconds, and its estimated run time is longer than the other's.
+    // The failures would eject worker 0 for seconds, and its estimated run time is longer than that of the
+    // other worker.
     for job in 0..8 {
-        let worker = node.place(job, 2, 0.05);
-        node.start(job, 0);
-        node.end_after(millis(50), job, 0, if worker == Some(0) { Outcome::Error } else { Outcome::Done });
+        let worker = node.place_job(job, 2, 0.05);
+        node.start_attempt(job, 0);
+        node.end_attempt_after(
+            millis(50),
+            job,
+            0,
+            if worker == Some(0) { Outcome::Error } else { Outcome::Done },
+        );
     }
     node.set_disabled(0, true);
     node.advance(SECOND);
     node.set_disabled(0, false);
-    assert_eq!(node.place(20, 0, 0.02), Some(0));
-    // The worker is warming up: another job would exceed its budget, and goes to the warm worker.
-    assert_eq!(node.place(21, 0, 0.15), Some(1));
+    assert_eq!(node.place_job(20, 0, 0.02), Some(0));
+    // Worker 0 is warming up. Another job would exceed its budget, so it goes to the warm worker.
+    assert_eq!(node.place_job(21, 0, 0.15), Some(1));
 }
 
 #[test]
@@ -73,7 +80,7 @@
             }
             let outcome = if worker.0 == 0 { Outcome::Done } else { Outcome::Unreachable };
             for attempt in first_attempt..4 {
-                actions.extend(node.end(job.0, attempt, outcome));
+                actions.extend(node.end_attempt(job.0, attempt, outcome));
             }
         }
         node.advance(millis(20));
@@ -82,23 +89,24 @@
 }
 
 #[test]
-fn attempt_is_not_accepted_in_time_then_it_is_cancelled_and_its_worker_gets_no_other() {
-    // An unresponsive worker would use up the whole time of a job, and of the jobs after it.
+fn attempt_is_not_accepted_in_time_then_it_is_cancelled_and_its_worker_gets_no_other_attempt() {
+    // Otherwise, an unresponsive worker would use up the whole time of a job, and of each later job.
     let settings = Settings { accept_timeout: millis(500), ..settings() };
     for (class, is_cancelled) in [(0, true), (1, true), (2, false)] {
         let mut node = TestNode::new(settings.clone(), &endpoints(2));
-        let unresponsive = node.place(1, class, 2.0).expect("both are free");
+        let unresponsive =
+            node.place_job(1, class, 2.0).expect("the job was not sent although both workers are free");
         let actions = node.advance(SECOND);
         let cancel = Action::CancelAttempt { job: JobId(1), attempt: 0 };
         assert_eq!(actions.contains(&cancel), is_cancelled, "class {class}");
         if is_cancelled {
-            assert_eq!(sent_to(&node.end(1, 0, Outcome::Cancelled)), Some(1 - unresponsive));
+            assert_eq!(sent_to(&node.end_attempt(1, 0, Outcome::Cancelled)), Some(1 - unresponsive));
         }
-        assert_ne!(node.place(2, 0, 0.1), Some(unresponsive));
-        // A worker that has accepted the job may take longer.
+        assert_ne!(node.place_job(2, 0, 0.1), Some(unresponsive));
+        // A worker that has accepted the job may take longer to start it.
         let mut node = TestNode::new(settings.clone(), &endpoints(2));
         node.submit(1, class, 2.0);
-        node.accept(1, 0);
+        node.accept_attempt(1, 0);
         let actions = node.advance(SECOND);
         assert!(!actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. })));
     }
@@ -106,15 +114,15 @@
 
 #[test]
 fn reused_connection_is_lost_then_its_worker_is_not_ejected() {
-    // The connection had ended while it was idle, which does not count against the worker.
-    for (is_reused, next) in [(true, Some(0)), (false, None)] {
+    // The connection had closed while it was idle, which does not count against the worker.
+    for (is_reused, next_worker) in [(true, Some(0)), (false, None)] {
         let mut node = TestNode::new(settings(), &endpoints(1));
-        assert_eq!(node.place(1, 0, 0.01), Some(0));
+        assert_eq!(node.place_job(1, 0, 0.01), Some(0));
         if is_reused {
             node.lose_reused_connection(1);
         } else {
-            node.end(1, 0, Outcome::Lost);
+            node.end_attempt(1, 0, Outcome::Lost);
         }
-        assert_eq!(node.place(2, 0, 0.01), next, "reused: {is_reused}");
+        assert_eq!(node.place_job(2, 0, 0.01), next_worker, "reused: {is_reused}");
     }
 }
--- a/crates/core/tests/decisions/main.rs
+++ b/crates/core/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher decides, one behaviour a test; a module for each concern.
+//! Decisions of a dispatcher. Each test covers one behaviour, and each module one concern.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/core/tests/decisions/poll_schedule.rs
+++ b/crates/core/tests/decisions/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Poll schedule: when a node polls for its endpoint list.
+//! Poll schedule: times at which a node polls for its endpoint list.
 
 use std::collections::VecDeque;
 
@@ -16,28 +16,34 @@
             node.handle(Event::WatchFailed);
         }
     }
-    let gaps: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(polls.len() >= 3 && polls.len() < 12, "{gaps:?}");
-    assert!(gaps.iter().all(|gap| *gap < seconds(10)), "a poll within the maximum interval: {gaps:?}");
-    assert!(gaps[1] > gaps[0]);
+    let intervals: Vec<_> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(polls.len() >= 3 && polls.len() < 12, "{intervals:?}");
+    assert!(
+        intervals.iter().all(|interval| *interval < seconds(10)),
+        "the maximum interval between polls is exceeded: {intervals:?}"
+    );
+    assert!(intervals[1] > intervals[0]);
 }
 
+/// Interval between two steps of the simulation.
 const STEP: TimeSpan = millis(10);
+/// Timeout of a poll.
 const POLL_TIMEOUT: TimeSpan = seconds(2);
-/// Time that discovery takes for each poll, also for one that has timed out.
-const SERVICE_TIME: TimeSpan = millis(65);
+/// Time that discovery takes to serve a poll, even if the poll has timed out.
+const POLL_SERVICE_TIME: TimeSpan = millis(65);
 
-/// The time until all nodes, which start together, have a list from a discovery that answers one poll after another.
+/// Returns the time until all nodes have a list. The nodes start together, and discovery serves one poll
+/// after another.
 fn time_until_all_have_a_list(nodes: u32) -> Option<TimeSpan> {
     let start = |node_index| {
         let settings = Settings { endpoints_on_request: true, ..node_settings(nodes, node_index) };
-        TestNode::starting(settings, u64::from(node_index))
+        TestNode::without_endpoints(settings, u64::from(node_index))
     };
-    let mut all: Vec<TestNode> = (0..nodes).map(start).collect();
-    let mut poll_begins: Vec<Option<Timestamp>> = vec![None; all.len()];
-    let (mut queue, mut free_at, mut without_list) = (VecDeque::new(), Timestamp::ORIGIN, nodes);
+    let mut test_nodes: Vec<TestNode> = (0..nodes).map(start).collect();
+    let mut poll_begins: Vec<Option<Timestamp>> = vec![None; test_nodes.len()];
+    let (mut queue, mut free_at, mut nodes_without_list) = (VecDeque::new(), Timestamp::ORIGIN, nodes);
     for now in times(START, at(seconds(60)), STEP) {
-        for (index, node) in all.iter_mut().enumerate() {
+        for (index, node) in test_nodes.iter_mut().enumerate() {
             node.now = now;
             if poll_begins[index].is_some_and(|begin| now >= begin + POLL_TIMEOUT) {
                 poll_begins[index] = None;
@@ -48,13 +54,13 @@
             }
         }
         while let Some((index, begin)) = queue.pop_front_if(|_| free_at <= now) {
-            free_at = now + SERVICE_TIME;
+            free_at = now + POLL_SERVICE_TIME;
             if poll_begins[index].take_if(|current| *current == begin).is_some() {
-                all[index].list(&endpoints(1));
-                without_list -= 1;
+                test_nodes[index].deliver_endpoints(&endpoints(1));
+                nodes_without_list -= 1;
             }
         }
-        if without_list == 0 {
+        if nodes_without_list == 0 {
             return Some(now - START);
         }
     }
@@ -64,6 +70,6 @@
 #[test]
 fn nodes_start_together_and_polls_are_served_serially_then_all_get_a_list() {
     let (many, few) = (time_until_all_have_a_list(100), time_until_all_have_a_list(3));
-    assert!(many.is_some_and(|span| span < seconds(30)), "{many:?}");
-    assert!(few.is_some_and(|span| span < millis(500)), "{few:?}");
+    assert!(many.is_some_and(|duration| duration < seconds(30)), "{many:?}");
+    assert!(few.is_some_and(|duration| duration < millis(500)), "{few:?}");
 }
--- a/crates/core/tests/fleets.rs
+++ b/crates/core/tests/fleets.rs
@@ -54,7 +54,7 @@
 impl Scenario {
     fn sample(seed: u64) -> Scenario {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut random_time = |from, to| START + random_span(&mut rng, seconds(from)..seconds(to));
+        let mut random_time = |from, to| START + random_duration(&mut rng, seconds(from)..seconds(to));
         let down_from = random_time(8, 14);
         let [closed_at, stalled_at, killed_at] =
             [(2, 34), (2, 34), (5, 30)].map(|(from, to)| random_time(from, to));
@@ -162,7 +162,7 @@
             ..node_settings(scenario.nodes, node_index)
         };
         SimulatedNode {
-            node: TestNode { now, ..TestNode::starting(settings, seed) },
+            node: TestNode { now, ..TestNode::without_endpoints(settings, seed) },
             index: node_index as usize,
             connection: Connection::Closed,
             timer: now,
@@ -252,7 +252,7 @@
                 Action::SendAttempt { job, worker, .. } => {
                     self.sent += 1;
                     report.check_send(self.notified_at(scenario, worker.0 as usize), now);
-                    actions.extend(self.node.end(job.0, 0, Outcome::Done));
+                    actions.extend(self.node.end_attempt(job.0, 0, Outcome::Done));
                 }
                 _ => {}
             }
--- a/crates/core/tests/golden_records.rs
+++ b/crates/core/tests/golden_records.rs
@@ -32,17 +32,17 @@
         let actions = node.submit_job(submission);
         let worker = sent_to(&actions).expect("the job was not sent");
         node.advance(millis(1));
-        node.start(job, 0);
+        node.start_attempt(job, 0);
         node.advance(millis(40 + 9 * worker));
         let outcome = match job {
             22 => Outcome::Unreachable,
             20 | 23 => Outcome::Error,
             _ => Outcome::Done,
         };
-        node.end(job, 0, outcome);
+        node.end_attempt(job, 0, outcome);
         if outcome != Outcome::Done {
             node.advance(millis(50));
-            node.end(job, 1, Outcome::Done);
+            node.end_attempt(job, 1, Outcome::Done);
         }
     }
     for disabled in [true, false] {
@@ -59,10 +59,10 @@
     node.submit_job(JobSubmission { key: Some(77), slots: 2.0, ..submission });
     for (attempt, outcome) in [(0, Outcome::Unreachable), (1, Outcome::Error)] {
         node.advance(millis(20));
-        node.end(MIGRATED_JOB, attempt, outcome);
+        node.end_attempt(MIGRATED_JOB, attempt, outcome);
     }
     node.advance(millis(3));
-    node.start(MIGRATED_JOB, 2);
+    node.start_attempt(MIGRATED_JOB, 2);
     node.advance(millis(100));
     node.handle(Event::AttemptProgressed { job: JobId(MIGRATED_JOB), attempt: 2, fraction_done: 0.5 });
     node
--- a/crates/core/tests/rules/environment.rs
+++ b/crates/core/tests/rules/environment.rs
@@ -44,7 +44,7 @@
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = sample_settings(&mut rng);
-        let node = TestNode::starting(settings.clone(), seed);
+        let node = TestNode::without_endpoints(settings.clone(), seed);
         Environment { rng, node, checker: Checker::new(settings), submitted_jobs: 0, in_flight: Vec::new() }
     }
 
@@ -113,7 +113,7 @@
         let class = self.rng.usize(0..3);
         let work = 0.02 + self.rng.f64() * 0.3;
         let mut submission = submission(self.submitted_jobs, class, work, self.node.now);
-        submission.deadline = self.node.now + random_span(&mut self.rng, ..seconds(6));
+        submission.deadline = self.node.now + random_duration(&mut self.rng, ..seconds(6));
         submission.slots = f64::from(self.rng.u32(1..3));
         self.submitted_jobs += 1;
         self.checker.record_submission(submission.clone());
