--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -1,39 +1,40 @@
-//! The command line, the operator's file and the log, tried on the real program as a process.
+//! The command line, the operators' file and the log, tested with the real program as a process.
 
 use std::process::{Command, Output};
 
 use crate::common::{Node, ScriptedServer, ScriptedWatch, node_config, wait_for_counter};
 
-/// Runs the program to its end.
+/// Runs the program until it exits; returns its output.
 fn run(arguments: &[&str], config: Option<&str>, operator: Option<&str>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewusher"));
     command.args(arguments).env_remove("RELAY_CONFIG").env_remove("CURLEWUSHER_OPERATOR");
-    let place = format!("{}/line-{:?}", env!("CARGO_TARGET_TMPDIR"), std::thread::current().id());
+    let path_stem = format!("{}/line-{:?}", env!("CARGO_TARGET_TMPDIR"), std::thread::current().id());
     if let Some(config) = config {
-        std::fs::write(format!("{place}.json"), config).expect("a place");
-        command.env("RELAY_CONFIG", format!("{place}.json"));
+        std::fs::write(format!("{path_stem}.json"), config).expect("the file can be written");
+        command.env("RELAY_CONFIG", format!("{path_stem}.json"));
     }
     if let Some(operator) = operator {
-        std::fs::write(format!("{place}.toml"), operator).expect("a place");
-        command.args(["--operator", &format!("{place}.toml")]);
+        std::fs::write(format!("{path_stem}.toml"), operator).expect("the file can be written");
+        command.args(["--operator", &format!("{path_stem}.toml")]);
     }
     command.output().expect("the program starts")
 }
 
-fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+/// Decodes output of the program.
+fn decode(bytes: &[u8]) -> &str {
+    std::str::from_utf8(bytes).expect("the output is UTF-8")
 }
 
-/// Any address will do: nothing is started.
-fn usual() -> String {
-    node_config("127.0.0.1:9".parse().expect("an address"), &[])
+/// Returns a valid configuration. Its discovery address is arbitrary, since no node is started with it.
+fn valid_config() -> String {
+    node_config("127.0.0.1:9".parse().expect("the address is valid"), &[])
 }
 
 #[test]
 fn check_runs_then_each_value_and_its_source_is_printed() {
-    let out = run(&["check"], Some(&usual()), Some("[log]\nlevel = \"warn\"\n"));
-    let said = text(&out.stdout);
-    assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
+    let output = run(&["check"], Some(&valid_config()), Some("[log]\nlevel = \"warn\"\n"));
+    let stdout = decode(&output.stdout);
+    assert_eq!(output.status.code(), Some(0), "{}", decode(&output.stderr));
     for (value, source) in [
         ("listen = \"127.0.0.1:0\"", ".json"),
         ("limits.sockets = 1024", ".json"),
@@ -45,108 +46,117 @@
         ("log.level = \"warn\"", ".toml"),
         ("log.format = \"text\"", "default"),
     ] {
-        let line = said.lines().find(|line| line.starts_with(value));
-        assert!(line.is_some_and(|line| line.ends_with(source)), "{value}: {line:?} in {said}");
+        let line = stdout.lines().find(|line| line.starts_with(value));
+        assert!(line.is_some_and(|line| line.ends_with(source)), "{value}: {line:?} in {stdout}");
     }
 }
 
 #[test]
-fn check_meets_invalid_input_then_exit_is_2_and_one_line_names_file_place_and_field() {
-    let broken = usual().replace("\"coldShare\":0.2", "\"coldShare\":2");
+fn check_gets_invalid_input_then_exit_code_is_2_and_one_line_names_file_position_and_field() {
+    let invalid_config = valid_config().replace("\"coldShare\":0.2", "\"coldShare\":2");
     for (config, operator, parts) in [
-        (Some(usual()), Some("[log]\nformat = \"xml\"\n"), &[".toml", "line 2", "log.format", "`json`"][..]),
-        (Some(broken), None, &["settings", "cold_share"][..]),
+        (
+            Some(valid_config()),
+            Some("[log]\nformat = \"xml\"\n"),
+            &[".toml", "line 2", "log.format", "`json`"][..],
+        ),
+        (Some(invalid_config), None, &["settings", "cold_share"][..]),
         (Some("{".to_owned()), None, &["config", "line 1"][..]),
         (
-            Some(usual().replacen('{', r#"{"console":"nowhere","#, 1)),
+            Some(valid_config().replacen('{', r#"{"console":"nowhere","#, 1)),
             None,
             &["config: console", "nowhere", "give one"][..],
         ),
         (None, None, &["RELAY_CONFIG is not set"][..]),
     ] {
-        let out = run(&["check"], config.as_deref(), operator);
-        let said = text(&out.stderr);
-        assert_eq!(out.status.code(), Some(2), "{said}");
+        let output = run(&["check"], config.as_deref(), operator);
+        let stderr = decode(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
-            parts.iter().all(|part| said.contains(part)) && said.lines().count() == 1,
-            "{parts:?}: {said}"
+            parts.iter().all(|part| stderr.contains(part)) && stderr.lines().count() == 1,
+            "{parts:?}: {stderr}"
         );
-        assert!(out.stdout.is_empty(), "what is bad is not shown as if it counted");
+        assert!(output.stdout.is_empty(), "invalid settings were printed as if they were in effect");
     }
 }
 
 #[test]
-fn version_completions_or_unknown_command_then_answer_is_right() {
+fn version_completions_or_unknown_command_is_requested_then_output_is_correct() {
     let version = run(&["--version"], None, None);
-    assert_eq!(text(&version.stdout), concat!("curlewusher ", env!("CARGO_PKG_VERSION"), "\n"));
+    assert_eq!(decode(&version.stdout), concat!("curlewusher ", env!("CARGO_PKG_VERSION"), "\n"));
     for shell in ["bash", "zsh", "fish"] {
-        let out = run(&["completions", shell], None, None);
-        assert!(text(&out.stdout).contains("check") && out.status.success(), "{shell}");
+        let output = run(&["completions", shell], None, None);
+        assert!(decode(&output.stdout).contains("check") && output.status.success(), "{shell}");
     }
-    let strange = run(&["swerve"], None, None);
-    assert!(text(&strange.stderr).contains("serve"), "the remedy is named");
-    assert_eq!(strange.status.code(), Some(2));
+    let unknown_command = run(&["swerve"], None, None);
+    assert!(decode(&unknown_command.stderr).contains("serve"), "the error does not suggest a command");
+    assert_eq!(unknown_command.status.code(), Some(2));
 }
 
 #[test]
-fn log_is_json_then_job_lines_carry_its_id_and_levels_change_on_sighup() {
+fn log_is_json_then_job_events_carry_the_request_id_and_sighup_changes_levels() {
     let worker = ScriptedServer::start();
     let discovery = ScriptedServer::start();
-    let known = [worker.endpoint_json("s-1", "in_service")];
-    let debug = "[log]\nformat = \"json\"\n[log.parts]\ndispatch = \"debug\"\n";
-    let node = Node::start_with_operator_file(&node_config(discovery.address, &known), debug);
-    let _watch = ScriptedWatch::answer(&discovery, &known);
+    let endpoints = [worker.endpoint_json("s-1", "in_service")];
+    let operator_file = "[log]\nformat = \"json\"\n[log.parts]\ndispatch = \"debug\"\n";
+    let node = Node::start_with_operator_file(&node_config(discovery.address, &endpoints), operator_file);
+    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
     node.wait_for_log_line("endpoint lease confirmed");
     let serve = |id: &str| {
         node.assert_serves(&worker, id, "view", "s-1");
     };
     serve("r1");
-    let about = |id: &str| {
+    let next_message = |id: &str| {
         let line = node.next_log_line();
-        let line: serde_json::Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
+        let line: serde_json::Value =
+            serde_json::from_str(&line).unwrap_or_else(|error| panic!("{error}: {line}"));
         assert_eq!(
             (line["target"].as_str(), line["request_id"].as_str()),
             (Some("dispatch"), Some(id)),
             "{line}"
         );
-        line["message"].as_str().expect("words").to_owned()
+        line["message"].as_str().expect("the message is a string").to_owned()
     };
     assert_eq!(
-        [(); 4].map(|()| about("r1")),
+        [(); 4].map(|()| next_message("r1")),
         ["job accepted", "attempt sent", "job answered", "attempt ended"]
     );
 
-    // A bad file changes nothing, and says where it is bad; a good one counts at once.
+    // An invalid file changes nothing, and the error names the position in it. A valid file takes effect at
+    // once.
     node.reload_operator_file("[log.parts]\ndispatch = \"loud\"\n");
-    let said = node.next_log_line();
-    assert!(said.contains("line 2: log.parts") && said.contains("configuration reload failed"), "{said}");
+    let line = node.next_log_line();
+    assert!(line.contains("line 2: log.parts") && line.contains("configuration reload failed"), "{line}");
     node.reload_operator_file("[log]\nlevel = \"error\"\n");
     wait_for_counter(&node, "curlewusher_reloads_total", 1);
     serve("r2");
     node.signal("-TERM");
-    let end = node.next_log_line();
-    assert!(end.contains("figures") && !end.contains("r2") && !end.contains("graceful shutdown"), "{end}");
+    let line = node.next_log_line();
+    assert!(
+        line.contains("figures") && !line.contains("r2") && !line.contains("graceful shutdown"),
+        "{line}"
+    );
 }
 
 #[test]
 fn stderr_stalls_then_jobs_are_answered_and_dropped_lines_are_counted() {
     let worker = ScriptedServer::start();
     let discovery = ScriptedServer::start();
-    let known = [worker.endpoint_json("s-1", "in_service")];
-    let settings = node_config(discovery.address, &known);
-    let loud = "[log]\nlevel = \"trace\"\nlines_per_s = 100000\nwaiting_lines = 16\n";
-    let (node, _stalled) = Node::start_with_blocked_stderr(&settings, loud);
-    let _watch = ScriptedWatch::answer(&discovery, &known);
+    let endpoints = [worker.endpoint_json("s-1", "in_service")];
+    let config = node_config(discovery.address, &endpoints);
+    let operator_file = "[log]\nlevel = \"trace\"\nlines_per_s = 100000\nwaiting_lines = 16\n";
+    let (node, _stalled) = Node::start_with_blocked_stderr(&config, operator_file);
+    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
     let dropped = r#"curlewusher_log_lines_dropped_total{why="stalled"}"#;
-    // A pipe takes 64 KiB before it stalls; every rejected request is a line.
+    // A pipe buffers 64 KiB before writes to it stall. Each rejected request writes one log line.
     let mut requests = 0;
     while node.counter(dropped) == 0 {
         assert_eq!(node.callback("{"), 400);
         requests += 1;
-        assert!(requests < 20_000, "it does not stall");
+        assert!(requests < 20_000, "standard error does not stall");
     }
     node.assert_serves(&worker, "r1", "view", "s-1");
     node.signal("-TERM");
-    let ended = node.wait_for_exit();
-    assert_eq!(ended.status.code(), Some(0), "nor does it hold up the end");
+    let output = node.wait_for_exit();
+    assert_eq!(output.status.code(), Some(0), "the stalled output must not delay the exit");
 }
--- a/crates/node/tests/cpu_time/mod.rs
+++ b/crates/node/tests/cpu_time/mod.rs
@@ -1,6 +1,7 @@
-//! Processor time of a node in situations in which a loop could turn without waiting for anything.
+//! CPU time of a node in situations in which a faulty loop could spin without waiting.
 //!
-//! The operators' bench once reported that a thread had not waited for 20 s; each test here drives one suspect.
+//! The operators' test bench once reported a thread that had not waited for 20 s. Each test covers one
+//! possible cause.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,59 +12,61 @@
     Node, ScriptedServer, ScriptedWatch, endpoint_json, job_request, node_config, open_request, wait_until,
 };
 
-/// How long a node is observed.
-const OBSERVED: Duration = Duration::from_secs(2);
-/// How often a client sends a byte of a request that makes progress.
+/// Period over which the CPU time of a node is measured.
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which a client sends one more byte of an incomplete request.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
-/// Unit of the times in `/proc/PID/stat`: Linux counts 100 ticks a second there.
+/// Unit of the times in `/proc/PID/stat`. Linux counts 100 ticks per second there.
 const TICK: Duration = Duration::from_millis(10);
-/// Positions of the user and system times behind the name of the process, which ends with a parenthesis.
-const USER_AND_SYSTEM_TIME: [usize; 2] = [11, 12];
+/// Positions of the user time and the system time among the fields of `/proc/PID/stat` that follow the
+/// process name, which ends with a parenthesis.
+const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
-/// Processor time that a node has used so far.
+/// Returns the CPU time that a node has used so far.
 fn cpu_time(node: &Node) -> Duration {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).expect("it runs");
-    let (_, fields) = stat.rsplit_once(')').expect("a name in parentheses");
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).expect("the node is running");
+    let (_, fields) = stat.rsplit_once(')').expect("the process name is in parentheses");
     let fields: Vec<&str> = fields.split_whitespace().collect();
-    let ticks = USER_AND_SYSTEM_TIME.map(|at| fields[at].parse::<u32>().expect("a number of ticks"));
+    let ticks = CPU_TIME_FIELDS
+        .map(|position| fields[position].parse::<u32>().expect("the field is a number of ticks"));
     TICK * ticks.iter().sum()
 }
 
-/// Asserts that a node waits for most of the time: a loop that never waits uses up one processor.
-fn assert_waits(node: &Node, situation: &str) {
-    let (begun, used_before) = (Instant::now(), cpu_time(node));
-    thread::sleep(OBSERVED);
+/// Asserts that a node uses less than half of one processor. A loop that never waits uses a whole one.
+fn assert_no_busy_loop(node: &Node, situation: &str) {
+    let (started, used_before) = (Instant::now(), cpu_time(node));
+    thread::sleep(OBSERVATION_PERIOD);
     let used = cpu_time(node) - used_before;
-    assert!(used < begun.elapsed() / 2, "{situation}: {used:?} of {:?}", begun.elapsed());
+    assert!(used < started.elapsed() / 2, "{situation}: {used:?} of CPU time in {:?}", started.elapsed());
 }
 
 #[test]
-fn descriptors_are_used_up_and_nothing_may_be_evicted_then_node_waits() {
-    // Guards against a turn of the accept loop for each connection that it cannot accept.
-    let config = |discovery, known: &[String]| node_config(discovery, known).replace("1024", "64");
+fn descriptors_run_out_and_no_connection_may_be_evicted_then_node_has_no_busy_loop() {
+    // Guards against an accept loop that spins on connections that it cannot accept.
+    let config = |discovery, endpoints: &[String]| node_config(discovery, endpoints).replace("1024", "64");
     let (node, _watch, _discovery) = Node::start_with_endpoints(&[], 64, config);
-    // No worker is known, so that each job waits.
+    // The endpoint list is empty, so every job stays pending.
     let jobs: Vec<_> = (0..100)
         .map(|number| open_request(node.address, &job_request(&format!("r{number}"), "view", 60.0, "")))
         .collect();
-    assert_waits(&node, "a hundred jobs wait");
+    assert_no_busy_loop(&node, "a hundred jobs are pending");
     drop(jobs);
 }
 
 #[test]
-fn discovery_refuses_connections_then_node_waits() {
-    // Guards against polls without a pause.
+fn discovery_refuses_connections_then_node_has_no_busy_loop() {
+    // Guards against polls that are repeated without a backoff.
     let (node, watch, discovery) = Node::start_with_workers(&[]);
     drop((watch, discovery));
-    assert_waits(&node, "discovery is down");
+    assert_no_busy_loop(&node, "discovery is down");
 }
 
 #[test]
-fn requests_stay_incomplete_while_node_drains_then_node_waits() {
-    // Guards against a turn of the drain or of the close for each connection that it waits for.
+fn requests_stay_incomplete_while_node_drains_then_node_has_no_busy_loop() {
+    // Guards against a drain or a close that spins on the connections that it waits for.
     let (_worker, node, _watch, _discovery) = Node::start_with_worker();
-    let begin = "POST /api/k1 HTTP/1.1\r\nX-Filler: ";
-    let clients: Vec<_> = (0..50).map(|_| open_request(node.address, begin)).collect();
+    let request_start = "POST /api/k1 HTTP/1.1\r\nX-Filler: ";
+    let clients: Vec<_> = (0..50).map(|_| open_request(node.address, request_start)).collect();
     node.signal("-TERM");
     node.wait_for_log_line("graceful shutdown started");
     // The requests make progress until the node closes their connections.
@@ -72,20 +75,21 @@
             thread::sleep(PROGRESS_INTERVAL);
         }
     });
-    assert_waits(&node, "a drain");
+    assert_no_busy_loop(&node, "the node is draining");
 }
 
 #[test]
-fn worker_closes_each_connection_then_node_waits() {
-    // Guards against attempts and connections without a pause.
-    let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
-    let known = [endpoint_json("s-1", listener.local_addr().expect("an address"), "in_service")];
+fn worker_closes_each_connection_then_node_has_no_busy_loop() {
+    // Guards against attempts and connections that are repeated without a backoff.
+    let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port is free");
+    let endpoints =
+        [endpoint_json("s-1", listener.local_addr().expect("the listener has an address"), "in_service")];
     thread::spawn(move || listener.incoming().for_each(drop));
     let discovery = ScriptedServer::start();
-    let node = Node::start(&node_config(discovery.address, &known));
-    let _watch = ScriptedWatch::answer(&discovery, &known);
+    let node = Node::start(&node_config(discovery.address, &endpoints));
+    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
     let _jobs: Vec<TcpStream> =
         (0..20).map(|number| node.submit_job(&format!("r{number}"), "view", 60.0)).collect();
-    wait_until("no attempt is made", || node.counter("curlewusher_delivery_attempts_total") > 0);
-    assert_waits(&node, "a worker that closes its connections");
+    wait_until("no attempt was sent", || node.counter("curlewusher_delivery_attempts_total") > 0);
+    assert_no_busy_loop(&node, "the worker closes each connection");
 }
--- a/crates/node/tests/log_events.rs
+++ b/crates/node/tests/log_events.rs
@@ -1,5 +1,5 @@
-//! The table of log events in `docs/on-call.md` names exactly the events that the sources write, each with its part,
-//! level and fields.
+//! The table of log events in `docs/on-call.md` names exactly the events that the sources write, each with
+//! its part, level and fields.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -8,7 +8,7 @@
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/on-call.md");
 const SOURCES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/src");
 const LEVELS: [&str; 5] = ["trace", "debug", "info", "warn", "error"];
-/// The log's parts by the constants that name them in the sources.
+/// Parts of the log, each with the constant that names it in the sources.
 const PARTS: [(&str, &str); 5] = [
     ("NODE", "node"),
     ("DISPATCH", "dispatch"),
@@ -17,7 +17,7 @@
     ("DISCOVERY", "transport_map"),
 ];
 
-/// What identifies an event: its part, level and message.
+/// Identity of an event: its part, level and message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     message: String,
@@ -25,31 +25,37 @@
     level: String,
 }
 
-/// The names of the fields of each event.
+/// Names of the fields of each event.
 type LogEvents = BTreeMap<EventKey, BTreeSet<String>>;
 
 #[test]
-fn sources_write_log_events_then_the_on_call_table_lists_each_of_them_and_no_other() {
-    let (written, listed) = (events_in_sources(Path::new(SOURCES)), events_in_table());
-    assert!(written.len() > 50, "the sources are read");
+fn sources_write_log_events_then_the_on_call_table_lists_exactly_these() {
+    let (written, listed) = (collect_source_events(Path::new(SOURCES)), read_table_events());
+    assert!(written.len() > 50, "too few events found in the sources");
     for (event, fields) in &written {
-        assert_eq!(listed.get(event), Some(fields), "{event:?} of the sources, in docs/on-call.md");
+        assert_eq!(
+            listed.get(event),
+            Some(fields),
+            "fields of {event:?} in docs/on-call.md and in the sources"
+        );
     }
     for event in listed.keys() {
-        assert!(written.contains_key(event), "{event:?} of docs/on-call.md is not in the sources");
+        assert!(written.contains_key(event), "{event:?} in docs/on-call.md is not in the sources");
     }
 }
 
-/// The rows of the table: event, part, level, fields and meaning.
-fn events_in_table() -> LogEvents {
-    let page = fs::read_to_string(PAGE).expect("the page");
+/// Reads the events of the table, whose rows have the cells event, part, level, fields and meaning.
+fn read_table_events() -> LogEvents {
+    let page = fs::read_to_string(PAGE).expect("docs/on-call.md is readable");
     let rows = page.lines().skip_while(|line| !line.starts_with("## Log events")).skip(1);
     let rows = rows.take_while(|line| !line.starts_with("## ")).filter(|line| line.starts_with("| `"));
     let mut events = LogEvents::new();
     for row in rows {
         let cells: Vec<&str> = row.trim_matches('|').split('|').map(str::trim).collect();
-        let [event, part, level, fields, meaning] = cells[..] else { panic!("five cells: {row}") };
-        assert!(!meaning.is_empty(), "{row}");
+        let [event, part, level, fields, meaning] = cells[..] else {
+            panic!("the row must have five cells: {row}")
+        };
+        assert!(!meaning.is_empty(), "no meaning: {row}");
         let key = EventKey { message: unquote(event), part: unquote(part), level: level.to_owned() };
         let fields = fields.split(',').map(unquote).filter(|field| !field.is_empty()).collect();
         assert!(events.insert(key, fields).is_none(), "listed twice: {row}");
@@ -61,43 +67,47 @@
     cell.trim().trim_matches('`').to_owned()
 }
 
-/// The events of all files of a folder; the fields of an event that is written in several places are merged.
-fn events_in_sources(folder: &Path) -> LogEvents {
+/// Collects the events of all source files in a directory. The fields of an event that is written in several
+/// places are merged.
+fn collect_source_events(directory: &Path) -> LogEvents {
     let mut events = LogEvents::new();
-    for entry in fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(directory).expect("the directory is readable") {
+        let path = entry.expect("the directory entry is readable").path();
         if path.is_dir() {
-            merge(&mut events, events_in_sources(&path));
+            merge_events(&mut events, collect_source_events(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            merge(&mut events, events_in_text(&fs::read_to_string(&path).expect("a source file")));
+            merge_events(
+                &mut events,
+                parse_events(&fs::read_to_string(&path).expect("the source file is readable")),
+            );
         }
     }
     events
 }
 
-fn merge(events: &mut LogEvents, others: LogEvents) {
+fn merge_events(events: &mut LogEvents, others: LogEvents) {
     for (event, fields) in others {
         events.entry(event).or_default().extend(fields);
     }
 }
 
-fn events_in_text(text: &str) -> LogEvents {
+fn parse_events(text: &str) -> LogEvents {
     let mut events = LogEvents::new();
     for level in LEVELS {
         let call = format!("{level}!(");
         for (position, _) in text.match_indices(&call) {
             let is_whole_name = !text[..position].ends_with(|before: char| before.is_alphanumeric());
             if is_whole_name {
-                let (key, fields) = parse_event(level, &arguments(&text[position + call.len()..]));
-                merge(&mut events, LogEvents::from([(key, fields)]));
+                let (key, fields) = parse_event(level, &split_arguments(&text[position + call.len()..]));
+                merge_events(&mut events, LogEvents::from([(key, fields)]));
             }
         }
     }
     events
 }
 
-/// The arguments of a macro call, up to its closing parenthesis.
-fn arguments(text: &str) -> Vec<String> {
+/// Splits the arguments of a macro call, up to its closing parenthesis.
+fn split_arguments(text: &str) -> Vec<String> {
     let (mut arguments, mut argument) = (Vec::new(), String::new());
     let (mut depth, mut is_in_string) = (0, false);
     for character in text.chars() {
@@ -119,15 +129,17 @@
     arguments
 }
 
-/// An event whose arguments are its target, its fields and, last, its message.
+/// Parses the arguments of an event: its target, its fields and, last, its message.
 fn parse_event(level: &str, arguments: &[String]) -> (EventKey, BTreeSet<String>) {
-    let [target, fields @ .., message] = arguments else { panic!("a target and a message: {arguments:?}") };
+    let [target, fields @ .., message] = arguments else {
+        panic!("an event needs a target and a message: {arguments:?}")
+    };
     let constant =
         target.strip_prefix("target:").unwrap_or_else(|| panic!("no target: {arguments:?}")).trim();
     let part = PARTS.iter().find(|(name, _)| *name == constant);
-    let (_, part) = part.unwrap_or_else(|| panic!("unknown part: {arguments:?}"));
+    let (_, part) = part.unwrap_or_else(|| panic!("the target must be one of PARTS: {arguments:?}"));
     let message = message.strip_prefix('"').and_then(|message| message.strip_suffix('"'));
-    let message = message.unwrap_or_else(|| panic!("no literal message: {arguments:?}"));
+    let message = message.unwrap_or_else(|| panic!("the message must be a literal: {arguments:?}"));
     let field_name = |field: &String| {
         let name = field.split('=').next().unwrap_or_default();
         name.trim().trim_start_matches(['%', '?']).to_owned()
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -1,4 +1,5 @@
-//! Callbacks that cross each other, migration of jobs between two processes of a node, and extreme settings.
+//! Callbacks of attempts that have ended or are cancelled, migration of jobs between two processes of a node,
+//! thousands of open jobs, and extreme settings.
 
 use std::io::{ErrorKind, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,93 +13,103 @@
 };
 
 #[test]
-fn earlier_callback_is_repeated_then_no_later_attempt_is_ended_by_it() {
-    let (worker, other) = (ScriptedServer::start(), ScriptedServer::start());
+fn callback_of_earlier_attempt_is_redelivered_then_later_attempt_does_not_end() {
+    let (worker, other_worker) = (ScriptedServer::start(), ScriptedServer::start());
     let (node, watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
     let client = node.submit_accepted_job(&worker, "r1", "order", 8.0);
     node.post_callback("r1", "s-1", r#""state":"returned""#);
-    // It never ran, so that it is retried there and accepted.
+    // The job did not run, so the node retries it at the same worker, which accepts it.
     worker.next_request().accept();
-    wait_until("the count is not 2", || node.counter("curlewusher_delivery_attempts_accepted_total") == 2);
-    watch.send_endpoints_and_wait(43, false, &[other.endpoint_json("s-2", "in_service")], &node);
-    // The answer to the first call was lost on its way.
+    wait_until("the second attempt is not accepted", || {
+        node.counter("curlewusher_delivery_attempts_accepted_total") == 2
+    });
+    watch.send_endpoints_and_wait(43, false, &[other_worker.endpoint_json("s-2", "in_service")], &node);
+    // The worker redelivers the callback, as it does when the response to the first one is lost.
     node.post_callback("r1", "s-1", r#""state":"returned""#);
-    let (_, next, _) = next_request_at_either(&worker, &other);
+    let (_, request, _) = next_request_at_either(&worker, &other_worker);
     assert_eq!(
-        next.message.start_line, "DELETE /jobs/r1 HTTP/1.1",
-        "a second attempt beside one that may run"
+        request.message.start_line, "DELETE /jobs/r1 HTTP/1.1",
+        "a duplicate attempt was sent while an earlier one may run"
     );
-    next.respond("200 OK");
-    // It may have run by then.
+    request.respond("200 OK");
+    // The cancelled attempt may have run, so the client gets an error.
     assert_eq!(read_response(client).status(), 502);
     assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
 }
 
 #[test]
-fn withdrawn_attempt_starts_then_hedged_request_is_not_withdrawn() {
+fn cancelled_attempt_starts_then_hedged_request_is_not_cancelled() {
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let names = ["s-1", "s-2"];
-    let two = |discovery, known: &[String]| {
-        let text = node_config(discovery, known).replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#);
-        // A worker may be slow to accept a job on a busy machine; that is not tested here.
-        text.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
+    let config = |discovery, endpoints: &[String]| {
+        let config =
+            node_config(discovery, endpoints).replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#);
+        // A longer connect timeout, since a worker on a busy machine may accept a job slowly.
+        config.replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
     };
     let (node, _watch, _discovery) =
-        Node::start_with_config(&[("s-1", &workers[0]), ("s-2", &workers[1])], two);
-    let next = || {
+        Node::start_with_config(&[("s-1", &workers[0]), ("s-2", &workers[1])], config);
+    let next_request = || {
         let (worker, request, _) = next_request_at_either(&workers[0], &workers[1]);
         (request, usize::from(std::ptr::eq(worker, &workers[1])))
     };
-    // The budget of hedged requests grows with the jobs served before.
-    for n in 0..12 {
-        let client = node.submit_job(&format!("r{n}"), "view", 8.0);
-        let (got, at) = next();
-        node.serve_job(client, &got, &format!("r{n}"), names[at]);
+    // The budget for hedged requests grows with each served job.
+    for number in 0..12 {
+        let client = node.submit_job(&format!("r{number}"), "view", 8.0);
+        let (request, worker) = next_request();
+        node.serve_job(client, &request, &format!("r{number}"), names[worker]);
     }
     let client = node.submit_job("c", "view", 8.0);
-    let (first, one) = next();
-    first.accept();
-    // It does not start there.
-    let (second, other) = next();
-    assert!(other != one && second.message.start_line.starts_with("POST"), "{}", second.message.start_line);
-    second.accept();
-    node.post_callback("c", names[other], r#""state":"started""#);
-    let (withdrawal, at) = next();
-    assert_eq!((withdrawal.message.start_line.as_str(), at), ("DELETE /jobs/c HTTP/1.1", one));
-    // It starts there while the withdrawal is in transit.
-    let callbacks = "curlewusher_callbacks_total";
-    let before = node.counter(callbacks);
-    node.post_callback("c", names[one], r#""state":"started""#);
-    wait_for_counter(&node, callbacks, before + 1);
+    let (first_request, first_worker) = next_request();
+    first_request.accept();
+    // The first attempt does not start, so the node sends a hedged request.
+    let (hedge, hedge_worker) = next_request();
+    assert!(
+        hedge_worker != first_worker && hedge.message.start_line.starts_with("POST"),
+        "{}",
+        hedge.message.start_line
+    );
+    hedge.accept();
+    node.post_callback("c", names[hedge_worker], r#""state":"started""#);
+    let (cancellation, worker) = next_request();
+    assert_eq!((cancellation.message.start_line.as_str(), worker), ("DELETE /jobs/c HTTP/1.1", first_worker));
+    // The first attempt starts while its cancellation is in transit.
+    let series = "curlewusher_callbacks_total";
+    let before = node.counter(series);
+    node.post_callback("c", names[first_worker], r#""state":"started""#);
+    wait_for_counter(&node, series, before + 1);
     assert_eq!(
         node.counter("curlewusher_delivery_attempts_given_up_total"),
         1,
-        "both attempts are withdrawn"
+        "both attempts were cancelled"
     );
-    withdrawal.respond("200 OK");
-    node.complete_job(client, "c", names[other]);
+    cancellation.respond("200 OK");
+    node.complete_job(client, "c", names[hedge_worker]);
 }
 
 /// Disconnects a client and waits until the node has closed the connection.
 fn disconnect_client(mut client: TcpStream) {
-    client.shutdown(Shutdown::Write).expect("it is open");
-    assert_eq!(client.read_to_end(&mut Vec::new()).unwrap_or(0), 0, "no answer");
+    client.shutdown(Shutdown::Write).expect("the connection is open");
+    assert_eq!(client.read_to_end(&mut Vec::new()).unwrap_or(0), 0, "the node sent a response");
 }
 
-/// A worker, a node with a job that the worker has accepted, its client, the node's successor, and discovery.
+/// Takes over from a node with a job in flight. Returns the worker that has accepted the job, the node, the
+/// client of the job, the scripted successor, and discovery.
 fn take_over_with_accepted_job(
     deadline_s: f64,
 ) -> (ScriptedServer, Node, TcpStream, ScriptedProcess, impl Sized) {
     let worker = ScriptedServer::start();
     let (node, watch, discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let client = node.submit_accepted_job(&worker, "r1", "order", deadline_s);
-    wait_until("the count is not 1", || node.counter("curlewusher_delivery_attempts_accepted_total") == 1);
+    wait_until("the attempt is not accepted", || {
+        node.counter("curlewusher_delivery_attempts_accepted_total") == 1
+    });
     let successor = ScriptedProcess::take_over(&node);
     (worker, node, client, successor, (watch, discovery))
 }
 
 #[test]
-fn client_disconnects_while_job_migrates_then_running_attempt_is_withdrawn() {
+fn client_disconnects_while_job_migrates_then_running_attempt_is_cancelled() {
     let (worker, node, client, mut successor, _discovery) = take_over_with_accepted_job(60.0);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
@@ -114,7 +125,7 @@
     let worker = ScriptedServer::start();
     let (node, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = node.submit_job("r1", "order", 9.0);
-    wait_until("the count is not 1", || node.counter("curlewusher_jobs_taken_total") == 1);
+    wait_until("the job is not accepted", || node.counter("curlewusher_jobs_taken_total") == 1);
     let mut successor = ScriptedProcess::take_over(&node);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
@@ -123,122 +134,130 @@
     node.wait_for_log_line("peer lost");
     watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
     let client = node.submit_job("r2", "view", 9.0);
-    let got = worker.next_request();
-    assert_eq!(got.message.header("x-request-id"), Some("r2"), "forwarded without a client");
-    node.serve_job(client, &got, "r2", "s-1");
-    assert!(!worker.has_pending_request(), "forwarded without a client");
+    let request = worker.next_request();
+    assert_eq!(request.message.header("x-request-id"), Some("r2"), "a job without a client was sent");
+    node.serve_job(client, &request, "r2", "s-1");
+    assert!(!worker.has_pending_request(), "a job without a client was sent");
 }
 
 #[test]
-fn deadline_is_too_close_for_migration_then_job_stays() {
+fn deadline_is_too_close_for_migration_then_job_does_not_migrate() {
     let (worker, _node, client, mut successor, _discovery) = take_over_with_accepted_job(2.4);
-    // The successor does not answer; the client gets its answer all the same.
+    // The successor does not respond, and the client gets a response nevertheless.
     assert_eq!(read_response(client).status(), 502);
     assert!(worker.next_request().message.start_line.starts_with("DELETE "));
-    assert_eq!(successor.decoder.next_frame(), Ok(None), "a job migrates");
-    successor.stream.set_nonblocking(true).expect("a socket");
-    let said = successor.stream.read(&mut [0]).map_err(|e| e.kind());
-    assert_eq!(said, Err(ErrorKind::WouldBlock), "a job migrates, or the link is closed");
+    assert_eq!(successor.decoder.next_frame(), Ok(None), "a job migrated");
+    successor.stream.set_nonblocking(true).expect("the stream is a socket");
+    let result = successor.stream.read(&mut [0]).map_err(|error| error.kind());
+    assert_eq!(result, Err(ErrorKind::WouldBlock), "a job migrated, or the link was closed");
 }
 
 #[test]
-fn job_is_unknown_while_other_process_may_hold_it_then_callback_gets_503() {
+fn job_is_unknown_while_peer_may_own_it_then_callback_gets_503() {
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
-    let word = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
-    assert_eq!(node.callback(word), 204);
-    // The successor closes the link and keeps running: it is the test itself.
+    let callback = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
+    assert_eq!(node.callback(callback), 204);
+    // The successor closes the link and keeps running, since it is the test process.
     drop(ScriptedProcess::take_over(&node));
     node.wait_for_log_line("peer lost");
-    assert_eq!(node.callback(word), 503);
-    // A process that has ended holds no job.
+    assert_eq!(node.callback(callback), 503);
+    // An exited process owns no job.
     let discovery = ScriptedServer::start();
     let successor = Node::wait_until_serving(node.spawn_beside(discovery.address));
     node.wait_for_log_line("successor linked");
     successor.kill();
     node.wait_for_log_line("peer lost");
-    assert_eq!(node.callback(word), 204);
+    assert_eq!(node.callback(callback), 204);
 }
 
-/// A job from a new client is the next that the worker gets, and is served.
-fn assert_serves_next(at: SocketAddr, worker: &ScriptedServer, id: &str) {
-    let client = open_request(at, &job_request(id, "view", 9.0, ""));
-    let got = worker.next_request();
-    assert_eq!(got.message.header("x-request-id"), Some(id), "another job is sent");
-    got.accept();
+/// Submits a job from a new client. Asserts that it is the next job that the worker receives, and that the
+/// client gets the result.
+fn assert_serves_next(address: SocketAddr, worker: &ScriptedServer, id: &str) {
+    let client = open_request(address, &job_request(id, "view", 9.0, ""));
+    let request = worker.next_request();
+    assert_eq!(request.message.header("x-request-id"), Some(id), "another job was sent");
+    request.accept();
     let callback = callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#));
-    assert_eq!(send_request(at, &callback).status(), 204);
+    assert_eq!(send_request(address, &callback).status(), 204);
     assert_eq!(read_response(client).status(), 200);
 }
 
 #[test]
-fn migration_breaks_off_then_exactly_one_process_holds_the_job() {
-    // A job without an attempt in flight is to migrate.
+fn migration_is_interrupted_then_exactly_one_process_owns_the_job() {
+    // The job that migrates has no attempt in flight.
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let (predecessor, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = predecessor.submit_job("r1", "order", 60.0);
-    wait_until("the count is not 1", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
-    let mut to_predecessor = ScriptedProcess::take_over(&predecessor);
-    let (_, moved) = to_predecessor.next_migrated_job();
+    wait_until("the job is not accepted", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
+    let mut link_to_predecessor = ScriptedProcess::take_over(&predecessor);
+    let (_, migration) = link_to_predecessor.next_migrated_job();
 
-    // The successor receives the job, and the predecessor has closed the link before the confirmation can arrive.
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let at = listener.local_addr().expect("an address");
+    // The successor receives the job, but the predecessor has closed the link before the confirmation
+    // arrives.
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let discovery = ScriptedServer::start();
-    let known = [workers[1].endpoint_json("s-1", "in_service")];
-    let (mut to_successor, successor) =
-        ScriptedProcess::accept_successor(&node_config_for_handover(discovery.address, &known), &listener);
-    ScriptedWatch::open(&discovery).send_endpoints(42, true, &known);
-    let (seq, asks) = to_successor.next_frame();
-    assert_eq!(asks, Frame::TakeoverRequest);
-    to_successor.send_frame(seq, &Frame::TakeoverGranted("".into()));
-    // What it sends next is not received.
-    to_successor.stream.shutdown(Shutdown::Read).expect("it is up");
-    let socket = TcpStream::connect(at).expect("it listens");
-    to_successor.send_with_descriptor(&socket, &moved.encode(9).expect("short"));
+    let endpoints = [workers[1].endpoint_json("s-1", "in_service")];
+    let (mut link_to_successor, successor) = ScriptedProcess::accept_successor(
+        &node_config_for_handover(discovery.address, &endpoints),
+        &listener,
+    );
+    ScriptedWatch::open(&discovery).send_endpoints(42, true, &endpoints);
+    let (seq, request) = link_to_successor.next_frame();
+    assert_eq!(request, Frame::TakeoverRequest);
+    link_to_successor.send_frame(seq, &Frame::TakeoverGranted("".into()));
+    // The scripted predecessor receives no further frame.
+    link_to_successor.stream.shutdown(Shutdown::Read).expect("the link is open");
+    let socket = TcpStream::connect(address).expect("the listener is open");
+    link_to_successor
+        .send_with_descriptor(&socket, &migration.encode(9).expect("the frame is within its limit"));
     successor.wait_for_log_line("peer lost");
-    assert_serves_next(at, &workers[1], "r2");
-    assert!(!workers[1].has_pending_request(), "the job belongs to the predecessor");
+    assert_serves_next(address, &workers[1], "r2");
+    assert!(!workers[1].has_pending_request(), "the successor sent the job of the predecessor");
 
-    drop(to_predecessor);
+    drop(link_to_predecessor);
     predecessor.wait_for_log_line("peer lost");
     watch.send_endpoints(43, false, &[workers[0].endpoint_json("s-1", "in_service")]);
-    let got = workers[0].next_request();
-    assert_eq!(got.message.header("x-request-id"), Some("r1"));
-    predecessor.serve_job(client, &got, "r1", "s-1");
+    let request = workers[0].next_request();
+    assert_eq!(request.message.header("x-request-id"), Some("r1"));
+    predecessor.serve_job(client, &request, "r1", "s-1");
 }
 
 #[test]
 fn thousands_of_jobs_are_open_then_callbacks_and_disconnects_are_still_handled() {
-    // More than the queue has room for besides.
-    const JOBS: usize = 4160;
+    // More than the 4,096 messages for which the dispatch queue has room in addition to the slots of the open
+    // jobs.
+    const JOB_COUNT: usize = 4160;
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
-    let most = getrlimit(Resource::Nofile).maximum;
-    setrlimit(Resource::Nofile, Rlimit { current: most, maximum: most }).expect("its own to raise");
-    // They all wait: no worker is known, and while discovery is unreachable only first submissions are rejected.
-    let retry = |n: usize| job_request(&n.to_string(), "order", 900.0, "X-Retry: 1\r\n");
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let text =
-        node_config_with_long_timeouts(nowhere, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
-    let node = Node::start_with_descriptors(&text, 5000);
+    let hard_limit = getrlimit(Resource::Nofile).maximum;
+    setrlimit(Resource::Nofile, Rlimit { current: hard_limit, maximum: hard_limit })
+        .expect("a process may raise its soft limit to its hard limit");
+    // All jobs stay pending: there is no worker, and while discovery is unreachable only first submissions
+    // are rejected.
+    let client_retry = |number: usize| job_request(&number.to_string(), "order", 900.0, "X-Retry: 1\r\n");
+    let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
+    let config =
+        node_config_with_long_timeouts(unreachable, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
+    let node = Node::start_with_descriptors(&config, 5000);
     let mut clients = Vec::new();
-    while clients.len() < JOBS {
-        let batch = clients.len()..clients.len() + JOBS / 65;
-        clients.extend(batch.map(|n| open_request(node.address, &retry(n))));
+    while clients.len() < JOB_COUNT {
+        let batch = clients.len()..clients.len() + JOB_COUNT / 65;
+        clients.extend(batch.map(|number| open_request(node.address, &client_retry(number))));
         wait_for_counter(&node, "curlewusher_jobs_taken_total", clients.len() as u64);
     }
     assert_eq!(node.counter(r#"curlewusher_answers_total{kind="deferred"}"#), 0, "not all jobs are open");
-    // A callback is handled, and so is a client's disconnect.
+    // The node still handles a callback and a client's disconnect.
     node.post_callback("0", "s-1", r#""state":"started""#);
     clients.pop();
-    wait_until("the count is not 1", || node.counter("curlewusher_clients_gone_total") == 1);
+    wait_until("the disconnect is not noticed", || node.counter("curlewusher_clients_gone_total") == 1);
 }
 
 #[test]
 fn settings_are_extreme_but_valid_then_jobs_are_served() {
-    let end = u64::MAX;
-    for (was, is) in [
-        // Nothing could be sent by a connection that is to be up at once.
+    let max = u64::MAX;
+    for (original, replacement) in [
+        // With a connect timeout of zero taken literally, no attempt could be sent.
         (r#""connectTimeoutUs":500000,"#, ""),
         (r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":0"#),
         (r#","keepaliveUs":120000000"#, ""),
@@ -250,36 +269,36 @@
         (r#""fallUs":1000000"#, r#""fallUs":0"#),
         (r#""warmUpUs":1000000"#, r#""warmUpUs":0"#),
         (r#""dedupWindowUs":40000000"#, r#""dedupWindowUs":0"#),
-        // What stands for 'without end'.
-        (r#""objectiveUs":9000000"#, &format!(r#""objectiveUs":{end}"#)),
-        (r#""giveUpUs":9000000"#, &format!(r#""giveUpUs":{end}"#)),
-        (r#""dedupWindowUs":40000000"#, &format!(r#""dedupWindowUs":{end}"#)),
-        (r#""connectTimeoutUs":500000"#, &format!(r#""connectTimeoutUs":{end}"#)),
-        (r#""keepaliveUs":120000000"#, &format!(r#""keepaliveUs":{end}"#)),
-        (r#""maxRetryAfterUs":2000000"#, &format!(r#""maxRetryAfterUs":{end}"#)),
-        (r#""askWithinUs":10000000"#, &format!(r#""askWithinUs":{end}"#)),
-        (r#""fallUs":1000000"#, &format!(r#""fallUs":{end}"#)),
-        (r#""warmUpUs":1000000"#, &format!(r#""warmUpUs":{end}"#)),
-        (r#""sockets":1024"#, &format!(r#""sockets":{end}"#)),
+        // The maximum value means "unlimited".
+        (r#""objectiveUs":9000000"#, &format!(r#""objectiveUs":{max}"#)),
+        (r#""giveUpUs":9000000"#, &format!(r#""giveUpUs":{max}"#)),
+        (r#""dedupWindowUs":40000000"#, &format!(r#""dedupWindowUs":{max}"#)),
+        (r#""connectTimeoutUs":500000"#, &format!(r#""connectTimeoutUs":{max}"#)),
+        (r#""keepaliveUs":120000000"#, &format!(r#""keepaliveUs":{max}"#)),
+        (r#""maxRetryAfterUs":2000000"#, &format!(r#""maxRetryAfterUs":{max}"#)),
+        (r#""askWithinUs":10000000"#, &format!(r#""askWithinUs":{max}"#)),
+        (r#""fallUs":1000000"#, &format!(r#""fallUs":{max}"#)),
+        (r#""warmUpUs":1000000"#, &format!(r#""warmUpUs":{max}"#)),
+        (r#""sockets":1024"#, &format!(r#""sockets":{max}"#)),
     ] {
-        let odd = |discovery, known: &[String]| {
-            let text = node_config(discovery, known);
-            assert!(text.contains(was), "{was}");
-            text.replace(was, is)
+        let config = |discovery, endpoints: &[String]| {
+            let config = node_config(discovery, endpoints);
+            assert!(config.contains(original), "{original}");
+            config.replace(original, replacement)
         };
         let worker = ScriptedServer::start();
-        let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], odd);
+        let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], config);
         let request = job_request("r1", "register", 8.0, "Idempotency-Key: k9\r\n");
         let client = open_request(node.address, &request);
-        let got = worker.next_request();
-        node.serve_job(client, &got, "r1", "s-1");
+        let request = worker.next_request();
+        node.serve_job(client, &request, "r1", "s-1");
     }
 }
 
 #[test]
-fn setting_is_unusable_then_it_is_named_with_the_remedy() {
-    let good = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
-    for (was, is, said) in [
+fn setting_is_invalid_then_error_names_it_and_the_remedy() {
+    let valid = node_config("127.0.0.1:1".parse().expect("the address is valid"), &[]);
+    for (original, replacement, message) in [
         (r#""sendCap":3"#, r#""sendCap":0"#, "settings.limits.sendCap: max_attempts is zero; give 1 or more"),
         (r#""giveUpUs":9000000"#, r#""giveUpUs":0"#, "settings.services.giveUpUs: "),
         (r#""balancers":1"#, r#""balancers":0"#, "settings.balancers: nodes is zero; give "),
@@ -287,36 +306,43 @@
         (r#""overloadFactor":3.0"#, r#""overloadFactor":-1"#, "settings.rules.overloadFactor: "),
         (r#""discovery":"subscribe""#, r#""discovery":"ask""#, "settings.discovery is neither automatic nor"),
     ] {
-        assert!(good.contains(was), "{was}");
-        let node = Node::spawn(&good.replace(was, is), 1024).0.wait_with_output().expect("it ends");
-        let line = String::from_utf8(node.stderr).expect("text");
-        assert_eq!(node.status.code(), Some(2), "{line}");
-        assert!(line.contains(said) && line.lines().count() == 1, "{said}: {line}");
+        assert!(valid.contains(original), "{original}");
+        let output = Node::spawn(&valid.replace(original, replacement), 1024)
+            .0
+            .wait_with_output()
+            .expect("the node exits");
+        let line = String::from_utf8(output.stderr).expect("the output is UTF-8");
+        assert_eq!(output.status.code(), Some(2), "{line}");
+        assert!(line.contains(message) && line.lines().count() == 1, "{message}: {line}");
     }
 }
 
 #[test]
 fn connection_timeouts_are_not_set_then_defaults_apply() {
-    let text = node_config("127.0.0.1:1".parse().expect("an address"), &[]);
-    let written = r#","connectTimeoutUs":500000,"keepaliveUs":120000000"#;
-    assert!(text.contains(written));
-    let file = Node::write_config_file(&text.replace(written, ""));
-    let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_curlewusher"));
-    let said = check.arg("check").env("RELAY_CONFIG", file).output().expect("it starts");
-    let said = String::from_utf8(said.stdout).expect("text");
+    let config = node_config("127.0.0.1:1".parse().expect("the address is valid"), &[]);
+    let timeouts = r#","connectTimeoutUs":500000,"keepaliveUs":120000000"#;
+    assert!(config.contains(timeouts));
+    let file = Node::write_config_file(&config.replace(timeouts, ""));
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_curlewusher"));
+    let output = command.arg("check").env("RELAY_CONFIG", file).output().expect("the program starts");
+    let stdout = String::from_utf8(output.stdout).expect("the output is UTF-8");
     for line in ["connectTimeoutUs = 500000  # default", "keepaliveUs = 1000000  # default"] {
-        assert!(said.contains(&format!("settings.limits.{line}")), "{said}");
+        assert!(stdout.contains(&format!("settings.limits.{line}")), "{stdout}");
     }
 }
 
 #[test]
 fn max_retry_after_is_zero_then_no_retry_after_header_is_sent() {
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
-    for (most, advised) in [("2000000", true), ("0", false)] {
-        let text = node_config(nowhere, &[])
-            .replace("\"maxRetryAfterUs\":2000000", &format!("\"maxRetryAfterUs\":{most}"));
-        let node = Node::start(&text);
-        let answer = send_request(node.address, &job_request("r1", "view", 0.3, ""));
-        assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, advised), "{most}");
+    let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
+    for (max_retry_after, has_header) in [("2000000", true), ("0", false)] {
+        let config = node_config(unreachable, &[])
+            .replace("\"maxRetryAfterUs\":2000000", &format!("\"maxRetryAfterUs\":{max_retry_after}"));
+        let node = Node::start(&config);
+        let response = send_request(node.address, &job_request("r1", "view", 0.3, ""));
+        assert_eq!(
+            (response.status(), response.header("retry-after").is_some()),
+            (503, has_header),
+            "{max_retry_after}"
+        );
     }
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The program as a process, with clients, workers and discovery scripted by the tests.
+//! Tests of the program as a process, with scripted clients, workers and discovery.
 
 mod client_connections;
 mod command_line;
--- a/crates/node/tests/operation/upgrade_scenario.rs
+++ b/crates/node/tests/operation/upgrade_scenario.rs
@@ -1,4 +1,4 @@
-//! Workers and processes of one node, for tests of upgrades.
+//! Workers and processes of one node for tests of upgrades.
 
 use std::net::{SocketAddr, TcpStream};
 
@@ -8,65 +8,68 @@
 };
 
 /// Names of the workers.
-const NAMES: [&str; 2] = ["s-1", "s-2"];
+const WORKER_NAMES: [&str; 2] = ["s-1", "s-2"];
 
-/// A process of a node, with discovery of its own.
+/// Process of a node, with a scripted discovery of its own.
 pub struct NodeProcess {
     pub node: Node,
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     pub discovery: ScriptedServer,
 }
 
-/// The workers that all processes of a node share.
+/// Workers that all processes of a node share.
 pub struct UpgradeScenario {
     pub workers: Vec<ScriptedServer>,
-    pub known: Vec<String>,
+    /// Endpoints of the workers, as discovery lists them.
+    pub endpoints: Vec<String>,
 }
 
-/// Posts a callback, again while it gets 503 because the job migrates, and asserts that it is acknowledged.
+/// Posts a callback, and repeats it while it gets 503 because the job migrates. Asserts that it is
+/// acknowledged.
 pub fn post_callback_until_acknowledged(node: &Node, id: &str, from: &str, rest: &str) {
-    let text = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
-    wait_until("the callback is not acknowledged", || match node.callback(&text) {
+    let callback = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
+    wait_until("the callback is not acknowledged", || match node.callback(&callback) {
         503 => false,
-        status => status == 204 || panic!("{status} to {text}"),
+        status => status == 204 || panic!("{status} to {callback}"),
     });
 }
 
-/// Completes a job of the worker `s-1`.
+/// Posts the callback that completes a job at the worker `s-1`.
 pub fn complete_job(node: &Node, id: &str) {
     post_callback_until_acknowledged(node, id, "s-1", COMPLETED);
 }
 
-/// Waits until the process at this operator address serves.
-pub fn wait_until_ready(operators: SocketAddr) {
-    wait_until("the process is not ready", || call_operator(operators, "READY\n") == "+OK");
+/// Waits until the process at this operator address is ready.
+pub fn wait_until_ready(operator_address: SocketAddr) {
+    wait_until("the process is not ready", || call_operator(operator_address, "READY\n") == "+OK");
 }
 
 impl UpgradeScenario {
-    /// So many workers, and no process yet.
-    pub fn new(workers: usize) -> UpgradeScenario {
-        let workers: Vec<_> = (0..workers).map(|_| ScriptedServer::start()).collect();
-        let known = workers.iter().zip(NAMES);
-        let known = known.map(|(worker, name)| worker.endpoint_json(name, "in_service")).collect();
-        UpgradeScenario { workers, known }
+    /// Starts this number of workers, and no process yet.
+    pub fn new(worker_count: usize) -> UpgradeScenario {
+        let workers: Vec<_> = (0..worker_count).map(|_| ScriptedServer::start()).collect();
+        let named = workers.iter().zip(WORKER_NAMES);
+        let endpoints = named.map(|(worker, name)| worker.endpoint_json(name, "in_service")).collect();
+        UpgradeScenario { workers, endpoints }
     }
 
-    /// A scenario with so many workers, and the first process of its node, which serves.
-    pub fn start(workers: usize) -> (UpgradeScenario, NodeProcess) {
-        let scenario = UpgradeScenario::new(workers);
+    /// Starts this number of workers and the first process of the node, and waits until it is ready.
+    pub fn start(worker_count: usize) -> (UpgradeScenario, NodeProcess) {
+        let scenario = UpgradeScenario::new(worker_count);
         let (first, _) = scenario.start_first();
-        if workers == 1 {
-            // While a worker warms up it gets one job at a time.
+        if worker_count == 1 {
+            // Warms up the worker, which gets one job at a time until then.
             scenario.assert_serves(&first.node, "r0", 0);
         }
         (scenario, first)
     }
 
-    /// Starts a process of the older version and sends it the list.
+    /// Starts the first process of the node, of the older version if there is one. Sends it the list of all
+    /// workers and waits until it is ready. Returns the process and its open watch.
     pub fn start_first(&self) -> (NodeProcess, ScriptedWatch) {
         let discovery = ScriptedServer::start();
-        let node = Node::start_older(&node_config_for_handover(discovery.address, &self.known));
-        let first = NodeProcess::of(node, discovery);
+        let node = Node::start_older(&node_config_for_handover(discovery.address, &self.endpoints));
+        let first = NodeProcess::new(node, discovery);
         let watch = self.send_list(&first);
         first.wait_until_ready();
         (first, watch)
@@ -74,91 +77,95 @@
 
     /// Opens the watch of a process and sends the list of all workers.
     pub fn send_list(&self, process: &NodeProcess) -> ScriptedWatch {
-        ScriptedWatch::answer(&process.discovery, &self.known)
+        ScriptedWatch::answer(&process.discovery, &self.endpoints)
     }
 
-    /// Answers a poll with the list of all workers, where the process still waits for that.
+    /// Answers a poll with the list of all workers. The process may have closed the connection meanwhile.
     pub fn try_send_list(&self, poll: ReceivedRequest) -> ScriptedWatch {
         let watch = ScriptedWatch::of(poll);
-        watch.try_send_line(&endpoint_list_json(42, true, &self.known));
+        watch.try_send_line(&endpoint_list_json(42, true, &self.endpoints));
         watch
     }
 
-    /// Starts the next version and waits until it has taken over.
-    pub fn start_next_version(&self, older: &NodeProcess) -> NodeProcess {
-        let newer = older.start_successor();
-        self.send_list(&newer);
-        older.node.wait_for_log_line("phase changed node=n0 phase=retired");
-        newer.wait_until_ready();
-        newer
+    /// Starts a successor and waits until it has taken over.
+    pub fn start_and_wait_for_takeover(&self, predecessor: &NodeProcess) -> NodeProcess {
+        let successor = predecessor.start_successor();
+        self.send_list(&successor);
+        predecessor.node.wait_for_log_line("phase changed node=n0 phase=retired");
+        successor.wait_until_ready();
+        successor
     }
 
-    /// Submits a job that the first worker has received and not accepted.
+    /// Submits a job, and returns its client and the request that the first worker has received but not
+    /// accepted.
     pub fn submit_unaccepted(&self, node: &Node, id: &str) -> (TcpStream, ReceivedRequest) {
         (node.submit_job(id, "order", 8.0), self.workers[0].next_request())
     }
 
-    /// Submits a job that the first worker has accepted.
+    /// Submits a job and has it accepted by the first worker. Returns its client.
     pub fn submit_accepted(&self, node: &Node, id: &str) -> TcpStream {
-        let (client, got) = self.submit_unaccepted(node, id);
-        got.accept();
+        let (client, request) = self.submit_unaccepted(node, id);
+        request.accept();
         client
     }
 
-    /// Asserts that a job at this process is served by that worker, at the first attempt.
+    /// Submits a job to this process, and asserts that this worker serves it at the first attempt.
     pub fn assert_serves(&self, node: &Node, id: &str, worker: usize) {
         let client = node.submit_job(id, "view", 8.0);
         self.assert_served(node, client, id, worker);
     }
 
-    /// Asserts that a job that was submitted to this process is served by that worker, at the first attempt.
+    /// Asserts that this worker serves a job that was submitted to this process, at the first attempt.
     pub fn assert_served(&self, node: &Node, client: TcpStream, id: &str, worker: usize) {
-        let got = self.workers[worker].next_request();
-        assert!(got.message.header("x-request-id") == Some(id), "{:?}", got.message);
-        got.accept();
-        post_callback_until_acknowledged(node, id, NAMES[worker], COMPLETED);
+        let request = self.workers[worker].next_request();
+        assert!(request.message.header("x-request-id") == Some(id), "{:?}", request.message);
+        request.accept();
+        post_callback_until_acknowledged(node, id, WORKER_NAMES[worker], COMPLETED);
         assert_eq!(read_response(client).status(), 200, "{id}");
     }
 
-    /// Asserts that no worker has got a request besides.
+    /// Asserts that no worker has received another request.
     pub fn assert_no_further_request(&self) {
-        assert!(!self.workers.iter().any(ScriptedServer::has_pending_request), "a second attempt");
+        assert!(
+            !self.workers.iter().any(ScriptedServer::has_pending_request),
+            "a duplicate attempt was sent"
+        );
     }
 }
 
 impl NodeProcess {
-    /// A process that has started.
-    pub fn of(node: Node, discovery: ScriptedServer) -> NodeProcess {
-        let operators = node.operator_address();
-        NodeProcess { node, operators, discovery }
+    /// Wraps a process that has logged its operator address.
+    pub fn new(node: Node, discovery: ScriptedServer) -> NodeProcess {
+        let operator_address = node.operator_address();
+        NodeProcess { node, operator_address, discovery }
     }
 
-    /// Starts a successor, which has the saved list only.
+    /// Starts a successor, which has only the saved endpoint list.
     pub fn start_successor(&self) -> NodeProcess {
         let discovery = ScriptedServer::start();
         let node = Node::wait_until_serving(self.node.spawn_beside(discovery.address));
         assert!(node.is_successor(), "{:?}", node.startup_lines);
         assert_eq!(node.address, self.node.address);
         self.node.wait_for_log_line("successor linked node=n0");
-        NodeProcess::of(node, discovery)
+        NodeProcess::new(node, discovery)
     }
 
-    /// Sends a line to the operator address; returns the answer.
-    pub fn call(&self, line: &str) -> String {
-        call_operator(self.operators, &format!("{line}\n"))
+    /// Sends a line to the operator address; returns the response.
+    pub fn send_command(&self, line: &str) -> String {
+        call_operator(self.operator_address, &format!("{line}\n"))
     }
 
-    /// Asserts that an operator call succeeds.
-    pub fn assert_call_succeeds(&self, line: &str) {
-        assert_eq!(self.call(line), "+OK", "{line}");
+    /// Asserts that an operator command succeeds.
+    pub fn assert_command_succeeds(&self, line: &str) {
+        assert_eq!(self.send_command(line), "+OK", "{line}");
     }
 
-    /// Waits until it serves.
+    /// Waits until the process is ready.
     pub fn wait_until_ready(&self) {
-        wait_until_ready(self.operators);
+        wait_until_ready(self.operator_address);
     }
 
-    /// Sends SIGTERM and asserts that it exits with success.
+    /// Sends SIGTERM and asserts that the process exits with success.
     pub fn terminate(self) {
         self.node.signal("-TERM");
         assert_eq!(self.node.wait_for_exit().status.code(), Some(0));
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -1,5 +1,5 @@
-//! What the program writes for people and their tools, compared to the letter with golden files: `/metrics`, `check`,
-//! `--help` and the responses of the operator address. Log lines are not among them.
+//! Output of the program for operators and their tools, compared byte for byte with golden files: `/metrics`,
+//! `check`, `--help` and the responses of the operator address. Log lines are not compared.
 
 use std::fmt::Write as _;
 use std::net::{Shutdown, SocketAddr};
@@ -10,29 +10,32 @@
     open_request, wait_for_counter, wait_until,
 };
 
-/// Runs the program to its end, with these variables alone of its own.
+/// Runs the program until it exits and returns its output. Of the program's own environment variables only
+/// `variables` are set.
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewusher"));
-    let own = ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "CONSOLE"].map(|name| format!("RELAY_{name}"));
-    for name in &own {
+    let own_variables =
+        ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "CONSOLE"].map(|name| format!("RELAY_{name}"));
+    for name in &own_variables {
         command.env_remove(name);
     }
     command.env_remove("CURLEWUSHER_OPERATOR").envs(variables.iter().copied());
     let output = command.args(arguments).output().expect("the program starts");
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
-/// The samples of each family in the order of their labels, which the program leaves open; buckets stay as they come.
+/// Sorts the samples of each metric family by their labels, since the program writes them in no fixed order.
+/// The buckets of a histogram keep their order.
 fn sort_samples(metrics: &str) -> String {
     let mut lines: Vec<&str> = metrics.lines().collect();
     let labels = |line: &&str| {
         let labels = line.split(['{', '}']).nth(1).unwrap_or_default();
         labels.split(',').filter(|label| !label.starts_with("le=")).map(str::to_owned).collect::<Vec<_>>()
     };
-    lines.chunk_by_mut(|one, next| one.starts_with('#') == next.starts_with('#')).for_each(|part| {
-        if !part[0].starts_with('#') {
-            part.sort_by_key(labels);
+    lines.chunk_by_mut(|one, next| one.starts_with('#') == next.starts_with('#')).for_each(|block| {
+        if !block[0].starts_with('#') {
+            block.sort_by_key(labels);
         }
     });
     lines.join("\n") + "\n"
@@ -40,16 +43,17 @@
 
 #[test]
 fn metrics_of_fresh_node_are_read_then_every_series_is_as_recorded() {
-    let silent = ScriptedServer::start();
+    let discovery = ScriptedServer::start();
     let node = Node::start_with_operator_file(
-        &node_config(silent.address, &[]),
+        &node_config(discovery.address, &[]),
         "[metrics]\nanswer_bounds_ms = [5, 1500]\n",
     );
-    // The saved list.
+    // The first list that the node applies is the saved one.
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 1);
-    let answer = node.get("/metrics");
-    let kind = answer.header("content-type").expect("a content type");
-    let text = format!("{}\ncontent-type: {kind}\n\n{}", answer.start_line, sort_samples(&answer.body));
+    let response = node.get("/metrics");
+    let content_type = response.header("content-type").expect("the response has a content type");
+    let text =
+        format!("{}\ncontent-type: {content_type}\n\n{}", response.start_line, sort_samples(&response.body));
     assert_matches_golden("metrics.txt", &text);
 }
 
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn only_variables_and_needed_fields_are_given_then_check_prints_each_value_as_recorded() {
+fn only_variables_and_required_fields_are_given_then_check_prints_each_value_as_recorded() {
     let variables = [
         ("RELAY_CONFIG", "tests/golden/platform_least.json"),
         ("RELAY_NAME", "n9"),
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn help_is_requested_then_the_text_is_as_recorded() {
+fn help_is_requested_then_text_is_as_recorded() {
     let mut text = String::new();
     for arguments in
         [&["--help"][..], &["-h"], &["serve", "--help"], &["check", "--help"], &["completions", "--help"]]
@@ -85,46 +89,49 @@
     assert_matches_golden("help.txt", &text);
 }
 
-/// Commands sent to the operator address, and the responses.
+/// Transcript of the commands sent to the operator address and of the responses.
 struct OperatorSession {
-    operators: SocketAddr,
-    text: String,
+    operator_address: SocketAddr,
+    transcript: String,
 }
 
 impl OperatorSession {
+    /// Adds a heading to the transcript.
     fn begin_phase(&mut self, name: &str) {
-        let _ = writeln!(self.text, "# {name}");
+        let _ = writeln!(self.transcript, "# {name}");
     }
 
+    /// Sends each line on a connection of its own and records the response.
     fn send(&mut self, lines: &[&str]) {
         for line in lines {
-            let said = read_to_end(self.operators, line.as_bytes());
-            let _ = writeln!(self.text, "{} -> {said}", line.escape_debug());
+            let response = read_to_end(self.operator_address, line.as_bytes());
+            let _ = writeln!(self.transcript, "{} -> {response}", line.escape_debug());
         }
     }
 }
 
-/// Sends a command and reads the response up to the end of the connection.
-fn read_to_end(at: SocketAddr, line: &[u8]) -> String {
+/// Sends a command and reads the response until the node closes the connection.
+fn read_to_end(address: SocketAddr, line: &[u8]) -> String {
     use std::io::{Read, Write};
-    let mut stream = open_request(at, "");
-    stream.write_all(line).expect("it reads");
-    stream.shutdown(Shutdown::Write).expect("it is open");
-    let mut said = Vec::new();
-    stream.read_to_end(&mut said).expect("an answer");
-    said.escape_ascii().to_string()
+    let mut stream = open_request(address, "");
+    stream.write_all(line).expect("the node reads");
+    stream.shutdown(Shutdown::Write).expect("the connection is open");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("the node responds");
+    response.escape_ascii().to_string()
 }
 
 #[test]
 fn operators_send_commands_in_every_phase_then_each_response_is_as_recorded() {
     let (worker, discovery) = (ScriptedServer::start(), ScriptedServer::start());
     let node = Node::start(&node_config_with_console(discovery.address, &[]));
-    let mut session = OperatorSession { operators: node.operator_address(), text: String::new() };
+    let mut session =
+        OperatorSession { operator_address: node.operator_address(), transcript: String::new() };
     session.begin_phase("before the list");
     session.send(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_endpoints(42, true, &[worker.endpoint_json("s-1", "in_service")]);
-    wait_until("it stays unready", || node.get("/ready").status() == 200);
+    wait_until("the node does not become ready", || node.get("/ready").status() == 200);
     session.begin_phase("with the list");
     session.send(&[
         "READY\n",
@@ -144,9 +151,9 @@
     session.send(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
     let client = node.submit_accepted_job(&worker, "r1", "view", 8.0);
     node.signal("-TERM");
-    while read_to_end(session.operators, b"READY\n").starts_with("+OK") {}
+    while read_to_end(session.operator_address, b"READY\n").starts_with("+OK") {}
     session.begin_phase("told to end");
     session.send(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
     node.complete_job(client, "r1", "s-1");
-    assert_matches_golden("second_address.txt", &session.text);
+    assert_matches_golden("second_address.txt", &session.transcript);
 }
--- a/crates/node/tests/unit/descriptor_budget.rs
+++ b/crates/node/tests/unit/descriptor_budget.rs
@@ -1,19 +1,19 @@
-//! The table in the module's documentation.
+//! Check of the values in the table of the module's documentation.
 
 use curlewusher_control::takeover::DescriptorShare;
 
 use super::{AdminAddress, DescriptorBudget};
 use crate::connection_budget::ConnectionBudget;
 
-/// Connections of a budget while the process is alone, and while another of its node runs.
-fn alone_and_halved(budget: &ConnectionBudget) -> (usize, usize) {
-    let alone = budget.free();
+/// Returns the free connections of a budget while the process is alone, and while its peer runs as well.
+fn full_and_halved(budget: &ConnectionBudget) -> (usize, usize) {
+    let full = budget.free();
     budget.set_share(DescriptorShare::Half, || {});
-    (alone, budget.free())
+    (full, budget.free())
 }
 
 #[test]
-fn descriptors_are_divided_then_clients_and_upstream_get_what_the_table_says() {
+fn descriptors_are_divided_then_client_and_upstream_budgets_match_the_table() {
     for (descriptors, admin_address, clients, upstream) in [
         (64, AdminAddress::None, (27, 16), (13, 8)),
         (64, AdminAddress::Configured, (16, 16), (8, 8)),
@@ -25,7 +25,7 @@
         let budget = DescriptorBudget::divide(descriptors, admin_address);
         let case = format!("{descriptors} descriptors, admin address: {admin_address:?}");
         assert_eq!(budget.max_connections(), clients.0 + upstream.0, "{case}");
-        assert_eq!(alone_and_halved(&budget.client_connections()), clients, "{case}");
-        assert_eq!(alone_and_halved(&budget.upstream_connections()), upstream, "{case}");
+        assert_eq!(full_and_halved(&budget.client_connections()), clients, "{case}");
+        assert_eq!(full_and_halved(&budget.upstream_connections()), upstream, "{case}");
     }
 }
