--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -35,7 +35,7 @@
 /// Command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Reports whether this process is ready to serve.
+    /// Reports whether this process is ready: whether its node accepts new clients.
     Ready,
     /// Disables the worker with this id: the node sends nothing more to it.
     Disable(String),
@@ -76,7 +76,7 @@
 /// Reason for which a command was not executed. Each message states what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandError {
-    /// The process does not serve in this phase.
+    /// The node accepts no new clients while the process is in this phase.
     #[error("{0}: {advice}", advice = .0.operator_advice())]
     NotReady(Phase),
     /// No endpoint list has ever contained the worker with this id.
--- a/crates/core/src/dispatcher/attempt_lifecycle.rs
+++ b/crates/core/src/dispatcher/attempt_lifecycle.rs
@@ -45,7 +45,8 @@
         let Some(index) = self.worker_index_of(id) else { return };
         let Some(delay) = self.fleet.worker_mut(index).record_start(now, id) else { return };
         self.fleet.record_start_delay(now, index, delay);
-        // The first attempt to start is kept: a hedged request must not run as well.
+        // The first attempt that starts is kept. All others are cancelled, so that the job does not run
+        // twice.
         if let Some(job) = self.jobs.get(id.job) {
             self.outbox.extend(cancellations(&self.settings, job, Some(id.number)));
         }
--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -7,7 +7,8 @@
 
 /// Time after which work at a worker is reported again although it has not changed.
 const GOSSIP_REFRESH_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
-/// Minimum interval between messages, for each other node of the subset: all of them must read each message.
+/// Minimum interval between two rounds of messages, divided by the number of other nodes of the subset. The
+/// interval grows with that number, because all of these nodes must read each message.
 const GOSSIP_INTERVAL_PER_NODE: TimeSpan = TimeSpan::from_millis(2);
 
 /// Schedule of the gossip about this node's work.
--- a/crates/core/src/dispatcher/job_lifecycle.rs
+++ b/crates/core/src/dispatcher/job_lifecycle.rs
@@ -34,7 +34,7 @@
     /// Queues an admitted job and adds it to the estimates of demand.
     fn accept_job(&mut self, now: Timestamp, job: Job) {
         self.budgets.credit_job(&job, self.fleet.prompt_start_share());
-        self.demand.record_submitted(now, &job);
+        self.demand.record_admitted(now, &job);
         self.fleet.record_key(job.key);
         self.fleet.record_work(job.work);
         self.enqueue_job(job);
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -106,7 +106,8 @@
     }
 
     /// Returns the time before which all attempts that were decided on so far must be written, according to
-    /// the present lease on the endpoint list. None: the lease does not bound them. An attempt that is not
+    /// the present lease on the endpoint list. None: the lease does not bound them. Before the first
+    /// confirmation, the result is [`Timestamp::ORIGIN`]: nothing may be written. An attempt that is not
     /// written by then is ended with [`Outcome::NotSent`](crate::Outcome::NotSent).
     pub fn endpoint_write_deadline(&self) -> Option<Timestamp> {
         self.poll_schedule.lease().write_deadline()
--- a/crates/core/src/dispatcher/review.rs
+++ b/crates/core/src/dispatcher/review.rs
@@ -1,5 +1,5 @@
-//! Sweep over open jobs: answers those whose deadline is about to pass, and tries those that do not start at
-//! other workers.
+//! Sweep over open jobs: answers jobs that can no longer be served in time, and tries other workers for jobs
+//! whose attempts do not start.
 
 use super::Dispatcher;
 use crate::policy::deadlines::Review;
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Reviews an open job: answers it if its deadline is about to pass, otherwise tries to have it started
-    /// at another worker.
+    /// Reviews an open job: answers it if it can no longer be served in time. Otherwise, if it has attempts
+    /// in flight, tries to have it started at another worker.
     fn review_job(&mut self, now: Timestamp, id: JobId) {
         let Some(mut job) = self.jobs.take(id) else { return };
         match self.deadline_context(now).review(&job) {
--- a/crates/core/src/dispatcher/sending.rs
+++ b/crates/core/src/dispatcher/sending.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Refreshes the estimates about workers that are out of date.
+    /// Refreshes the expired estimates of the workers, and the capacity that results from them.
     pub(super) fn refresh_estimates(&mut self, now: Timestamp) {
         self.capacity = self.fleet.refresh_estimates(now, &self.settings);
     }
@@ -51,8 +51,8 @@
         is_sent
     }
 
-    /// Chooses a worker of this node's subset or, if none of those may take the job, one of as many others.
-    /// Near ties are broken at random.
+    /// Chooses a worker of this node's subset or, if none of those may take the job, one of a random
+    /// selection of others, at most as many as the subset has. Near ties are broken at random.
     pub(super) fn choose_worker(&mut self, request: &PlacementRequest) -> Option<Placement> {
         let tied = request.cheapest_workers(&self.send_rules(), self.fleet.subset().members());
         let chosen = self.pick_worker(&tied);
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -20,7 +20,8 @@
         self.expires_at = self.expires_at.filter(|expiry| *expiry > now);
     }
 
-    /// Sets the timer, unless it already expires early enough. Returns the delay after which it is to expire.
+    /// Sets the timer, unless it already expires early enough. Returns the delay after which it is to expire;
+    /// none if it was not set.
     fn set(&mut self, now: Timestamp, next: Timestamp) -> Option<TimeSpan> {
         if self.expires_at.is_some_and(|expiry| expiry <= next && expiry >= now) {
             return None;
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -12,7 +12,8 @@
         job: JobId,
         /// Worker that receives the attempt.
         worker: WorkerId,
-        /// Time after which the attempt ends with [`Outcome::TimedOut`](crate::Outcome::TimedOut).
+        /// Time from now after which the embedder must end the attempt with
+        /// [`Outcome::TimedOut`](crate::Outcome::TimedOut).
         timeout: TimeSpan,
         /// Time before which the first byte must be written; otherwise the attempt ends with
         /// [`Outcome::NotSent`](crate::Outcome::NotSent). None: only the timeout applies.
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -41,7 +41,8 @@
     pub latency_objective: TimeSpan,
     /// Factor of the work of a job in its latency objective.
     pub latency_objective_work_factor: f64,
-    /// Value of a response in time, relative to other classes. If the work of jobs differs, per unit of work.
+    /// Value of a response in time, relative to other classes. If jobs differ in work, it is the value per
+    /// unit of work.
     pub priority_weight: f64,
     /// Total time for which a client waits.
     pub client_timeout: TimeSpan,
--- a/crates/core/src/permission/answering.rs
+++ b/crates/core/src/permission/answering.rs
@@ -4,7 +4,7 @@
 use crate::state::Job;
 use crate::{Action, DeduplicationScope, Idempotency, Settings, TimeSpan};
 
-/// Retry delay that a rejection advises to the client.
+/// Retry delay that a rejection advises to the client, unless the settings limit it to less.
 const REJECT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 /// Checks rule 2: a job is rejected only if a client retry does no harm.
--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -13,8 +13,8 @@
 const MIN_NEW_CONNECTION_AGE: Duration = Duration::from_millis(50);
 /// Minimum time since its last response after which an idle connection may be evicted or redirected.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(200);
-/// Time after which a client has stalled if it has neither sent a byte of its request nor read a byte of its
-/// response.
+/// Time without progress after which a client counts as stalled: it has neither sent a byte of its request
+/// nor read a byte of its response.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Present use of a client connection.
--- a/crates/core/src/permission/denial.rs
+++ b/crates/core/src/permission/denial.rs
@@ -15,11 +15,11 @@
     WorkerUnavailable,
     /// The worker is of a different kind from the one that the class of the job requires.
     WorkerUnsuitable,
-    /// The worker is warming up and has received as much work as it can take.
+    /// The worker is warming up, and the job exceeds the work that this node may send to it now.
     WarmUpBudgetExhausted,
     /// The job has its final response, or its response has begun.
     JobAnswered,
-    /// The client no longer waits.
+    /// The deadline of the job has passed: the client no longer waits.
     DeadlinePassed,
     /// The client has closed its connection.
     ClientGone,
@@ -37,7 +37,7 @@
     OutsideDeduplicationScope,
     /// The job may have run so long ago that the worker no longer discards a duplicate run.
     DeduplicationWindowOver,
-    /// The attempt was decided on too long ago.
+    /// The attempt was decided on too long ago to be written now.
     WriteTooLate,
     /// A request on the connection has not been answered yet.
     RequestUnanswered,
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -27,7 +27,8 @@
 /// writing, and the confirmation of the list may have been on its way for 0.2 s.
 const WRITE_GRACE: TimeSpan = TimeSpan::from_millis(400);
 /// Time after its start for which a process without any confirmation holds jobs. From then on, clients are
-/// better served by other nodes. The process reports that it is ready after 5 s.
+/// better served by other nodes. The time exceeds the 5 s after which such a process reports that it is
+/// ready.
 const MAX_HOLD_BEFORE_CONFIRMATION: TimeSpan = TimeSpan::from_secs(7);
 /// Time after the expiry of the lease from which clients are better served by other nodes. Jobs are held for
 /// a shorter time than this.
@@ -90,7 +91,8 @@
     }
 
     /// Returns the time before which an attempt that was decided on with this list must be written. None: the
-    /// lease does not bound it.
+    /// lease does not bound it. Before the first confirmation, the result is [`Timestamp::ORIGIN`]: nothing
+    /// may be written.
     pub(crate) fn write_deadline(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
         Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + WRITE_GRACE))
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -15,9 +15,16 @@
 //! | may a client connection be closed? | the server of the embedder | [`may_close_connection`] |
 //! | may a process report that it is ready? | the start of the embedder | [`ServingPermission`] |
 //!
-//! Some limits expire unless a positive confirmation arrives. Only that confirmation renews such a limit; a
-//! failure, an end, a start or the passing of time never does. A decision without permission is a violation:
-//! it is not carried out, and [`Violations`] counts it.
+//! Comments refer to four rules by their numbers:
+//!
+//! 1. Every job has exactly one final response. No attempt is sent after that response or after the deadline.
+//! 2. The effect of a job must not happen twice, neither by a retry of this node nor by one of the client.
+//! 3. No new job is sent to a worker that is draining or was removed, or that operators have disabled.
+//! 4. A worker that is warming up is sent no more work than it can take.
+//!
+//! Some permissions expire unless a positive confirmation arrives. Only that confirmation renews such a
+//! permission; a failure, an end, a start or the passing of time never does. A decision without permission is
+//! a violation: it is not carried out, and [`Violations`] counts it.
 
 mod answering;
 mod closing;
--- a/crates/core/src/permission/serving.rs
+++ b/crates/core/src/permission/serving.rs
@@ -8,7 +8,7 @@
 /// of discovery, no node would accept jobs at all.
 const MAX_WAIT_FOR_ENDPOINTS: TimeSpan = TimeSpan::from_secs(5);
 /// Maximum time after its start for which a successor waits for the first response of discovery. Its
-/// predecessor continues to serve in the meantime. An upgrade has 6 s in all.
+/// predecessor continues to serve in the meantime. An upgrade may take at most 6 s in all.
 const MAX_WAIT_BESIDE_PREDECESSOR: TimeSpan = TimeSpan::from_secs(3);
 
 /// Conditions under which a process may report that it is ready.
--- a/crates/core/src/permission/slow_start.rs
+++ b/crates/core/src/permission/slow_start.rs
@@ -7,17 +7,18 @@
 use crate::state::{DEMAND_TIME_CONSTANT, Demand, Fleet, Worker};
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// Fraction of the budget that the only node uses: hints are rough.
+/// Share of the budget that the only node of a subset uses. The rest is a reserve, since hints are rough.
 const SINGLE_NODE_SHARE: f64 = 0.4;
-/// Fraction of the budget that a node uses if it alone has a turn: two turns may fall into one window.
+/// Share of the budget that a node uses if it alone has a turn: two turns may fall into one window.
 const SINGLE_TURN_SHARE: f64 = 0.25;
-/// Fraction of the budget that each node uses if several have a turn at once.
+/// Share of the budget that each node uses if several have a turn at once.
 const SHARED_TURN_SHARE: f64 = 0.33;
 /// Minimum number of nodes for each concurrent turn.
 const MIN_NODES_PER_TURN: u32 = 3;
-/// Maximum work of this node that a single worker may get, as a multiple of an even part.
+/// Upper estimate of the work of this node that a single worker gets, as a multiple of an even part.
 const MAX_TRAFFIC_SKEW: f64 = 2.0;
-/// Fraction of the work of a node that goes to workers that are warming up when the warm ones are saturated.
+/// Estimated share of the work of a node that goes to workers that are warming up when the warm ones are
+/// saturated.
 const SATURATED_WARM_UP_SHARE: f64 = 0.1;
 /// Maximum number of slots that a worker counts for, as a multiple of those that this node itself has
 /// observed there.
@@ -25,7 +26,7 @@
 /// Factor by which the window is extended: work arrives some time after it is sent.
 const WINDOW_EXTENSION_FACTOR: f64 = 1.25;
 
-/// Returns the seconds for which work sent to a worker that is warming up counts.
+/// Returns the seconds for which work sent to a worker that is warming up counts against its budget.
 pub(crate) fn window(settings: &Settings) -> f64 {
     settings.overload_window.as_secs_f64() * WINDOW_EXTENSION_FACTOR
 }
@@ -36,7 +37,7 @@
     pub settings: &'a Settings,
     /// All workers.
     pub fleet: &'a Fleet,
-    /// Work that the clients of this node submitted recently.
+    /// Work that this node recently admitted and shed.
     pub demand: &'a Demand,
     /// Number of workers of the subset that are warming up.
     pub warming_up_workers: usize,
@@ -45,8 +46,8 @@
 }
 
 impl SlowStart<'_> {
-    /// Returns the work that this node may send to a worker now (rule 4), which is infinite for a warm
-    /// worker. Rejected work counts as sent.
+    /// Returns the work that this node may send to a worker now (rule 4), in seconds at speed 1; infinite for
+    /// a warm worker. Rejected work counts as sent.
     pub fn budget(&self, now: Timestamp, worker: &Worker) -> f64 {
         let warm_up_fraction = worker.warm_up_fraction(now, self.settings);
         if warm_up_fraction >= 1.0 {
@@ -62,13 +63,13 @@
         slot_budget * reliable_slots * share - worker.recent_warm_up_work(now, window(self.settings))
     }
 
-    /// Returns the fraction of the whole budget of a worker that this node may use now.
+    /// Returns the share of the whole budget of a worker that this node may use now.
     fn budget_share(&self, now: Timestamp, worker: &Worker, budget: f64) -> f64 {
         match (self.fleet.subset().nodes(), self.concurrent_turns(now, budget)) {
             // Both processes of a node share one budget: the rest of it belongs to the successor.
             _ if self.is_superseded => 0.0,
             (1, _) => SINGLE_NODE_SHARE,
-            // Operators have enabled the worker again and wait to see it used: any node may send one job.
+            // Operators have enabled the worker again and wait until it is used: any node may send one job.
             _ if worker.reenabled_at().is_some() => SINGLE_TURN_SHARE,
             (nodes, turns) if !worker.is_in_subset() || !self.has_turn(now, worker, nodes, turns) => 0.0,
             (_, 1) => SINGLE_TURN_SHARE,
@@ -76,16 +77,17 @@
         }
     }
 
-    /// Returns the number of nodes that have a turn at a worker at once: as many as are likely to use up
-    /// their share of its budget, estimated from the work that this node sends in a window. When warm workers
-    /// are saturated, more work goes to those that are warming up, and fewer nodes have a turn.
+    /// Returns the number of nodes that have a turn at a worker at once: as many as together are likely to
+    /// use up [`SHARED_TURN_SHARE`] of its budget, estimated from the work that this node sends in a window.
+    /// The result is 1 until demand has been observed for a window. When warm workers are saturated, more
+    /// work goes to those that are warming up, and fewer nodes have a turn.
     fn concurrent_turns(&self, now: Timestamp, budget: f64) -> u64 {
         let observed_for =
             now.seconds_since(self.demand.first_submission_at).min(DEMAND_TIME_CONSTANT.as_secs_f64());
         if observed_for < window(self.settings) {
             return 1;
         }
-        let own_work = self.demand.submitted(now) / observed_for * window(self.settings);
+        let own_work = self.demand.admitted(now) / observed_for * window(self.settings);
         let (nodes, share) = (self.fleet.subset().nodes(), SHARED_TURN_SHARE * budget);
         let mut work_per_worker =
             own_work * (MAX_TRAFFIC_SKEW / self.fleet.subset().len().max(1) as f64).min(1.0);
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,11 +1,12 @@
-//! Admission: the resources that a submitted job may claim, and whether the job is accepted.
+//! Admission: the work, weight, quota and latency objective of a submitted job, and whether the job is
+//! accepted.
 
 use super::deadlines::{DeadlineContext, RESPONSE_MARGIN};
 use crate::permission::EndpointLease;
 use crate::state::{AdmissionState, Fleet, Job, MAX_JOB_SLOTS, RELIABLE_HINT_SHARE, clamp_job_work};
 use crate::{JobSubmission, Settings, TimeSpan, Timestamp};
 
-/// Maximum time that a first submission has spent on its way to this node. A job that has waited longer
+/// Time within which a first submission reaches this node. A job that has waited for this time or longer
 /// counts as a client retry.
 const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(15);
 
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -8,11 +8,11 @@
 /// Lead time with which a job is answered before its client disconnects or this node exits. It is two sweep
 /// intervals, since the job may just miss one sweep.
 pub(super) const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_micros(2 * SWEEP_INTERVAL.as_micros());
-/// Minimum time left to its objective with which a queued job is kept, as a fraction of its usual run time.
-/// With less, the job is shed.
+/// Minimum time left to its objective with which a queued job is kept, as a share of its reliable run time
+/// ([`Fleet::reliable_run`]). With less, the job is shed.
 const MIN_RUN_SHARE_LEFT: f64 = 0.6;
 /// Maximum assumed error of a hint, as a multiple of the mean error of hints (of the logarithm).
-const MAX_HINT_ERRORS: f64 = 5.0;
+const MAX_HINT_ERROR_FACTOR: f64 = 5.0;
 
 /// Result of the review of an open job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Returns whether a job is unlikely to meet its objective. A queued job is judged by its usual run time.
-    /// A job in flight is judged by its wait at the worker: it must have passed the last start that could
-    /// still be in time.
+    /// Returns whether a job is unlikely to meet its objective. A queued job is judged by its reliable run
+    /// time. A job in flight is judged by its wait at the worker: it must have passed the last start that
+    /// could still be in time.
     fn is_beyond_objective(&self, job: &Job) -> bool {
         let time_left = job.objective_at.seconds_since(self.now);
         if job.is_idle() {
@@ -78,7 +78,8 @@
         // Objectives grow with the true work, which may exceed the hint by as much as hints have been wrong.
         // The fewer attempts start promptly, the less of that uncertainty counts in favour of the job, since
         // the jobs behind it wait.
-        let max_error = (MAX_HINT_ERRORS * self.fleet.hint_error() * self.fleet.prompt_start_share()).exp();
+        let max_error =
+            (MAX_HINT_ERROR_FACTOR * self.fleet.hint_error() * self.fleet.prompt_start_share()).exp();
         let work_factor = self.settings.classes[job.class].latency_objective_work_factor;
         let hint_allowance =
             work_factor * (max_error - RELIABLE_HINT_SHARE) - 1.0 / self.fleet.typical_speed();
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -33,7 +33,8 @@
     match ended.outcome {
         Outcome::Done => EndAssessment::Success,
         Outcome::Lost if ended.is_lost_with_stale_connection() => EndAssessment::Inconclusive,
-        // A broken connection alone does not show a restart, so a warm worker stays warm.
+        // Only a failure to connect may show a restart. A broken connection does not, so a warm worker stays
+        // warm.
         Outcome::Unreachable => EndAssessment::ConnectFailure,
         Outcome::Error | Outcome::Rejected | Outcome::Lost => EndAssessment::Failure,
         Outcome::TimedOut if !attempt.has_started() => EndAssessment::Failure,
@@ -45,9 +46,10 @@
     }
 }
 
-/// Returns whether a worker is avoided: while it does not accept an attempt that it was sent, while it is
-/// ejected, and afterwards until it has served an idempotent job. A late start is not a reason to avoid it;
-/// it increases the wait w instead.
+/// Returns whether a worker is avoided: while it does not accept an attempt that it was sent, and while it is
+/// ejected. Afterwards, while its failure count exceeds 1, only an idempotent job may probe it, and only if
+/// no attempt is in flight there; each success halves the count. A late start is not a reason to avoid it; it
+/// increases the wait w instead.
 pub(super) fn is_avoided(now: Timestamp, settings: &Settings, worker: &Worker, job: &Job) -> bool {
     let may_probe = settings.is_idempotent(job.class) && worker.is_idle();
     let awaits_probe = worker.health().consecutive_failures > 1 && !may_probe;
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -9,8 +9,10 @@
 /// In that case, only an unresponsive worker starts a job late.
 const UNRESPONSIVE_START_DELAY: TimeSpan = TimeSpan::from_secs(1);
 
-/// Returns whether no attempt of a job has started and each is later than predicted. The work of other nodes
-/// may be queued before the attempt, or its worker may be unresponsive.
+/// Returns whether no attempt of a job has started and each is later than predicted by more than the allowed
+/// delay: [`UNRESPONSIVE_START_DELAY`] if this node observes all work at workers, otherwise
+/// [`LATE_START_THRESHOLD`]. The work of other nodes may be queued before the attempt, or its worker may be
+/// unresponsive.
 pub(crate) fn is_start_overdue(now: Timestamp, settings: &Settings, fleet: &Fleet, job: &Job) -> bool {
     let allowed_delay =
         if fleet.observes_all_work(settings) { UNRESPONSIVE_START_DELAY } else { LATE_START_THRESHOLD };
@@ -20,8 +22,8 @@
     job.in_flight().all(|attempt| fleet.in_flight_attempt(job.id, attempt).is_some_and(is_overdue))
 }
 
-/// Returns whether a hedged request is sent to the worker that was chosen for it: the worker must have a free
-/// slot, and the job must not have been sent to it before.
+/// Returns whether a hedged request is sent to the worker that was chosen for it: the worker must have a slot
+/// that is free or about to become free, and the job must not have been sent to it before.
 pub(crate) fn is_useful(fleet: &Fleet, job: &Job, placement: &Placement) -> bool {
     let worker = fleet.worker(placement.estimate.worker_index).id();
     placement.rating.tier == PlacementTier::Immediate && !job.was_sent_to(worker)
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -14,8 +14,8 @@
 /// Number of workers of the subset for each job of that limit, if this gives a higher limit than
 /// [`MIN_SKIP_LIMIT`]. In a large fleet, a few jobs that fit no worker must not block the others.
 const WORKERS_PER_SKIPPED_JOB: usize = 2;
-/// Fraction of the workers that is reserved for jobs of high weight, as a multiple of the fraction of work
-/// that is shed.
+/// Share of the workers that is reserved for jobs of high weight, as a multiple of the share of work that is
+/// shed.
 const SHED_RESERVE_FACTOR: f64 = 3.0;
 /// Minimum weight of jobs that are exempt from that reserve.
 const RESERVE_EXEMPT_WEIGHT: f64 = 0.4;
@@ -31,7 +31,7 @@
     MIN_SKIP_LIMIT.max(fleet.subset().len() / WORKERS_PER_SKIPPED_JOB)
 }
 
-/// Returns the fraction of the workers that is reserved for jobs of high weight, while work is being shed.
+/// Returns the share of the workers that is reserved for jobs of high weight, while work is being shed.
 pub(crate) fn reserved_share(now: Timestamp, demand: &Demand) -> f64 {
     (SHED_RESERVE_FACTOR * demand.shed_share(now)).min(1.0)
 }
@@ -46,7 +46,7 @@
     pub fleet: &'a Fleet,
     /// Capacity of the workers of the subset.
     pub capacity: &'a Capacity,
-    /// Fraction of the workers that is reserved, see [`reserved_share`].
+    /// Share of the workers that is reserved, see [`reserved_share`].
     pub reserved_share: f64,
     /// Number of queued jobs.
     pub queue_len: usize,
@@ -58,9 +58,10 @@
         self.is_capacity_reserved(job) || self.is_capacity_exhausted(job)
     }
 
-    /// Returns whether a job is sent now: a slot is about to become free, or a longer wait would miss its
-    /// objective. A job that is estimated to be late at every worker is still sent if it is the only one
-    /// queued, since hints are rough.
+    /// Returns whether a job is sent now: a slot is about to become free, or the job is within its quota and
+    /// a longer wait here would miss its objective. A job that is estimated to be late at every worker is
+    /// still sent if it is the only one queued and would wait at the worker for at most [`MAX_WORKER_WAIT`],
+    /// since hints are rough.
     pub fn should_send(&self, job: &Job, placement: &Placement) -> bool {
         let estimate = &placement.estimate;
         let slack = job.objective_at.seconds_since(self.now) - estimate.reliable_run - estimate.wait;
@@ -78,8 +79,8 @@
         self.capacity.free_share < reserved_share
     }
 
-    /// Returns whether no worker could take the job now. In overload, rating all workers for each job would
-    /// cost too much CPU.
+    /// Returns whether no worker could take the job now, judged by the shortest wait at any worker. In
+    /// overload, rating all workers for each job would cost too much CPU.
     fn is_capacity_exhausted(&self, job: &Job) -> bool {
         let slack = job.objective_at.seconds_since(self.now) - self.capacity.shortest_wait;
         let is_start_near =
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -11,7 +11,8 @@
 const NEAR_TIE_FRACTION: f64 = 0.03;
 /// Additional amount by which a cost may exceed the lowest one and still count as a tie.
 const NEAR_TIE_MARGIN: TimeSpan = TimeSpan::from_millis(2);
-/// Maximum wait at a worker with which a job is sent there.
+/// Maximum wait at a worker that counts as [`PlacementTier::Immediate`]. In this node's own zone, the wait
+/// that is equivalent to a zone crossing is added.
 pub(super) const MAX_WORKER_WAIT: TimeSpan = TimeSpan::from_millis(20);
 /// Wait that is equivalent to a zone crossing of price 1.
 pub(super) const ZONE_CROSSING_WAIT: TimeSpan = TimeSpan::from_secs(2);
@@ -109,7 +110,7 @@
         rated
     }
 
-    /// Returns the choice of a worker that was rated.
+    /// Returns the placement of the job at a worker that was rated.
     pub fn place(&self, fleet: &Fleet, worker: RatedWorker) -> Placement {
         Placement { rating: worker.rating, estimate: self.estimate(fleet, worker.index) }
     }
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -79,9 +79,9 @@
         Some(LateAttempt { number: attempt.number, worker_index: fleet.find(attempt.worker)?, delay })
     }
 
-    /// Returns whether the job would now cost less at another worker. The unpredicted part of the wait so far
-    /// is taken as the wait still to come, because the work of other nodes at a worker shows only in such
-    /// late starts.
+    /// Returns whether the job would now cost less at the alternative, which must be another worker that can
+    /// start it immediately. The unpredicted part of the wait so far is taken as the wait still to come,
+    /// because the work of other nodes at a worker shows only in such late starts.
     pub fn costs_less_at(&self, fleet: &Fleet, request: &PlacementRequest, alternative: &Placement) -> bool {
         let current_worker = fleet.worker(self.worker_index);
         let current_run = request.estimate(fleet, self.worker_index).run;
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -47,8 +47,8 @@
 /// Maximum number of doublings of the spread.
 const MAX_SPREAD_DOUBLINGS: u32 = 16;
 /// Maximum spread that is based on [`DEFAULT_POLL_COST`]. After failures, the spread may grow up to it even
-/// if answered polls were cheaper: they may have had no changes to report. If all nodes relied on their cost,
-/// an overloaded discovery would never answer again.
+/// if answered polls were cheaper: the responses to them may have had no changes to report. If all nodes
+/// relied on the cost of such polls, an overloaded discovery would never answer again.
 const MAX_OVERLOADED_SPREAD: TimeSpan = TimeSpan::from_millis(7500);
 /// Divisor for the jitter after a failed poll: the time to the next poll varies at random by up to the spread
 /// divided by this value, in both directions.
--- a/crates/core/src/state/affinity.rs
+++ b/crates/core/src/state/affinity.rs
@@ -56,7 +56,7 @@
         self.recent_keys.iter().copied()
     }
 
-    /// Records the key of a submitted job.
+    /// Records the key of an admitted job.
     pub fn record_key(&mut self, key: Option<u64>) {
         self.recent_keys.extend(key);
         if self.recent_keys.len() > MAX_RECENT_KEYS {
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Records an attempt that was cancelled before its start because another attempt of its job had started.
-    /// The start delay of this worker is at least the delay observed until the cancellation, and at least
-    /// [`LATE_START_THRESHOLD`].
+    /// Records an attempt that was cancelled before its start, for example because another attempt of its job
+    /// had started. The attempt would have started later still: its start delay counts as the delay until the
+    /// cancellation, but at least as [`LATE_START_THRESHOLD`].
     pub fn record_cancelled_wait(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let delay = ended.attempt.start_delay(now);
         self.record_start_delay(now, ended.worker_index, delay.max(LATE_START_THRESHOLD.as_secs_f64()));
--- a/crates/core/src/state/budgets.rs
+++ b/crates/core/src/state/budgets.rs
@@ -30,7 +30,8 @@
 }
 
 impl AdmissionState {
-    /// Returns the initial state. The bucket of each tenant contains [`QUOTA_BURST`] of its quota.
+    /// Returns the initial state. The bucket of each tenant contains the jobs that this node's part of the
+    /// quota allows in [`QUOTA_BURST`].
     pub fn new(settings: &Settings) -> Self {
         let burst = |quota: &f64| {
             TokenBucket::with_tokens(quota / f64::from(settings.nodes) * QUOTA_BURST.as_secs_f64())
--- a/crates/core/src/state/estimators.rs
+++ b/crates/core/src/state/estimators.rs
@@ -6,10 +6,11 @@
 
 use crate::{JobClass, TimeSpan, Timestamp};
 
-/// Work of a job without a hint while its class has no samples, in seconds at speed 1. The initial estimate
-/// of a class is its latency objective, clamped to between this value and ten times this value.
+/// Initial mean work of a job, in seconds at speed 1. The initial estimate for the jobs of a class without a
+/// hint is the latency objective of the class, clamped to between this value and ten times this value.
 pub(crate) const DEFAULT_JOB_WORK: f64 = 0.1;
-/// Minimum weight of one sample in estimates that many workers share. The first samples have a higher weight.
+/// Weight of one sample in estimates that many workers share. In estimates that count their samples, the
+/// first samples have a higher weight.
 pub(super) const SHARED_ESTIMATE_GAIN: f64 = 0.03;
 /// Maximum error of one sample of a speed, as a multiple of the mean error. It limits the effect of outliers.
 const MAX_SAMPLE_ERROR_FACTOR: f64 = 2.0;
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -36,7 +36,7 @@
     pub start_delay: WindowedMean,
     /// Hinted work sent to workers of the kind.
     pub sent_work: DecayingSum,
-    /// Estimated work that the ready workers of the kind can do in a second.
+    /// Estimated work that the workers of the kind in the subset can do in a second.
     pub capacity: f64,
     /// r: estimated share of the capacity that is used.
     pub utilisation: f64,
@@ -75,7 +75,7 @@
     }
 }
 
-/// All workers that the endpoint list has named.
+/// All workers of the endpoint list, and the estimates that they share.
 pub(crate) struct Fleet {
     /// Workers in the order of their ids. A removed worker stays until its attempts have ended.
     pub(super) workers: Vec<Worker>,
@@ -96,7 +96,7 @@
     pub(super) overall_speed: SpeedEstimate,
     /// Estimated slots of workers without samples, and of the fleet as a whole.
     slots: SlotEstimates,
-    /// Keys of the jobs that were submitted last, oldest first.
+    /// Keys of the jobs that were admitted last, oldest first.
     pub(super) recent_keys: VecDeque<u64>,
     /// Whether the endpoint list has sizes.
     pub(super) sizes_listed: bool,
@@ -201,7 +201,7 @@
         self.unhinted_work.get(class).map_or(DEFAULT_JOB_WORK, |work| clamp_job_work(work.mean))
     }
 
-    /// Adds the work of a submitted job to the mean.
+    /// Adds the work of an admitted job to the mean.
     pub fn record_work(&mut self, work: f64) {
         self.mean_work += SHARED_ESTIMATE_GAIN * (work - self.mean_work);
     }
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -72,7 +72,8 @@
     pub class: usize,
     /// Whether the job exceeds this node's part of the quota of its tenant.
     pub over_quota: bool,
-    /// Priority weight per slot, as a share of the highest priority weight of any class.
+    /// Priority weight per slot, as a share of the highest priority weight of any class. It is reduced if the
+    /// job exceeds the quota, see [`Settings::over_quota_weight`](crate::Settings::over_quota_weight).
     pub weight: f64,
     /// Whether the job is a first submission, as opposed to a client retry.
     pub is_first_submission: bool,
@@ -198,11 +199,11 @@
     }
 }
 
-/// Sort key of a job in the queue. Jobs beyond a quota are last, since their responses have little value. The
-/// other jobs are ordered by the latest start that meets their latency objective.
+/// Sort key of a job in the queue. Jobs that exceed a quota are last, since their responses have little
+/// value. The other jobs are ordered by the latest start that meets their latency objective.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// Whether the job is beyond the quota of its tenant.
+    /// Whether the job exceeds this node's part of the quota of its tenant.
     pub over_quota: bool,
     /// Latest start that meets the latency objective.
     pub latest_start: Timestamp,
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -11,7 +11,8 @@
 #[derive(Default)]
 pub(crate) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs without an attempt in flight, in the order in which they are sent.
+    /// Jobs without an attempt in flight, in the order in which they are sent. The entry of a job that was
+    /// closed in the queue is removed when dispatch reaches it.
     queue: BTreeSet<QueueKey>,
 }
 
@@ -81,7 +82,7 @@
         self.queue.range((after, Bound::Unbounded)).next().copied()
     }
 
-    /// Returns the jobs whose response has not begun, in the order of their ids.
+    /// Returns the open jobs (see [`Job::is_open`]) in the order of their ids.
     pub fn open_jobs(&self) -> Vec<JobId> {
         self.jobs.values().filter(|job| job.is_open()).map(|job| job.id).collect()
     }
--- a/crates/core/src/state/load.rs
+++ b/crates/core/src/state/load.rs
@@ -7,10 +7,10 @@
 /// Time constant of the sums of demand.
 pub(crate) const DEMAND_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(10);
 
-/// Work that was recently submitted and shed, in seconds at speed 1.
+/// Work that was recently admitted and shed, in seconds at speed 1.
 pub(crate) struct Demand {
     /// All admitted work, client retries included.
-    submitted: DecayingSum,
+    admitted: DecayingSum,
     /// Admitted work of first submissions within their quotas.
     within_quota: DecayingSum,
     /// Work of first submissions within their quotas that was shed.
@@ -22,15 +22,15 @@
 impl Default for Demand {
     fn default() -> Self {
         let none = DecayingSum::default();
-        Demand { submitted: none, within_quota: none, shed: none, first_submission_at: Timestamp::MAX }
+        Demand { admitted: none, within_quota: none, shed: none, first_submission_at: Timestamp::MAX }
     }
 }
 
 impl Demand {
     /// Records an admitted job.
-    pub fn record_submitted(&mut self, now: Timestamp, job: &Job) {
+    pub fn record_admitted(&mut self, now: Timestamp, job: &Job) {
         self.first_submission_at = self.first_submission_at.min(now);
-        self.submitted.add(now, job.load(), DEMAND_TIME_CONSTANT);
+        self.admitted.add(now, job.load(), DEMAND_TIME_CONSTANT);
         if job.is_first_submission && !job.over_quota {
             self.within_quota.add(now, job.load(), DEMAND_TIME_CONSTANT);
         }
@@ -44,8 +44,8 @@
     }
 
     /// Returns the recently admitted work.
-    pub fn submitted(&self, now: Timestamp) -> f64 {
-        self.submitted.get(now, DEMAND_TIME_CONSTANT)
+    pub fn admitted(&self, now: Timestamp) -> f64 {
+        self.admitted.get(now, DEMAND_TIME_CONSTANT)
     }
 
     /// Returns the share of the work within quotas that was recently shed.
@@ -56,7 +56,8 @@
 
 /// Last estimated capacity of the subset's workers.
 pub(crate) struct Capacity {
-    /// Share of the workers that have a free slot or will have one shortly.
+    /// Share of the workers that have a free slot or will have one shortly, but at most the share of attempts
+    /// that start promptly.
     pub free_share: f64,
     /// Shortest wait for one slot at any worker, in seconds.
     pub shortest_wait: f64,
--- a/crates/core/src/state/snapshot.rs
+++ b/crates/core/src/state/snapshot.rs
@@ -38,10 +38,10 @@
     /// Mean work of a job, in seconds at speed 1.
     #[serde(rename = "usual_work")]
     mean_work: f64,
-    /// Keys of the jobs that were submitted last, oldest first.
+    /// Keys of the jobs that were admitted last, oldest first.
     #[serde(rename = "keys")]
     recent_keys: Vec<u64>,
-    /// Time at which the first job was submitted.
+    /// Time at which the first job was admitted.
     #[serde(rename = "first_came")]
     first_submission_at: Timestamp,
 }
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -50,7 +50,7 @@
     pub consecutive_failures: u32,
     /// End of the ejection of the worker for its failures.
     pub ejected_until: Timestamp,
-    /// Whether the last attempt could not connect.
+    /// Whether an attempt could not connect and the worker has not been reached since.
     pub unreachable: bool,
 }
 
--- a/crates/core/src/state/worker_events.rs
+++ b/crates/core/src/state/worker_events.rs
@@ -24,7 +24,8 @@
     pub fn record_reachable(&mut self, now: Timestamp) {
         self.invalidate_estimates();
         if self.health.unreachable {
-            // It may have restarted, and be warming up long before the endpoint list shows the restart.
+            // The worker may have restarted, and may be warming up long before the endpoint list shows the
+            // restart.
             self.health.unreachable = false;
             self.started_at = self.started_at.max(now);
         }
