--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -1,4 +1,4 @@
-//! One connection at the admin address: one line with a command is read, and one line is written in response.
+//! Connection to the admin address: reads one line with a command, and writes one line as the response.
 
 use std::io;
 use std::time::Duration;
@@ -13,45 +13,46 @@
 
 use crate::lifecycle::{Lifecycle, Phase};
 
-/// Longest wait for a complete line.
+/// Maximum time to wait for a complete line.
 const READ_LINE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait for the result of a command. An operator waits 1 s for the response.
+/// Maximum time to wait for the result of a command. An operator waits 1 s for the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest time for writing the response.
+/// Maximum time to write the response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A command that is sent to [`AdminService`](crate::admin::service::AdminService).
+/// Command sent to [`AdminService`](crate::admin::service::AdminService).
 pub struct PendingCommand {
-    /// What an operator has sent.
+    /// Command of the operator.
     pub command: AdminCommand,
-    /// Receives the result.
+    /// Sender of the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
 
-/// What each connection needs. `READY` is answered from the phase; all other commands go to the service.
+/// Handler of the commands of each connection. Answers `READY` based on the phase, and sends all other
+/// commands to the service.
 #[derive(Clone)]
 pub struct CommandHandler {
     /// Phase of this process.
     pub lifecycle: Lifecycle,
-    /// Queue of the service.
+    /// Queue of [`AdminService`](crate::admin::service::AdminService).
     pub command_queue: mpsc::Sender<PendingCommand>,
 }
 
 impl CommandHandler {
-    /// Serves a connection to its end.
+    /// Serves a connection until it closes.
     pub async fn serve_connection(self, mut stream: TcpStream) {
-        // Without it the response may be delayed, but arrives.
+        // Without this option the response may be delayed, but still arrives.
         let _ = stream.set_nodelay(true);
         let Ok(Some(line)) = timeout(READ_LINE_TIMEOUT, read_line(&mut stream)).await else { return };
         let result = match AdminCommand::parse(&line) {
-            Ok(command) => Ok(self.carry_out(command).await),
+            Ok(command) => Ok(self.execute(command).await),
             Err(error) => Err(error),
         };
-        // An operator who has closed the connection needs no response.
+        // The write may fail: an operator who has closed the connection needs no response.
         let _ = timeout(WRITE_TIMEOUT, respond(&mut stream, &result)).await;
     }
 
-    async fn carry_out(&self, command: AdminCommand) -> CommandResult {
+    async fn execute(&self, command: AdminCommand) -> CommandResult {
         if command == AdminCommand::Ready {
             return self.check_ready();
         }
@@ -63,8 +64,9 @@
         }
     }
 
-    /// Asks nobody else, because it is called most when the node is busiest. A process whose successor serves is
-    /// ready as well, since it would take the node back.
+    /// Returns whether this process is ready. Uses only the phase and waits for no other task, because this
+    /// command is sent most often when the node is busiest. A process whose successor serves is also ready,
+    /// because a rollback would make it serve again.
     fn check_ready(&self) -> CommandResult {
         match self.lifecycle.phase() {
             Phase::Ready | Phase::Superseded { drained: false } => Ok(()),
@@ -85,15 +87,17 @@
     Ok(())
 }
 
-/// Reads to the end of the connection: closing it with unread input would reset it, and the response with it.
+/// Reads and discards all input until the operator closes the connection. Closing the connection with unread
+/// input would reset it and lose the response.
 async fn discard_input(stream: &mut TcpStream) -> io::Result<()> {
     let mut buffer = [0; MAX_LINE_BYTES];
     while stream.read(&mut buffer).await? > 0 {}
     Ok(())
 }
 
-/// Returns a line with its end; or what came before the end of the connection, none where that is nothing; or, of a
-/// line that is too long, as much as shows that it is.
+/// Returns a line including its line feed. If the connection ends before the line feed, returns what has
+/// arrived, or `None` if nothing has. Of a line that is too long, returns more than [`MAX_LINE_BYTES`] bytes,
+/// which shows that it is too long.
 async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
     while line.len() <= MAX_LINE_BYTES {
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -1,5 +1,6 @@
-//! The listener of the admin address. It has a thread and a runtime of its own, so that a command does not wait behind
-//! the node's clients. The number of connections is limited: an operator gets through however many others are stuck.
+//! Listener of the admin address. It runs on a separate thread with its own runtime, so that a command does
+//! not wait behind the clients of the node. The number of connections is limited, and a new connection evicts
+//! the oldest one, so that an operator is served even if many other connections are stuck.
 
 use std::collections::VecDeque;
 use std::io;
@@ -17,44 +18,45 @@
 use crate::lifecycle::Lifecycle;
 use crate::telemetry::logging::NODE;
 
-/// Most connections at once. One more takes the place of the oldest: a command that is carried out takes
-/// milliseconds.
+/// Maximum number of open connections. A further connection replaces the oldest one, which is probably stuck:
+/// the execution of a command takes milliseconds.
 const MAX_CONNECTIONS: usize = 24;
-/// Descriptors that the admin address needs: its connections, its listener, and its runtime's event queue.
+/// Maximum number of descriptors that the admin address uses: for its connections, its listener, and the
+/// event queue of its runtime.
 pub const MAX_ADMIN_DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
-/// Most commands that wait for [`AdminService`](crate::admin::service::AdminService).
+/// Maximum number of commands that wait for [`AdminService`](crate::admin::service::AdminService).
 const MAX_PENDING_COMMANDS: usize = 64;
-/// Wait before accepting again after a failure, such as a lack of descriptors.
+/// Delay before the next accept after an accept failed, for example for lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why the admin address cannot be used.
+/// Errors of [`AdminListener::open`].
 #[derive(Debug, Error)]
 pub enum AdminListenerError {
-    /// The address cannot be listened on.
+    /// The listener cannot be opened on the address.
     #[error(
         "console: {address}: {source}; give `console` an address of this machine that no other program has"
     )]
     Address {
-        /// The configured address.
+        /// Configured address.
         address: SocketAddr,
-        /// What the system answered.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// The system denies a thread.
+    /// The system refused to create a thread.
     #[error("console: no thread: {0}; raise the limit on processes, or leave `console` out")]
     Thread(#[source] io::Error),
 }
 
-/// The admin address, open until the program ends.
+/// Admin address, open until the process exits.
 pub struct AdminListener {
-    /// Where it listens.
+    /// Address on which the listener is open.
     pub address: SocketAddr,
-    /// Commands that operators send; closed if the thread ends.
+    /// Receiver of the commands that operators send. The channel is closed if the thread ends.
     pub commands: mpsc::Receiver<PendingCommand>,
 }
 
 impl AdminListener {
-    /// Listens at this address, and starts the thread that serves it.
+    /// Listens on this address, and starts the thread that serves it.
     pub fn open(address: SocketAddr, lifecycle: Lifecycle) -> Result<AdminListener, AdminListenerError> {
         let listener = bind(address).map_err(|source| AdminListenerError::Address { address, source })?;
         let address =
@@ -62,7 +64,7 @@
         let (command_queue, commands) = mpsc::channel(MAX_PENDING_COMMANDS);
         let handler = CommandHandler { lifecycle, command_queue };
         let serve = move || {
-            // Dropping the handler closes the channel of commands, which ends the program.
+            // Dropping the handler closes the channel of commands, which makes the process exit.
             if let Err(error) = serve_on_this_thread(listener, handler) {
                 error!(target: NODE, %address, %error, "admin listener failed");
             }
@@ -81,8 +83,9 @@
     Ok(listener)
 }
 
-/// The runtime is built on the thread that uses it: where there is no thread it would have to be dropped within the
-/// node's own runtime, which panics.
+/// Accepts and serves connections. The runtime is built on the thread that uses it: if it were built before,
+/// and the thread could not be created, the runtime would be dropped within the main runtime of the node,
+/// which panics.
 fn serve_on_this_thread(listener: std::net::TcpListener, handler: CommandHandler) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(accept_connections(listener, handler))
@@ -103,7 +106,7 @@
     }
 }
 
-/// Open connections, the oldest first. Those that have ended may still be among them.
+/// Tasks of the open connections, the oldest first. Tasks that have finished may still be among them.
 #[derive(Default)]
 struct Connections(VecDeque<AbortHandle>);
 
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,12 +1,12 @@
-//! The admin address: an address for operators alone, which serves one command per connection.
+//! Admin address, which only operators use. It serves one command per connection.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`listener`] | accepts connections, on a thread of its own, and limits their number |
-//! | [`connection`] | reads one command, has it carried out, and writes the response |
-//! | [`service`] | carries commands out, in this process and in the other one of its node |
+//! | [`listener`] | accepts connections on a separate thread, and limits their number |
+//! | [`connection`] | reads one command, waits for its result, and writes the response |
+//! | [`service`] | executes commands in this process and in its peer |
 //!
-//! The commands themselves and the texts of the responses are in [`curlewusher_control::command`].
+//! [`curlewusher_control::command`] defines the commands and the texts of the responses.
 
 pub mod connection;
 pub mod listener;
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -1,5 +1,5 @@
-//! Carries out operators' commands, in this process and in the other one of its node. A command succeeds only once
-//! both have carried it out. Which workers are disabled is the dispatch task's to know: no list is kept here.
+//! Execution of operators' commands in this process and in its peer. A command succeeds only after both
+//! processes have executed it. The dispatch task keeps the list of disabled workers; this module keeps none.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,58 +15,61 @@
 use crate::lifecycle::{Lifecycle, PhaseEvent};
 use crate::telemetry::logging::NODE;
 
-/// Carries out commands. Clones share the same state.
+/// Service that executes commands. Clones share the same state.
 #[derive(Clone)]
 pub struct AdminService {
     /// Name of the node.
     pub name: Rc<str>,
     /// Phase of this process.
     pub lifecycle: Lifecycle,
-    /// To the dispatch task.
+    /// Command queue of the dispatch task.
     pub dispatch_commands: mpsc::Sender<DispatchCommand>,
-    /// The other process of this node, while there is one.
+    /// Peer of this process, if there is one.
     pub peer: Peer,
-    /// Whether an operator has started or ended a drain at this process, or at the other one while both ran.
-    pub drain_requested: Rc<Cell<bool>>,
+    /// Whether an operator has started or ended a drain at this process, or at the peer while both processes
+    /// ran.
+    pub drain_set_by_operator: Rc<Cell<bool>>,
 }
 
-/// Which process of the node an operator has sent a command to.
+/// Origin of a command that this process executes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandOrigin {
-    /// This one.
+    /// An operator sent the command to this process.
     Operator,
-    /// The other one, which has carried it out and passes it on.
+    /// An operator sent the command to the peer, which has executed and forwarded it.
     Peer,
 }
 
 impl AdminService {
-    /// Carries out commands for as long as the admin address lasts; without one it never returns.
+    /// Executes commands until the listener of the admin address ends. Never returns if there is no admin
+    /// address.
     pub async fn serve(self, commands: Option<mpsc::Receiver<PendingCommand>>) {
         let Some(mut commands) = commands else { return std::future::pending().await };
         while let Some(PendingCommand { command, reply }) = commands.recv().await {
-            let result = self.carry_out(&command).await;
+            let result = self.execute(&command).await;
             let response = format_response(&Ok(result.clone()));
             info!(target: NODE, node = %self.name, %command, response = response.trim_end(), "admin command completed");
-            // An operator who no longer waits may send it again.
+            // Sending fails if the operator no longer waits; the operator may send the command again.
             let _ = reply.send(result);
         }
     }
 
-    /// Carries out a command that the other process of this node has received.
+    /// Executes a command that the peer has received from an operator.
     pub async fn apply_peer_command(&self, command: &AdminCommand) -> CommandResult {
-        self.carry_out_here(command, CommandOrigin::Peer).await
+        self.execute_locally(command, CommandOrigin::Peer).await
     }
 
-    async fn carry_out(&self, command: &AdminCommand) -> CommandResult {
+    async fn execute(&self, command: &AdminCommand) -> CommandResult {
         if self.lifecycle.phase().is_shutting_down() {
             return Err(CommandError::ShuttingDown);
         }
-        self.carry_out_here(command, CommandOrigin::Operator).await?;
-        self.carry_out_at_peer(command).await
+        self.execute_locally(command, CommandOrigin::Operator).await?;
+        self.execute_at_peer(command).await
     }
 
-    /// Succeeds where there is no other process, or where it ends before it has responded.
-    async fn carry_out_at_peer(&self, command: &AdminCommand) -> CommandResult {
+    /// Forwards a command to the peer and returns its result. Succeeds if there is no peer, or if the link to
+    /// the peer is lost before its response.
+    async fn execute_at_peer(&self, command: &AdminCommand) -> CommandResult {
         let Some(link) = self.peer.link() else { return Ok(()) };
         match link.forward_command(command).await {
             Some(result) => result,
@@ -75,7 +78,7 @@
         }
     }
 
-    async fn carry_out_here(&self, command: &AdminCommand, origin: CommandOrigin) -> CommandResult {
+    async fn execute_locally(&self, command: &AdminCommand, origin: CommandOrigin) -> CommandResult {
         match command {
             AdminCommand::Ready => Ok(()),
             AdminCommand::Drain => self.apply_drain_event(PhaseEvent::Drain),
@@ -90,13 +93,15 @@
     }
 
     fn apply_drain_event(&self, event: PhaseEvent) -> CommandResult {
-        // Without a transition the node is in the requested state already, or the process ends.
+        // If there is no transition, the node is already in the requested state, or the process is shutting
+        // down.
         let _ = self.lifecycle.apply(event);
-        self.drain_requested.set(true);
+        self.drain_set_by_operator.set(true);
         Ok(())
     }
 
-    /// A worker that the other process has accepted is accepted here, even if no endpoint list has named it yet.
+    /// Has the dispatch task disable or enable a worker. Accepts every worker that the peer has accepted,
+    /// even if no endpoint list has contained it yet.
     async fn change_maintenance(
         &self,
         worker: &str,
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -30,7 +30,9 @@
 /// Number of connection permits, which can be halved. Clones share the permits.
 #[derive(Clone)]
 pub struct ConnectionBudget {
+    /// Number of permits while no other process of the node runs.
     full_size: usize,
+    /// Number of permits while another process of the node runs.
     halved_size: usize,
     /// Number of permits that exist, free or in use.
     size: Rc<Cell<usize>>,
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -1,4 +1,5 @@
-//! Reads and writes on the Unix socket between two processes, with the descriptors that frames carry.
+//! Reads and writes on the Unix socket between two processes, including the descriptors that are sent with
+//! frames.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
@@ -18,24 +19,24 @@
 
 use crate::handover::error::HandoverError;
 
-/// A process that reads nothing for this long counts as ended.
+/// Maximum time for which the other process may read nothing before it counts as ended.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many received descriptors may wait for the frames that they belong to; more are closed, so that the
-/// other process cannot use up this one's descriptors.
+/// Maximum number of received descriptors that wait for the frames to which they belong. Further descriptors
+/// are closed, so that the other process cannot use up the descriptors of this process.
 const MAX_PENDING_DESCRIPTORS: usize = 16;
-/// Most bytes taken in by one read.
+/// Maximum number of bytes that one read receives.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// Received descriptors in the order of their frames.
+/// Received descriptors, in the order of the frames to which they belong.
 pub(super) type PendingDescriptors = VecDeque<OwnedFd>;
 
-/// One byte and the descriptor that arrived with it.
+/// Received byte, with the descriptor that arrived with it.
 pub(super) struct ByteWithDescriptor {
     pub(super) byte: u8,
     pub(super) descriptor: Option<OwnedFd>,
 }
 
-/// Receives one byte and the descriptor that it carries, if any.
+/// Receives one byte and the descriptor that arrives with it, if any.
 pub(super) async fn receive_byte_with_descriptor(stream: &UnixStream) -> io::Result<ByteWithDescriptor> {
     let receive = || {
         let mut byte = [0];
@@ -55,8 +56,8 @@
     stream.async_io(Interest::READABLE, receive).await
 }
 
-/// Sends a descriptor with the first of these bytes. Returns how many bytes were written, which may be fewer
-/// than all.
+/// Sends a descriptor with the first of these bytes. Returns the number of bytes that were written, which may
+/// be less than the total.
 pub(super) async fn send_with_descriptor(
     stream: &UnixStream,
     bytes: &[u8],
@@ -74,7 +75,7 @@
     stream.async_io(Interest::WRITABLE, send).await
 }
 
-/// Writes all bytes. Fails once the other process has read nothing for `WRITE_STALL_TIMEOUT`.
+/// Writes all bytes. Fails if the other process reads nothing for `WRITE_STALL_TIMEOUT`.
 pub(super) async fn write_all(stream: &UnixStream, mut bytes: Bytes) -> io::Result<()> {
     while bytes.has_remaining() {
         timeout(WRITE_STALL_TIMEOUT, stream.writable()).await??;
@@ -87,16 +88,17 @@
     Ok(())
 }
 
-/// Whether more can be read from a stream.
+/// State of a stream after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamState {
-    /// Bytes were read, and more may follow.
+    /// The read has received bytes, and more may follow.
     Open,
     /// The other process has closed its end.
     Ended,
 }
 
-/// Reads the next chunk of bytes into the decoder, and its descriptors into `descriptors`.
+/// Reads the next chunk of bytes into the decoder, and the descriptors that arrive with it into
+/// `descriptors`.
 pub(super) async fn read_chunk(
     stream: &UnixStream,
     decoder: &mut Decoder,
@@ -120,7 +122,7 @@
     stream.async_io(Interest::READABLE, receive).await
 }
 
-/// Reads until the decoder has a complete frame. Descriptors that arrive before are closed.
+/// Reads until the decoder has a complete frame. Closes descriptors that arrive in the meantime.
 pub(super) async fn read_frame(stream: &UnixStream, decoder: &mut Decoder) -> Result<Frame, HandoverError> {
     loop {
         if let Some(ReceivedFrame { frame, .. }) = decoder.next_frame()? {
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -1,4 +1,4 @@
-//! Why two processes of one node fail to establish or keep a handover.
+//! Errors of the handover between two processes of one node.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -7,71 +7,79 @@
 use curlewusher_control::frame::{FrameError, RejectReason};
 use thiserror::Error;
 
-/// Why a handover fails. Each text states what an operator can do; whatever the error, the newer process can
-/// bind the client address itself and start without its predecessor's state.
+/// Errors of the handover. Each message states what an operator can do. After each of these errors the
+/// successor can still bind the client address itself and start without the state of its predecessor.
 #[derive(Debug, Error)]
 pub enum HandoverError {
-    /// The user may not create files in `$TMPDIR`.
-    #[error("{path}: {source}; let the node write to $TMPDIR, or its upgrades start cold")]
+    /// The user is not allowed to create files in `$TMPDIR`.
+    #[error(
+        "{path}: {source}; let the node write to $TMPDIR, or its upgrades start without the previous state"
+    )]
     Unwritable {
-        /// The file that was to be created or used.
+        /// Path of the file to create or to use.
         path: PathBuf,
-        /// The error of the system call.
+        /// Error of the system call.
         source: io::Error,
     },
     /// The file system of `$TMPDIR` is full, or the user's quota on it is used up.
-    #[error("{path}: {source}; make room where $TMPDIR is, or the node's upgrades start cold")]
+    #[error(
+        "{path}: {source}; free space in $TMPDIR, or the node's upgrades start without the previous state"
+    )]
     Full {
-        /// The file that was to be created.
+        /// Path of the file to create.
         path: PathBuf,
-        /// The error of the system call.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// Any other error about a file in `$TMPDIR`.
-    #[error("{path}: {source}; look at what is there in $TMPDIR, or the node's upgrades start cold")]
+    /// Another error occurred with a file in `$TMPDIR`.
+    #[error(
+        "{path}: {source}; look at what is there in $TMPDIR, or upgrades start without the previous state"
+    )]
     Rendezvous {
-        /// The file that was to be created or used.
+        /// Path of the file to create or to use.
         path: PathBuf,
-        /// The error of the system call.
+        /// Error of the system call.
         source: io::Error,
     },
     /// The process at the other end of the rendezvous socket runs as another user.
-    #[error("{path} is of user {uid}; run both processes as one user, or give the node a $TMPDIR of its own")]
+    #[error(
+        "{path} belongs to user {uid}; run both processes as one user, or give the node a $TMPDIR of its own"
+    )]
     OtherUser {
         /// Path of the rendezvous socket.
         path: PathBuf,
-        /// Numeric id of that user.
+        /// Numeric id of the user that runs the process at the other end.
         uid: u32,
     },
-    /// The bytes received are not a valid frame.
+    /// The received bytes are not a valid frame.
     #[error(transparent)]
     Protocol(#[from] FrameError),
-    /// A valid frame that is not allowed at this point of the protocol.
+    /// The received frame is valid, but not allowed at this point of the protocol.
     #[error(
-        "the other process sent an unexpected message; the new one starts cold, report it if it comes again"
+        "unexpected message from the other process; the successor starts without state, report it if repeated"
     )]
     UnexpectedFrame,
-    /// The descriptor received is missing, or is not a listener on this node's client address.
+    /// The received descriptor is missing, or is not a listener on the client address of this node.
     #[error(
-        "the other process does not listen on {listen}; the new one binds it itself, nothing is to be done"
+        "the predecessor does not listen on {listen}; the successor binds it itself, no action is needed"
     )]
     NoListener {
-        /// The client address of this process.
+        /// Client address of this process.
         listen: SocketAddr,
     },
-    /// The other process did not answer in time.
+    /// The other process did not answer or read in time.
     #[error(
-        "the older process does not answer; the new one starts cold, end the older one if it keeps running"
+        "no answer from the predecessor; end it if it keeps running, the successor starts without its state"
     )]
     TimedOut,
     /// The connection to the other process was closed or failed.
-    #[error("the other process ended meanwhile ({0}); nothing is to be done")]
+    #[error("the connection to the other process was lost ({0}); no action is needed")]
     Disconnected(#[source] io::Error),
     /// The other process rejected the hello.
     #[error(transparent)]
     Rejected(RejectReason),
-    /// Another process of this node has held the start lock for too long.
-    #[error("{path} is held by another start of this node; end that one if it hangs")]
+    /// Another starting process of this node has held the start lock for too long.
+    #[error("{path} is locked by another starting process of this node; end that process if it hangs")]
     LockTimedOut {
         /// Path of the lock file.
         path: PathBuf,
@@ -79,12 +87,12 @@
 }
 
 impl HandoverError {
-    /// Whether the same hello may be accepted when it is retried later.
+    /// Returns whether a later retry of the same hello may be accepted.
     pub fn is_busy(&self) -> bool {
         matches!(self, HandoverError::Rejected(RejectReason::Busy))
     }
 
-    /// The error of a system call on a file in `$TMPDIR`.
+    /// Converts the error of a system call on a file in `$TMPDIR`.
     pub(super) fn from_file_error(path: &Path, source: io::Error) -> HandoverError {
         let path = path.to_owned();
         match source.kind() {
@@ -96,7 +104,7 @@
         }
     }
 
-    /// The other process closed the connection where a frame was expected.
+    /// Returns the error for a connection that the other process closed where a frame was expected.
     pub(super) fn closed_by_peer() -> HandoverError {
         HandoverError::Disconnected(ErrorKind::UnexpectedEof.into())
     }
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -1,10 +1,10 @@
-//! The handshake between two processes of one node: the newer one sends a hello, the older one accepts it,
-//! which passes the client listener's descriptor and a state snapshot, or rejects it.
+//! Handshake between two processes of one node. The successor sends a hello. The predecessor accepts the
+//! hello and transfers the descriptor of the client listener and a state snapshot, or it rejects the hello.
 //!
-//! | newer process | older process |
+//! | successor | predecessor |
 //! | --- | --- |
 //! | `Hello` | |
-//! | | one byte with the listener's descriptor, then `Accepted` with the snapshot: both are linked |
+//! | | one byte with the listener's descriptor, then `Accepted` with the snapshot: both processes are linked |
 //! | | or `Rejected` with the reason |
 
 use std::net::{SocketAddr, TcpListener};
@@ -26,24 +26,26 @@
 use crate::handover::link::{LinkEnds, PeerLink, limit_snapshot};
 use crate::handover::rendezvous::Rendezvous;
 
-/// How long the newer process waits for the answer to its hello before it starts without a predecessor.
+/// Maximum time for which the successor waits for the response to its hello, before it starts without a
+/// predecessor.
 const HELLO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long the older process waits for a hello, and for its own answer to be written.
+/// Maximum time for which the predecessor waits for a hello, and for its own response to be written.
 pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// The byte that carries the listener's descriptor. No frame begins with it.
+/// Byte with which the descriptor of the listener is sent. No frame begins with this byte.
 const DESCRIPTOR_CARRIER: u8 = b'+';
 
-/// The older process, which has accepted this one as its successor.
+/// Predecessor that has accepted this process as its successor.
 pub struct Predecessor {
-    /// Its listener for clients; from here on both processes hold a descriptor of it.
+    /// Client listener of the predecessor. From now on both processes hold a descriptor of it.
     pub listener: TcpListener,
-    /// Its state snapshot; empty where it has none to transfer.
+    /// State snapshot of the predecessor; empty if it has none to transfer.
     pub snapshot: Bytes,
-    /// The link to it, and its requests.
+    /// Link to the predecessor, with its requests.
     pub link: LinkEnds,
 }
 
-/// Sends a hello to the process at the rendezvous. None where no process listens there. Takes 1.5 s at most.
+/// Sends a hello to the process that listens on the rendezvous socket. Returns `None` if no process listens
+/// there. Takes 1.5 s at most.
 pub async fn contact_predecessor(
     rendezvous: &Rendezvous,
     node: &str,
@@ -88,7 +90,8 @@
     }
 }
 
-/// The received descriptor as a listener, if it is one and is bound to this node's client address.
+/// Converts the received descriptor to a listener. Returns `None` if it is not a listener on the client
+/// address of this node.
 fn client_listener(descriptor: OwnedFd, listen: SocketAddr) -> Option<TcpListener> {
     let is_listening = socket_acceptconn(&descriptor).unwrap_or(false);
     let listener = TcpListener::from(descriptor);
@@ -99,18 +102,19 @@
     is_expected.then_some(listener)
 }
 
-/// A process that requests to be this one's successor. Dropping it closes the connection without an answer.
+/// Hello of a process that requests to be the successor of this one. Dropping it closes the connection
+/// without a response.
 pub struct SuccessorHello {
-    /// Name of its node.
+    /// Name of the node to which the sender belongs.
     pub node: String,
-    /// Client address of its node.
+    /// Client address of the node to which the sender belongs.
     pub listen: String,
     stream: UnixStream,
     decoder: Decoder,
 }
 
 impl SuccessorHello {
-    /// Reads the hello from a new connection. A process whose version of the protocol differs is rejected.
+    /// Reads the hello from a new connection. Rejects a process that uses another version of the protocol.
     pub(super) async fn receive(
         stream: UnixStream,
         rendezvous: &Rendezvous,
@@ -129,15 +133,15 @@
         }
     }
 
-    /// Passes the hello on, or rejects it as busy where another one is pending.
+    /// Adds the hello to the queue `hellos`, or rejects it as busy if the queue is full.
     pub(super) async fn enqueue_or_reject(self, hellos: &mpsc::Sender<SuccessorHello>) {
         if let Err(error) = hellos.try_send(self) {
             error.into_inner().reject(RejectReason::Busy).await;
         }
     }
 
-    /// Accepts it as the successor, which receives the client listener and the state snapshot. On an error it
-    /// counts as disconnected.
+    /// Accepts the sender as the successor, and sends it the client listener and the state snapshot. After an
+    /// error the sender counts as disconnected.
     pub async fn accept(self, listener: impl AsFd, snapshot: Bytes) -> Result<LinkEnds, HandoverError> {
         let send = send_with_descriptor(&self.stream, &[DESCRIPTOR_CARRIER], listener);
         let sent = timeout(HELLO_TIMEOUT, send).await;
@@ -147,16 +151,16 @@
         Ok(ends)
     }
 
-    /// Rejects it.
+    /// Rejects the hello with this reason.
     pub async fn reject(self, reason: RejectReason) {
         send_rejection(&self.stream, reason).await;
     }
 }
 
-/// Where the rejection cannot be written, the closed connection has the same effect.
+/// Sends a rejection. If it cannot be written, closing the connection has the same effect.
 async fn send_rejection(stream: &UnixStream, reason: RejectReason) {
     if let Ok(frame) = Frame::Rejected(reason).encode(0) {
-        // The connection is closed next, which rejects the hello as well.
+        // The write may fail: the connection is closed next, which also rejects the hello.
         let _ = timeout(HELLO_TIMEOUT, write_all(stream, frame)).await;
     }
 }
--- a/crates/node/src/handover/link/mod.rs
+++ b/crates/node/src/handover/link/mod.rs
@@ -1,16 +1,16 @@
-//! The link between two processes of one node: requests in both directions over one Unix socket.
+//! Link between two processes of one node, which carries requests in both directions over one Unix socket.
 //!
-//! Each request has a timeout or no response at all, and what waits to be written is bounded, so that a process
-//! that does not answer or read cannot delay this one. A link is connected until either side closes it, its
-//! stream fails or its writes stall; it is never connected again. Parts:
+//! Each request either has a timeout or expects no response, and the outbound queue is limited. For this
+//! reason a peer that does not answer or read cannot delay this process. A link is connected until either
+//! side closes it, its stream fails or its writes stall. A lost link is never connected again.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `requests` | the typed requests to the other process |
-//! | `peer_request` | the typed requests of the other process |
+//! | `requests` | typed requests to the peer |
+//! | `peer_request` | typed requests of the peer |
 //! | `reader`, `writer` | the two tasks of a link |
-//! | `outbound` | the frames that wait to be written |
-//! | `state` | what tasks and requests share |
+//! | `outbound` | frames that wait to be written |
+//! | `state` | state that tasks and requests share |
 
 mod outbound;
 mod peer_request;
@@ -35,18 +35,19 @@
 use self::state::LinkState;
 use self::writer::write_frames;
 
-/// How many requests of the other process may wait here; further ones are dropped without a response.
+/// Maximum number of requests of the peer that wait for the takeover task. Further requests are dropped
+/// without a response.
 const MAX_PENDING_PEER_REQUESTS: usize = 1024;
 
-/// This process's end of a link, and what arrives on it.
+/// End of a link in this process, with the requests that arrive on it.
 pub struct LinkEnds {
-    /// Sends requests to the other process.
+    /// Link, which sends requests to the peer.
     pub link: PeerLink,
-    /// The other process's requests; the last one is [`PeerRequest::LinkLost`].
+    /// Receiver of the peer's requests. The last one is [`PeerRequest::LinkLost`].
     pub requests: mpsc::Receiver<PeerRequest>,
 }
 
-/// The link to the other process of this node. It uses one descriptor, until it is lost and the last clone is
+/// Link to the peer. It uses one descriptor, which is closed after the link is lost and the last clone is
 /// dropped.
 #[derive(Clone)]
 pub struct PeerLink {
@@ -54,10 +55,11 @@
 }
 
 impl PeerLink {
-    /// Starts a link on a connection whose handshake is done. `decoder` holds what was read after it.
+    /// Starts a link on a connection whose handshake is complete. `decoder` contains the bytes that were read
+    /// after the handshake.
     pub(super) fn start(stream: UnixStream, role: LinkRole, decoder: Decoder) -> LinkEnds {
         let (request_queue, requests) = mpsc::channel(MAX_PENDING_PEER_REQUESTS + 1);
-        // A slot of its own, so that the loss of the link is reported however many requests wait.
+        // A reserved slot, so that the loss of the link is reported even if the queue is full.
         let link_lost_permit = request_queue.clone().try_reserve_owned().ok();
         let state = Rc::new(LinkState::new(stream, role));
         spawn_local(write_frames(Rc::clone(&state)));
@@ -66,23 +68,24 @@
         LinkEnds { link: PeerLink { state }, requests }
     }
 
-    /// Whether the link is connected, as far as this process knows.
+    /// Returns whether the link is connected, as far as this process has observed.
     pub fn is_connected(&self) -> bool {
         self.state.is_connected()
     }
 
-    /// Closes the link for both processes. Pending requests end without a response, unless the other process has
-    /// written it already: such responses are still read, since the other process relies on them.
+    /// Closes the link for both processes. Pending requests end without a response, unless the peer has
+    /// already written the response. Responses that are already written are still read, because the peer
+    /// relies on them.
     pub fn close(&self) {
         self.state.close();
     }
 
-    /// Returns once every frame sent so far is written, or the link is lost.
+    /// Waits until every frame sent so far is written, or the link is lost.
     pub async fn flush(&self) {
         self.state.flush().await;
     }
 
-    /// Process id of the other process.
+    /// Returns the process id of the peer.
     pub(super) fn peer_pid(&self) -> Option<Pid> {
         let credentials = self.state.stream.peer_cred().ok()?;
         credentials.pid().and_then(Pid::from_raw)
--- a/crates/node/src/handover/link/outbound.rs
+++ b/crates/node/src/handover/link/outbound.rs
@@ -1,4 +1,4 @@
-//! Frames that wait to be written to the other process, and the bounds on them.
+//! Outbound queue of a link: frames that wait to be written to the peer, and the limits on them.
 
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
@@ -11,63 +11,66 @@
 
 use crate::telemetry::logging::NODE;
 
-/// How many bytes may wait to be written: one state snapshot (4 MiB) and other frames beside it. A process that
-/// reads so little counts as ended.
+/// Maximum number of bytes that wait to be written: one state snapshot (4 MiB) and other frames in addition.
+/// If more bytes wait, the peer reads too slowly and counts as ended.
 pub(super) const MAX_OUTBOUND_BYTES: usize = 6 << 20;
 
-/// An encoded frame, with what belongs to its writing.
+/// Encoded frame, with the values that are needed to write it.
 pub(super) struct OutboundFrame {
-    /// The frame.
+    /// Bytes of the frame.
     pub(super) bytes: Bytes,
-    /// The descriptor that goes with its first byte.
+    /// Descriptor that is sent with the first byte of the frame.
     pub(super) descriptor: Option<Rc<OwnedFd>>,
-    /// Notified once the complete frame is written; dropped if it never is.
+    /// Sender that is notified when the complete frame is written. Dropped if the frame is never written.
     pub(super) written: Option<oneshot::Sender<()>>,
 }
 
-/// Frames in the order in which they are written. A frame stays in front until it is completely written.
+/// Queue of frames in the order in which they are written. A frame stays at the front until it is completely
+/// written.
 #[derive(Default)]
 pub(super) struct OutboundQueue {
     frames: VecDeque<OutboundFrame>,
+    /// Number of bytes of all frames in the queue.
     bytes: usize,
 }
 
 impl OutboundQueue {
-    /// Adds a frame at the end.
+    /// Adds a frame at the end of the queue.
     pub(super) fn push(&mut self, frame: OutboundFrame) {
         self.bytes += frame.bytes.len();
         self.frames.push_back(frame);
     }
 
-    /// The bytes and the descriptor of the frame in front.
+    /// Returns the bytes and the descriptor of the frame at the front.
     pub(super) fn front(&self) -> Option<(Bytes, Option<Rc<OwnedFd>>)> {
         self.frames.front().map(|frame| (frame.bytes.clone(), frame.descriptor.clone()))
     }
 
-    /// Removes the frame in front, which is completely written. The queue is empty where the link was lost
-    /// meanwhile.
+    /// Removes the frame at the front, which is completely written. Does nothing if the queue is empty
+    /// because the link was lost during the write.
     pub(super) fn remove_written(&mut self) {
         if let Some(frame) = self.frames.pop_front() {
             self.bytes -= frame.bytes.len();
             if let Some(written) = frame.written {
-                // A receiver that was dropped no longer needs it.
+                // Sending fails if the receiver was dropped and no longer needs the notification.
                 let _ = written.send(());
             }
         }
     }
 
-    /// Whether every frame is written.
+    /// Returns whether every frame is written.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes == 0
     }
 
-    /// Whether more waits than `MAX_OUTBOUND_BYTES`.
+    /// Returns whether more than `MAX_OUTBOUND_BYTES` wait to be written.
     pub(super) fn is_over_limit(&self) -> bool {
         self.bytes > MAX_OUTBOUND_BYTES
     }
 }
 
-/// The snapshot, or an empty one where it is over the bound of a frame: the successor then starts without it.
+/// Returns the snapshot, or an empty one if the snapshot exceeds the limit of a frame. The successor then
+/// starts without it.
 pub(in crate::handover) fn limit_snapshot(snapshot: Bytes) -> Bytes {
     let length = snapshot.len();
     if length <= MAX_SNAPSHOT_BYTES {
--- a/crates/node/src/handover/link/peer_request.rs
+++ b/crates/node/src/handover/link/peer_request.rs
@@ -1,4 +1,4 @@
-//! The requests of the other process, as the takeover task receives them.
+//! Requests of the peer, as the takeover task receives them.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -7,56 +7,58 @@
 use curlewusher_control::command::{AdminCommand, CommandResult};
 use tokio::sync::oneshot;
 
-/// A request or message of the other process. A request whose sender is dropped gets no response: the other
-/// process's timeout ends it.
+/// Request or one-way message of the peer. A request whose reply sender is dropped gets no response and times
+/// out at the peer.
 pub enum PeerRequest {
-    /// A callback for a job that the other process does not hold.
+    /// The peer forwards a callback for a job that it does not hold.
     Callback {
-        /// The body as the worker sent it.
+        /// Body as the worker sent it.
         body: Bytes,
-        /// Whether its job is held here; sent once the callback has been handled.
+        /// Sender of whether this process holds the job. Used after the callback has been handled.
         is_handled: oneshot::Sender<bool>,
     },
-    /// The other process is about to accept a job. The link itself knows which ids are being claimed here.
+    /// The peer is about to accept a job. The link itself checks the ids that this process is claiming.
     ClaimJob {
-        /// The job's id.
+        /// Id of the job.
         job_id: String,
-        /// Whether no job of that id is held here.
+        /// Sender of whether this process holds no job with this id.
         is_unheld: oneshot::Sender<bool>,
     },
-    /// An operator's command.
+    /// The peer forwards an operator's command.
     Command {
-        /// The command.
+        /// Command of the operator.
         command: AdminCommand,
-        /// Its result.
+        /// Sender of the result of the command.
         result: oneshot::Sender<CommandResult>,
     },
-    /// A job that the other process held, whose attempts continue.
+    /// The peer migrates a job to this process. The attempts of the job continue.
     MigrateJob {
-        /// The job's record.
+        /// Record of the job.
         job: Bytes,
-        /// Its client's socket.
+        /// Socket of the client of the job.
         client: OwnedFd,
-        /// Whether the job is held here now.
+        /// Sender of whether this process has adopted the job.
         is_adopted: oneshot::Sender<bool>,
-        /// Notified once that response is written and therefore valid: the other process will have read it, or
-        /// has ended. Fails where it was not written: the other process keeps the job.
+        /// Receiver that is notified when the response is written. From then on the response is valid: the
+        /// peer reads it, or has ended. Receiving fails if the response was not written; the peer then keeps
+        /// the job.
         response_written: oneshot::Receiver<()>,
     },
-    /// The cancellation of an attempt, which this process takes over.
+    /// The peer transfers the cancellation of an attempt to this process.
     CancelAttempt {
-        /// Address of the worker that has not acknowledged it.
+        /// Address of the worker that has not acknowledged the cancellation.
         worker: SocketAddr,
-        /// The job's id.
+        /// Id of the job.
         job_id: String,
     },
-    /// The successor is ready for new connections.
+    /// The successor is ready to accept new connections, and requests the takeover.
     Takeover {
-        /// The latest state snapshot; sent once this process accepts no more connections.
+        /// Sender of the latest state snapshot. Used after this process has stopped accepting connections.
         snapshot: oneshot::Sender<Bytes>,
     },
-    /// The successor is shutting down: this process is to take new connections back.
+    /// The successor is shutting down and rolls back the takeover: this process accepts new connections
+    /// again.
     HandBack,
-    /// The link is lost; nothing follows.
+    /// The link is lost. No further request follows.
     LinkLost,
 }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -1,5 +1,5 @@
-//! The task that reads a link's frames: responses complete their requests, and the other process's requests go
-//! to the takeover task.
+//! Task that reads the frames of a link. Responses complete their requests; requests of the peer are queued
+//! for the takeover task.
 
 use std::io::ErrorKind;
 use std::os::fd::OwnedFd;
@@ -19,19 +19,19 @@
 use crate::handover::error::HandoverError;
 use crate::telemetry::logging::NODE;
 
-/// Reads and dispatches the frames of a link.
+/// Reader of the frames of a link.
 pub(super) struct FrameReader {
     state: Rc<LinkState>,
     requests: mpsc::Sender<PeerRequest>,
 }
 
 impl FrameReader {
-    /// A reader that passes the other process's requests on to `requests`.
+    /// Creates a reader that sends the peer's requests to `requests`.
     pub(super) fn new(state: Rc<LinkState>, requests: mpsc::Sender<PeerRequest>) -> FrameReader {
         FrameReader { state, requests }
     }
 
-    /// Reads until the link is lost, then closes it, ends the pending requests and reports the loss.
+    /// Reads until the link is lost. Then closes the link, ends the pending requests and reports the loss.
     pub(super) async fn run(
         self,
         decoder: Decoder,
@@ -48,12 +48,14 @@
     }
 
     async fn read_frames(&self, mut decoder: Decoder) -> Result<(), HandoverError> {
-        // A descriptor arrives with the first byte of its frame, so that both are in the same order.
+        // Each descriptor arrives with the first byte of its frame, so descriptors and frames are in the same
+        // order.
         let mut descriptors = PendingDescriptors::new();
         loop {
             while let Some(ReceivedFrame { sequence: request_id, frame }) = decoder.next_frame()? {
                 if !self.state.is_connected() && !frame.is_response() {
-                    // It can no longer be answered, and the other process relies on that.
+                    // Requests that arrive after the loss are ignored, because the peer relies on receiving
+                    // no response.
                     continue;
                 }
                 self.handle_frame(request_id, frame, &mut descriptors)?;
@@ -61,7 +63,7 @@
             match read_chunk(&self.state.stream, &mut decoder, &mut descriptors).await {
                 Ok(StreamState::Open) => {}
                 Ok(StreamState::Ended) => return Ok(decoder.finish()?),
-                // The other process ended before it had read everything.
+                // The peer closed the connection before it had read all frames.
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(()),
                 Err(error) => return Err(HandoverError::Disconnected(error)),
             }
@@ -80,18 +82,18 @@
             | Frame::ClaimResult(_)
             | Frame::CommandResult(_)
             | Frame::MigrationResult(_) => self.state.complete_request(request_id, frame),
-            Frame::Callback(body) => self.forward_request(
+            Frame::Callback(body) => self.enqueue_and_respond(
                 request_id,
                 |is_handled| PeerRequest::Callback { body, is_handled },
                 |_, is_handled| Frame::CallbackResult(is_handled),
             ),
             Frame::ClaimJob(job_id) => self.handle_claim(request_id, job_id),
-            Frame::Command(command) => self.forward_request(
+            Frame::Command(command) => self.enqueue_and_respond(
                 request_id,
                 |result| PeerRequest::Command { command, result },
                 |_, result| Frame::CommandResult(result),
             ),
-            Frame::TakeoverRequest => self.forward_request(
+            Frame::TakeoverRequest => self.enqueue_and_respond(
                 request_id,
                 |snapshot| PeerRequest::Takeover { snapshot },
                 |_, snapshot| Frame::TakeoverGranted(limit_snapshot(snapshot)),
@@ -101,9 +103,9 @@
                 self.handle_migration(request_id, job, client);
             }
             Frame::CancelAttempt { worker, job_id } => {
-                self.pass_on(PeerRequest::CancelAttempt { worker, job_id });
+                self.enqueue_request(PeerRequest::CancelAttempt { worker, job_id });
             }
-            Frame::HandBack => self.pass_on(PeerRequest::HandBack),
+            Frame::HandBack => self.enqueue_request(PeerRequest::HandBack),
             Frame::Hello { .. } | Frame::Accepted(_) | Frame::Rejected(_) => {
                 return Err(HandoverError::UnexpectedFrame);
             }
@@ -111,25 +113,31 @@
         Ok(())
     }
 
-    /// Rejects a claim of an id that this process is claiming itself; otherwise queries whether it holds the id.
+    /// Rejects a claim that conflicts with a claim of this process. Otherwise queries whether this process
+    /// holds a job with this id, and responds accordingly.
     fn handle_claim(&self, request_id: u64, job_id: String) {
         if !self.state.claims.borrow().allows_peer_claim(&job_id, LocalOwnership::NotOwned) {
             return self.state.send_response(request_id, &Frame::ClaimResult(false));
         }
         let claimed_id = job_id.clone();
-        // Checked again with the answer: this process may have claimed the id in the meantime.
+        // The claims are checked again with the result, because this process may have claimed the id in the
+        // meantime.
         let respond = move |state: &LinkState, is_unheld: bool| {
             let ownership = if is_unheld { LocalOwnership::NotOwned } else { LocalOwnership::Owned };
             Frame::ClaimResult(state.claims.borrow().allows_peer_claim(&claimed_id, ownership))
         };
-        self.forward_request(request_id, |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld }, respond);
+        self.enqueue_and_respond(
+            request_id,
+            |is_unheld| PeerRequest::ClaimJob { job_id, is_unheld },
+            respond,
+        );
     }
 
-    /// Passes the job on, and notifies its receiver when the response is written.
+    /// Queues a migrated job for the takeover task, and notifies the receiver when the response is written.
     fn handle_migration(&self, request_id: u64, job: Bytes, client: OwnedFd) {
         let (is_adopted, adoption) = oneshot::channel();
         let (written, response_written) = oneshot::channel();
-        self.pass_on(PeerRequest::MigrateJob { job, client, is_adopted, response_written });
+        self.enqueue_request(PeerRequest::MigrateJob { job, client, is_adopted, response_written });
         let state = Rc::clone(&self.state);
         spawn_local(async move {
             if let Ok(is_adopted) = adoption.await {
@@ -139,15 +147,16 @@
         });
     }
 
-    /// Passes a request on, and sends the response made from its result once that is there.
-    fn forward_request<T: 'static>(
+    /// Queues a request for the takeover task. When the result is available, converts it to a response and
+    /// sends it.
+    fn enqueue_and_respond<T: 'static>(
         &self,
         request_id: u64,
         request: impl FnOnce(oneshot::Sender<T>) -> PeerRequest,
         response: impl FnOnce(&LinkState, T) -> Frame + 'static,
     ) {
         let (result_channel, result) = oneshot::channel();
-        self.pass_on(request(result_channel));
+        self.enqueue_request(request(result_channel));
         let state = Rc::clone(&self.state);
         spawn_local(async move {
             if let Ok(result) = result.await {
@@ -156,8 +165,8 @@
         });
     }
 
-    /// Passes a request on to the takeover task, which never delays the reader.
-    fn pass_on(&self, request: PeerRequest) {
+    /// Queues a request for the takeover task. Never waits: if the queue is full, the request is dropped.
+    fn enqueue_request(&self, request: PeerRequest) {
         if self.requests.try_send(request).is_err() {
             debug!(target: NODE, "peer request dropped");
         }
--- a/crates/node/src/handover/link/requests.rs
+++ b/crates/node/src/handover/link/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of this process to the other one, each with its timeout.
+//! Requests of this process to the peer, with their timeouts.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -13,32 +13,34 @@
 use super::PeerLink;
 use super::state::LinkState;
 
-/// How long a callback that is forwarded waits; its worker waits for the answer.
+/// Maximum time to wait for the result of a forwarded callback. The worker that sent it waits for the
+/// response.
 const CALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the claim of a job id waits; the job's client waits for it.
+/// Maximum time to wait for the result of the claim of a job id. The client of the job waits for it.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long an operator's command waits; the operator waits up to 1 s for its answer.
+/// Maximum time to wait for the result of a forwarded command. The operator waits up to 1 s for the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a job's migration waits; meanwhile neither process can act on the job.
+/// Maximum time to wait for the result of the migration of a job. During this time neither process can act on
+/// the job.
 pub const MIGRATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the successor waits until its predecessor has handed over new connections.
+/// Maximum time for which the successor waits until the predecessor has granted the takeover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The request id of frames that belong to the handshake.
+/// Request id of the frames of the handshake.
 const HANDSHAKE_REQUEST_ID: u64 = 0;
 
-/// The outcome of forwarding a callback.
+/// Outcome of forwarding a callback to the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardResult {
-    /// The other process holds its job and has handled it.
+    /// The peer holds the job and has handled the callback.
     Handled,
-    /// The other process does not hold its job.
+    /// The peer does not hold the job.
     NotHeld,
-    /// The other process did not answer.
+    /// The peer did not respond.
     NoAnswer,
 }
 
 impl PeerLink {
-    /// Forwards a callback's body. Takes 300 ms at most.
+    /// Forwards the body of a callback to the peer. Takes 300 ms at most.
     pub async fn forward_callback(&self, body: Bytes) -> ForwardResult {
         match self.request(&Frame::Callback(body), None, CALLBACK_TIMEOUT).await {
             Some(Frame::CallbackResult(true)) => ForwardResult::Handled,
@@ -47,10 +49,11 @@
         }
     }
 
-    /// Claims the id of a job that this process is about to accept. None where the other process holds the id,
-    /// or another copy of the job is being claimed here. The claim also succeeds where the other process does
-    /// not answer within 300 ms or has ended. The guard must be dropped only once the job is in the queue of
-    /// whoever answers [`super::PeerRequest::ClaimJob`].
+    /// Claims the id of a job that this process is about to accept. Returns `None` if the peer rejects the
+    /// claim, for example because it holds the id, or if this process is already claiming the id for another
+    /// submission of the job. The claim also succeeds if the peer does not respond within 300 ms or has
+    /// ended. The caller must not drop the guard before the job is in the queue of the part that answers
+    /// [`super::PeerRequest::ClaimJob`].
     pub async fn claim_job(&self, job_id: &str) -> Option<JobClaimGuard> {
         if !self.state.claims.borrow_mut().try_claim(job_id) {
             return None;
@@ -65,8 +68,8 @@
         Some(claim)
     }
 
-    /// Has the other process carry out an operator's command as well. None where it does not answer within
-    /// 700 ms.
+    /// Forwards an operator's command to the peer, which executes it as well. Returns `None` if the peer does
+    /// not respond within 700 ms.
     pub async fn forward_command(&self, command: &AdminCommand) -> Option<CommandResult> {
         match self.request(&Frame::Command(command.clone()), None, COMMAND_TIMEOUT).await {
             Some(Frame::CommandResult(result)) => Some(result),
@@ -74,9 +77,9 @@
         }
     }
 
-    /// Migrates a job to the other process, with its client's socket. Returns whether the other process holds
-    /// it now. Where it does not answer within 2 s the link is closed, after which it can no longer answer:
-    /// the two processes never both hold the job.
+    /// Migrates a job to the peer, with the socket of its client. Returns whether the peer now holds the job.
+    /// If the peer does not respond within 2 s, the link is closed, so that the peer can no longer respond.
+    /// For this reason the two processes never both hold the job.
     pub async fn migrate_job(&self, job: Bytes, client: OwnedFd) -> bool {
         let descriptor = Some(Rc::new(client));
         let Some(mut pending) = self.state.send_request(&Frame::MigrateJob(job), None, descriptor) else {
@@ -96,13 +99,14 @@
         }
     }
 
-    /// Leaves the cancellation of an attempt to the other process.
+    /// Transfers the cancellation of an attempt to the peer.
     pub fn transfer_cancellation(&self, worker: SocketAddr, job_id: &str) {
         self.state.send_one_way(&Frame::CancelAttempt { worker, job_id: job_id.to_owned() });
     }
 
-    /// Requests new connections and the latest state snapshot from the predecessor. Where it does not answer within
-    /// 1 s the link is closed: it may have handed over, and takes back when it sees the link lost.
+    /// Requests the takeover of new connections and the latest state snapshot from the predecessor. If the
+    /// predecessor does not respond within 1 s, the link is closed: the predecessor may have granted the
+    /// takeover, and rolls it back when it observes the loss of the link.
     pub async fn request_takeover(&self) -> Option<Bytes> {
         if let Some(Frame::TakeoverGranted(snapshot)) =
             self.request(&Frame::TakeoverRequest, None, TAKEOVER_TIMEOUT).await
@@ -114,24 +118,30 @@
         }
     }
 
-    /// Has the predecessor take new connections back.
+    /// Rolls back the takeover: the predecessor accepts new connections again.
     pub fn hand_back(&self) {
         self.state.send_one_way(&Frame::HandBack);
     }
 
-    /// Completes the handshake: the other process is the successor.
+    /// Completes the handshake by accepting the peer as the successor.
     pub(in crate::handover) fn send_acceptance(&self, snapshot: Bytes) {
         self.state.send_response(HANDSHAKE_REQUEST_ID, &Frame::Accepted(snapshot));
     }
 
-    /// Sends a request and waits for its response. None where none arrives in time or the link is lost.
-    async fn request(&self, frame: &Frame, claimed_job: Option<Rc<str>>, within: Duration) -> Option<Frame> {
+    /// Sends a request and waits for its response. Returns `None` if no response arrives within
+    /// `response_timeout` or the link is lost.
+    async fn request(
+        &self,
+        frame: &Frame,
+        claimed_job: Option<Rc<str>>,
+        response_timeout: Duration,
+    ) -> Option<Frame> {
         let mut pending = self.state.send_request(frame, claimed_job, None)?;
-        timeout(within, &mut pending.receiver).await.ok()?.ok()
+        timeout(response_timeout, &mut pending.receiver).await.ok()?.ok()
     }
 }
 
-/// The claim of a job id. Until it is dropped the other process's claims of that id are rejected.
+/// Guard of the claim of a job id. The peer's claims of this id are rejected until the guard is dropped.
 pub struct JobClaimGuard {
     state: Rc<LinkState>,
     job_id: Rc<str>,
--- a/crates/node/src/handover/link/state.rs
+++ b/crates/node/src/handover/link/state.rs
@@ -1,5 +1,5 @@
-//! What the tasks of a link and its requests share: the connection, the outbound queue, the requests without a
-//! response and the job ids being claimed.
+//! State that the tasks and the requests of a link share: the connection, the outbound queue, the pending
+//! requests and the job ids that are being claimed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,37 +17,37 @@
 use super::outbound::{OutboundFrame, OutboundQueue};
 use crate::telemetry::logging::NODE;
 
-/// Id of the first request on a link; the frames of the handshake have 0.
+/// Id of the first request on a link. The frames of the handshake have the id 0.
 const FIRST_REQUEST_ID: u64 = 1;
 
-/// A request that the other process has not answered yet.
+/// Request that the peer has not answered yet.
 struct PendingRequest {
     response: oneshot::Sender<Frame>,
-    /// The job id that it claims.
+    /// Job id that the request claims, if it is a claim.
     claimed_job: Option<Rc<str>>,
 }
 
-/// The shared state of a link.
+/// Shared state of a link.
 pub(super) struct LinkState {
-    /// The connection to the other process.
+    /// Connection to the peer.
     pub(super) stream: UnixStream,
-    /// Ids of jobs that this process is claiming.
+    /// Job ids that this process is claiming.
     pub(super) claims: RefCell<JobClaims>,
-    /// Notified when a frame is queued or the link is lost.
+    /// Notification that a frame is queued or the link is lost.
     pub(super) outbound_changed: Notify,
-    /// Notified when every frame is written or the link is lost.
+    /// Notification that every frame is written or the link is lost.
     pub(super) outbound_written: Notify,
     /// Frames that wait to be written.
     pub(super) outbound: RefCell<OutboundQueue>,
-    /// Cancelled once the link is lost.
+    /// Token that is cancelled when the link is lost.
     pub(super) lost: CancellationToken,
     next_request_id: Cell<u64>,
-    /// By request id.
+    /// Pending requests by request id.
     pending_requests: RefCell<HashMap<u64, PendingRequest>>,
 }
 
 impl LinkState {
-    /// The state of a new link.
+    /// Creates the state of a new link.
     pub(super) fn new(stream: UnixStream, role: LinkRole) -> LinkState {
         LinkState {
             stream,
@@ -61,32 +61,32 @@
         }
     }
 
-    /// See [`super::PeerLink::is_connected`].
+    /// Implements [`super::PeerLink::is_connected`].
     pub(super) fn is_connected(&self) -> bool {
         !self.lost.is_cancelled()
     }
 
-    /// See [`super::PeerLink::close`].
+    /// Implements [`super::PeerLink::close`].
     pub(super) fn close(&self) {
         if !self.is_connected() {
             return;
         }
         self.lost.cancel();
         *self.outbound.borrow_mut() = OutboundQueue::default();
-        // Fails where the other process has closed the connection already.
+        // The call fails if the peer has already closed the connection.
         let _ = shutdown(&self.stream, Shutdown::Both);
         self.outbound_changed.notify_one();
         self.outbound_written.notify_waiters();
     }
 
-    /// See [`super::PeerLink::flush`].
+    /// Implements [`super::PeerLink::flush`].
     pub(super) async fn flush(&self) {
         while self.is_connected() && !self.outbound.borrow().is_empty() {
             self.outbound_written.notified().await;
         }
     }
 
-    /// Sends a request. None where the link is lost or the frame is over its bound.
+    /// Sends a request. Returns `None` if the link is lost or the frame exceeds its limit.
     pub(super) fn send_request(
         &self,
         frame: &Frame,
@@ -102,7 +102,7 @@
         Some(pending)
     }
 
-    /// Sends a frame that has no response.
+    /// Sends a frame that expects no response.
     pub(super) fn send_one_way(&self, frame: &Frame) {
         self.send_response(self.take_request_id(), frame);
     }
@@ -112,7 +112,7 @@
         self.send_frame(request_id, frame, None);
     }
 
-    /// Sends the response to a request, and notifies `written` once it is written.
+    /// Sends the response to a request, and notifies `written` when the response is written.
     pub(super) fn send_response_and_notify(
         &self,
         request_id: u64,
@@ -122,14 +122,15 @@
         self.send_frame(request_id, frame, Some(written));
     }
 
-    /// Passes a response on to the request that waits for it, if one still does.
+    /// Completes the request that waits for this response, if it is still pending.
     pub(super) fn complete_request(&self, request_id: u64, response: Frame) {
         let Some(request) = self.pending_requests.borrow_mut().remove(&request_id) else { return };
-        // A claim counts from here on, not from when its task next runs: the next frame may claim the same id.
+        // The claim is confirmed here, not when its task next runs, because the next frame may claim the same
+        // id.
         if let (Some(job_id), Frame::ClaimResult(true)) = (&request.claimed_job, &response) {
             self.claims.borrow_mut().confirm(job_id);
         }
-        // A request that has timed out no longer needs its response.
+        // Sending fails if the request has timed out and no longer needs its response.
         let _ = request.response.send(response);
     }
 
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Queues a frame. A process that reads so little that the queue is over its limit counts as ended.
+    /// Queues a frame. If the queue then exceeds its limit, the peer counts as ended and the link is closed.
     fn enqueue(&self, frame: OutboundFrame) {
         if !self.is_connected() {
             return;
@@ -166,11 +167,11 @@
     }
 }
 
-/// The response to a request, once it arrives. Dropping it abandons the request; a late response is ignored.
+/// Response that is still awaited. Dropping it abandons the request; a late response is ignored.
 pub(super) struct PendingResponse<'a> {
     state: &'a LinkState,
     request_id: u64,
-    /// Fails where the link is lost before the response arrives.
+    /// Receiver of the response. Fails if the link is lost before the response arrives.
     pub(super) receiver: oneshot::Receiver<Frame>,
 }
 
--- a/crates/node/src/handover/link/writer.rs
+++ b/crates/node/src/handover/link/writer.rs
@@ -1,4 +1,4 @@
-//! The task that writes a link's frames.
+//! Task that writes the frames of a link.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -11,7 +11,7 @@
 use super::state::LinkState;
 use crate::handover::descriptor_stream::{WRITE_STALL_TIMEOUT, send_with_descriptor, write_all};
 
-/// Writes queued frames until the link is lost. Closes the link where a write fails or stalls.
+/// Writes queued frames until the link is lost. Closes the link if a write fails or stalls.
 pub(super) async fn write_frames(state: Rc<LinkState>) {
     while state.is_connected() {
         let front = state.outbound.borrow().front();
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,17 +1,17 @@
-//! Takeover between two processes of one node: how a newer process finds the older one, the link between them,
-//! and the task that carries out the takeover. Which process owns what, and when, is decided by
-//! `curlewusher_control::takeover`. A process that does not answer or read counts as ended; it never delays this
-//! one.
+//! Takeover between two processes of one node: the search for the predecessor, the link between both
+//! processes, and the task that executes the takeover. `curlewusher_control::takeover` decides which process
+//! owns each part of the node at which time. A process that does not answer or read counts as ended; it never
+//! delays its peer.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `rendezvous`, `rendezvous_listener` | the well-known socket and start lock in `$TMPDIR` |
-//! | `handshake` | hello, acceptance or rejection, and the client listener's descriptor |
-//! | `link` | requests in both directions, with their timeouts and bounds |
-//! | `peer` | the other process, for all parts that send requests to it |
-//! | `startup` | the search for a predecessor when the process starts |
-//! | `state_transfer` | the record of state that a successor receives |
-//! | `takeover` | the task: events in, commands out |
+//! | `rendezvous`, `rendezvous_listener` | well-known socket and start lock in `$TMPDIR` |
+//! | `handshake` | hello, acceptance or rejection, and transfer of the client listener's descriptor |
+//! | `link` | requests in both directions, with their timeouts and limits |
+//! | `peer` | access to the peer for all parts that send requests to it |
+//! | `startup` | search for a predecessor when the process starts |
+//! | `state_transfer` | record of the state that a successor receives |
+//! | `takeover` | task that passes events to the state machine and executes its commands |
 //! | `descriptor_stream` | reads and writes with descriptors on a Unix socket |
 
 mod descriptor_stream;
--- a/crates/node/src/handover/peer.rs
+++ b/crates/node/src/handover/peer.rs
@@ -1,4 +1,4 @@
-//! The other process of this node, as far as this process knows it.
+//! Access to the peer, the other process of this node.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,17 +7,19 @@
 
 use crate::handover::link::PeerLink;
 
-/// The current link to the other process, shared by all parts that send requests to it.
+/// Current link to the peer, shared by all parts that send requests to the peer.
 #[derive(Clone, Default)]
 pub struct Peer {
     link: Rc<RefCell<Option<PeerLink>>>,
+    /// Whether another process of this node may serve without a link, because the rendezvous socket cannot be
+    /// used or the search for a predecessor failed.
     may_have_unknown_peer: Rc<Cell<bool>>,
-    /// The process at the other end of a link that was lost.
+    /// Process at the other end of a lost link, until it has exited.
     lost_process: Rc<Cell<Option<Pid>>>,
 }
 
 impl Peer {
-    /// The link, while it is connected.
+    /// Returns the link if it is connected.
     pub fn link(&self) -> Option<PeerLink> {
         self.link.borrow().clone().filter(PeerLink::is_connected)
     }
@@ -27,21 +29,23 @@
         *self.link.borrow_mut() = link;
     }
 
-    /// Removes a link that is lost. The process at its other end has ended, or has closed the link and serves
-    /// on by itself.
+    /// Removes the lost link. The process at its other end has exited, or has closed the link and continues
+    /// to serve independently.
     pub fn mark_lost(&self) {
         let link = self.link.take();
         self.lost_process.set(link.and_then(|link| link.peer_pid()));
     }
 
-    /// Whether another process of this node may serve that this one has no link to.
+    /// Returns whether another process of this node may serve to which this process has no link.
     pub fn may_have_unknown_peer(&self) -> bool {
-        // Forgotten once it has ended: its process id may be given to another.
+        // The id is removed once the process has exited, because the system may assign the id to another
+        // process.
         self.lost_process.set(self.lost_process.get().filter(|pid| test_kill_process(*pid).is_ok()));
         self.may_have_unknown_peer.get() || self.lost_process.get().is_some()
     }
 
-    /// Records that another process may serve unknown to this one, because the rendezvous cannot be used.
+    /// Records that another process of this node may serve without a link, because the rendezvous socket
+    /// cannot be used or the search for a predecessor failed.
     pub fn mark_unknown_peer_possible(&self) {
         self.may_have_unknown_peer.set(true);
     }
--- a/crates/node/src/handover/rendezvous.rs
+++ b/crates/node/src/handover/rendezvous.rs
@@ -1,5 +1,6 @@
-//! Where the processes of one node find each other: a Unix socket in `$TMPDIR` whose name is derived from the
-//! node's client address, and a lock file beside it that lets processes start one after the other.
+//! Rendezvous at which the processes of one node find each other. It consists of a Unix socket in `$TMPDIR`,
+//! whose name is derived from the client address of the node, and a lock file in the same directory, which
+//! ensures that processes start one after the other.
 
 use std::fs::{File, TryLockError};
 use std::io::{self, ErrorKind};
@@ -13,13 +14,13 @@
 
 use crate::handover::error::HandoverError;
 
-/// How long a start waits for the start lock. The start that holds it has `handshake::HELLO_RESPONSE_TIMEOUT`
-/// (1.5 s) for its predecessor.
+/// Maximum time for which a starting process waits for the start lock. The process that holds the lock waits
+/// up to `handshake::HELLO_RESPONSE_TIMEOUT` (1.5 s) for its predecessor.
 const START_LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval of attempts to take the start lock.
+/// Interval between attempts to acquire the start lock.
 const START_LOCK_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest path that a Unix socket address holds, in bytes, without the terminating zero byte
-/// (`sun_path` has 108).
+/// Maximum length of the path in a Unix socket address, in bytes, without the terminating zero byte
+/// (`sun_path` has 108 bytes).
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
 /// Paths of a node's rendezvous socket and start lock.
@@ -29,39 +30,39 @@
     socket_name: String,
 }
 
-/// An exclusive lock on starting a process of this node; released when dropped. A process holds it from its
-/// hello until it listens for successors itself.
+/// Exclusive lock on the start of a process of this node. A process holds it from before its hello until it
+/// listens for successors itself. Dropping it releases the lock.
 pub struct StartLock {
     _file: File,
 }
 
-/// A path that fits a socket address.
+/// Path that fits into a socket address.
 pub(super) struct SocketPath {
-    /// The path to bind or connect to.
+    /// Path to bind or connect to.
     pub(super) path: PathBuf,
-    /// The directory that `path` refers to by its descriptor; must stay open while `path` is used.
+    /// Directory to which `path` refers by its descriptor. Must stay open while `path` is used.
     _directory: Option<File>,
 }
 
 impl Rendezvous {
-    /// The rendezvous in `directory` of the node whose client address is `listen`.
+    /// Creates the rendezvous in `directory` for the node with the client address `listen`.
     pub fn new(directory: &Path, listen: SocketAddr) -> Rendezvous {
         let socket_name = format!("curlewusher-{}-{}.sock", listen.ip(), listen.port());
         Rendezvous { directory: directory.to_owned(), socket_name }
     }
 
-    /// Path of the socket.
+    /// Returns the path of the socket.
     pub fn path(&self) -> PathBuf {
         self.directory.join(&self.socket_name)
     }
 
-    /// Path of the socket that this process binds before it replaces `path`.
+    /// Returns the path under which this process binds its socket, before it renames the socket to `path`.
     pub(super) fn unpublished_path(&self) -> PathBuf {
         self.directory.join(self.unpublished_name())
     }
 
-    /// Waits up to 2 s for the start lock. The lock file is never removed: otherwise two starts could each hold
-    /// a lock on a file of that name.
+    /// Waits up to 2 s for the start lock. The lock file is never removed: otherwise two starting processes
+    /// could each hold a lock on a different file with this name.
     pub async fn lock_start(&self) -> Result<StartLock, HandoverError> {
         let path = self.directory.join(format!("{}.lock", self.socket_name));
         let opened = File::options().create(true).append(true).open(&path);
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Connects to the process that listens on the socket. None where the file does not exist or no process
-    /// listens on it any more.
+    /// Connects to the process that listens on the socket. Returns `None` if the file does not exist or no
+    /// process listens on it any more.
     pub(super) async fn connect(&self) -> Result<Option<UnixStream>, HandoverError> {
         let file_error = |error| HandoverError::from_file_error(&self.path(), error);
         let socket_path = match self.short_path(&self.socket_name) {
@@ -86,18 +87,19 @@
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
                 Ok(None)
             }
-            // Its accept queue is full: it has stopped accepting.
+            // The accept queue is full, because the other process has stopped accepting connections.
             Err(error) if error.kind() == ErrorKind::WouldBlock => Err(HandoverError::TimedOut),
             Err(error) => Err(file_error(error)),
         }
     }
 
-    /// The socket address path for `unpublished_path`.
+    /// Returns the path for `unpublished_path` that fits into a socket address.
     pub(super) fn short_unpublished_path(&self) -> io::Result<SocketPath> {
         self.short_path(&self.unpublished_name())
     }
 
-    /// Fails unless the process at the other end runs as the same user: no other is one of this node.
+    /// Returns an error unless the process at the other end runs as the same user. A process of another user
+    /// never belongs to this node.
     pub(super) fn verify_same_user(&self, stream: &UnixStream) -> Result<(), HandoverError> {
         let uid = stream.peer_cred().map_err(HandoverError::Disconnected)?.uid();
         if uid == rustix::process::geteuid().as_raw() {
@@ -111,8 +113,8 @@
         format!("{}.{}", self.socket_name, std::process::id())
     }
 
-    /// A path of the file `name` in the directory that fits a socket address: through `/proc` where the plain
-    /// path is too long.
+    /// Returns a path of the file `name` in the directory that fits into a socket address. If the plain path
+    /// is too long, the returned path leads through `/proc`.
     fn short_path(&self, name: &str) -> io::Result<SocketPath> {
         let path = self.directory.join(name);
         if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
--- a/crates/node/src/handover/rendezvous_listener.rs
+++ b/crates/node/src/handover/rendezvous_listener.rs
@@ -1,4 +1,5 @@
-//! The listening end of the rendezvous socket: publishes it, accepts successors on it and reads their hellos.
+//! Listener on the rendezvous socket. It publishes the socket, accepts the connections of successors and
+//! reads their hellos.
 
 use std::fs;
 use std::io::{self, ErrorKind};
@@ -18,11 +19,13 @@
 use crate::handover::rendezvous::Rendezvous;
 use crate::telemetry::logging::NODE;
 
-/// How many connections may be open whose hello has not been read yet; more wait in the accept queue.
+/// Maximum number of open connections whose hello has not been read yet. Further connections wait in the
+/// accept queue.
 const MAX_PENDING_HELLOS: usize = 4;
-/// Pause after a failed accept, which fails again at once while no descriptor is free.
+/// Delay after a failed accept. Without a delay, accepting fails again immediately while no descriptor is
+/// free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Permissions of the socket's file: its user only.
+/// Permissions of the socket file: access for its user only.
 const SOCKET_MODE: u32 = 0o600;
 
 /// Device and inode of a file.
@@ -39,8 +42,7 @@
     }
 }
 
-/// The rendezvous socket while this process listens on it. Dropping it stops the listening; the file stays
-/// until `close`.
+/// Listener on the rendezvous socket. Dropping it stops listening, but only `close` removes the socket file.
 pub struct RendezvousListener {
     path: PathBuf,
     file_id: FileId,
@@ -48,21 +50,22 @@
 }
 
 impl RendezvousListener {
-    /// Binds the rendezvous socket, replacing that of any process before. Hellos go to `hellos`; one that finds
-    /// the channel full is rejected as busy.
+    /// Binds the rendezvous socket, and replaces the socket of any previous process. Sends hellos to
+    /// `hellos`; a hello that arrives while the channel is full is rejected as busy.
     pub fn bind(
         rendezvous: &Rendezvous,
         hellos: mpsc::Sender<SuccessorHello>,
     ) -> Result<RendezvousListener, HandoverError> {
         let path = rendezvous.path();
         let file_error = |error| HandoverError::from_file_error(&path, error);
-        // Bound under another name first: the rename leaves no moment without a listening process.
+        // The socket is bound under another name first. Renaming it replaces the previous socket atomically,
+        // so that there is always a listening process.
         let unpublished = rendezvous.unpublished_path();
         remove_if_exists(&unpublished).map_err(file_error)?;
         let socket_path = rendezvous.short_unpublished_path().map_err(file_error)?;
         let listener = UnixListener::bind(&socket_path.path).map_err(file_error)?;
         let file_id = publish(&unpublished, &path).map_err(|error| {
-            // The error of publishing is returned; a file that stays is replaced at the next start.
+            // The error of `publish` is returned. If the removal fails, the next start replaces the file.
             let _ = fs::remove_file(&unpublished);
             file_error(error)
         })?;
@@ -70,10 +73,10 @@
         Ok(RendezvousListener { path, file_id, accept_task })
     }
 
-    /// Stops listening and removes the socket's file, unless another process has replaced it.
+    /// Stops listening and removes the socket file, unless another process has replaced it.
     pub fn close(self) {
         if FileId::of_path(&self.path).is_ok_and(|file_id| file_id == self.file_id) {
-            // A file that stays is stale: the next process replaces it.
+            // If the removal fails, the file is stale and the next process replaces it.
             let _ = fs::remove_file(&self.path);
         }
     }
@@ -92,7 +95,7 @@
     }
 }
 
-/// Restricts the socket at `unpublished` to its user and renames it to `path`.
+/// Restricts access to the socket at `unpublished` to its user, and renames the socket to `path`.
 fn publish(unpublished: &Path, path: &Path) -> io::Result<FileId> {
     fs::set_permissions(unpublished, fs::Permissions::from_mode(SOCKET_MODE))?;
     let file_id = FileId::of_path(unpublished)?;
--- a/crates/node/src/handover/startup.rs
+++ b/crates/node/src/handover/startup.rs
@@ -1,4 +1,4 @@
-//! The search for a predecessor when the process starts.
+//! Search for a predecessor when the process starts.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -13,35 +13,38 @@
 use crate::handover::rendezvous::{Rendezvous, StartLock};
 use crate::telemetry::logging::NODE;
 
-/// How long a start retries while the predecessor is busy with another takeover.
+/// Maximum time for which a start retries while the predecessor is busy with another takeover.
 const BUSY_RETRY_LIMIT: Duration = Duration::from_secs(5);
-/// Pause between these retries.
+/// Delay between retries while the predecessor is busy with another takeover.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How a process starts: where successors will find it, and its predecessor if there is one.
+/// Result of the search for a predecessor, and the rendezvous at which successors will find this process.
 #[derive(Default)]
 pub struct StartupHandover {
-    /// None where successors cannot find this process.
+    /// Rendezvous of the node. `None` if successors cannot find this process.
     pub(super) rendezvous: Option<Rendezvous>,
+    /// Start lock, which is held until this process listens for successors.
     pub(super) start_lock: Option<StartLock>,
+    /// Predecessor that has accepted this process, if there is one.
     pub(super) predecessor: Option<Predecessor>,
-    /// The search failed: another process may serve unknown to this one.
+    /// Whether the search failed, so that another process of the node may serve without a link to this
+    /// process.
     pub(super) may_have_unknown_peer: bool,
 }
 
-/// The result of one search.
+/// Result of one search.
 enum SearchResult {
-    /// There is a predecessor that has accepted this process, or none.
+    /// The search is complete: a predecessor has accepted this process, or there is none.
     Completed { start_lock: StartLock, predecessor: Option<Predecessor> },
-    /// The start lock's file cannot be used, so neither can the rendezvous socket.
+    /// The file of the start lock cannot be used, so the rendezvous socket cannot be used either.
     LockUnusable(HandoverError),
-    /// The other process does not answer, or rejects this one.
+    /// The predecessor does not answer or rejects this process, or the start lock stays held.
     Failed(HandoverError),
 }
 
 impl StartupHandover {
-    /// Looks in `directory` for another process of this node. Any error is logged, and the process starts as
-    /// though it were alone. Without a directory it does not look.
+    /// Searches for a predecessor in `directory`. Any error is logged, and the process then starts as if
+    /// there were no predecessor. Without a directory there is no search.
     pub async fn find_predecessor(
         directory: Option<PathBuf>,
         node: &str,
@@ -65,7 +68,8 @@
                 }
                 SearchResult::LockUnusable(error) => {
                     warn!(target: NODE, %node, %error, "predecessor search failed");
-                    // Binding the socket would fail for the same reason, which is logged once.
+                    // Binding the socket would fail for the same reason, so it is not attempted and the
+                    // reason is logged only once.
                     return StartupHandover::without_predecessor(None);
                 }
                 SearchResult::Failed(error)
@@ -81,12 +85,12 @@
         }
     }
 
-    /// The listener for clients that the predecessor has passed on.
+    /// Returns a duplicate of the client listener of the predecessor, if there is one.
     pub fn listener(&self) -> Option<io::Result<TcpListener>> {
         self.predecessor.as_ref().map(|predecessor| predecessor.listener.try_clone())
     }
 
-    /// Whether another process of this node serves.
+    /// Returns whether a predecessor has accepted this process.
     pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
@@ -96,7 +100,7 @@
     }
 }
 
-/// Takes the start lock and contacts the predecessor. On an error the lock is released.
+/// Acquires the start lock and contacts the predecessor. Releases the lock on an error.
 async fn search(rendezvous: &Rendezvous, node: &str, listen: SocketAddr) -> SearchResult {
     let start_lock = match rendezvous.lock_start().await {
         Ok(start_lock) => start_lock,
--- a/crates/node/src/handover/state_transfer.rs
+++ b/crates/node/src/handover/state_transfer.rs
@@ -1,5 +1,5 @@
-//! The record of state that a process transfers to its successor, as JSON in a frame of the handshake or of the
-//! takeover.
+//! Record of the state that a process transfers to its successor, as JSON in a frame of the handshake or of
+//! the takeover.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,10 @@
 use crate::lifecycle::Phase;
 use crate::telemetry::logging::NODE;
 
-/// Version of the record's format; a record of another version is ignored.
+/// Version of the format of the record. Records of other versions are ignored.
 const FORMAT_VERSION: u32 = 1;
 
-/// A process's state for its successor. The names of its fields in JSON are those of format version 1.
+/// State of a process for its successor. The field names in JSON are those of format version 1.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StateTransfer {
@@ -26,17 +26,18 @@
 }
 
 impl StateTransfer {
-    /// The state of a process in that phase.
+    /// Creates the record of a process in this phase.
     pub(super) fn new(phase: Phase, state: TransferableState) -> StateTransfer {
         StateTransfer { format_version: FORMAT_VERSION, drained: phase.is_drained(), state }
     }
 
-    /// The same drain with another state of the dispatch task.
+    /// Returns a copy of the record with another state of the dispatch task.
     pub(super) fn with_state(&self, state: TransferableState) -> StateTransfer {
         StateTransfer { format_version: self.format_version, drained: self.drained, state }
     }
 
-    /// Reads a record. None, with a log event that states the reason, where the process starts without it.
+    /// Decodes a record. If the record cannot be used, logs the reason and returns `None`; the process then
+    /// starts without it.
     pub(super) fn decode(bytes: &Bytes) -> Option<StateTransfer> {
         match serde_json::from_slice::<StateTransfer>(bytes) {
             Ok(record) if record.format_version == FORMAT_VERSION => return Some(record),
@@ -46,7 +47,7 @@
                 expected = FORMAT_VERSION,
                 "predecessor state ignored"
             ),
-            // The predecessor had nothing to transfer, and has logged why.
+            // The predecessor had no state to transfer, and has logged the reason.
             Err(_) if bytes.is_empty() => {}
             Err(error) => {
                 warn!(target: NODE, %error, "predecessor state unreadable");
@@ -55,7 +56,7 @@
         None
     }
 
-    /// Writes the record. Empty, with a log line, where it cannot be written.
+    /// Encodes the record. If it cannot be encoded, logs the error and returns an empty buffer.
     pub(super) fn encode(&self) -> Bytes {
         match serde_json::to_vec(self) {
             Ok(bytes) => bytes.into(),
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -1,4 +1,4 @@
-//! How the takeover task carries out the commands of the state machine.
+//! Execution of the commands of the state machine by the takeover task.
 
 use bytes::Bytes;
 use curlewusher_control::takeover::{DescriptorShare, RejectReason, TakeoverCommand, TakeoverEvent};
@@ -14,7 +14,7 @@
 use crate::telemetry::logging::NODE;
 
 impl TakeoverTask {
-    /// Carries out commands in their order.
+    /// Executes commands in their order.
     pub(super) async fn execute(&mut self, commands: Vec<TakeoverCommand>) {
         for command in commands {
             match command {
@@ -37,7 +37,8 @@
         let snapshot = self.take_snapshot().await;
         let Some(hello) = self.pending_hello.take() else { return };
         let client_listener = self.parts.client_listener.borrow().clone();
-        // Without the listener the shutdown is over, and the connection of the hello ends with the process.
+        // Without a listener the shutdown is complete, and the connection of the hello closes when the
+        // process exits.
         let Some(client_listener) = client_listener else { return };
         match hello.accept(&client_listener, snapshot).await {
             Ok(ends) => {
@@ -70,7 +71,7 @@
     async fn grant_takeover(&mut self) {
         let snapshot = self.take_snapshot().await;
         if let Some(response) = self.takeover_response.take() {
-            // Fails where the link is lost, which is reported separately.
+            // Sending fails if the link is lost, which is reported separately.
             let _ = response.send(snapshot);
         }
         self.parts.server.start_migration();
@@ -116,11 +117,11 @@
                 warn!(target: NODE, %error, "rendezvous listener failed");
             }
         }
-        // The next start finds this process from here on.
+        // From now on the next starting process can find this process.
         self.start_lock = None;
     }
 
-    /// The state for a successor, encoded; empty where the dispatch task has ended.
+    /// Returns the encoded state for a successor, or an empty buffer if the dispatch task has ended.
     async fn take_snapshot(&self) -> Bytes {
         let (state_channel, state) = oneshot::channel();
         let admin = &self.parts.admin;
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -1,5 +1,5 @@
-//! What the takeover task does about events of this process and requests of the other one: it passes them to the
-//! state machine, or has another part answer them.
+//! Handling of the events of this process and of the peer's requests by the takeover task. The task passes
+//! them to the state machine, or to another part of the node that answers them.
 
 use bytes::Bytes;
 use curlewusher_control::takeover::{TakeoverCommand, TakeoverEvent};
@@ -15,7 +15,7 @@
 use crate::upstream::CancellationTarget;
 
 impl TakeoverTask {
-    /// Handles an event of this process; returns the commands that follow from it.
+    /// Handles an event of this process, and returns the resulting commands.
     pub(super) async fn handle_local_event(&mut self, event: LocalEvent) -> Vec<TakeoverCommand> {
         match event {
             LocalEvent::SuccessorHello(hello) => {
@@ -23,7 +23,7 @@
                 self.pending_hello = Some(hello);
                 self.takeover.handle(TakeoverEvent::Hello { node, listen })
             }
-            // The link is closed, which `PeerRequest::LinkLost` reports.
+            // The link is closed, which `PeerRequest::LinkLost` reports separately.
             LocalEvent::TakeoverResponse(None) => Vec::new(),
             LocalEvent::TakeoverResponse(Some(snapshot)) => {
                 let transfer = StateTransfer::decode(&snapshot).or_else(|| self.handshake_state.take());
@@ -36,15 +36,15 @@
             LocalEvent::Terminate(done) => {
                 let commands = self.takeover.handle(TakeoverEvent::Terminate);
                 self.execute(commands).await;
-                // Nobody waits any more where the program is being ended by another task.
+                // Sending fails if the process is already exiting because another task has ended.
                 let _ = done.send(());
                 Vec::new()
             }
         }
     }
 
-    /// Handles a request of the other process; returns the commands that follow from it. Requests whose answer
-    /// takes a while are answered by a task of their own.
+    /// Handles a request of the peer, and returns the resulting commands. Spawns a separate task for each
+    /// request whose response may take long.
     pub(super) async fn handle_peer_request(&mut self, request: PeerRequest) -> Vec<TakeoverCommand> {
         match request {
             PeerRequest::Callback { body, is_handled } => self.handle_callback(body, is_handled),
@@ -80,11 +80,11 @@
     fn handle_callback(&self, body: Bytes, is_handled: oneshot::Sender<bool>) {
         let server = self.parts.server.clone();
         spawn_local(async move {
-            // Sending fails where the link is lost; the worker then repeats the callback.
+            // Sending fails if the link is lost. The worker then sends the callback again.
             let _ = match server.handle_forwarded_callback(body).await {
                 Some(JobOwner::Local) => is_handled.send(true),
                 Some(JobOwner::Unknown) => is_handled.send(false),
-                // Without a response the worker repeats the callback.
+                // Without a response the worker sends the callback again.
                 Some(JobOwner::Migrating) | None => Ok(()),
             };
         });
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -1,8 +1,9 @@
-//! The takeover task: passes events of this process and requests of the other one to the state machine
-//! `curlewusher_control::takeover::Takeover` and carries out its commands. Which process owns what is decided
-//! there, not here.
+//! Takeover task. It passes events of this process and requests of the peer to the state machine
+//! `curlewusher_control::takeover::Takeover`, and executes the commands of the state machine. Only the state
+//! machine decides which process owns each part of the node.
 //!
-//! `events` and `commands` hold the task's functions for its inputs and for the commands that it carries out.
+//! The module `events` contains the handlers of the inputs of the task, and `commands` the execution of the
+//! commands.
 
 mod commands;
 mod events;
@@ -30,56 +31,59 @@
 use crate::server::Server;
 use crate::upstream::UpstreamClient;
 
-/// How long a process that is shutting down waits until its last frames are written.
-const LAST_FRAMES_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many hellos wait for the task; another is rejected as busy.
-const HELLO_QUEUE_LENGTH: usize = 1;
-/// How many events of this process wait for the task; their senders wait for capacity.
-const LOCAL_EVENT_QUEUE_LENGTH: usize = 16;
+/// Maximum time for which a process that is shutting down waits until its final frames are written.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of hellos that wait for the task. A further hello is rejected as busy.
+const HELLO_QUEUE_CAPACITY: usize = 1;
+/// Maximum number of events of this process that wait for the task. Senders of further events wait for
+/// capacity.
+const LOCAL_EVENT_QUEUE_CAPACITY: usize = 16;
 
-/// The rendezvous listener, which the task opens and the handle closes.
+/// Rendezvous listener, which the task opens and the handle closes.
 type SharedListener = Rc<RefCell<Option<RendezvousListener>>>;
 
-/// The listener for clients, which the handle drops at the end of the shutdown.
+/// Client listener, which the handle drops at the end of the shutdown.
 pub type SharedClientListener = Rc<RefCell<Option<Rc<TcpListener>>>>;
 
-/// The parts of the node that a takeover concerns.
+/// Parts of the node that take part in a takeover.
 pub struct TakeoverParts {
     /// Client address of the node.
     pub listen: SocketAddr,
-    /// The listener for clients; a successor receives a descriptor of it.
+    /// Client listener. A successor receives a descriptor of it.
     pub client_listener: SharedClientListener,
-    /// Accepts clients' connections and holds jobs.
+    /// Server, which accepts clients' connections and holds jobs.
     pub server: Server,
-    /// Sends attempts and cancellations to workers.
+    /// Client that sends attempts and cancellations to workers.
     pub upstream: UpstreamClient,
-    /// Carries out operators' commands; has the phase, the peer and the queue of the dispatch task.
+    /// Service that executes operators' commands. It contains the phase, the peer and the command queue of
+    /// the dispatch task.
     pub admin: AdminService,
-    /// Whether there is an endpoint list of an earlier run.
+    /// Whether there is an endpoint list from an earlier run.
     pub has_saved_endpoints: bool,
 }
 
-/// What happens within this process.
+/// Event within this process.
 enum LocalEvent {
-    /// A process requests to be the successor.
+    /// A process has requested to be the successor.
     SuccessorHello(SuccessorHello),
-    /// The predecessor's answer to the takeover request: its latest snapshot, or none where the link is closed.
+    /// The predecessor has responded to the takeover request with its latest snapshot, or the link is closed
+    /// (`None`).
     TakeoverResponse(Option<Bytes>),
-    /// SIGTERM; notified once the commands for it are carried out.
+    /// SIGTERM has arrived. The sender is notified after the resulting commands are executed.
     Terminate(oneshot::Sender<()>),
 }
 
-/// What the task waits for.
+/// Inputs for which the task waits.
 struct TakeoverInputs {
     hellos: mpsc::Receiver<SuccessorHello>,
     local_events: mpsc::Receiver<LocalEvent>,
-    /// True once discovery has delivered an endpoint list.
+    /// Whether discovery has delivered an endpoint list.
     endpoints_available: watch::Receiver<bool>,
-    /// After this long the saved endpoint list is used. None where there is none.
+    /// Delay after which the saved endpoint list is used. `None` if it is never used.
     saved_endpoints_delay: Option<Duration>,
 }
 
-/// The takeover task.
+/// Takeover task, with its state.
 pub struct TakeoverTask {
     parts: TakeoverParts,
     takeover: Takeover,
@@ -89,15 +93,16 @@
     hello_queue: mpsc::Sender<SuccessorHello>,
     local_event_queue: mpsc::Sender<LocalEvent>,
     peer_requests: Option<mpsc::Receiver<PeerRequest>>,
-    /// The hello that the state machine is deciding on.
+    /// Hello about which the state machine is deciding.
     pending_hello: Option<SuccessorHello>,
-    /// Receives the snapshot for the successor once the takeover is granted.
+    /// Sender of the snapshot for the successor, used when the takeover is granted.
     takeover_response: Option<oneshot::Sender<Bytes>>,
-    /// The predecessor's state as of the handshake, until later state replaces it or the link is lost.
+    /// State of the predecessor at the time of the handshake. Removed when later state replaces it or the
+    /// link is lost.
     handshake_state: Option<StateTransfer>,
 }
 
-/// The other parts' handle to the task.
+/// Handle to the task for other parts of the node.
 pub struct TakeoverHandle {
     local_events: mpsc::Sender<LocalEvent>,
     rendezvous_listener: SharedListener,
@@ -106,29 +111,30 @@
 }
 
 impl TakeoverHandle {
-    /// Reports SIGTERM; returns once the commands for it are carried out.
+    /// Reports SIGTERM to the task. Returns after the resulting commands are executed.
     pub async fn terminate(&self) {
         let (done, is_done) = oneshot::channel();
         if self.local_events.send(LocalEvent::Terminate(done)).await.is_ok() {
-            // Fails only where the task has ended, which ends the program.
+            // Fails only if the task has ended, which makes the process exit.
             let _ = is_done.await;
         }
     }
 
-    /// Whether another process of this node is linked to this one, and serves on after it.
+    /// Returns whether this process has a link to a peer, which continues to serve after this process exits.
     pub fn has_peer(&self) -> bool {
         self.admin.peer.link().is_some()
     }
 
-    /// The last step of the shutdown: leaves cancellations that no worker has acknowledged to the other process,
-    /// closes the rendezvous socket, and passes on the listener for clients to no process any more.
+    /// Completes the takeover task's part of the shutdown: transfers the cancellations that no worker has
+    /// acknowledged to the peer, closes the rendezvous socket, and drops the client listener, so that no
+    /// later successor receives it.
     pub async fn finish(&self, upstream: &UpstreamClient) {
         if let Some(link) = self.admin.peer.link() {
             for target in upstream.unacknowledged_cancellations() {
                 link.transfer_cancellation(target.address, &target.request_id);
             }
-            // A peer that reads nothing must not keep the process from ending.
-            let _ = timeout(LAST_FRAMES_TIMEOUT, link.flush()).await;
+            // A peer that reads nothing must not prevent the process from exiting.
+            let _ = timeout(FINAL_FLUSH_TIMEOUT, link.flush()).await;
         }
         if let Some(listener) = self.rendezvous_listener.take() {
             listener.close();
@@ -138,7 +144,7 @@
 }
 
 impl TakeoverTask {
-    /// Creates the task and its handle. The task's future ends only if the program cannot go on.
+    /// Creates the task and its handle. The future of the task completes only if the process cannot continue.
     pub fn start(
         startup: StartupHandover,
         parts: TakeoverParts,
@@ -153,8 +159,8 @@
             Some(_) => Takeover::start_successor(&node, &listen),
             None => Takeover::start_single(&node, &listen),
         };
-        let (hello_queue, hellos) = mpsc::channel(HELLO_QUEUE_LENGTH);
-        let (local_event_queue, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_LENGTH);
+        let (hello_queue, hellos) = mpsc::channel(HELLO_QUEUE_CAPACITY);
+        let (local_event_queue, local_events) = mpsc::channel(LOCAL_EVENT_QUEUE_CAPACITY);
         let rendezvous_listener = SharedListener::default();
         let handle = TakeoverHandle {
             local_events: local_event_queue.clone(),
@@ -191,18 +197,18 @@
         inputs: TakeoverInputs,
     ) {
         if let Some(predecessor) = predecessor {
-            self.follow_predecessor(predecessor).await;
+            self.link_to_predecessor(predecessor).await;
         }
         self.execute(first_commands).await;
         self.handle_events(inputs).await;
     }
 
-    /// Handles events and requests until the program ends. Events of this process come first.
+    /// Handles events and requests until the process exits. Events of this process have priority.
     async fn handle_events(&mut self, inputs: TakeoverInputs) {
         let TakeoverInputs { mut hellos, mut local_events, endpoints_available, saved_endpoints_delay } =
             inputs;
-        let endpoints_known = wait_for_endpoints(endpoints_available, saved_endpoints_delay);
-        tokio::pin!(endpoints_known);
+        let endpoint_wait = wait_for_endpoints(endpoints_available, saved_endpoints_delay);
+        tokio::pin!(endpoint_wait);
         let mut is_waiting_for_endpoints = true;
         loop {
             let commands = tokio::select! {
@@ -212,7 +218,7 @@
                 Some(hello) = hellos.recv() => {
                     self.handle_local_event(LocalEvent::SuccessorHello(hello)).await
                 }
-                () = &mut endpoints_known, if is_waiting_for_endpoints => {
+                () = &mut endpoint_wait, if is_waiting_for_endpoints => {
                     is_waiting_for_endpoints = false;
                     self.takeover.handle(TakeoverEvent::EndpointsAvailable)
                 }
@@ -221,9 +227,10 @@
         }
     }
 
-    /// Links to the predecessor and applies the drain and the disabled workers of its operators at once. Its
-    /// estimates are kept for the takeover, whose snapshot replaces them where it can be read.
-    async fn follow_predecessor(&mut self, predecessor: Predecessor) {
+    /// Links this process to the predecessor, and immediately applies the drain and the disabled workers that
+    /// operators have set there. Keeps the estimates of the predecessor until the takeover. The snapshot of
+    /// the takeover then replaces these estimates if it can be decoded.
+    async fn link_to_predecessor(&mut self, predecessor: Predecessor) {
         self.set_link(Some(predecessor.link));
         if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
             let snapshot = transfer.state.snapshot.take();
@@ -237,7 +244,8 @@
         }
     }
 
-    /// Replaces the link to the other process, or removes it. A migration of jobs ends with its link.
+    /// Replaces the link to the peer, or removes it. A migration of jobs stops when its link is replaced or
+    /// removed.
     fn set_link(&mut self, ends: Option<LinkEnds>) {
         self.parts.server.stop_migration();
         let (link, requests) = ends.map(|ends| (ends.link, ends.requests)).unzip();
@@ -245,24 +253,26 @@
         self.peer_requests = requests;
     }
 
-    /// Takes on the predecessor's state. A drain that was called for here has precedence over its phase.
+    /// Restores the state of the predecessor. If an operator has started or ended a drain at this process,
+    /// that takes precedence over the drain state of the predecessor.
     async fn restore(&self, transfer: StateTransfer) {
         let admin = &self.parts.admin;
-        if !admin.drain_requested.get() {
+        if !admin.drain_set_by_operator.get() {
             let event = if transfer.drained { PhaseEvent::Drain } else { PhaseEvent::Undrain };
-            // Without a transition the node is in that state already, or shuts down.
+            // If there is no transition, the node is already in this state, or is shutting down.
             let _ = admin.lifecycle.apply(event);
         }
         self.send_to_dispatch(DispatchCommand::RestoreSnapshot(Box::new(transfer.state))).await;
     }
 
     async fn send_to_dispatch(&self, command: DispatchCommand) {
-        // Sending fails only where the dispatch task has ended, which ends the program.
+        // Sending fails only if the dispatch task has ended, which makes the process exit.
         let _ = self.parts.admin.dispatch_commands.send(command).await;
     }
 }
 
-/// Waits for discovery's endpoint list, or until the process may say that it is ready without one.
+/// Waits until discovery has delivered an endpoint list, or until the process may become ready with the saved
+/// list.
 async fn wait_for_endpoints(
     mut endpoints_available: watch::Receiver<bool>,
     saved_endpoints_delay: Option<Duration>,
@@ -280,7 +290,7 @@
     }
 }
 
-/// The other process's next request; never returns where there is no link.
+/// Receives the next request of the peer. Never returns if there is no link.
 async fn next_request(requests: &mut Option<mpsc::Receiver<PeerRequest>>) -> Option<PeerRequest> {
     match requests {
         Some(requests) => requests.recv().await,
--- a/crates/node/src/runtime/descriptor_budget.rs
+++ b/crates/node/src/runtime/descriptor_budget.rs
@@ -1,8 +1,9 @@
-//! How the file descriptors that the process may use are divided.
+//! Division of the file descriptors that the process may use.
 //!
-//! Some are reserved for the node itself, some for the admin address where there is one, and the rest is for
-//! connections: a third to workers (upstream), the others from clients. While two processes of one node run
-//! during a takeover, each uses about half, so that both together stay within the limit.
+//! Some descriptors are reserved for the node itself, and some for the admin address if there is one. The
+//! rest is available for connections: one third for connections to workers (upstream), two thirds for
+//! connections from clients. While two processes of one node run during a takeover, each of them uses about
+//! half of the descriptors, so that both together stay within the limit.
 //!
 //! | `limits.sockets` | admin address | reserved | clients | upstream | clients, halved | upstream, halved |
 //! | ---: | --- | ---: | ---: | ---: | ---: | ---: |
@@ -16,37 +17,39 @@
 use crate::admin::listener::MAX_ADMIN_DESCRIPTORS;
 use crate::connection_budget::ConnectionBudget;
 
-/// Most descriptors reserved for what is no client and no upstream connection: standard streams, discovery,
-/// the listener, the event queue, and some to spare. A node with few descriptors reserves a quarter of them.
+/// Maximum number of descriptors reserved for purposes other than client and upstream connections: the
+/// standard streams, discovery, the listener, the event queue, and a margin. A node with few descriptors
+/// reserves a quarter of them.
 const MAX_RESERVED_DESCRIPTORS: usize = 48;
-/// Fewest descriptors reserved for the same: 11 that are always open, six concurrent calls to discovery, the calls
-/// to its previous address while that changes, and the configuration file while it is read.
+/// Minimum number of descriptors reserved for purposes other than client and upstream connections: 11
+/// descriptors that are always open, six concurrent requests to discovery, the requests to its previous
+/// address during a change of the address, and the configuration file during a reload.
 const MIN_RESERVED_DESCRIPTORS: usize = 24;
-/// Fewest connections that a process is given; with fewer it cannot serve.
+/// Minimum number of connections of a process. With fewer connections it cannot serve.
 const MIN_CONNECTIONS: usize = 24;
-/// One connection of this many is for upstream.
-const UPSTREAM_FRACTION: usize = 3;
+/// Divisor for the share of upstream in all connections: one connection in this many is for upstream.
+const UPSTREAM_DIVISOR: usize = 3;
 
-/// Whether the process has an admin address, whose callers need descriptors.
+/// Presence of an admin address, whose connections need descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminAddress {
-    /// Descriptors are reserved for its callers.
+    /// The process has an admin address, and descriptors are reserved for its connections.
     Configured,
-    /// No descriptors are needed for it.
+    /// The process has no admin address, and no descriptors are reserved for one.
     None,
 }
 
-/// The connections that a process may have open.
+/// Number of connections that a process may have open.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorBudget {
-    /// While it is the only process of its node.
+    /// Maximum number of connections while no other process of the node runs.
     max_connections: usize,
-    /// While another process of its node runs.
+    /// Maximum number of connections while another process of the node runs.
     max_connections_halved: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides this many descriptors.
+    /// Divides this number of descriptors.
     pub fn divide(descriptors: usize, admin_address: AdminAddress) -> Self {
         let admin_descriptors = match admin_address {
             AdminAddress::Configured => MAX_ADMIN_DESCRIPTORS,
@@ -61,24 +64,24 @@
         DescriptorBudget { max_connections, max_connections_halved }
     }
 
-    /// Most connections of both kinds together.
+    /// Returns the maximum number of client and upstream connections together.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// The budget of connections to workers.
+    /// Returns the budget of connections to workers.
     pub fn upstream_connections(&self) -> ConnectionBudget {
         ConnectionBudget::new(
-            self.max_connections / UPSTREAM_FRACTION,
-            self.max_connections_halved / UPSTREAM_FRACTION,
+            self.max_connections / UPSTREAM_DIVISOR,
+            self.max_connections_halved / UPSTREAM_DIVISOR,
         )
     }
 
-    /// The budget of connections from clients: what upstream leaves.
+    /// Returns the budget of connections from clients: all connections that are not for upstream.
     pub fn client_connections(&self) -> ConnectionBudget {
         ConnectionBudget::new(
-            self.max_connections - self.max_connections / UPSTREAM_FRACTION,
-            self.max_connections_halved - self.max_connections_halved / UPSTREAM_FRACTION,
+            self.max_connections - self.max_connections / UPSTREAM_DIVISOR,
+            self.max_connections_halved - self.max_connections_halved / UPSTREAM_DIVISOR,
         )
     }
 }
--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -1,4 +1,5 @@
-//! Why the node could not start or had to stop, and whether a restart can help.
+//! Errors for which the node cannot start or has to stop. Each error states whether another start may
+//! succeed.
 
 use std::fmt;
 use std::io;
@@ -11,7 +12,8 @@
 use crate::config::ConfigError;
 use crate::telemetry::logging::LoggingError;
 
-/// Why the node does not serve, or no longer serves. Each text names the cause and what an operator can do.
+/// Errors for which the node cannot start or has to stop. Each message names the cause and states what an
+/// operator can do.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The configuration cannot be read or used.
@@ -25,35 +27,35 @@
         "config: listen: {listen}: {source}; give `listen` an address of this machine that no other program has"
     )]
     ClientListener {
-        /// The configured address.
+        /// Configured address.
         listen: SocketAddr,
-        /// What the system answered.
+        /// Error of the system call.
         source: io::Error,
     },
     /// The settings contradict each other or are out of range.
     #[error("config: {0}")]
     Settings(#[from] SettingsError),
-    /// The log cannot be written as the operator's file configures it.
+    /// The log cannot be written with the configuration of the operator's file.
     #[error("operator file: log: {0}")]
     Logging(#[from] LoggingError),
-    /// The system denies the resources of the asynchronous runtime.
+    /// The system refused the resources of the asynchronous runtime.
     #[error("the runtime does not start: {0}; raise the limits of this user, and start it again")]
     Runtime(#[source] io::Error),
-    /// The system denies a signal handler.
+    /// The system refused to install a signal handler.
     #[error("{signal}: {source}; raise the limits of this user, and start it again")]
     SignalHandler {
         /// Name of the signal.
         signal: &'static str,
-        /// What the system answered.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// A task that runs for as long as the node does has ended.
+    /// A task that must run until the shutdown is complete has ended.
     #[error("{0} has ended; start the node again, and report this with the lines before it")]
     TaskEnded(SupervisedTask),
 }
 
 impl ServeError {
-    /// Whether another start with the same configuration fails in the same way.
+    /// Returns whether another start with the same configuration would fail in the same way.
     pub fn is_permanent(&self) -> bool {
         match self {
             ServeError::Config(_)
@@ -66,20 +68,20 @@
     }
 }
 
-/// A task that runs for as long as the node does.
+/// Task that must run until the shutdown is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SupervisedTask {
-    /// Carries out operators' commands; without it a drain could not be ended.
+    /// Task that executes operators' commands. Without it an operator could not end a drain.
     Admin,
-    /// Reads the configuration again; without it the node could not be reconfigured.
+    /// Task that reloads the configuration. Without it the node could not be reconfigured.
     Reload,
-    /// Owns the jobs and the decisions.
+    /// Task that owns the jobs and makes the decisions.
     Dispatch,
-    /// Shares the node with another process.
+    /// Task that divides the work of the node between this process and its peer.
     Takeover,
-    /// Watches the endpoint list.
+    /// Task that watches the endpoint list.
     EndpointWatcher,
-    /// Closes idle connections to workers.
+    /// Task that closes idle connections to workers.
     IdleConnectionSweep,
 }
 
--- a/crates/node/src/runtime/mod.rs
+++ b/crates/node/src/runtime/mod.rs
@@ -1,16 +1,17 @@
-//! The lifecycle of the process: it is started, supervised, reconfigured and shut down here.
+//! Start, supervision, reconfiguration and shutdown of the process.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`startup`] | builds the parts of the node in order, connects them, and spawns their tasks |
-//! | [`descriptor_budget`] | divides the file descriptors among them |
-//! | [`supervision`] | runs until the shutdown is complete, or ends the program when a task that must not end does |
+//! | [`descriptor_budget`] | divides the file descriptors among the parts |
+//! | [`supervision`] | runs until the shutdown is complete, or returns an error when a task ends unexpectedly |
 //! | [`signals`] | installs the handlers of SIGTERM and SIGHUP |
 //! | [`reload`] | reads the configuration again on SIGHUP |
-//! | [`shutdown`] | answers what is open after SIGTERM, and ends |
-//! | [`error`] | why the node could not start or had to stop |
+//! | [`shutdown`] | answers the open jobs after SIGTERM, and closes all connections |
+//! | [`error`] | errors for which the node cannot start or has to stop |
 //!
-//! Everything runs on one thread, but for the admin address and the writer of the log, which have one each.
+//! All parts run on one thread, except the admin address and the writer of the log, which have one thread
+//! each.
 
 mod descriptor_budget;
 pub mod error;
@@ -27,7 +28,7 @@
 use crate::runtime::signals::Signals;
 use crate::telemetry::logging::Logging;
 
-/// Serves until SIGTERM, or until something fails that the node cannot do without.
+/// Serves until SIGTERM, or until a part fails that the node requires.
 pub fn run(sources: &ConfigSources) -> Result<(), ServeError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ServeError::Runtime)?;
@@ -37,7 +38,8 @@
 async fn serve(sources: &ConfigSources) -> Result<(), ServeError> {
     let mut signals = Signals::install()?;
     let config = Config::read(sources)?;
-    // Dropped after the node: what its parts log while they are dropped is still written.
+    // The logger is dropped after the node, so that lines that its parts log while they are dropped are still
+    // written.
     let logging = Logging::start(&config.operator.log)?;
     match startup::start_node(config, &logging, &mut signals.terminate).await? {
         Some(node) => node.run_until_shutdown(sources, &logging, signals).await,
--- a/crates/node/src/runtime/reload.rs
+++ b/crates/node/src/runtime/reload.rs
@@ -1,6 +1,6 @@
-//! Reads the configuration again on SIGHUP, and applies what may change while the node runs: the address of
-//! discovery, the log, and the operator's options of the server and of upstream. A configuration that cannot be
-//! used changes nothing.
+//! Reload of the configuration on SIGHUP. A reload applies the values that may change while the node runs:
+//! the address of discovery, the options of the log, and the operator's options of the server and of
+//! upstream. A configuration that cannot be read or used is rejected and changes nothing.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,27 +15,28 @@
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// Where the parts of a running node read the values that a reload can change.
+/// Reloader of the configuration. It holds the places from which the parts of a running node read the values
+/// that a reload can change.
 pub struct ConfigReloader {
     /// Name of the node.
     pub name: String,
-    /// Counts reloads and those that failed.
+    /// Counters, among them those of reloads and of failed reloads.
     pub metrics: Metrics,
-    /// Read by the server.
+    /// Options that the server reads.
     pub server_options: Rc<Cell<ServerOptions>>,
-    /// Read by the connections to workers.
+    /// Options that the connections to workers read.
     pub upstream_options: Rc<Cell<UpstreamOptions>>,
-    /// Address of discovery; its watcher is notified of a change.
+    /// Address of discovery. The endpoint watcher is notified of each change.
     pub discovery: watch::Sender<SocketAddr>,
 }
 
 impl ConfigReloader {
-    /// Reloads on each SIGHUP. Returns only if no more signals can be delivered.
+    /// Reloads the configuration on each SIGHUP. Returns only if no more signals can be delivered.
     pub async fn run(&self, sources: &ConfigSources, logging: &Logging, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             match Config::read_again(sources) {
                 Ok(config) => self.apply(&config, logging),
-                Err(problem) => self.reject(&problem),
+                Err(error) => self.reject(&error),
             }
         }
     }
--- a/crates/node/src/runtime/signals.rs
+++ b/crates/node/src/runtime/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the node handles.
+//! Signals that the node handles.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -6,14 +6,15 @@
 
 /// Receivers of the handled signals.
 pub struct Signals {
-    /// SIGTERM: shut down gracefully.
+    /// Receiver of SIGTERM, which starts the graceful shutdown.
     pub terminate: Signal,
-    /// SIGHUP: read the configuration again.
+    /// Receiver of SIGHUP, which reloads the configuration.
     pub hang_up: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers. A signal without a handler ends the program, so this is done first.
+    /// Installs the handlers. Must be called before the node starts, because a signal without a handler kills
+    /// the process.
     pub fn install() -> Result<Self, ServeError> {
         Ok(Signals {
             terminate: install_handler(SignalKind::terminate(), "SIGTERM")?,
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -1,11 +1,11 @@
-//! Builds the parts of the node in order, connects them, and spawns their tasks.
+//! Start of the node, in these steps:
 //!
-//! 1. [`SharedState`]: what several parts are built from.
-//! 2. [`NodeParts`]: the parts themselves and the channels between them. Nothing runs yet, but for the thread of the
-//!    admin address, so that an address that cannot be used ends the program here.
-//! 3. The other process of this node, where there is one, is contacted. It passes on its listener for clients;
-//!    otherwise a listener is opened.
-//! 4. All tasks are spawned, and the log names the addresses where the node serves.
+//! 1. [`SharedState`] is created, from which several parts are built.
+//! 2. [`NodeParts`] is built: the parts themselves and the channels between them. Only the thread of the
+//!    admin address runs already, so that the start fails at this step if the admin address cannot be used.
+//! 3. The predecessor, if there is one, is contacted, and passes the descriptor of its client listener to
+//!    this process. If there is no predecessor, a listener is opened.
+//! 4. All tasks are spawned, and the addresses on which the node serves are logged.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -37,21 +37,23 @@
 use crate::runtime::descriptor_budget::{AdminAddress, DescriptorBudget};
 use crate::runtime::error::ServeError;
 use crate::runtime::reload::ConfigReloader;
-use crate::runtime::shutdown::{GracefulShutdown, final_answer_delay};
+use crate::runtime::shutdown::{GracefulShutdown, final_response_delay};
 use crate::runtime::supervision::{RunningNode, TaskHandles};
 use crate::server::{PortSharing, Server, ServerParts};
 use crate::telemetry::logging::{Logging, NODE};
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::{RequestPayload, UpstreamClient, UpstreamConfig};
 
-/// Time in which a healthy worker answers a job on an open connection, with a wide margin.
+/// Maximum time in which a healthy worker responds to an attempt on an open connection, with a wide margin.
 const ACCEPT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
-/// Discovery counts as having notified this node of a change this long after it had it and could be reached.
+/// Time after which this node counts as notified of an endpoint change. It begins when discovery has received
+/// the change and is reachable.
 const ENDPOINT_NOTIFICATION_TIMEOUT: TimeSpan = TimeSpan::from_secs(6);
-/// Commands to the dispatch task that may wait; each takes microseconds.
+/// Maximum number of commands that wait for the dispatch task. The execution of each takes microseconds.
 const MAX_PENDING_DISPATCH_COMMANDS: usize = 64;
 
-/// Builds the node and spawns its tasks. Returns none if SIGTERM comes while the other process is being contacted.
+/// Builds the node and spawns its tasks. Returns `None` if SIGTERM arrives while the predecessor is being
+/// contacted.
 pub async fn start_node(
     config: Config,
     logging: &Logging,
@@ -66,22 +68,23 @@
     Ok(Some(parts.spawn(handover, listener)))
 }
 
-/// What several parts of the node are built from.
+/// Values from which several parts of the node are built.
 struct SharedState {
     clock: Clock,
     lifecycle: Lifecycle,
     metrics: Metrics,
-    /// The other process of this node, while there is one.
+    /// Peer of this process, if there is one.
     peer: Peer,
     descriptors: DescriptorBudget,
     dispatch_queue: DispatchQueue<RequestPayload>,
-    /// Options that a reload can change.
+    /// Options of the server, which a reload can change.
     server_options: Rc<Cell<ServerOptions>>,
+    /// Options of upstream, which a reload can change.
     upstream_options: Rc<Cell<UpstreamOptions>>,
 }
 
 impl SharedState {
-    /// Returns the receiving end of the dispatch queue as well.
+    /// Creates the shared state. Also returns the receiver of the dispatch queue.
     fn create(
         metrics: Metrics,
         descriptors: DescriptorBudget,
@@ -142,39 +145,42 @@
     }
 }
 
-/// The parts of the node, connected to each other, before any of their tasks runs.
+/// Parts of the node, connected to each other, before any of their tasks runs.
 struct NodeParts {
     name: String,
     listen: SocketAddr,
-    final_answer_delay: Duration,
+    final_response_delay: Duration,
     shared: SharedState,
     server: Server,
     upstream: UpstreamClient,
     dispatch_task: DispatchTask<UpstreamClient>,
     dispatch_commands: mpsc::Sender<DispatchCommand>,
-    /// The endpoint list in the configuration.
+    /// Endpoint list of the configuration.
     saved_endpoints: Vec<NamedEndpoint>,
     discovery: DiscoveryParts,
     admin_listener: Option<AdminListener>,
 }
 
-/// The watcher of the endpoint list and its channels.
+/// Watcher of the endpoint list, with its channels.
 struct DiscoveryParts {
     watcher: EndpointWatcher,
-    /// From the dispatch task to the watcher: poll now.
+    /// Requests of the dispatch task to the watcher for an immediate poll.
     poll_requests: mpsc::Receiver<()>,
-    /// To the watcher: the address of discovery has changed.
+    /// Sender of the address of discovery.
     address_updates: watch::Sender<SocketAddr>,
+    /// Receiver of the address of discovery, for the watcher.
     address_changes: watch::Receiver<SocketAddr>,
-    /// From the watcher to the takeover task: an endpoint list is there.
+    /// Whether the watcher has received an endpoint list. The takeover task reads it.
     endpoints_available: watch::Receiver<bool>,
 }
 
-/// The listener for clients.
+/// Listener for clients.
 struct ClientListener {
+    /// Local address of the listener.
     address: SocketAddr,
+    /// Listener on which this process accepts connections.
     accepting: tokio::net::TcpListener,
-    /// A copy that a successor gets.
+    /// Duplicate of the listener, whose descriptor is passed to a successor.
     for_successor: TcpListener,
 }
 
@@ -202,7 +208,7 @@
         let watcher = EndpointWatcher {
             address: discovery,
             resolver,
-            // With the version of an empty saved list discovery would send later changes only.
+            // With the index of an empty saved list, discovery would send only later changes.
             known_index: if saved_endpoints.is_empty() { NO_LIST_INDEX } else { known.index },
             queue: shared.dispatch_queue.clone(),
             list_received: watch::Sender::new(false),
@@ -223,7 +229,7 @@
         });
         let client_timeouts = site.dispatcher.classes.iter().map(|class| class.client_timeout);
         Ok(NodeParts {
-            final_answer_delay: final_answer_delay(client_timeouts),
+            final_response_delay: final_response_delay(client_timeouts),
             server: shared.create_server(&site),
             admin_listener: shared.open_admin_listener(admin)?,
             discovery: DiscoveryParts::connect(watcher, poll_requests),
@@ -237,14 +243,15 @@
         })
     }
 
-    /// Contacts the other process of this node. Without an admin address no version is started beside another, so
-    /// there is none.
+    /// Contacts the predecessor. Without an admin address no successor is ever started beside a running
+    /// process, so the search is skipped.
     async fn find_predecessor(&self) -> StartupHandover {
-        let folder = self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
-        StartupHandover::find_predecessor(folder, &self.name, self.listen).await
+        let directory =
+            self.admin_listener.as_ref().and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
+        StartupHandover::find_predecessor(directory, &self.name, self.listen).await
     }
 
-    /// The listener that the other process passes on, or one of its own.
+    /// Returns the client listener of the predecessor, or opens a new one if there is no predecessor.
     fn open_client_listener(&self, handover: &StartupHandover) -> Result<ClientListener, ServeError> {
         let open = || -> io::Result<ClientListener> {
             let sharing =
@@ -265,7 +272,7 @@
             lifecycle: self.shared.lifecycle.clone(),
             dispatch_commands: self.dispatch_commands.clone(),
             peer: self.shared.peer.clone(),
-            drain_requested: Rc::default(),
+            drain_set_by_operator: Rc::default(),
         }
     }
 
@@ -280,7 +287,7 @@
             has_saved_endpoints: !self.saved_endpoints.is_empty(),
         };
         let discovery = self.discovery;
-        let start = if handover.has_predecessor() { StartKind::Successor } else { StartKind::Alone };
+        let start = if handover.has_predecessor() { StartKind::Successor } else { StartKind::Single };
 
         let dispatch = spawn_local(self.dispatch_task.run(self.saved_endpoints));
         let endpoint_watcher =
@@ -301,7 +308,7 @@
             reloader,
             shutdown: GracefulShutdown {
                 name: self.name,
-                final_answer_delay: self.final_answer_delay,
+                final_response_delay: self.final_response_delay,
                 lifecycle: self.shared.lifecycle,
                 dispatch_queue: self.shared.dispatch_queue,
                 server: self.server,
@@ -321,29 +328,29 @@
     Metrics::new(&site.class_names, &answer_bounds_s, logging.dropped_lines())
 }
 
-/// Sets what decisions on real sockets need otherwise than in a simulator.
+/// Sets the values of settings that must differ between a node on real sockets and the simulator.
 fn adapt_settings_to_sockets(site: &mut Site) {
-    // Any rejection may carry Retry-After here; the simulator's clients would not get it.
+    // Any rejection may contain Retry-After on a node. Clients of the simulator do not receive this header.
     site.dispatcher.max_retry_after = site.max_retry_after;
-    // A worker acknowledges an attempt with a 202 long before the job starts.
+    // A worker accepts an attempt with status 202 long before the job starts.
     site.dispatcher.accept_timeout = site.connect_timeout + ACCEPT_RESPONSE_TIMEOUT;
     site.dispatcher.assumed_notified_after = ENDPOINT_NOTIFICATION_TIMEOUT;
 }
 
-/// Whether another process of the node serves when this one starts.
+/// Role of this process when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartKind {
-    /// None does: this process serves at once.
-    Alone,
-    /// One does, and this process is to take over from it.
+    /// No other process of the node serves, and this process serves immediately.
+    Single,
+    /// A predecessor serves, and this process is to take over from it.
     Successor,
 }
 
 /// Logs the addresses for clients and operators.
 fn log_addresses(node: &str, start: StartKind, clients: SocketAddr, admin: Option<SocketAddr>) {
-    // The wording of both is fixed: programs that start nodes read the address from the line.
+    // The wording of both lines is fixed: programs that start nodes read the address from the line.
     match start {
-        StartKind::Alone => info!(target: NODE, "curlewusher {node}: serves on {clients}"),
+        StartKind::Single => info!(target: NODE, "curlewusher {node}: serves on {clients}"),
         StartKind::Successor => info!(target: NODE, "curlewusher {node}: is to serve on {clients}"),
     }
     if let Some(address) = admin {
--- a/crates/node/src/runtime/supervision.rs
+++ b/crates/node/src/runtime/supervision.rs
@@ -1,5 +1,6 @@
-//! Runs a node that has been started, until its shutdown is complete. A node that has lost one of its tasks would
-//! keep its address and answer nothing, so the end of any of them ends the program with an error.
+//! Supervision of a started node until its shutdown is complete. A node that has lost one of its tasks would
+//! keep its address but answer nothing. For this reason the process exits with an error when any of these
+//! tasks ends.
 
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -14,36 +15,37 @@
 use crate::telemetry::logging::Logging;
 use crate::telemetry::metrics::Metrics;
 
-/// The spawned tasks whose end ends the program.
+/// Handles of the spawned tasks. The process exits when one of these tasks ends.
 pub struct TaskHandles {
-    /// See [`SupervisedTask::Dispatch`].
+    /// Task of [`SupervisedTask::Dispatch`].
     pub dispatch: JoinHandle<()>,
-    /// See [`SupervisedTask::Takeover`].
+    /// Task of [`SupervisedTask::Takeover`].
     pub takeover: JoinHandle<()>,
-    /// See [`SupervisedTask::EndpointWatcher`].
+    /// Task of [`SupervisedTask::EndpointWatcher`].
     pub endpoint_watcher: JoinHandle<()>,
-    /// See [`SupervisedTask::IdleConnectionSweep`].
+    /// Task of [`SupervisedTask::IdleConnectionSweep`].
     pub idle_connection_sweep: JoinHandle<()>,
 }
 
-/// A node whose tasks run.
+/// Node whose tasks are running.
 pub struct RunningNode {
-    /// Its counters.
+    /// Counters of the node.
     pub metrics: Metrics,
-    /// Its tasks.
+    /// Tasks of the node.
     pub tasks: TaskHandles,
-    /// What SIGHUP starts.
+    /// Reloader of the configuration, which SIGHUP triggers.
     pub reloader: ConfigReloader,
-    /// What SIGTERM starts.
+    /// Graceful shutdown, which SIGTERM starts.
     pub shutdown: GracefulShutdown,
-    /// Carries out operators' commands.
+    /// Service that executes operators' commands.
     pub admin: AdminService,
-    /// Commands from the admin address, where there is one.
+    /// Receiver of the commands from the admin address, if there is one.
     pub admin_commands: Option<mpsc::Receiver<PendingCommand>>,
 }
 
 impl RunningNode {
-    /// Runs until SIGTERM has been handled, and writes the last counters. The error names a task that ended before.
+    /// Runs until the shutdown after SIGTERM is complete, and writes the final counters. Returns an error
+    /// with the name of the task if a task ends before.
     pub async fn run_until_shutdown(
         self,
         sources: &ConfigSources,
--- a/crates/node/tests/unit/handover/handshake.rs
+++ b/crates/node/tests/unit/handover/handshake.rs
@@ -1,54 +1,55 @@
-//! The handshake over real sockets: what a successor receives, and what any other answer to its hello is.
+//! Tests of the handshake over real sockets: what an accepted successor receives, and the errors for all
+//! other responses to its hello.
 
 use curlewusher_control::frame::MAX_SNAPSHOT_BYTES;
 use tokio::net::UnixListener;
 
 use super::*;
 use crate::handover::link::PeerRequest;
-use crate::handover::test_support::{NodeFixture, Time, complete_handshake, listen_for_successor, run};
+use crate::handover::test_support::{ClockMode, NodeFixture, complete_handshake, listen_for_successor, run};
 
 #[test]
 fn predecessor_closes_listener_after_takeover_then_successor_accepts_queued_client() {
-    run(Time::Paused, async {
+    run(ClockMode::Paused, async {
         let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
         let (_rendezvous_listener, mut hellos) = listen_for_successor(&rendezvous);
         let snapshot = Bytes::from(vec![7; MAX_SNAPSHOT_BYTES]);
         let (mut ends, predecessor) =
             complete_handshake(&mut hellos, &listener, snapshot.clone(), &rendezvous).await;
         assert_eq!(predecessor.snapshot, snapshot);
-        let queued_client = std::net::TcpStream::connect(listen).expect("in the queue");
+        let queued_client = std::net::TcpStream::connect(listen).expect("a connection in the accept queue");
         drop(listener);
         let grant = async {
             let Some(PeerRequest::Takeover { snapshot }) = ends.requests.recv().await else {
                 panic!("no takeover request")
             };
-            // Over the bound of a frame: the successor receives an empty one.
-            snapshot.send(vec![0; MAX_SNAPSHOT_BYTES + 1].into()).expect("it waits");
+            // The snapshot exceeds the limit of a frame, so the successor receives an empty one.
+            snapshot.send(vec![0; MAX_SNAPSHOT_BYTES + 1].into()).expect("the request is pending");
         };
         let (granted, ()) = tokio::join!(predecessor.link.link.request_takeover(), grant);
         assert_eq!(granted, Some(Bytes::new()));
         let listener = tokio::net::TcpListener::from_std(predecessor.listener).expect("a listener");
         let (_, client) = listener.accept().await.expect("a client");
-        assert_eq!(client, queued_client.local_addr().expect("connected"));
+        assert_eq!(client, queued_client.local_addr().expect("a connected client"));
     });
 }
 
-/// The error of a hello that is answered with these bytes and the end of the connection.
+/// Returns the error of a hello whose response consists of these bytes and the close of the connection.
 async fn error_after_response(response: &[u8]) -> HandoverError {
     let NodeFixture { directory: _directory, listener: _listener, listen, rendezvous } = NodeFixture::new();
     let socket = UnixListener::bind(rendezvous.path()).expect("a socket");
     let respond = async {
         let (stream, _) = socket.accept().await.expect("a connection");
         read_frame(&stream, &mut Decoder::default()).await.expect("a hello");
-        write_all(&stream, Bytes::copy_from_slice(response)).await.expect("it reads");
+        write_all(&stream, Bytes::copy_from_slice(response)).await.expect("a reading peer");
     };
-    tokio::join!(contact_predecessor(&rendezvous, "n", listen), respond).0.err().expect("no predecessor")
+    tokio::join!(contact_predecessor(&rendezvous, "n", listen), respond).0.err().expect("an error")
 }
 
 #[test]
-fn hello_response_is_no_acceptance_then_error_names_the_cause() {
-    run(Time::Paused, async {
-        let acceptance = Frame::Accepted("learned".into()).encode(0).expect("short");
+fn hello_is_not_accepted_then_error_names_the_cause() {
+    run(ClockMode::Paused, async {
+        let acceptance = Frame::Accepted("learned".into()).encode(0).expect("a short frame");
         let mut other_version = acceptance.to_vec();
         other_version[4] = 0;
         let error = error_after_response(b"HTTP/1.1 400").await;
@@ -62,17 +63,17 @@
         assert!(matches!(error, HandoverError::Protocol(FrameError::Truncated)));
         assert!(matches!(error_after_response(&acceptance).await, HandoverError::NoListener { .. }));
         assert!(matches!(error_after_response(b"").await, HandoverError::Disconnected(_)));
-        let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("short");
+        let busy = Frame::Rejected(RejectReason::Busy).encode(0).expect("a short frame");
         assert!(error_after_response(&busy).await.is_busy());
     });
 }
 
 #[test]
 fn hello_is_never_answered_then_contact_times_out() {
-    run(Time::Advancing, async {
+    run(ClockMode::Advancing, async {
         let NodeFixture { directory: _directory, listener: _listener, listen, rendezvous } =
             NodeFixture::new();
-        let _silent = UnixListener::bind(rendezvous.path()).expect("a socket");
+        let _unresponsive_listener = UnixListener::bind(rendezvous.path()).expect("a socket");
         let contacted = contact_predecessor(&rendezvous, "n", listen).await;
         assert!(matches!(contacted, Err(HandoverError::TimedOut)));
     });
--- a/crates/node/tests/unit/handover/link.rs
+++ b/crates/node/tests/unit/handover/link.rs
@@ -1,4 +1,5 @@
-//! Links between two ends in one process: responses, claims, loss, and an end that does not answer or read.
+//! Tests of links whose ends are both in one process: responses, claims, loss of the link, and a peer that
+//! does not answer or read.
 
 use bytes::Bytes;
 use curlewusher_control::command::{AdminCommand, CommandError};
@@ -7,14 +8,14 @@
 use super::outbound::MAX_OUTBOUND_BYTES;
 use super::*;
 use crate::handover::descriptor_stream::{read_frame, write_all};
-use crate::handover::test_support::{LinkPair, Time, link_pair, run};
+use crate::handover::test_support::{ClockMode, LinkPair, link_pair, run};
 
-/// Returns once the link is lost.
+/// Waits until the link is lost.
 async fn wait_until_lost(link: &PeerLink) {
     link.state.lost.cancelled().await;
 }
 
-/// Answers requests until the takeover is reverted. False where another request arrives.
+/// Answers requests until the takeover is rolled back. Returns `false` if an unexpected request arrives.
 async fn answer_until_hand_back(requests: &mut mpsc::Receiver<PeerRequest>) -> bool {
     while let Some(request) = requests.recv().await {
         match request {
@@ -33,26 +34,26 @@
 
 #[test]
 fn several_requests_are_pending_then_each_gets_its_own_response() {
-    run(Time::Paused, async {
+    run(ClockMode::Paused, async {
         let LinkPair { mut predecessor, mut successor } = link_pair();
         let link = &successor.link;
-        let ask = async {
+        let send_requests = async {
             let callbacks =
                 tokio::join!(link.forward_callback("mine".into()), link.forward_callback("not".into()));
             assert_eq!(callbacks, (ForwardResult::Handled, ForwardResult::NotHeld));
             let result = link.forward_command(&AdminCommand::Drain).await;
             assert_eq!(result, Some(Err(CommandError::ShuttingDown)));
             assert!(link.claim_job("held").await.is_none());
-            let claim = link.claim_job("new").await.expect("free");
+            let claim = link.claim_job("new").await.expect("an unclaimed id");
             assert!(link.claim_job("new").await.is_none(), "a duplicate claim");
             assert!(
                 predecessor.link.claim_job("new").await.is_none(),
-                "claimed there, and not held there yet"
+                "the successor has claimed the id, but does not hold it yet"
             );
             drop(claim);
             link.hand_back();
         };
-        assert!(tokio::join!(ask, answer_until_hand_back(&mut predecessor.requests)).1);
+        assert!(tokio::join!(send_requests, answer_until_hand_back(&mut predecessor.requests)).1);
         predecessor.link.transfer_cancellation(([10, 0, 0, 1], 80).into(), "w");
         predecessor.link.flush().await;
         let Some(PeerRequest::CancelAttempt { worker, job_id }) = successor.requests.recv().await else {
@@ -63,14 +64,14 @@
 }
 
 #[test]
-fn both_processes_claim_one_id_then_only_the_predecessor_gets_it() {
-    run(Time::Paused, async {
+fn both_processes_claim_one_id_then_only_the_claim_of_the_predecessor_succeeds() {
+    run(ClockMode::Paused, async {
         let LinkPair { predecessor, mut successor } = link_pair();
         let answer = async {
             let Some(PeerRequest::ClaimJob { is_unheld, .. }) = successor.requests.recv().await else {
                 panic!("no claim")
             };
-            is_unheld.send(true).expect("it waits");
+            is_unheld.send(true).expect("the claim is pending");
         };
         let (first, second, ()) =
             tokio::join!(predecessor.link.claim_job("a"), successor.link.claim_job("a"), answer);
@@ -79,22 +80,22 @@
 }
 
 #[test]
-fn claim_is_granted_then_peer_claim_in_the_same_read_is_refused() {
-    run(Time::Paused, async {
+fn claim_is_granted_then_peer_claim_in_the_same_read_is_rejected() {
+    run(ClockMode::Paused, async {
         let (one, other) = UnixStream::pair().expect("a pair");
         let mut successor = PeerLink::start(one, LinkRole::Successor, Decoder::default());
         let predecessor = async {
-            read_frame(&other, &mut Decoder::default()).await.expect("its claim");
-            // Both come in one read: no task runs between them.
+            read_frame(&other, &mut Decoder::default()).await.expect("the claim of the successor");
+            // Both frames arrive in one read, so no task runs between them.
             let [granted, claim] =
                 [Frame::ClaimResult(true).encode(1), Frame::ClaimJob("a".into()).encode(2)];
-            let both = [granted.expect("short"), claim.expect("short")].concat();
-            write_all(&other, both.into()).await.expect("it reads");
+            let both = [granted.expect("a short frame"), claim.expect("a short frame")].concat();
+            write_all(&other, both.into()).await.expect("a reading peer");
             read_frame(&other, &mut Decoder::default()).await.expect("a response")
         };
         let unexpected = async {
             let request = successor.requests.recv().await;
-            panic!("the link answers itself, lost: {}", matches!(request, Some(PeerRequest::LinkLost)))
+            panic!("expected no request, link lost: {}", matches!(request, Some(PeerRequest::LinkLost)))
         };
         let both = async { tokio::join!(successor.link.claim_job("a"), predecessor) };
         let (claim, response) = tokio::select! { both = both => both, () = unexpected => unreachable!() };
@@ -104,7 +105,7 @@
 
 #[test]
 fn link_is_closed_then_pending_requests_end_without_response() {
-    run(Time::Paused, async {
+    run(ClockMode::Paused, async {
         let LinkPair { mut predecessor, mut successor } = link_pair();
         let close = async {
             let Some(PeerRequest::Callback { .. }) = predecessor.requests.recv().await else {
@@ -126,13 +127,14 @@
 
 #[test]
 fn peer_never_answers_then_requests_time_out_and_takeover_closes_the_link() {
-    run(Time::Advancing, async {
+    run(ClockMode::Advancing, async {
         let LinkPair { predecessor: _predecessor, mut successor } = link_pair();
         let link = &successor.link;
         assert_eq!(link.forward_callback("w".into()).await, ForwardResult::NoAnswer);
         assert!(link.claim_job("a").await.is_some() && link.is_connected());
         assert_eq!(link.request_takeover().await, None);
-        // The predecessor may have handed over: only the loss of the link makes it take back.
+        // The predecessor may have granted the takeover. Only the loss of the link makes it roll the takeover
+        // back.
         assert!(!link.is_connected());
         assert!(matches!(successor.requests.recv().await, Some(PeerRequest::LinkLost)));
     });
@@ -140,7 +142,7 @@
 
 #[test]
 fn peer_reads_nothing_then_link_is_closed_at_the_outbound_limit() {
-    run(Time::Advancing, async {
+    run(ClockMode::Advancing, async {
         let (one, _reads_nothing) = UnixStream::pair().expect("a pair");
         let LinkEnds { link, requests: _requests } =
             PeerLink::start(one, LinkRole::Predecessor, Decoder::default());
--- a/crates/node/tests/unit/handover/rendezvous.rs
+++ b/crates/node/tests/unit/handover/rendezvous.rs
@@ -1,4 +1,4 @@
-//! The rendezvous socket and start lock in a real directory: who is found there, and who is not.
+//! Tests of the rendezvous socket and the start lock in a real directory.
 
 use std::net::TcpListener;
 
@@ -10,38 +10,38 @@
 use super::*;
 use crate::handover::descriptor_stream::write_all;
 use crate::handover::handshake::contact_predecessor;
-use crate::handover::test_support::{NodeFixture, Time, complete_handshake, listen_for_successor, run};
+use crate::handover::test_support::{ClockMode, NodeFixture, complete_handshake, listen_for_successor, run};
 
 #[test]
 fn invalid_hellos_arrive_then_successor_is_still_accepted() {
-    run(Time::Paused, async {
+    run(ClockMode::Paused, async {
         let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
         let (_rendezvous_listener, mut hellos) = listen_for_successor(&rendezvous);
         for bytes in [&b"GET / HTTP/1.1\r\n"[..], b"CW", b"CWUS\x00"] {
-            let stream = UnixStream::connect(rendezvous.path()).await.expect("it listens");
-            write_all(&stream, Bytes::copy_from_slice(bytes)).await.expect("it reads");
+            let stream = UnixStream::connect(rendezvous.path()).await.expect("a listening socket");
+            write_all(&stream, Bytes::copy_from_slice(bytes)).await.expect("a reading peer");
         }
-        // A listener on another address is not used.
+        // The successor does not use a listener on another address.
         let other = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let accept = async { hellos.recv().await.expect("a hello").accept(&other, Bytes::new()).await };
         let (contacted, _) = tokio::join!(contact_predecessor(&rendezvous, "n", listen), accept);
         assert!(matches!(contacted, Err(HandoverError::NoListener { .. })));
         let reject = async { hellos.recv().await.expect("a hello").reject(RejectReason::Busy).await };
         let (contacted, ()) = tokio::join!(contact_predecessor(&rendezvous, "n", listen), reject);
-        assert!(contacted.err().expect("no predecessor").is_busy());
+        assert!(contacted.err().expect("an error").is_busy());
         complete_handshake(&mut hellos, &listener, Bytes::new(), &rendezvous).await;
     });
 }
 
 #[test]
 fn second_process_binds_then_it_is_found_and_the_first_cannot_remove_its_socket() {
-    run(Time::Paused, async {
+    run(ClockMode::Paused, async {
         let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
-        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("an answer");
-        assert!(found.is_none(), "no file");
+        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact");
+        assert!(found.is_none(), "there is no socket file");
         drop(UnixListener::bind(rendezvous.path()).expect("a socket"));
-        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("an answer");
-        assert!(found.is_none(), "left by a process that has ended");
+        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact");
+        assert!(found.is_none(), "no process listens on the socket file");
         let (first, _) = listen_for_successor(&rendezvous);
         let (second, mut hellos) = listen_for_successor(&rendezvous);
         first.close();
@@ -50,18 +50,18 @@
         assert_eq!(mode & 0o777, 0o600);
         second.close();
         assert!(!rendezvous.path().exists());
-        assert!(contact_predecessor(&rendezvous, "n", listen).await.expect("an answer").is_none());
+        assert!(contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact").is_none());
     });
 }
 
 #[test]
-fn directory_is_missing_then_bind_names_it_and_its_long_path_works_once_created() {
-    run(Time::Paused, async {
+fn directory_is_missing_then_error_names_it_and_its_long_path_works_once_created() {
+    run(ClockMode::Paused, async {
         let NodeFixture { directory, listener, listen, .. } = NodeFixture::new();
         let long_path = directory.path().join("d".repeat(150));
         let rendezvous = Rendezvous::new(&long_path, listen);
         let Err(error) = RendezvousListener::bind(&rendezvous, mpsc::channel(1).0) else {
-            panic!("bound in a directory that does not exist")
+            panic!("the socket was bound in a missing directory")
         };
         assert!(matches!(error, HandoverError::Rendezvous { .. }) && error.to_string().contains("$TMPDIR"));
         fs::create_dir(&long_path).expect("a directory");
@@ -72,7 +72,7 @@
 
 #[test]
 fn start_lock_is_held_then_second_start_waits_until_release_or_timeout() {
-    run(Time::Advancing, async {
+    run(ClockMode::Advancing, async {
         let NodeFixture { directory: _directory, rendezvous, .. } = NodeFixture::new();
         let first = rendezvous.lock_start().await.expect("the lock");
         assert!(matches!(rendezvous.lock_start().await, Err(HandoverError::LockTimedOut { .. })));
@@ -83,6 +83,6 @@
         yield_now().await;
         assert!(!second.is_finished());
         drop(first);
-        assert!(second.await.expect("it ends"));
+        assert!(second.await.expect("the second start completes"));
     });
 }
--- a/crates/node/tests/unit/handover/support.rs
+++ b/crates/node/tests/unit/handover/support.rs
@@ -1,4 +1,5 @@
-//! What the handover's tests share: a paused clock on one thread, and both ends of real sockets in one process.
+//! Shared parts of the tests of the handover: a paused clock on one thread, and both ends of real sockets in
+//! one process.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -17,41 +18,42 @@
 use crate::handover::rendezvous::Rendezvous;
 use crate::handover::rendezvous_listener::RendezvousListener;
 
-/// How often a test's thread may yield before the test counts as hung.
+/// Maximum number of yields of a test with a paused clock, before the test counts as hung.
 const MAX_YIELDS: usize = 3_000_000;
-/// In a test whose time advances, it counts as hung after this long.
+/// Maximum duration of a test with an advancing clock, before the test counts as hung.
 const MAX_TEST_TIME: Duration = Duration::from_hours(1);
 
-/// How time passes: not at all, or at once to the next timer when nothing else can run. No test waits for time
-/// itself.
+/// Behavior of the clock of a test. No test waits for real time.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Time {
+pub enum ClockMode {
+    /// The clock does not advance.
     Paused,
+    /// The clock advances immediately to the next timer when no task can run.
     Advancing,
 }
 
-/// Runs a test on one thread, as the node does.
-pub fn run<T>(time: Time, test: impl Future<Output = T>) -> T {
+/// Runs a test on one thread, like the node.
+pub fn run<T>(clock: ClockMode, test: impl Future<Output = T>) -> T {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let hang = async {
-            if time == Time::Advancing {
+            if clock == ClockMode::Advancing {
                 return sleep(MAX_TEST_TIME).await;
             }
-            // A paused clock advances only while there is nothing to run.
+            // The clock of the runtime advances only while no task can run. Continuous yielding keeps it paused.
             for _ in 0..MAX_YIELDS {
                 yield_now().await;
             }
         };
         tokio::select! {
             result = test => result,
-            () = hang => panic!("what the test waits for does not happen"),
+            () = hang => panic!("the test hangs: an event for which it waits does not occur"),
         }
     })
 }
 
-/// A node's client listener, and its rendezvous in a directory of its own.
+/// Client listener of a node, and its rendezvous in a temporary directory.
 pub struct NodeFixture {
     pub directory: TempDir,
     pub listener: TcpListener,
@@ -69,6 +71,7 @@
     }
 }
 
+/// Binds the rendezvous socket. Returns its listener and the receiver of hellos.
 pub fn listen_for_successor(rendezvous: &Rendezvous) -> (RendezvousListener, mpsc::Receiver<SuccessorHello>) {
     let (hello_queue, hellos) = mpsc::channel(1);
     (RendezvousListener::bind(rendezvous, hello_queue).expect("a rendezvous listener"), hellos)
@@ -80,6 +83,7 @@
     pub successor: LinkEnds,
 }
 
+/// Creates a link between two ends in this process.
 pub fn link_pair() -> LinkPair {
     let (one, other) = UnixStream::pair().expect("a pair");
     LinkPair {
@@ -88,8 +92,8 @@
     }
 }
 
-/// Sends a hello and accepts it as it comes out of `hellos`. Returns the predecessor's end of the link, and what
-/// the successor received.
+/// Sends a hello, receives it from `hellos` and accepts it. Returns the end of the link at the predecessor,
+/// and the [`Predecessor`] that the successor has received.
 pub async fn complete_handshake(
     hellos: &mut mpsc::Receiver<SuccessorHello>,
     listener: &TcpListener,
@@ -103,5 +107,5 @@
         hello.accept(listener, snapshot).await.expect("a link")
     };
     let (ends, predecessor) = tokio::join!(accept, contact_predecessor(rendezvous, "n", listen));
-    (ends, predecessor.expect("an answer").expect("a predecessor"))
+    (ends, predecessor.expect("a completed contact").expect("a predecessor"))
 }
