--- a/crates/node/tests/randomized_lifecycle/job_model.rs
+++ b/crates/node/tests/randomized_lifecycle/job_model.rs
@@ -1,25 +1,32 @@
-//! What the scripted workers and clients have seen of each job, and the invariants that the node must keep for it.
+//! Observations of each job by the scripted workers and clients, and the invariants that the node must keep
+//! for it.
 //!
-//! The checks use these observations only, never the node's own state.
+//! The checks use only these observations, never the node's own state.
 
 use std::time::{Duration, Instant};
 
 use crate::common::HttpMessage;
 
-/// Time that an attempt may spend in transit; the node stays clear of the end of the deduplication window by as much.
-const WIRE_SLACK: Duration = Duration::from_millis(200);
-/// A response that is late by no more than this is useless to the client but breaks no invariant.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// Maximum time that an attempt may spend in transit. The node keeps the same margin before the end of the
+/// deduplication window.
+const TRANSIT_TOLERANCE: Duration = Duration::from_millis(200);
+/// Maximum time after the deadline at which a response breaks no invariant, although it is useless to the
+/// client.
+const LATE_RESPONSE_TOLERANCE: Duration = Duration::from_millis(500);
 
+/// Class of a job, one for each kind of idempotency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobClass {
+    /// Jobs that are safe to run more than once.
     View,
+    /// Jobs that must not run more than once.
     Order,
+    /// Jobs with an idempotency key.
     Register,
 }
 
 impl JobClass {
-    /// The name of the class in requests and settings.
+    /// Returns the name of the class in requests and settings.
     pub fn name(self) -> &'static str {
         match self {
             JobClass::View => "view",
@@ -29,70 +36,82 @@
     }
 }
 
-/// How an attempt ended, as its worker knows it.
+/// End of an attempt as its worker observed it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The job may have run.
-    pub ran: bool,
+    /// Whether the job may have run.
+    pub may_have_run: bool,
 }
 
-/// A delivery attempt whose last byte has arrived.
+/// An attempt whose last byte has arrived at a worker.
 #[derive(Debug)]
 pub struct Attempt {
     pub worker: usize,
+    /// Zone of the worker, and group in the zone.
     pub cell: (usize, usize),
-    pub at: Instant,
-    /// Its 202 is written.
+    pub arrived_at: Instant,
+    /// Whether the worker has written its 202.
     pub accepted: bool,
-    /// The 202 arrived while the node was paused, so that closing the connection no longer cancels the attempt.
-    pub surely_accepted: bool,
-    /// How many withdrawals have arrived, answered or not.
-    pub withdrawals: u32,
+    /// Whether the worker wrote its 202 while the node was paused. Closing the connection then no longer
+    /// cancels the attempt.
+    pub accepted_while_paused: bool,
+    /// Number of cancellations that have arrived, answered or not.
+    pub cancellation_count: u32,
     pub started: bool,
     pub ended: Option<AttemptEnd>,
 }
 
 impl Attempt {
+    /// Returns whether the job may have run, or still runs, by this attempt.
     pub fn may_have_run(&self) -> bool {
-        self.ended.is_none_or(|ended| ended.ran)
+        self.ended.is_none_or(|ended| ended.may_have_run)
     }
 }
 
-/// The outcome of a request, as its client knows it.
+/// Outcome of a request as its client observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// A part of the request is written.
+    /// The client has written only a part of the request.
     PartlyWritten,
+    /// The client waits for the response.
     Pending,
+    /// The client received a response with this status.
     Answered(u16),
-    /// Its client has disconnected.
-    ClientLeft,
-    /// Its connection ended unread where HTTP allows that, such as between two requests.
+    /// The client disconnected before the response.
+    ClientDisconnected,
+    /// The node closed the connection without reading the request, where HTTP allows it, such as between two
+    /// requests.
     ClosedUnserved,
 }
 
+/// A job with all observations of it.
 #[derive(Debug)]
 pub struct Job {
     pub id: String,
     pub class: JobClass,
     pub path: String,
+    /// Idempotency key of the job.
     pub key: Option<String>,
     pub body: String,
+    /// Deadline, counted from `sent_at`.
     pub deadline: Duration,
-    /// When its last byte was written, and after how many events.
+    /// Time and event number at which the client wrote the last byte of the request.
     pub sent_at: Option<(Instant, u64)>,
     pub outcome: Outcome,
-    pub left_at: Option<Instant>,
-    /// The node has had enough time to notice that its client disconnected.
-    pub departure_known: bool,
-    /// Further bytes were written behind the request.
+    /// Time at which the client disconnected.
+    pub disconnected_at: Option<Instant>,
+    /// Whether the node has had enough time to notice that the client disconnected.
+    pub notified_of_disconnect: bool,
+    /// Whether the client wrote further bytes behind the request.
     pub has_pipelined_data: bool,
     pub attempts: Vec<Attempt>,
+    /// Results that workers have reported for the job.
     pub results: Vec<String>,
+    /// Log of the events of the job, which the message of a violation includes.
     pub history: Vec<String>,
 }
 
-/// The workers among which repeats of a keyed job are discarded.
+/// Scope within which the workers discard duplicate attempts of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     Cell,
@@ -101,6 +120,7 @@
 }
 
 impl DedupScope {
+    /// Returns the name of the scope in settings.
     pub fn name(self) -> &'static str {
         match self {
             DedupScope::Cell => "cell",
@@ -109,7 +129,8 @@
         }
     }
 
-    fn same_domain(self, first: (usize, usize), second: (usize, usize)) -> bool {
+    /// Returns whether workers of these two cells share one deduplication domain.
+    fn includes_both(self, first: (usize, usize), second: (usize, usize)) -> bool {
         match self {
             DedupScope::Cell => first == second,
             DedupScope::Zone => first.0 == second.0,
@@ -118,131 +139,149 @@
     }
 }
 
-/// The settings of a run that the invariants depend on.
+/// Settings of a run that the invariants depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct JobRules {
     pub scope: DedupScope,
-    pub window: Duration,
+    pub dedup_window: Duration,
     pub max_attempts: usize,
 }
 
 /// A drain of a worker that the node has read.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainRecord {
-    /// The node had read it by this time, after so many events.
-    pub read: Instant,
+    /// Time by which the node had read the drain.
+    pub read_at: Instant,
+    /// Number of events by which the node had read the drain.
     pub event_count: u64,
-    /// The time has passed within which the node must stop sending there.
-    pub settled: bool,
+    /// Whether the time has passed within which the node must stop sending to the worker.
+    pub is_effective: bool,
 }
 
-/// A complete request for a job that has arrived at a worker.
+/// A complete request of an attempt that has arrived at a worker.
 pub struct Arrival<'a> {
     pub message: &'a HttpMessage,
     pub worker: usize,
     pub cell: (usize, usize),
+    /// Drain of the worker, if the node has read it.
     pub drain: Option<DrainRecord>,
-    /// It cannot have arrived before this.
+    /// Time before which the request cannot have arrived.
     pub earliest_arrival: Instant,
 }
 
 impl Job {
+    /// Returns whether the client may still get a response.
     pub fn is_open(&self) -> bool {
         matches!(self.outcome, Outcome::PartlyWritten | Outcome::Pending)
     }
 
-    /// The result that an attempt of the job reports.
+    /// Returns the result that an attempt of the job reports.
     pub fn result(&self, attempt: usize) -> String {
         format!("result {attempt} of {}", self.id)
     }
 
-    /// Checks an attempt whose last byte has arrived at a worker; an error says which invariant it breaks.
+    /// Checks an attempt whose last byte has arrived at a worker. An error names the violated invariant.
     pub fn check_arrival(&self, arrival: &Arrival<'_>, rules: JobRules) -> Result<(), String> {
         let &Arrival { message, worker, cell, drain, earliest_arrival } = arrival;
         let Some((_, event_count)) = self.sent_at else {
-            return Err("forwarded before it was complete".into());
+            return Err("sent to a worker before the request was complete".into());
         };
-        let start = format!("POST {} HTTP/1.1", self.path);
-        let same = message.start_line == start
+        let start_line = format!("POST {} HTTP/1.1", self.path);
+        let is_unchanged = message.start_line == start_line
             && message.body == self.body
             && message.header("idempotency-key") == self.key.as_deref();
-        if !same {
-            return Err(format!("not forwarded unchanged: {message:?}"));
+        if !is_unchanged {
+            return Err(format!("the worker received a changed request: {message:?}"));
         }
-        if let Some(at) = self.attempts.iter().position(|a| a.ended.is_none()) {
-            return Err(format!("a second attempt at {worker} beside attempt {at}"));
+        if let Some(index) = self.attempts.iter().position(|a| a.ended.is_none()) {
+            return Err(format!("a second attempt at worker {worker} before attempt {index} has ended"));
         }
         if let Outcome::Answered(_) | Outcome::ClosedUnserved = self.outcome {
-            return Err(format!("forwarded to {worker} after it was {:?}", self.outcome));
+            return Err(format!(
+                "sent to worker {worker} after the outcome of the job was {:?}",
+                self.outcome
+            ));
         }
-        if self.departure_known {
-            return Err(format!("forwarded to {worker} long after its client disconnected"));
+        if self.notified_of_disconnect {
+            return Err(format!("sent to worker {worker} long after the client disconnected"));
         }
         if self.attempts.len() >= rules.max_attempts {
             return Err("more attempts than the settings allow".into());
         }
         if let Some(drain) = drain
-            && (drain.settled || event_count > drain.event_count)
+            && (drain.is_effective || event_count > drain.event_count)
         {
-            return Err(format!("sent to {worker}, which is draining"));
+            return Err(format!("sent to worker {worker}, which is draining"));
         }
         let Some(first) = self.attempts.iter().find(|a| a.may_have_run()) else { return Ok(()) };
         match self.class {
             JobClass::View => Ok(()),
-            JobClass::Order => Err(format!("retried at {worker}, though it may have run")),
-            JobClass::Register if !rules.scope.same_domain(first.cell, cell) => {
-                Err(format!("retried at {worker} of another {}, though it may have run", rules.scope.name()))
-            }
-            JobClass::Register if earliest_arrival > first.at + rules.window + WIRE_SLACK => {
-                Err(format!("retried at {worker} after the deduplication window"))
+            JobClass::Order => Err(format!("retried at worker {worker}, although the job may have run")),
+            JobClass::Register if !rules.scope.includes_both(first.cell, cell) => Err(format!(
+                "retried at worker {worker} outside the deduplication scope {}, but the job may have run",
+                rules.scope.name()
+            )),
+            JobClass::Register
+                if earliest_arrival > first.arrived_at + rules.dedup_window + TRANSIT_TOLERANCE =>
+            {
+                Err(format!("retried at worker {worker} after the deduplication window"))
             }
             JobClass::Register => Ok(()),
         }
     }
 
-    /// Checks the response that its client has read; `node_terminates` after SIGTERM.
+    /// Checks the response that the client has read. `after_sigterm` tells whether the node has received
+    /// SIGTERM.
     pub fn check_response(
         &self,
         message: &HttpMessage,
         rules: JobRules,
-        node_terminates: bool,
+        after_sigterm: bool,
     ) -> Result<(), String> {
         let status = message.status();
         match self.outcome {
-            Outcome::Answered(before) => return Err(format!("answered {status} after {before}")),
+            Outcome::Answered(earlier_status) => {
+                return Err(format!("the client received {status} after {earlier_status}"));
+            }
             Outcome::PartlyWritten if status == 408 || status == 400 => return Ok(()),
-            // A node that has answered all jobs and shuts down reads no more of it: it was never forwarded.
-            Outcome::PartlyWritten if node_terminates && status == 503 && self.attempts.is_empty() => {
+            // A node that shuts down and has answered all jobs does not read the rest of the request, so that
+            // no worker has received it.
+            Outcome::PartlyWritten if after_sigterm && status == 503 && self.attempts.is_empty() => {
                 return Ok(());
             }
-            Outcome::PartlyWritten => return Err(format!("answered {status} before it was complete")),
+            Outcome::PartlyWritten => {
+                return Err(format!("the client received {status} before the request was complete"));
+            }
             _ => {}
         }
-        let harmless = match self.class {
+        let is_resubmission_safe = match self.class {
             JobClass::View => true,
             JobClass::Order => false,
             JobClass::Register => rules.scope == DedupScope::All,
         };
         match status {
-            200 if !self.results.contains(&message.body) => {
-                Err(format!("served with a result that no worker made for it: {:?}", message.body))
-            }
-            429 | 503 if !harmless && self.attempts.iter().any(Attempt::may_have_run) => {
-                Err("rejected, though an attempt may have run".into())
+            200 if !self.results.contains(&message.body) => Err(format!(
+                "the client received a result that no worker reported for the job: {:?}",
+                message.body
+            )),
+            429 | 503 if !is_resubmission_safe && self.attempts.iter().any(Attempt::may_have_run) => {
+                Err("rejected, although an attempt may have run".into())
             }
             200 | 429 | 502 | 503 => Ok(()),
-            _ => Err(format!("answered {status}: {}", message.body)),
+            _ => Err(format!("the client received the unexpected status {status}: {}", message.body)),
         }
     }
 
-    /// Whether a worker still runs an attempt that was never withdrawn.
-    pub fn runs_without_withdrawal(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.ended.is_none() && attempt.withdrawals == 0)
+    /// Returns whether a worker still runs an attempt that was never cancelled.
+    pub fn has_uncancelled_attempt(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.ended.is_none() && attempt.cancellation_count == 0)
     }
 
-    /// Whether it still waits although the node was responsive after its deadline, at `responsive_since`.
+    /// Returns whether the client still waits, although the node was responsive at `responsive_since`, after
+    /// the deadline.
     pub fn is_overdue(&self, responsive_since: Instant) -> bool {
-        let due = |(sent, _): (Instant, _)| responsive_since > sent + self.deadline + ANSWER_SLACK;
-        self.outcome == Outcome::Pending && self.sent_at.is_some_and(due)
+        let is_past_deadline =
+            |(sent, _): (Instant, _)| responsive_since > sent + self.deadline + LATE_RESPONSE_TOLERANCE;
+        self.outcome == Outcome::Pending && self.sent_at.is_some_and(is_past_deadline)
     }
 }
--- a/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
@@ -1,4 +1,4 @@
-//! Scripted discovery: endpoint changes, watches and their disturbances, and reloads of the configuration.
+//! Scripted discovery: endpoint changes, watches and their faults, and reloads of the configuration.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -8,25 +8,25 @@
 use crate::common::endpoint_list_json;
 use crate::randomized_lifecycle::connection::Connection;
 
-/// Interval of the empty lines on a healthy watch.
-const HEARTBEAT: Duration = Duration::from_millis(700);
+/// Interval of the empty lines that keep a healthy watch alive.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// A connection from the node to discovery.
+/// Connection from the node to discovery.
 pub(super) struct WatchConnection {
     pub(super) connection: Connection,
-    /// The response has begun.
-    pub(super) open: bool,
-    /// Discovery writes nothing on it any more.
-    pub(super) silent: bool,
-    /// The part of a line that is not written yet.
+    /// Whether discovery has begun the response.
+    pub(super) response_started: bool,
+    /// Whether discovery has stopped writing on the connection.
+    pub(super) is_stalled: bool,
+    /// Part of a line that is not written yet.
     pub(super) rest: String,
     pub(super) last_line_at: Instant,
 }
 
 impl WatchConnection {
-    /// Whether lines are written on it.
+    /// Returns whether discovery writes lines on the connection.
     pub(super) fn is_healthy(&self) -> bool {
-        self.open && !self.silent && self.connection.is_open()
+        self.response_started && !self.is_stalled && self.connection.is_open()
     }
 }
 
@@ -40,45 +40,46 @@
             _ => EndpointStatus::InService,
         };
         self.list_version += 1;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a date").as_millis();
-        let this = &mut self.workers[worker];
-        if this.status == EndpointStatus::Terminated
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis();
+        let changed_worker = &mut self.workers[worker];
+        if changed_worker.status == EndpointStatus::Terminated
             && status == EndpointStatus::InService
             && b.is_multiple_of(2)
         {
-            this.since_ms = now;
+            changed_worker.since_ms = now;
         }
-        (this.status, this.changed_in_version, this.drain) = (status, self.list_version, None);
-        self.unconfirmed_drains.retain(|(at, _)| *at != worker);
-        let line = endpoint_list_json(self.list_version, false, &[this.endpoint_json()]);
-        for at in 0..self.watches.len() {
-            if self.watches[at].is_healthy() {
-                self.write_watch_line(at, &line, (b / 8).is_multiple_of(3));
+        (changed_worker.status, changed_worker.changed_in_version, changed_worker.drain) =
+            (status, self.list_version, None);
+        self.unconfirmed_drains.retain(|(index, _)| *index != worker);
+        let line = endpoint_list_json(self.list_version, false, &[changed_worker.endpoint_json()]);
+        for index in 0..self.watches.len() {
+            if self.watches[index].is_healthy() {
+                self.write_watch_line(index, &line, (b / 8).is_multiple_of(3));
             }
         }
         if status != EndpointStatus::InService && self.watches.iter().any(WatchConnection::is_healthy) {
-            self.unconfirmed_drains.push((worker, self.lines_written));
+            self.unconfirmed_drains.push((worker, self.expected_list_count));
         }
     }
 
     /// Writes a line on a watch, whole or in two parts.
-    pub(super) fn write_watch_line(&mut self, at: usize, line: &str, in_parts: bool) {
-        let watch = &mut self.watches[at];
+    pub(super) fn write_watch_line(&mut self, index: usize, line: &str, in_parts: bool) {
+        let watch = &mut self.watches[index];
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let (first, rest) = chunk.split_at(if in_parts { chunk.len() / 2 } else { chunk.len() });
-        let whole = std::mem::take(&mut watch.rest);
-        watch.connection.write(&format!("{whole}{first}"));
+        let earlier_rest = std::mem::take(&mut watch.rest);
+        watch.connection.write(&format!("{earlier_rest}{first}"));
         rest.clone_into(&mut watch.rest);
         watch.last_line_at = Instant::now();
-        self.lines_written += 1;
+        self.expected_list_count += 1;
     }
 
-    /// Makes a healthy watch silent, or ends it in one of several ways.
-    pub(super) fn disturb_watch(&mut self, b: usize) {
-        let Some(at) = self.watches.iter().rposition(WatchConnection::is_healthy) else { return };
-        let watch = &mut self.watches[at];
+    /// Stops writing on a healthy watch without closing it, or ends it in one of several ways.
+    pub(super) fn inject_watch_fault(&mut self, b: usize) {
+        let Some(index) = self.watches.iter().rposition(WatchConnection::is_healthy) else { return };
+        let watch = &mut self.watches[index];
         match b % 4 {
-            0 => watch.silent = true,
+            0 => watch.is_stalled = true,
             1 => watch.connection.close(true),
             2 => watch.connection.close(false),
             _ => {
@@ -89,7 +90,7 @@
         self.watch_lines_lost = true;
     }
 
-    /// Reloads a configuration that is invalid, or that names another discovery.
+    /// Reloads a configuration that is invalid, or that names one of the discovery addresses.
     pub(super) fn reload_config(&mut self, a: usize, b: usize) {
         if self.exited {
             return;
@@ -97,23 +98,24 @@
         if b.is_multiple_of(4) {
             return self.node.reload_config("{");
         }
-        let at = self.discoveries[a % 2].local_addr().expect("an address");
+        let address = self.discoveries[a % 2].local_addr().expect("a bound listener has an address");
         let known: Vec<_> = self.workers.iter().map(Worker::endpoint_json).collect();
         self.node.reload_config(&node_config(
             &self.settings,
-            at,
+            address,
             &endpoint_list_json(self.list_version, true, &known),
         ));
     }
 
-    /// Writes the rests of lines and callbacks, and empty lines where one is due.
+    /// Writes the rests of partial lines and callbacks, and an empty line on each watch whose last line is
+    /// older than [`HEARTBEAT_INTERVAL`].
     pub(super) fn write_heartbeats(&mut self) {
         for watch in &mut self.watches {
             if !watch.rest.is_empty() && watch.is_healthy() {
                 let rest = std::mem::take(&mut watch.rest);
                 watch.connection.write(&rest);
                 watch.last_line_at = Instant::now();
-            } else if watch.is_healthy() && watch.last_line_at.elapsed() > HEARTBEAT {
+            } else if watch.is_healthy() && watch.last_line_at.elapsed() > HEARTBEAT_INTERVAL {
                 watch.connection.write("1\r\n\n\r\n");
                 watch.last_line_at = Instant::now();
             }
@@ -124,43 +126,43 @@
         }
     }
 
-    /// Reads a watch and responds to its request; returns whether anything had arrived.
-    pub(super) fn receive_watch_request(&mut self, at: usize) -> bool {
-        let any = self.watches[at].connection.read();
-        if let Some(message) = self.watches[at].connection.message() {
+    /// Reads a watch connection and responds to its request. Returns whether anything had arrived.
+    pub(super) fn receive_watch_request(&mut self, index: usize) -> bool {
+        let received = self.watches[index].connection.read();
+        if let Some(message) = self.watches[index].connection.take_message() {
             let since =
                 message.start_line.split("follow=1&since=").nth(1).and_then(|rest| rest.split(' ').next());
             let Some(since) = since.and_then(|since| since.parse::<u64>().ok()) else {
-                // A request to a worker of another test, which had this port before.
-                self.watches[at].connection.close(false);
-                return any;
+                // The request is for a worker of another test, which had this port before.
+                self.watches[index].connection.close(false);
+                return received;
             };
             self.watch_requests += 1;
-            let first = self.watch_requests == 1;
-            let mut draw = self.derived_rng("watch", 0, self.watch_requests);
-            let watch = &mut self.watches[at];
-            match draw.u8(0..12) {
-                0 if !first => watch.connection.close(true),
-                1 if !first => {
+            let is_first = self.watch_requests == 1;
+            let mut rng = self.derived_rng("watch", 0, self.watch_requests);
+            let watch = &mut self.watches[index];
+            match rng.u8(0..12) {
+                0 if !is_first => watch.connection.close(true),
+                1 if !is_first => {
                     watch.connection.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                     watch.connection.close(false);
                 }
-                drawn => self.open_watch(at, since, drawn),
+                choice => self.open_watch(index, since, choice),
             }
         }
-        if self.watches[at].connection.end.is_some() {
+        if self.watches[index].connection.end.is_some() {
             self.watch_lines_lost = true;
         }
-        any
+        received
     }
 
-    /// Begins the response to a watch: with all endpoints where the node has none or `drawn` says so, else with those that
-    /// changed since its version.
-    fn open_watch(&mut self, at: usize, since: u64, drawn: u8) {
-        let watch = &mut self.watches[at];
+    /// Begins the response to a watch request. The first list has all endpoints if the node has no list or
+    /// `choice` is even, otherwise the endpoints that changed since the node's version.
+    fn open_watch(&mut self, watch_index: usize, since: u64, choice: u8) {
+        let watch = &mut self.watches[watch_index];
         watch.connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        watch.open = true;
-        let is_snapshot = since == 0 || drawn.is_multiple_of(2);
+        watch.response_started = true;
+        let is_snapshot = since == 0 || choice.is_multiple_of(2);
         let is_listed = |worker: &&Worker| {
             if is_snapshot {
                 worker.status != EndpointStatus::Terminated
@@ -170,10 +172,10 @@
         };
         let endpoints: Vec<_> = self.workers.iter().filter(is_listed).map(Worker::endpoint_json).collect();
         let line = endpoint_list_json(self.list_version, is_snapshot, &endpoints);
-        self.write_watch_line(at, &line, drawn == 2);
-        for (index, worker) in self.workers.iter().enumerate() {
+        self.write_watch_line(watch_index, &line, choice == 2);
+        for (worker_index, worker) in self.workers.iter().enumerate() {
             if worker.status != EndpointStatus::InService && worker.drain.is_none() {
-                self.unconfirmed_drains.push((index, self.lines_written));
+                self.unconfirmed_drains.push((worker_index, self.expected_list_count));
             }
         }
     }
--- a/crates/node/tests/randomized_lifecycle/lifecycle/mod.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/mod.rs
@@ -1,7 +1,8 @@
-//! One run: a node as a process, with discovery, workers and clients that are all scripted here, on one thread.
+//! One run: a node as a process, with scripted discovery, workers and clients on one thread.
 //!
-//! Every event is drawn from the seed. After each, all sockets are read, the node answers a request, and the invariants
-//! are checked. Nothing but the pauses of the run waits for time to pass, and no check depends on those.
+//! The seed determines every event. After each event the run reads all sockets, the node answers a request,
+//! and the run checks the invariants. Only the pauses of the run wait for time to pass, and no check depends
+//! on their duration.
 
 mod callbacks;
 mod clients;
@@ -19,18 +20,18 @@
 use self::callbacks::PendingCallback;
 use self::clients::{ClientConnection, RequestForm};
 use self::discovery::WatchConnection;
-use self::settings::{DrawnSettings, node_config};
+use self::settings::{RandomSettings, node_config};
 use self::workers::{RunningAttempt, Worker, WorkerConnection};
 use super::connection::Connection;
 use super::job_model::{Job, JobRules, Outcome};
 use crate::common::{Node, TEST_TIMEOUT, endpoint_list_json};
 
-/// For this long after SIGTERM new connections must still be served.
-const SERVES_NEW_CONNECTIONS_FOR: Duration = Duration::from_millis(400);
-/// The log lines on a job are shown where an invariant is broken.
+/// Minimum time after SIGTERM for which the node must still serve new connections.
+const MIN_ACCEPT_DURATION: Duration = Duration::from_millis(400);
+/// Operators' file of the node. The message of a violation includes the log lines of the job.
 const OPERATOR_FILE: &str = "[log]\nlevel = \"debug\"\nlines_per_s = 100000\nwaiting_lines = 65536\n";
 
-/// What happened in a run: names and counts.
+/// Counts of a run, each with its name.
 pub type Tally = [(&'static str, usize); 9];
 
 /// The state of one run.
@@ -40,8 +41,11 @@
     node: Node,
     settings: String,
     rules: JobRules,
+    /// Maximum deadline of each class, in milliseconds.
     deadlines_ms: [u64; 3],
+    /// Listeners of discovery at two addresses. A valid reload names one of them.
     discoveries: [TcpListener; 2],
+    /// Version of the latest endpoint list.
     list_version: u64,
     workers: Vec<Worker>,
     worker_connections: Vec<WorkerConnection>,
@@ -49,42 +53,47 @@
     clients: Vec<ClientConnection>,
     callbacks: Vec<PendingCallback>,
     watches: Vec<WatchConnection>,
+    /// Number of watch requests that discovery has received.
     watch_requests: usize,
     metrics_connection: Option<Connection>,
     jobs: Vec<Job>,
     event_count: u64,
     started_at: Instant,
-    /// All that is read from now on has arrived after this.
+    /// Time after which everything that is read from now on has arrived.
     earliest_arrival: Instant,
-    /// Endpoint lists that the node will have counted once it has read all that was written.
-    lines_written: u64,
-    /// Drained workers, each with the value of `lines_written` by which the node knows.
+    /// Number of endpoint lists that the node will have counted once it has read everything written so far.
+    expected_list_count: u64,
+    /// Drained workers that the node may not be notified of. Each has the value of `expected_list_count` at
+    /// which the node is notified.
     unconfirmed_drains: Vec<(usize, u64)>,
+    /// Whether lines of a broken watch may be counted in `expected_list_count` although the node has not read
+    /// them.
     watch_lines_lost: bool,
-    /// The event up to which the node is paused; zero where it runs.
+    /// Number of the event up to which the node is paused; zero while the node runs.
     paused_until_event: u64,
+    /// Time at which the node was sent SIGTERM.
     terminated_at: Option<Instant>,
     exited: bool,
 }
 
-/// A non-blocking listener on a free port.
+/// Opens a non-blocking listener on a free port.
 fn listen() -> TcpListener {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.set_nonblocking(true).expect("a socket");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    listener.set_nonblocking(true).expect("an option of any socket");
     listener
 }
 
 impl Lifecycle {
-    /// Starts the node of this seed and waits for its watch.
+    /// Starts the node of this seed and waits until it has opened a watch.
     pub fn new(seed: u64) -> Lifecycle {
         let mut rng = Rng::with_seed(seed);
         let worker_count = rng.usize(3..=5);
         let workers: Vec<_> = (0..worker_count).map(|number| Worker::start(number, &mut rng)).collect();
         let discoveries = [listen(), listen()];
-        let drawn = DrawnSettings::draw(&mut rng);
-        let settings = drawn.json();
+        let random_settings = RandomSettings::sample(&mut rng);
+        let settings = random_settings.json();
         let known: Vec<_> = workers.iter().map(Worker::endpoint_json).collect();
-        let discovery = discoveries[0].local_addr().expect("an address");
+        let discovery = discoveries[0].local_addr().expect("a bound listener has an address");
         let config = node_config(&settings, discovery, &endpoint_list_json(41, true, &known));
         let node = Node::start_with_operator_file(&config, OPERATOR_FILE);
         let now = Instant::now();
@@ -93,8 +102,8 @@
             rng,
             node,
             settings,
-            rules: drawn.rules,
-            deadlines_ms: drawn.deadlines_ms,
+            rules: random_settings.rules,
+            deadlines_ms: random_settings.deadlines_ms,
             discoveries,
             list_version: 41,
             workers,
@@ -109,56 +118,60 @@
             event_count: 0,
             started_at: now,
             earliest_arrival: now,
-            lines_written: 1,
+            expected_list_count: 1,
             unconfirmed_drains: vec![],
             watch_lines_lost: false,
             paused_until_event: 0,
             terminated_at: None,
             exited: false,
         };
-        if !lifecycle.read_until(TEST_TIMEOUT, |lifecycle| lifecycle.watches.iter().any(|watch| watch.open)) {
-            lifecycle.fail(None, "no watch was opened");
+        if !lifecycle.read_until(TEST_TIMEOUT, |lifecycle| {
+            lifecycle.watches.iter().any(|watch| watch.response_started)
+        }) {
+            lifecycle.fail(None, "the node opened no watch");
         }
-        lifecycle.settle();
+        lifecycle.synchronize();
         lifecycle
     }
 
-    /// Plays the run. Panics where an invariant does not hold.
+    /// Executes the run. Panics if an invariant is violated.
     pub fn run(mut self) -> Tally {
-        let descriptors = self.open_descriptors();
+        let initial_descriptors = self.open_descriptor_count();
         let event_count = self.rng.u64(30..70);
-        let early = self.rng.u8(0..3) == 0;
-        let last = if early { self.rng.u64(10..event_count) } else { event_count };
-        while self.event_count < last {
-            self.play_random_event();
+        let is_terminated_early = self.rng.u8(0..3) == 0;
+        let sigterm_event = if is_terminated_early { self.rng.u64(10..event_count) } else { event_count };
+        while self.event_count < sigterm_event {
+            self.run_random_event();
         }
-        if !early {
-            self.assert_idle_node_keeps_nothing(descriptors);
+        if !is_terminated_early {
+            self.assert_no_resources_remain(initial_descriptors);
         }
         self.send_sigterm();
-        let after = self.event_count + if early { 80 } else { 0 };
-        while self.event_count < after && !self.exited {
-            self.play_random_event();
+        let last_event = self.event_count + if is_terminated_early { 80 } else { 0 };
+        while self.event_count < last_event && !self.exited {
+            self.run_random_event();
         }
         self.wait_for_exit();
-        let outcome =
-            |outcome: fn(&Outcome) -> bool| self.jobs.iter().filter(|job| outcome(&job.outcome)).count();
+        let count_jobs = |has_outcome: fn(&Outcome) -> bool| {
+            self.jobs.iter().filter(|job| has_outcome(&job.outcome)).count()
+        };
         let attempts = || self.jobs.iter().flat_map(|job| &job.attempts);
         [
             ("events", self.event_count as usize),
             ("jobs", self.jobs.len()),
             ("attempts", attempts().count()),
-            ("withdrawals", attempts().map(|attempt| attempt.withdrawals as usize).sum()),
-            ("served", outcome(|outcome| *outcome == Outcome::Answered(200))),
-            ("refused", outcome(|outcome| *outcome == Outcome::Answered(503))),
-            ("failed", outcome(|outcome| *outcome == Outcome::Answered(502))),
-            ("left", outcome(|outcome| *outcome == Outcome::ClientLeft)),
-            ("crossed", outcome(|outcome| *outcome == Outcome::ClosedUnserved)),
+            ("withdrawals", attempts().map(|attempt| attempt.cancellation_count as usize).sum()),
+            ("served", count_jobs(|outcome| *outcome == Outcome::Answered(200))),
+            ("refused", count_jobs(|outcome| *outcome == Outcome::Answered(503))),
+            ("failed", count_jobs(|outcome| *outcome == Outcome::Answered(502))),
+            ("left", count_jobs(|outcome| *outcome == Outcome::ClientDisconnected)),
+            ("crossed", count_jobs(|outcome| *outcome == Outcome::ClosedUnserved)),
         ]
     }
 
-    /// Plays one event. What is drawn does not depend on what the node does.
-    fn play_random_event(&mut self) {
+    /// Executes one random event. The random numbers do not depend on the behaviour of the node: each event
+    /// takes the same ones, and its handler derives its choices from `a` and `b`.
+    fn run_random_event(&mut self) {
         self.event_count += 1;
         let (kind, a, b) = (self.rng.u8(0..64), self.rng.usize(0..1 << 16), self.rng.usize(0..1 << 16));
         match kind {
@@ -168,32 +181,32 @@
             29..=30 => self.finish_partial_request(a),
             31..=35 => self.disconnect_client(a, b % 2 == 0),
             36..=40 => self.change_endpoint_status(a, b),
-            41..=42 => self.disturb_watch(b),
+            41..=42 => self.inject_watch_fault(b),
             43 => self.reload_config(a, b),
-            62..=63 => self.disturb_idle_connections(a, b),
+            62..=63 => self.inject_idle_connection_fault(a, b),
             44..=46 => self.pause_node(2 + a as u64 % 3),
-            47..=49 => self.let_time_pass(Duration::from_millis(60 + a as u64 % 150)),
-            _ => self.let_time_pass(Duration::from_millis(2 + a as u64 % 40)),
+            47..=49 => self.read_for(Duration::from_millis(60 + a as u64 % 150)),
+            _ => self.read_for(Duration::from_millis(2 + a as u64 % 40)),
         }
         self.run_worker_actions();
         self.write_heartbeats();
         if self.paused_until_event > 0 && self.event_count >= self.paused_until_event {
             self.resume_node();
         }
-        self.settle();
+        self.synchronize();
     }
 
-    /// Reads what comes for this long.
-    fn let_time_pass(&mut self, time: Duration) {
+    /// Reads all sockets for this duration, unless the node is paused.
+    fn read_for(&mut self, duration: Duration) {
         if self.paused_until_event == 0 {
-            self.read_until(time, |lifecycle| lifecycle.exited);
+            self.read_until(duration, |lifecycle| lifecycle.exited);
         }
     }
 
-    /// Pauses the node over the next events, all of which it then finds at once.
+    /// Pauses the node for the next `event_count` events, all of which it then finds at once.
     fn pause_node(&mut self, event_count: u64) {
         if self.paused_until_event == 0 && !self.exited {
-            self.settle();
+            self.synchronize();
             self.node.signal("-STOP");
             self.paused_until_event = self.event_count + event_count;
         }
--- a/crates/node/tests/randomized_lifecycle/lifecycle/settings.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that are drawn for a run, and the configuration of its node.
+//! The random settings of a run, and the configuration of its node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,26 +7,27 @@
 
 use crate::randomized_lifecycle::job_model::{DedupScope, JobRules};
 
-/// The drawn part of the settings.
-pub(super) struct DrawnSettings {
+/// Random part of the settings.
+pub(super) struct RandomSettings {
     pub rules: JobRules,
-    /// The longest deadline of each class, in milliseconds.
+    /// Maximum deadline of each class, in milliseconds.
     pub deadlines_ms: [u64; 3],
 }
 
-impl DrawnSettings {
-    pub fn draw(rng: &mut Rng) -> DrawnSettings {
-        let window = Duration::from_millis(rng.u64(500..1500));
+impl RandomSettings {
+    /// Samples the settings of a run.
+    pub fn sample(rng: &mut Rng) -> RandomSettings {
+        let dedup_window = Duration::from_millis(rng.u64(500..1500));
         let deadlines_ms = [0; 3].map(|_| rng.u64(1000..=2500));
         let max_attempts = rng.usize(2..=5);
         let scope = [DedupScope::Cell, DedupScope::Cell, DedupScope::Zone, DedupScope::All][rng.usize(0..4)];
-        DrawnSettings { rules: JobRules { scope, window, max_attempts }, deadlines_ms }
+        RandomSettings { rules: JobRules { scope, dedup_window, max_attempts }, deadlines_ms }
     }
 
-    /// The settings as the configuration has them.
+    /// Returns the settings in the form that the configuration holds.
     pub fn json(&self) -> String {
         let [view, order, register] = self.deadlines_ms.map(|ms| ms * 1000);
-        let JobRules { scope, window, max_attempts } = self.rules;
+        let JobRules { scope, dedup_window, max_attempts } = self.rules;
         format!(
             r#"{{"balancers":1,"rank":0,"zone":0,"discovery":"subscribe","localities":["a","b"],"kinds":["m"],
             "weights":"nominal",
@@ -41,12 +42,12 @@
             "rules":{{"askWithinUs":2000000,"coldShare":0.5,"warmUpUs":500000,"overloadFactor":3.0,
             "fallUs":1000000}}}}"#,
             scope.name(),
-            window.as_millis()
+            dedup_window.as_millis()
         )
     }
 }
 
-/// The configuration with these settings.
+/// Returns the configuration of a node with these settings.
 pub(super) fn node_config(settings: &str, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
--- a/crates/node/tests/randomized_lifecycle/mod.rs
+++ b/crates/node/tests/randomized_lifecycle/mod.rs
@@ -1,8 +1,10 @@
-//! Randomized lifecycle tests: short runs of one node whose events are drawn from a seed, with invariants that are
-//! checked after every event.
+//! Randomized lifecycle tests: short runs of one node. A seed determines the events of a run, and every
+//! invariant is checked after each event.
 //!
-//! `LIVES_SEED=n` plays the run of that seed alone, `LIVES_COUNT=n` so many from it on, `LIVES_AT_ONCE=n` so many
-//! in parallel.
+//! Environment variables:
+//! - `LIVES_SEED=n` runs only this seed, or starts from it if `LIVES_COUNT` is set.
+//! - `LIVES_COUNT=n` sets the number of consecutive seeds to run.
+//! - `LIVES_AT_ONCE=n` sets the number of runs in parallel.
 
 mod connection;
 mod job_model;
@@ -14,14 +16,14 @@
 
 use lifecycle::{Lifecycle, Tally};
 
-/// Runs that are played by default.
+/// Number of runs by default.
 const DEFAULT_RUN_COUNT: u64 = 12;
 
-/// The number in an environment variable, if that is set.
+/// Returns the number in an environment variable, if it is set.
 fn number_from_environment(name: &str) -> Option<u64> {
-    std::env::var(name)
-        .ok()
-        .map(|text| text.parse().unwrap_or_else(|_| panic!("{name} is no number: {text}")))
+    std::env::var(name).ok().map(|text| {
+        text.parse().unwrap_or_else(|_| panic!("environment variable {name} must be a number, but is {text}"))
+    })
 }
 
 #[test]
@@ -29,32 +31,46 @@
     let seed = number_from_environment("LIVES_SEED");
     let count =
         number_from_environment("LIVES_COUNT").unwrap_or(if seed.is_some() { 1 } else { DEFAULT_RUN_COUNT });
-    let first = seed.unwrap_or(1);
-    let next = AtomicU64::new(first);
+    let first_seed = seed.unwrap_or(1);
+    let next_seed = AtomicU64::new(first_seed);
     let tallies: Vec<Option<Tally>> = thread::scope(|scope| {
-        let play_runs = || {
+        let run_seeds = || {
             let mut tallies = vec![];
             loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= first + count {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                if seed >= first_seed + count {
                     return tallies;
                 }
-                // The panic says which invariant is broken.
-                let run = thread::Builder::new().spawn(move || Lifecycle::new(seed).run()).expect("a thread");
+                // A run that violates an invariant panics with a message that names the invariant.
+                let run = thread::Builder::new()
+                    .spawn(move || Lifecycle::new(seed).run())
+                    .expect("the system starts a thread");
                 tallies.push(run.join().ok());
             }
         };
         let threads: Vec<_> = (0..number_from_environment("LIVES_AT_ONCE").unwrap_or(6))
-            .map(|_| scope.spawn(play_runs))
+            .map(|_| scope.spawn(run_seeds))
             .collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("it returns")).collect()
+        threads
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("threads do not panic, only their runs"))
+            .collect()
     });
-    let whole: Vec<_> = tallies.iter().flatten().collect();
-    if let Some(one) = whole.first() {
-        let sum =
-            |at: usize| format!("{} {}", whole.iter().map(|tally| tally[at].1).sum::<usize>(), one[at].0);
-        println!("{} runs: {}", whole.len(), (0..one.len()).map(sum).collect::<Vec<_>>().join(", "));
+    let completed: Vec<_> = tallies.iter().flatten().collect();
+    if let Some(first_tally) = completed.first() {
+        let sum = |index: usize| {
+            format!(
+                "{} {}",
+                completed.iter().map(|tally| tally[index].1).sum::<usize>(),
+                first_tally[index].0
+            )
+        };
+        println!(
+            "{} runs: {}",
+            completed.len(),
+            (0..first_tally.len()).map(sum).collect::<Vec<_>>().join(", ")
+        );
     }
-    let broken = tallies.len() - whole.len();
-    assert!(broken == 0, "{broken} of {count} runs broke an invariant");
+    let failed_count = tallies.len() - completed.len();
+    assert!(failed_count == 0, "{failed_count} of {count} runs violated an invariant");
 }
--- a/crates/node/tests/randomized_lifecycle/worker_script.rs
+++ b/crates/node/tests/randomized_lifecycle/worker_script.rs
@@ -1,12 +1,13 @@
-//! What a scripted worker does with one attempt or one withdrawal.
+//! Random scripts for the behaviour of workers: for an attempt, and for the cancellation of one.
 //!
-//! The script is drawn from a generator that depends on the run's seed and the attempt's number only, so that it is the
-//! same whatever happened before.
+//! The random generator of a script depends only on the run's seed and on the job and attempt that it is for.
+//! The script is therefore the same regardless of earlier events.
 
 use std::collections::VecDeque;
 
 use fastrand::Rng;
 
+/// State of a job that a callback reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallbackState {
     Started,
@@ -17,46 +18,61 @@
     Lost,
 }
 
-/// What a worker writes in response to an attempt.
+/// Response of a worker to an attempt, or a part of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
+    /// A complete 202.
     Accepted,
-    /// A 202 whose body never ends.
-    AcceptedEndless,
+    /// A 202 whose body is never completed.
+    AcceptedIncompleteBody,
+    /// Two 202 responses, one after the other.
     AcceptedTwice,
-    /// The first part of a 202, and the rest.
-    AcceptedBegun,
+    /// The first part of a 202.
+    AcceptedFirstPart,
+    /// The rest of a 202 after its first part.
     AcceptedRest,
+    /// A 503 which states that the job did not run.
     NotRun,
+    /// A 504 which states that the job did not run.
     TimedOutNotRun,
-    NotRunEndless,
+    /// A 503 which states that the job did not run, with a body that is never completed.
+    NotRunIncompleteBody,
+    /// A 503 that leaves open whether the job ran.
     Busy,
+    /// A 500.
     Error,
-    /// Half a status line.
-    HalfLine,
-    /// A head that never ends.
-    HalfHead,
+    /// The first part of a status line.
+    PartialStatusLine,
+    /// A head that is never completed.
+    PartialHead,
 }
 
+/// One step of the script of an attempt. A worker takes one step per event of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Does nothing during one event.
     Pause,
+    /// Writes a response.
     Reply(Reply),
-    /// A callback, posted so many times.
+    /// Posts a callback as many times as the number says.
     SendCallback(CallbackState, u8),
-    /// A callback that is written in two parts, with other events between them.
+    /// Posts a callback in two parts, with other events between them.
     SendCallbackInParts(CallbackState),
-    /// The same callback once more, as if its response had been lost.
-    RepeatCallback(CallbackState),
+    /// Posts an earlier callback again, as if its response had been lost.
+    RedeliverCallback(CallbackState),
+    /// Closes the connection of the attempt.
     Close,
+    /// Closes the connection of the attempt with a reset.
     Reset,
 }
 
-fn push_pauses(rng: &mut Rng, most: u8, actions: &mut VecDeque<Action>) {
-    actions.extend(std::iter::repeat_n(Action::Pause, rng.u8(0..=most).into()));
+/// Appends a random number of pauses, at most `max_count`.
+fn push_pauses(rng: &mut Rng, max_count: u8, actions: &mut VecDeque<Action>) {
+    actions.extend(std::iter::repeat_n(Action::Pause, rng.u8(0..=max_count).into()));
 }
 
-fn draw_final_state(rng: &mut Rng, started: bool) -> Option<CallbackState> {
+/// Picks the last callback of an attempt. `None` means that the worker sends no last callback.
+fn sample_final_state(rng: &mut Rng, started: bool) -> Option<CallbackState> {
     match rng.u8(0..20) {
         0..=10 => Some(CallbackState::Done),
         11..=12 => Some(CallbackState::Failed),
@@ -66,8 +82,8 @@
     }
 }
 
-/// Draws what follows a 202.
-fn push_run(rng: &mut Rng, actions: &mut VecDeque<Action>) {
+/// Appends random callbacks of an accepted attempt.
+fn push_callbacks(rng: &mut Rng, actions: &mut VecDeque<Action>) {
     push_pauses(rng, 2, actions);
     let started = rng.u8(0..4) > 0;
     if started {
@@ -78,57 +94,59 @@
         }
     }
     push_pauses(rng, 4, actions);
-    let Some(state) = draw_final_state(rng, started) else { return };
+    let Some(state) = sample_final_state(rng, started) else { return };
     match rng.u8(0..6) {
         0 => actions.extend([Action::SendCallbackInParts(state)]),
         1 => actions.extend([Action::SendCallback(state, 3)]),
         2 => {
             actions.push_back(Action::SendCallback(state, 1));
             push_pauses(rng, 12, actions);
-            actions.push_back(Action::RepeatCallback(state));
+            actions.push_back(Action::RedeliverCallback(state));
         }
         _ => actions.extend([Action::SendCallback(state, 1)]),
     }
 }
 
-/// Draws what a worker does with an attempt.
-pub fn draw_attempt_script(rng: &mut Rng) -> VecDeque<Action> {
+/// Generates the script of an attempt.
+pub fn sample_attempt_script(rng: &mut Rng) -> VecDeque<Action> {
     let mut actions = VecDeque::new();
     push_pauses(rng, 2, &mut actions);
     match rng.u8(0..34) {
-        0..=12 => push_reply_and_run(rng, Reply::Accepted, &mut actions),
-        13 => push_reply_and_run(rng, Reply::AcceptedEndless, &mut actions),
-        14 => push_reply_and_run(rng, Reply::AcceptedTwice, &mut actions),
+        0..=12 => push_reply_and_callbacks(rng, Reply::Accepted, &mut actions),
+        13 => push_reply_and_callbacks(rng, Reply::AcceptedIncompleteBody, &mut actions),
+        14 => push_reply_and_callbacks(rng, Reply::AcceptedTwice, &mut actions),
         15..=16 => {
-            actions.push_back(Action::Reply(Reply::AcceptedBegun));
+            actions.push_back(Action::Reply(Reply::AcceptedFirstPart));
             push_pauses(rng, 1, &mut actions);
-            push_reply_and_run(rng, Reply::AcceptedRest, &mut actions);
+            push_reply_and_callbacks(rng, Reply::AcceptedRest, &mut actions);
         }
         17..=18 => actions.push_back(Action::Reply(Reply::NotRun)),
         19 => actions.push_back(Action::Reply(Reply::TimedOutNotRun)),
-        20 => actions.push_back(Action::Reply(Reply::NotRunEndless)),
+        20 => actions.push_back(Action::Reply(Reply::NotRunIncompleteBody)),
         21 => actions.push_back(Action::Reply(Reply::Busy)),
         22 => actions.push_back(Action::Reply(Reply::Error)),
-        23 => actions.push_back(Action::Reply(Reply::HalfHead)),
+        23 => actions.push_back(Action::Reply(Reply::PartialHead)),
         24..=25 => push_partial_status_line(rng, &mut actions),
         26..=27 => actions.push_back(if rng.bool() { Action::Close } else { Action::Reset }),
         28..=29 => push_callback_before_reply(rng, &mut actions),
         30 => {
             actions.extend([Action::Reply(Reply::Accepted), Action::Reset]);
-            push_run(rng, &mut actions);
+            push_callbacks(rng, &mut actions);
         }
         _ => {}
     }
     actions
 }
 
-fn push_reply_and_run(rng: &mut Rng, reply: Reply, actions: &mut VecDeque<Action>) {
+/// Appends a response that accepts the attempt, and random callbacks after it.
+fn push_reply_and_callbacks(rng: &mut Rng, reply: Reply, actions: &mut VecDeque<Action>) {
     actions.push_back(Action::Reply(reply));
-    push_run(rng, actions);
+    push_callbacks(rng, actions);
 }
 
+/// Appends a partial status line, and possibly the close of the connection.
 fn push_partial_status_line(rng: &mut Rng, actions: &mut VecDeque<Action>) {
-    actions.push_back(Action::Reply(Reply::HalfLine));
+    actions.push_back(Action::Reply(Reply::PartialStatusLine));
     push_pauses(rng, 2, actions);
     match rng.u8(0..3) {
         0 => actions.push_back(Action::Close),
@@ -137,6 +155,7 @@
     }
 }
 
+/// Appends a callback that precedes the 202.
 fn push_callback_before_reply(rng: &mut Rng, actions: &mut VecDeque<Action>) {
     let states =
         [CallbackState::Done, CallbackState::Failed, CallbackState::Returned, CallbackState::Started];
@@ -146,12 +165,13 @@
     actions.push_back(Action::Reply(Reply::Accepted));
     if state == CallbackState::Started {
         push_pauses(rng, 2, actions);
-        actions.extend(draw_final_state(rng, true).map(|state| Action::SendCallback(state, 1)));
+        actions.extend(sample_final_state(rng, true).map(|state| Action::SendCallback(state, 1)));
     }
 }
 
-/// Draws the rest of the script of an attempt that is withdrawn: mostly nothing.
-pub fn draw_script_after_withdrawal(rng: &mut Rng, started: bool) -> VecDeque<Action> {
+/// Generates the rest of the script of a cancelled attempt: in one of three cases nothing, otherwise one
+/// final callback after up to five pauses.
+pub fn sample_script_after_cancellation(rng: &mut Rng, started: bool) -> VecDeque<Action> {
     let mut actions = VecDeque::new();
     if rng.u8(0..3) > 0 {
         push_pauses(rng, 5, &mut actions);
@@ -162,21 +182,25 @@
     actions
 }
 
-/// How a worker treats a withdrawal; the third at the latest is answered.
+/// Response of a worker to a cancellation. Workers answer the third cancellation of an attempt at the latest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WithdrawalResponse {
+pub enum CancellationResponse {
+    /// The worker responds with this status.
     Answered(&'static str),
+    /// The worker leaves the connection open without a response.
     Ignored,
+    /// The worker resets the connection.
     Reset,
 }
 
-/// Draws what a worker does with a withdrawal, after so many earlier ones of the same attempt.
-pub fn draw_withdrawal_response(rng: &mut Rng, before: u32) -> WithdrawalResponse {
+/// Picks the response to a cancellation. `earlier_cancellations` is the number of earlier ones of the same
+/// attempt.
+pub fn sample_cancellation_response(rng: &mut Rng, earlier_cancellations: u32) -> CancellationResponse {
     match rng.u8(0..8) {
-        0 if before < 2 => WithdrawalResponse::Ignored,
-        1 if before < 2 => WithdrawalResponse::Reset,
-        2 => WithdrawalResponse::Answered("404 Not Found"),
-        3 => WithdrawalResponse::Answered("200 OK"),
-        _ => WithdrawalResponse::Answered("204 No Content"),
+        0 if earlier_cancellations < 2 => CancellationResponse::Ignored,
+        1 if earlier_cancellations < 2 => CancellationResponse::Reset,
+        2 => CancellationResponse::Answered("404 Not Found"),
+        3 => CancellationResponse::Answered("200 OK"),
+        _ => CancellationResponse::Answered("204 No Content"),
     }
 }
