--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt of a job at one worker: send it, report what became of it, and cancel it if it may have
+//! One attempt of a job at one worker: sends the attempt, reports its outcome, and cancels it if it may have
 //! arrived and is no longer needed.
 //!
 //! | outcome of the exchange | cancelled at the worker | reported as |
 //! | --- | --- | --- |
-//! | 202 | if the dispatch task requests it | `Accepted`, and `Cancelled` once cancelled |
+//! | 202 | if the dispatch task requests it | `Accepted`, then `Cancelled` after a cancellation |
 //! | 503 or 504 with `X-Not-Run: 1` | no | ended: rejected |
 //! | any other 4xx or 5xx | no | ended: error |
 //! | any other status | yes | ended: error |
@@ -24,24 +24,25 @@
 
 use crate::attempt::CancelSignal;
 use crate::attempt::{AttemptId, AttemptReport, AttemptReporter, AttemptRequest};
-use crate::upstream::cancellation::{AttemptConnection, CancellationTarget, Canceller};
+use crate::upstream::cancellation::{AttemptConnectionState, CancellationTarget, Canceller};
 use crate::upstream::exchange::{Delivery, Exchange, ExchangeOutcome, UnsentBytes};
 use crate::upstream::payload::RequestPayload;
 use crate::upstream::pool::connection::ConnectionOrigin;
 use crate::upstream::pool::{ConnectionChoice, ConnectionPool};
 
-/// How long the response is waited for after the end of an attempt, to keep its connection.
+/// Time for which a response is awaited after the timeout of its attempt. A response that arrives within this
+/// time keeps its connection reusable.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes attempts and reports on them to the dispatch task.
+/// Runs attempts and reports on them to the dispatch task.
 pub struct AttemptRunner {
-    /// Receives the reports on attempts.
+    /// Receiver of the reports on attempts.
     pub reporter: Box<dyn AttemptReporter>,
-    /// The connections to workers.
+    /// Connections to workers.
     pub pool: Rc<ConnectionPool>,
-    /// Cancels jobs at workers.
+    /// Canceller of jobs at workers.
     pub canceller: Canceller,
-    /// Counts the attempts and cancellations in flight, so that a shutdown can wait for them.
+    /// Tracker of the attempts and cancellations in flight, for which a shutdown waits.
     pub in_flight: TaskTracker,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl AttemptRunner {
-    /// Makes an attempt.
+    /// Runs an attempt and reports its outcome.
     pub async fn run(&self, request: AttemptRequest<RequestPayload>) {
         let _in_flight = self.in_flight.token();
         let AttemptRequest { id, request_id, address, payload, timeout, cancel, send_permit, .. } = request;
@@ -78,51 +79,52 @@
             }
             Err(_) => ExchangeOutcome::Unreachable,
         };
-        self.conclude(&attempt, outcome, cancel).await;
+        self.handle_outcome(&attempt, outcome, cancel).await;
     }
 
-    /// Takes over an attempt that a worker has accepted from another process of this node, and waits for its
-    /// cancellation or its end.
+    /// Resumes an attempt that the peer process sent and a worker has accepted. Waits for the cancellation or
+    /// the end of the attempt.
     pub async fn resume(&self, request: AttemptRequest<RequestPayload>) {
         let AttemptRequest { id, request_id, address, timeout, cancel, .. } = request;
         if cancel.await.is_ok() {
             let _in_flight = self.in_flight.token();
             let attempt = Attempt { id, request_id, address, deadline: Instant::now() + timeout };
-            self.cancel_and_report(&attempt, AttemptConnection::Other).await;
+            self.cancel_and_report(&attempt, AttemptConnectionState::Other).await;
         }
     }
 
-    /// Continues a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that the peer process could not complete.
     pub async fn adopt_cancellation(&self, target: CancellationTarget) {
         let _in_flight = self.in_flight.token();
         self.canceller.adopt(target).await;
     }
 
-    async fn conclude(&self, attempt: &Attempt, outcome: ExchangeOutcome, cancel: CancelSignal) {
+    async fn handle_outcome(&self, attempt: &Attempt, outcome: ExchangeOutcome, cancel: CancelSignal) {
         let outcome = match outcome {
             ExchangeOutcome::Response { status: StatusCode::ACCEPTED, .. } => {
-                return self.follow_accepted(attempt, cancel).await;
+                return self.handle_accepted(attempt, cancel).await;
             }
             ExchangeOutcome::Response {
                 status: StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT,
                 not_run: true,
             } => Outcome::Rejected,
             ExchangeOutcome::Response { status, .. } => {
-                // No worker responds like this to a job, but it may have accepted it nevertheless.
+                // No worker responds to a job with such a status, but the worker may have accepted the job
+                // nevertheless.
                 if !status.is_client_error() && !status.is_server_error() {
-                    self.cancel(attempt, AttemptConnection::Other).await;
+                    self.cancel(attempt, AttemptConnectionState::Other).await;
                 }
                 Outcome::Error
             }
             ExchangeOutcome::MalformedResponse => {
-                self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
+                self.cancel(attempt, AttemptConnectionState::ClosedBeforeResponse).await;
                 Outcome::Lost
             }
             ExchangeOutcome::Refused | ExchangeOutcome::Unreachable => {
                 self.discard_connections(attempt);
                 Outcome::Unreachable
             }
-            ExchangeOutcome::ConnectionLost { connection: ConnectionOrigin::Reused } => {
+            ExchangeOutcome::ConnectionLost { origin: ConnectionOrigin::Reused } => {
                 self.discard_connections(attempt);
                 return self.reporter.report(AttemptReport::LostWithReusedConnection(attempt.id)).await;
             }
@@ -132,42 +134,44 @@
             }
             ExchangeOutcome::PermitInvalid => Outcome::NotSent,
             ExchangeOutcome::Cancelled { delivery } => {
-                return self.conclude_cancelled(attempt, delivery).await;
+                return self.handle_cancelled(attempt, delivery).await;
             }
         };
         self.reporter.report(AttemptReport::Ended(attempt.id, outcome)).await;
     }
 
-    /// Reports that the worker has accepted the job, and waits whether it is to be cancelled.
-    async fn follow_accepted(&self, attempt: &Attempt, cancel: CancelSignal) {
+    /// Reports that the worker has accepted the job. Cancels the job if the dispatch task requests that
+    /// before the attempt ends.
+    async fn handle_accepted(&self, attempt: &Attempt, cancel: CancelSignal) {
         self.reporter.report(AttemptReport::Accepted(attempt.id)).await;
         if cancel.received_before_close().await {
-            self.cancel_and_report(attempt, AttemptConnection::Other).await;
+            self.cancel_and_report(attempt, AttemptConnectionState::Other).await;
         }
     }
 
-    async fn conclude_cancelled(&self, attempt: &Attempt, delivery: Delivery) {
-        // If nothing was written, the worker is not to blame: the client has disconnected.
+    async fn handle_cancelled(&self, attempt: &Attempt, delivery: Delivery) {
+        // If nothing was written, the worker has not failed: the attempt was cancelled because the client has
+        // disconnected.
         if delivery == Delivery::MayHaveArrived {
             self.discard_connections(attempt);
-            self.cancel(attempt, AttemptConnection::ClosedBeforeResponse).await;
+            self.cancel(attempt, AttemptConnectionState::ClosedBeforeResponse).await;
         }
         self.reporter.report(AttemptReport::Cancelled(attempt.id)).await;
     }
 
-    async fn cancel_and_report(&self, attempt: &Attempt, connection: AttemptConnection) {
-        self.cancel(attempt, connection).await;
+    async fn cancel_and_report(&self, attempt: &Attempt, connection_state: AttemptConnectionState) {
+        self.cancel(attempt, connection_state).await;
         self.reporter.report(AttemptReport::Cancelled(attempt.id)).await;
     }
 
-    async fn cancel(&self, attempt: &Attempt, connection: AttemptConnection) {
+    async fn cancel(&self, attempt: &Attempt, connection_state: AttemptConnectionState) {
         let target =
             CancellationTarget { address: attempt.address, request_id: attempt.request_id.to_string() };
-        self.canceller.cancel_before(attempt.deadline, target, connection).await;
+        self.canceller.cancel_until_deadline(attempt.deadline, target, connection_state).await;
     }
 
-    /// Other connections to a worker that has ended or stopped responding would only cost the next attempt its
-    /// time.
+    /// Closes the other connections to a worker that has exited or is unresponsive. The next attempt would
+    /// only lose time on them.
     fn discard_connections(&self, attempt: &Attempt) {
         self.pool.discard_connections(attempt.address);
     }
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -1,9 +1,9 @@
-//! Cancels jobs at workers: a `DELETE`, repeated until the worker has acknowledged it.
+//! Cancels jobs at workers: sends a `DELETE` and repeats it until the worker has acknowledged it.
 //!
-//! A worker that has not acknowledged a cancellation continues to run the job, and another attempt beside it
-//! would run the job twice. So the dispatch task learns that an attempt is cancelled only once that is
-//! acknowledged, or once the attempt has no time left. A process that shuts down hands the cancellations over
-//! that are not acknowledged yet.
+//! A worker that has not acknowledged a cancellation may continue to run the job, and another attempt would
+//! then run the job twice. Therefore an attempt is reported to the dispatch task as cancelled only once the
+//! worker has acknowledged the cancellation or the attempt has no time left. A process that shuts down hands
+//! its unacknowledged cancellations over to the peer process.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -27,32 +27,33 @@
 use crate::upstream::pool::connection::ConnectionOrigin;
 use crate::upstream::pool::{ConnectionChoice, ConnectionPool};
 
-/// The first pause before a cancellation that was not acknowledged is sent again, doubled each time up to
-/// [`MAX_RETRY_DELAY`].
+/// Delay before an unacknowledged cancellation is sent for the second time. The delay doubles before each
+/// further send, up to [`MAX_RETRY_DELAY`].
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before an unacknowledged cancellation is sent again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// How long a cancellation of another process of this node is repeated. The worker may never return, and
-/// no job of this process bounds it.
+/// Time after which a cancellation that was adopted from the peer process is abandoned. The worker may never
+/// return, and no job of this process limits the cancellation.
 const ADOPTED_CANCELLATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A job to be cancelled at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CancellationTarget {
-    /// The worker.
+    /// Address of the worker.
     pub address: SocketAddr,
     /// The client's id of the job.
     pub request_id: String,
 }
 
-/// What became of the connection on which the attempt to be cancelled was sent.
+/// State of the connection over which the attempt to be cancelled was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptConnection {
-    /// It was closed before a response, which cancels the attempt as well if the worker sees it. A network
-    /// that is cut does not carry the closing. A connection that is established or refused after that shows
-    /// that the network carries it: then a worker that still does not respond hangs, with the closing and the
-    /// cancellation in its queue.
+pub enum AttemptConnectionState {
+    /// The connection was closed before a response. The close cancels the attempt as well if the worker
+    /// receives it, but a partitioned network does not deliver the close. A connection that is established or
+    /// refused afterwards shows that the network delivers it. A worker that still does not respond then is
+    /// unresponsive, with the close and the cancellation in its receive queue.
     ClosedBeforeResponse,
-    /// It brought a response, or nothing is known of it.
+    /// The connection received a response, or its state is unknown.
     Other,
 }
 
@@ -61,53 +62,59 @@
     pool: Rc<ConnectionPool>,
     metrics: Metrics,
     options: Rc<Cell<UpstreamOptions>>,
-    /// Cancellations that have begun and are not acknowledged.
+    /// Cancellations that were started and are not acknowledged.
     unacknowledged: RefCell<Vec<CancellationTarget>>,
 }
 
 impl Canceller {
-    /// A canceller that sends over the connections of `pool`.
+    /// Creates a canceller that sends over the connections of `pool`.
     pub fn new(pool: Rc<ConnectionPool>, metrics: Metrics, options: Rc<Cell<UpstreamOptions>>) -> Self {
         Canceller { pool, metrics, options, unacknowledged: RefCell::default() }
     }
 
-    /// The cancellations that no worker has acknowledged yet.
+    /// Returns the cancellations that no worker has acknowledged yet.
     pub fn unacknowledged(&self) -> Vec<CancellationTarget> {
         self.unacknowledged.borrow().clone()
     }
 
-    /// Cancels a job that the worker may have, until that is acknowledged or `deadline` has passed. It is
-    /// sent once even if the deadline has passed already.
-    pub async fn cancel_before(
+    /// Cancels a job that the worker may have. Returns once the worker has acknowledged the cancellation or
+    /// `deadline` has passed. The cancellation is sent once even if the deadline has passed already.
+    pub async fn cancel_until_deadline(
         &self,
         deadline: Instant,
         target: CancellationTarget,
-        connection: AttemptConnection,
+        connection_state: AttemptConnectionState,
     ) {
         let deadline = deadline.max(Instant::now() + self.response_timeout());
-        if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection)).await.is_err() {
+        if timeout_at(deadline, self.cancel_until_acknowledged(&target, connection_state)).await.is_err() {
             let CancellationTarget { address, request_id } = target;
             debug!(target: UPSTREAM, %request_id, %address, "cancellation abandoned");
         }
     }
 
-    /// Continues a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that the peer process could not complete.
     pub async fn adopt(&self, target: CancellationTarget) {
-        let cancellation = self.cancel_until_acknowledged(&target, AttemptConnection::Other);
-        // Nothing else can be done for it after that.
+        let cancellation = self.cancel_until_acknowledged(&target, AttemptConnectionState::Other);
+        // After the timeout the cancellation is abandoned, because nothing else can be done.
         let _ = timeout(ADOPTED_CANCELLATION_TIMEOUT, cancellation).await;
     }
 
-    /// Returns once the worker has acknowledged that the job is cancelled.
-    async fn cancel_until_acknowledged(&self, target: &CancellationTarget, connection: AttemptConnection) {
+    /// Sends the cancellation repeatedly and returns once the worker has acknowledged it.
+    async fn cancel_until_acknowledged(
+        &self,
+        target: &CancellationTarget,
+        connection_state: AttemptConnectionState,
+    ) {
         let CancellationTarget { address, request_id } = target;
-        // A cancellation may be sent at any time.
+        // A default permit stays valid: a cancellation may be sent at any time.
         let send_permit = Rc::<SendPermit>::default();
         let _unacknowledged = UnacknowledgedGuard::new(&self.unacknowledged, target);
         let started = Instant::now();
         let mut delay = INITIAL_RETRY_DELAY;
         loop {
-            if let Some(evidence) = acknowledgement(&self.send(target, &send_permit).await, connection) {
+            if let Some(evidence) =
+                acknowledgement_from(&self.send(target, &send_permit).await, connection_state)
+            {
                 let elapsed_ms = started.elapsed().as_millis();
                 debug!(target: UPSTREAM, %request_id, %address, ?evidence, elapsed_ms, "cancellation acknowledged");
                 return;
@@ -149,29 +156,32 @@
     }
 }
 
-/// What shows that a worker does not run a cancelled job any more.
+/// Evidence that a worker no longer runs a cancelled job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Acknowledgement {
-    /// The worker's response to the cancellation.
+    /// The worker responded to the cancellation with this status.
     Response(StatusCode),
-    /// The connection of the attempt was closed before a response, and later another was refused. By itself a refused
-    /// connection shows nothing: a worker with as many connections as it may have refuses others. But it came over a
-    /// network that carries the closing as well.
+    /// The connection of the attempt was closed before a response, and a later connection was refused. A
+    /// refused connection alone is no evidence, because a worker at its connection limit refuses further
+    /// ones. But the refusal came over a network that delivers the close as well.
     ClosedThenRefused,
-    /// The connection of the attempt was closed before a response, and later another was established, on which the
-    /// worker does not respond: it hangs, with the closing in its queue.
+    /// The connection of the attempt was closed before a response, and a later connection was established on
+    /// which the worker does not respond. The worker is unresponsive, with the close in its receive queue.
     ClosedThenSilent,
 }
 
-/// What the outcome of a cancellation shows of the job, if anything.
-fn acknowledgement(outcome: &ExchangeOutcome, connection: AttemptConnection) -> Option<Acknowledgement> {
-    let closed = connection == AttemptConnection::ClosedBeforeResponse;
+/// Returns the evidence that the outcome of a cancellation provides, if any.
+fn acknowledgement_from(
+    outcome: &ExchangeOutcome,
+    connection_state: AttemptConnectionState,
+) -> Option<Acknowledgement> {
+    let closed = connection_state == AttemptConnectionState::ClosedBeforeResponse;
     match outcome {
-        ExchangeOutcome::Response { status, .. } if confirms_cancellation(*status) => {
+        ExchangeOutcome::Response { status, .. } if is_cancellation_confirmed(*status) => {
             Some(Acknowledgement::Response(*status))
         }
         ExchangeOutcome::Refused if closed => Some(Acknowledgement::ClosedThenRefused),
-        ExchangeOutcome::TimedOut { connection: ConnectionOrigin::Dialled } if closed => {
+        ExchangeOutcome::TimedOut { origin: ConnectionOrigin::Dialled } if closed => {
             Some(Acknowledgement::ClosedThenSilent)
         }
         ExchangeOutcome::Response { .. }
@@ -185,14 +195,15 @@
     }
 }
 
-/// Whether a response states that the job was cancelled or is not known. With any other status the worker may not have
-/// handled the cancellation at all.
-fn confirms_cancellation(status: StatusCode) -> bool {
+/// Returns whether a response states that the job was cancelled or is unknown to the worker. With any other
+/// status the worker may not have handled the cancellation at all.
+fn is_cancellation_confirmed(status: StatusCode) -> bool {
     status.is_success() || matches!(status, StatusCode::NOT_FOUND | StatusCode::GONE)
 }
 
-/// Lists a cancellation as not acknowledged. Dropping it removes the entry, even if the cancellation was
-/// abandoned at its deadline: one that this process has abandoned is not handed over to another.
+/// Entry of a cancellation in the list of unacknowledged cancellations. Dropping the guard removes the entry,
+/// even if the cancellation was abandoned at its deadline: a process does not hand over cancellations that it
+/// has abandoned.
 struct UnacknowledgedGuard<'a> {
     list: &'a RefCell<Vec<CancellationTarget>>,
     target: &'a CancellationTarget,
--- a/crates/node/src/upstream/config.rs
+++ b/crates/node/src/upstream/config.rs
@@ -1,4 +1,4 @@
-//! The bounds of the connections to workers.
+//! Limits of the connections to workers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,14 +8,14 @@
 
 use crate::connection_budget::ConnectionBudget;
 
-/// The bounds of the connections to workers.
+/// Limits of the connections to workers.
 pub struct UpstreamConfig {
-    /// How long a connection may take to be established.
+    /// Maximum time for establishing a connection.
     pub connect_timeout: Duration,
-    /// After this time without a request workers close a connection.
+    /// Time without a request after which workers close a connection.
     pub keepalive: Duration,
-    /// The operator's options, which may change.
+    /// Options set by the operator, which may change while the process runs.
     pub options: Rc<Cell<UpstreamOptions>>,
-    /// How many connections there may be.
+    /// Budget that limits the number of connections.
     pub budget: ConnectionBudget,
 }
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,8 +1,8 @@
 //! One request to a worker and its response, over a pooled connection.
 //!
-//! A request is sent once. It is sent over another connection only if its connection closed before a byte of it
-//! was written. If it may have arrived without a response, the outcome states that, and the caller
-//! decides what that means.
+//! A request is sent once. It is sent over another connection only if the first one closed before a byte of
+//! the request was written. If the request may have arrived without a response, the outcome states that, and
+//! the caller decides how to proceed.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -16,93 +16,94 @@
 
 use crate::attempt::CancelSignal;
 use crate::attempt::SendPermit;
-use crate::upstream::payload::{UpstreamRequest, set_time_left};
+use crate::upstream::payload::{UpstreamRequest, set_deadline_header};
 use crate::upstream::pool::connection::{ConnectError, Connection, ConnectionOrigin, RequestError};
 use crate::upstream::pool::{ConnectionChoice, ConnectionPool};
 
-/// In a rejection: `1` if the worker has not run the job and never will.
+/// Header of a rejection: `1` if the worker has not run the job and never will.
 const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
-/// How long a response is waited for after the attempt was cancelled. It may be under way, and with it the
-/// connection can be kept.
+/// Time for which a response is awaited after the attempt was cancelled. The response may be in transit, and
+/// once it is received, the connection can be reused.
 const RESPONSE_GRACE_AFTER_CANCEL: Duration = Duration::from_millis(20);
 
-/// A request to be sent.
+/// One request to a worker, and the conditions for sending it.
 pub struct Exchange<'a> {
-    /// The worker.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// The request.
+    /// Request to be sent.
     pub request: UpstreamRequest,
-    /// Which connections may carry it.
+    /// Connections that may carry the request.
     pub connection_choice: ConnectionChoice,
-    /// When the client stops waiting, which the request states as the time that is left when it is sent. None: the
-    /// request states nothing.
+    /// Time at which the client stops waiting. The request states the time that is left when it is sent. If
+    /// `None`, the request states no deadline.
     pub client_deadline: Option<Instant>,
-    /// Checked once there is a connection, which is kept if the permit is no longer valid, and once more
-    /// by the socket before the first byte.
+    /// Permit that is checked once there is a connection, and once more by the socket before the first byte.
+    /// If the first check finds the permit invalid, the connection is kept.
     pub send_permit: &'a Rc<SendPermit>,
-    /// Ends the exchange early.
+    /// Signal that ends the exchange early.
     pub cancel: &'a mut CancelSignal,
-    /// How long the response is waited for once there is a connection.
+    /// Maximum time to wait for the response once there is a connection.
     pub response_timeout: Duration,
-    /// What becomes of bytes that the system still holds when the exchange ends without a response.
+    /// Handling of the bytes that the operating system still holds when the exchange ends without a response.
     pub unsent_bytes: UnsentBytes,
 }
 
-/// What becomes of the bytes of a request that the worker's system has not received when its exchange ends.
+/// Handling of the bytes of a request that the worker's system has not received when the exchange ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsentBytes {
-    /// The system continues to deliver them: the request may still be of use.
+    /// The operating system continues to deliver the bytes, because the request may still be of use.
     Deliver,
-    /// They are discarded, and the connection is reset: another attempt may follow, beside which this one must not arrive.
+    /// The bytes are discarded and the connection is reset. Another attempt may follow, and the request must
+    /// not arrive in addition to it.
     Discard,
 }
 
-/// Whether a request may have arrived at its worker.
+/// Delivery state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// No byte of it was written.
+    /// No byte of the request was written.
     NotWritten,
-    /// At least one byte of it was written.
+    /// At least one byte of the request was written, so that it may have arrived at the worker.
     MayHaveArrived,
 }
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 pub enum ExchangeOutcome {
-    /// A response, whose connection returns to the pool.
+    /// A response was received. Its connection returns to the pool.
     Response {
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
-        /// Whether it states that the job was not run.
+        /// Whether the response states that the job was not run.
         not_run: bool,
     },
     /// The worker refused the connection.
     Refused,
-    /// There was no connection, and nothing was sent.
+    /// No connection was established, and nothing was sent.
     Unreachable,
     /// The send permit became invalid before a byte was written.
     PermitInvalid,
-    /// The connection broke before a byte of a response; the request may have arrived.
+    /// The connection broke before a byte of a response was received. The request may have arrived.
     ConnectionLost {
         /// Origin of the connection.
-        connection: ConnectionOrigin,
+        origin: ConnectionOrigin,
     },
-    /// The bytes received are no HTTP response or a part of one; the connection was closed. The worker may have accepted
-    /// the request.
+    /// The received bytes are a malformed or partial HTTP response, and the connection was closed. The worker
+    /// may have accepted the request.
     MalformedResponse,
-    /// No response in time; the connection was closed.
+    /// No response arrived in time, and the connection was closed.
     TimedOut {
         /// Origin of the connection.
-        connection: ConnectionOrigin,
+        origin: ConnectionOrigin,
     },
-    /// Cancelled before a response; the connection was closed if there was one.
+    /// The exchange was cancelled before a response. The connection was closed if there was one.
     Cancelled {
-        /// Whether the request may have arrived.
+        /// Delivery state of the request.
         delivery: Delivery,
     },
 }
 
-/// How a request on one connection ended.
+/// Outcome of a request on one connection.
 enum SendOutcome {
     Response(Response<Incoming>),
     Failed(RequestError),
@@ -120,32 +121,35 @@
         }
     }
 
-    /// `None` if a reused connection had closed and nothing was written, so that the request may be sent
-    /// over another.
+    /// Sends the request over one connection. Returns `None` if a reused connection had closed and nothing
+    /// was written, so that the request may be sent over another connection.
     async fn try_once(&mut self, pool: &Rc<ConnectionPool>) -> Option<ExchangeOutcome> {
         let mut connection = match self.obtain_connection(pool).await {
             Ok(connection) => connection,
             Err(outcome) => return Some(outcome),
         };
         let origin = connection.origin();
-        let traffic = connection.traffic();
+        let socket_state = connection.socket_state();
         match self.send(&mut connection).await {
             SendOutcome::Response(response) => {
-                Some(keep_connection(pool, self.address, connection, response))
+                Some(recycle_connection(pool, self.address, connection, response))
             }
             SendOutcome::TimedOut => {
-                self.end_connection(connection).await;
-                Some(ExchangeOutcome::TimedOut { connection: origin })
+                self.close_or_reset(connection).await;
+                Some(ExchangeOutcome::TimedOut { origin })
             }
             SendOutcome::Cancelled => {
-                self.end_connection(connection).await;
-                let delivery =
-                    if traffic.request_written() { Delivery::MayHaveArrived } else { Delivery::NotWritten };
+                self.close_or_reset(connection).await;
+                let delivery = if socket_state.has_written_request_byte() {
+                    Delivery::MayHaveArrived
+                } else {
+                    Delivery::NotWritten
+                };
                 Some(ExchangeOutcome::Cancelled { delivery })
             }
             SendOutcome::Failed(error) => {
-                self.end_connection(connection).await;
-                if error.is_malformed_response(&traffic) {
+                self.close_or_reset(connection).await;
+                if error.is_malformed_response(&socket_state) {
                     pool.record_malformed_response(self.address, &error.to_string());
                     return Some(ExchangeOutcome::MalformedResponse);
                 }
@@ -154,7 +158,7 @@
         }
     }
 
-    async fn end_connection(&self, connection: Connection) {
+    async fn close_or_reset(&self, connection: Connection) {
         match self.unsent_bytes {
             UnsentBytes::Deliver => connection.close().await,
             UnsentBytes::Discard => connection.reset().await,
@@ -165,7 +169,7 @@
         tokio::select! {
             biased;
             () = self.cancel.received() => Err(ExchangeOutcome::Cancelled { delivery: Delivery::NotWritten }),
-            // Ends a dial that is under way, which returns its connection permit.
+            // Ends a dial in progress, which releases its connection permit.
             () = self.send_permit.invalidated() => Err(ExchangeOutcome::PermitInvalid),
             connection = pool.obtain(self.address, self.connection_choice) => connection.map_err(|error| match error {
                 ConnectError::Refused(_) => ExchangeOutcome::Refused,
@@ -175,18 +179,18 @@
     }
 
     async fn send(&mut self, connection: &mut Connection) -> SendOutcome {
-        let traffic = connection.traffic();
+        let socket_state = connection.socket_state();
         let mut request = self.request.clone();
         if let Some(deadline) = self.client_deadline {
-            set_time_left(&mut request, deadline.saturating_duration_since(Instant::now()));
+            set_deadline_header(&mut request, deadline.saturating_duration_since(Instant::now()));
         }
         let response = connection.send(request, self.send_permit.clone());
         let mut response = pin!(timeout(self.response_timeout, response));
         let result = tokio::select! {
             biased;
             () = self.cancel.received() => {
-                // What has not been written by now never is.
-                if !traffic.request_written() {
+                // A request of which no byte was written by now is never sent.
+                if !socket_state.has_written_request_byte() {
                     return SendOutcome::Cancelled;
                 }
                 match timeout(RESPONSE_GRACE_AFTER_CANCEL, response.as_mut()).await {
@@ -203,11 +207,7 @@
         }
     }
 
-    fn classify_failure(
-        &self,
-        error: &RequestError,
-        connection: ConnectionOrigin,
-    ) -> Option<ExchangeOutcome> {
+    fn classify_failure(&self, error: &RequestError, origin: ConnectionOrigin) -> Option<ExchangeOutcome> {
         match error {
             RequestError::NothingWritten(_) if self.cancel.is_received() => {
                 Some(ExchangeOutcome::Cancelled { delivery: Delivery::NotWritten })
@@ -215,18 +215,19 @@
             RequestError::NothingWritten(_) if !self.send_permit.is_valid() => {
                 Some(ExchangeOutcome::PermitInvalid)
             }
-            RequestError::NothingWritten(_) if connection == ConnectionOrigin::Dialled => {
+            RequestError::NothingWritten(_) if origin == ConnectionOrigin::Dialled => {
                 Some(ExchangeOutcome::Unreachable)
             }
             RequestError::NothingWritten(_) => None,
-            RequestError::ConnectionLost(_) => Some(ExchangeOutcome::ConnectionLost { connection }),
+            RequestError::ConnectionLost(_) => Some(ExchangeOutcome::ConnectionLost { origin }),
             RequestError::MalformedResponse(_) => Some(ExchangeOutcome::MalformedResponse),
         }
     }
 }
 
-/// Reads the rest of the response in a task of its own, which returns the connection to the pool.
-fn keep_connection(
+/// Spawns a task that reads the rest of the response and returns the connection to the pool. Returns the
+/// outcome of the exchange.
+fn recycle_connection(
     pool: &Rc<ConnectionPool>,
     address: SocketAddr,
     connection: Connection,
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,14 +1,14 @@
-//! The client side of workers: attempts, their cancellation, and the connections that carry them.
+//! Client of the workers: attempts, their cancellation, and the connections that carry them.
 //!
-//! The dispatch task decides which attempt goes to which worker and when it is cancelled; nothing here does.
-//! An attempt is sent at most once. One that may have arrived is never reported as not sent: if that is
-//! unknown, it is reported as lost.
+//! The dispatch task alone decides which attempt goes to which worker and when an attempt is cancelled. An
+//! attempt is sent at most once. An attempt that may have arrived is never reported as not sent: if its
+//! arrival is unknown, it is reported as lost.
 //!
-//! - [`payload`]: what is sent.
-//! - [`pool`]: the connections.
+//! - [`payload`]: contents of a request to a worker.
+//! - [`pool`]: connections to workers.
 //! - [`exchange`]: one request and its response.
-//! - [`cancellation`]: `DELETE` of a job until the worker acknowledges it.
-//! - [`attempt`]: an attempt from its start to the report of its end.
+//! - [`cancellation`]: `DELETE` of a job, repeated until the worker acknowledges it.
+//! - [`attempt`]: an attempt, from its start to the report of its outcome.
 
 mod attempt;
 mod cancellation;
@@ -33,65 +33,64 @@
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
 use crate::upstream::pool::ConnectionPool;
 
-/// Makes the attempts at all workers. Clones share one pool of connections.
+/// Runs the attempts at all workers. Clones share one pool of connections.
 #[derive(Clone)]
 pub struct UpstreamClient {
-    attempts: Rc<AttemptRunner>,
+    runner: Rc<AttemptRunner>,
 }
 
 impl AttemptTransport for UpstreamClient {
     type Payload = RequestPayload;
 
     fn start_attempt(&self, attempt: AttemptRequest<RequestPayload>) {
-        let attempts = self.attempts.clone();
-        spawn_local(async move { attempts.run(attempt).await });
+        let runner = self.runner.clone();
+        spawn_local(async move { runner.run(attempt).await });
     }
 
     fn resume_attempt(&self, attempt: AttemptRequest<RequestPayload>) {
-        let attempts = self.attempts.clone();
-        spawn_local(async move { attempts.resume(attempt).await });
+        let runner = self.runner.clone();
+        spawn_local(async move { runner.resume(attempt).await });
     }
 
     fn discard_connections(&self, address: SocketAddr) {
-        self.attempts.pool.discard_connections(address);
+        self.runner.pool.discard_connections(address);
     }
 }
 
 impl UpstreamClient {
-    /// A client without connections, which reports on its attempts to `reporter`.
+    /// Creates a client without connections that reports on its attempts to `reporter`.
     pub fn new(reporter: impl AttemptReporter + 'static, metrics: Metrics, config: UpstreamConfig) -> Self {
         let options = config.options.clone();
         let pool = Rc::new(ConnectionPool::new(metrics.clone(), config));
         let canceller = Canceller::new(pool.clone(), metrics, options);
         let reporter = Box::new(reporter);
         let in_flight = TaskTracker::new();
-        UpstreamClient { attempts: Rc::new(AttemptRunner { reporter, pool, canceller, in_flight }) }
+        UpstreamClient { runner: Rc::new(AttemptRunner { reporter, pool, canceller, in_flight }) }
     }
 
-    /// Uses this share of the connection budget.
+    /// Sets the share of the connection budget that the client may use.
     pub fn set_descriptor_share(&self, share: DescriptorShare) {
-        self.attempts.pool.set_budget_share(share);
+        self.runner.pool.set_descriptor_share(share);
     }
 
-    /// The cancellations that no worker has acknowledged yet, to be handed over to another process of this
-    /// node.
+    /// Returns the cancellations that no worker has acknowledged yet, to be handed over to the peer process.
     pub fn unacknowledged_cancellations(&self) -> Vec<CancellationTarget> {
-        self.attempts.canceller.unacknowledged()
+        self.runner.canceller.unacknowledged()
     }
 
-    /// Continues a cancellation that another process of this node could not complete.
+    /// Continues a cancellation that the peer process could not complete.
     pub fn adopt_cancellation(&self, target: CancellationTarget) {
-        let attempts = self.attempts.clone();
-        spawn_local(async move { attempts.adopt_cancellation(target).await });
+        let runner = self.runner.clone();
+        spawn_local(async move { runner.adopt_cancellation(target).await });
     }
 
-    /// Whether no attempt and no cancellation is in flight.
+    /// Returns whether no attempt and no cancellation is in flight.
     pub fn is_idle(&self) -> bool {
-        self.attempts.in_flight.is_empty()
+        self.runner.in_flight.is_empty()
     }
 
     /// Closes connections that have been idle for too long, until the future is dropped.
     pub async fn sweep(self) {
-        self.attempts.pool.sweep_idle_connections().await;
+        self.runner.pool.sweep_idle_connections().await;
     }
 }
--- a/crates/node/src/upstream/payload.rs
+++ b/crates/node/src/upstream/payload.rs
@@ -1,4 +1,5 @@
-//! What passes through from a client to a worker unchanged, and the headers of the request that carries it.
+//! Parts of a client's request that reach the worker unchanged, and the headers of the request that carries
+//! them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +9,11 @@
 use hyper::header::{CONTENT_TYPE, HOST, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri};
 
-/// The client's id of the job.
+/// Header with the client's id of the job.
 pub const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the sender waits for the result, in seconds.
+/// Header with the time for which the sender waits for the result, in seconds.
 pub const X_DEADLINE: HeaderName = HeaderName::from_static("x-deadline");
-/// By which a worker recognises another attempt of the same job.
+/// Header by which a worker recognises another attempt of the same job.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// A request to a worker, which may be sent several times.
@@ -20,22 +21,23 @@
 
 /// A client's request as it is sent to workers.
 pub struct RequestPayload {
-    /// The method.
+    /// HTTP method of the client's request.
     pub method: Method,
     /// Path and query, without scheme and host.
     pub path: Uri,
     /// The client's id of the job.
     pub request_id: HeaderValue,
-    /// The client's `Idempotency-Key`.
+    /// `Idempotency-Key` of the client's request.
     pub idempotency_key: Option<HeaderValue>,
-    /// The type of the body.
+    /// Content type of the body.
     pub content_type: Option<HeaderValue>,
-    /// The body.
+    /// Body of the client's request.
     pub body: Bytes,
 }
 
 impl RequestPayload {
-    /// The request of an attempt at the worker at `address`. [`set_time_left`] completes it when it is sent.
+    /// Builds the request of an attempt at the worker at `address`. [`set_deadline_header`] completes the
+    /// request when it is sent.
     pub fn to_request(&self, address: SocketAddr) -> Result<UpstreamRequest, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -52,9 +54,10 @@
     }
 }
 
-/// States in a request how long its sender will wait. To be called when there is a connection: until then time passes.
-pub fn set_time_left(request: &mut UpstreamRequest, time_left: Duration) {
-    // Whole milliseconds, rounded down: never more than is left.
+/// Sets the [`X_DEADLINE`] header to the time for which the sender will wait. Must be called only once there
+/// is a connection, because time passes until then.
+pub fn set_deadline_header(request: &mut UpstreamRequest, time_left: Duration) {
+    // Rounds down to whole milliseconds: the header never states more than the time left.
     let milliseconds = time_left.as_millis();
     let seconds = format!("{}.{:03}", milliseconds / 1000, milliseconds % 1000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 connection to a worker, which carries one request at a time.
+//! An HTTP/1.1 connection to a worker that carries one request at a time.
 
 use std::error::Error;
 use std::io::{self, ErrorKind};
@@ -23,23 +23,23 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::payload::UpstreamRequest;
 use crate::upstream::pool::generation::AddressGeneration;
-use crate::upstream::pool::socket::{Socket, Traffic};
+use crate::upstream::pool::socket::{Socket, SocketState};
 
-/// How long a connection pauses after a response before it carries another request.
+/// Delay after a response before its connection carries another request.
 ///
-/// A second response that comes a few milliseconds late finds the connection idle then, and closes it. Read
-/// as the response to the next request, it could claim that a job is accepted, or has not run, that the
-/// worker never got.
-pub const COOL_DOWN: Duration = Duration::from_millis(30);
+/// A second response that arrives a few milliseconds late then finds the connection idle, and the connection
+/// is closed. Without the delay it could be read as the response to the next request: it could state that a
+/// job is accepted, or has not run, although the worker has never received that job.
+pub const REUSE_DELAY: Duration = Duration::from_millis(30);
 
-/// Why a connection was not established.
+/// Reason for which a connection was not established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// No process listens at the address, or it accepts no more connections.
-    #[error("connection refused; see that the worker runs")]
+    /// No process listens at the address, or the process accepts no more connections.
+    #[error("connection refused; check that the worker is running")]
     Refused(#[source] io::Error),
-    /// It was not established in time, or broke while it was.
-    #[error("connection not established; see that the network lets it through")]
+    /// The connection was not established in time, or it broke while it was being established.
+    #[error("connection not established; check the network between the node and the worker")]
     Unreachable(#[source] io::Error),
 }
 
@@ -52,26 +52,27 @@
     }
 }
 
-/// Why a request got no response.
+/// Reason for which a request received no response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The worker has not got the request.
+    /// The connection closed before a byte of the request was written, so that the worker has not received
+    /// it.
     #[error("the connection closed before a byte of the request was written")]
     NothingWritten(#[source] hyper::Error),
-    /// The worker may have got the request.
+    /// The connection broke or closed before a response, and the worker may have received the request.
     #[error("the connection broke or ended before a response")]
     ConnectionLost(#[source] hyper::Error),
-    /// The worker may have got the request, and what it sent is no HTTP response.
+    /// The bytes from the worker are not a valid HTTP response, and the worker may have received the request.
     #[error("the response is malformed")]
     MalformedResponse(#[source] hyper::Error),
 }
 
 impl RequestError {
-    /// Whether bytes were received that are no complete response.
-    pub fn is_malformed_response(&self, traffic: &Traffic) -> bool {
+    /// Returns whether bytes were received that do not form a complete response.
+    pub fn is_malformed_response(&self, socket_state: &SocketState) -> bool {
         match self {
             RequestError::NothingWritten(_) => false,
-            RequestError::ConnectionLost(_) => traffic.response_read(),
+            RequestError::ConnectionLost(_) => socket_state.has_read_response_byte(),
             RequestError::MalformedResponse(_) => true,
         }
     }
@@ -80,27 +81,26 @@
 /// Origin of the connection that carries a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrigin {
-    /// It was dialled for this request.
+    /// The connection was dialled for this request.
     Dialled,
-    /// It has carried an earlier request.
+    /// The connection has carried an earlier request.
     Reused,
 }
 
-/// A connection to a worker. Dropping it closes it: the task that drives it is aborted, and the socket with
-/// it.
+/// A connection to a worker. Dropping it aborts the task that drives the connection, which closes the socket.
 pub struct Connection {
     requests: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    traffic: Rc<Traffic>,
+    socket_state: Rc<SocketState>,
     generation: AddressGeneration,
     origin: ConnectionOrigin,
     idle_since: Instant,
-    /// Returned to the connection budget once the connection is dropped.
+    /// Permit that returns to the connection budget once the connection is dropped.
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Dials a worker. The connection is of the given generation of its address.
+    /// Dials a worker. The connection belongs to the given generation of the worker's address.
     pub async fn dial(
         address: SocketAddr,
         generation: AddressGeneration,
@@ -109,8 +109,8 @@
     ) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let traffic = Rc::<Traffic>::default();
-        let socket = Socket::new(stream, traffic.clone(), metrics.clone());
+        let socket_state = Rc::<SocketState>::default();
+        let socket = Socket::new(stream, socket_state.clone(), metrics.clone());
         let (requests, connection) =
             http1::handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
         let driver = spawn_local(drive(connection, address, metrics));
@@ -118,7 +118,7 @@
         Ok(Connection {
             requests,
             driver,
-            traffic,
+            socket_state,
             generation,
             origin: ConnectionOrigin::Dialled,
             idle_since,
@@ -126,47 +126,47 @@
         })
     }
 
-    /// Whether it was dialled for the present request or has carried one before.
+    /// Returns whether the connection was dialled for the current request or has carried an earlier one.
     pub fn origin(&self) -> ConnectionOrigin {
         self.origin
     }
 
-    /// The generation of its address in which it was dialled.
+    /// Returns the generation of the worker's address in which the connection was dialled.
     pub fn generation(&self) -> &AddressGeneration {
         &self.generation
     }
 
-    /// When it was established or its last response ended.
+    /// Returns the time at which the connection was established or its last response ended.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// The account of what has passed over it.
-    pub fn traffic(&self) -> Rc<Traffic> {
-        self.traffic.clone()
+    /// Returns the state that the connection shares with its socket.
+    pub fn socket_state(&self) -> Rc<SocketState> {
+        self.socket_state.clone()
     }
 
-    /// Whether it is open and was not idle for `max_idle` yet.
+    /// Returns whether the connection is open and has been idle for less than `max_idle`.
     pub fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
         self.requests.is_ready() && now.duration_since(self.idle_since) < max_idle
     }
 
-    /// Whether it has paused for [`COOL_DOWN`].
-    pub fn has_cooled_down(&self, now: Instant) -> bool {
-        now.duration_since(self.idle_since) >= COOL_DOWN
+    /// Returns whether the connection has been idle for [`REUSE_DELAY`].
+    pub fn is_reuse_delay_over(&self, now: Instant) -> bool {
+        now.duration_since(self.idle_since) >= REUSE_DELAY
     }
 
-    /// Sends a request and waits for the head of its response. If the permit is invalid just before the
-    /// first byte, nothing is written and the connection ends.
+    /// Sends a request and waits for the head of its response. If the permit is invalid just before the first
+    /// byte, nothing is written and the connection closes.
     pub async fn send(
         &mut self,
         request: UpstreamRequest,
         send_permit: Rc<SendPermit>,
     ) -> Result<Response<Incoming>, RequestError> {
-        self.traffic.begin_request(send_permit);
+        self.socket_state.begin_request(send_permit);
         self.requests.send_request(request).await.map_err(|error| {
             trace!(target: UPSTREAM, %error, "request failed");
-            if !self.traffic.request_written() {
+            if !self.socket_state.has_written_request_byte() {
                 RequestError::NothingWritten(error)
             } else if error.is_parse() {
                 RequestError::MalformedResponse(error)
@@ -177,28 +177,29 @@
     }
 
     /// Waits, after the end of a response, until the connection can carry another request. Fails if the
-    /// response says that the connection ends with it.
+    /// response states that the connection closes after it.
     pub async fn ready(&mut self) -> hyper::Result<()> {
         self.requests.ready().await
     }
 
-    /// Marks it as idle from now on, after a request.
+    /// Marks the connection as idle from now on, after a request.
     pub fn mark_idle(&mut self) {
         self.origin = ConnectionOrigin::Reused;
         self.idle_since = Instant::now();
     }
 
-    /// Resets it, and returns once it is closed: what the worker's system has not received of the request yet never
-    /// arrives.
+    /// Resets the connection and returns once it is closed. Bytes of the request that the worker's system has
+    /// not received yet never arrive.
     pub async fn reset(self) {
-        self.traffic.discard_unsent();
+        self.socket_state.set_discard_unsent();
         self.close().await;
     }
 
-    /// Closes it, and returns once it is closed. The system continues to deliver what was written.
+    /// Closes the connection and returns once it is closed. The operating system continues to deliver the
+    /// written bytes.
     pub async fn close(mut self) {
         self.driver.abort();
-        // An aborted task ends as cancelled; in either case its socket is closed.
+        // The task has finished or was aborted. In both cases its socket is closed.
         let _ = (&mut self.driver).await;
     }
 }
@@ -209,13 +210,14 @@
     }
 }
 
-/// Drives a connection to its end. The request on it, if there is one, learns how it ended.
+/// Drives a connection until it closes. A request in flight on it, if any, gets the error that closed the
+/// connection.
 async fn drive(
     connection: http1::Connection<TokioIo<Socket>, Full<Bytes>>,
     address: SocketAddr,
     metrics: Metrics,
 ) {
-    // On an idle connection an error that is none of the network is a response without a request.
+    // On an idle connection, an error other than a network error means a response without a request.
     if let Err(error) = connection.await
         && !error.source().is_some_and(<dyn Error>::is::<io::Error>)
     {
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -1,37 +1,38 @@
-//! The idle connections to one worker.
+//! Idle connections to one worker.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::upstream::pool::connection::{COOL_DOWN, Connection};
+use crate::upstream::pool::connection::{Connection, REUSE_DELAY};
 use crate::upstream::pool::generation::AddressGeneration;
 
-/// The idle connections to one worker in its present generation.
+/// Idle connections to one worker, all of the current generation of its address.
 #[derive(Default)]
 pub struct IdleConnections {
     generation: AddressGeneration,
-    /// In the order in which they were last used.
+    /// Connections in the order in which they were last used.
     connections: Vec<Connection>,
 }
 
 impl IdleConnections {
-    /// The present generation, for a connection to be dialled.
+    /// Returns the current generation, for a connection to be dialled.
     pub fn generation(&self) -> AddressGeneration {
         self.generation.clone()
     }
 
-    /// Whether a connection is of the present generation.
-    pub fn has_generation_of(&self, connection: &Connection) -> bool {
+    /// Returns whether a connection is of the current generation.
+    pub fn is_current(&self, connection: &Connection) -> bool {
         self.generation.is_same(connection.generation())
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no idle connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Whether nothing refers to the present generation, so that the entry can be dropped.
+    /// Returns whether there are no idle connections and nothing else refers to the current generation, so
+    /// that the entry can be dropped.
     pub fn is_unused(&self) -> bool {
         self.is_empty() && !self.generation.is_in_use()
     }
@@ -41,29 +42,30 @@
         self.connections.push(connection);
     }
 
-    /// Adds a connection that was taken and not used, at its place in the order.
-    pub fn put_back(&mut self, connection: Connection) {
+    /// Adds a connection that was taken and not used, at its previous position in the order.
+    pub fn reinsert(&mut self, connection: Connection) {
         let idle_since = connection.idle_since();
         let index = self.connections.partition_point(|other| other.idle_since() <= idle_since);
         self.connections.insert(index, connection);
     }
 
-    /// Closes connections that have been idle for `max_idle` or were closed by the worker.
+    /// Closes connections that have been idle for `max_idle`, and removes those that the worker has closed.
     pub fn close_expired(&mut self, now: Instant, max_idle: Duration) {
         self.connections.retain(|connection| connection.is_usable(now, max_idle));
     }
 
-    /// Takes the most recently used connection of those that have cooled down, so that the others expire;
-    /// if none has, the one that will have first. Closes those that cannot be used any more.
+    /// Takes the most recently used connection that has been idle for [`REUSE_DELAY`], so that the others
+    /// expire. If there is none, takes the one that reaches this delay first. Closes connections that can no
+    /// longer be used.
     pub fn take(&mut self, now: Instant, max_idle: Duration) -> Option<Connection> {
-        // If the operator's limit is not longer than the pause, no connection is reused.
-        self.connections.retain(|connection| max_idle > COOL_DOWN && connection.is_usable(now, max_idle));
-        let cooled_down = |connection: &Connection| connection.has_cooled_down(now);
-        let index = self.connections.iter().rposition(cooled_down).unwrap_or(0);
+        // If the operator's limit is not longer than the reuse delay, no connection is reused.
+        self.connections.retain(|connection| max_idle > REUSE_DELAY && connection.is_usable(now, max_idle));
+        let reusable_now = |connection: &Connection| connection.is_reuse_delay_over(now);
+        let index = self.connections.iter().rposition(reusable_now).unwrap_or(0);
         (index < self.connections.len()).then(|| self.connections.remove(index))
     }
 
-    /// Takes the connection that was not used for the longest time.
+    /// Takes the connection that has been idle for the longest time.
     pub fn take_oldest(&mut self) -> Option<Connection> {
         (!self.is_empty()).then(|| self.connections.remove(0))
     }
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -1,15 +1,15 @@
-//! The pool of connections to workers: dials them, keeps those that are idle, and bounds their number.
+//! Pool of connections to workers. It dials connections, keeps idle ones for reuse, and limits their number.
 //!
-//! A connection goes through these states:
+//! States of a connection:
 //!
 //! | state | held by | left by |
 //! | --- | --- | --- |
 //! | dialled | [`ConnectionPool::obtain`] | success: in use; failure: closed |
-//! | in use | the caller | [`ConnectionPool::recycle`]: idle, if its response has ended well and its worker's connections were not discarded; else closed |
-//! | idle | [`IdleConnections`] | `obtain`: reserved; expiry, discarding, or need of its budget: closed |
-//! | reserved | [`ReservedConnection`], up to the end of [`COOL_DOWN`] | in use; idle again, if the caller does not wait any longer |
+//! | in use | the caller | [`ConnectionPool::recycle`]: idle, if its response was received completely and its worker's connections were not discarded; otherwise closed |
+//! | idle | [`IdleConnections`] | `obtain`: reserved; expiry, discarding, or an exhausted budget: closed |
+//! | reserved | [`ReservedConnection`], until the end of [`REUSE_DELAY`] | in use; idle again, if the caller stops waiting |
 //!
-//! The pool knows nothing of jobs.
+//! The pool handles connections only, not jobs.
 
 pub mod connection;
 mod generation;
@@ -33,28 +33,29 @@
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::config::UpstreamConfig;
-use crate::upstream::pool::connection::{COOL_DOWN, ConnectError, Connection};
+use crate::upstream::pool::connection::{ConnectError, Connection, REUSE_DELAY};
 use crate::upstream::pool::generation::AddressGeneration;
 use crate::upstream::pool::idle::IdleConnections;
 
-/// Upper bound of the body of a worker's response, in bytes. Longer ones count as malformed.
+/// Maximum size of the body of a worker's response, in bytes. Responses with a longer body count as
+/// malformed.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 << 10;
-/// How long the rest of a response is waited for, to keep its connection.
+/// Maximum time to wait for the end of a response in order to reuse its connection.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often idle connections are checked for expiry.
+/// Interval between two checks of the idle connections for expiry.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Which connections may carry a request.
+/// Connections that may carry a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// An idle one, or else a new one.
+    /// An idle connection, or a new one if there is no idle one.
     Any,
-    /// Only a new one. An idle one may have ended without showing it; and a worker may read from it before it accepts
-    /// connections that were made earlier.
+    /// A new connection only. An idle connection may have closed unnoticed. In addition, a worker may read
+    /// from an idle connection before it accepts connections that were made earlier.
     New,
 }
 
-/// The connections to all workers.
+/// Pool of the connections to all workers.
 pub struct ConnectionPool {
     metrics: Metrics,
     config: UpstreamConfig,
@@ -62,22 +63,22 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(metrics: Metrics, config: UpstreamConfig) -> Self {
         ConnectionPool { metrics, config, idle: RefCell::default() }
     }
 
-    /// A connection is used again only this soon after its last use.
+    /// Returns the idle time after which a connection is not reused.
     ///
-    /// Workers may close or reset one that was idle for far less than they announce. A request that is
-    /// written to it then may or may not have arrived, which costs more than any number of new connections.
-    /// Half of the announced time is well before their closing.
+    /// Workers may close or reset a connection that was idle for far less than the keep-alive time that they
+    /// announce. A request that is written at that time may or may not have arrived, which costs more than
+    /// any number of new connections. Half of the announced time is well before workers close a connection.
     fn max_idle(&self) -> Duration {
         self.config.options.get().max_reuse_idle.duration().min(self.config.keepalive / 2)
     }
 
-    /// Uses this share of the connection budget.
-    pub fn set_budget_share(&self, share: DescriptorShare) {
+    /// Sets the share of the connection budget that the pool may use.
+    pub fn set_descriptor_share(&self, share: DescriptorShare) {
         self.config.budget.set_share(share, || drop(self.take_any_idle()));
     }
 
@@ -86,22 +87,22 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes expired connections, until the future is dropped: the worker closes them too, and a request
-    /// that is written to one in that moment would be lost.
+    /// Closes expired connections until the future is dropped. The worker closes expired connections too, and
+    /// a request that is written to one at that time would be lost.
     pub async fn sweep_idle_connections(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
             let (now, max_idle) = (Instant::now(), self.max_idle());
             self.idle.borrow_mut().retain(|_, idle| {
                 idle.close_expired(now, max_idle);
-                // The generation lasts for as long as a connection of it is in use.
+                // The entry keeps its generation for as long as a connection of that generation is in use.
                 !idle.is_unused()
             });
         }
     }
 
-    /// A connection for one request: an idle one that has cooled down, if `choice` allows it, or a new one. Cancel-safe:
-    /// an idle connection that was reserved is idle again.
+    /// Returns a connection for one request: an idle one after its [`REUSE_DELAY`], if `choice` allows it, or
+    /// a new one. Cancel-safe: an idle connection that was reserved becomes idle again.
     pub async fn obtain(
         &self,
         address: SocketAddr,
@@ -115,10 +116,11 @@
 
     async fn obtain_any(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         while let Some(connection) = self.take_idle(address) {
-            // No other request can reserve it meanwhile; a request that finds no idle connection dials.
+            // The connection is reserved for this request. Another request that finds no idle connection
+            // dials.
             let reserved = ReservedConnection { pool: self, address, connection: Some(connection) };
-            let Some(connection) = reserved.cool_down().await else { continue };
-            // The worker's connections may have been discarded meanwhile.
+            let Some(connection) = reserved.wait_for_reuse_delay().await else { continue };
+            // The worker's connections may have been discarded during the delay.
             if self.is_current(address, &connection) && connection.is_usable(Instant::now(), self.max_idle())
             {
                 return Ok(connection);
@@ -131,20 +133,20 @@
         self.idle.borrow_mut().get_mut(&address)?.take(Instant::now(), self.max_idle())
     }
 
-    /// Whether a connection is of the present generation of its worker's address.
+    /// Returns whether a connection is of the current generation of its worker's address.
     fn is_current(&self, address: SocketAddr, connection: &Connection) -> bool {
-        self.idle.borrow().get(&address).is_some_and(|idle| idle.has_generation_of(connection))
+        self.idle.borrow().get(&address).is_some_and(|idle| idle.is_current(connection))
     }
 
-    /// Puts a connection back on which nothing was written since it was taken. If no permit is free, another request
-    /// may wait for that of this connection, which is closed.
-    fn put_back(&self, address: SocketAddr, connection: Connection) {
+    /// Returns a connection to the pool on which nothing was written since it was taken. Closes the
+    /// connection instead if no permit is free, because another request may be waiting for its permit.
+    fn return_unused(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
-            idle.put_back(connection);
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.is_current(&connection)) {
+            idle.reinsert(connection);
         }
     }
 
@@ -171,7 +173,7 @@
         Connection::dial(address, generation, permit, self.metrics.clone()).await
     }
 
-    /// Waits for the permit of one more connection. If none is free, an idle connection is closed.
+    /// Waits for the permit for one more connection. Closes an idle connection if no permit is free.
     async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.config.budget.free() == 0 {
             drop(self.take_any_idle());
@@ -179,13 +181,13 @@
         self.config.budget.acquire().await
     }
 
-    /// Takes the oldest idle connection of some worker.
+    /// Takes the oldest idle connection of an arbitrary worker that has one.
     fn take_any_idle(&self) -> Option<Connection> {
         self.idle.borrow_mut().values_mut().find(|idle| !idle.is_empty())?.take_oldest()
     }
 
-    /// Reads a response to its end and keeps the connection for another request; closes it if that is not
-    /// possible.
+    /// Reads a response to its end and keeps the connection for another request. Closes the connection if
+    /// that is not possible.
     pub async fn recycle(
         &self,
         address: SocketAddr,
@@ -200,53 +202,54 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.has_generation_of(&connection)) {
+        if let Some(idle) = idle.get_mut(&address).filter(|idle| idle.is_current(&connection)) {
             connection.mark_idle();
             idle.push(connection);
         }
     }
 
-    /// Counts a response that is malformed or incomplete.
+    /// Counts and logs a response that is malformed or incomplete.
     pub fn record_malformed_response(&self, address: SocketAddr, reason: &str) {
         self.metrics.add(Counter::MalformedWorkerResponses);
         debug!(target: UPSTREAM, %address, reason, "malformed response received");
     }
 }
 
-/// Why the rest of a response could not be read.
+/// Reason for which the body of a response could not be read to its end.
 #[derive(Debug, thiserror::Error)]
-enum ResponseEndError {
-    /// It is malformed or longer than [`MAX_RESPONSE_BODY_BYTES`].
+enum ResponseBodyError {
+    /// The body is malformed or longer than [`MAX_RESPONSE_BODY_BYTES`].
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// It took longer than [`RESPONSE_END_TIMEOUT`].
+    /// The body took longer than [`RESPONSE_END_TIMEOUT`].
     #[error("it does not end")]
     TimedOut,
 }
 
-async fn read_to_end(response: Response<Incoming>) -> Result<(), ResponseEndError> {
+async fn read_to_end(response: Response<Incoming>) -> Result<(), ResponseBodyError> {
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY_BYTES).collect();
     match timeout(RESPONSE_END_TIMEOUT, body).await {
         Ok(Ok(_)) => Ok(()),
-        Ok(Err(error)) => Err(ResponseEndError::Body(error)),
-        Err(_) => Err(ResponseEndError::TimedOut),
+        Ok(Err(error)) => Err(ResponseBodyError::Body(error)),
+        Err(_) => Err(ResponseBodyError::TimedOut),
     }
 }
 
-/// An idle connection that was taken for a request and waits for the end of its pause. Dropping it earlier,
-/// because the request is cancelled, leaves the connection to other requests.
+/// An idle connection that was taken for a request and waits for the end of its [`REUSE_DELAY`]. Dropping the
+/// reservation earlier, because the request is cancelled, returns the connection to the pool for other
+/// requests.
 struct ReservedConnection<'a> {
     pool: &'a ConnectionPool,
     address: SocketAddr,
-    /// `None` once it was passed to the caller.
+    /// Reserved connection, or `None` once it was passed to the caller.
     connection: Option<Connection>,
 }
 
 impl ReservedConnection<'_> {
-    /// Waits for the end of the pause and returns the connection.
-    async fn cool_down(mut self) -> Option<Connection> {
+    /// Waits for the end of the reuse delay and returns the connection.
+    async fn wait_for_reuse_delay(mut self) -> Option<Connection> {
         let idle_since = self.connection.as_ref()?.idle_since();
-        sleep_until(idle_since + COOL_DOWN).await;
+        sleep_until(idle_since + REUSE_DELAY).await;
         self.connection.take()
     }
 }
@@ -254,7 +257,7 @@
 impl Drop for ReservedConnection<'_> {
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
-            self.pool.put_back(self.address, connection);
+            self.pool.return_unused(self.address, connection);
         }
     }
 }
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -1,5 +1,5 @@
-//! The socket under a connection to a worker: accounts for what passes over it and makes the last check
-//! before the first byte of a request.
+//! Socket of a connection to a worker. It records whether bytes were written and read, and makes the last
+//! check before the first byte of a request.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, IoSlice, Read};
@@ -18,38 +18,39 @@
 use crate::telemetry::logging::UPSTREAM;
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// What has passed over a connection since it was given its last request.
+/// State that a connection shares with its [`Socket`]: progress and send permit of the latest request, and
+/// the handling of unsent bytes.
 #[derive(Default)]
-pub struct Traffic {
-    request_written: Cell<bool>,
-    response_read: Cell<bool>,
-    /// Whether the end of the connection discards what the worker's system has not received yet.
+pub struct SocketState {
+    request_byte_written: Cell<bool>,
+    response_byte_read: Cell<bool>,
+    /// Whether closing the connection discards the bytes that the worker's system has not received yet.
     discards_unsent: Cell<bool>,
-    /// Whether the first byte of that request may be written; `None` before the first request.
+    /// Permit for the first byte of the latest request, or `None` before the first request.
     send_permit: RefCell<Option<Rc<SendPermit>>>,
 }
 
-impl Traffic {
-    /// Starts the account of another request.
+impl SocketState {
+    /// Prepares the state for another request with this permit.
     pub fn begin_request(&self, send_permit: Rc<SendPermit>) {
         *self.send_permit.borrow_mut() = Some(send_permit);
-        self.request_written.set(false);
-        self.response_read.set(false);
+        self.request_byte_written.set(false);
+        self.response_byte_read.set(false);
     }
 
-    /// Whether a byte of the request was written, so that it may have arrived.
-    pub fn request_written(&self) -> bool {
-        self.request_written.get()
+    /// Returns whether a byte of the request was written, so that the request may have arrived.
+    pub fn has_written_request_byte(&self) -> bool {
+        self.request_byte_written.get()
     }
 
-    /// Whether a byte was read since the connection was given the request.
-    pub fn response_read(&self) -> bool {
-        self.response_read.get()
+    /// Returns whether a byte was read since the connection was given the request.
+    pub fn has_read_response_byte(&self) -> bool {
+        self.response_byte_read.get()
     }
 
-    /// Has the end of the connection discard what the worker's system has not received yet. Otherwise the system
-    /// continues to deliver that.
-    pub fn discard_unsent(&self) {
+    /// Makes the close of the connection discard the bytes that the worker's system has not received yet.
+    /// Otherwise the operating system continues to deliver them.
+    pub fn set_discard_unsent(&self) {
         self.discards_unsent.set(true);
     }
 
@@ -58,38 +59,38 @@
     }
 }
 
-/// A TCP stream with an account of its [`Traffic`].
+/// A TCP stream that records reads and writes in its [`SocketState`].
 ///
-/// Before the first byte of a request it checks that the send permit is still valid, and that the worker has
-/// neither closed the connection nor sent anything, which the driver of the connection may not have noticed
-/// yet.
+/// Before the first byte of a request, the socket checks that the send permit is still valid, and that the
+/// worker has neither closed the connection nor sent anything. The task that drives the connection may not
+/// have noticed either of the latter yet.
 pub struct Socket {
     stream: TcpStream,
-    traffic: Rc<Traffic>,
+    socket_state: Rc<SocketState>,
     metrics: Metrics,
 }
 
 impl Socket {
-    /// A socket that accounts to `traffic`.
-    pub fn new(stream: TcpStream, traffic: Rc<Traffic>, metrics: Metrics) -> Self {
-        Socket { stream, traffic, metrics }
+    /// Creates a socket that records reads and writes in `socket_state`.
+    pub fn new(stream: TcpStream, socket_state: Rc<SocketState>, metrics: Metrics) -> Self {
+        Socket { stream, socket_state, metrics }
     }
 
-    /// Fails if a request must not begin on this connection. A request that has begun is continued.
+    /// Fails if the first byte of a request must not be written. A request that has begun is continued.
     fn check_before_first_byte(&self) -> io::Result<()> {
-        if self.traffic.request_written() {
+        if self.socket_state.has_written_request_byte() {
             return Ok(());
         }
-        if !self.traffic.is_send_permitted() {
-            // hyper has taken the request and would write it as soon as it can: only the end of the
+        if !self.socket_state.is_send_permitted() {
+            // hyper already holds the request and would write it as soon as possible. Only closing the
             // connection prevents that.
             return Err(ErrorKind::ConnectionAborted.into());
         }
         self.check_nothing_received()
     }
 
-    /// Fails if the worker has closed the connection or sent something without a request. The byte that is
-    /// read here is lost, which is no loss, since the connection is then closed.
+    /// Fails if the worker has closed the connection or sent something without a request. A byte that is read
+    /// here is lost, which does no harm because the connection is then closed.
     fn check_nothing_received(&self) -> io::Result<()> {
         match (&*SockRef::from(&self.stream)).read(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
@@ -105,17 +106,18 @@
     }
 
     fn record_write(&self, written: io::Result<usize>) -> io::Result<usize> {
-        if matches!(written, Ok(1..)) && !self.traffic.request_written.replace(true) {
-            self.check_first_byte();
+        if matches!(written, Ok(1..)) && !self.socket_state.request_byte_written.replace(true) {
+            self.record_late_first_byte();
         }
         written
     }
 }
 
 impl Socket {
-    /// Counts a first byte that was sent too late despite the checks, as when the process was stalled before the write.
-    fn check_first_byte(&self) {
-        let Some(send_permit) = self.traffic.send_permit.borrow().clone() else { return };
+    /// Counts and logs a first byte that was sent too late despite the checks, for example because the
+    /// process was stalled before the write.
+    fn record_late_first_byte(&self) {
+        let Some(send_permit) = self.socket_state.send_permit.borrow().clone() else { return };
         if let Err(reason) = send_permit.check_sent(Instant::now()) {
             self.metrics.record_violation(reason);
             let request_id = send_permit.request_id();
@@ -127,8 +129,8 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.traffic.discards_unsent.get() {
-            // The option fails only on a connection that has ended.
+        if self.socket_state.discards_unsent.get() {
+            // Setting the option fails only on a closed connection.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
@@ -143,7 +145,7 @@
         let filled_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
         if buffer.filled().len() > filled_before {
-            self.traffic.response_read.set(true);
+            self.socket_state.response_byte_read.set(true);
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -64,7 +64,7 @@
     worker.next_request().accept();
     close(client, false);
     wait_until("no disconnect was noticed", || node.counter("curlewusher_clients_gone_total") == 1);
-    worker.expect_withdrawal("r1");
+    worker.expect_cancellation("r1");
 }
 
 #[test]
@@ -406,7 +406,7 @@
     // The worker receives the cancellation and does not respond. By the time of the second cancellation the
     // node has closed all connections of clients.
     for _ in 0..2 {
-        worker.expect_withdrawal("r1");
+        worker.expect_cancellation("r1");
     }
     let response = send_request(node.address, &job_request("r2", "view", 9.0, ""));
     assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
@@ -429,10 +429,10 @@
         r#"{"id":["r1"],"from":"s-1","state":"lost"}"#,
     ];
     for body in invalid_bodies {
-        assert_eq!(node.callback(body), 400, "{body}");
+        assert_eq!(node.send_callback(body), 400, "{body}");
     }
     assert_eq!(
-        node.callback(&format!(r#"{{"id":"r1","from":"s-1","state":"lost"{}}}"#, " ".repeat(70_000))),
+        node.send_callback(&format!(r#"{{"id":"r1","from":"s-1","state":"lost"{}}}"#, " ".repeat(70_000))),
         413
     );
     // One client disconnects in the middle of its body, and another one stops sending there.
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -100,7 +100,7 @@
     let endpoints = [worker.endpoint_json("s-1", "in_service")];
     let operator_file = "[log]\nformat = \"json\"\n[log.parts]\ndispatch = \"debug\"\n";
     let node = Node::start_with_operator_file(&node_config(discovery.address, &endpoints), operator_file);
-    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &endpoints);
     node.wait_for_log_line("endpoint lease confirmed");
     let serve = |id: &str| {
         node.assert_serves(&worker, id, "view", "s-1");
@@ -146,12 +146,12 @@
     let config = node_config(discovery.address, &endpoints);
     let operator_file = "[log]\nlevel = \"trace\"\nlines_per_s = 100000\nwaiting_lines = 16\n";
     let (node, _stalled) = Node::start_with_blocked_stderr(&config, operator_file);
-    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &endpoints);
     let dropped = r#"curlewusher_log_lines_dropped_total{why="stalled"}"#;
     // A pipe buffers 64 KiB before writes to it stall. Each rejected request writes one log line.
     let mut requests = 0;
     while node.counter(dropped) == 0 {
-        assert_eq!(node.callback("{"), 400);
+        assert_eq!(node.send_callback("{"), 400);
         requests += 1;
         assert!(requests < 20_000, "standard error does not stall");
     }
--- a/crates/node/tests/common/full_backlog_worker.rs
+++ b/crates/node/tests/common/full_backlog_worker.rs
@@ -1,4 +1,4 @@
-//! A worker that accepts no connection until the test lets it.
+//! A worker with a full accept backlog.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
@@ -9,42 +9,45 @@
 use super::TEST_TIMEOUT;
 use super::scripted_discovery::endpoint_json;
 
-/// A worker whose accept backlog is full: a further connection is not established until the backlog is drained.
+/// A worker whose accept backlog is full. No further connection is established until the test drains the
+/// backlog.
 pub struct FullBacklogWorker {
     listener: TcpListener,
-    /// The connections that fill the backlog.
+    /// Connections that fill the backlog.
     backlog: Vec<TcpStream>,
 }
 
 impl FullBacklogWorker {
     /// Starts a worker and fills its backlog.
     pub fn start() -> FullBacklogWorker {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-        socket.listen(0).expect("it listens");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creating the socket failed");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("binding a port failed");
+        socket.listen(0).expect("listening on the socket failed");
         let listener = TcpListener::from(socket);
-        let at = listener.local_addr().expect("an address");
-        let fill = || TcpStream::connect_timeout(&at, Duration::from_millis(300));
+        let address = listener.local_addr().expect("the listener has no address");
+        let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
         let backlog = std::iter::from_fn(|| fill().ok()).collect();
         FullBacklogWorker { listener, backlog }
     }
 
-    /// This worker as the endpoint `s-1` of that status.
+    /// Returns this worker as the endpoint `s-1` with the given status.
     pub fn endpoint_json(&self, status: &str) -> String {
-        endpoint_json("s-1", self.listener.local_addr().expect("an address"), status)
+        endpoint_json("s-1", self.listener.local_addr().expect("the listener has no address"), status)
     }
 
-    /// Accepts the connections of the backlog, so that others are established.
+    /// Accepts the connections of the backlog, so that further ones can be established.
     pub fn drain_backlog(&self) {
-        self.backlog.iter().for_each(|_| _ = self.listener.accept().expect("one of the backlog"));
+        self.backlog
+            .iter()
+            .for_each(|_| _ = self.listener.accept().expect("accepting a connection of the backlog failed"));
     }
 
-    /// The connection that has been established, if one has.
+    /// Returns the next established connection, if there is one. Does not wait.
     pub fn try_accept(&self) -> Option<TcpStream> {
-        self.listener.set_nonblocking(true).expect("a listener");
+        self.listener.set_nonblocking(true).expect("making the listener non-blocking failed");
         let (stream, _) = self.listener.accept().ok()?;
-        stream.set_nonblocking(false).expect("a stream");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        stream.set_nonblocking(false).expect("making the stream blocking failed");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the read timeout failed");
         Some(stream)
     }
 
@@ -55,7 +58,7 @@
             if let Some(stream) = self.try_accept() {
                 return stream;
             }
-            assert!(started.elapsed() < TEST_TIMEOUT, "nothing came");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no connection was established");
             thread::yield_now();
         }
     }
--- a/crates/node/tests/common/http_message.rs
+++ b/crates/node/tests/common/http_message.rs
@@ -5,7 +5,7 @@
 
 use super::TEST_TIMEOUT;
 
-/// A request or a response as it was read. An empty one stands for the end of a connection.
+/// A request or a response as it was read. An empty message stands for the close of a connection.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     pub start_line: String,
@@ -14,17 +14,17 @@
 }
 
 impl HttpMessage {
-    /// The first header of this name, whatever its case.
+    /// Returns the value of the first header with this name, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// The status of a response.
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("the response has no status")
     }
 
-    /// Reads one whole message; none at the end of the connection.
+    /// Reads one whole message. Returns `None` if the connection closes first.
     pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let mut line = || {
             let mut line = String::new();
@@ -34,25 +34,27 @@
         while let Some((name, value)) = line()?.split_once(": ") {
             message.headers.push((name.to_owned(), value.to_owned()));
         }
-        let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
+        let length = message
+            .header("content-length")
+            .map_or(0, |v| v.parse().expect("Content-Length is not a number"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
-        message.body = String::from_utf8(body).expect("text");
+        message.body = String::from_utf8(body).expect("the body is not UTF-8");
         Some(message)
     }
 }
 
-/// Writes a request, or any other text, on a new connection.
+/// Opens a connection and writes a request, or any other text, on it.
 pub fn open_request(to: SocketAddr, request: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-    stream.write_all(request.as_bytes()).expect("it reads");
+    let mut stream = TcpStream::connect(to).expect("connecting failed");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the read timeout failed");
+    stream.write_all(request.as_bytes()).expect("writing the request failed");
     stream
 }
 
-/// Reads the response on a connection that is of no further use.
+/// Reads the response on a connection and closes the connection.
 pub fn read_response(stream: TcpStream) -> HttpMessage {
-    HttpMessage::read(&mut BufReader::new(stream)).expect("an answer")
+    HttpMessage::read(&mut BufReader::new(stream)).expect("the connection closed without a response")
 }
 
 /// Sends a request on a new connection and reads its response.
@@ -60,7 +62,8 @@
     read_response(open_request(to, request))
 }
 
-/// A client's job with a deadline in seconds, and with `extra_headers` besides the usual ones.
+/// Returns the request that submits a client's job, with a deadline in seconds and with `extra_headers` in
+/// addition to the usual headers.
 pub fn job_request(id: &str, class: &str, deadline_s: f64, extra_headers: &str) -> String {
     format!(
         "POST /api/k1?q=2 HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\n\
@@ -68,10 +71,12 @@
     )
 }
 
-/// Sends a line to an operator address and reads the line that answers it.
-pub fn call_operator(at: SocketAddr, line: &str) -> String {
+/// Sends a line to an admin address and returns the response line.
+pub fn send_admin_command(address: SocketAddr, line: &str) -> String {
     let mut response = String::new();
-    BufReader::new(open_request(at, line)).read_line(&mut response).expect("an answer");
+    BufReader::new(open_request(address, line))
+        .read_line(&mut response)
+        .expect("reading the response failed");
     response.trim_end().to_owned()
 }
 
@@ -79,22 +84,22 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// A client on a new connection.
+    /// Connects a client.
     pub fn connect(to: SocketAddr) -> Client {
         Client(BufReader::new(open_request(to, "")))
     }
 
     /// Writes a request, or a part of one.
     pub fn send(&mut self, request: &str) {
-        self.0.get_mut().write_all(request.as_bytes()).expect("it reads");
+        self.0.get_mut().write_all(request.as_bytes()).expect("writing the request failed");
     }
 
-    /// Its connection.
+    /// Returns the connection of the client.
     pub fn stream(&self) -> &TcpStream {
         self.0.get_ref()
     }
 
-    /// The next response; none where the connection has ended instead.
+    /// Reads the next response. Returns `None` if the connection closes instead.
     pub fn read_response(&mut self) -> Option<HttpMessage> {
         HttpMessage::read(&mut self.0)
     }
--- a/crates/node/tests/common/node_config.rs
+++ b/crates/node/tests/common/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that test nodes start with. Tests change single fields of its text.
+//! Configurations of test nodes. Tests change single fields of the text.
 
 use std::net::SocketAddr;
 
@@ -15,29 +15,32 @@
 "familyInfo":{"tellsStart":true},
 "rules":{"askWithinUs":10000000,"coldShare":0.2,"warmUpUs":1000000,"overloadFactor":3.0,"fallUs":1000000}}"#;
 
-/// The configuration of a node that listens on a port of the system's choice and starts with these known endpoints.
-pub fn node_config(discovery: SocketAddr, known: &[String]) -> String {
-    let known = endpoint_list_json(41, true, known);
+/// Returns the configuration of a node that listens on a port chosen by the system and starts with these
+/// known endpoints.
+pub fn node_config(discovery: SocketAddr, endpoints: &[String]) -> String {
+    let endpoints = endpoint_list_json(41, true, endpoints);
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{SETTINGS}}}"#
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{endpoints},"settings":{SETTINGS}}}"#
     )
 }
 
-/// Like [`node_config`], with an operator address.
-pub fn node_config_with_console(discovery: SocketAddr, known: &[String]) -> String {
-    node_config(discovery, known).replacen('{', r#"{"console":"127.0.0.1:0","#, 1)
+/// Like [`node_config`], with an admin address.
+pub fn node_config_with_admin(discovery: SocketAddr, endpoints: &[String]) -> String {
+    node_config(discovery, endpoints).replacen('{', r#"{"console":"127.0.0.1:0","#, 1)
 }
 
-/// Like [`node_config_with_console`], with a connect timeout that a worker on a busy machine keeps.
-pub fn node_config_for_handover(discovery: SocketAddr, known: &[String]) -> String {
-    node_config_with_console(discovery, known)
+/// Like [`node_config_with_admin`], with a connect timeout that is long enough for a worker on a busy
+/// machine.
+pub fn node_config_for_handover(discovery: SocketAddr, endpoints: &[String]) -> String {
+    node_config_with_admin(discovery, endpoints)
         .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
 
-/// Like [`node_config`], with a connect timeout and latency objectives that no test reaches, however busy the machine is.
-pub fn node_config_with_long_timeouts(discovery: SocketAddr, known: &[String]) -> String {
-    node_config(discovery, known)
+/// Like [`node_config`], with a connect timeout and latency objectives that no test reaches, even on a busy
+/// machine.
+pub fn node_config_with_long_timeouts(discovery: SocketAddr, endpoints: &[String]) -> String {
+    node_config(discovery, endpoints)
         .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":30000000"#)
         .replace("9000000", "900000000")
 }
--- a/crates/node/tests/common/node_requests.rs
+++ b/crates/node/tests/common/node_requests.rs
@@ -1,4 +1,4 @@
-//! What the tests ask of a running node: its set-up with scripted workers, callbacks, counters and served jobs.
+//! Set-up of a node with scripted workers, and requests to a running node: jobs, callbacks and counters.
 
 use std::net::{SocketAddr, TcpStream};
 
@@ -9,23 +9,25 @@
 use super::scripted_server::{ReceivedRequest, ScriptedServer};
 use super::wait_until;
 
-/// The fields of a callback that completes a job with the result `x`.
-pub const COMPLETED: &str = r#""state":"done","result":"x""#;
+/// Fields of a callback that completes a job with the result `x`.
+pub const COMPLETION_FIELDS: &str = r#""state":"done","result":"x""#;
 
 /// Waits until a counter of the node has reached `count`.
 pub fn wait_for_counter(node: &Node, series: &str, count: u64) {
-    wait_until(&format!("{series} stays under {count}"), || node.counter(series) >= count);
+    wait_until(&format!("{series} does not reach {count}"), || node.counter(series) >= count);
 }
 
 impl Node {
-    /// A worker `s-1`, a node that knows only it, the node's open watch, and discovery.
+    /// Starts a worker `s-1` and a node with this worker as its only endpoint. Returns the worker, the node,
+    /// the node's open endpoint watch, and discovery.
     pub fn start_with_worker() -> (ScriptedServer, Node, ScriptedWatch, ScriptedServer) {
         let worker = ScriptedServer::start();
         let (node, watch, discovery) = Node::start_with_workers(&[("s-1", &worker)]);
         (worker, node, watch, discovery)
     }
 
-    /// Workers `s-1` and `s-2`, a node that knows only them, the node's open watch, and discovery.
+    /// Starts the workers `s-1` and `s-2` and a node with these two endpoints. Returns the workers, the node,
+    /// the node's open endpoint watch, and discovery.
     pub fn start_with_two_workers() -> ([ScriptedServer; 2], Node, ScriptedWatch, ScriptedServer) {
         let workers = [ScriptedServer::start(), ScriptedServer::start()];
         let (node, watch, discovery) =
@@ -33,31 +35,33 @@
         (workers, node, watch, discovery)
     }
 
-    /// A node that knows these workers by name, its open watch, and discovery.
+    /// Starts a node with these named workers as its endpoints. Returns the node, its open endpoint watch,
+    /// and discovery.
     pub fn start_with_workers(workers: &[(&str, &ScriptedServer)]) -> (Node, ScriptedWatch, ScriptedServer) {
         Node::start_with_config(workers, node_config)
     }
 
-    /// Like [`Node::start_with_workers`], with the configuration that `config` makes of discovery's address and the
-    /// known endpoints.
+    /// Like [`Node::start_with_workers`], with the configuration that `config` returns for discovery's
+    /// address and the known endpoints.
     pub fn start_with_config(
         workers: &[(&str, &ScriptedServer)],
         config: impl Fn(SocketAddr, &[String]) -> String,
     ) -> (Node, ScriptedWatch, ScriptedServer) {
-        let known: Vec<_> =
+        let endpoints: Vec<_> =
             workers.iter().map(|(name, worker)| endpoint_json(name, worker.address, "in_service")).collect();
-        Node::start_with_endpoints(&known, 1024, config)
+        Node::start_with_endpoints(&endpoints, 1024, config)
     }
 
-    /// A node that knows these endpoints, with that limit of file descriptors; its open watch, and discovery.
+    /// Starts a node with these endpoints and this limit on file descriptors. Returns the node, its open
+    /// endpoint watch, and discovery.
     pub fn start_with_endpoints(
-        known: &[String],
-        descriptors: u32,
+        endpoints: &[String],
+        descriptor_limit: u32,
         config: impl Fn(SocketAddr, &[String]) -> String,
     ) -> (Node, ScriptedWatch, ScriptedServer) {
         let discovery = ScriptedServer::start();
-        let node = Node::start_with_descriptors(&config(discovery.address, known), descriptors);
-        let watch = ScriptedWatch::answer(&discovery, known);
+        let node = Node::start_with_descriptor_limit(&config(discovery.address, endpoints), descriptor_limit);
+        let watch = ScriptedWatch::open_with_endpoints(&discovery, endpoints);
         (node, watch, discovery)
     }
 
@@ -66,7 +70,8 @@
         open_request(self.address, &job_request(id, class, deadline_s, ""))
     }
 
-    /// Submits a job from a new client, and has it accepted by the worker that must receive it next.
+    /// Submits a job from a new client and accepts it at `worker`, which must receive the job as its next
+    /// request.
     pub fn submit_accepted_job(
         &self,
         worker: &ScriptedServer,
@@ -82,57 +87,59 @@
         client
     }
 
-    /// Posts this body as a callback; returns the status of the response.
-    pub fn callback(&self, body: &str) -> u16 {
+    /// Sends a callback with this body and returns the status of the response.
+    pub fn send_callback(&self, body: &str) -> u16 {
         send_request(self.address, &callback_request(body)).status()
     }
 
     /// Posts a worker's callback on a job, which the node must acknowledge.
     pub fn post_callback(&self, id: &str, from: &str, rest: &str) {
         let body = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
-        assert_eq!(self.callback(&body), 204, "{body}");
+        assert_eq!(self.send_callback(&body), 204, "{body}");
     }
 
     /// Posts the callback that completes a job with the result `x`.
     pub fn post_completion(&self, id: &str, from: &str) {
-        self.post_callback(id, from, COMPLETED);
+        self.post_callback(id, from, COMPLETION_FIELDS);
     }
 
-    /// The worker `from` completes the job, and its client must get the result.
+    /// Completes the job as the worker `from`, and asserts that the client gets the result.
     pub fn complete_job(&self, client: TcpStream, id: &str, from: &str) {
         self.post_completion(id, from);
         assert_eq!(read_response(client).status(), 200, "{id}");
     }
 
-    /// The worker `from` accepts the job with this request and completes it, and its client must get the result.
+    /// Accepts the job with this request and completes it as the worker `from`. Asserts that the client gets
+    /// the result.
     pub fn serve_job(&self, client: TcpStream, request: &ReceivedRequest, id: &str, from: &str) {
         request.accept();
         self.complete_job(client, id, from);
     }
 
-    /// Submits a job from a new client. The worker `from` must receive it next; it is accepted, completed and answered.
+    /// Submits a job from a new client and asserts that the worker `from` receives it as its next request.
+    /// Accepts and completes the job, and asserts that the client gets the result.
     pub fn assert_serves(&self, worker: &ScriptedServer, id: &str, class: &str, from: &str) {
         let client = self.submit_accepted_job(worker, id, class, 9.0);
         self.complete_job(client, id, from);
     }
 
-    /// The response to `GET path`.
+    /// Sends `GET path` and returns the response.
     pub fn get(&self, path: &str) -> HttpMessage {
         send_request(self.address, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
-    /// The value of one of its counters.
+    /// Returns the value of a counter of the node.
     pub fn counter(&self, series: &str) -> u64 {
         counter_value(&self.get("/metrics").body, series)
     }
 }
 
-/// The request that posts this body as a callback.
+/// Returns the request that posts this body as a callback.
 pub fn callback_request(body: &str) -> String {
     format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The value of a series in the text of `/metrics`.
+/// Returns the value of a series in the text of `/metrics`.
 pub fn counter_value(metrics: &str, series: &str) -> u64 {
     let value = metrics.lines().find_map(|line| line.strip_prefix(series)?.trim().parse().ok());
     value.unwrap_or_else(|| panic!("no {series} in {metrics}"))
--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint watch as a scripted discovery serves it, and the JSON of endpoints and endpoint lists.
+//! Endpoint watch as served by a scripted discovery, and the JSON of endpoints and endpoint lists.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{RecvTimeoutError, channel};
@@ -9,23 +9,24 @@
 use super::process::Node;
 use super::scripted_server::{ReceivedRequest, ScriptedServer};
 
-/// Time between two heartbeats of a watch that is kept alive. A node takes a watch for silent after 3 s.
+/// Interval between two heartbeats of a watch that is kept alive. A node considers a watch stalled after 3 s
+/// without data.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The counter of the lists and changes that a node has read.
+/// Counter of the endpoint lists and changes that a node has read.
 const LISTS_READ: &str = "curlewusher_transport_map_changes_total";
 
-/// The endpoint watch that a node has opened at discovery.
+/// An endpoint watch that a node has opened at discovery.
 pub struct ScriptedWatch(ReceivedRequest);
 
 impl ScriptedWatch {
     /// Waits for the node to open its watch, and begins the response.
     pub fn open(discovery: &ScriptedServer) -> ScriptedWatch {
-        ScriptedWatch::of(discovery.next_request())
+        ScriptedWatch::from_request(discovery.next_request())
     }
 
-    /// The watch that this request opens; begins the response, where the node still waits for it.
-    pub fn of(request: ReceivedRequest) -> ScriptedWatch {
+    /// Creates the watch that this request opens, and begins the response if the node still waits for it.
+    pub fn from_request(request: ReceivedRequest) -> ScriptedWatch {
         assert!(
             request.message.start_line.starts_with("GET /v1/endpoints?follow=1"),
             "{}",
@@ -35,16 +36,22 @@
         ScriptedWatch(request)
     }
 
-    /// Waits for the node to open its watch, and sends the list of all these endpoints.
-    pub fn answer(discovery: &ScriptedServer, endpoints: &[String]) -> ScriptedWatch {
+    /// Waits for the node to open its watch, and sends a snapshot with these endpoints.
+    pub fn open_with_endpoints(discovery: &ScriptedServer, endpoints: &[String]) -> ScriptedWatch {
         let watch = ScriptedWatch::open(discovery);
         watch.send_endpoints(42, true, endpoints);
         watch
     }
 
-    /// The version since which the node asks for changes.
+    /// Returns the list version after which the node requests changes.
     pub fn since(&self) -> &str {
-        self.0.message.start_line.split("since=").nth(1).and_then(|s| s.split(' ').next()).expect("a version")
+        self.0
+            .message
+            .start_line
+            .split("since=")
+            .nth(1)
+            .and_then(|s| s.split(' ').next())
+            .expect("the request states no version")
     }
 
     /// Sends a line as a chunk of its own.
@@ -53,46 +60,49 @@
         self.write_raw(&chunk);
     }
 
-    /// Sends a line with a snapshot of all endpoints, or a change of some.
+    /// Sends a line with a snapshot of all endpoints or with changes of some endpoints.
     pub fn send_endpoints(&self, index: u64, snapshot: bool, endpoints: &[String]) {
         self.send_line(&endpoint_list_json(index, snapshot, endpoints));
     }
 
-    /// Like [`Self::send_endpoints`]; waits until the node has read the line.
+    /// Like [`Self::send_endpoints`], but also waits until the node has read the line.
     pub fn send_endpoints_and_wait(&self, index: u64, snapshot: bool, endpoints: &[String], node: &Node) {
         let before = node.counter(LISTS_READ);
         self.send_endpoints(index, snapshot, endpoints);
         wait_for_counter(node, LISTS_READ, before + 1);
     }
 
-    /// Like [`Self::send_line`] for a node that may have closed the watch; returns whether it was written.
+    /// Like [`Self::send_line`], for a node that may have closed the watch. Returns whether the line was
+    /// written.
     pub fn try_send_line(&self, line: &str) -> bool {
         self.try_write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
     }
 
-    /// Writes these bytes, which need not be a line.
+    /// Writes these bytes, which may be malformed or a part of a line.
     pub fn write_raw(&self, bytes: &str) {
         self.0.write_raw(bytes);
     }
 
-    /// Like [`Self::write_raw`] for a node that may have closed the watch; returns whether it was written.
+    /// Like [`Self::write_raw`], for a node that may have closed the watch. Returns whether the bytes were
+    /// written.
     pub fn try_write(&self, bytes: &str) -> bool {
         self.0.try_write(bytes)
     }
 
-    /// Sends heartbeats until the returned value is dropped, also when the node reopens the watch: without them its lease on
-    /// the endpoint list expires after some seconds, and it sends no job.
+    /// Sends heartbeats until the returned value is dropped, also after the node reopens the watch. Without
+    /// heartbeats the node's lease on the endpoint list expires after some seconds, and the node sends no
+    /// jobs.
     pub fn keep_alive(mut self, discovery: ScriptedServer) -> impl Sized {
-        let (until_dropped, dropped) = channel::<()>();
+        let (guard, dropped) = channel::<()>();
         thread::spawn(move || {
             while dropped.recv_timeout(HEARTBEAT_INTERVAL) == Err(RecvTimeoutError::Timeout) {
                 if let Some(request) = discovery.try_next_request() {
-                    self = ScriptedWatch::of(request);
+                    self = ScriptedWatch::from_request(request);
                 }
                 self.try_send_line("");
             }
         });
-        until_dropped
+        guard
     }
 
     /// Closes the connection of the watch.
@@ -101,14 +111,14 @@
     }
 }
 
-/// An endpoint as discovery lists it.
+/// Returns an endpoint as discovery lists it.
 pub fn endpoint_json(name: &str, at: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{at}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// A line of the watch: a snapshot of all endpoints, or a change of some.
+/// Returns a line of the watch: a snapshot of all endpoints, or changes of some endpoints.
 pub fn endpoint_list_json(index: u64, snapshot: bool, endpoints: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
 }
--- a/crates/node/tests/cpu_time/mod.rs
+++ b/crates/node/tests/cpu_time/mod.rs
@@ -87,7 +87,7 @@
     thread::spawn(move || listener.incoming().for_each(drop));
     let discovery = ScriptedServer::start();
     let node = Node::start(&node_config(discovery.address, &endpoints));
-    let _watch = ScriptedWatch::answer(&discovery, &endpoints);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &endpoints);
     let _jobs: Vec<TcpStream> =
         (0..20).map(|number| node.submit_job(&format!("r{number}"), "view", 60.0)).collect();
     wait_until("no attempt was sent", || node.counter("curlewusher_delivery_attempts_total") > 0);
--- a/crates/node/tests/endpoint_lease/mod.rs
+++ b/crates/node/tests/endpoint_lease/mod.rs
@@ -2,7 +2,7 @@
 //! endpoint list before discovery has responded, since workers on that list may have been removed meanwhile.
 
 use crate::common::{
-    COMPLETED, Node, ScriptedServer, ScriptedWatch, node_config, read_response, wait_for_counter,
+    COMPLETION_FIELDS, Node, ScriptedServer, ScriptedWatch, node_config, read_response, wait_for_counter,
 };
 
 /// Counter of the jobs that a node has accepted.
@@ -31,7 +31,7 @@
     assert!(request.message.start_line.starts_with("POST"), "{}", request.message.start_line);
     assert!(std::ptr::eq(other, &removed), "an attempt reached the removed worker");
     request.accept();
-    node.post_callback("r2", "s-2", COMPLETED);
+    node.post_callback("r2", "s-2", COMPLETION_FIELDS);
     assert_eq!(read_response(client).status(), 200);
     assert!(!removed.has_pending_request(), "an attempt reached the removed worker");
 }
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -172,10 +172,10 @@
     let first = discovery.next_request();
     first.write_raw(WATCH_RESPONSE_HEAD);
     first.write_raw(&chunk("\n"));
-    discovery.wait_for_connection_end(0);
+    discovery.wait_for_connection_close(0);
     // Discovery does not respond to the next poll.
     let second = discovery.next_request();
-    discovery.wait_for_connection_end(second.connection);
+    discovery.wait_for_connection_close(second.connection);
 }
 
 /// Returns the poll that the node sends while an unanswered poll is still open.
@@ -219,7 +219,7 @@
     let unanswered = discovery.next_request();
     let hedged = next_hedged_poll(&discovery, &unanswered);
     open_watch(&hedged, &endpoint_list_json(43, true, &[first.endpoint_json("s-1", "in_service")]));
-    discovery.wait_for_connection_end(unanswered.connection);
+    discovery.wait_for_connection_close(unanswered.connection);
     wait_for_counter(&node, CHANGES, 3);
     assert_all_jobs_go_to(&node, &first, "s-1", "q");
 }
@@ -235,7 +235,7 @@
     let drains = [worker.endpoint_json("s-1", "terminating"), other.endpoint_json("s-2", "in_service")];
     open_watch(&hedged, &endpoint_list_json(43, false, &drains));
     wait_for_counter(&node, CHANGES, 3);
-    discovery.wait_for_connection_end(unanswered.connection);
+    discovery.wait_for_connection_close(unanswered.connection);
     assert_drained(&node, &worker, &other, "s-2");
 }
 
@@ -245,11 +245,11 @@
     let node = Node::start(&node_config(discovery.address, &[]));
     let first = discovery.next_request();
     first.write_raw(WATCH_RESPONSE_HEAD);
-    discovery.wait_for_connection_end(first.connection);
+    discovery.wait_for_connection_close(first.connection);
     let unanswered = discovery.next_request();
     let hedged = next_hedged_poll(&discovery, &unanswered);
     open_watch(&hedged, &endpoint_list_json(42, true, &[]));
-    discovery.wait_for_connection_end(unanswered.connection);
+    discovery.wait_for_connection_close(unanswered.connection);
     wait_for_counter(&node, CHANGES, 2);
     // If neither poll opens a watch, the dispatch task is notified, and it polls.
     hedged.close();
@@ -268,8 +268,8 @@
     let hedged = next_hedged_poll(&new_discovery, &unanswered);
     assert_eq!((polled_version(&unanswered), polled_version(&hedged)), ("0", "0"));
     open_watch(&hedged, &endpoint_list_json(7, true, &[worker.endpoint_json("s-1", "in_service")]));
-    new_discovery.wait_for_connection_end(unanswered.connection);
-    old_discovery.wait_for_connection_end(0);
+    new_discovery.wait_for_connection_close(unanswered.connection);
+    old_discovery.wait_for_connection_close(0);
     assert!(!old_discovery.has_pending_request(), "the node still polls the old address");
     assert_all_jobs_go_to(&node, &worker, "s-1", "r");
 }
@@ -281,7 +281,7 @@
     let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
     let node = Node::start(&node_config(discovery.address, &known));
     // The node becomes ready only with a first response. Its next poll is in flight when the address changes.
-    ScriptedWatch::answer(&discovery, &known).close();
+    ScriptedWatch::open_with_endpoints(&discovery, &known).close();
     let earlier_poll = discovery.next_request();
     let new_discovery = ScriptedServer::start();
     node.reload_config(&node_config(new_discovery.address, &known));
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -7,7 +7,7 @@
 use curlewusher_control::frame::Frame;
 
 use crate::common::{
-    COMPLETED, Node, ScriptedProcess, ScriptedServer, ScriptedWatch, callback_request, job_request,
+    COMPLETION_FIELDS, Node, ScriptedPeer, ScriptedServer, ScriptedWatch, callback_request, job_request,
     next_request_at_either, node_config, node_config_for_handover, node_config_with_long_timeouts,
     open_request, read_response, send_request, wait_for_counter, wait_until,
 };
@@ -97,14 +97,14 @@
 /// client of the job, the scripted successor, and discovery.
 fn take_over_with_accepted_job(
     deadline_s: f64,
-) -> (ScriptedServer, Node, TcpStream, ScriptedProcess, impl Sized) {
+) -> (ScriptedServer, Node, TcpStream, ScriptedPeer, impl Sized) {
     let worker = ScriptedServer::start();
     let (node, watch, discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let client = node.submit_accepted_job(&worker, "r1", "order", deadline_s);
     wait_until("the attempt is not accepted", || {
         node.counter("curlewusher_delivery_attempts_accepted_total") == 1
     });
-    let successor = ScriptedProcess::take_over(&node);
+    let successor = ScriptedPeer::take_over(&node);
     (worker, node, client, successor, (watch, discovery))
 }
 
@@ -114,7 +114,7 @@
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
     successor.send_frame(seq, &Frame::MigrationResult(false));
-    worker.expect_withdrawal("r1").respond("200 OK");
+    worker.expect_cancellation("r1").respond("200 OK");
     drop(successor);
     node.wait_for_log_line("peer lost");
     assert_eq!(node.counter("curlewusher_clients_gone_total"), 1);
@@ -126,7 +126,7 @@
     let (node, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = node.submit_job("r1", "order", 9.0);
     wait_until("the job is not accepted", || node.counter("curlewusher_jobs_taken_total") == 1);
-    let mut successor = ScriptedProcess::take_over(&node);
+    let mut successor = ScriptedPeer::take_over(&node);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
     successor.send_frame(seq, &Frame::MigrationResult(false));
@@ -157,18 +157,18 @@
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let callback = r#"{"id":"r9","from":"s-1","state":"failed"}"#;
-    assert_eq!(node.callback(callback), 204);
+    assert_eq!(node.send_callback(callback), 204);
     // The successor closes the link and keeps running, since it is the test process.
-    drop(ScriptedProcess::take_over(&node));
+    drop(ScriptedPeer::take_over(&node));
     node.wait_for_log_line("peer lost");
-    assert_eq!(node.callback(callback), 503);
+    assert_eq!(node.send_callback(callback), 503);
     // An exited process owns no job.
     let discovery = ScriptedServer::start();
-    let successor = Node::wait_until_serving(node.spawn_beside(discovery.address));
+    let successor = Node::wait_until_serving(node.spawn_peer(discovery.address));
     node.wait_for_log_line("successor linked");
     successor.kill();
     node.wait_for_log_line("peer lost");
-    assert_eq!(node.callback(callback), 204);
+    assert_eq!(node.send_callback(callback), 204);
 }
 
 /// Submits a job from a new client. Asserts that it is the next job that the worker receives, and that the
@@ -178,7 +178,7 @@
     let request = worker.next_request();
     assert_eq!(request.message.header("x-request-id"), Some(id), "another job was sent");
     request.accept();
-    let callback = callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETED}}}"#));
+    let callback = callback_request(&format!(r#"{{"id":"{id}","from":"s-1",{COMPLETION_FIELDS}}}"#));
     assert_eq!(send_request(address, &callback).status(), 204);
     assert_eq!(read_response(client).status(), 200);
 }
@@ -190,7 +190,7 @@
     let (predecessor, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = predecessor.submit_job("r1", "order", 60.0);
     wait_until("the job is not accepted", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
-    let mut link_to_predecessor = ScriptedProcess::take_over(&predecessor);
+    let mut link_to_predecessor = ScriptedPeer::take_over(&predecessor);
     let (_, migration) = link_to_predecessor.next_migrated_job();
 
     // The successor receives the job, but the predecessor has closed the link before the confirmation
@@ -199,10 +199,8 @@
     let address = listener.local_addr().expect("the listener has an address");
     let discovery = ScriptedServer::start();
     let endpoints = [workers[1].endpoint_json("s-1", "in_service")];
-    let (mut link_to_successor, successor) = ScriptedProcess::accept_successor(
-        &node_config_for_handover(discovery.address, &endpoints),
-        &listener,
-    );
+    let (mut link_to_successor, successor) =
+        ScriptedPeer::accept_successor(&node_config_for_handover(discovery.address, &endpoints), &listener);
     ScriptedWatch::open(&discovery).send_endpoints(42, true, &endpoints);
     let (seq, request) = link_to_successor.next_frame();
     assert_eq!(request, Frame::TakeoverRequest);
@@ -239,7 +237,7 @@
     let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
     let config =
         node_config_with_long_timeouts(unreachable, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
-    let node = Node::start_with_descriptors(&config, 5000);
+    let node = Node::start_with_descriptor_limit(&config, 5000);
     let mut clients = Vec::new();
     while clients.len() < JOB_COUNT {
         let batch = clients.len()..clients.len() + JOB_COUNT / 65;
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -19,7 +19,7 @@
 };
 use crate::common::{
     Client, HttpMessage, Node, ScriptedServer, ScriptedWatch, job_request, node_config_for_handover,
-    node_config_with_console, open_request, read_response, send_request, wait_for_counter, wait_until,
+    node_config_with_admin, open_request, read_response, send_request, wait_for_counter, wait_until,
 };
 
 #[test]
@@ -113,9 +113,9 @@
     for _ in 0..2 {
         ScriptedWatch::open(&discovery).send_endpoints(42, true, &scenario.endpoints);
     }
-    let operator_address = successor.operator_address();
+    let admin_address = successor.admin_address();
     predecessor.wait_for_log_line("phase changed node=n0 phase=retired");
-    wait_until_ready(operator_address);
+    wait_until_ready(admin_address);
     scenario.assert_serves(&successor, "r1", 0);
     for node in [predecessor, successor] {
         node.signal("-TERM");
@@ -128,7 +128,7 @@
     let (scenario, first) = UpgradeScenario::start(1);
     let second = scenario.start_and_wait_for_takeover(&first);
     let discovery = ScriptedServer::start();
-    let third = second.node.spawn_beside(discovery.address);
+    let third = second.node.spawn_peer(discovery.address);
     first.terminate();
     let third = NodeProcess::new(Node::wait_until_serving(third), discovery);
     assert!(third.node.is_successor(), "{:?}", third.node.startup_lines);
@@ -327,11 +327,11 @@
                 node.startup_lines
             );
             assert!(node.startup_lines[0].contains("$TMPDIR"), "{:?}", node.startup_lines);
-            wait_until_ready(node.operator_address());
+            wait_until_ready(node.admin_address());
         }
         // The peer of the process that the callback reaches may own the job, so the worker is asked to
         // redeliver the callback.
-        assert_eq!(successor.callback(r#"{"id":"r9","from":"s-1","state":"failed"}"#), 503);
+        assert_eq!(successor.send_callback(r#"{"id":"r9","from":"s-1","state":"failed"}"#), 503);
         predecessor.signal("-TERM");
         // The error is not logged again.
         while let line = predecessor.next_log_line()
@@ -350,7 +350,7 @@
     let address = other.local_addr().expect("the listener has an address").to_string();
     let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
     for field in ["listen", "console"] {
-        let config = node_config_with_console(unreachable, &[]);
+        let config = node_config_with_admin(unreachable, &[]);
         let config =
             config.replace(&format!(r#""{field}":"127.0.0.1:0""#), &format!(r#""{field}":"{address}""#));
         let (mut child, _) = Node::spawn(&config, 1024);
@@ -384,7 +384,7 @@
             std::thread::spawn(move || _ = socket.accept().and_then(|(mut s, _)| s.write_all(&[b'x'; 999])));
         }
         let predecessor = NodeProcess::new(
-            Node::wait_until_serving((Node::spawn_older_in(&folder, &file), file)),
+            Node::wait_until_serving((Node::spawn_older_version_in(&folder, &file), file)),
             discovery,
         );
         assert!(!predecessor.node.is_successor(), "{occupant}");
--- a/crates/node/tests/operation/upgrade_scenario.rs
+++ b/crates/node/tests/operation/upgrade_scenario.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, TcpStream};
 
 use crate::common::{
-    COMPLETED, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, call_operator, endpoint_list_json,
-    node_config_for_handover, read_response, wait_until,
+    COMPLETION_FIELDS, Node, ReceivedRequest, ScriptedServer, ScriptedWatch, endpoint_list_json,
+    node_config_for_handover, read_response, send_admin_command, wait_until,
 };
 
 /// Names of the workers.
@@ -13,7 +13,7 @@
 /// Process of a node, with a scripted discovery of its own.
 pub struct NodeProcess {
     pub node: Node,
-    pub operator_address: SocketAddr,
+    pub admin_address: SocketAddr,
     pub discovery: ScriptedServer,
 }
 
@@ -28,7 +28,7 @@
 /// acknowledged.
 pub fn post_callback_until_acknowledged(node: &Node, id: &str, from: &str, rest: &str) {
     let callback = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
-    wait_until("the callback is not acknowledged", || match node.callback(&callback) {
+    wait_until("the callback is not acknowledged", || match node.send_callback(&callback) {
         503 => false,
         status => status == 204 || panic!("{status} to {callback}"),
     });
@@ -36,12 +36,12 @@
 
 /// Posts the callback that completes a job at the worker `s-1`.
 pub fn complete_job(node: &Node, id: &str) {
-    post_callback_until_acknowledged(node, id, "s-1", COMPLETED);
+    post_callback_until_acknowledged(node, id, "s-1", COMPLETION_FIELDS);
 }
 
 /// Waits until the process at this operator address is ready.
-pub fn wait_until_ready(operator_address: SocketAddr) {
-    wait_until("the process is not ready", || call_operator(operator_address, "READY\n") == "+OK");
+pub fn wait_until_ready(admin_address: SocketAddr) {
+    wait_until("the process is not ready", || send_admin_command(admin_address, "READY\n") == "+OK");
 }
 
 impl UpgradeScenario {
@@ -68,7 +68,7 @@
     /// workers and waits until it is ready. Returns the process and its open watch.
     pub fn start_first(&self) -> (NodeProcess, ScriptedWatch) {
         let discovery = ScriptedServer::start();
-        let node = Node::start_older(&node_config_for_handover(discovery.address, &self.endpoints));
+        let node = Node::start_older_version(&node_config_for_handover(discovery.address, &self.endpoints));
         let first = NodeProcess::new(node, discovery);
         let watch = self.send_list(&first);
         first.wait_until_ready();
@@ -77,12 +77,12 @@
 
     /// Opens the watch of a process and sends the list of all workers.
     pub fn send_list(&self, process: &NodeProcess) -> ScriptedWatch {
-        ScriptedWatch::answer(&process.discovery, &self.endpoints)
+        ScriptedWatch::open_with_endpoints(&process.discovery, &self.endpoints)
     }
 
     /// Answers a poll with the list of all workers. The process may have closed the connection meanwhile.
     pub fn try_send_list(&self, poll: ReceivedRequest) -> ScriptedWatch {
-        let watch = ScriptedWatch::of(poll);
+        let watch = ScriptedWatch::from_request(poll);
         watch.try_send_line(&endpoint_list_json(42, true, &self.endpoints));
         watch
     }
@@ -120,7 +120,7 @@
         let request = self.workers[worker].next_request();
         assert!(request.message.header("x-request-id") == Some(id), "{:?}", request.message);
         request.accept();
-        post_callback_until_acknowledged(node, id, WORKER_NAMES[worker], COMPLETED);
+        post_callback_until_acknowledged(node, id, WORKER_NAMES[worker], COMPLETION_FIELDS);
         assert_eq!(read_response(client).status(), 200, "{id}");
     }
 
@@ -136,14 +136,14 @@
 impl NodeProcess {
     /// Wraps a process that has logged its operator address.
     pub fn new(node: Node, discovery: ScriptedServer) -> NodeProcess {
-        let operator_address = node.operator_address();
-        NodeProcess { node, operator_address, discovery }
+        let admin_address = node.admin_address();
+        NodeProcess { node, admin_address, discovery }
     }
 
     /// Starts a successor, which has only the saved endpoint list.
     pub fn start_successor(&self) -> NodeProcess {
         let discovery = ScriptedServer::start();
-        let node = Node::wait_until_serving(self.node.spawn_beside(discovery.address));
+        let node = Node::wait_until_serving(self.node.spawn_peer(discovery.address));
         assert!(node.is_successor(), "{:?}", node.startup_lines);
         assert_eq!(node.address, self.node.address);
         self.node.wait_for_log_line("successor linked node=n0");
@@ -152,7 +152,7 @@
 
     /// Sends a line to the operator address; returns the response.
     pub fn send_command(&self, line: &str) -> String {
-        call_operator(self.operator_address, &format!("{line}\n"))
+        send_admin_command(self.admin_address, &format!("{line}\n"))
     }
 
     /// Asserts that an operator command succeeds.
@@ -162,7 +162,7 @@
 
     /// Waits until the process is ready.
     pub fn wait_until_ready(&self) {
-        wait_until_ready(self.operator_address);
+        wait_until_ready(self.admin_address);
     }
 
     /// Sends SIGTERM and asserts that the process exits with success.
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use crate::common::{
-    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, node_config, node_config_with_console,
+    Node, ScriptedServer, ScriptedWatch, assert_matches_golden, node_config, node_config_with_admin,
     open_request, wait_for_counter, wait_until,
 };
 
@@ -91,7 +91,7 @@
 
 /// Transcript of the commands sent to the operator address and of the responses.
 struct OperatorSession {
-    operator_address: SocketAddr,
+    admin_address: SocketAddr,
     transcript: String,
 }
 
@@ -104,7 +104,7 @@
     /// Sends each line on a connection of its own and records the response.
     fn send(&mut self, lines: &[&str]) {
         for line in lines {
-            let response = read_to_end(self.operator_address, line.as_bytes());
+            let response = read_to_end(self.admin_address, line.as_bytes());
             let _ = writeln!(self.transcript, "{} -> {response}", line.escape_debug());
         }
     }
@@ -124,9 +124,8 @@
 #[test]
 fn operators_send_commands_in_every_phase_then_each_response_is_as_recorded() {
     let (worker, discovery) = (ScriptedServer::start(), ScriptedServer::start());
-    let node = Node::start(&node_config_with_console(discovery.address, &[]));
-    let mut session =
-        OperatorSession { operator_address: node.operator_address(), transcript: String::new() };
+    let node = Node::start(&node_config_with_admin(discovery.address, &[]));
+    let mut session = OperatorSession { admin_address: node.admin_address(), transcript: String::new() };
     session.begin_phase("before the list");
     session.send(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
     let watch = ScriptedWatch::open(&discovery);
@@ -151,7 +150,7 @@
     session.send(&[&format!("DISABLE {}\n", "x".repeat(241)), &"x".repeat(257)]);
     let client = node.submit_accepted_job(&worker, "r1", "view", 8.0);
     node.signal("-TERM");
-    while read_to_end(session.operator_address, b"READY\n").starts_with("+OK") {}
+    while read_to_end(session.admin_address, b"READY\n").starts_with("+OK") {}
     session.begin_phase("told to end");
     session.send(&["READY\n", "DRAIN\n", "UNDRAIN\n", "DISABLE s-1\n", "ENABLE s-1\n"]);
     node.complete_job(client, "r1", "s-1");
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -34,7 +34,7 @@
     /// Starts discovery on the reserved port.
     fn start(self) -> ScriptedServer {
         self.0.listen(128).expect("the port is reserved for this socket");
-        ScriptedServer::on(TcpListener::from(self.0))
+        ScriptedServer::from_listener(TcpListener::from(self.0))
     }
 }
 
@@ -75,7 +75,7 @@
         let config = node_config(address, &known("in_service"))
             .replace("1024", "64")
             .replace("subscribe", discovery_mode);
-        let node = Node::start_with_descriptors(&config, 64);
+        let node = Node::start_with_descriptor_limit(&config, 64);
         wait_until("the node did not become ready", || node.get("/ready").status() == 200);
         // The clients exhaust the connection budget: the node has evicted the first one for the last one.
         let mut idle_clients: Vec<_> = (0..64).map(|_| Client::idle(&node)).collect();
@@ -97,7 +97,7 @@
         client.send(&job_request("r9", "view", 9.0, ""));
         other.next_request().accept();
         drop(client);
-        other.expect_withdrawal("r9");
+        other.expect_cancellation("r9");
         assert!(!draining.has_pending_request(), "a job was sent to the draining worker");
         assert_eq!(poller.counter("curlewusher_accept_failures_total"), 0);
         let log_lines = node.drain_log_lines();
@@ -111,8 +111,8 @@
     let known: Vec<_> = (0..24).map(|n| worker.endpoint_json(&format!("s-{n}"), "in_service")).collect();
     let config_for =
         |discovery| node_config(discovery, &known).replace("1024", "64").replace("subscribe", "automatic");
-    let node = Node::start_with_descriptors(&config_for(unresponsive.address), 64);
-    let first_watch = ScriptedWatch::answer(&unresponsive, &known);
+    let node = Node::start_with_descriptor_limit(&config_for(unresponsive.address), 64);
+    let first_watch = ScriptedWatch::open_with_endpoints(&unresponsive, &known);
     wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     // These jobs use all connections to workers: no worker accepts them, and they must not be retried at
     // another worker.
@@ -221,15 +221,15 @@
     let config = node_config(discovery.address, &known);
     // The node counts its connections: it closes idle ones in time and keeps descriptors for workers.
     let node = Node::start(&config.replace("1024", "64"));
-    let _watch = ScriptedWatch::answer(&discovery, &known);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &known);
     // Connections with a partial request are evicted as early as connections without a request.
     let clients: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
     node.assert_serves(&worker, "r1", "view", "s-1");
     drop(clients);
     // If the configured limit is far above the system's, the system refuses descriptors, and the node keeps
     // serving.
-    let node = Node::start_with_descriptors(&config, 48);
-    let _watch = ScriptedWatch::answer(&discovery, &known);
+    let node = Node::start_with_descriptor_limit(&config, 48);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &known);
     wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     let _clients: Vec<_> = (0..100).map(|_| open_request(node.address, "")).collect();
     assert_eq!(node.get("/ready").status(), 200);
--- a/crates/node/tests/shutdown/mod.rs
+++ b/crates/node/tests/shutdown/mod.rs
@@ -26,6 +26,6 @@
     let client = node.submit_accepted_job(&worker, "r1", "order", 60.0);
     node.signal("-TERM");
     assert_eq!(read_response(client).status(), 502);
-    worker.expect_withdrawal("r1");
+    worker.expect_cancellation("r1");
     assert!(node.wait_for_exit().status.success());
 }
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -15,8 +15,8 @@
 use curlewusher_control::frame::Frame;
 
 use crate::common::{
-    Node, ScriptedProcess, ScriptedServer, ScriptedWatch, assert_matches_golden, call_operator,
-    callback_request, job_request, node_config_for_handover, open_request, read_response, send_request,
+    Node, ScriptedPeer, ScriptedServer, ScriptedWatch, assert_matches_golden, callback_request, job_request,
+    node_config_for_handover, open_request, read_response, send_admin_command, send_request,
     wait_for_counter,
 };
 
@@ -121,7 +121,7 @@
 
 /// Link on which the test plays one process of a node, with a transcript of all frames.
 struct RecordedExchange<'a> {
-    peer: ScriptedProcess,
+    peer: ScriptedPeer,
     names: [&'static str; 2],
     workers: &'a Workers,
     transcript: String,
@@ -130,7 +130,7 @@
 impl<'a> RecordedExchange<'a> {
     /// Begins a transcript in which `names` are the names of the scripted process and of the program, in this
     /// order.
-    fn new(peer: ScriptedProcess, names: [&'static str; 2], workers: &'a Workers) -> RecordedExchange<'a> {
+    fn new(peer: ScriptedPeer, names: [&'static str; 2], workers: &'a Workers) -> RecordedExchange<'a> {
         RecordedExchange { peer, names, workers, transcript: String::new() }
     }
 
@@ -186,9 +186,9 @@
 
 /// Completes a job, and leaves another one in flight: its request has all optional headers, its first attempt
 /// has failed at `s-1`, and its retry runs at `s-2`. Returns the client of the latter.
-fn leave_retried_job_in_flight(node: &Node, operator_address: SocketAddr, workers: &Workers) -> TcpStream {
+fn leave_retried_job_in_flight(node: &Node, admin_address: SocketAddr, workers: &Workers) -> TcpStream {
     let assert_succeeds =
-        |line: &str| assert_eq!(call_operator(operator_address, &format!("{line}\n")), "+OK");
+        |line: &str| assert_eq!(send_admin_command(admin_address, &format!("{line}\n")), "+OK");
     assert_succeeds("DISABLE s-1");
     let client = node.submit_job("served", "view", 8.0);
     node.serve_job(client, &workers.0[1].next_request(), "served", "s-2");
@@ -209,11 +209,7 @@
 }
 
 /// Asserts that each process answers claims, callbacks and operator commands of its peer before the takeover.
-fn exchange_requests(
-    successor: &mut RecordedExchange<'_>,
-    address: SocketAddr,
-    operator_address: SocketAddr,
-) {
+fn exchange_requests(successor: &mut RecordedExchange<'_>, address: SocketAddr, admin_address: SocketAddr) {
     for (seq, id) in [(1, "moved"), (2, "new")] {
         successor.send(seq, &Frame::ClaimJob(id.into()));
         successor.expect_frame(&Frame::ClaimResult(id == "new"));
@@ -235,7 +231,7 @@
         [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
     {
         let line = format!("{command}\n");
-        let response = spawn(move || call_operator(operator_address, &line));
+        let response = spawn(move || send_admin_command(admin_address, &line));
         let seq = successor.expect_frame(&Frame::Command(command));
         successor.send(seq, &Frame::CommandResult(result.clone()));
         assert_eq!(response.join().expect("the request is answered").starts_with("+OK"), result.is_ok());
@@ -247,14 +243,14 @@
     let workers = Workers::start();
     let named = [("s-1", &workers.0[0]), ("s-2", &workers.0[1])];
     let (node, _watch, _discovery) = Node::start_with_config(&named, node_config_for_handover);
-    let (address, operator_address) = (node.address, node.operator_address());
-    let client = leave_retried_job_in_flight(&node, operator_address, &workers);
+    let (address, admin_address) = (node.address, node.admin_address());
+    let client = leave_retried_job_in_flight(&node, admin_address, &workers);
     let hello = |name: &str| Frame::Hello { node: name.into(), listen: "127.0.0.1:0".into() };
 
-    let mut rejected = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
+    let mut rejected = RecordedExchange::new(ScriptedPeer::connect(&node), ["newer", "older"], &workers);
     rejected.send(0, &hello("another"));
     rejected.next_frame();
-    let mut successor = RecordedExchange::new(ScriptedProcess::connect(&node), ["newer", "older"], &workers);
+    let mut successor = RecordedExchange::new(ScriptedPeer::connect(&node), ["newer", "older"], &workers);
     successor.transcript = rejected.transcript;
     successor.send(0, &hello("n0"));
     successor.peer.read_listener();
@@ -263,7 +259,7 @@
     };
     assert_matches_payload("older_welcome.json", &workers.with_recorded_addresses(&snapshot));
 
-    exchange_requests(&mut successor, address, operator_address);
+    exchange_requests(&mut successor, address, admin_address);
 
     successor.send(5, &Frame::TakeoverRequest);
     let (5, Frame::TakeoverGranted(snapshot)) = successor.next_frame() else {
@@ -283,10 +279,10 @@
     // The predecessor continues to serve alone.
     let result = read_response(client);
     assert_eq!((result.status(), result.body.as_str()), (200, "x"));
-    while call_operator(operator_address, "READY\n") != "+OK" {}
+    while send_admin_command(admin_address, "READY\n") != "+OK" {}
     let client = open_request(address, &job_request("after", "view", 8.0, ""));
     workers.0[1].next_request().accept();
-    while node.callback(r#"{"id":"after","from":"s-2","state":"done","result":"y"}"#) == 503 {}
+    while node.send_callback(r#"{"id":"after","from":"s-2","state":"done","result":"y"}"#) == 503 {}
     assert_eq!(read_response(client).body, "y");
 }
 
@@ -295,7 +291,7 @@
 struct ReplayedTakeover<'a> {
     predecessor: RecordedExchange<'a>,
     node: Node,
-    operator_address: SocketAddr,
+    admin_address: SocketAddr,
     /// Connection on which the job's client waits for its response.
     client: TcpStream,
     _discovery: (ScriptedServer, ScriptedWatch),
@@ -307,8 +303,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let config = node_config_for_handover(discovery.address, &workers.endpoints());
     let accepted = workers.replayed_payload("older_welcome.json");
-    let (peer, node) = ScriptedProcess::accept_successor_with(&config, &listener, accepted.into());
-    let operator_address = node.operator_address();
+    let (peer, node) = ScriptedPeer::accept_successor_with_snapshot(&config, &listener, accepted.into());
+    let admin_address = node.admin_address();
     let mut predecessor = RecordedExchange::new(peer, ["older", "newer"], workers);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_endpoints(42, true, &workers.endpoints());
@@ -320,20 +316,20 @@
     predecessor.send_job(1, encode_job(&workers.replayed_payload("older_move.json")), &client_socket);
     predecessor.expect_frame(&Frame::MigrationResult(true));
     assert_eq!(node.address, listener.local_addr().expect("the listener is bound"));
-    ReplayedTakeover { predecessor, node, operator_address, client, _discovery: (discovery, watch) }
+    ReplayedTakeover { predecessor, node, admin_address, client, _discovery: (discovery, watch) }
 }
 
 #[test]
 fn recorded_predecessor_hands_over_then_successor_serves_with_its_state() {
     let workers = Workers::start();
-    let ReplayedTakeover { mut predecessor, node, operator_address, client, .. } = replay_takeover(&workers);
+    let ReplayedTakeover { mut predecessor, node, admin_address, client, .. } = replay_takeover(&workers);
     // The drain and the disabled worker are part of the predecessor's state.
-    assert!(call_operator(operator_address, "READY\n").starts_with("-ERR drained"));
-    let undrain = spawn(move || call_operator(operator_address, "UNDRAIN\n"));
+    assert!(send_admin_command(admin_address, "READY\n").starts_with("-ERR drained"));
+    let undrain = spawn(move || send_admin_command(admin_address, "UNDRAIN\n"));
     let seq = predecessor.expect_frame(&Frame::Command(AdminCommand::Undrain));
     predecessor.send(seq, &Frame::CommandResult(Ok(())));
     assert_eq!(undrain.join().expect("the request is answered"), "+OK");
-    assert_eq!(call_operator(operator_address, "READY\n"), "+OK");
+    assert_eq!(send_admin_command(admin_address, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 8.0);
         let seq = predecessor.expect_frame(&Frame::ClaimJob(id.into()));
@@ -349,7 +345,7 @@
     assert_eq!(cancellation.message.start_line, "DELETE /jobs/w HTTP/1.1");
     cancellation.respond("200 OK");
     assert_matches_golden("link_older_played.txt", &predecessor.transcript);
-    assert_eq!(node.callback(MIGRATED_JOB_COMPLETED), 204);
+    assert_eq!(node.send_callback(MIGRATED_JOB_COMPLETED), 204);
     let result = read_response(client);
     assert_eq!((result.status(), result.body.as_str()), (200, "x"));
     assert!(!workers.0.iter().any(ScriptedServer::has_pending_request), "a duplicate attempt was sent");
@@ -361,7 +357,7 @@
     let ReplayedTakeover { predecessor, node, client, .. } = replay_takeover(&workers);
     drop(predecessor);
     // Until the successor notices the lost link, it may ask the worker to redeliver the callback.
-    while node.callback(MIGRATED_JOB_COMPLETED) == 503 {}
+    while node.send_callback(MIGRATED_JOB_COMPLETED) == 503 {}
     assert_eq!(read_response(client).body, "x");
 }
 
