--- a/crates/model/src/endpoint_registry.rs
+++ b/crates/model/src/endpoint_registry.rs
@@ -27,7 +27,8 @@
     pub worker: WorkerIndex,
     /// Status of the worker.
     pub status: EndpointStatus,
-    /// Time of the worker's last start, or `None` if the worker started before the driver's clock did.
+    /// Time of the start that the change reports. `None` if the change is not a start, or if the worker
+    /// started before the driver's clock did.
     pub started_at: Option<Timestamp>,
 }
 
@@ -81,7 +82,7 @@
         self.pending.push(PendingChange { visible_at: now + self.publication_delay, entry });
     }
 
-    /// Returns the time at which the next change becomes visible.
+    /// Returns the time at which the next change becomes visible, or `None` if no change is pending.
     pub fn next_publication(&self) -> Option<Timestamp> {
         self.pending.first().map(|change| change.visible_at)
     }
--- a/crates/model/src/processor_sharing.rs
+++ b/crates/model/src/processor_sharing.rs
@@ -61,7 +61,8 @@
     /// Adds a task of `seconds` seconds of work.
     ///
     /// # Panics
-    /// If a task with this number is already in service.
+    ///
+    /// Panics if a task with this number is already in service.
     pub fn add(&mut self, now: Timestamp, task: u64, seconds: f64) {
         self.advance(now);
         let finish_ns = (self.virtual_time_ns + seconds.max(0.0) * NANOS_PER_SECOND).ceil() as u64;
@@ -70,7 +71,8 @@
         self.completions.insert(Completion { finish_ns, task });
     }
 
-    /// Removes a task and returns its remaining work, in seconds.
+    /// Removes a task and returns its remaining work, in seconds. Returns `None` if the task is not in
+    /// service.
     pub fn remove(&mut self, now: Timestamp, task: u64) -> Option<f64> {
         self.advance(now);
         let finish_ns = self.finish_ns_by_task.remove(&task)?;
@@ -78,7 +80,8 @@
         Some(seconds_until_finish(self.virtual_time_ns, finish_ns))
     }
 
-    /// Returns the remaining work of a task at `now`, in seconds.
+    /// Returns the remaining work of a task at `now`, in seconds. Returns `None` if the task is not in
+    /// service.
     pub fn remaining_seconds(&self, now: Timestamp, task: u64) -> Option<f64> {
         let virtual_time_ns = self.virtual_time_ns_at(now);
         self.finish_ns_by_task.get(&task).map(|finish_ns| seconds_until_finish(virtual_time_ns, *finish_ns))
@@ -94,7 +97,8 @@
         self.finish_ns_by_task.is_empty()
     }
 
-    /// Returns the time at which the next task completes if neither the tasks nor the rate change.
+    /// Returns the time at which the next task completes if neither the tasks nor the rate change. Returns
+    /// `None` if no task is in service or the rate is 0.
     pub fn next_completion(&self) -> Option<Timestamp> {
         let next = self.completions.first()?;
         let remaining_ns = (next.finish_ns as f64 - self.virtual_time_ns).max(0.0);
@@ -102,7 +106,7 @@
         (self.rate > 0.0).then(|| self.updated_at + wait())
     }
 
-    /// Removes and returns the next task that is complete at `now`.
+    /// Removes and returns the next task that is complete at `now`, or `None` if there is none.
     pub fn pop_completed(&mut self, now: Timestamp) -> Option<u64> {
         self.advance(now);
         let next = *self.completions.first()?;
--- a/crates/model/src/worker_pool/archive.rs
+++ b/crates/model/src/worker_pool/archive.rs
@@ -49,7 +49,8 @@
         self.sharing.next_completion()
     }
 
-    /// Removes and returns the next attempt whose fetch is complete.
+    /// Returns the next attempt whose fetch is complete at `now`, and ends the fetch. The worker of the
+    /// attempt stays on record until [`Archive::take_worker`].
     pub(super) fn pop_completed(&mut self, now: Timestamp) -> Option<AttemptNumber> {
         self.sharing.pop_completed(now)
     }
--- a/crates/model/src/worker_pool/mod.rs
+++ b/crates/model/src/worker_pool/mod.rs
@@ -47,7 +47,7 @@
 }
 
 impl WorkerPool {
-    /// Creates a pool whose workers are all up, warm and idle.
+    /// Creates a pool with a worker on each machine. All workers are up, warm and idle.
     pub fn new(machines: Vec<Machine>, parameters: PoolParameters) -> Self {
         WorkerPool {
             workers: machines.into_iter().map(Worker::new).collect(),
@@ -60,7 +60,7 @@
     }
 
     /// Returns the time at which the driver must call [`WorkerPool::advance_to`] if it passes in no event
-    /// before then.
+    /// before then, or `None` if nothing is due without an event.
     pub fn next_event(&self) -> Option<Timestamp> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let completion = self.completions.peek().map(|Reverse((at, _))| *at);
--- a/crates/model/src/worker_pool/worker.rs
+++ b/crates/model/src/worker_pool/worker.rs
@@ -172,7 +172,8 @@
         offered_seconds > budget_seconds && self.offered.len() > MAX_ARRIVALS_WITHOUT_OVERLOAD
     }
 
-    /// Returns whether the worker can add a job to its queue.
+    /// Returns whether the worker can add a job to its queue. The caller must have checked that the worker
+    /// has a process.
     pub(super) fn can_accept(&self, demand: &JobDemand) -> bool {
         let machine = &self.machine;
         let fits_machine = demand.slots <= machine.slots && demand.memory <= machine.memory;
--- a/crates/model/src/workload.rs
+++ b/crates/model/src/workload.rs
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// If a parameter is not a finite number above 0. The error names the first such parameter.
+    /// Fails if a parameter is not a finite number above 0. The error names the first such parameter.
     pub fn validate(&self) -> Result<(), InvalidParameter> {
         require_positive(self.arrival_rate, "arrival rate")?;
         require_positive(self.duration.as_micros() as f64, "duration")?;
@@ -114,7 +114,8 @@
     /// Samples the jobs in the order of their submission.
     ///
     /// # Panics
-    /// If [`WorkloadSpec::validate`] would fail.
+    ///
+    /// Panics if [`WorkloadSpec::validate`] would fail.
     pub fn sample_jobs(&self) -> Vec<PlannedJob> {
         let mut arrivals = ArrivalSampler::new(self);
         let mut sampler = JobSampler::new(self);
--- a/crates/settings/src/operator/options.rs
+++ b/crates/settings/src/operator/options.rs
@@ -172,16 +172,17 @@
     }
 }
 
-/// Maximum number of buckets of a histogram. It limits the number of time series that one histogram adds.
-const MAX_HISTOGRAM_BUCKETS: usize = 32;
+/// Maximum number of bucket bounds of a histogram. It limits the number of time series that one histogram
+/// adds.
+const MAX_BUCKET_BOUNDS: usize = 32;
 
 fn deserialize_bucket_bounds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u64>, D::Error> {
     let bounds: Vec<u64> = Vec::deserialize(deserializer)?;
-    let count_is_allowed = (1..=MAX_HISTOGRAM_BUCKETS).contains(&bounds.len());
+    let count_is_allowed = (1..=MAX_BUCKET_BOUNDS).contains(&bounds.len());
     let is_increasing = bounds.is_sorted_by(|lower, upper| lower < upper);
     if !count_is_allowed || bounds[0] == 0 || !is_increasing {
         return Err(de::Error::custom(format_args!(
-            "expected 1 to {MAX_HISTOGRAM_BUCKETS} rising whole numbers above 0"
+            "expected 1 to {MAX_BUCKET_BOUNDS} rising whole numbers above 0"
         )));
     }
     Ok(bounds)
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -8,7 +8,8 @@
 /// Upper bound of every duration: a year. A value that stands for "unlimited" must not overflow when a time
 /// is computed from it.
 const MAX_TIME_SPAN: TimeSpan = TimeSpan::from_secs(365 * 86_400);
-/// Lower bound of the platform's poll interval, so that discovery is not polled too often.
+/// Lower bound of the maximum poll interval that the platform configures, so that discovery is not polled too
+/// often.
 const MIN_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
 /// Settings of a site.
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -1,8 +1,8 @@
 //! Wire form of the settings object, as the platform writes it.
 //!
 //! The fields have names in the terms of this project. `serde(rename)` gives the platform's name where it
-//! differs. Error messages contain the names of the types and the number of their fields. Unknown fields are
-//! accepted, because the platform may add fields.
+//! differs. The names of the types and the numbers of their fields are part of error messages. Unknown fields
+//! are accepted, because the platform may add fields.
 
 use curlewusher_core::TimeSpan;
 use serde::{Deserialize, Serialize};
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -36,7 +36,8 @@
 }
 
 impl Instance {
-    /// Starts a node.
+    /// Starts a node. The first event of its dispatcher is [`Event::TimerExpired`], as [`Dispatcher::new`]
+    /// requires.
     pub fn start(now: Timestamp, dispatcher: Dispatcher) -> Self {
         let mut instance = Instance {
             dispatcher,
@@ -48,8 +49,8 @@
         instance
     }
 
-    /// Handles a message to this node. Unknown messages are ignored, because later versions of the wire add
-    /// messages.
+    /// Handles a message to this node. Unknown messages are ignored, because later versions of the wire may
+    /// add messages.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
--- a/crates/simulator-adapter/src/job_names.rs
+++ b/crates/simulator-adapter/src/job_names.rs
@@ -4,8 +4,8 @@
 
 use curlewusher_core::JobId;
 
-/// Number that no job has. Events of removed jobs are reported with it, so that the dispatcher ignores
-/// them.
+/// Number that no job has. Events of removed jobs are passed to the dispatcher with it, so that the
+/// dispatcher ignores them.
 pub const UNKNOWN_JOB: JobId = JobId(u64::MAX);
 
 struct NamedJob {
@@ -33,17 +33,17 @@
         job
     }
 
-    /// Returns the number of a job.
+    /// Returns the number of a job, or `None` if the job was removed or never added.
     pub fn id(&self, name: &str) -> Option<JobId> {
         self.ids.get(name).copied()
     }
 
-    /// Returns the name of a job.
+    /// Returns the name of a job, or `None` if the job was removed.
     pub fn name(&self, job: JobId) -> Option<&str> {
         self.jobs.get(&job).map(|named| named.name.as_str())
     }
 
-    /// Records that an attempt is sent. Returns the name of the job.
+    /// Records that an attempt is sent. Returns the name of the job, or `None` if the job was removed.
     pub fn record_attempt(&mut self, job: JobId) -> Option<&str> {
         let named = self.jobs.get_mut(&job)?;
         named.attempts_in_flight += 1;
--- a/crates/testbed/src/admin_command.rs
+++ b/crates/testbed/src/admin_command.rs
@@ -45,7 +45,7 @@
     Other,
 }
 
-/// Sends a command and waits for its response, for longer than an operator would by [`LATE_RESPONSE_MARGIN`].
+/// Sends a command and waits for its response, up to [`LATE_RESPONSE_MARGIN`] longer than an operator would.
 pub async fn send_admin_command(address: SocketAddr, command: &str) -> CommandOutcome {
     let started_at = Instant::now();
     let response = timeout(RESPONSE_TIMEOUT + LATE_RESPONSE_MARGIN, exchange(address, command)).await;
--- a/crates/testbed/src/checked_run.rs
+++ b/crates/testbed/src/checked_run.rs
@@ -14,7 +14,7 @@
 use crate::scenario::Scenario;
 use crate::stress_run::StressRun;
 
-/// Maximum number of violations that are printed. The report has all of them.
+/// Maximum number of violations that are printed. The report shows more of them.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// Verdict on a run.
--- a/crates/testbed/src/client_connections/mod.rs
+++ b/crates/testbed/src/client_connections/mod.rs
@@ -19,7 +19,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle time after which a connection is not reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after its send for which a request in flight counts as fresh.
+/// Age up to which (exclusive) a request in flight counts as fresh.
 const MAX_FRESH_AGE: Duration = Duration::from_secs(2);
 
 /// Destination of a request.
--- a/crates/testbed/src/command_line/mod.rs
+++ b/crates/testbed/src/command_line/mod.rs
@@ -55,8 +55,8 @@
     Success = 0,
     /// A rule was broken, or a node crashed.
     Failure = 1,
-    /// The command could not begin.
-    NotStarted = 2,
+    /// The command failed with an error: it could not begin, or could not write its results.
+    Error = 2,
     /// The run is invalid, and its figures must not be used.
     InvalidRun = 3,
 }
@@ -78,11 +78,11 @@
 }
 
 impl CommandLine {
-    /// Executes the command, and prints the error if it could not begin.
+    /// Executes the command, and prints the error if it fails with one.
     pub fn execute(self) -> ExitCode {
         let status = self.command.execute().unwrap_or_else(|error| {
             eprintln!("curlewusher-testbed: {error}");
-            ExitStatus::NotStarted
+            ExitStatus::Error
         });
         status.into()
     }
--- a/crates/testbed/src/command_line/stress_run.rs
+++ b/crates/testbed/src/command_line/stress_run.rs
@@ -8,7 +8,7 @@
 use super::runtime::fleet_runtime;
 use crate::checked_run::CheckedRun;
 use crate::play::ProgressDisplay;
-use crate::scenario::MAX_DELAY_S;
+use crate::scenario::MAX_SIGTERM_DELAY_S;
 use crate::scripted::Flaw;
 use crate::stress_run::{StressKind, StressResults, StressRun};
 
@@ -24,7 +24,7 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// The longest wait between a newer process's yes and SIGTERM for the older one, seconds
-    #[arg(long, default_value_t = MAX_DELAY_S, value_name = "SECONDS")]
+    #[arg(long, default_value_t = MAX_SIGTERM_DELAY_S, value_name = "SECONDS")]
     delay: f64,
     /// The node's program; else the one beside this program
     #[arg(long, value_name = "FILE")]
@@ -43,7 +43,7 @@
 impl StressRunOptions {
     pub(super) fn execute(self) -> Result<ExitStatus, CommandError> {
         let StressRunOptions { kind, times, seed, delay, node, scripted, out, quiet } = self;
-        CommandError::check_range("--delay", delay, 0.0, MAX_DELAY_S)?;
+        CommandError::check_range("--delay", delay, 0.0, MAX_SIGTERM_DELAY_S)?;
         let stress = StressRun { kind, rounds: times, max_delay_s: delay };
         let program = choose_program(node, scripted, &out)?;
         let display = if quiet { ProgressDisplay::Hidden } else { ProgressDisplay::Bar };
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -18,7 +18,7 @@
     pub pairs: usize,
     /// Mean of the differences b - a between the shares of the priority weight that were served in time.
     pub mean: f64,
-    /// Half width of the 95 % confidence interval of the mean; infinite for a single pair.
+    /// Half width of the 95 % confidence interval of the mean. It is infinite for a single pair.
     #[serde(rename = "half")]
     pub half_width: f64,
     /// Shares of the valid pairs, in the order of the input.
--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -1,4 +1,4 @@
-//! The environment of a run: the fleet, the client router, the nodes under test and the event log. Faults,
+//! Environment of a run: the fleet, the client router, the nodes under test and the event log. Faults,
 //! operator actions and upgrades act on it.
 
 mod crash;
--- a/crates/testbed/src/environment/node_lifecycle.rs
+++ b/crates/testbed/src/environment/node_lifecycle.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Stops all nodes at the end of a run. With [`StopMode::Terminate`], a node that is not ready is
-    /// reported as a crash.
+    /// Stops all nodes at the end of a run. A node whose metrics count a violation is reported as a crash.
+    /// With [`StopMode::Terminate`], a node that is not ready is reported as well.
     pub async fn stop_all_nodes(&self, mode: StopMode) {
         join_all((0..self.node_count()).map(|number| self.stop_node_at_end(number, mode.clone()))).await;
     }
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -83,8 +83,8 @@
     /// The node cancelled an attempt, by its id or by closing its connection before the 202.
     #[serde(rename = "withdrawn")]
     AttemptCancelled { attempt: u64 },
-    /// Discovery sent a node the endpoint entry of a worker. `started_at` is the start of the worker, zero if
-    /// the worker started before the run.
+    /// Discovery sent a node the endpoint entry of a worker. `started_at` is the start of the worker. It is
+    /// zero if the entry reports no start, or if the worker started before the run.
     #[serde(rename = "told")]
     EndpointSent {
         node: usize,
@@ -109,7 +109,8 @@
     /// SIGTERM was sent to a node.
     #[serde(rename = "node_told_to_end")]
     NodeTerminated { node: usize },
-    /// The process of a node exited; `killed` if a fault of the scenario killed it.
+    /// The process of a node exited, and the node has no process. `killed` if the testbed killed it: as the
+    /// scenario demands, after an interrupt, or because it did not exit in time after SIGTERM.
     #[serde(rename = "node_gone")]
     NodeExited { node: usize, killed: bool },
     /// Idle clients began to fill the descriptors of a node (`present`), or disconnected.
@@ -129,7 +130,7 @@
         command: String,
         #[serde(rename = "owed")]
         expected: ExpectedAnswer,
-        /// Answer of the node without its line end; none if the command failed.
+        /// Answer of the node without its line end, or `None` if the command failed.
         #[serde(rename = "said")]
         answer: Option<String>,
         #[serde(rename = "took_us")]
@@ -144,7 +145,8 @@
     /// The successor confirmed READY for the first time.
     #[serde(rename = "newer_ready")]
     SuccessorReady { node: usize },
-    /// One of the two processes of a node exited; `killed` if the testbed killed it as the scenario demands.
+    /// One of the two processes of a node exited. `killed` if the testbed killed it as the scenario demands,
+    /// or because the successor was not ready in time.
     #[serde(rename = "process_gone")]
     ProcessExited {
         node: usize,
--- a/crates/testbed/src/fleet/callback.rs
+++ b/crates/testbed/src/fleet/callback.rs
@@ -46,7 +46,8 @@
     },
     /// A draining worker returned the job, which has not run.
     Returned,
-    /// The worker's process died while it had the job. The agent on the worker's machine sends this report.
+    /// The worker's process exited before it completed the job. The agent on the worker's machine sends this
+    /// report.
     Lost,
 }
 
--- a/crates/testbed/src/fleet/discovery_server.rs
+++ b/crates/testbed/src/fleet/discovery_server.rs
@@ -51,7 +51,8 @@
 }
 
 impl DiscoveryServers {
-    /// Creates an empty set of servers. Each poll will take `poll_duration`.
+    /// Creates an empty set of servers. Each poll of a server takes `poll_duration`, after its wait for
+    /// earlier polls.
     pub(super) fn new(messages: UnboundedSender<FleetMessage>, poll_duration: Duration) -> Self {
         DiscoveryServers {
             messages,
--- a/crates/testbed/src/fleet/discovery_state.rs
+++ b/crates/testbed/src/fleet/discovery_state.rs
@@ -20,7 +20,8 @@
 /// Heartbeat of a watch: an empty line.
 const HEARTBEAT: &[u8] = b"\n";
 
-/// Endpoint list that each node was sent last, in the form of discovery's protocol.
+/// Endpoint list that each node was sent last, by node, in the form of discovery's protocol. `None` for a
+/// node that was sent no list.
 pub(super) type SentLists = Arc<Mutex<Vec<Option<serde_json::Value>>>>;
 
 /// State of discovery.
--- a/crates/testbed/src/fleet/message.rs
+++ b/crates/testbed/src/fleet/message.rs
@@ -37,7 +37,7 @@
 pub(super) struct DiscoveryServerId {
     /// Number of the node that the server is for.
     pub(super) node: usize,
-    /// Number of the server, which distinguishes the servers of a node.
+    /// Number of the server, which is unique among the servers of all nodes.
     pub(super) generation: u64,
 }
 
@@ -61,7 +61,7 @@
 /// Poll of the endpoint list.
 pub(super) struct EndpointPoll {
     pub(super) server: DiscoveryServerId,
-    /// Index of the newest change that the node has received.
+    /// Index of the newest change that the node has received, or 0 if it has received none.
     pub(super) since: u64,
     /// Channel for the lines of the watch. It is dropped if discovery is down.
     pub(super) lines: UnboundedSender<Bytes>,
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Returns the endpoint list that a node was sent last.
+    /// Returns the endpoint list that a node was sent last, or `None` if it was sent no list.
     pub fn last_sent_list(&self, node: usize) -> Option<serde_json::Value> {
         self.sent_lists.lock()[node].clone()
     }
--- a/crates/testbed/src/fleet/owner.rs
+++ b/crates/testbed/src/fleet/owner.rs
@@ -225,7 +225,7 @@
         slots: planned.slots,
         memory: f64::from(planned.slots),
         data_set: planned.data_set,
-        // All requests of a job have the same idempotency key.
+        // The model drops duplicates of the jobs of all classes. All requests of a job have the same key.
         idempotency_key: Some(job as u64),
     }
 }
--- a/crates/testbed/src/fleet/worker_server.rs
+++ b/crates/testbed/src/fleet/worker_server.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Accepts connections until the worker's process dies. Fails when the fleet has shut down.
+    /// Accepts connections until the worker's process exits. Fails when the fleet has shut down.
     async fn accept_connections(&mut self, listener: TcpListener) -> Result<(), watch::error::RecvError> {
         while *self.state.borrow_and_update() != ListenerState::Closed {
             tokio::select! {
@@ -86,11 +86,11 @@
         Ok(())
     }
 
-    /// Serves one connection until it closes or the worker's process dies.
+    /// Serves one connection until it closes or the worker's process exits.
     async fn serve_connection(self, stream: TcpStream) {
         // A failure to set the option is ignored: without it, the connection is only slower.
         let _ = stream.set_nodelay(true);
-        // The death of the process resets its connections. The option fails only on a closed connection.
+        // The exit of the process resets its connections. The option fails only on a closed connection.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let mut state = self.state.clone();
         let service = service_fn(move |request| {
@@ -98,13 +98,13 @@
             async move { Ok::<_, Infallible>(server.respond(request).await) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        let process_death = async {
+        let process_exit = async {
             // An error means that the fleet has shut down, which closes the connection too.
             let _ = state.wait_for(|state| *state == ListenerState::Closed).await;
         };
         tokio::select! {
             _ = connection => {}
-            () = process_death => {}
+            () = process_exit => {}
         }
     }
 
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -22,10 +22,11 @@
 const LATE_RESPONSE_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum `Retry-After` that a client honours, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 2.0;
-/// Offset in the selection of jobs with split requests. It makes the selection differ from the other two.
+/// Offset in the selection of jobs with split requests. It makes the selection differ from those of jobs with
+/// new connections and with pipelined requests.
 const SPLIT_OFFSET: f64 = 0.37;
-/// Offset in the selection of jobs with pipelined requests. It makes the selection differ from the
-/// other two.
+/// Offset in the selection of jobs with pipelined requests. It makes the selection differ from those of jobs
+/// with new connections and with split requests.
 const PIPELINED_OFFSET: f64 = 0.71;
 /// Difference of the pauses of consecutive jobs, as a fraction of the maximum pause. It makes consecutive
 /// jobs differ in their pauses.
@@ -60,7 +61,7 @@
     Rejected { retry_after_s: Option<f64> },
     /// The response has another status, or a body that is not the result of this request.
     Failed,
-    /// No node accepted the connection.
+    /// No connection to a node was established.
     Unreachable,
     /// The connection closed or the client timed out before a response.
     NoResponse,
@@ -74,7 +75,7 @@
     retry: u32,
     /// Time from this request to the client's deadline.
     timeout: TimeSpan,
-    /// Time by which the first request is sent after its intended time; 0 for a retry.
+    /// Delay of the first request after its intended time, or 0 for a retry.
     send_delay: TimeSpan,
 }
 
--- a/crates/testbed/src/nodes/config.rs
+++ b/crates/testbed/src/nodes/config.rs
@@ -5,7 +5,7 @@
 
 use super::spec::ProcessSpec;
 use crate::scenario::{
-    Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
+    Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_LIMIT_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
 };
 
 /// Factor for the scenario's seed, which makes the nodes' seeds of adjacent scenario seeds differ in many
@@ -22,7 +22,7 @@
         "listen": listen,
         "discovery": discovery,
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB as u64, "sockets": scenario.nodes.descriptors},
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB as u64, "sockets": scenario.nodes.descriptors},
         "known": saved_list.clone().unwrap_or_else(empty_list),
         "settings": settings(scenario, *number),
     });
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -17,7 +17,7 @@
 /// have left it.
 const CONNECTION_COUNT_DELAY: Duration = Duration::from_secs(4);
 /// Maximum downtime of a worker in maintenance.
-const MAINTENANCE_DOWNTIME: Duration = Duration::from_millis(500);
+const MAX_MAINTENANCE_DOWNTIME: Duration = Duration::from_millis(500);
 
 /// Sends an admin command to a node and records its outcome. Returns `None` if the node has no admin address.
 /// During an upgrade, the command goes to the successor once it is ready.
@@ -53,8 +53,9 @@
     outcome
 }
 
-/// Drains a node, counts the connections that clients hold to it 4 s later, and ends the drain at `until`. A
-/// drain of at most 4 s is not counted. A drain without an end is neither counted nor ended.
+/// Drains a node, counts the connections that clients hold to it 4 s later, and ends the drain at `until`.
+/// The connections are not counted if the drain ends within 4 s. If `until` is `None`, the connections are
+/// not counted and the function never returns.
 pub async fn drain_node(environment: &Environment, node: usize, until: Option<Instant>) {
     let started_at = Instant::now();
     send_command(environment, node, "DRAIN", ExpectedAnswer::Yes).await;
@@ -78,7 +79,7 @@
     send_to_all_nodes(environment, &disable).await;
     sleep_until(started_at + duration / 2).await;
     environment.fleet.apply(FleetCommand::Kill(worker));
-    sleep(MAINTENANCE_DOWNTIME.min(duration / 4)).await;
+    sleep(MAX_MAINTENANCE_DOWNTIME.min(duration / 4)).await;
     environment.fleet.apply(FleetCommand::Start(worker));
     sleep_until(started_at + duration).await;
     send_to_all_nodes(environment, &format!("ENABLE {name}")).await;
--- a/crates/testbed/src/play/mod.rs
+++ b/crates/testbed/src/play/mod.rs
@@ -37,7 +37,7 @@
 pub struct FinishedRun {
     /// Records of the event log.
     pub records: Vec<Record>,
-    /// Samples of the nodes' costs, in the order of time.
+    /// Samples of the nodes' resource use, in the order of time.
     pub samples: Vec<Sample>,
     /// Start of the load.
     pub begin: Timestamp,
--- a/crates/testbed/src/process_cost.rs
+++ b/crates/testbed/src/process_cost.rs
@@ -1,4 +1,4 @@
-//! Resource usage of a node's process, as the operating system reports it in `/proc`.
+//! Resource use of a node's process, as the operating system reports it in `/proc`.
 
 use serde::Serialize;
 
@@ -11,22 +11,22 @@
 /// Number of kilobytes in a megabyte, as `/proc` counts them.
 const KILOBYTES_PER_MEGABYTE: f64 = 1024.0;
 
-/// Resource usage of a node's process at one time.
+/// Resource use at one time of a process of a node, or of all of the node's processes together.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Sample {
     /// Time of the sample since the beginning of the run, in seconds.
     pub at_s: f64,
     /// Index of the node.
     pub node: usize,
-    /// Processor time that the process has used since its start, in seconds.
+    /// Processor time used so far, in seconds. The sum over a node includes processes that have exited.
     pub cpu_s: f64,
-    /// Resident memory of the process, in MB.
+    /// Resident memory, in MB.
     pub memory_mb: f64,
     /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// Samples the resource usage of a process. Returns `None` once the process has exited.
+/// Samples the resource use of a process. Returns `None` once the process has exited.
 pub fn sample_cost(process: u32, node: usize, at_s: f64) -> Option<Sample> {
     let cpu_s = processor_time_s(&read(process, "stat")?)?;
     let memory_mb = resident_kilobytes(&read(process, "status")?)? / KILOBYTES_PER_MEGABYTE;
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Proxy in front of one server. Dropping it closes its listener, but no open connections.
+/// Proxy in front of one server. Dropping it closes its listener and leaves open connections open.
 pub struct Proxy {
     /// Address at which the proxy listens.
     pub address: SocketAddr,
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -6,17 +6,17 @@
 use super::series::{FaultPeriod, Series};
 
 /// Width and height of a chart, in pixels.
-const CHART_SIZE: (u32, u32) = (900, 260);
+const CHART_SIZE_PX: (u32, u32) = (900, 260);
 /// Margin around a chart, in pixels.
-const MARGIN: u32 = 8;
+const CHART_MARGIN_PX: u32 = 8;
 /// Height of the area for the labels of the x axis, in pixels.
-const X_LABEL_AREA: u32 = 34;
+const X_LABEL_HEIGHT_PX: u32 = 34;
 /// Width of the area for the labels of the y axis, in pixels.
-const Y_LABEL_AREA: u32 = 54;
+const Y_LABEL_WIDTH_PX: u32 = 54;
 /// Width of a line, in pixels.
-const LINE_WIDTH: u32 = 2;
+const LINE_WIDTH_PX: u32 = 2;
 /// Length of the sample line beside a name in the legend, in pixels.
-const LEGEND_LINE_LENGTH: i32 = 16;
+const LEGEND_LINE_LENGTH_PX: i32 = 16;
 /// Maximum number of series of a chart with a legend; a longer legend would cover the lines.
 const MAX_LEGEND_ENTRIES: usize = 6;
 /// Ratio of the default upper end of the y axis to the highest point.
@@ -49,8 +49,8 @@
     pub faults: &'a [FaultPeriod],
     /// Right end of the x axis, which begins at 0.
     pub x_max: f64,
-    /// Upper end of the y axis, which begins at 0; by default a factor of [`HEADROOM_FACTOR`] above the
-    /// highest point.
+    /// Upper end of the y axis, which begins at 0. The default is [`HEADROOM_FACTOR`] times the highest
+    /// point, or 1 if no point is above 0.
     pub y_max: Option<f64>,
     /// Label of the x axis.
     pub x_label: &'a str,
@@ -69,7 +69,7 @@
     }
 
     fn draw(&self, svg: &mut String) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
-        self.draw_on(&SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area())
+        self.draw_on(&SVGBackend::with_string(svg, CHART_SIZE_PX).into_drawing_area())
     }
 
     fn draw_on<Backend: DrawingBackend>(
@@ -78,9 +78,9 @@
     ) -> Result<(), DrawingAreaErrorKind<Backend::ErrorType>> {
         let y_max = self.y_max.unwrap_or_else(|| self.default_y_max());
         let mut chart = ChartBuilder::on(area)
-            .margin(MARGIN)
-            .x_label_area_size(X_LABEL_AREA)
-            .y_label_area_size(Y_LABEL_AREA)
+            .margin(CHART_MARGIN_PX)
+            .x_label_area_size(X_LABEL_HEIGHT_PX)
+            .y_label_area_size(Y_LABEL_WIDTH_PX)
             .build_cartesian_2d(0.0..self.x_max.max(1.0), 0.0..y_max)?;
         chart
             .configure_mesh()
@@ -96,11 +96,11 @@
         }
         let has_names = self.series.len() <= MAX_LEGEND_ENTRIES;
         for (index, series) in self.series.iter().enumerate() {
-            let style = LINE_COLOURS[index % LINE_COLOURS.len()].stroke_width(LINE_WIDTH);
+            let style = LINE_COLOURS[index % LINE_COLOURS.len()].stroke_width(LINE_WIDTH_PX);
             let line = chart.draw_series(LineSeries::new(series.points.iter().copied(), style))?;
             if has_names {
                 line.label(&series.name)
-                    .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style));
+                    .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH_PX, y)], style));
             }
         }
         if has_names && self.series.len() > 1 {
@@ -109,7 +109,7 @@
         area.present()
     }
 
-    /// Returns the default upper end of the y axis; 1 if no point is above 0.
+    /// Returns the default upper end of the y axis, which is 1 if no point is above 0.
     fn default_y_max(&self) -> f64 {
         let points = self.series.iter().flat_map(|series| &series.points);
         let highest = points.map(|(_, y)| *y).fold(0.0, f64::max);
--- a/crates/testbed/src/report/figures/histogram.rs
+++ b/crates/testbed/src/report/figures/histogram.rs
@@ -23,7 +23,7 @@
         self.0.saturating_record(duration.as_micros());
     }
 
-    /// Returns a quantile, in milliseconds; 0 if nothing was recorded. `quantile` is from 0 to 1.
+    /// Returns a quantile, in milliseconds, or 0 if nothing was recorded. `quantile` is from 0 to 1.
     pub(super) fn quantile_ms(&self, quantile: f64) -> f64 {
         if self.0.is_empty() { 0.0 } else { self.0.value_at_quantile(quantile) as f64 / 1e3 }
     }
--- a/crates/testbed/src/report/figures/mod.rs
+++ b/crates/testbed/src/report/figures/mod.rs
@@ -26,7 +26,7 @@
 pub struct ClassFigures {
     /// Name of the class.
     pub name: String,
-    /// Number of jobs; all requests for a job count as one.
+    /// Number of jobs. All requests for a job count as one.
     pub jobs: usize,
     /// Number of jobs that were served within their latency objective.
     pub in_time: usize,
@@ -37,10 +37,11 @@
     pub rejected: usize,
     /// Number of jobs whose last request failed in another way or got no response.
     pub failed: usize,
-    /// Sum of the priority weights of all jobs.
+    /// Sum of the weights of all jobs. The weight of a job is the priority weight of its class times the work
+    /// of the job in seconds.
     #[serde(rename = "worth_asked")]
     pub weight_requested: f64,
-    /// Sum of the priority weights of the jobs that were served within their latency objective.
+    /// Sum of the weights of the jobs that were served within their latency objective.
     #[serde(rename = "worth_in_time")]
     pub weight_in_time: f64,
     /// Median response time of the served jobs, in ms. The response time of a job is the time from its
@@ -56,7 +57,7 @@
 }
 
 impl ClassFigures {
-    /// Returns the share of the requested priority weight that was served in time, from 0 to 1; 0 if none was
+    /// Returns the share of the requested weight that was served in time, from 0 to 1, or 0 if none was
     /// requested.
     pub fn share_in_time(&self) -> f64 {
         share(self.weight_in_time, self.weight_requested)
@@ -76,13 +77,13 @@
     pub peak_descriptors: usize,
 }
 
-/// Priority weights of the jobs that are scheduled within one second of the load. Serialized as a pair.
+/// Weights of the jobs that are scheduled within one second of the load. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct SecondWeights {
-    /// Sum over all jobs.
+    /// Sum of the weights of all jobs.
     pub requested: f64,
-    /// Sum over the jobs that were served within their latency objective.
+    /// Sum of the weights of the jobs that were served within their latency objective.
     pub in_time: f64,
 }
 
@@ -185,7 +186,7 @@
     let mut figures = NodeFigures::default();
     let mut previous_cpu_s = 0.0;
     for sample in samples.iter().filter(|sample| sample.node == node) {
-        // The processor time of a restarted process begins at zero.
+        // A value below the previous one is that of a restarted process, which begins at zero.
         let restarted = sample.cpu_s < previous_cpu_s;
         figures.cpu_s += if restarted { sample.cpu_s } else { sample.cpu_s - previous_cpu_s };
         previous_cpu_s = sample.cpu_s;
@@ -195,7 +196,7 @@
     figures
 }
 
-/// Returns the share of a part in a whole, from 0 to 1; 0 if the whole is 0.
+/// Returns the share of a part in a whole, from 0 to 1, or 0 if the whole is 0.
 fn share(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 0.0 }
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,6 +1,6 @@
 //! Report of a run: its figures, the summary for a terminal and the HTML page.
 //!
-//! All figures are derived from the records and samples of a finished run; this module measures nothing.
+//! All figures are derived from the records and samples of a finished run. This module measures nothing.
 
 mod chart;
 mod figures;
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -17,9 +17,9 @@
 
 /// Period in which a fault was active, in seconds from the start of the load.
 pub struct FaultPeriod {
-    /// Begin of the fault.
+    /// Start of the fault.
     pub from_s: f64,
-    /// End of the fault; the end of the load if the fault did not end before.
+    /// End of the fault, or the end of the load if the fault did not end before.
     pub until_s: f64,
     /// Description of the fault, as in its events.
     pub description: String,
@@ -54,7 +54,7 @@
         .collect()
 }
 
-/// Returns the periods of all faults of a run, in order of their begin.
+/// Returns the periods of all faults of a run, in order of their starts.
 pub fn fault_periods(run: &FinishedRun) -> Vec<FaultPeriod> {
     let seconds = |at: Timestamp| at.saturating_since(run.begin).as_secs_f64();
     let mut periods: Vec<FaultPeriod> = Vec::new();
@@ -87,8 +87,8 @@
     (0..seconds.len()).filter_map(point).collect()
 }
 
-/// Returns the slopes between neighbouring points; 0 for a falling line, such as after the restart of a
-/// counter.
+/// Returns the slopes between neighbouring points. The slope of a falling line, such as after the restart of
+/// a counter, counts as 0.
 fn slopes(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let slope = |pair: &[(f64, f64)]| {
         let [(x0, y0), (x1, y1)] = [pair[0], pair[1]];
--- a/crates/testbed/src/rules/footprint.rs
+++ b/crates/testbed/src/rules/footprint.rs
@@ -32,7 +32,8 @@
     violations
 }
 
-/// Describes the limit that a sample exceeds, the descriptors first; none if it is within both limits.
+/// Describes the limit that a sample exceeds, or returns `None` if the sample is within both limits. Checks
+/// the descriptors first.
 fn describe_excess(sample: &Sample, limits: FootprintLimits) -> Option<String> {
     let Sample { memory_mb, descriptors, .. } = sample;
     if *descriptors > limits.descriptors {
--- a/crates/testbed/src/rules/job_rules/endpoint_notifications.rs
+++ b/crates/testbed/src/rules/job_rules/endpoint_notifications.rs
@@ -6,7 +6,7 @@
 
 use crate::event_log::Event;
 
-/// Difference below which two start times of a worker count as equal: discovery sends them in milliseconds.
+/// Difference below which two start times of a worker count as equal. Discovery sends them in milliseconds.
 const START_PRECISION: TimeSpan = TimeSpan::from_millis(2);
 
 /// Pair of a node and a worker: each node is sent its own entries.
@@ -19,8 +19,8 @@
 /// Last endpoint entry of a worker that a node was sent.
 #[derive(Debug)]
 struct SentEndpoint {
-    /// Time of the first entry sent to the node that lists the worker as draining or terminated; none if the
-    /// last entry lists the worker as in service.
+    /// Time of the first entry sent to the node that lists the worker as draining or terminated. `None` if
+    /// the last entry lists the worker as in service.
     unavailable_since: Option<Timestamp>,
     /// Start of the worker according to the entry.
     started_at: Timestamp,
@@ -90,14 +90,14 @@
         self.sent.retain(|target, _| target.node != node);
     }
 
-    /// Returns the time of the first entry sent to a node that lists a worker as draining or terminated; none
-    /// if the last entry lists the worker as in service.
+    /// Returns the time of the first entry sent to a node that lists a worker as draining or terminated, or
+    /// `None` if the last entry lists the worker as in service or no entry was sent.
     pub(super) fn unavailable_since(&self, node: usize, worker: usize) -> Option<Timestamp> {
         self.sent.get(&WorkerAtNode { node, worker })?.unavailable_since
     }
 
     /// Returns the time at which discovery published to all nodes that a worker is draining or has
-    /// terminated.
+    /// terminated, or `None` if it has not published this or has published a later start.
     pub(super) fn unavailability_published_at(&self, worker: usize) -> Option<Timestamp> {
         match self.published.get(&worker)? {
             UnavailabilityPublication::At(at) => Some(*at),
--- a/crates/testbed/src/rules/job_rules/mod.rs
+++ b/crates/testbed/src/rules/job_rules/mod.rs
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Reports a worker's crash under overload if nodes that were notified of the worker's start sent most of
-    /// its work.
+    /// Reports a worker's crash under overload if nodes that were notified of the worker's start sent at
+    /// least two thirds of its work.
     fn check_gentle_start(&mut self, at: Timestamp, worker: usize) {
         let start = self.offered_work.started_at(worker);
         let is_notified = |node| self.endpoints.was_notified_of_start(node, worker, start);
--- a/crates/testbed/src/rules/job_rules/offered_work.rs
+++ b/crates/testbed/src/rules/job_rules/offered_work.rs
@@ -43,7 +43,7 @@
         self.arrivals.entry(worker).or_default().push(WorkArrival { at, node, work_seconds });
     }
 
-    /// Returns the last start of a worker; the beginning of the run if the worker has been up since then.
+    /// Returns the last start of a worker, or the beginning of the run if the worker did not start during it.
     pub(super) fn started_at(&self, worker: usize) -> Timestamp {
         self.starts.get(&worker).copied().unwrap_or_default()
     }
--- a/crates/testbed/src/rules/job_rules/process_history.rs
+++ b/crates/testbed/src/rules/job_rules/process_history.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct NodeExit {
     at: Timestamp,
-    /// Whether a fault of the scenario killed the process.
+    /// Whether the testbed killed the process.
     killed: bool,
 }
 
@@ -42,7 +42,7 @@
     /// Times at which the testbed killed one of the two processes of an upgrade.
     kills: Vec<Timestamp>,
     upgrades: Vec<UpgradeWindow>,
-    /// Periods in which idle clients filled the node's descriptors: their begin, and their end if they have
+    /// Periods in which idle clients filled the node's descriptors: their start, and their end if they have
     /// left.
     idle_client_periods: Vec<(Timestamp, Option<Timestamp>)>,
 }
@@ -144,8 +144,8 @@
         in_upgrade && was_unread || ended_with_killed_process
     }
 
-    /// Returns whether the node was killed while the request was open, or the request raced with the close of
-    /// its connection.
+    /// Returns whether the node was killed between the send of the request and its deadline plus the
+    /// tolerance, or the request raced with the close of its connection.
     fn exit_allows_missing_response(&self, request: &Request, parameters: &RuleParameters) -> bool {
         let open = request.sent_at..=request.deadline() + parameters.tolerance;
         let was_killed = self.exits.iter().any(|exit| exit.killed && open.contains(&exit.at));
@@ -168,8 +168,8 @@
         is_close_race && (has_idle_clients || closes_idle)
     }
 
-    /// Returns whether a time is after the drain grace that follows a SIGTERM, and the process had not exited
-    /// before.
+    /// Returns whether a time is after the drain grace that follows the last SIGTERM, and no exit of the
+    /// process since that SIGTERM is more than [`RuleParameters::close_race_tolerance`] before the time.
     fn is_past_drain_grace(&self, at: Timestamp, parameters: &RuleParameters) -> bool {
         let sigterm = self.sigterms.iter().copied().rfind(|sigterm| *sigterm <= at);
         sigterm.is_some_and(|sigterm| {
@@ -179,7 +179,8 @@
         })
     }
 
-    /// Returns whether idle clients filled the node's descriptors at a time, or had just left.
+    /// Returns whether idle clients filled the node's descriptors at a time, or had left at most
+    /// [`RuleParameters::close_race_tolerance`] before.
     fn has_idle_clients(&self, at: Timestamp, parameters: &RuleParameters) -> bool {
         self.idle_client_periods.iter().any(|(began_at, left_at)| {
             *began_at <= at && left_at.is_none_or(|left_at| at <= left_at + parameters.close_race_tolerance)
--- a/crates/testbed/src/rules/job_rules/violation.rs
+++ b/crates/testbed/src/rules/job_rules/violation.rs
@@ -55,7 +55,7 @@
     /// An earlier attempt may have run in another cell.
     #[error("again in bay {cell} and may have run in bay {first_cell}")]
     OtherCell { cell: u32, first_cell: u32 },
-    /// An earlier attempt may have run, and the deduplication window of its cell is over.
+    /// An earlier attempt may have run, and the deduplication window of its cell has ended.
     #[error("again after the time in which its bay drops repeats")]
     AfterWindow,
 }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns the request whose events show the violation; none if events about workers show it.
+    /// Returns the request whose events show the violation, or `None` if events about workers show it.
     pub(super) fn request(&self) -> Option<&'log str> {
         match self {
             JobViolation::MultipleResponses { request, .. }
--- a/crates/testbed/src/rules/mod.rs
+++ b/crates/testbed/src/rules/mod.rs
@@ -1,5 +1,5 @@
-//! Rule checker: finds violations of the nodes' rules in the event log. During an upgrade a node has two
-//! processes.
+//! Rule checker: finds violations of the nodes' rules in the event log. The rules apply to a node as a whole,
+//! which has two processes during an upgrade.
 //!
 //! The checker shares no code with the node and treats no statement of a node as a fact.
 
@@ -84,7 +84,8 @@
     NodeDrain,
     /// A disabled worker receives no attempts, and is used again after it has been enabled.
     Maintenance,
-    /// An upgrade harms no more than a fixed number of jobs.
+    /// An upgrade harms at most 2 jobs by refused or reset connections, unless the testbed killed one of the
+    /// two processes.
     Upgrade,
     /// All processes of a node together stay within the resource limits of a single process.
     Size,
--- a/crates/testbed/src/rules/operation_figures.rs
+++ b/crates/testbed/src/rules/operation_figures.rs
@@ -15,7 +15,8 @@
     pub ready_s: Option<f64>,
     /// Time at which the node had a single process again, in seconds from the start of the upgrade.
     pub ended_s: Option<f64>,
-    /// Whether the testbed killed one of the two processes.
+    /// Whether the testbed killed one of the two processes, as planned or because the successor was not ready
+    /// in time.
     pub killed: bool,
     /// Number of jobs whose connection was refused, or reset before any worker had the job.
     pub harmed: usize,
--- a/crates/testbed/src/rules/operations_rules/admin_command.rs
+++ b/crates/testbed/src/rules/operations_rules/admin_command.rs
@@ -16,7 +16,7 @@
     /// Text of the command.
     pub(super) line: &'log str,
     pub(super) expected: ExpectedAnswer,
-    /// Answer of the node; none if the command failed.
+    /// Answer of the node, or `None` if the command failed.
     pub(super) answer: Option<&'log str>,
     pub(super) begun_at: Timestamp,
     pub(super) ended_at: Timestamp,
--- a/crates/testbed/src/rules/operations_rules/maintenance.rs
+++ b/crates/testbed/src/rules/operations_rules/maintenance.rs
@@ -34,7 +34,8 @@
 /// Workers that are disabled or were enabled again, and the attempts that arrived at them.
 #[derive(Debug, Default)]
 pub(super) struct Maintenance<'log> {
-    /// Time from which each disabled worker must receive no attempts.
+    /// Time from which each disabled worker counts as disabled. Attempts are allowed for another
+    /// [`RuleParameters::max_stop_delay`] plus the tolerance.
     disabled: HashMap<WorkerAtNode, Timestamp>,
     /// Attempts that disabled workers received. Each of them is a violation unless it arrived after the start
     /// of an ENABLE command. The log contains a command only at the time of its end.
@@ -46,8 +47,9 @@
 }
 
 impl<'log> Maintenance<'log> {
-    /// Records an attempt that arrived at a worker. If the worker is disabled, the attempt is a suspected
-    /// violation.
+    /// Records an attempt that arrived at a worker. If the worker is disabled, and the head of the attempt
+    /// arrived after the time within which the node must stop sending to the worker, the attempt is a
+    /// suspected violation.
     pub(super) fn observe_arrival(
         &mut self,
         request: &'log str,
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Records a command that disables a worker, unless the node rejected the command.
+    /// Records a command that disables a worker, unless the node rejected the command. The worker counts as
+    /// disabled from the answer `+OK`, and at the latest [`ANSWER_TIMEOUT`] after the start of the command.
     pub(super) fn disable(&mut self, command: &AdminCommand<'_>, worker: usize) {
         if command.is_rejected() {
             return;
--- a/crates/testbed/src/rules/operations_rules/violation.rs
+++ b/crates/testbed/src/rules/operations_rules/violation.rs
@@ -8,7 +8,7 @@
 use crate::event_log::ExpectedAnswer;
 use crate::rules::{Rule, Violation};
 
-/// Maximum number of jobs that an upgrade may harm.
+/// Maximum number of jobs that an upgrade may harm if the testbed kills neither process.
 pub(super) const MAX_HARMED_JOBS: usize = 2;
 
 /// Violation of a rule on operations.
@@ -41,14 +41,14 @@
     /// before.
     #[error("worker {worker} was used before, and not for 5 s after it was called back")]
     EnabledWorkerUnused { worker: usize },
-    /// The upgrade harmed more than [`MAX_HARMED_JOBS`] jobs.
+    /// The upgrade harmed more than [`MAX_HARMED_JOBS`] jobs, although the testbed killed neither process.
     #[error(
         "an upgrade of node {node} harmed {jobs} jobs by refused or reset connections; {MAX_HARMED_JOBS} are allowed"
     )]
     HarmfulUpgrade { node: usize, jobs: usize },
 }
 
-/// Answer to an admin command; none if the node did not answer.
+/// Answer to an admin command, or `None` if the node did not answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Answer<'log>(pub(super) Option<&'log str>);
 
--- a/crates/testbed/src/rules/timeline.rs
+++ b/crates/testbed/src/rules/timeline.rs
@@ -4,7 +4,7 @@
 
 use crate::event_log::{Event, Record};
 
-/// Maximum time before or after a violation of the events about workers that are part of its timeline.
+/// Time before and after a violation (exclusive) in which events about workers are part of its timeline.
 const TIMELINE_MARGIN: TimeSpan = TimeSpan::from_secs(2);
 
 /// Renders the events of a request and of its attempts.
--- a/crates/testbed/src/sampling.rs
+++ b/crates/testbed/src/sampling.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// Returns the resource use of all processes of a node together; none if the node has no process.
+/// Returns the resource use of all processes of a node together, or `None` if the node has no process. The
+/// processor time includes that of processes which have exited.
 async fn sample_node(
     environment: &Environment,
     number: usize,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Samples a process and records its processor time; none if the process has exited.
+/// Samples a process and records its processor time. Returns `None` if the process has exited.
 fn sample_process(process: u32, node: usize, at_s: f64, cpu_by_process: &mut CpuByProcess) -> Option<Sample> {
     let sample = sample_cost(process, node, at_s)?;
     cpu_by_process.insert(process, sample.cpu_s);
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -23,16 +23,19 @@
 const DRAIN_GRACE: TimeSpan = TimeSpan::from_millis(700);
 /// Maximum delay of a node between reading its clock and writing.
 const MAX_NODE_PAUSE: TimeSpan = TimeSpan::from_millis(150);
-/// Duration after the first readiness of a successor from which the registry's entries bind the successor.
+/// Time from the first readiness of a successor until its node counts as notified of the endpoint entries
+/// that it received during the upgrade.
 const SUCCESSOR_GRACE: TimeSpan = TimeSpan::from_secs(2);
-/// Duration for which a cell drops duplicate attempts of a job with an idempotency key.
+/// Time after the first arrival of a job with an idempotency key for which its cell drops duplicates of the
+/// job once the job has completed.
 pub const DEDUPLICATION_WINDOW: TimeSpan = TimeSpan::from_secs(40);
-/// Window over which the work that is sent to a worker that is warming up is added up.
+/// Period over which the work that is sent to a worker that is warming up is added up.
 pub const OVERLOAD_WINDOW: TimeSpan = TimeSpan::from_secs(2);
-/// Multiple of its capacity at which a worker that is warming up crashes.
+/// Multiple of the current capacity of a worker that is warming up. The worker crashes when the work offered
+/// to it within [`OVERLOAD_WINDOW`] exceeds this multiple of the work that it can do in that time.
 pub const OVERLOAD_FACTOR: f64 = 3.0;
 /// Memory limit of a node, for all of its processes together, in MB.
-pub const MEMORY_MB: f64 = 192.0;
+pub const MEMORY_LIMIT_MB: f64 = 192.0;
 
 /// Interval between two progress reports of a worker.
 const PROGRESS_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
@@ -105,7 +108,7 @@
 
     /// Returns the limits of a node, for all of its processes together.
     pub fn footprint_limits(&self) -> FootprintLimits {
-        FootprintLimits { memory_mb: MEMORY_MB, descriptors: self.nodes.descriptors }
+        FootprintLimits { memory_mb: MEMORY_LIMIT_MB, descriptors: self.nodes.descriptors }
     }
 
     /// Returns the limits and tolerances of the rules.
--- a/crates/testbed/src/scenario/fault.rs
+++ b/crates/testbed/src/scenario/fault.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum delay between the first readiness of a successor and SIGTERM for its predecessor, in seconds.
-pub const MAX_DELAY_S: f64 = 6.0;
+pub const MAX_SIGTERM_DELAY_S: f64 = 6.0;
 
 /// Fault or operator action that is injected during a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -73,7 +73,8 @@
     Silent,
     /// A worker is slower by `factor`.
     Slow,
-    /// A worker completes its running jobs and exits. After `for_s`, the worker starts again and warms up.
+    /// A worker completes its running jobs, accepts no new ones, and is killed after 5 s. After `for_s`, the
+    /// worker starts again and warms up.
     Drain,
     /// Discovery lists a worker as draining, and as available again after `for_s`. The worker accepts jobs
     /// during this time.
@@ -85,18 +86,20 @@
     /// The address of discovery changes, and SIGHUP makes the nodes reload it.
     Reload,
     /// A node gets SIGTERM, then SIGKILL 3.7 s later, or the longest timeout of a class plus 0.7 s later if
-    /// that is longer. The node is started again after `for_s`.
+    /// that is longer. The node is started again `for_s` after its exit.
     NodeStop,
-    /// Nodes are stopped and started again as with `node_stop`, and their shutdowns overlap. Each node gets a
-    /// series of signals that is generated from the seed: up to three times SIGHUP, up to three further
-    /// SIGTERM, and SIGSTOP for up to 0.15 s at three stages of its shutdown.
+    /// Nodes are stopped and started again as with `node_stop`, and their shutdowns overlap. Each node gets
+    /// SIGHUP as with `reload_series` before its shutdown. During the shutdown it gets a series of signals
+    /// that is generated from the seed: up to three times SIGHUP, up to three further SIGTERM, and SIGSTOP
+    /// for up to 0.15 s at three stages.
     NodeStopSignals,
     /// A node gets SIGHUP several times in quick succession, with an unchanged configuration.
     ReloadSeries,
     /// Idle clients connect to a node until its file descriptors are exhausted, and stay connected for
     /// `for_s`.
     IdleClients,
-    /// A node is killed, and is started again after `for_s`.
+    /// A node is killed. The client router stops using it 2 s later, and it is started again after another
+    /// `for_s`.
     NodeKill,
     /// An operator drains a node, and ends the drain after `for_s`.
     NodeDrain,
@@ -119,7 +122,8 @@
     DiscoveryLinkRefused,
     /// All connections of a node to discovery are reset, once.
     DiscoveryLinkReset,
-    /// Data from discovery to a node arrives late and in small pieces.
+    /// Data from discovery to a node arrives late and in small pieces. Data to discovery arrives in small
+    /// pieces without delay.
     DiscoveryLinkSlow,
     /// The links between the nodes and a worker drop all bytes without an error. At the end, open connections
     /// are reset.
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -13,9 +13,9 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use conversion::{DEDUPLICATION_WINDOW, MEMORY_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW};
+pub use conversion::{DEDUPLICATION_WINDOW, MEMORY_LIMIT_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW};
 pub use error::ScenarioError;
-pub use fault::{Fault, FaultKind, MAX_DELAY_S, UpgradeProcess};
+pub use fault::{Fault, FaultKind, MAX_SIGTERM_DELAY_S, UpgradeProcess};
 
 /// Scenario of a run: the nodes, the fleet, the load and the faults.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -83,10 +83,11 @@
     pub cached_sets: usize,
     /// Duration of a fetch at full speed, in seconds.
     pub fetch_s: f64,
-    /// Number of concurrent fetches that the archive serves at full speed.
+    /// Maximum number of concurrent fetches that the archive serves at full speed.
     #[serde(rename = "archive")]
     pub archive_concurrency: f64,
-    /// Fraction of the capacity that a worker loses when the demand is twice its cores.
+    /// Loss of capacity through contention. If the demand is twice the number of cores, the capacity of a
+    /// worker is divided by 1 plus this value.
     #[serde(rename = "crowding")]
     pub contention_penalty: f64,
     /// Fraction of its capacity that a worker has when it starts.
@@ -156,7 +157,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Number of jobs per second.
+    /// Base rate of the load, in jobs per second.
     pub rate: f64,
     /// Number of data sets.
     #[serde(default = "Load::default_sets")]
@@ -170,8 +171,8 @@
     /// Maximum number of retries of a client after its first request.
     #[serde(default = "Load::default_retries")]
     pub retries: u32,
-    /// Backoff of a client before each retry, in seconds. If the node's `Retry-After` is longer, it applies
-    /// instead.
+    /// Backoff of a client before each retry, in seconds. If the node's `Retry-After`, limited to 2 s, is
+    /// longer, it applies instead.
     #[serde(default)]
     pub retry_wait_s: f64,
     /// Fraction of jobs that are each sent on a connection of their own. The others use persistent
@@ -215,13 +216,13 @@
     pub pause_s: f64,
 }
 
-/// Period in which the rate is a multiple of the base rate.
+/// Period in which the rate of the load is a multiple of the base rate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadCurveSegment {
     /// Start of the period, in seconds.
     pub from_s: f64,
-    /// End of the period, in seconds.
+    /// End of the period (exclusive), in seconds.
     pub until_s: f64,
     /// Multiple of the base rate.
     pub factor: f64,
@@ -237,7 +238,8 @@
     pub share: f64,
     /// Mean work of a job, in seconds.
     pub mean_s: f64,
-    /// Number of slots that a job occupies.
+    /// Number of slots that a large job of the class occupies. One job in five is large, and the others
+    /// occupy one slot.
     #[serde(default = "Class::default_slots")]
     pub slots: u32,
     /// Idempotence of the jobs.
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,7 +1,7 @@
 //! Validation of a scenario: ranges of numbers, names of classes, and requirements of faults.
 
 use super::error::{InvalidField, Problem};
-use super::{Class, Fault, FaultKind, MAX_DELAY_S, Scenario};
+use super::{Class, Fault, FaultKind, MAX_SIGTERM_DELAY_S, Scenario};
 
 /// Maximum number of workers in a scenario.
 const MAX_WORKERS: usize = 10_000;
@@ -106,8 +106,8 @@
         ]
     }
 
-    /// Returns the values of the kinds of machines. All of them have the field `kinds`, because the kinds may
-    /// be written in one line, which an error then names.
+    /// Returns the values of the kinds of machines. Errors of all of them name the field `kinds`, because the
+    /// kinds may be written in one line.
     fn machine_kind_values(&self) -> impl Iterator<Item = BoundedValue> {
         let values = |value, min, max| BoundedValue::in_single_table("fleet", "kinds", value, min, max);
         self.fleet.kinds.iter().flat_map(move |kind| {
@@ -155,7 +155,7 @@
                 fault.for_s.map(|value| table.bounded_value("for_s", value, 0.0, 86_400.0)),
                 fault.share.map(|value| table.bounded_value("share", value, 0.0, 1.0)),
                 fault.factor.map(|value| table.bounded_value("factor", value, 1.0, 1_000.0)),
-                fault.delay_s.map(|value| table.bounded_value("delay_s", value, 0.0, MAX_DELAY_S)),
+                fault.delay_s.map(|value| table.bounded_value("delay_s", value, 0.0, MAX_SIGTERM_DELAY_S)),
             ];
             values.into_iter().flatten()
         })
@@ -224,7 +224,7 @@
             let are_upgrades = fault.kind.is_upgrade() && other.kind.is_upgrade();
             let targets = self.targets_of(fault);
             let share_target = self.targets_of(other).iter().any(|node| targets.contains(node));
-            let duration_s = other.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_MARGIN_S;
+            let duration_s = other.delay_s.unwrap_or(MAX_SIGTERM_DELAY_S) + UPGRADE_MARGIN_S;
             are_upgrades && share_target && other.at_s <= fault.at_s && fault.at_s < other.at_s + duration_s
         };
         let mut others = self.faults.iter().enumerate().filter(|(other, _)| *other != index);
@@ -233,7 +233,7 @@
 }
 
 fn upgrade_end_s(upgrade: &Fault) -> f64 {
-    upgrade.at_s + upgrade.delay_s.unwrap_or(MAX_DELAY_S) + UPGRADE_MARGIN_S
+    upgrade.at_s + upgrade.delay_s.unwrap_or(MAX_SIGTERM_DELAY_S) + UPGRADE_MARGIN_S
 }
 
 fn has_valid_name(class: &Class) -> bool {
--- a/crates/testbed/src/scripted/connection.rs
+++ b/crates/testbed/src/scripted/connection.rs
@@ -19,7 +19,8 @@
 use super::flaw::Flaw;
 use super::node::ScriptedNode;
 
-/// Interval of polls: of the shared folder, and at the start of the endpoint list.
+/// Interval at which the shared folder is polled for the drain, and at which a starting process checks
+/// whether it has received an endpoint list.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ScriptedNode {
--- a/crates/testbed/src/scripted/endpoint_watch.rs
+++ b/crates/testbed/src/scripted/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint watch of a scripted node.
+//! Endpoint watch of a scripted node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 
 use super::node::ScriptedNode;
 
-/// Delay before a new watch after the previous one has ended.
-const WATCH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before a new watch after the previous one has ended or could not be opened.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl ScriptedNode {
     /// Keeps a watch of discovery's endpoint list open and applies its messages.
@@ -24,7 +24,7 @@
             if let Ok(response) = self.client.request(request).await {
                 self.read_watch(response.into_body()).await;
             }
-            sleep(WATCH_RETRY_INTERVAL).await;
+            sleep(WATCH_RETRY_DELAY).await;
         }
     }
 
--- a/crates/testbed/src/scripted/job.rs
+++ b/crates/testbed/src/scripted/job.rs
@@ -25,7 +25,7 @@
 const MAX_ATTEMPTS: usize = 3;
 /// Timeout of a job whose request has no deadline header, in seconds.
 const DEFAULT_DEADLINE_S: f64 = 1.0;
-/// Time between the response to a job and the client's deadline, in seconds.
+/// Minimum time between the response to a job and the client's deadline, in seconds.
 const DEADLINE_MARGIN_S: f64 = 0.05;
 /// Number of the first job at which a node with the flaw [`Flaw::Crashes`] exits.
 const CRASH_AT_JOB: usize = 20;
@@ -58,7 +58,8 @@
         self.job_number() % 8 == 3
     }
 
-    /// Returns the time within which the client gets a response.
+    /// Returns the time within which the node responds: the time to the client's deadline less
+    /// [`DEADLINE_MARGIN_S`].
     fn time_limit(&self) -> Duration {
         let deadline_s = self.header(DEADLINE_HEADER).parse().unwrap_or(DEFAULT_DEADLINE_S);
         Duration::from_secs_f64((deadline_s - DEADLINE_MARGIN_S).max(0.0))
@@ -71,7 +72,7 @@
         if self.flaw == Flaw::Crashes && job.job_number() >= CRASH_AT_JOB {
             std::process::exit(CRASH_EXIT_CODE);
         }
-        // At its deadline, the job ends. Its attempt is not cancelled at the worker, and there is no other
+        // The job ends at its time limit. Its attempt is not cancelled at the worker, and there is no other
         // attempt.
         let response = timeout(job.time_limit(), self.try_workers(&job)).await;
         if self.flaw == Flaw::LosesResponse && job.is_flaw_target() {
@@ -80,7 +81,8 @@
         response.unwrap_or_else(|_| build_response(StatusCode::BAD_GATEWAY, ""))
     }
 
-    /// Sends attempts one after another until one has run or may have run.
+    /// Sends attempts one after another until one has run or may have run, or no worker is left. Some flaws
+    /// change what follows an attempt that may have run.
     async fn try_workers(self: &Arc<Self>, job: &JobRequest) -> Response<Full<Bytes>> {
         let mut tried = Vec::new();
         for _ in 0..MAX_ATTEMPTS {
--- a/crates/testbed/src/scripted/pending_attempts.rs
+++ b/crates/testbed/src/scripted/pending_attempts.rs
@@ -53,7 +53,7 @@
             _ => AttemptOutcome::MayHaveRun,
         };
         if let Some(outcome_sender) = pending.remove(&key) {
-            // Fails if the job has ended at its deadline.
+            // Fails if the job has ended at its time limit.
             let _ = outcome_sender.send(outcome);
         }
         true
--- a/crates/testbed/src/scripted/server.rs
+++ b/crates/testbed/src/scripted/server.rs
@@ -97,7 +97,8 @@
     }
 }
 
-/// Closes the listener and the connections, and waits until the connections are closed or time out.
+/// Accepts the connections in the accept queue, closes the listener and all connections, and waits until the
+/// connections are closed or [`SHUTDOWN_TIMEOUT`] has passed.
 async fn drain_connections(node: &Arc<ScriptedNode>, listener: TcpListener, mut connections: JoinSet<()>) {
     if node.flaw == Flaw::ResetsAcceptQueue {
         sleep(ACCEPT_QUEUE_FILL_TIME).await;
--- a/crates/testbed/src/scripted/shared_folder.rs
+++ b/crates/testbed/src/scripted/shared_folder.rs
@@ -77,7 +77,7 @@
     if exists {
         std::fs::write(file, "").map_err(|_| CommandError::FolderNotWritable)
     } else {
-        // Fails if the file does not exist, since operators may repeat a command.
+        // Fails if the file does not exist, which is no error because operators may repeat a command.
         let _ = std::fs::remove_file(file);
         Ok(())
     }
--- a/crates/testbed/src/scripted/worker_list.rs
+++ b/crates/testbed/src/scripted/worker_list.rs
@@ -33,7 +33,7 @@
     workers: Mutex<Vec<Endpoint>>,
     /// Names of all workers that have ever been listed.
     ever_listed: Mutex<HashSet<String>>,
-    /// Number of selections so far.
+    /// Number of selections by round-robin so far.
     round_robin_counter: Mutex<usize>,
 }
 
@@ -78,7 +78,8 @@
     }
 
     /// Selects the next worker by round-robin that is neither excluded nor disabled. With the flaw
-    /// [`Flaw::OverloadsNewWorkers`], selects the worker that started last.
+    /// [`Flaw::OverloadsNewWorkers`], selects the worker that started last, even if it is excluded or
+    /// disabled.
     pub(super) fn select_next(&self, excluded: &[String], shared: &SharedFolder) -> Option<Endpoint> {
         let workers = self.workers.lock();
         if self.flaw == Flaw::OverloadsNewWorkers {
--- a/crates/testbed/src/soak/fault_generator.rs
+++ b/crates/testbed/src/soak/fault_generator.rs
@@ -13,8 +13,8 @@
 
 /// Earliest time at which a fault begins, in seconds, so that all nodes have an endpoint list by then.
 const FIRST_FAULT_S: f64 = 1.0;
-/// Length of the last part of the run, in seconds. No fault lasts into this part, in which the fleet has to
-/// recover.
+/// Length of the last part of the run, in seconds, in which the fleet has to recover. No fault begins in this
+/// part. Pauses, drains of workers and downtimes of nodes, which count from their exits, may last into it.
 const RECOVERY_S: f64 = 5.0;
 /// Maximum duration of a fault, in seconds.
 const MAX_FAULT_DURATION_S: f64 = 12.0;
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// Number of jobs per second for each worker, about half of the capacity of a worker.
-const JOBS_PER_WORKER: f64 = 2.5;
+const JOBS_PER_S_PER_WORKER: f64 = 2.5;
 /// Number of workers in a cell.
 const WORKERS_PER_CELL: usize = 4;
 
@@ -69,7 +69,7 @@
         scenario.nodes.count = self.nodes;
         scenario.fleet.workers = self.workers;
         scenario.fleet.bays = (self.workers / WORKERS_PER_CELL).max(1);
-        scenario.load.rate = JOBS_PER_WORKER * self.workers as f64;
+        scenario.load.rate = JOBS_PER_S_PER_WORKER * self.workers as f64;
         scenario.faults = FaultGenerator::new(self).generate();
         if self.shutdowns > 0 {
             add_shutdowns(self, &mut scenario);
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -125,9 +125,9 @@
     format!("drill-{round}")
 }
 
-/// Executes one round of admin commands: disables a worker twice and enables it, and sends commands with an
-/// unknown worker and an unknown command. In one of every [`STALLED_CLIENTS`] rounds, as many clients connect
-/// and leave a command unfinished.
+/// Executes one round of admin commands: checks the readiness, disables a worker twice and enables it, and
+/// sends commands with an unknown worker and an unknown command. In one of every [`STALLED_CLIENTS`] rounds,
+/// as many clients connect and leave a command unfinished.
 async fn send_admin_commands(environment: &Environment, round: usize) {
     let mut random = random_stream(environment.scenario.seed, &random_stream_name(round));
     let Some(admin_address) = environment.slot(0).await.admin_address else { return };
--- a/crates/testbed/src/upgrade/mod.rs
+++ b/crates/testbed/src/upgrade/mod.rs
@@ -7,7 +7,7 @@
 //! | the predecessor does not exit in time after SIGTERM | the predecessor is killed; a crash |
 //! | the time of the planned kill is reached | the victim gets SIGKILL |
 //! | the successor exits | the predecessor stays in service; a crash unless the kill was planned |
-//! | the predecessor exits | the successor stays in service; a crash unless the exit was expected |
+//! | the predecessor exits | the successor stays in service; a crash unless `ProcessExit::is_expected` |
 //!
 //! If both processes have exited, the node is started again. Crashes are recorded as [`NodeCrash`].
 
@@ -40,7 +40,8 @@
     role: UpgradeProcess,
     /// Whether the testbed killed the process as planned.
     killed: bool,
-    /// Whether the exit was planned, or follows a completed takeover. Any other exit is a crash.
+    /// Whether the exit was planned, or is a successful exit of the predecessor after the successor was
+    /// ready. Any other exit is a crash.
     is_expected: bool,
 }
 
--- a/crates/testbed/src/upgrade/plan.rs
+++ b/crates/testbed/src/upgrade/plan.rs
@@ -5,7 +5,7 @@
 use curlewusher_model::workload::random_stream;
 use rand::Rng;
 
-use crate::scenario::{Fault, FaultKind, MAX_DELAY_S, Scenario, UpgradeProcess};
+use crate::scenario::{Fault, FaultKind, MAX_SIGTERM_DELAY_S, Scenario, UpgradeProcess};
 
 /// Time by which the delay of a planned kill may exceed the delay of SIGTERM, in seconds.
 const KILL_DELAY_MARGIN_S: f64 = 1.0;
@@ -32,7 +32,7 @@
     /// Samples a plan from the random stream of that name, which is derived from the scenario's seed.
     pub fn sample(scenario: &Scenario, fault: &Fault, stream_name: &str) -> UpgradePlan {
         let mut random = random_stream(scenario.seed, stream_name);
-        let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(MAX_DELAY_S);
+        let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(MAX_SIGTERM_DELAY_S);
         let kill_s = random.random::<f64>() * (delay_s + KILL_DELAY_MARGIN_S);
         let random_victim =
             if random.random() { UpgradeProcess::Predecessor } else { UpgradeProcess::Successor };
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -18,8 +18,8 @@
 ///
 /// # Errors
 ///
-/// If the text is not valid TOML or does not match the type. The error names the line of the text, the field,
-/// and what is expected there.
+/// Fails if the text is not valid TOML or does not match the type. The error names the line of the text, the
+/// field, and what is expected there.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ParseError> {
     let deserializer = toml::Deserializer::parse(text).map_err(|source| {
         let line = line_of_error(text, &source);
--- a/crates/toml-diagnostics/src/line_of.rs
+++ b/crates/toml-diagnostics/src/line_of.rs
@@ -4,7 +4,8 @@
 ///
 /// `nth` selects one of several tables of the same name, counted from 0. An empty table name selects the
 /// fields before the first header. If the table does not have the field, this is the line of the table's
-/// header. If the text does not have the table, this is some line before the first header.
+/// header, or line 1 for an empty table name. If the text does not have the table, this is an unspecified
+/// line before the second header.
 pub fn line_of(text: &str, table: &str, nth: usize, field: &str) -> usize {
     let header = find_header(text, table, nth).unwrap_or(0);
     let body_start = if table.is_empty() { header } else { header + 1 };
