--- a/crates/node/src/attempt/interface.rs
+++ b/crates/node/src/attempt/interface.rs
@@ -33,19 +33,20 @@
     pub payload: Rc<P>,
     /// Remaining duration until the attempt times out.
     pub timeout: Duration,
-    /// Whether the attempt must be sent over a new connection. If a reused connection had closed unnoticed,
-    /// the attempt would be lost and could not be retried.
+    /// Whether the attempt must be sent over a new connection: if it were lost because a reused connection
+    /// had closed unnoticed, it could not be retried.
     pub needs_new_connection: bool,
-    /// Receives a value if the attempt is to be cancelled. Once the sender is dropped, the attempt has ended,
-    /// and only its connection remains to be cleaned up.
+    /// Channel that receives a value if the attempt is to be cancelled. Once the sender is dropped, the
+    /// attempt has ended, and only its connection remains to be cleaned up.
     pub cancel: oneshot::Receiver<()>,
     /// Permit that is checked before the first byte is written. If it has been revoked, nothing is written,
     /// and the attempt ends as not sent.
     pub send_permit: Rc<SendPermit>,
 }
 
-/// Report of the transport on an attempt. The possible sequences are `Accepted`, optionally followed by
-/// `Cancelled`; `Cancelled` alone; `Ended` alone; and `LostWithReusedConnection` alone.
+/// Report of the transport on an attempt. The possible sequences for an attempt that was started are
+/// `Accepted`, optionally followed by `Cancelled`; `Cancelled` alone; `Ended` alone; and
+/// `LostWithReusedConnection` alone. An attempt that was resumed has at most the report `Cancelled`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReport {
     /// The worker has accepted the attempt.
--- a/crates/node/src/attempt/send_permit.rs
+++ b/crates/node/src/attempt/send_permit.rs
@@ -42,7 +42,7 @@
 /// - The dispatch task, which alone creates and revokes permits, revokes it.
 /// - The client disconnects. The client socket is checked, and the server task of the job reports the
 ///   disconnection directly, because in the queue of the dispatch task the report might wait behind others.
-/// - The deadline passes that was set when the attempt was decided on.
+/// - The deadline that was set when the attempt was decided on is reached.
 /// - The lease on the endpoint list expires. The lease may have been shortened since the decision.
 #[derive(Default)]
 pub struct SendPermit {
@@ -123,7 +123,9 @@
         Ok(())
     }
 
-    /// Waits until the permit is no longer valid. A shortened lease does not end the wait.
+    /// Waits until the permit is revoked, the client disconnects or the deadline is reached. The deadline
+    /// includes the lease on the endpoint list as of the decision. The earlier expiry of a lease that was
+    /// shortened since then does not end the wait.
     pub async fn invalidated(&self) {
         tokio::select! {
             biased;
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -41,7 +41,7 @@
         /// Error with the line, the field and the remedy.
         source: ParseError,
     },
-    /// The platform's file is not JSON.
+    /// The platform's file is not JSON. Only `curlewusher check` returns this error.
     #[error("config: {0}")]
     Syntax(#[source] serde_json::Error),
     /// The platform's file is not JSON, or one of its fields is missing or has the wrong type. The source
@@ -64,10 +64,10 @@
     /// The effective values of the settings object cannot be computed.
     #[error("config: settings.{0}")]
     EffectiveSettings(#[source] EffectiveValuesError),
-    /// The limit on file descriptors is too low.
+    /// The limit on file descriptors is below [`MIN_SOCKETS`].
     #[error("config: limits.sockets: under {MIN_SOCKETS} a node cannot serve; allow it that many")]
     TooFewSockets,
-    /// The seed is not a hexadecimal number.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error(
         "config: seed: not a hexadecimal number of 64 bits: {text}; give up to 16 digits of 0 to 9 and a to f"
     )]
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -66,7 +66,7 @@
     pub limits: Limits,
     /// Endpoints that were valid when the file was written.
     pub known: EndpointListMessage,
-    /// Settings object.
+    /// Parsed settings object of the platform's file.
     pub site: Site,
     /// Content of the operator's file, or its defaults.
     pub operator: OperatorFile,
--- a/crates/node/src/connection_budget.rs
+++ b/crates/node/src/connection_budget.rs
@@ -24,10 +24,10 @@
 /// Permit for one open connection. Dropping the permit returns it to its budget.
 pub type ConnectionPermit = OwnedSemaphorePermit;
 
-/// Maximum wait for a permit to be returned before the shrinking budget checks its target again.
+/// Maximum time that a shrinking budget waits for a permit to be returned before it checks its target again.
 const SHRINK_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Number of connection permits, which can be halved. Clones share the permits.
+/// Budget of connection permits, whose size can be halved. Clones share the permits.
 #[derive(Clone)]
 pub struct ConnectionBudget {
     /// Number of permits while no other process of the node runs.
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Translates the names of zones and kinds into the indexes that the dispatcher uses.
+/// Resolver of the names of zones and kinds into the indexes that the dispatcher uses.
 ///
 /// The index of a name in the settings is its position there. Any other name is appended when it is first
 /// received, so that it keeps its index for the lifetime of the process.
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -85,19 +85,20 @@
         /// Version of the list before the change.
         known: u64,
     },
-    /// The response contains something other than endpoint lists.
+    /// The response contains data other than endpoint lists and heartbeats.
     #[error("a list of the watch cannot be read: {0}")]
     Malformed(#[from] EndpointListError),
 }
 
 impl WatchError {
-    /// Returns whether an expected message did not arrive in time, so that changes made since then are
-    /// unknown.
+    /// Returns whether an expected message did not arrive in time, so that changes made since the previous
+    /// message may be missing.
     pub fn is_response_timeout(&self) -> bool {
         matches!(self, WatchError::HeartbeatTimeout | WatchError::PollTimeout)
     }
 
-    /// Returns whether any change, however recent, may be missing from the list of this node.
+    /// Returns whether the list of this node may lack any change, regardless of the time at which the change
+    /// was made.
     pub fn invalidates_list(&self) -> bool {
         matches!(self, WatchError::Malformed(_) | WatchError::OutOfOrder { .. })
     }
--- a/crates/node/src/discovery/list_parser.rs
+++ b/crates/node/src/discovery/list_parser.rs
@@ -46,8 +46,8 @@
     List(EndpointListMessage),
 }
 
-/// Finds endpoint lists and heartbeats in a byte stream, regardless of how the stream is split and the lists
-/// are indented.
+/// Parser that finds endpoint lists and heartbeats in a byte stream, regardless of how the stream is split
+/// and the lists are indented.
 #[derive(Default)]
 pub struct EndpointListParser {
     /// Bytes that have not been returned as part of a result.
@@ -123,10 +123,10 @@
 
     /// Returns an error if no continuation can make the incomplete object a list.
     ///
-    /// An object is checked again only once its checkable prefix has doubled, so that for small pieces the
-    /// total cost is at most twice that of the complete text. The check stops at the last punctuation mark or
-    /// string, because the JSON parser reports a number that is cut after its decimal point, sign or exponent
-    /// as a syntax error instead of an unexpected end.
+    /// An object is checked again only once its checkable prefix has doubled. Even if the object arrives in
+    /// small pieces, all checks together therefore cost at most twice as much as one check of the complete
+    /// text. The check stops at the last punctuation mark or string, because the JSON parser reports a number
+    /// that is cut after its decimal point, sign or exponent as a syntax error instead of an unexpected end.
     fn check_incomplete_object(&mut self) -> Result<(), EndpointListError> {
         if self.depth == 0 || self.checkable_len < 2 * self.checked_len {
             return Ok(());
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -44,7 +44,7 @@
 use crate::discovery::watch_timing::WatchTiming;
 use crate::telemetry::logging::DISCOVERY;
 
-/// Number of changes of the address of discovery.
+/// Number of changes of the address of discovery since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct AddressGeneration(u32);
 
@@ -186,7 +186,8 @@
         self.generation = previous.next();
         // Another discovery has its own version numbers, so the complete list is needed.
         self.known_index = NO_LIST_INDEX;
-        // The node must be notified of all changes within 4 s: a poll that hangs must leave time for others.
+        // The node must be notified of all changes within 4 s of the change of the address: a poll that hangs
+        // must leave time for others.
         self.unrequested_polls_left = Some(self.timing.max_unrequested_polls());
         // Polls of older addresses are cancelled; otherwise they would accumulate descriptors.
         self.pending_polls.retain(|poll| poll.generation >= previous);
@@ -239,8 +240,7 @@
         }
     }
 
-    /// Schedules the next poll after a failure, and returns whether the dispatch task must request it
-    /// instead.
+    /// Schedules the next poll after a failure, or returns that the dispatch task must request it.
     pub fn record_failure(&mut self, failure: &WatchFailure) -> NextPoll {
         let was_active = failure.is_current || self.is_active();
         if failure.is_current {
@@ -334,7 +334,7 @@
         WatchUpdate::List(ListUpdate { list, current_as_of, poll_duration })
     }
 
-    /// Schedules the poll after a failure at the current address, unless the dispatch task must request it.
+    /// Schedules the poll after a failure of the current address, unless the dispatch task must request it.
     fn schedule_retry(&mut self, failure: &WatchFailure) {
         let now = Instant::now();
         if failure.error.is_response_timeout() && self.unrequested_polls_left.is_none() {
--- a/crates/node/src/discovery/watch_timing.rs
+++ b/crates/node/src/discovery/watch_timing.rs
@@ -1,8 +1,8 @@
 //! Delays of the polls that a node makes without a request of the dispatch task, and the reasons for these
 //! delays.
 //!
-//! Discovery serves polls one after another, each in [`POLL_SERVICE_TIME`]. When all nodes lose their watches
-//! at once, each node waits for its slot, which begins when the preceding nodes have been served.
+//! Discovery serves polls one after another, each within [`MAX_POLL_SERVICE_TIME`]. When all nodes lose their
+//! watches at once, each node waits for its slot, which begins when the preceding nodes have been served.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::discovery::endpoint_watch::POLL_TIMEOUT;
 
 /// Maximum duration in which discovery serves one poll.
-const POLL_SERVICE_TIME: Duration = Duration::from_millis(70);
+const MAX_POLL_SERVICE_TIME: Duration = Duration::from_millis(70);
 /// Delay after which an unanswered poll counts as hung, provided that discovery can serve all nodes within
 /// it.
 ///
@@ -21,8 +21,9 @@
 /// next poll 1.2 s after that, at 5.4 s. The remaining 1.35 s suffice for discovery to serve one poll of each
 /// node.
 const HEDGE_DELAY: Duration = Duration::from_millis(1200);
-/// Maximum number of unrequested polls, which is the number that fits into those 6.75 s. After them the
-/// dispatch task is notified, which polls at increasing intervals.
+/// Maximum number of unrequested polls: the number that fits into the 6.75 s after a watch stops delivering,
+/// see [`HEDGE_DELAY`]. After these polls the dispatch task is notified, and requests polls at increasing
+/// intervals.
 const MAX_UNREQUESTED_POLLS: u32 = 2;
 /// Delay of the first retry in push mode. The delay doubles with each failure, up to [`MAX_RETRY_DOUBLINGS`]
 /// times. The node counts as notified of a change as soon as discovery is available again, and must stop
@@ -48,8 +49,8 @@
 impl WatchTiming {
     /// Creates the timing of a node with these settings.
     pub fn new(settings: &Settings) -> Self {
-        let fleet_poll_duration = POLL_SERVICE_TIME * settings.nodes;
-        let slot_delay = (POLL_SERVICE_TIME * settings.node_index).min(fleet_poll_duration);
+        let fleet_poll_duration = MAX_POLL_SERVICE_TIME * settings.nodes;
+        let slot_delay = (MAX_POLL_SERVICE_TIME * settings.node_index).min(fleet_poll_duration);
         WatchTiming { is_push_mode: !settings.endpoints_on_request, fleet_poll_duration, slot_delay }
     }
 
@@ -77,8 +78,8 @@
         if self.hedge_delay().is_some() { MAX_UNREQUESTED_POLLS } else { 0 }
     }
 
-    /// Returns the delay of a poll of the new address while a watch of the old address is open. The lists of
-    /// that watch keep the dispatch task from requesting the poll.
+    /// Returns the delay of an unrequested poll of the new address while a watch of the old address is open.
+    /// The lists of that watch keep the dispatch task from requesting the poll.
     pub fn fallback_delay(&self) -> Duration {
         HEDGE_DELAY + self.slot_delay
     }
--- a/crates/node/src/discovery/watcher.rs
+++ b/crates/node/src/discovery/watcher.rs
@@ -16,11 +16,11 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::RequestPayload;
 
-/// Watches discovery. Polls are made on request of the dispatch task or as scheduled by [`WatchTiming`].
+/// Watcher of discovery. It polls on request of the dispatch task or as scheduled by [`WatchTiming`].
 pub struct EndpointWatcher {
     /// Initial address of discovery, valid until the watcher is notified of another one.
     pub address: SocketAddr,
-    /// Translates the names of a list into the identifiers of the dispatcher.
+    /// Resolver of the names of a list into the identifiers of the dispatcher.
     pub resolver: EndpointResolver,
     /// Version of the endpoint list at the start, or
     /// [`NO_LIST_INDEX`](crate::discovery::endpoint_list::NO_LIST_INDEX).
@@ -36,7 +36,7 @@
 }
 
 /// Error returned once the dispatch task has finished, so that updates have no receiver.
-struct DispatchStopped;
+struct DispatchFinished;
 
 /// Event that the watcher awaits.
 enum WatcherEvent {
@@ -65,7 +65,7 @@
         &mut self,
         state: &mut WatchState,
         event: WatcherEvent,
-    ) -> Result<(), DispatchStopped> {
+    ) -> Result<(), DispatchFinished> {
         match event {
             WatcherEvent::AddressChanged(address) => {
                 state.change_address(address);
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn handle_list(&mut self, update: ListUpdate) -> Result<(), DispatchStopped> {
+    async fn handle_list(&mut self, update: ListUpdate) -> Result<(), DispatchFinished> {
         let ListUpdate { list, current_as_of, poll_duration } = update;
         self.list_received.send_replace(true);
         let endpoints = self.resolver.resolve(&list.endpoints);
@@ -101,7 +101,7 @@
         &mut self,
         state: &mut WatchState,
         failure: WatchFailure,
-    ) -> Result<(), DispatchStopped> {
+    ) -> Result<(), DispatchFinished> {
         self.metrics.add(Counter::EndpointWatchFailures);
         let call = if failure.is_poll() { "poll" } else { "watch" };
         let (is_current, error) = (failure.is_current, &failure.error);
@@ -115,8 +115,8 @@
         Ok(())
     }
 
-    async fn notify(&self, message: DispatchMessage<RequestPayload>) -> Result<(), DispatchStopped> {
-        self.queue.send(message).await.map_err(|_| DispatchStopped)
+    async fn notify(&self, message: DispatchMessage<RequestPayload>) -> Result<(), DispatchFinished> {
+        self.queue.send(message).await.map_err(|_| DispatchFinished)
     }
 }
 
@@ -126,13 +126,13 @@
     state: &mut WatchState,
     poll_requests: &mut mpsc::Receiver<()>,
     address: &mut watch::Receiver<SocketAddr>,
-) -> Result<WatcherEvent, DispatchStopped> {
+) -> Result<WatcherEvent, DispatchFinished> {
     tokio::select! {
         biased;
         Ok(()) = address.changed() => Ok(WatcherEvent::AddressChanged(*address.borrow_and_update())),
         request = poll_requests.recv() => match request {
             Some(()) => Ok(WatcherEvent::PollRequested),
-            None => Err(DispatchStopped),
+            None => Err(DispatchFinished),
         },
         event = state.next_event() => Ok(WatcherEvent::State(event)),
     }
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -4,7 +4,8 @@
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `InFlight` | the dispatcher or a timer cancels the attempt | `Cancelling` with the final outcome |
+//! | `InFlight` | the dispatcher, a timer or an ambiguous callback cancels the attempt | `Cancelling` with the final outcome |
+//! | `InFlight` | the attempt could not be passed to the transport | `Ended` |
 //! | `InFlight`, `Cancelling` | the transport or a callback reports the end of the attempt | `Ended` |
 //! | `Cancelling` | the transport confirms the cancellation | `Ended` with the recorded outcome |
 //! | `Ended` | any | `Ended` |
@@ -24,7 +25,7 @@
 pub enum CallbackState {
     /// The job has started to run.
     Started,
-    /// This fraction of the job is done, between 0 and 1.
+    /// This fraction of the job is done, from 0 to 1.
     Running(f64),
     /// The job is done, with this result.
     Done(Bytes),
@@ -39,7 +40,7 @@
 /// State of an attempt; see the table in the module documentation.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptState {
-    /// The attempt has been passed to the transport.
+    /// The attempt is passed to the transport, and its cancellation has not been requested.
     InFlight,
     /// The cancellation has been requested and the transport has not yet confirmed it. The attempt will end
     /// with this outcome.
@@ -50,15 +51,16 @@
 
 /// An attempt of a job at a worker.
 pub(super) struct Attempt {
-    /// Name of the worker in the endpoint list; empty if the worker was no longer listed.
+    /// Name of the worker in the endpoint list; empty if the worker was no longer listed when the attempt was
+    /// recorded.
     pub(super) worker_name: Rc<str>,
-    /// Address of the worker; None if the worker was no longer listed.
+    /// Address of the worker; None if the worker was no longer listed when the attempt was recorded.
     pub(super) address: Option<SocketAddr>,
     /// State of the attempt.
     pub(super) state: AttemptState,
     /// Whether the worker has accepted the attempt.
     pub(super) accepted: bool,
-    /// Largest completed fraction that the worker has reported, between 0 and 1.
+    /// Largest completed fraction that the worker has reported, from 0 to 1.
     pub(super) progress: f64,
     /// Callback that ended the attempt without a result.
     pub(super) last_callback: Option<CallbackState>,
--- a/crates/node/src/dispatch/callbacks.rs
+++ b/crates/node/src/dispatch/callbacks.rs
@@ -11,7 +11,7 @@
 /// Possibility that a callback is a redelivery of an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Redelivery {
-    /// No equal callback has ended an earlier attempt.
+    /// No equal callback has ended an earlier attempt at the same worker.
     Excluded,
     /// An equal callback has ended an earlier attempt at the same worker.
     Possible,
@@ -35,7 +35,7 @@
     Started,
     /// This fraction of the attempt is done.
     Progressed(f64),
-    /// Either this attempt has ended, or the callback is a redelivery of the one that ended the previous
+    /// Either this attempt has ended, or the callback is a redelivery of the one that ended an earlier
     /// attempt at this worker. Since this attempt may be running, it is cancelled before its job is sent
     /// elsewhere.
     Ambiguous,
@@ -79,8 +79,8 @@
         }
         CallbackState::Started => CallbackEffect::Started,
         // A late redelivery must not make the attempt look slower than it is.
-        CallbackState::Running(share) if *share <= attempt.progress => CallbackEffect::Ignored,
-        CallbackState::Running(share) => CallbackEffect::Progressed(*share),
+        CallbackState::Running(fraction) if *fraction <= attempt.progress => CallbackEffect::Ignored,
+        CallbackState::Running(fraction) => CallbackEffect::Progressed(*fraction),
         CallbackState::Done(_) => CallbackEffect::Ended(Outcome::Done),
         CallbackState::Failed => CallbackEffect::Ended(Outcome::Error),
         CallbackState::Returned => CallbackEffect::Ended(Outcome::Rejected),
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -54,7 +54,7 @@
     pub cost_hint: Option<f64>,
     /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// Hash of the data that the job uses, the same at every node.
+    /// Hash of the key of the data that the job uses, the same at every node; None if the job has no key.
     pub affinity_key: Option<u64>,
     /// Whether the client marks the job as a retry.
     pub is_retry: bool,
@@ -62,7 +62,7 @@
     pub payload: P,
     /// Handle of the job at the server.
     pub job_handle: JobHandle,
-    /// Receives the single response.
+    /// Channel for the single response.
     pub response_channel: oneshot::Sender<JobResponse>,
 }
 
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -53,21 +53,21 @@
         worker_name: String,
         /// State that the worker reports.
         state: CallbackState,
-        /// Receives the owner of the job, for a caller that would forward the callback to the peer.
+        /// Channel for the owner of the job; None unless the caller would forward the callback to the peer.
         owner: Option<oneshot::Sender<JobOwner>>,
     },
     /// Query whether a job with the request id is open.
     QueryJob {
         /// Request id of the job.
         request_id: String,
-        /// Receives the result of the query.
+        /// Channel for the result of the query.
         is_open: oneshot::Sender<bool>,
     },
     /// The server requests the migration of a job to the peer process.
     MigrateJob {
         /// Handle of the job.
         job_handle: JobHandle,
-        /// Receives the job; dropped if the job cannot be migrated now.
+        /// Channel for the job; dropped if the job cannot be migrated now.
         migration_channel: oneshot::Sender<OutgoingMigration<P>>,
     },
     /// The peer process has responded to a migration, or has not responded in time.
@@ -88,7 +88,8 @@
     },
     /// The transport reports on an attempt.
     Attempt(AttemptReport),
-    /// Discovery has sent its endpoint list, or a change to it.
+    /// Discovery has sent its endpoint list or a change to it, or a poll has confirmed that the list is
+    /// unchanged.
     EndpointsChanged(EndpointChange),
     /// The open watch reports that nothing has changed.
     EndpointsConfirmed {
@@ -101,7 +102,7 @@
     DiscoveryAddressChanged,
     /// The watch could not be opened, or has failed.
     WatchFailed,
-    /// This node shuts down after this duration.
+    /// A graceful shutdown of this node has begun. Each open job must be answered within this duration.
     ShutdownStarted(Duration),
 }
 
@@ -126,7 +127,7 @@
         name: String,
         /// Action on the worker: disable or enable.
         action: MaintenanceAction,
-        /// Receives the result for the operator.
+        /// Channel for the result that the operator gets.
         result: oneshot::Sender<CommandResult>,
     },
     /// Disables or enables a worker that the peer process has listed, even if no list of this process has
@@ -136,7 +137,7 @@
         name: String,
         /// Action on the worker: disable or enable.
         action: MaintenanceAction,
-        /// Receives the result for the operator.
+        /// Channel for the result that the operator gets.
         result: oneshot::Sender<CommandResult>,
     },
     /// Requests the current state, for the successor.
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -132,9 +132,9 @@
     pub payload: P,
     /// Handle of the job at the server.
     pub job_handle: JobHandle,
-    /// Receives the single response.
+    /// Channel for the single response.
     pub response_channel: oneshot::Sender<JobResponse>,
-    /// Receives whether this process can accept the job.
+    /// Channel for whether this process can accept the job.
     pub accepted: oneshot::Sender<bool>,
 }
 
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -1,5 +1,6 @@
 //! Monitor of the permissions of the dispatcher. It shares the lease on the endpoint list with the sockets,
-//! logs the start and end of periods in which the node holds jobs, and counts violations.
+//! logs the start and end of periods in which the node holds jobs because it has no valid lease, and counts
+//! violations.
 
 use std::rc::Rc;
 
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -21,7 +21,7 @@
     job: JobId,
     worker: WorkerId,
     timeout: TimeSpan,
-    /// Time until which the first byte may be written; None if only the timeout limits it.
+    /// Time before which the first byte must be written; None if only the timeout limits it.
     send_deadline: Option<Timestamp>,
     needs_new_connection: bool,
 }
@@ -31,7 +31,8 @@
     /// The attempt was passed to the transport.
     Sent,
     /// The attempt was not passed to the transport: the worker is no longer listed, the client has
-    /// disconnected, the time limit has passed, or the attempt would be a duplicate.
+    /// disconnected, the send deadline has passed, the lease on the endpoint list has expired, or another
+    /// attempt of the job at the same worker has not ended.
     NotSent(AttemptId),
     /// The job does not exist.
     NoJob,
@@ -81,7 +82,7 @@
                 }
                 // A request that is already queued covers this one as well.
                 Action::WatchEndpoints => _ = self.poll_requests.try_send(()),
-                // The settings allow no messages between nodes, and no protocol carries any.
+                // The settings allow no messages between nodes, and the node has no protocol for them.
                 Action::SendGossip { .. } => {}
             }
         }
@@ -149,8 +150,8 @@
             expires_at,
             cancel,
             send_permit: Rc::clone(&send_permit),
-            // The dispatcher learns the state of its attempts from reports; the attempts recorded here
-            // reflect what was observed on sockets.
+            // This check does not rely on the dispatcher, which learns the state of its attempts from events.
+            // The attempts recorded here reflect what was observed on sockets.
             is_duplicate: job
                 .attempts
                 .iter()
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -95,8 +95,9 @@
     }
 
     /// Requests the cancellation of an attempt that is in flight. The dispatcher is notified of the end of
-    /// the attempt only once the transport has confirmed the cancellation, or a callback has arrived before
-    /// that. So no two attempts of a job overlap.
+    /// the attempt only once the transport has confirmed the cancellation, or has reported the end, or a
+    /// callback has ended the attempt before that. So the attempt does not overlap with the one that replaces
+    /// it.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.jobs.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
             return;
--- a/crates/node/src/dispatch/task/job_lifecycle.rs
+++ b/crates/node/src/dispatch/task/job_lifecycle.rs
@@ -14,8 +14,8 @@
 use crate::telemetry::metrics::Counter;
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Accepts a job, unless its request id is in use: a callback could not be matched to one of two jobs
-    /// with the same id.
+    /// Accepts a job, or answers it as a duplicate if its request id is in use: a callback could not be
+    /// matched to one of two jobs with the same id.
     pub(super) fn submit_job(&mut self, submitted: SubmittedJob<T::Payload>) {
         if self.jobs.find(&submitted.request_id).is_some() {
             // A client that has disconnected needs no response.
--- a/crates/node/src/dispatch/task/job_migration.rs
+++ b/crates/node/src/dispatch/task/job_migration.rs
@@ -28,8 +28,8 @@
 }
 
 impl<T: AttemptTransport> DispatchTask<T> {
-    /// Removes a job from the table and sends it to the caller, which sends it to the peer process. Has no
-    /// effect if the job cannot be migrated now.
+    /// Removes a job from the table and sends it to the caller, which sends it to the peer process. If the
+    /// job cannot be migrated now, has no effect other than closing the channel.
     pub(super) fn start_outgoing_migration(
         &mut self,
         job_handle: &JobHandle,
@@ -67,14 +67,15 @@
                 self.jobs.release(&outgoing.job.request_id);
                 self.metrics.add(Counter::JobsMigratedAway);
             }
-            MigrationOutcome::RolledBack => self.rollback_migration(id, outgoing),
+            MigrationOutcome::RolledBack => self.roll_back_migration(id, outgoing),
         }
     }
 
     /// Returns a job that the peer process has not accepted to the table.
-    fn rollback_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
+    fn roll_back_migration(&mut self, id: JobId, outgoing: OutgoingJob<T::Payload>) {
         let OutgoingJob { migration, job } = outgoing;
-        // An outgoing job is sent no response, so only a disconnection can have taken its response channel.
+        // No response is sent to the client of an outgoing job, so only a disconnection can have taken its
+        // response channel.
         let is_client_disconnected = job.is_answered();
         if is_client_disconnected && !migration.has_attempt_in_flight() {
             self.jobs.release(&job.request_id);
@@ -166,7 +167,7 @@
         let expires_at = migrated.expires_at.to_timestamp();
         let mut state = AttemptState::Ended;
         let mut cancel = None;
-        // The peer process has written the first byte of the attempt.
+        // The peer process has written the first byte of the attempt, so this permit has no effect.
         let send_permit = Rc::<SendPermit>::default();
         if let (true, Some(address)) = (migrated.in_flight, migrated.address) {
             let attempt_id = AttemptId { job: job.id, number };
--- a/crates/node/src/dispatch/task/mod.rs
+++ b/crates/node/src/dispatch/task/mod.rs
@@ -44,12 +44,12 @@
     pub messages: mpsc::Receiver<DispatchMessage<T::Payload>>,
     /// Commands of operators and of the peer process.
     pub commands: mpsc::Receiver<DispatchCommand>,
-    /// Requests polls of the endpoint list of discovery.
+    /// Channel that requests polls of the endpoint list of discovery.
     pub poll_requests: mpsc::Sender<()>,
     /// Counters of the node.
     pub metrics: Metrics,
-    /// Maximum duration in which the peer process must respond to a migration; after that, the peer counts as
-    /// having rejected it.
+    /// Maximum duration until the peer process responds to a migration; after that, the peer counts as having
+    /// rejected it.
     pub migration_timeout: Duration,
 }
 
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Runs until the message queue is closed. `saved_endpoints` is the list of the configuration, which is
-    /// used until discovery has sent its own.
+    /// Runs until the message queue is closed. `saved_endpoints` is the endpoint list of the configuration,
+    /// which is used until discovery has sent its own.
     pub async fn run(mut self, saved_endpoints: Vec<NamedEndpoint>) {
-        // The saved list has the same time as the first timer expiry. That tells the dispatcher that the list
-        // does not come from discovery.
+        // The saved list is applied at the time of the first `TimerExpired`. The dispatcher recognizes by
+        // that time that the list does not come from discovery.
         let now = self.clock.now();
         self.apply_event_at(now, Event::TimerExpired);
         self.update_endpoints(now, saved_endpoints, EndpointUpdate::Snapshot);
@@ -275,7 +275,7 @@
         self.apply_event_at(now, event);
     }
 
-    /// Records that discovery has confirmed the list as of a time that may be some time ago.
+    /// Records that discovery has confirmed that the list was current at `as_of`, which may be in the past.
     fn confirm_endpoints(&mut self, as_of: Instant) {
         let as_of = self.clock.timestamp_of(as_of);
         self.apply_event(Event::EndpointsConfirmed { as_of });
--- a/crates/node/src/server/callback_handler.rs
+++ b/crates/node/src/server/callback_handler.rs
@@ -29,7 +29,7 @@
 
 impl Server {
     /// Delivers a callback that the peer process of this node has forwarded. Returns the owner of the job, or
-    /// `None` if the dispatch task has ended.
+    /// `None` if the dispatch task has finished.
     pub async fn handle_forwarded_callback(&self, body: Bytes) -> Option<JobOwner> {
         deliver_forwarded_callback(&self.state, &body).await
     }
@@ -84,8 +84,8 @@
             (JobOwner::Local | JobOwner::Unknown, CallbackRoute::Forward, Some(link)) => {
                 self.forward_callback(&link, body).await
             }
-            // A process that is not reachable from here may own the job: the next attempt of the worker to
-            // deliver the callback may reach it.
+            // A process to which this one has no link may own the job. The worker's redelivery of the
+            // callback may reach that process.
             (JobOwner::Unknown, ..) if may_have_unknown_peer => CallbackReply::RequestResend,
             (JobOwner::Local | JobOwner::Unknown, ..) => CallbackReply::Acknowledge,
         })
@@ -114,8 +114,8 @@
     }
 }
 
-/// Delivers a callback whose job the peer process does not own. Returns the owner of the job, or `None` if
-/// the dispatch task has ended.
+/// Delivers a callback whose job the peer process does not own. Returns the owner of the job, which is
+/// [`JobOwner::Unknown`] for a malformed callback, or `None` if the dispatch task has finished.
 async fn deliver_forwarded_callback(state: &ServerState, body: &Bytes) -> Option<JobOwner> {
     let Ok(report) = CallbackReport::parse(body) else { return Some(JobOwner::Unknown) };
     let (owner_channel, owner) = oneshot::channel();
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -80,13 +80,15 @@
     /// Time at which the last byte of the request that is being read arrived.
     last_progress_at: Cell<Instant>,
     is_worker: Cell<bool>,
-    /// Whether the request that is being read has timed out or its connection is being evicted.
+    /// Whether a graceful close was requested in a state before [`ConnectionState::Idle`], for example
+    /// because a request has timed out or the connection is evicted. The read then ends, and an incomplete
+    /// request is not served, unless data has arrived that was not read yet.
     read_expired: Cell<bool>,
     is_last_request: Cell<bool>,
-    /// Whether hyper reads a substitute for an incomplete request, which is then rejected.
+    /// Whether hyper reads a substitute for an incomplete request, so that the service rejects that request.
     is_request_rejected: Cell<bool>,
-    /// Wakes the serving task after `aborted` or `read_expired` was set. If neither is set, the connection is
-    /// to close as soon as it carries no request.
+    /// Notification that wakes the serving task after `aborted` or `read_expired` was set. If neither is set,
+    /// the connection is to close as soon as it carries no request.
     close_requested: Notify,
     /// Waker of the reader that waits until the current request is answered.
     read_waker: RefCell<Option<Waker>>,
@@ -171,8 +173,8 @@
     }
 
     /// Returns whether the connection closes after the current request. This is the case if only hyper can
-    /// determine the end of the request, if too much data has arrived after it, or if a close was requested
-    /// while it was arriving.
+    /// determine the end of the request, if too much data has arrived after it, if a close was requested
+    /// while it was arriving, or if it is rejected as incomplete.
     pub fn is_last_request(&self) -> bool {
         self.is_last_request.get()
     }
@@ -200,12 +202,14 @@
         self.aborted.get()
     }
 
-    /// Returns whether the request that is being read has timed out or its connection is being evicted.
+    /// Returns whether a graceful close was requested in a state before [`ConnectionState::Idle`], and its
+    /// effect on the read is still pending.
     pub fn is_read_expired(&self) -> bool {
         self.read_expired.get()
     }
 
-    /// Requests a graceful close, which is safe between two requests.
+    /// Requests a graceful close, which is safe between two requests. In a state before
+    /// [`ConnectionState::Idle`], also ends the read; see `read_expired`.
     pub fn close_gracefully(&self, reason: CloseReason) {
         let (connection, state) = (self.number, self.state.get());
         debug!(target: SERVER, connection, ?state, ?reason, "connection close requested");
@@ -227,7 +231,8 @@
         self.write_blocked_since.get().is_some_and(|since| since.elapsed() >= duration)
     }
 
-    /// Closes the connection to free its descriptor.
+    /// Requests the close of the connection, to free its descriptor. Aborts the connection if the remote end
+    /// reads nothing.
     pub fn evict(&self) {
         // A graceful close would wait forever for a remote end that reads nothing.
         if self.is_write_blocked_for(STALL_TIMEOUT) {
--- a/crates/node/src/server/connection/read_filter.rs
+++ b/crates/node/src/server/connection/read_filter.rs
@@ -30,7 +30,7 @@
 /// [`Connection::is_request_rejected`].
 const REJECTED_REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 /// Value of [`ReadFilter::forwardable_bytes`] for a stream that is forwarded to its end.
-const UNLIMITED: u64 = u64::MAX;
+const UNLIMITED_BYTES: u64 = u64::MAX;
 
 /// Read side of a connection, between its socket and hyper.
 pub struct ReadFilter {
@@ -173,7 +173,7 @@
         let limit = usize::try_from(self.forwardable_bytes).unwrap_or(usize::MAX);
         let part = self.buffered.split_to(limit.min(self.buffered.len()).min(out.remaining()));
         out.put_slice(&part);
-        if self.forwardable_bytes != UNLIMITED {
+        if self.forwardable_bytes != UNLIMITED_BYTES {
             self.forwardable_bytes -= part.len() as u64;
         }
     }
@@ -202,7 +202,7 @@
             // hyper answers a malformed head with a more precise status, and reads nothing after it.
             Ok(httparse::Status::Partial) | Err(_) => {
                 self.metrics.add(Counter::RequestsMalformed);
-                self.forwardable_bytes = UNLIMITED;
+                self.forwardable_bytes = UNLIMITED_BYTES;
                 return;
             }
         };
@@ -213,7 +213,7 @@
             BodyFraming::Chunked => {
                 // Only hyper can determine the end of a chunked body.
                 self.connection.mark_last_request();
-                self.forwardable_bytes = UNLIMITED;
+                self.forwardable_bytes = UNLIMITED_BYTES;
             }
             BodyFraming::Ambiguous => self.substitute_invalid_request(),
         }
@@ -235,7 +235,7 @@
     fn substitute(&mut self, request: &[u8]) {
         self.buffered.clear();
         self.buffered.extend_from_slice(request);
-        self.forwardable_bytes = UNLIMITED;
+        self.forwardable_bytes = UNLIMITED_BYTES;
     }
 }
 
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -25,7 +25,7 @@
     /// X-Tenant names a tenant that is not configured.
     #[error("header x-tenant names no tenant: {0}")]
     UnknownTenant(String),
-    /// X-Extras requests fewer slots than one or more than the maximum of a job.
+    /// X-Extras requests less than one slot or more slots than the maximum of a job.
     #[error("header x-extras asks for an impossible number of slots")]
     SlotsOutOfRange,
     /// The path is missing or contains non-ASCII characters.
@@ -52,10 +52,10 @@
     /// A job with the same id is still open, in this process or in the peer process of this node.
     #[error("a job of this x-request-id is in hand")]
     DuplicateJob,
-    /// The dispatch task ended before it answered the job.
+    /// The dispatch task finished before it answered the job.
     #[error("this node has ended")]
     JobAbandoned,
-    /// The dispatch task ended before it received the callback.
+    /// The dispatch task finished before it received the callback.
     #[error("this node has ended")]
     CallbackUndelivered,
 }
--- a/crates/node/src/server/listener.rs
+++ b/crates/node/src/server/listener.rs
@@ -129,8 +129,9 @@
     }
 }
 
-/// Serves the connections that are in the accept queue, so that closing the listener does not reset them.
-/// Accepts from the socket directly, since the runtime may not have received its readiness event yet.
+/// Serves the connections that are in the accept queue, within the budget, so that closing the listener does
+/// not reset them. Accepts from the socket directly, since the runtime may not have received its readiness
+/// event yet.
 fn accept_backlog(state: &Rc<ServerState>, listener: &TcpListener) {
     let listener = SockRef::from(listener);
     while let Some(permit) = state.connection_budget.try_acquire()
@@ -170,9 +171,10 @@
     });
 }
 
-/// Evicts the least valuable connection: connections of clients before those of workers, then in the order of
-/// [`ConnectionState`], then the one that has been in its state for longest. The evicted connection lingers
-/// first. The oldest of the connections that are already lingering is closed as well.
+/// Closes the oldest of the lingering connections. If fewer than [`MIN_LINGERING_CONNECTIONS`] are lingering,
+/// also evicts the least valuable other connection: connections of clients before those of workers, then in
+/// the order of [`ConnectionState`], then the one that has been in its state for longest. That connection
+/// lingers before it is closed.
 pub fn evict_connections(state: &ServerState) {
     let connections = state.live_connections();
     let new_connections =
--- a/crates/node/src/server/listener_mode.rs
+++ b/crates/node/src/server/listener_mode.rs
@@ -7,7 +7,8 @@
     Paused,
     /// The process accepts connections.
     Accepting,
-    /// The process accepts the connections that are in the queue now, and then closes the listener.
+    /// The process accepts the connections that are in the queue now, within the budget, and then closes the
+    /// listener.
     AcceptingBacklog,
     /// The listener is closed or about to be closed.
     Closed,
--- a/crates/node/src/server/migration.rs
+++ b/crates/node/src/server/migration.rs
@@ -57,7 +57,7 @@
 }
 
 impl OutgoingJob {
-    /// Migrates the job to the peer process. Returns `None` if the dispatch task has ended or does not
+    /// Migrates the job to the peer process. Returns `None` if the dispatch task has finished or does not
     /// release the job.
     async fn migrate(mut self, link: PeerLink, client: OwnedFd) -> Option<MigrationOutcome> {
         let (migration_channel, migration) = oneshot::channel();
@@ -130,7 +130,7 @@
     }
 
     /// Submits a migrated job to the dispatch task and waits until both processes agree on its owner. Returns
-    /// `None` if the job stays with the peer process or the dispatch task has ended.
+    /// `None` if the job stays with the peer process or the dispatch task has finished.
     async fn confirm_adoption(
         &self,
         migration: JobMigration,
--- a/crates/node/src/server/migration_record.rs
+++ b/crates/node/src/server/migration_record.rs
@@ -26,7 +26,7 @@
     content_type: Option<String>,
 }
 
-/// Encodes a job and its request. Returns `None` if a header is not text, since such a header cannot be
+/// Encodes a job and its request. Returns `None` if a header is not ASCII text, since such a header cannot be
 /// represented in the record.
 pub fn encode(migration: &JobMigration, payload: &RequestPayload) -> Option<Bytes> {
     let record = MigrationRecord {
@@ -64,7 +64,7 @@
     Some((record.migration, payload))
 }
 
-/// Converts an optional header to text. Returns `None` if the header is present but not text.
+/// Converts an optional header to text. Returns `None` if the header is present but not ASCII text.
 fn header_to_text(value: Option<&HeaderValue>) -> Option<Option<String>> {
     value.map(|value| value.to_str().map(str::to_owned)).transpose().ok()
 }
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -30,7 +30,8 @@
 const REQUEST_ID_PUNCTUATION: &[u8] = b"-._~:@!$&'()*+,;=";
 /// Maximum length of a path with its query, in bytes.
 const MAX_PATH_BYTES: usize = 2048;
-/// Maximum value of X-Deadline, in seconds. No client waits for longer than a day.
+/// Maximum value of X-Deadline, in seconds. No client waits for longer than a day. X-Cost-Hint has the same
+/// limit.
 const MAX_DEADLINE_SECONDS: f64 = 86_400.0;
 /// Microseconds per second, to convert X-Cost-Hint, which is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -39,7 +40,7 @@
 /// Number of slots of a job that does not request a number.
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// The configured classes and tenants, by which requests are validated.
+/// The configured classes and tenants, against which requests are validated.
 pub struct JobCatalog {
     classes: Vec<JobClass>,
     /// Names of the tenants. If there are none, all jobs share one quota.
@@ -100,7 +101,7 @@
     slots: f64,
     /// Hash of the last segment of the path. All nodes compute the same hash.
     affinity_key: Option<u64>,
-    /// Whether the client has sent this job before.
+    /// Whether the client marks the job as a retry.
     is_retry: bool,
     /// Parts of the request that are forwarded to the worker, besides the body.
     forwarded: ForwardedHead,
@@ -227,7 +228,7 @@
     Ok(received_at + TimeSpan::from_secs_f64(seconds))
 }
 
-/// Parses the client's estimate of the work, and converts it to seconds.
+/// Parses the client's estimate of the work, and converts it from microseconds to seconds.
 fn parse_cost_hint(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
     let micros = optional_number(headers, &X_COST_HINT, MAX_DEADLINE_SECONDS * MICROS_PER_SECOND)?;
     Ok(micros.map(|micros| micros / MICROS_PER_SECOND))
@@ -269,8 +270,9 @@
     Ok(path.clone())
 }
 
-/// Returns the hash of the last segment of a job's path. Jobs with the same affinity key go to the same
-/// worker. Returns `None` if the path has no segment after [`JOBS_PATH`].
+/// Returns the hash of the last segment of a job's path after [`JOBS_PATH`], or `None` if that segment is
+/// missing or empty. Jobs with the same affinity key use the same data and are preferably sent to the same
+/// workers.
 fn affinity_key(path: &str) -> Option<u64> {
     let key = path.strip_prefix(JOBS_PATH)?.rsplit('/').next()?;
     (!key.is_empty()).then(|| stable_hash(key))
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -71,7 +71,7 @@
     response
 }
 
-/// Builds a response with status 405 that names the method of the path.
+/// Builds a response with status 405 that names the allowed method of the path.
 pub fn method_not_allowed(allowed: &'static str) -> HttpResponse {
     let mut response = with_status(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// Resource that a request addresses, or the reason why there is none.
+/// Route of a request: its handler, or the reason for which it is not served.
 enum Route {
     Job,
     Callback,
--- a/crates/node/src/server/shutdown.rs
+++ b/crates/node/src/server/shutdown.rs
@@ -56,8 +56,9 @@
     }
 
     /// Closes all connections once their responses are written, including connections that are accepted in
-    /// the meantime. An incomplete request is rejected when it makes no progress, and in any case at
-    /// `read_deadline` or after [`SHUTDOWN_READ_TIMEOUT`], whichever is earlier.
+    /// the meantime, and returns after [`CLOSE_TIMEOUT`] at the latest. An incomplete request is rejected
+    /// when it makes no progress, and in any case at `read_deadline` or after [`SHUTDOWN_READ_TIMEOUT`],
+    /// whichever is earlier.
     pub async fn close(&self, read_deadline: Instant) {
         let read_deadline = read_deadline.min(Instant::now() + SHUTDOWN_READ_TIMEOUT);
         let all_closed = async {
--- a/crates/node/src/server/state.rs
+++ b/crates/node/src/server/state.rs
@@ -46,7 +46,7 @@
     pub queue: DispatchQueue<RequestPayload>,
     /// Clock of the node.
     pub clock: Clock,
-    /// Configured classes and tenants, by which requests are validated.
+    /// Configured classes and tenants, against which requests are validated.
     pub catalog: JobCatalog,
     /// Phase of the process.
     pub lifecycle: Lifecycle,
@@ -103,7 +103,8 @@
         self.connection_budget.target() * 3 / 4
     }
 
-    /// Returns the number of a connection that was just accepted: how many were accepted before it.
+    /// Assigns and returns the number of a connection that was just accepted: the number of connections
+    /// accepted before it.
     pub fn next_connection_number(&self) -> u64 {
         let number = self.accepted_connections.get();
         self.accepted_connections.set(number + 1);
--- a/crates/node/src/telemetry/logging/line_filter.rs
+++ b/crates/node/src/telemetry/logging/line_filter.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// Levels and rate limits of the targets, by their index in [`LogTarget::ALL`].
+/// Filter of the log lines. Levels and rate limiters are indexed by the position of their target in
+/// [`LogTarget::ALL`].
 pub struct LineFilter {
     levels: [AtomicLevel; TARGET_COUNT],
     /// Rate limit of each target, in lines per second.
--- a/crates/node/src/telemetry/metrics/counter.rs
+++ b/crates/node/src/telemetry/metrics/counter.rs
@@ -71,7 +71,7 @@
 pub enum ResponseKind {
     /// The result of a worker was returned to the client.
     Served,
-    /// The job was shed, with advice when to retry.
+    /// The job was rejected without having run, usually with advice when to retry.
     Rejected,
     /// The job failed, or was a duplicate.
     Failed,
--- a/crates/node/src/telemetry/metrics/mod.rs
+++ b/crates/node/src/telemetry/metrics/mod.rs
@@ -34,7 +34,7 @@
     /// Histograms of response times, by index of the class.
     response_times: Vec<ClassHistograms>,
     registry: Registry,
-    /// Returns the numbers of dropped log lines, which the log counts itself.
+    /// Function that returns the numbers of dropped log lines, which the log counts itself.
     dropped_lines: Box<dyn Fn() -> DroppedLines + Send + Sync>,
 }
 
@@ -64,7 +64,7 @@
         self.0.counters[counter as usize].inc();
     }
 
-    /// Counts an action that was decided or executed without permission.
+    /// Counts an action that was decided on or executed without permission.
     pub fn record_violation(&self, reason: Denial) {
         self.0.violations[reason as usize].inc();
     }
