--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -65,8 +65,8 @@
     }
 
     /// Returns whether this process is ready. Uses only the phase and waits for no other task, because this
-    /// command is sent most often when the node is busiest. A process whose successor serves is also ready,
-    /// because a rollback would make it serve again.
+    /// command is sent most often when the node is busiest. A process whose successor serves is also ready
+    /// unless it is drained, because a rollback would make it serve again.
     fn check_ready(&self) -> CommandResult {
         match self.lifecycle.phase() {
             Phase::Ready | Phase::Superseded { drained: false } => Ok(()),
@@ -95,9 +95,9 @@
     Ok(())
 }
 
-/// Returns a line including its line feed. If the connection ends before the line feed, returns what has
-/// arrived, or `None` if nothing has. Of a line that is too long, returns more than [`MAX_LINE_BYTES`] bytes,
-/// which shows that it is too long.
+/// Reads a line and returns it including its line feed. If the operator closes the connection before the line
+/// feed, returns what has arrived. Returns `None` if nothing has arrived or a read fails. Of a line that is
+/// too long, returns more than [`MAX_LINE_BYTES`] bytes, which shows that it is too long.
 async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES + 1);
     while line.len() <= MAX_LINE_BYTES {
--- a/crates/node/src/admin/service.rs
+++ b/crates/node/src/admin/service.rs
@@ -1,5 +1,6 @@
-//! Execution of operators' commands in this process and in its peer. A command succeeds only after both
-//! processes have executed it. The dispatch task keeps the list of disabled workers; this module keeps none.
+//! Execution of operators' commands in this process and in its peer. A command succeeds only after this
+//! process and the peer, if it is linked, have executed it. The dispatch task keeps the list of disabled
+//! workers; this module keeps none.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -55,7 +56,7 @@
     }
 
     /// Executes a command that the peer has received from an operator.
-    pub async fn apply_peer_command(&self, command: &AdminCommand) -> CommandResult {
+    pub async fn execute_peer_command(&self, command: &AdminCommand) -> CommandResult {
         self.execute_locally(command, CommandOrigin::Peer).await
     }
 
@@ -100,7 +101,7 @@
         Ok(())
     }
 
-    /// Has the dispatch task disable or enable a worker. Accepts every worker that the peer has accepted,
+    /// Makes the dispatch task disable or enable a worker. Accepts every worker that the peer has accepted,
     /// even if no endpoint list has contained it yet.
     async fn change_maintenance(
         &self,
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -94,7 +94,7 @@
     /// The read has received bytes, and more may follow.
     Open,
     /// The other process has closed its end.
-    Ended,
+    Closed,
 }
 
 /// Reads the next chunk of bytes into the decoder, and the descriptors that arrive with it into
@@ -117,7 +117,7 @@
                 descriptors.extend(received.take(free));
             }
         }
-        Ok(if received.bytes > 0 { StreamState::Open } else { StreamState::Ended })
+        Ok(if received.bytes > 0 { StreamState::Open } else { StreamState::Closed })
     };
     stream.async_io(Interest::READABLE, receive).await
 }
@@ -130,7 +130,7 @@
         }
         let mut unused_descriptors = PendingDescriptors::new();
         let read = read_chunk(stream, decoder, &mut unused_descriptors).await;
-        if read.map_err(HandoverError::Disconnected)? == StreamState::Ended {
+        if read.map_err(HandoverError::Disconnected)? == StreamState::Closed {
             decoder.finish()?;
             return Err(HandoverError::closed_by_peer());
         }
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -8,13 +8,12 @@
 use thiserror::Error;
 
 /// Errors of the handover. Each message states what an operator can do. After each of these errors the
-/// successor can still bind the client address itself and start without the state of its predecessor.
+/// successor can still bind the client address itself and start cold, that is, without the state of its
+/// predecessor.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The user is not allowed to create files in `$TMPDIR`.
-    #[error(
-        "{path}: {source}; let the node write to $TMPDIR, or its upgrades start without the previous state"
-    )]
+    #[error("{path}: {source}; let the node write to $TMPDIR, or its upgrades start cold")]
     Unwritable {
         /// Path of the file to create or to use.
         path: PathBuf,
@@ -22,9 +21,7 @@
         source: io::Error,
     },
     /// The file system of `$TMPDIR` is full, or the user's quota on it is used up.
-    #[error(
-        "{path}: {source}; free space in $TMPDIR, or the node's upgrades start without the previous state"
-    )]
+    #[error("{path}: {source}; free space in $TMPDIR, or the node's upgrades start cold")]
     Full {
         /// Path of the file to create.
         path: PathBuf,
@@ -32,9 +29,7 @@
         source: io::Error,
     },
     /// Another error occurred with a file in `$TMPDIR`.
-    #[error(
-        "{path}: {source}; look at what is there in $TMPDIR, or upgrades start without the previous state"
-    )]
+    #[error("{path}: {source}; look at what is there in $TMPDIR, or the node's upgrades start cold")]
     Rendezvous {
         /// Path of the file to create or to use.
         path: PathBuf,
@@ -55,9 +50,7 @@
     #[error(transparent)]
     Protocol(#[from] FrameError),
     /// The received frame is valid, but not allowed at this point of the protocol.
-    #[error(
-        "unexpected message from the other process; the successor starts without state, report it if repeated"
-    )]
+    #[error("unexpected message from the other process; the successor starts cold, report it if repeated")]
     UnexpectedFrame,
     /// The received descriptor is missing, or is not a listener on the client address of this node.
     #[error(
@@ -69,7 +62,7 @@
     },
     /// The other process did not answer or read in time.
     #[error(
-        "no answer from the predecessor; end it if it keeps running, the successor starts without its state"
+        "the other process did not answer or read in time; end it if it hangs, the successor starts cold"
     )]
     TimedOut,
     /// The connection to the other process was closed or failed.
--- a/crates/node/src/handover/handshake.rs
+++ b/crates/node/src/handover/handshake.rs
@@ -26,10 +26,11 @@
 use crate::handover::link::{LinkEnds, PeerLink, limit_snapshot};
 use crate::handover::rendezvous::Rendezvous;
 
-/// Maximum time for which the successor waits for the response to its hello, before it starts without a
-/// predecessor.
+/// Maximum time for the successor to connect, to send its hello and to receive the response. After this time
+/// the successor starts without a predecessor.
 const HELLO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Maximum time for which the predecessor waits for a hello, and for its own response to be written.
+/// Maximum time for which the predecessor waits for a hello, and then for the first byte of its acceptance or
+/// for its rejection to be written.
 pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 /// Byte with which the descriptor of the listener is sent. No frame begins with this byte.
 const DESCRIPTOR_CARRIER: u8 = b'+';
@@ -90,8 +91,8 @@
     }
 }
 
-/// Converts the received descriptor to a listener. Returns `None` if it is not a listener on the client
-/// address of this node.
+/// Converts the received descriptor to a non-blocking listener. Returns `None` if the descriptor is not a
+/// listener on the client address of this node.
 fn client_listener(descriptor: OwnedFd, listen: SocketAddr) -> Option<TcpListener> {
     let is_listening = socket_acceptconn(&descriptor).unwrap_or(false);
     let listener = TcpListener::from(descriptor);
@@ -133,9 +134,9 @@
         }
     }
 
-    /// Adds the hello to the queue `hellos`, or rejects it as busy if the queue is full.
-    pub(super) async fn enqueue_or_reject(self, hellos: &mpsc::Sender<SuccessorHello>) {
-        if let Err(error) = hellos.try_send(self) {
+    /// Adds the hello to `hello_queue`, or rejects it as busy if the queue is full.
+    pub(super) async fn enqueue_or_reject(self, hello_queue: &mpsc::Sender<SuccessorHello>) {
+        if let Err(error) = hello_queue.try_send(self) {
             error.into_inner().reject(RejectReason::Busy).await;
         }
     }
@@ -157,10 +158,10 @@
     }
 }
 
-/// Sends a rejection. If it cannot be written, closing the connection has the same effect.
+/// Sends a rejection. The caller then closes the connection.
 async fn send_rejection(stream: &UnixStream, reason: RejectReason) {
     if let Ok(frame) = Frame::Rejected(reason).encode(0) {
-        // The write may fail: the connection is closed next, which also rejects the hello.
+        // The write may fail: closing the connection also rejects the hello.
         let _ = timeout(HELLO_TIMEOUT, write_all(stream, frame)).await;
     }
 }
--- a/crates/node/src/handover/link/reader.rs
+++ b/crates/node/src/handover/link/reader.rs
@@ -22,13 +22,13 @@
 /// Reader of the frames of a link.
 pub(super) struct FrameReader {
     state: Rc<LinkState>,
-    requests: mpsc::Sender<PeerRequest>,
+    request_queue: mpsc::Sender<PeerRequest>,
 }
 
 impl FrameReader {
-    /// Creates a reader that sends the peer's requests to `requests`.
-    pub(super) fn new(state: Rc<LinkState>, requests: mpsc::Sender<PeerRequest>) -> FrameReader {
-        FrameReader { state, requests }
+    /// Creates a reader that sends the peer's requests to `request_queue`.
+    pub(super) fn new(state: Rc<LinkState>, request_queue: mpsc::Sender<PeerRequest>) -> FrameReader {
+        FrameReader { state, request_queue }
     }
 
     /// Reads until the link is lost. Then closes the link, ends the pending requests and reports the loss.
@@ -62,7 +62,7 @@
             }
             match read_chunk(&self.state.stream, &mut decoder, &mut descriptors).await {
                 Ok(StreamState::Open) => {}
-                Ok(StreamState::Ended) => return Ok(decoder.finish()?),
+                Ok(StreamState::Closed) => return Ok(decoder.finish()?),
                 // The peer closed the connection before it had read all frames.
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(()),
                 Err(error) => return Err(HandoverError::Disconnected(error)),
@@ -167,7 +167,7 @@
 
     /// Queues a request for the takeover task. Never waits: if the queue is full, the request is dropped.
     fn enqueue_request(&self, request: PeerRequest) {
-        if self.requests.try_send(request).is_err() {
+        if self.request_queue.try_send(request).is_err() {
             debug!(target: NODE, "peer request dropped");
         }
     }
--- a/crates/node/src/handover/peer.rs
+++ b/crates/node/src/handover/peer.rs
@@ -29,8 +29,8 @@
         *self.link.borrow_mut() = link;
     }
 
-    /// Removes the lost link. The process at its other end has exited, or has closed the link and continues
-    /// to serve independently.
+    /// Removes the lost link, and records the process at its other end until it has exited. The process may
+    /// have closed the link and continue to serve independently.
     pub fn mark_lost(&self) {
         let link = self.link.take();
         self.lost_process.set(link.and_then(|link| link.peer_pid()));
--- a/crates/node/src/handover/rendezvous_listener.rs
+++ b/crates/node/src/handover/rendezvous_listener.rs
@@ -51,10 +51,10 @@
 
 impl RendezvousListener {
     /// Binds the rendezvous socket, and replaces the socket of any previous process. Sends hellos to
-    /// `hellos`; a hello that arrives while the channel is full is rejected as busy.
+    /// `hello_queue`; a hello that arrives while the queue is full is rejected as busy.
     pub fn bind(
         rendezvous: &Rendezvous,
-        hellos: mpsc::Sender<SuccessorHello>,
+        hello_queue: mpsc::Sender<SuccessorHello>,
     ) -> Result<RendezvousListener, HandoverError> {
         let path = rendezvous.path();
         let file_error = |error| HandoverError::from_file_error(&path, error);
@@ -69,7 +69,7 @@
             let _ = fs::remove_file(&unpublished);
             file_error(error)
         })?;
-        let accept_task = spawn_local(accept_successors(listener, rendezvous.clone(), hellos));
+        let accept_task = spawn_local(accept_successors(listener, rendezvous.clone(), hello_queue));
         Ok(RendezvousListener { path, file_id, accept_task })
     }
 
@@ -106,7 +106,7 @@
 async fn accept_successors(
     listener: UnixListener,
     rendezvous: Rendezvous,
-    hellos: mpsc::Sender<SuccessorHello>,
+    hello_queue: mpsc::Sender<SuccessorHello>,
 ) {
     let pending_hellos = Arc::new(Semaphore::new(MAX_PENDING_HELLOS));
     while let Ok(permit) = pending_hellos.clone().acquire_owned().await {
@@ -118,12 +118,12 @@
                 continue;
             }
         };
-        let (rendezvous, hellos) = (rendezvous.clone(), hellos.clone());
+        let (rendezvous, hello_queue) = (rendezvous.clone(), hello_queue.clone());
         spawn_local(async move {
             let _permit = permit;
             let received = timeout(HELLO_TIMEOUT, SuccessorHello::receive(stream, &rendezvous)).await;
             match received.unwrap_or(Err(HandoverError::TimedOut)) {
-                Ok(hello) => hello.enqueue_or_reject(&hellos).await,
+                Ok(hello) => hello.enqueue_or_reject(&hello_queue).await,
                 Err(error) => warn!(target: NODE, %error, "successor hello rejected"),
             }
         });
--- a/crates/node/src/handover/startup.rs
+++ b/crates/node/src/handover/startup.rs
@@ -38,13 +38,15 @@
     Completed { start_lock: StartLock, predecessor: Option<Predecessor> },
     /// The file of the start lock cannot be used, so the rendezvous socket cannot be used either.
     LockUnusable(HandoverError),
-    /// The predecessor does not answer or rejects this process, or the start lock stays held.
+    /// The search failed for another reason: for example, the predecessor does not answer or rejects this
+    /// process, or the start lock stays held.
     Failed(HandoverError),
 }
 
 impl StartupHandover {
-    /// Searches for a predecessor in `directory`. Any error is logged, and the process then starts as if
-    /// there were no predecessor. Without a directory there is no search.
+    /// Searches for a predecessor in `directory`. Retries for up to 5 s while the predecessor is busy. Any
+    /// other error, or a busy predecessor after that time, is logged, and the process then starts as if there
+    /// were no predecessor. Without a directory there is no search.
     pub async fn find_predecessor(
         directory: Option<PathBuf>,
         node: &str,
--- a/crates/node/src/handover/takeover/commands.rs
+++ b/crates/node/src/handover/takeover/commands.rs
@@ -37,8 +37,8 @@
         let snapshot = self.take_snapshot().await;
         let Some(hello) = self.pending_hello.take() else { return };
         let client_listener = self.parts.client_listener.borrow().clone();
-        // Without a listener the shutdown is complete, and the connection of the hello closes when the
-        // process exits.
+        // Without a listener the shutdown is complete. Dropping the hello closes its connection without a
+        // response.
         let Some(client_listener) = client_listener else { return };
         match hello.accept(&client_listener, snapshot).await {
             Ok(ends) => {
@@ -121,7 +121,8 @@
         self.start_lock = None;
     }
 
-    /// Returns the encoded state for a successor, or an empty buffer if the dispatch task has ended.
+    /// Returns the encoded state for a successor, or an empty buffer if the dispatch task has ended or the
+    /// state cannot be encoded.
     async fn take_snapshot(&self) -> Bytes {
         let (state_channel, state) = oneshot::channel();
         let admin = &self.parts.admin;
--- a/crates/node/src/handover/takeover/events.rs
+++ b/crates/node/src/handover/takeover/events.rs
@@ -54,7 +54,7 @@
             }
             PeerRequest::Command { command, result } => {
                 let admin = self.parts.admin.clone();
-                spawn_local(async move { result.send(admin.apply_peer_command(&command).await) });
+                spawn_local(async move { result.send(admin.execute_peer_command(&command).await) });
             }
             PeerRequest::MigrateJob { job, client, is_adopted, response_written } => {
                 let server = self.parts.server.clone();
--- a/crates/node/src/handover/takeover/mod.rs
+++ b/crates/node/src/handover/takeover/mod.rs
@@ -79,7 +79,7 @@
     local_events: mpsc::Receiver<LocalEvent>,
     /// Whether discovery has delivered an endpoint list.
     endpoints_available: watch::Receiver<bool>,
-    /// Delay after which the saved endpoint list is used. `None` if it is never used.
+    /// Delay after which the saved endpoint list is used. `None` if there is no saved list.
     saved_endpoints_delay: Option<Duration>,
 }
 
@@ -97,8 +97,8 @@
     pending_hello: Option<SuccessorHello>,
     /// Sender of the snapshot for the successor, used when the takeover is granted.
     takeover_response: Option<oneshot::Sender<Bytes>>,
-    /// State of the predecessor at the time of the handshake. Removed when later state replaces it or the
-    /// link is lost.
+    /// State of the predecessor at the time of the handshake. Dropped when the takeover delivers later state.
+    /// Restored when the takeover delivers no usable state, or when the link is lost.
     handshake_state: Option<StateTransfer>,
 }
 
@@ -144,7 +144,8 @@
 }
 
 impl TakeoverTask {
-    /// Creates the task and its handle. The future of the task completes only if the process cannot continue.
+    /// Creates the task and its handle. The future of the task runs until the process exits and never
+    /// completes.
     pub fn start(
         startup: StartupHandover,
         parts: TakeoverParts,
@@ -203,7 +204,8 @@
         self.handle_events(inputs).await;
     }
 
-    /// Handles events and requests until the process exits. Events of this process have priority.
+    /// Handles events and requests until the process exits. Events of this process have priority over requests
+    /// of the peer, and these have priority over hellos and the end of the wait for endpoints.
     async fn handle_events(&mut self, inputs: TakeoverInputs) {
         let TakeoverInputs { mut hellos, mut local_events, endpoints_available, saved_endpoints_delay } =
             inputs;
@@ -228,8 +230,8 @@
     }
 
     /// Links this process to the predecessor, and immediately applies the drain and the disabled workers that
-    /// operators have set there. Keeps the estimates of the predecessor until the takeover. The snapshot of
-    /// the takeover then replaces these estimates if it can be decoded.
+    /// operators have set there. Keeps the estimates of the predecessor until the takeover or the loss of the
+    /// link, and then restores them. If the snapshot of the takeover can be decoded, it replaces them.
     async fn link_to_predecessor(&mut self, predecessor: Predecessor) {
         self.set_link(Some(predecessor.link));
         if let Some(mut transfer) = StateTransfer::decode(&predecessor.snapshot) {
@@ -244,8 +246,8 @@
         }
     }
 
-    /// Replaces the link to the peer, or removes it. A migration of jobs stops when its link is replaced or
-    /// removed.
+    /// Replaces the link to the peer, or removes it. Starts no further migrations of jobs until the next
+    /// takeover or rollback.
     fn set_link(&mut self, ends: Option<LinkEnds>) {
         self.parts.server.stop_migration();
         let (link, requests) = ends.map(|ends| (ends.link, ends.requests)).unzip();
--- a/crates/node/src/runtime/descriptor_budget.rs
+++ b/crates/node/src/runtime/descriptor_budget.rs
@@ -25,7 +25,8 @@
 /// descriptors that are always open, six concurrent requests to discovery, the requests to its previous
 /// address during a change of the address, and the configuration file during a reload.
 const MIN_RESERVED_DESCRIPTORS: usize = 24;
-/// Minimum number of connections of a process. With fewer connections it cannot serve.
+/// Minimum number of connections of a process, even if the limit on descriptors leaves fewer. With fewer
+/// connections the process cannot serve.
 const MIN_CONNECTIONS: usize = 24;
 /// Divisor for the share of upstream in all connections: one connection in this many is for upstream.
 const UPSTREAM_DIVISOR: usize = 3;
--- a/crates/node/src/runtime/error.rs
+++ b/crates/node/src/runtime/error.rs
@@ -1,4 +1,4 @@
-//! Errors for which the node cannot start or has to stop. Each error states whether another start may
+//! Errors that prevent the node from starting or make it stop. Each error states whether another start may
 //! succeed.
 
 use std::fmt;
@@ -12,8 +12,8 @@
 use crate::config::ConfigError;
 use crate::telemetry::logging::LoggingError;
 
-/// Errors for which the node cannot start or has to stop. Each message names the cause and states what an
-/// operator can do.
+/// Errors that prevent the node from starting or make it stop. Each message names the cause and states what
+/// an operator can do.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The configuration cannot be read or used.
--- a/crates/node/src/runtime/mod.rs
+++ b/crates/node/src/runtime/mod.rs
@@ -8,7 +8,7 @@
 //! | [`signals`] | installs the handlers of SIGTERM and SIGHUP |
 //! | [`reload`] | reads the configuration again on SIGHUP |
 //! | [`shutdown`] | answers the open jobs after SIGTERM, and closes all connections |
-//! | [`error`] | errors for which the node cannot start or has to stop |
+//! | [`error`] | errors that prevent the node from starting or make it stop |
 //!
 //! All parts run on one thread, except the admin address and the writer of the log, which have one thread
 //! each.
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -4,7 +4,7 @@
 //! SIGKILL follows after the time that the longest job may take. The shutdown consists of these steps between
 //! the two signals:
 //!
-//! 1. The peer, if there is one, is notified, and the phase becomes `ending`.
+//! 1. The peer, if there is one, is notified, and the phase becomes `ShuttingDown` (`ending` in the log).
 //! 2. The dispatch task receives the time by which it must have answered all open jobs.
 //! 3. For [`MIN_DRAIN_TIME`] the node accepts connections and answers requests as before.
 //! 4. Idle connections are closed, open jobs and requests that are arriving are answered, and then all
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -174,7 +174,7 @@
     endpoints_available: watch::Receiver<bool>,
 }
 
-/// Listener for clients.
+/// Client listener, received from the predecessor or opened by this process.
 struct ClientListener {
     /// Local address of the listener.
     address: SocketAddr,
@@ -340,9 +340,9 @@
 /// Role of this process when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartKind {
-    /// No other process of the node serves, and this process serves immediately.
+    /// No predecessor has accepted this process, which serves immediately.
     Single,
-    /// A predecessor serves, and this process is to take over from it.
+    /// A predecessor has accepted this process, which is to take over from it.
     Successor,
 }
 
--- a/crates/node/src/runtime/supervision.rs
+++ b/crates/node/src/runtime/supervision.rs
@@ -45,7 +45,7 @@
 
 impl RunningNode {
     /// Runs until the shutdown after SIGTERM is complete, and writes the final counters. Returns an error
-    /// with the name of the task if a task ends before.
+    /// with the name of the task if a task ends before that.
     pub async fn run_until_shutdown(
         self,
         sources: &ConfigSources,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -8,8 +8,9 @@
 //! | any other 4xx or 5xx | no | ended: error |
 //! | any other status | yes | ended: error |
 //! | malformed or partial response | yes | ended: lost |
-//! | refused, unreachable | no | ended: unreachable |
-//! | connection lost, timed out | no | ended: lost; with a reused connection: `LostWithReusedConnection` |
+//! | connection refused, worker unreachable | no | ended: unreachable |
+//! | connection lost | no | ended: lost; with a reused connection: `LostWithReusedConnection` |
+//! | timed out | no | ended: lost |
 //! | send permit invalid | no | ended: not sent |
 //! | cancelled by the dispatch task | if a byte was written | `Cancelled` |
 
@@ -34,7 +35,7 @@
 /// time keeps its connection reusable.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs attempts and reports on them to the dispatch task.
+/// Runner of attempts, which reports on them to the dispatch task.
 pub struct AttemptRunner {
     /// Receiver of the reports on attempts.
     pub reporter: Box<dyn AttemptReporter>,
@@ -46,7 +47,7 @@
     pub in_flight: TaskTracker,
 }
 
-/// An attempt whose request was passed to the transport.
+/// Values of an attempt that its reports and its cancellation need.
 struct Attempt {
     id: AttemptId,
     request_id: Rc<str>,
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -57,7 +57,7 @@
     Other,
 }
 
-/// Cancels jobs at workers.
+/// Canceller of jobs at workers.
 pub struct Canceller {
     pool: Rc<ConnectionPool>,
     metrics: Metrics,
@@ -72,13 +72,14 @@
         Canceller { pool, metrics, options, unacknowledged: RefCell::default() }
     }
 
-    /// Returns the cancellations that no worker has acknowledged yet.
+    /// Returns the cancellations in progress, none of which its worker has acknowledged yet.
     pub fn unacknowledged(&self) -> Vec<CancellationTarget> {
         self.unacknowledged.borrow().clone()
     }
 
     /// Cancels a job that the worker may have. Returns once the worker has acknowledged the cancellation or
-    /// `deadline` has passed. The cancellation is sent once even if the deadline has passed already.
+    /// `deadline` has passed, but allows at least the response timeout of one cancellation. For this reason
+    /// the cancellation is sent once even if the deadline has passed already.
     pub async fn cancel_until_deadline(
         &self,
         deadline: Instant,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -23,8 +23,8 @@
 /// Header of a rejection: `1` if the worker has not run the job and never will.
 const X_NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
-/// Time for which a response is awaited after the attempt was cancelled. The response may be in transit, and
-/// once it is received, the connection can be reused.
+/// Time for which a response is awaited after a request was cancelled of which at least one byte was written.
+/// The response may be in transit, and once it is received, the connection can be reused.
 const RESPONSE_GRACE_AFTER_CANCEL: Duration = Duration::from_millis(20);
 
 /// One request to a worker, and the conditions for sending it.
@@ -38,8 +38,9 @@
     /// Time at which the client stops waiting. The request states the time that is left when it is sent. If
     /// `None`, the request states no deadline.
     pub client_deadline: Option<Instant>,
-    /// Permit that is checked once there is a connection, and once more by the socket before the first byte.
-    /// If the first check finds the permit invalid, the connection is kept.
+    /// Permit for the first byte. If it becomes invalid before there is a connection, the exchange ends: a
+    /// reserved idle connection returns to the pool, and a dial is aborted. The socket checks the permit once
+    /// more before the first byte.
     pub send_permit: &'a Rc<SendPermit>,
     /// Signal that ends the exchange early.
     pub cancel: &'a mut CancelSignal,
@@ -79,7 +80,8 @@
     },
     /// The worker refused the connection.
     Refused,
-    /// No connection was established, and nothing was sent.
+    /// No connection was established, or a new connection closed before a byte of the request was written.
+    /// Nothing was sent.
     Unreachable,
     /// The send permit became invalid before a byte was written.
     PermitInvalid,
@@ -96,7 +98,7 @@
         /// Origin of the connection.
         origin: ConnectionOrigin,
     },
-    /// The exchange was cancelled before a response. The connection was closed if there was one.
+    /// The exchange was cancelled before a response. The connection, if there was one, was closed.
     Cancelled {
         /// Delivery state of the request.
         delivery: Delivery,
@@ -112,7 +114,8 @@
 }
 
 impl Exchange<'_> {
-    /// Sends the request and waits for its response.
+    /// Sends the request and waits for its response. Repeats this over another connection for as long as a
+    /// reused connection closes before a byte was written.
     pub async fn run(mut self, pool: &Rc<ConnectionPool>) -> ExchangeOutcome {
         loop {
             if let Some(outcome) = self.try_once(pool).await {
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -33,7 +33,7 @@
 pub use crate::upstream::payload::{IDEMPOTENCY_KEY, RequestPayload, X_DEADLINE, X_REQUEST_ID};
 use crate::upstream::pool::ConnectionPool;
 
-/// Runs the attempts at all workers. Clones share one pool of connections.
+/// Client that runs the attempts at all workers. Clones share one pool of connections.
 #[derive(Clone)]
 pub struct UpstreamClient {
     runner: Rc<AttemptRunner>,
@@ -73,7 +73,8 @@
         self.runner.pool.set_descriptor_share(share);
     }
 
-    /// Returns the cancellations that no worker has acknowledged yet, to be handed over to the peer process.
+    /// Returns the cancellations in progress, none of which its worker has acknowledged yet. They are to be
+    /// handed over to the peer process.
     pub fn unacknowledged_cancellations(&self) -> Vec<CancellationTarget> {
         self.runner.canceller.unacknowledged()
     }
--- a/crates/node/src/upstream/payload.rs
+++ b/crates/node/src/upstream/payload.rs
@@ -16,7 +16,8 @@
 /// Header by which a worker recognises another attempt of the same job.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// A request to a worker, which may be sent several times.
+/// A request to a worker. Clones share the body, so that the request can be passed to another connection if
+/// the first one closes before a byte was written.
 pub type UpstreamRequest = Request<Full<Bytes>>;
 
 /// A client's request as it is sent to workers.
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -60,7 +60,7 @@
     #[error("the connection closed before a byte of the request was written")]
     NothingWritten(#[source] hyper::Error),
     /// The connection broke or closed before a response, and the worker may have received the request.
-    #[error("the connection broke or ended before a response")]
+    #[error("the connection broke or closed before a response")]
     ConnectionLost(#[source] hyper::Error),
     /// The bytes from the worker are not a valid HTTP response, and the worker may have received the request.
     #[error("the response is malformed")]
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub struct IdleConnections {
     generation: AddressGeneration,
-    /// Connections in the order in which they were last used.
+    /// Connections ordered by the time of their last use, the earliest first.
     connections: Vec<Connection>,
 }
 
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! | state | held by | left by |
 //! | --- | --- | --- |
-//! | dialled | [`ConnectionPool::obtain`] | success: in use; failure: closed |
+//! | being dialled | [`ConnectionPool::obtain`] | success: in use; failure: closed |
 //! | in use | the caller | [`ConnectionPool::recycle`]: idle, if its response was received completely and its worker's connections were not discarded; otherwise closed |
 //! | idle | [`IdleConnections`] | `obtain`: reserved; expiry, discarding, or an exhausted budget: closed |
 //! | reserved | [`ReservedConnection`], until the end of [`REUSE_DELAY`] | in use; idle again, if the caller stops waiting |
@@ -40,7 +40,8 @@
 /// Maximum size of the body of a worker's response, in bytes. Responses with a longer body count as
 /// malformed.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 << 10;
-/// Maximum time to wait for the end of a response in order to reuse its connection.
+/// Maximum time for reading the body of a response in order to reuse its connection, and after that the
+/// maximum time until the connection can carry another request.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between two checks of the idle connections for expiry.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
@@ -71,8 +72,9 @@
     /// Returns the idle time after which a connection is not reused.
     ///
     /// Workers may close or reset a connection that was idle for far less than the keep-alive time that they
-    /// announce. A request that is written at that time may or may not have arrived, which costs more than
-    /// any number of new connections. Half of the announced time is well before workers close a connection.
+    /// announce. If a request is written at the time of the close, it is unknown whether the request has
+    /// arrived, which costs more than any number of new connections. Half of the announced time is well
+    /// before workers close a connection.
     fn max_idle(&self) -> Duration {
         self.config.options.get().max_reuse_idle.duration().min(self.config.keepalive / 2)
     }
@@ -87,8 +89,8 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes expired connections until the future is dropped. The worker closes expired connections too, and
-    /// a request that is written to one at that time would be lost.
+    /// Closes expired connections until the future is dropped. Workers close expired connections too, and a
+    /// request that is written at the time of the close would be lost.
     pub async fn sweep_idle_connections(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -138,8 +140,9 @@
         self.idle.borrow().get(&address).is_some_and(|idle| idle.is_current(connection))
     }
 
-    /// Returns a connection to the pool on which nothing was written since it was taken. Closes the
-    /// connection instead if no permit is free, because another request may be waiting for its permit.
+    /// Returns a taken connection, on which nothing was written, to the pool. Closes the connection instead if
+    /// its worker's connections were discarded, or if no permit is free: another request may be waiting for
+    /// the permit of this connection.
     fn return_unused(&self, address: SocketAddr, connection: Connection) {
         if self.config.budget.free() == 0 {
             return;
@@ -222,7 +225,7 @@
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The body took longer than [`RESPONSE_END_TIMEOUT`].
-    #[error("it does not end")]
+    #[error("the body did not end in time")]
     TimedOut,
 }
 
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -28,7 +28,7 @@
 pub use scripted_server::{ReceivedRequest, ScriptedServer, next_request_at_either};
 pub use system_sockets::{close_and_wait_for_arrival, wait_for_unread_bytes};
 
-/// Maximum time of every wait in these tests, far longer than any wait takes.
+/// Maximum duration of each wait in these tests. It is far longer than any wait takes in a test that passes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polls `condition` until it holds. Panics with `failure` after [`TEST_TIMEOUT`].
--- a/crates/node/tests/common/node_config.rs
+++ b/crates/node/tests/common/node_config.rs
@@ -4,6 +4,7 @@
 
 use super::scripted_discovery::endpoint_list_json;
 
+/// Value of `settings` in the configuration of a test node.
 const SETTINGS: &str = r#"{"balancers":1,"rank":0,"zone":0,"discovery":"subscribe","localities":["a"],"kinds":["m"],
 "services":[
 {"name":"view","idempotency":"safe","objectiveUs":9000000,"giveUpUs":9000000,"worth":1.0},
@@ -25,20 +26,20 @@
     )
 }
 
-/// Like [`node_config`], with an admin address.
+/// Returns the configuration of [`node_config`] with an admin address.
 pub fn node_config_with_admin(discovery: SocketAddr, endpoints: &[String]) -> String {
     node_config(discovery, endpoints).replacen('{', r#"{"console":"127.0.0.1:0","#, 1)
 }
 
-/// Like [`node_config_with_admin`], with a connect timeout that is long enough for a worker on a busy
-/// machine.
+/// Returns the configuration of [`node_config_with_admin`] with a connect timeout that is long enough for a
+/// worker on a busy machine.
 pub fn node_config_for_handover(discovery: SocketAddr, endpoints: &[String]) -> String {
     node_config_with_admin(discovery, endpoints)
         .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":6000000"#)
 }
 
-/// Like [`node_config`], with a connect timeout and latency objectives that no test reaches, even on a busy
-/// machine.
+/// Returns the configuration of [`node_config`] with a connect timeout and latency objectives that no test
+/// reaches, even on a busy machine.
 pub fn node_config_with_long_timeouts(discovery: SocketAddr, endpoints: &[String]) -> String {
     node_config(discovery, endpoints)
         .replace(r#""connectTimeoutUs":500000"#, r#""connectTimeoutUs":30000000"#)
--- a/crates/node/tests/common/node_requests.rs
+++ b/crates/node/tests/common/node_requests.rs
@@ -41,8 +41,8 @@
         Node::start_with_config(workers, node_config)
     }
 
-    /// Like [`Node::start_with_workers`], with the configuration that `config` returns for discovery's
-    /// address and the known endpoints.
+    /// Does the same as [`Node::start_with_workers`] with the configuration that `config` returns for
+    /// discovery's address and the known endpoints.
     pub fn start_with_config(
         workers: &[(&str, &ScriptedServer)],
         config: impl Fn(SocketAddr, &[String]) -> String,
@@ -92,13 +92,14 @@
         send_request(self.address, &callback_request(body)).status()
     }
 
-    /// Posts a worker's callback on a job, which the node must acknowledge.
-    pub fn post_callback(&self, id: &str, from: &str, rest: &str) {
-        let body = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
+    /// Posts the callback of the worker `from` on the job `id`, with these other fields. Asserts that the
+    /// node acknowledges the callback.
+    pub fn post_callback(&self, id: &str, from: &str, fields: &str) {
+        let body = format!(r#"{{"id":"{id}","from":"{from}",{fields}}}"#);
         assert_eq!(self.send_callback(&body), 204, "{body}");
     }
 
-    /// Posts the callback that completes a job with the result `x`.
+    /// Posts the callback with which the worker `from` completes a job with the result `x`.
     pub fn post_completion(&self, id: &str, from: &str) {
         self.post_callback(id, from, COMPLETION_FIELDS);
     }
--- a/crates/node/tests/common/process.rs
+++ b/crates/node/tests/common/process.rs
@@ -31,7 +31,7 @@
         Node::spawn_with_operator_file(config, descriptor_limit, None)
     }
 
-    /// Like [`Self::spawn`], with an operator file of this text.
+    /// Does the same as [`Self::spawn`] with an operator file of this text, if there is one.
     fn spawn_with_operator_file(
         config: &str,
         descriptor_limit: u32,
@@ -91,8 +91,8 @@
             .args(["-c", r#"ulimit -n "$0" && exec "$1""#, &descriptor_limit.to_string()])
             .arg(program)
             .env("RELAY_CONFIG", file)
-            // Nodes of other tests have the same configured address and must not find the handover socket of
-            // this node.
+            // Nodes of other tests have the same configured address and must not find the rendezvous socket
+            // of this node.
             .env("TMPDIR", directory)
             .stderr(Stdio::piped())
             .spawn()
@@ -139,11 +139,11 @@
         Node::wait_until_serving(Node::spawn_with_operator_file(config, 1024, Some(operator)))
     }
 
-    /// Like [`Self::start_with_operator_file`], but nothing reads standard error after the first line.
-    /// Dropping the second returned value closes the pipe.
+    /// Does the same as [`Self::start_with_operator_file`], but nothing reads standard error after the first
+    /// line. Dropping the second returned value closes the pipe.
     pub fn start_with_blocked_stderr(config: &str, operator: &str) -> (Node, impl Sized) {
         let (mut child, file) = Node::spawn_with_operator_file(config, 1024, Some(operator));
-        let mut stderr = BufReader::new(child.stderr.take().expect("piped"));
+        let mut stderr = BufReader::new(child.stderr.take().expect("standard error is not piped"));
         let mut line = String::new();
         stderr.read_line(&mut line).expect("reading the first log line failed");
         let (_, log_lines) = channel();
@@ -161,7 +161,7 @@
     /// Collects the log lines of a spawned process and waits until a line states the address at which it
     /// serves.
     pub fn wait_until_serving((mut child, file): (Child, String)) -> Node {
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("standard error is not piped")).lines();
         let (line_queue, log_lines) = channel();
         // Reads all lines, because the pipe must not fill up in tests that read no log lines.
         thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = line_queue.send(line)));
@@ -232,9 +232,9 @@
         self.pause_with_events(|| {})
     }
 
-    /// Like [`Self::pause`], but the node receives the data that `events` sends together with the signal that
-    /// pauses it. The node handles that data right after the pause, before anything that arrives during the
-    /// pause.
+    /// Does the same as [`Self::pause`], but the node receives the data that `events` sends together with the
+    /// signal that pauses it. The node handles that data right after the pause, before anything that arrives
+    /// during the pause.
     pub fn pause_with_events(&self, events: impl FnOnce()) -> PausedNode {
         let text = std::fs::read_to_string(&self.file).expect("reading the configuration failed");
         std::fs::remove_file(&self.file).expect("removing the configuration failed");
--- a/crates/node/tests/common/scripted_discovery.rs
+++ b/crates/node/tests/common/scripted_discovery.rs
@@ -43,7 +43,7 @@
         watch
     }
 
-    /// Returns the list version after which the node requests changes.
+    /// Returns the index of the endpoint list after which the node requests changes.
     pub fn since(&self) -> &str {
         self.0
             .message
@@ -51,7 +51,7 @@
             .split("since=")
             .nth(1)
             .and_then(|s| s.split(' ').next())
-            .expect("the request states no version")
+            .expect("the request states no index")
     }
 
     /// Sends a line as a chunk of its own.
@@ -65,15 +65,14 @@
         self.send_line(&endpoint_list_json(index, snapshot, endpoints));
     }
 
-    /// Like [`Self::send_endpoints`], but also waits until the node has read the line.
+    /// Does the same as [`Self::send_endpoints`], and waits until the node has read the line.
     pub fn send_endpoints_and_wait(&self, index: u64, snapshot: bool, endpoints: &[String], node: &Node) {
         let before = node.counter(LISTS_READ);
         self.send_endpoints(index, snapshot, endpoints);
         wait_for_counter(node, LISTS_READ, before + 1);
     }
 
-    /// Like [`Self::send_line`], for a node that may have closed the watch. Returns whether the line was
-    /// written.
+    /// Sends a line to a node that may have closed the watch. Returns whether the line was written.
     pub fn try_send_line(&self, line: &str) -> bool {
         self.try_write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
     }
@@ -83,8 +82,7 @@
         self.0.write_raw(bytes);
     }
 
-    /// Like [`Self::write_raw`], for a node that may have closed the watch. Returns whether the bytes were
-    /// written.
+    /// Writes these bytes to a node that may have closed the watch. Returns whether the bytes were written.
     pub fn try_write(&self, bytes: &str) -> bool {
         self.0.try_write(bytes)
     }
@@ -112,9 +110,9 @@
 }
 
 /// Returns an endpoint as discovery lists it.
-pub fn endpoint_json(name: &str, at: SocketAddr, status: &str) -> String {
+pub fn endpoint_json(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
-        r#"{{"name":"{name}","address":"{at}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
--- a/crates/node/tests/common/scripted_peer.rs
+++ b/crates/node/tests/common/scripted_peer.rs
@@ -25,10 +25,12 @@
         ScriptedPeer { stream, decoder: Decoder::default() }
     }
 
-    /// Connects to the node's handover socket and sends nothing yet.
+    /// Connects to the node's rendezvous socket and sends nothing yet.
     pub fn connect(node: &Node) -> ScriptedPeer {
         let path = format!("{}/curlewusher-127.0.0.1-0.sock", node.temp_directory());
-        ScriptedPeer::on_stream(UnixStream::connect(path).expect("connecting to the handover socket failed"))
+        ScriptedPeer::on_stream(
+            UnixStream::connect(path).expect("connecting to the rendezvous socket failed"),
+        )
     }
 
     /// Takes over from the node as its successor: sends the hello, receives the listener, and requests the
@@ -49,7 +51,7 @@
         ScriptedPeer::accept_successor_with_snapshot(config, listener, "".into())
     }
 
-    /// Like [`Self::accept_successor`], but also sends a state snapshot.
+    /// Does the same as [`Self::accept_successor`], and also sends a state snapshot.
     pub fn accept_successor_with_snapshot(
         config: &str,
         listener: &TcpListener,
@@ -57,11 +59,11 @@
     ) -> (ScriptedPeer, Node) {
         let file = Node::write_config_file(config);
         let directory = format!("{file}.d");
-        let handover_socket = UnixListener::bind(format!("{directory}/curlewusher-127.0.0.1-0.sock"))
-            .expect("binding the handover socket failed");
+        let rendezvous_socket = UnixListener::bind(format!("{directory}/curlewusher-127.0.0.1-0.sock"))
+            .expect("binding the rendezvous socket failed");
         let child = Node::spawn_in(&directory, &file, 1024, None);
         let mut predecessor = ScriptedPeer::on_stream(
-            handover_socket.accept().expect("accepting the handover connection failed").0,
+            rendezvous_socket.accept().expect("accepting the handover connection failed").0,
         );
         assert!(matches!(predecessor.next_frame(), (_, Frame::Hello { .. })));
         predecessor.send_with_descriptor(listener, b"+");
--- a/crates/node/tests/common/scripted_server.rs
+++ b/crates/node/tests/common/scripted_server.rs
@@ -38,8 +38,8 @@
         (&self.stream).write_all(bytes.as_bytes()).expect("writing to the node failed");
     }
 
-    /// Like [`Self::write_raw`], for a node that may have closed the connection. Returns whether the bytes
-    /// were written.
+    /// Writes these bytes to a node that may have closed the connection. Returns whether the bytes were
+    /// written.
     pub fn try_write(&self, bytes: &str) -> bool {
         (&self.stream).write_all(bytes.as_bytes()).is_ok()
     }
@@ -106,7 +106,7 @@
             .unwrap_or_else(|| self.events.recv_timeout(TEST_TIMEOUT).expect("no request or close arrived"))
     }
 
-    /// Waits for the close of this connection. Events of other connections remain to be received.
+    /// Waits for the close of this connection. Events of other connections stay queued for the test.
     pub fn wait_for_connection_close(&self, connection: usize) {
         let (mut others, mut event) = (VecDeque::new(), self.next_event());
         while event.connection != connection {
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -1,5 +1,5 @@
 //! Upgrades with two or three processes of one node: exits in every order, callbacks and operator commands at
-//! either process, and an unusable handover socket.
+//! either process, and an unusable rendezvous socket.
 //!
 //! The tests do not assume which process answers a job that is in flight during an upgrade. They assert that
 //! its client gets exactly one correct response and its worker one delivery attempt.
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn handover_socket_cannot_be_bound_then_error_is_logged_once_and_next_process_serves_too() {
+fn rendezvous_socket_cannot_be_bound_then_error_is_logged_once_and_next_process_serves_too() {
     let scenario = UpgradeScenario::new(1);
     let discovery = [ScriptedServer::start(), ScriptedServer::start()];
     let configs = discovery
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn handover_socket_path_is_occupied_then_node_serves_nevertheless() {
+fn rendezvous_socket_path_is_occupied_then_node_serves_nevertheless() {
     let scenario = UpgradeScenario::new(1);
     // A stale socket, a file, two sockets of another program (one never answers, one sends invalid data), and
     // a directory, which cannot be replaced.
