--- a/crates/node/tests/withdrawals/mod.rs
+++ b/crates/node/tests/cancellations/mod.rs
@@ -16,7 +16,7 @@
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 5.0);
         let request = worker.next_request();
-        // The stopped node finds both events when it continues: the disconnection of its client and the 202.
+        // The stopped node finds both events when it continues: the disconnect of its client and the 202.
         node.signal("-STOP");
         drop(client);
         request.accept();
--- a/crates/node/tests/client_connections/mod.rs
+++ b/crates/node/tests/client_connections/mod.rs
@@ -1,5 +1,4 @@
-//! Connections of clients that disconnect, that send while the node closes the connection, or that do not
-//! read their responses.
+//! Client connections: disconnects, requests that cross a close, and clients that read no responses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,32 +14,26 @@
 /// Closes a connection, with a reset if `reset` is set.
 fn close(stream: TcpStream, reset: bool) {
     if reset {
-        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option of any socket");
+        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("setting the socket option failed");
     }
     drop(stream);
 }
 
 #[test]
 fn client_pipelines_data_and_disconnects_then_disconnect_is_noticed_and_job_is_not_sent() {
-    // The node has no worker, so that each job waits. The node reads the close of a client after the bytes
-    // that the client pipelined.
+    // No worker is listed, so each job waits. The node reads a client's pipelined bytes before its close.
     let (node, watch, _discovery) = Node::start_with_workers(&[]);
-    let noticed_disconnects = || node.counter("curlewusher_clients_gone_total");
-    let mut client_count = 0;
-    for pipelined_length in [0, 3, 40, 200 << 10] {
+    let noticed = || node.counter("curlewusher_clients_gone_total");
+    let mut closed = 0;
+    for length in [0, 3, 40, 200 << 10] {
         for reset in [false, true] {
-            let accepted = node.counter("curlewusher_jobs_taken_total");
-            let mut client = node.submit_job(&format!("r{client_count}"), "view", 60.0);
-            wait_until("the job was not accepted", || {
-                node.counter("curlewusher_jobs_taken_total") > accepted
-            });
-            client.write_all("x".repeat(pipelined_length).as_bytes()).expect("the node still reads");
+            let before = node.counter("curlewusher_jobs_taken_total");
+            let mut client = node.submit_job(&format!("r{closed}"), "view", 60.0);
+            wait_until("the job was not accepted", || node.counter("curlewusher_jobs_taken_total") > before);
+            client.write_all("x".repeat(length).as_bytes()).expect("writing to the node failed");
             close(client, reset);
-            client_count += 1;
-            wait_until(
-                &format!("a disconnect after {pipelined_length} bytes was not noticed, reset: {reset}"),
-                || noticed_disconnects() == client_count,
-            );
+            closed += 1;
+            wait_until(&format!("no disconnect seen: {length} bytes, reset {reset}"), || noticed() == closed);
         }
     }
     let worker = ScriptedServer::start();
@@ -77,15 +70,14 @@
         assert_eq!(received.message.header("x-request-id"), Some(id));
         received.accept();
         node.post_completion(id, "s-1");
-        assert_eq!(client.read_response().expect("a response").status(), 200);
+        assert_eq!(client.read_response().expect("no response").status(), 200);
     }
 }
 
-/// Returns whether a connection was reset. First waits for the response to another request, before which the
-/// node handles all earlier events.
+/// Returns whether a connection was reset. The node first answers another request, after all earlier events.
 fn is_reset(stream: &TcpStream, node: &Node) -> bool {
     node.get("/ready");
-    stream.take_error().expect("an option of any socket").is_some()
+    stream.take_error().expect("reading the socket error failed").is_some()
 }
 
 /// Reads responses up to an orderly close. Returns their statuses.
@@ -133,27 +125,26 @@
     // A job in flight keeps the node running.
     let client = node.submit_accepted_job(&worker, "r1", "view", 9.0);
     node.signal("-TERM");
-    assert_eq!(idle.read(&mut [0]).expect("an orderly close"), 0);
-    idle.write_all(job_request("r2", "view", 9.0, "").as_bytes()).expect("the node still accepts the bytes");
+    assert_eq!(idle.read(&mut [0]).expect("the node reset the connection"), 0);
+    idle.write_all(job_request("r2", "view", 9.0, "").as_bytes()).expect("writing to the node failed");
     assert!(!is_reset(&idle, &node));
     node.complete_job(client, "r1", "s-1");
     assert!(node.wait_for_exit().status.success());
     assert!(!worker.has_pending_request());
 }
 
-const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// Opens an idle connection, on which one request was answered.
 fn connect_idle_client(node: &Node) -> TcpStream {
-    let stream = open_request(node.address, READY);
-    assert_eq!(HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("a response").status(), 200);
+    let stream = open_request(node.address, READY_REQUEST);
+    assert_eq!(HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("no response").status(), 200);
     stream
 }
 
-/// Waits until the node has closed an idle connection. From then on the node exits as soon as no job is in
-/// flight.
+/// Waits for the close of an idle connection. From then on the node exits as soon as no job is in flight.
 fn wait_for_close(mut idle: TcpStream) {
-    assert_eq!(idle.read(&mut [0]).expect("an orderly close"), 0);
+    assert_eq!(idle.read(&mut [0]).expect("the node reset the connection"), 0);
 }
 
 /// Accepts and completes the next `count` jobs at the worker.
@@ -161,12 +152,11 @@
     for _ in 0..count {
         let received = worker.next_request();
         received.accept();
-        node.post_completion(received.message.header("x-request-id").expect("a job has an id"), "s-1");
+        node.post_completion(received.message.header("x-request-id").expect("no job id"), "s-1");
     }
 }
 
-/// Asserts that each client gets this status and the close of its connection, and that the node then exits
-/// with success.
+/// Asserts that each client gets this status and a close, and that the node then exits with success.
 fn assert_answered_before_exit(node: Node, clients: impl IntoIterator<Item = TcpStream>, status: u16) {
     for client in clients {
         let response = read_response(client);
@@ -184,13 +174,12 @@
     wait_until("the node did not become unready", || node.get("/ready").status() != 200);
     let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
     // The first request is cut in its head, the second in its body.
-    let mut parts =
-        requests.iter().zip([30, requests[1].len() - 2]).map(|(request, cut)| request.split_at(cut));
+    let mut parts = requests.iter().zip([30, requests[1].len() - 2]).map(|(text, cut)| text.split_at(cut));
     let mut clients: Vec<_> =
         parts.by_ref().map(|(first_part, rest)| (open_request(node.address, first_part), rest)).collect();
     wait_for_close(idle);
     for (client, rest) in &mut clients {
-        client.write_all(rest.as_bytes()).expect("the node still reads");
+        client.write_all(rest.as_bytes()).expect("writing to the node failed");
     }
     wait_until("not all jobs were accepted", || node.counter("curlewusher_jobs_taken_total") == 3);
     node.post_completion("r1", "s-1");
@@ -209,12 +198,12 @@
     let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
     let mut clients = [used, open_request(node.address, "")];
     for (client, request) in clients.iter_mut().zip(&requests) {
-        client.write_all(&request.as_bytes()[..30]).expect("the node reads");
+        client.write_all(&request.as_bytes()[..30]).expect("writing to the node failed");
     }
     wait_for_close(idle);
     node.complete_job(first, "r1", "s-1");
     for (client, request) in clients.iter_mut().zip(&requests) {
-        client.write_all(&request.as_bytes()[30..]).expect("the node still reads");
+        client.write_all(&request.as_bytes()[30..]).expect("writing to the node failed");
     }
     complete_next_jobs(&node, &worker, clients.len());
     assert_answered_before_exit(node, clients, 200);
@@ -230,7 +219,7 @@
     let request = job_request("r1", "view", 9.0, "");
     let clients = [used, open_request(node.address, "")];
     for mut client in &clients {
-        client.write_all(&request.as_bytes()[..30]).expect("the node reads");
+        client.write_all(&request.as_bytes()[..30]).expect("writing to the node failed");
     }
     wait_for_close(idle);
     assert_answered_before_exit(node, clients, 503);
@@ -246,7 +235,7 @@
     node.signal("-TERM");
     wait_for_close(idle);
     let slow = open_request(node.address, "POST /api/k1 HTTP/1.1\r\nX-Filler: ");
-    let mut writer = slow.try_clone().expect("the system duplicates a descriptor");
+    let mut writer = slow.try_clone().expect("duplicating the stream failed");
     // Sends until the node closes the connection, at most for 10 s, the maximum duration of a request.
     let sending = std::thread::spawn(move || {
         (0..100).all(|_| {
@@ -256,16 +245,15 @@
     });
     assert_eq!(read_response(first).status(), 503);
     assert_answered_before_exit(node, [slow], 503);
-    assert!(!sending.join().expect("no panic"), "the slow client was not cut off");
+    assert!(!sending.join().expect("the client's thread panicked"), "the slow client was not cut off");
 }
 
-/// Sends a job on one new connection after the other until the node refuses one. Each job before that must
-/// get 503.
+/// Sends a job on one new connection after another until the node refuses one. Each job must get 503.
 fn send_until_refused(address: SocketAddr, request: &str) {
     while let Ok(mut stream) = TcpStream::connect(address) {
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("an option of any socket");
-        stream.write_all(request.as_bytes()).expect("the node reads");
-        let response = HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("a response");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the socket option failed");
+        stream.write_all(request.as_bytes()).expect("writing to the node failed");
+        let response = HttpMessage::read(&mut std::io::BufReader::new(&stream)).expect("no response");
         assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
     }
 }
@@ -284,36 +272,34 @@
         std::thread::spawn(move || send_until_refused(address, &request))
     });
     for client in clients {
-        client.join().expect("the node answers each connection");
+        client.join().expect("the client's thread panicked");
     }
     assert!(node.wait_for_exit().status.success());
 }
 
-/// Connects a client that requests more than the system buffers for it, and reads only the first bytes.
-fn connect_client_that_reads_nothing(node: &Node) -> TcpStream {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("an option of any socket");
-    // The system buffers a few dozen segments for the client. Without this limit each has 64 KiB on the
-    // loopback interface.
-    socket.set_tcp_mss(1460).expect("an option of any TCP socket");
-    socket.connect(&node.address.into()).expect("the node listens");
+/// Connects a client that requests more than the system buffers for it and reads only the first bytes.
+fn connect_stalled_client(node: &Node) -> TcpStream {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("no socket");
+    socket.set_recv_buffer_size(4096).expect("setting the socket option failed");
+    // The system buffers a few dozen segments. Without this limit each has 64 KiB on the loopback interface.
+    socket.set_tcp_mss(1460).expect("setting the socket option failed");
+    socket.connect(&node.address.into()).expect("connecting to the node failed");
     let mut stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("an option of any socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the socket option failed");
     let request = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
-    stream.write_all(request.repeat(420).as_bytes()).expect("the node reads");
-    stream.read_exact(&mut [0; 12]).expect("a response");
+    stream.write_all(request.repeat(420).as_bytes()).expect("writing to the node failed");
+    stream.read_exact(&mut [0; 12]).expect("no response");
     stream
 }
 
 #[test]
 fn job_arrives_after_final_response_of_shutdown_then_it_gets_503_with_retry_after() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let _slow_client = connect_client_that_reads_nothing(&node);
+    let _slow_client = connect_stalled_client(&node);
     let idle = connect_idle_client(&node);
     node.signal("-TERM");
     wait_for_close(idle);
-    // No job is in flight, and a response that the client does not read keeps the node running a little
-    // longer.
+    // No job is in flight. The response that the slow client does not read keeps the node running briefly.
     let response = send_request(node.address, &job_request("r1", "view", 9.0, ""));
     assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
     assert!(response.header("retry-after").is_some());
@@ -338,13 +324,12 @@
     assert!(node.wait_for_exit().status.success());
 }
 
-/// Starts a worker, and a node with that worker in its list and with 64 file descriptors. Also returns the
-/// watch of the node, and discovery.
+/// Starts a worker, and a node with 64 file descriptors that lists it. Also returns its watch and discovery.
 fn start_with_64_descriptors() -> (ScriptedServer, Node, ScriptedWatch, ScriptedServer) {
     let worker = ScriptedServer::start();
-    let known = [worker.endpoint_json("s-1", "in_service")];
-    let config = |discovery, known: &[String]| node_config(discovery, known).replace("1024", "64");
-    let (node, watch, discovery) = Node::start_with_endpoints(&known, 64, config);
+    let endpoints = [worker.endpoint_json("s-1", "in_service")];
+    let config = |discovery, endpoints: &[String]| node_config(discovery, endpoints).replace("1024", "64");
+    let (node, watch, discovery) = Node::start_with_endpoints(&endpoints, 64, config);
     (worker, node, watch, discovery)
 }
 
@@ -354,19 +339,17 @@
     wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     let pipelined = "x".repeat(60 << 10);
     let build_bad_request = |kind: usize| match kind {
-        // In this order: rejected, with pipelined data; rejected in its body, with pipelined data; a partial
-        // head; no bytes; valid, with a partial request behind it.
+        // Unknown path and invalid chunk with pipelined data; partial head; nothing; partial second request.
         0 => "POST /elsewhere HTTP/1.1\r\nContent-Length: 60000\r\n\r\n".to_owned() + &pipelined,
         1 => "POST /api/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_owned() + &pipelined,
         2 => "POST /api".to_owned(),
         3 => String::new(),
-        _ => READY.to_owned() + "GET /and",
+        _ => READY_REQUEST.to_owned() + "GET /and",
     };
-    // Three of four clients disconnect at once, one of them with a reset. The others stay until the node
-    // closes their connections.
+    // Three of four clients disconnect at once, one with a reset. The fourth stays until the node closes.
     let mut kept_clients = Vec::new();
     for n in 0..300 {
-        let mut stream = TcpStream::connect(node.address).expect("the node listens");
+        let mut stream = TcpStream::connect(node.address).expect("connecting to the node failed");
         // The node may have evicted the connection already.
         let _ = stream.write_all(build_bad_request(n % 5).as_bytes());
         match n % 4 {
@@ -383,7 +366,7 @@
     // The node must close the remaining connections, with or without a reset.
     for mut stream in kept_clients {
         let mut bytes = Vec::new();
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("an option of any socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the socket option failed");
         let is_timeout = |e: std::io::Error| e.kind() == std::io::ErrorKind::WouldBlock;
         assert!(!stream.read_to_end(&mut bytes).is_err_and(is_timeout), "a connection stayed open");
     }
@@ -393,7 +376,7 @@
 fn clients_read_no_responses_then_they_yield_descriptors_to_a_job() {
     let (worker, node, _watch, _discovery) = start_with_64_descriptors();
     // More clients than the connection budget. Each blocks its responses and stays connected.
-    let _clients: Vec<_> = (0..40).map(|_| connect_client_that_reads_nothing(&node)).collect();
+    let _clients: Vec<_> = (0..40).map(|_| connect_stalled_client(&node)).collect();
     node.assert_serves(&worker, "r1", "view", "s-1");
 }
 
@@ -403,8 +386,7 @@
     let client = node.submit_accepted_job(&worker, "r1", "order", 60.0);
     node.signal("-TERM");
     assert_eq!(read_response(client).status(), 502);
-    // The worker receives the cancellation and does not respond. By the time of the second cancellation the
-    // node has closed all connections of clients.
+    // The worker does not respond. By the second cancellation the node has closed all client connections.
     for _ in 0..2 {
         worker.expect_cancellation("r1");
     }
@@ -443,13 +425,11 @@
     assert!(!worker.has_pending_request());
 }
 
-/// Sends the first part of each request at the time at which the drain of the node completes and the node
-/// closes idle connections. The first request goes over a connection on which a request was answered, the
-/// second over a new one. Returns the clients with the rest of their requests, or `None` if the node was
-/// paused too late or for too long, in which case the test must start again.
+/// Sends the first part of each request as the node's drain completes and idle connections close: the first
+/// on a connection that was used before, the second on a new one. Returns the clients and the rests of their
+/// requests, or `None` if the node was paused too late or for too long and the test must start again.
 fn send_partial_heads_as_drain_ends(node: &Node, requests: &[String; 2]) -> Option<Vec<(TcpStream, String)>> {
-    // The drain of this second node begins later, so that the first node's drain has completed once this node
-    // has exited.
+    // The drain of this second node begins later, so the first drain has completed once this node exits.
     let (timer_node, _watch, _discovery) = Node::start_with_workers(&[]);
     let control = connect_idle_client(node);
     let connections = [connect_idle_client(node), open_request(node.address, "")];
@@ -459,11 +439,11 @@
     node.signal("-TERM");
     node.wait_for_log_line("graceful shutdown started");
     let paused_node = node.pause();
-    control.set_nonblocking(true).expect("an option of any socket");
+    control.set_nonblocking(true).expect("setting the socket option failed");
     if control.peek(&mut [0]).is_ok() {
         return None;
     }
-    control.set_nonblocking(false).expect("an option of any socket");
+    control.set_nonblocking(false).expect("setting the socket option failed");
     timer_node.signal("-TERM");
     assert!(timer_node.wait_for_exit().status.success());
     // The deadline for the final responses is 3.3 s after SIGTERM.
@@ -473,7 +453,7 @@
     let mut clients = Vec::new();
     for (mut client, request) in connections.into_iter().zip(requests) {
         let (first_part, rest) = request.split_at(30);
-        client.write_all(first_part.as_bytes()).expect("the node reads");
+        client.write_all(first_part.as_bytes()).expect("writing to the node failed");
         clients.push((client, rest.to_owned()));
     }
     drop(paused_node);
@@ -491,7 +471,7 @@
         let requests = ["r2", "r3"].map(|id| job_request(id, "view", 9.0, ""));
         let Some(mut clients) = send_partial_heads_as_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut clients {
-            client.write_all(rest.as_bytes()).expect("the node still reads");
+            client.write_all(rest.as_bytes()).expect("writing to the node failed");
         }
         let worker = ScriptedServer::start();
         watch.send_endpoints(43, false, &[worker.endpoint_json("s-1", "in_service")]);
@@ -509,7 +489,7 @@
         let requests = ["r1", "r2"].map(|id| job_request(id, "view", 9.0, ""));
         let Some(mut clients) = send_partial_heads_as_drain_ends(&node, &requests) else { return false };
         for (client, rest) in &mut clients {
-            client.write_all(rest.as_bytes()).expect("the node still reads");
+            client.write_all(rest.as_bytes()).expect("writing to the node failed");
         }
         assert_answered_before_exit(node, clients.into_iter().map(|(client, _)| client), 503);
         assert!(!worker.has_pending_request());
--- a/crates/node/tests/command_line/mod.rs
+++ b/crates/node/tests/command_line/mod.rs
@@ -10,24 +10,24 @@
     command.args(arguments).env_remove("RELAY_CONFIG").env_remove("CURLEWUSHER_OPERATOR");
     let path_stem = format!("{}/line-{:?}", env!("CARGO_TARGET_TMPDIR"), std::thread::current().id());
     if let Some(config) = config {
-        std::fs::write(format!("{path_stem}.json"), config).expect("the file can be written");
+        std::fs::write(format!("{path_stem}.json"), config).expect("writing the file failed");
         command.env("RELAY_CONFIG", format!("{path_stem}.json"));
     }
     if let Some(operator) = operator {
-        std::fs::write(format!("{path_stem}.toml"), operator).expect("the file can be written");
+        std::fs::write(format!("{path_stem}.toml"), operator).expect("writing the file failed");
         command.args(["--operator", &format!("{path_stem}.toml")]);
     }
-    command.output().expect("the program starts")
+    command.output().expect("starting the program failed")
 }
 
 /// Decodes output of the program.
 fn decode(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("the output is UTF-8")
+    std::str::from_utf8(bytes).expect("the output is not UTF-8")
 }
 
 /// Returns a valid configuration. Its discovery address is arbitrary, since no node is started with it.
 fn valid_config() -> String {
-    node_config("127.0.0.1:9".parse().expect("the address is valid"), &[])
+    node_config("127.0.0.1:9".parse().expect("the address is malformed"), &[])
 }
 
 #[test]
@@ -89,7 +89,7 @@
         assert!(decode(&output.stdout).contains("check") && output.status.success(), "{shell}");
     }
     let unknown_command = run(&["swerve"], None, None);
-    assert!(decode(&unknown_command.stderr).contains("serve"), "the error does not suggest a command");
+    assert!(decode(&unknown_command.stderr).contains("serve"), "the error suggests no command");
     assert_eq!(unknown_command.status.code(), Some(2));
 }
 
@@ -115,7 +115,7 @@
             (Some("dispatch"), Some(id)),
             "{line}"
         );
-        line["message"].as_str().expect("the message is a string").to_owned()
+        line["message"].as_str().expect("the event has no message").to_owned()
     };
     assert_eq!(
         [(); 4].map(|()| next_message("r1")),
@@ -153,10 +153,10 @@
     while node.counter(dropped) == 0 {
         assert_eq!(node.send_callback("{"), 400);
         requests += 1;
-        assert!(requests < 20_000, "standard error does not stall");
+        assert!(requests < 20_000, "standard error did not stall");
     }
     node.assert_serves(&worker, "r1", "view", "s-1");
     node.signal("-TERM");
     let output = node.wait_for_exit();
-    assert_eq!(output.status.code(), Some(0), "the stalled output must not delay the exit");
+    assert_eq!(output.status.code(), Some(0), "the exit failed while the output was stalled");
 }
--- a/crates/node/tests/configuration/mod.rs
+++ b/crates/node/tests/configuration/mod.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn configuration_is_invalid_then_one_error_line_names_the_field() {
-    let valid = node_config("127.0.0.1:1".parse().expect("the address is valid"), &[]);
+    let valid = node_config("127.0.0.1:1".parse().expect("the address is malformed"), &[]);
     let cases = [
         (valid.replace(r#""sendCap":3"#, r#""sendCap":"x""#), "limits.sendCap"),
         (valid.replace(r#""coldShare":0.2"#, r#""coldShare":7"#), "cold_share"),
@@ -17,8 +17,13 @@
     for (config, field) in cases {
         let (mut child, _) = Node::spawn(&config, 1024);
         let mut stderr = String::new();
-        child.stderr.take().expect("stderr is piped").read_to_string(&mut stderr).expect("the text is UTF-8");
-        assert!(!child.wait().expect("the node exits").success(), "{config}");
+        child
+            .stderr
+            .take()
+            .expect("stderr is not piped")
+            .read_to_string(&mut stderr)
+            .expect("reading stderr failed");
+        assert!(!child.wait().expect("waiting for the exit failed").success(), "{config}");
         assert!(stderr.contains(field) && stderr.lines().count() == 1, "{field}: {stderr}");
     }
 }
@@ -32,7 +37,7 @@
     node.wait_for_log_line("endpoint lease confirmed");
     for _ in 0..2 {
         node.reload_config("{");
-        assert!(node.next_log_line().contains("config: "), "an invalid file is not reported");
+        assert!(node.next_log_line().contains("config: "), "an invalid file was not reported");
         node.reload_config(
             &node_config(first_worker.address, &[]).replace(r#""discovery":"127"#, r#""discovery":"x"#),
         );
--- a/crates/node/tests/cpu_time/mod.rs
+++ b/crates/node/tests/cpu_time/mod.rs
@@ -24,11 +24,12 @@
 
 /// Returns the CPU time that a node has used so far.
 fn cpu_time(node: &Node) -> Duration {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).expect("the node is running");
-    let (_, fields) = stat.rsplit_once(')').expect("the process name is in parentheses");
+    let stat =
+        std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).expect("the node is not running");
+    let (_, fields) = stat.rsplit_once(')').expect("the process name has no parenthesis");
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = CPU_TIME_FIELDS
-        .map(|position| fields[position].parse::<u32>().expect("the field is a number of ticks"));
+        .map(|position| fields[position].parse::<u32>().expect("the field is not a number of ticks"));
     TICK * ticks.iter().sum()
 }
 
@@ -81,9 +82,9 @@
 #[test]
 fn worker_closes_each_connection_then_node_has_no_busy_loop() {
     // Guards against attempts and connections that are repeated without a backoff.
-    let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port is free");
+    let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("binding a port failed");
     let endpoints =
-        [endpoint_json("s-1", listener.local_addr().expect("the listener has an address"), "in_service")];
+        [endpoint_json("s-1", listener.local_addr().expect("the listener has no address"), "in_service")];
     thread::spawn(move || listener.incoming().for_each(drop));
     let discovery = ScriptedServer::start();
     let node = Node::start(&node_config(discovery.address, &endpoints));
--- a/crates/node/tests/delivery/mod.rs
+++ b/crates/node/tests/delivery/mod.rs
@@ -90,9 +90,9 @@
     worker.next_event().respond("503 Service Unavailable\r\nX-Not-Run: 1");
     worker.next_event().close();
     let lost = read_response(client);
-    assert_eq!(lost.status(), 502, "a rejection would state that a client retry is safe");
+    assert_eq!(lost.status(), 502, "the response states that a client retry is safe");
     assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 2);
-    // After a 503 without that header the job may have run.
+    // After a 503 without `X-Not-Run` the job may have run.
     let (node, _watch, _discovery) = Node::start_with_workers(&[("s-1", &worker)]);
     let client = node.submit_job("r2", "order", 5.0);
     worker.next_request().respond("503 Service Unavailable");
@@ -152,12 +152,12 @@
 /// connection and close the connection at the second request. Returns the number of jobs that arrived as a
 /// second request.
 fn count_requests_on_stale_connections(class: &str) -> usize {
-    const JOBS: usize = 30;
+    const JOB_COUNT: usize = 30;
     let ([one, two], node, watch, discovery) = Node::start_with_two_workers();
     let _heartbeats = watch.keep_alive(discovery);
     let mut used = HashSet::new();
     let mut stale_requests = 0;
-    for job in 0..JOBS {
+    for job in 0..JOB_COUNT {
         let id = format!("r{job}");
         let client = node.submit_job(&id, class, 9.0);
         let (worker, request) = loop {
--- a/crates/node/tests/endpoint_watch/mod.rs
+++ b/crates/node/tests/endpoint_watch/mod.rs
@@ -60,7 +60,7 @@
         wait_for_counter(&node, CHANGES, 1 + 2 * cut as u64);
         watch.write_raw(&chunk(&(list[cut..].to_owned() + "\n")));
         wait_for_counter(&node, CHANGES, 2 + 2 * cut as u64);
-        assert_eq!(node.counter(FAILURES), 0, "the list is split after {}", &list[..cut]);
+        assert_eq!(node.counter(FAILURES), 0, "reading failed for the list split after {}", &list[..cut]);
     }
     assert_all_jobs_go_to(&node, &second, "s-2", "r");
     assert!(
@@ -74,7 +74,7 @@
 fn list_is_indented_and_sent_byte_by_byte_then_it_is_read() {
     let ([first, second], node, watch, discovery) = Node::start_with_two_workers();
     wait_for_counter(&node, CHANGES, 2);
-    let unused_address = "127.0.0.1:9".parse().expect("a valid address");
+    let unused_address = "127.0.0.1:9".parse().expect("the address is malformed");
     let mut all_endpoints: Vec<_> = (0..200)
         .map(|i| endpoint_json(&format!(r#"s-{i}\\\"}}]{{["#), unused_address, "terminating"))
         .collect();
@@ -108,8 +108,8 @@
 fn list_has_no_final_newline_then_it_is_applied() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
-    let known = first.endpoint_json("s-1", "in_service");
-    let node = Node::start(&node_config(discovery.address, &[known]));
+    let endpoint = first.endpoint_json("s-1", "in_service");
+    let node = Node::start(&node_config(discovery.address, &[endpoint]));
     let list = endpoint_list_json(
         50,
         true,
@@ -134,7 +134,7 @@
             }
             assert!(
                 started_at.elapsed() < TEST_TIMEOUT,
-                "the watch does not count as stalled with {start:?} and {piece:?}"
+                "the watch did not count as stalled with {start:?} and {piece:?}"
             );
             // Discovery sends slowly. The node may have closed the connection meanwhile.
             thread::sleep(Duration::from_millis(50));
@@ -182,7 +182,7 @@
 fn next_hedged_poll(server: &ScriptedServer, unanswered: &ReceivedRequest) -> ReceivedRequest {
     let next = std::iter::repeat_with(|| server.next_event())
         .find(|event| !event.message.start_line.is_empty() || event.connection == unanswered.connection)
-        .expect("endless");
+        .expect("the iterator ended");
     assert_ne!(
         next.connection, unanswered.connection,
         "the unanswered poll was closed before a hedged poll was sent"
@@ -199,8 +199,8 @@
 fn discovery_pushes_lists_then_watch_opens_at_start_and_reopens_at_once() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
-    let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
-    let config = node_config(discovery.address, &known).replace(r#""subscribe""#, r#""automatic""#);
+    let endpoints = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
+    let config = node_config(discovery.address, &endpoints).replace(r#""subscribe""#, r#""automatic""#);
     let node = Node::start(&config);
     let watch = ScriptedWatch::open(&discovery);
     assert_eq!(watch.since(), "41");
@@ -270,7 +270,7 @@
     open_watch(&hedged, &endpoint_list_json(7, true, &[worker.endpoint_json("s-1", "in_service")]));
     new_discovery.wait_for_connection_close(unanswered.connection);
     old_discovery.wait_for_connection_close(0);
-    assert!(!old_discovery.has_pending_request(), "the node still polls the old address");
+    assert!(!old_discovery.has_pending_request(), "the node still polled the old address");
     assert_all_jobs_go_to(&node, &worker, "s-1", "r");
 }
 
@@ -278,13 +278,13 @@
 fn old_discovery_answers_after_change_of_address_then_its_list_is_applied() {
     let (discovery, first, second) =
         (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
-    let known = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
-    let node = Node::start(&node_config(discovery.address, &known));
+    let endpoints = [first.endpoint_json("s-1", "in_service"), second.endpoint_json("s-2", "in_service")];
+    let node = Node::start(&node_config(discovery.address, &endpoints));
     // The node becomes ready only with a first response. Its next poll is in flight when the address changes.
-    ScriptedWatch::open_with_endpoints(&discovery, &known).close();
+    ScriptedWatch::open_with_endpoints(&discovery, &endpoints).close();
     let earlier_poll = discovery.next_request();
     let new_discovery = ScriptedServer::start();
-    node.reload_config(&node_config(new_discovery.address, &known));
+    node.reload_config(&node_config(new_discovery.address, &endpoints));
     assert_eq!(polled_version(&new_discovery.next_request()), "0");
     // The node applies a drain even if a poll delivers it that was in flight when the address changed.
     open_watch(&earlier_poll, &endpoint_list_json(43, false, &[first.endpoint_json("s-1", "terminating")]));
--- a/crates/node/tests/job_requests/mod.rs
+++ b/crates/node/tests/job_requests/mod.rs
@@ -19,7 +19,8 @@
 
 #[test]
 fn no_worker_and_no_discovery_then_job_is_rejected_with_retry_after_before_deadline() {
-    let discovery = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port is free");
+    let discovery =
+        TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("binding a port failed");
     let node = Node::start(&node_config(discovery, &[]));
     assert_eq!(node.get("/ready").status(), 503);
     let response = send_request(node.address, &job_request("r1", "view", 0.3, ""));
@@ -27,7 +28,7 @@
     let retry_after_s: f64 = response
         .header("retry-after")
         .and_then(|v| v.parse().ok())
-        .expect("the response has a Retry-After header in seconds");
+        .expect("the response has no valid Retry-After");
     assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
     assert_eq!(node.counter("curlewusher_delivery_attempts_total"), 0);
 }
@@ -78,7 +79,7 @@
     let chunked = with_headers("Transfer-Encoding: chunked\r\n");
     let mut stream = open_request(node.address, &format!("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n{chunked}"));
     let mut responses = String::new();
-    stream.read_to_string(&mut responses).expect("the node closes the connection in order");
+    stream.read_to_string(&mut responses).expect("the node reset the connection");
     assert!(responses.starts_with("HTTP/1.1 200") && responses.contains("HTTP/1.1 400"), "{responses}");
     assert!(!worker.has_pending_request());
     assert_eq!(node.counter("curlewusher_jobs_taken_total"), 0);
@@ -113,17 +114,17 @@
         .chain([open_request(node.address, &partial_body)])
         .collect();
     // A partial second request on a connection whose first request was answered.
-    (&partial_clients[3]).write_all(b"POST /api").expect("the node reads");
+    (&partial_clients[3]).write_all(b"POST /api").expect("writing to the node failed");
     for (mut stream, expected) in partial_clients.into_iter().zip(["", "400", "400", "200", "408"]) {
         let mut response = String::new();
         let result = stream.read_to_string(&mut response);
         assert!(result.is_ok(), "{expected:?}: {response} {result:?}");
         assert_eq!(response.split(' ').nth(1).unwrap_or(""), expected, "{response}");
     }
-    idle.write_all(ready.as_bytes()).expect("the idle connection is open");
+    idle.write_all(ready.as_bytes()).expect("the idle connection was closed");
     let mut reader = std::io::BufReader::new(idle);
     for _ in 0..2 {
-        assert_eq!(HttpMessage::read(&mut reader).expect("a response").status(), 200);
+        assert_eq!(HttpMessage::read(&mut reader).expect("no response arrived").status(), 200);
     }
     assert!(!worker.has_pending_request());
 }
@@ -153,8 +154,8 @@
         r#""customers":[{"name":"marl","quotaPerS":0.001},{"name":"tern","quotaPerS":1000}],"#,
         r#""overShareWorth":0.01,"#
     );
-    let settings = |discovery, known: &[String]| {
-        node_config_with_long_timeouts(discovery, known)
+    let settings = |discovery, endpoints: &[String]| {
+        node_config_with_long_timeouts(discovery, endpoints)
             .replace(r#""settings":{"#, &format!(r#""settings":{{{tenants}"#))
     };
     let worker = ScriptedServer::start();
@@ -185,7 +186,7 @@
     // The worker serves the jobs one by one. The last job to arrive must not be the last one to be sent.
     let mut order = Vec::new();
     while let Some(received) = (order.len() < 41).then(|| worker.next_request()) {
-        let id = received.message.header("x-request-id").expect("a job has an id").to_owned();
+        let id = received.message.header("x-request-id").expect("the request has no job id").to_owned();
         received.accept();
         node.post_completion(&id, "s-1");
         let is_last_arrival = id == "r6";
--- a/crates/node/tests/log_events.rs
+++ b/crates/node/tests/log_events.rs
@@ -36,7 +36,7 @@
         assert_eq!(
             listed.get(event),
             Some(fields),
-            "fields of {event:?} in docs/on-call.md and in the sources"
+            "the fields of {event:?} differ between docs/on-call.md and the sources"
         );
     }
     for event in listed.keys() {
@@ -46,19 +46,19 @@
 
 /// Reads the events of the table, whose rows have the cells event, part, level, fields and meaning.
 fn read_table_events() -> LogEvents {
-    let page = fs::read_to_string(PAGE).expect("docs/on-call.md is readable");
+    let page = fs::read_to_string(PAGE).expect("reading docs/on-call.md failed");
     let rows = page.lines().skip_while(|line| !line.starts_with("## Log events")).skip(1);
     let rows = rows.take_while(|line| !line.starts_with("## ")).filter(|line| line.starts_with("| `"));
     let mut events = LogEvents::new();
     for row in rows {
         let cells: Vec<&str> = row.trim_matches('|').split('|').map(str::trim).collect();
         let [event, part, level, fields, meaning] = cells[..] else {
-            panic!("the row must have five cells: {row}")
+            panic!("the row does not have five cells: {row}")
         };
-        assert!(!meaning.is_empty(), "no meaning: {row}");
+        assert!(!meaning.is_empty(), "the row has no meaning: {row}");
         let key = EventKey { message: unquote(event), part: unquote(part), level: level.to_owned() };
         let fields = fields.split(',').map(unquote).filter(|field| !field.is_empty()).collect();
-        assert!(events.insert(key, fields).is_none(), "listed twice: {row}");
+        assert!(events.insert(key, fields).is_none(), "the event is listed twice: {row}");
     }
     events
 }
@@ -71,14 +71,14 @@
 /// places are merged.
 fn collect_source_events(directory: &Path) -> LogEvents {
     let mut events = LogEvents::new();
-    for entry in fs::read_dir(directory).expect("the directory is readable") {
-        let path = entry.expect("the directory entry is readable").path();
+    for entry in fs::read_dir(directory).expect("reading the directory failed") {
+        let path = entry.expect("reading the directory entry failed").path();
         if path.is_dir() {
             merge_events(&mut events, collect_source_events(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             merge_events(
                 &mut events,
-                parse_events(&fs::read_to_string(&path).expect("the source file is readable")),
+                parse_events(&fs::read_to_string(&path).expect("reading the source file failed")),
             );
         }
     }
@@ -132,14 +132,16 @@
 /// Parses the arguments of an event: its target, its fields and, last, its message.
 fn parse_event(level: &str, arguments: &[String]) -> (EventKey, BTreeSet<String>) {
     let [target, fields @ .., message] = arguments else {
-        panic!("an event needs a target and a message: {arguments:?}")
+        panic!("the event has no target or no message: {arguments:?}")
     };
-    let constant =
-        target.strip_prefix("target:").unwrap_or_else(|| panic!("no target: {arguments:?}")).trim();
+    let constant = target
+        .strip_prefix("target:")
+        .unwrap_or_else(|| panic!("the event has no target: {arguments:?}"))
+        .trim();
     let part = PARTS.iter().find(|(name, _)| *name == constant);
-    let (_, part) = part.unwrap_or_else(|| panic!("the target must be one of PARTS: {arguments:?}"));
+    let (_, part) = part.unwrap_or_else(|| panic!("the target is not one of PARTS: {arguments:?}"));
     let message = message.strip_prefix('"').and_then(|message| message.strip_suffix('"'));
-    let message = message.unwrap_or_else(|| panic!("the message must be a literal: {arguments:?}"));
+    let message = message.unwrap_or_else(|| panic!("the message is not a literal: {arguments:?}"));
     let field_name = |field: &String| {
         let name = field.split('=').next().unwrap_or_default();
         name.trim().trim_start_matches(['%', '?']).to_owned()
--- a/crates/node/tests/migration/mod.rs
+++ b/crates/node/tests/migration/mod.rs
@@ -20,7 +20,7 @@
     node.post_callback("r1", "s-1", r#""state":"returned""#);
     // The job did not run, so the node retries it at the same worker, which accepts it.
     worker.next_request().accept();
-    wait_until("the second attempt is not accepted", || {
+    wait_until("the second attempt was not accepted", || {
         node.counter("curlewusher_delivery_attempts_accepted_total") == 2
     });
     watch.send_endpoints_and_wait(43, false, &[other_worker.endpoint_json("s-2", "in_service")], &node);
@@ -89,7 +89,7 @@
 
 /// Disconnects a client and waits until the node has closed the connection.
 fn disconnect_client(mut client: TcpStream) {
-    client.shutdown(Shutdown::Write).expect("the connection is open");
+    client.shutdown(Shutdown::Write).expect("shutting down the connection failed");
     assert_eq!(client.read_to_end(&mut Vec::new()).unwrap_or(0), 0, "the node sent a response");
 }
 
@@ -101,7 +101,7 @@
     let worker = ScriptedServer::start();
     let (node, watch, discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_for_handover);
     let client = node.submit_accepted_job(&worker, "r1", "order", deadline_s);
-    wait_until("the attempt is not accepted", || {
+    wait_until("the attempt was not accepted", || {
         node.counter("curlewusher_delivery_attempts_accepted_total") == 1
     });
     let successor = ScriptedPeer::take_over(&node);
@@ -125,7 +125,7 @@
     let worker = ScriptedServer::start();
     let (node, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = node.submit_job("r1", "order", 9.0);
-    wait_until("the job is not accepted", || node.counter("curlewusher_jobs_taken_total") == 1);
+    wait_until("the job was not accepted", || node.counter("curlewusher_jobs_taken_total") == 1);
     let mut successor = ScriptedPeer::take_over(&node);
     let (seq, _) = successor.next_migrated_job();
     disconnect_client(client);
@@ -147,7 +147,7 @@
     assert_eq!(read_response(client).status(), 502);
     assert!(worker.next_request().message.start_line.starts_with("DELETE "));
     assert_eq!(successor.decoder.next_frame(), Ok(None), "a job migrated");
-    successor.stream.set_nonblocking(true).expect("the stream is a socket");
+    successor.stream.set_nonblocking(true).expect("making the stream non-blocking failed");
     let result = successor.stream.read(&mut [0]).map_err(|error| error.kind());
     assert_eq!(result, Err(ErrorKind::WouldBlock), "a job migrated, or the link was closed");
 }
@@ -189,14 +189,14 @@
     let workers = [ScriptedServer::start(), ScriptedServer::start()];
     let (predecessor, watch, _discovery) = Node::start_with_config(&[], node_config_for_handover);
     let client = predecessor.submit_job("r1", "order", 60.0);
-    wait_until("the job is not accepted", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
+    wait_until("the job was not accepted", || predecessor.counter("curlewusher_jobs_taken_total") == 1);
     let mut link_to_predecessor = ScriptedPeer::take_over(&predecessor);
     let (_, migration) = link_to_predecessor.next_migrated_job();
 
     // The successor receives the job, but the predecessor has closed the link before the confirmation
     // arrives.
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("the listener has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+    let address = listener.local_addr().expect("the listener has no address");
     let discovery = ScriptedServer::start();
     let endpoints = [workers[1].endpoint_json("s-1", "in_service")];
     let (mut link_to_successor, successor) =
@@ -206,10 +206,9 @@
     assert_eq!(request, Frame::TakeoverRequest);
     link_to_successor.send_frame(seq, &Frame::TakeoverGranted("".into()));
     // The scripted predecessor receives no further frame.
-    link_to_successor.stream.shutdown(Shutdown::Read).expect("the link is open");
-    let socket = TcpStream::connect(address).expect("the listener is open");
-    link_to_successor
-        .send_with_descriptor(&socket, &migration.encode(9).expect("the frame is within its limit"));
+    link_to_successor.stream.shutdown(Shutdown::Read).expect("shutting down the link failed");
+    let socket = TcpStream::connect(address).expect("connecting to the successor failed");
+    link_to_successor.send_with_descriptor(&socket, &migration.encode(9).expect("the frame is too long"));
     successor.wait_for_log_line("peer lost");
     assert_serves_next(address, &workers[1], "r2");
     assert!(!workers[1].has_pending_request(), "the successor sent the job of the predecessor");
@@ -230,11 +229,11 @@
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let hard_limit = getrlimit(Resource::Nofile).maximum;
     setrlimit(Resource::Nofile, Rlimit { current: hard_limit, maximum: hard_limit })
-        .expect("a process may raise its soft limit to its hard limit");
+        .expect("raising the soft limit to the hard limit failed");
     // All jobs stay pending: there is no worker, and while discovery is unreachable only first submissions
     // are rejected.
     let client_retry = |number: usize| job_request(&number.to_string(), "order", 900.0, "X-Retry: 1\r\n");
-    let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
+    let unreachable = "127.0.0.1:1".parse().expect("the address is malformed");
     let config =
         node_config_with_long_timeouts(unreachable, &[]).replace(r#""sockets":1024"#, r#""sockets":16384"#);
     let node = Node::start_with_descriptor_limit(&config, 5000);
@@ -244,11 +243,11 @@
         clients.extend(batch.map(|number| open_request(node.address, &client_retry(number))));
         wait_for_counter(&node, "curlewusher_jobs_taken_total", clients.len() as u64);
     }
-    assert_eq!(node.counter(r#"curlewusher_answers_total{kind="deferred"}"#), 0, "not all jobs are open");
+    assert_eq!(node.counter(r#"curlewusher_answers_total{kind="deferred"}"#), 0, "some jobs were rejected");
     // The node still handles a callback and a client's disconnect.
     node.post_callback("0", "s-1", r#""state":"started""#);
     clients.pop();
-    wait_until("the disconnect is not noticed", || node.counter("curlewusher_clients_gone_total") == 1);
+    wait_until("no disconnect was noticed", || node.counter("curlewusher_clients_gone_total") == 1);
 }
 
 #[test]
@@ -295,7 +294,7 @@
 
 #[test]
 fn setting_is_invalid_then_error_names_it_and_the_remedy() {
-    let valid = node_config("127.0.0.1:1".parse().expect("the address is valid"), &[]);
+    let valid = node_config("127.0.0.1:1".parse().expect("the address is malformed"), &[]);
     for (original, replacement, message) in [
         (r#""sendCap":3"#, r#""sendCap":0"#, "settings.limits.sendCap: max_attempts is zero; give 1 or more"),
         (r#""giveUpUs":9000000"#, r#""giveUpUs":0"#, "settings.services.giveUpUs: "),
@@ -308,8 +307,8 @@
         let output = Node::spawn(&valid.replace(original, replacement), 1024)
             .0
             .wait_with_output()
-            .expect("the node exits");
-        let line = String::from_utf8(output.stderr).expect("the output is UTF-8");
+            .expect("waiting for the exit failed");
+        let line = String::from_utf8(output.stderr).expect("the output is not UTF-8");
         assert_eq!(output.status.code(), Some(2), "{line}");
         assert!(line.contains(message) && line.lines().count() == 1, "{message}: {line}");
     }
@@ -317,13 +316,14 @@
 
 #[test]
 fn connection_timeouts_are_not_set_then_defaults_apply() {
-    let config = node_config("127.0.0.1:1".parse().expect("the address is valid"), &[]);
+    let config = node_config("127.0.0.1:1".parse().expect("the address is malformed"), &[]);
     let timeouts = r#","connectTimeoutUs":500000,"keepaliveUs":120000000"#;
     assert!(config.contains(timeouts));
     let file = Node::write_config_file(&config.replace(timeouts, ""));
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_curlewusher"));
-    let output = command.arg("check").env("RELAY_CONFIG", file).output().expect("the program starts");
-    let stdout = String::from_utf8(output.stdout).expect("the output is UTF-8");
+    let output =
+        command.arg("check").env("RELAY_CONFIG", file).output().expect("starting the program failed");
+    let stdout = String::from_utf8(output.stdout).expect("the output is not UTF-8");
     for line in ["connectTimeoutUs = 500000  # default", "keepaliveUs = 1000000  # default"] {
         assert!(stdout.contains(&format!("settings.limits.{line}")), "{stdout}");
     }
@@ -331,7 +331,7 @@
 
 #[test]
 fn max_retry_after_is_zero_then_no_retry_after_header_is_sent() {
-    let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
+    let unreachable = "127.0.0.1:1".parse().expect("the address is malformed");
     for (max_retry_after, has_header) in [("2000000", true), ("0", false)] {
         let config = node_config(unreachable, &[])
             .replace("\"maxRetryAfterUs\":2000000", &format!("\"maxRetryAfterUs\":{max_retry_after}"));
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,5 +1,6 @@
 //! Tests of the program as a process, with scripted clients, workers and discovery.
 
+mod cancellations;
 mod client_connections;
 mod command_line;
 mod common;
@@ -17,5 +18,4 @@
 mod send_permits;
 mod shutdown;
 mod versions;
-mod withdrawals;
 mod worker_connections;
--- a/crates/node/tests/operation/mod.rs
+++ b/crates/node/tests/operation/mod.rs
@@ -15,8 +15,8 @@
     let worker = ScriptedServer::start();
     let (node, _watch, _discovery) = Node::start_with_config(&[("s-1", &worker)], node_config_with_admin);
     let admin_address = node.admin_address();
-    // The node logs its operator address before it applies the endpoint list.
-    wait_until("the node does not become ready", || node.get("/ready").status() == 200);
+    // The node logs its admin address before it applies the endpoint list.
+    wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     assert_eq!(send_admin_command(admin_address, "READY\n"), "+OK");
     let (mut idle, mut busy) = (Client::connect(node.address), Client::connect(node.address));
     // A connection may stay idle for a minute after a response.
@@ -36,7 +36,7 @@
     worker.next_request().accept();
     for (id, client) in [("r1", &mut busy), ("r2", &mut late_client)] {
         node.post_completion(id, "s-1");
-        let response = client.read_response().expect("the node responds");
+        let response = client.read_response().expect("no response arrived");
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
         assert!(client.read_response().is_none(), "the connection was not closed");
     }
--- a/crates/node/tests/operation/upgrade.rs
+++ b/crates/node/tests/operation/upgrade.rs
@@ -5,8 +5,8 @@
 //! its client gets exactly one correct response and its worker one delivery attempt.
 //!
 //! If `CURLEWUSHER_OLDER_PROGRAM` is the path of a program that was built from an earlier commit, that
-//! program is the first process of each scenario. This tests takeover, migration and rollback across versions
-//! by hand:
+//! program is the first process of each scenario. The following command tests takeover, migration and
+//! rollback across versions by hand:
 //! `CURLEWUSHER_OLDER_PROGRAM=PATH cargo test -p curlewusher-node --test node upgrade`.
 //! The tests wait for log lines of the older program, which has to write them as the current one does.
 
@@ -195,7 +195,7 @@
     complete_job(&successor.node, "r1");
     assert_eq!(read_response(client).status(), 200);
     let client = scenario.submit_accepted(&successor.node, "r2");
-    incomplete.write_all(b"body").expect("the node reads");
+    incomplete.write_all(b"body").expect("writing to the node failed");
     assert_eq!(read_response(incomplete).status(), 409);
     complete_job(&successor.node, "r2");
     assert_eq!(read_response(client).status(), 200);
@@ -239,7 +239,7 @@
     let successor = predecessor.start_successor();
     scenario.send_list(&successor);
     predecessor.node.wait_for_log_line("phase changed node=n0 phase=retired");
-    wait_until("the successor is not drained", || {
+    wait_until("the successor was not drained", || {
         successor.send_command("READY").starts_with("-ERR drained: send UNDRAIN")
     });
     assert_eq!(successor.node.get("/ready").status(), 503);
@@ -252,7 +252,7 @@
     successor.assert_command_succeeds("DRAIN");
     assert!(predecessor.send_command("READY").starts_with("-ERR"));
     successor.node.kill();
-    assert_eq!(predecessor.node.get("/ready").status(), 503, "the drain must survive the rollback");
+    assert_eq!(predecessor.node.get("/ready").status(), 503, "the drain was lost in the rollback");
     predecessor.assert_command_succeeds("UNDRAIN");
     assert_eq!(predecessor.node.get("/ready").status(), 200);
     predecessor.assert_command_succeeds("DRAIN");
@@ -281,13 +281,13 @@
     scenario.assert_no_further_request();
     // Unanswered polls may have timed out by now: each pending or further poll is answered.
     let (mut watches, mut request) = (Vec::new(), None);
-    wait_until("the pending job reaches no worker", || {
+    wait_until("the pending job reached no worker", || {
         watches.extend(successor.discovery.try_next_request().map(|poll| scenario.try_send_list(poll)));
         request = scenario.workers[0].try_next_request();
         request.is_some()
     });
-    successor.node.serve_job(client, &request.expect("the request has arrived"), "r0", "s-1");
-    // Without the command the disabled worker would be chosen.
+    successor.node.serve_job(client, &request.expect("no request arrived"), "r0", "s-1");
+    // Without the DISABLE at the predecessor, `s-2` would be chosen.
     (0..8).for_each(|number| scenario.assert_serves(&successor.node, &format!("r1{number}"), 0));
     successor.assert_command_succeeds("DISABLE s-2");
     predecessor.terminate();
@@ -346,17 +346,22 @@
 
 #[test]
 fn address_is_in_use_by_another_program_then_node_exits_with_code_2_and_one_line() {
-    let other = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = other.local_addr().expect("the listener has an address").to_string();
-    let unreachable = "127.0.0.1:1".parse().expect("the address is valid");
+    let other = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+    let address = other.local_addr().expect("the listener has no address").to_string();
+    let unreachable = "127.0.0.1:1".parse().expect("the address is malformed");
     for field in ["listen", "console"] {
         let config = node_config_with_admin(unreachable, &[]);
         let config =
             config.replace(&format!(r#""{field}":"127.0.0.1:0""#), &format!(r#""{field}":"{address}""#));
         let (mut child, _) = Node::spawn(&config, 1024);
         let mut stderr = String::new();
-        child.stderr.take().expect("stderr is piped").read_to_string(&mut stderr).expect("the text is UTF-8");
-        assert_eq!(child.wait().expect("the node exits").code(), Some(2), "{stderr}");
+        child
+            .stderr
+            .take()
+            .expect("stderr is not piped")
+            .read_to_string(&mut stderr)
+            .expect("reading stderr failed");
+        assert_eq!(child.wait().expect("waiting for the exit failed").code(), Some(2), "{stderr}");
         let parts = [format!("{field}: {address}"), format!("give `{field}` an address")];
         assert!(parts.iter().all(|part| stderr.contains(part)) && stderr.lines().count() == 1, "{stderr}");
     }
@@ -377,10 +382,12 @@
             "folder" => std::fs::create_dir(&path).map(|()| None),
             _ => UnixListener::bind(&path).map(Some),
         };
-        let socket = socket.expect("the path is free").filter(|_| occupant != "stale");
+        let socket = socket.expect("occupying the path failed").filter(|_| occupant != "stale");
         if occupant == "noise" {
-            let socket =
-                socket.as_ref().and_then(|socket| socket.try_clone().ok()).expect("the socket can be cloned");
+            let socket = socket
+                .as_ref()
+                .and_then(|socket| socket.try_clone().ok())
+                .expect("duplicating the socket failed");
             std::thread::spawn(move || _ = socket.accept().and_then(|(mut s, _)| s.write_all(&[b'x'; 999])));
         }
         let predecessor = NodeProcess::new(
@@ -414,14 +421,12 @@
     let (scenario, first) = UpgradeScenario::start(1);
     let mut client = scenario.submit_accepted(&first.node, "r1");
     let successor = scenario.start_and_wait_for_takeover(&first);
-    wait_until("the job does not migrate", || {
+    wait_until("the job did not migrate", || {
         successor.node.counter(r#"curlewusher_jobs_moved_total{direction="here"}"#) == 1
     });
-    client.write_all(b"and more").expect("the node reads");
+    client.write_all(b"and more").expect("writing to the node failed");
     drop(client);
-    wait_until("the disconnect is not noticed", || {
-        successor.node.counter("curlewusher_clients_gone_total") == 1
-    });
+    wait_until("no disconnect was noticed", || successor.node.counter("curlewusher_clients_gone_total") == 1);
     assert_eq!(scenario.workers[0].next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
 }
 
@@ -435,19 +440,19 @@
     let head = format!("POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", callback.len());
     let post_callback = || {
         connection.borrow_mut().send(&(head.clone() + callback));
-        connection.borrow_mut().read_response().expect("the node responds").status()
+        connection.borrow_mut().read_response().expect("no response arrived").status()
     };
     assert_eq!(post_callback(), 204);
     let successor = scenario.start_and_wait_for_takeover(&predecessor);
     successor.node.signal("-STOP");
     request.accept();
     // The job is in transit, and the paused successor does not accept it.
-    wait_until("the job does not migrate", || post_callback() == 503);
+    wait_until("the job did not migrate", || post_callback() == 503);
     drop(client);
     // The predecessor reads the client's close before the next frame.
     post_callback();
     successor.node.kill();
-    wait_until("the disconnect is not noticed", || {
+    wait_until("no disconnect was noticed", || {
         predecessor.node.counter("curlewusher_clients_gone_total") == 1
     });
     assert_eq!(scenario.workers[0].next_request().message.start_line, "DELETE /jobs/r1 HTTP/1.1");
--- a/crates/node/tests/operation/upgrade_scenario.rs
+++ b/crates/node/tests/operation/upgrade_scenario.rs
@@ -28,7 +28,7 @@
 /// acknowledged.
 pub fn post_callback_until_acknowledged(node: &Node, id: &str, from: &str, rest: &str) {
     let callback = format!(r#"{{"id":"{id}","from":"{from}",{rest}}}"#);
-    wait_until("the callback is not acknowledged", || match node.send_callback(&callback) {
+    wait_until("the callback was not acknowledged", || match node.send_callback(&callback) {
         503 => false,
         status => status == 204 || panic!("{status} to {callback}"),
     });
@@ -39,9 +39,9 @@
     post_callback_until_acknowledged(node, id, "s-1", COMPLETION_FIELDS);
 }
 
-/// Waits until the process at this operator address is ready.
+/// Waits until the process with this admin address is ready.
 pub fn wait_until_ready(admin_address: SocketAddr) {
-    wait_until("the process is not ready", || send_admin_command(admin_address, "READY\n") == "+OK");
+    wait_until("the process did not become ready", || send_admin_command(admin_address, "READY\n") == "+OK");
 }
 
 impl UpgradeScenario {
@@ -134,7 +134,7 @@
 }
 
 impl NodeProcess {
-    /// Wraps a process that has logged its operator address.
+    /// Wraps a process that has logged its admin address.
     pub fn new(node: Node, discovery: ScriptedServer) -> NodeProcess {
         let admin_address = node.admin_address();
         NodeProcess { node, admin_address, discovery }
@@ -150,7 +150,7 @@
         NodeProcess::new(node, discovery)
     }
 
-    /// Sends a line to the operator address; returns the response.
+    /// Sends a line to the admin address and returns the response.
     pub fn send_command(&self, line: &str) -> String {
         send_admin_command(self.admin_address, &format!("{line}\n"))
     }
--- a/crates/node/tests/outputs/mod.rs
+++ b/crates/node/tests/outputs/mod.rs
@@ -1,5 +1,5 @@
 //! Output of the program for operators and their tools, compared byte for byte with golden files: `/metrics`,
-//! `check`, `--help` and the responses of the operator address. Log lines are not compared.
+//! `check`, `--help` and the responses of the admin address. Log lines are not compared.
 
 use std::fmt::Write as _;
 use std::net::{Shutdown, SocketAddr};
@@ -20,9 +20,9 @@
         command.env_remove(name);
     }
     command.env_remove("CURLEWUSHER_OPERATOR").envs(variables.iter().copied());
-    let output = command.args(arguments).output().expect("the program starts");
+    let output = command.args(arguments).output().expect("starting the program failed");
     assert!(output.status.success() && output.stderr.is_empty(), "{output:?}");
-    String::from_utf8(output.stdout).expect("the output is UTF-8")
+    String::from_utf8(output.stdout).expect("the output is not UTF-8")
 }
 
 /// Sorts the samples of each metric family by their labels, since the program writes them in no fixed order.
@@ -51,7 +51,7 @@
     // The first list that the node applies is the saved one.
     wait_for_counter(&node, "curlewusher_transport_map_changes_total", 1);
     let response = node.get("/metrics");
-    let content_type = response.header("content-type").expect("the response has a content type");
+    let content_type = response.header("content-type").expect("the response has no content type");
     let text =
         format!("{}\ncontent-type: {content_type}\n\n{}", response.start_line, sort_samples(&response.body));
     assert_matches_golden("metrics.txt", &text);
@@ -89,7 +89,7 @@
     assert_matches_golden("help.txt", &text);
 }
 
-/// Transcript of the commands sent to the operator address and of the responses.
+/// Transcript of the commands sent to the admin address and of the responses.
 struct OperatorSession {
     admin_address: SocketAddr,
     transcript: String,
@@ -114,10 +114,10 @@
 fn read_to_end(address: SocketAddr, line: &[u8]) -> String {
     use std::io::{Read, Write};
     let mut stream = open_request(address, "");
-    stream.write_all(line).expect("the node reads");
-    stream.shutdown(Shutdown::Write).expect("the connection is open");
+    stream.write_all(line).expect("writing to the node failed");
+    stream.shutdown(Shutdown::Write).expect("shutting down the connection failed");
     let mut response = Vec::new();
-    stream.read_to_end(&mut response).expect("the node responds");
+    stream.read_to_end(&mut response).expect("reading the response failed");
     response.escape_ascii().to_string()
 }
 
@@ -130,7 +130,7 @@
     session.send(&["READY\n", "DISABLE s-1\n", "DRAIN\n", "READY\n", "UNDRAIN\n", "READY\n"]);
     let watch = ScriptedWatch::open(&discovery);
     watch.send_endpoints(42, true, &[worker.endpoint_json("s-1", "in_service")]);
-    wait_until("the node does not become ready", || node.get("/ready").status() == 200);
+    wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     session.begin_phase("with the list");
     session.send(&[
         "READY\n",
--- a/crates/node/tests/randomized_lifecycle/connection.rs
+++ b/crates/node/tests/randomized_lifecycle/connection.rs
@@ -27,8 +27,8 @@
 impl Connection {
     /// Makes a stream non-blocking.
     pub fn new(stream: TcpStream) -> Connection {
-        stream.set_nonblocking(true).expect("an option of any TCP socket");
-        stream.set_nodelay(true).expect("an option of any TCP socket");
+        stream.set_nonblocking(true).expect("setting the socket option failed");
+        stream.set_nodelay(true).expect("setting the socket option failed");
         Connection { stream: Some(stream), bytes: vec![], end: None }
     }
 
@@ -64,7 +64,8 @@
         let head = self.bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
         let text = String::from_utf8_lossy(&self.bytes[..head]).to_ascii_lowercase();
         let length = text.split("\r\ncontent-length: ").nth(1).and_then(|rest| rest.split("\r\n").next());
-        let length: usize = length.map_or(0, |length| length.parse().expect("Content-Length is a number"));
+        let length: usize =
+            length.map_or(0, |length| length.parse().expect("Content-Length is not a number"));
         if self.bytes.len() < head + length {
             return None;
         }
--- a/crates/node/tests/randomized_lifecycle/lifecycle/callbacks.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/callbacks.rs
@@ -13,7 +13,7 @@
 /// Way in which a worker writes a callback.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Delivery {
-    /// Writes the callback as many times as the number says, each on a connection of its own.
+    /// Writes the callback the given number of times, each time on a new connection.
     Times(u8),
     /// Writes the callback in two parts, with another event between them.
     InTwoParts,
--- a/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/clients.rs
@@ -97,7 +97,7 @@
         self.record(number, &summary);
     }
 
-    /// Returns the next job, none of whose request is written yet.
+    /// Returns the next job, whose request is not written yet.
     fn build_job(&self, a: usize, b: usize) -> Job {
         let number = self.jobs.len();
         let id = format!("l{}-{number}", self.seed);
--- a/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/discovery.rs
@@ -40,7 +40,7 @@
             _ => EndpointStatus::InService,
         };
         self.list_version += 1;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis();
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is before 1970").as_millis();
         let changed_worker = &mut self.workers[worker];
         if changed_worker.status == EndpointStatus::Terminated
             && status == EndpointStatus::InService
@@ -98,12 +98,12 @@
         if b.is_multiple_of(4) {
             return self.node.reload_config("{");
         }
-        let address = self.discoveries[a % 2].local_addr().expect("a bound listener has an address");
-        let known: Vec<_> = self.workers.iter().map(Worker::endpoint_json).collect();
+        let address = self.discoveries[a % 2].local_addr().expect("the listener has no address");
+        let endpoints: Vec<_> = self.workers.iter().map(Worker::endpoint_json).collect();
         self.node.reload_config(&node_config(
             &self.settings,
             address,
-            &endpoint_list_json(self.list_version, true, &known),
+            &endpoint_list_json(self.list_version, true, &endpoints),
         ));
     }
 
--- a/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/invariants.rs
@@ -41,7 +41,7 @@
             metrics.lines().find_map(|line| line.strip_prefix("curlewusher_transport_map_changes_total "));
         let lists_read: u64 = lists_read
             .and_then(|lists_read| lists_read.parse().ok())
-            .expect("the metrics contain the counter");
+            .expect("the metrics have no valid counter");
         if self.watch_lines_lost
             && self.watches.iter().all(|watch| watch.response_started && watch.rest.is_empty())
         {
@@ -116,7 +116,7 @@
 
     /// Returns the number of file descriptors that the node has open.
     pub(super) fn open_descriptor_count(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.node.pid())).expect("the node runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.node.pid())).expect("the node is not running").count()
     }
 
     /// Waits until all jobs are answered and closes all clients. Then waits until no more than `descriptors`
--- a/crates/node/tests/randomized_lifecycle/lifecycle/mod.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/mod.rs
@@ -59,12 +59,12 @@
     jobs: Vec<Job>,
     event_count: u64,
     started_at: Instant,
-    /// Time after which everything that is read from now on has arrived.
+    /// Earliest possible arrival time of everything that is read from now on.
     earliest_arrival: Instant,
     /// Number of endpoint lists that the node will have counted once it has read everything written so far.
     expected_list_count: u64,
-    /// Drained workers that the node may not be notified of. Each has the value of `expected_list_count` at
-    /// which the node is notified.
+    /// Drained workers of which the node may not be notified yet, each with the value of
+    /// `expected_list_count` at which the node is notified.
     unconfirmed_drains: Vec<(usize, u64)>,
     /// Whether lines of a broken watch may be counted in `expected_list_count` although the node has not read
     /// them.
@@ -78,8 +78,8 @@
 
 /// Opens a non-blocking listener on a free port.
 fn listen() -> TcpListener {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    listener.set_nonblocking(true).expect("an option of any socket");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+    listener.set_nonblocking(true).expect("setting the socket option failed");
     listener
 }
 
@@ -92,9 +92,9 @@
         let discoveries = [listen(), listen()];
         let random_settings = RandomSettings::sample(&mut rng);
         let settings = random_settings.json();
-        let known: Vec<_> = workers.iter().map(Worker::endpoint_json).collect();
-        let discovery = discoveries[0].local_addr().expect("a bound listener has an address");
-        let config = node_config(&settings, discovery, &endpoint_list_json(41, true, &known));
+        let endpoints: Vec<_> = workers.iter().map(Worker::endpoint_json).collect();
+        let discovery = discoveries[0].local_addr().expect("the listener has no address");
+        let config = node_config(&settings, discovery, &endpoint_list_json(41, true, &endpoints));
         let node = Node::start_with_operator_file(&config, OPERATOR_FILE);
         let now = Instant::now();
         let mut lifecycle = Lifecycle {
--- a/crates/node/tests/randomized_lifecycle/lifecycle/sockets.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/sockets.rs
@@ -94,7 +94,7 @@
     /// Waits until a socket is readable, at most for `timeout`, which is cut to less than one second.
     pub(super) fn wait_for_input(&self, timeout: Duration) {
         let streams = (self.clients.iter().map(|c| &c.connection))
-            .chain(self.worker_connections.iter().map(|l| &l.connection))
+            .chain(self.worker_connections.iter().map(|w| &w.connection))
             .chain(self.watches.iter().map(|w| &w.connection))
             .chain(self.callbacks.iter().map(|c| &c.connection))
             .chain(&self.metrics_connection);
--- a/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
+++ b/crates/node/tests/randomized_lifecycle/lifecycle/workers.rs
@@ -67,7 +67,7 @@
     /// Starts a worker that is in service, in a random cell.
     pub(super) fn start(number: usize, rng: &mut Rng) -> Worker {
         let listener = listen();
-        let address = listener.local_addr().expect("a bound listener has an address");
+        let address = listener.local_addr().expect("the listener has no address");
         Worker {
             name: format!("s-{number}"),
             cell: (rng.usize(0..2), rng.usize(1..3)),
@@ -238,8 +238,8 @@
         );
         let arrival = Arrival { message, worker, cell, drain, earliest_arrival: self.earliest_arrival };
         let checked = self.jobs[job].check_arrival(&arrival, self.rules);
-        if let Err(what) = checked {
-            self.fail(Some(job), &what);
+        if let Err(violation) = checked {
+            self.fail(Some(job), &violation);
         }
         let attempt = self.jobs[job].attempts.len();
         self.jobs[job].attempts.push(Attempt {
--- a/crates/node/tests/randomized_lifecycle/mod.rs
+++ b/crates/node/tests/randomized_lifecycle/mod.rs
@@ -22,12 +22,12 @@
 /// Returns the number in an environment variable, if it is set.
 fn number_from_environment(name: &str) -> Option<u64> {
     std::env::var(name).ok().map(|text| {
-        text.parse().unwrap_or_else(|_| panic!("environment variable {name} must be a number, but is {text}"))
+        text.parse().unwrap_or_else(|_| panic!("environment variable {name} is not a number: {text}"))
     })
 }
 
 #[test]
-fn events_are_drawn_at_random_then_every_invariant_holds() {
+fn events_are_picked_at_random_then_every_invariant_holds() {
     let seed = number_from_environment("LIVES_SEED");
     let count =
         number_from_environment("LIVES_COUNT").unwrap_or(if seed.is_some() { 1 } else { DEFAULT_RUN_COUNT });
@@ -44,7 +44,7 @@
                 // A run that violates an invariant panics with a message that names the invariant.
                 let run = thread::Builder::new()
                     .spawn(move || Lifecycle::new(seed).run())
-                    .expect("the system starts a thread");
+                    .expect("starting the thread failed");
                 tallies.push(run.join().ok());
             }
         };
@@ -53,7 +53,7 @@
             .collect();
         threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("threads do not panic, only their runs"))
+            .flat_map(|thread| thread.join().expect("a thread panicked outside its runs"))
             .collect()
     });
     let completed: Vec<_> = tallies.iter().flatten().collect();
--- a/crates/node/tests/randomized_lifecycle/worker_script.rs
+++ b/crates/node/tests/randomized_lifecycle/worker_script.rs
@@ -54,7 +54,7 @@
     Pause,
     /// Writes a response.
     Reply(Reply),
-    /// Posts a callback as many times as the number says.
+    /// Posts a callback the given number of times.
     SendCallback(CallbackState, u8),
     /// Posts a callback in two parts, with other events between them.
     SendCallbackInParts(CallbackState),
@@ -71,7 +71,7 @@
     actions.extend(std::iter::repeat_n(Action::Pause, rng.u8(0..=max_count).into()));
 }
 
-/// Picks the last callback of an attempt. `None` means that the worker sends no last callback.
+/// Picks the last callback of an attempt. Returns `None` if the worker sends no last callback.
 fn sample_final_state(rng: &mut Rng, started: bool) -> Option<CallbackState> {
     match rng.u8(0..20) {
         0..=10 => Some(CallbackState::Done),
--- a/crates/node/tests/scale/mod.rs
+++ b/crates/node/tests/scale/mod.rs
@@ -10,7 +10,7 @@
     endpoint_list_json, job_request, node_config, open_request, wait_until,
 };
 
-const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 /// Counter of the endpoint lists and changes that a node has read.
 const CHANGES: &str = "curlewusher_transport_map_changes_total";
 
@@ -20,20 +20,20 @@
 impl StoppedDiscovery {
     /// Reserves a port. Returns its address too.
     fn new() -> (StoppedDiscovery, SocketAddr) {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("the system creates a socket");
-        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
-        socket.bind(&any_port.into()).expect("a port is free");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creating the socket failed");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("the address is malformed");
+        socket.bind(&any_port.into()).expect("binding a port failed");
         let address = socket
             .local_addr()
             .ok()
             .and_then(|address| address.as_socket())
-            .expect("a bound socket has an address");
+            .expect("the socket has no address");
         (StoppedDiscovery(socket), address)
     }
 
     /// Starts discovery on the reserved port.
     fn start(self) -> ScriptedServer {
-        self.0.listen(128).expect("the port is reserved for this socket");
+        self.0.listen(128).expect("listening on the reserved port failed");
         ScriptedServer::from_listener(TcpListener::from(self.0))
     }
 }
@@ -48,8 +48,8 @@
 
     /// Returns the response to `GET path` on this connection.
     fn get(&mut self, path: &str) -> HttpMessage {
-        self.send(&READY.replace("/ready", path));
-        self.read_response().expect("a response")
+        self.send(&READY_REQUEST.replace("/ready", path));
+        self.read_response().expect("no response arrived")
     }
 
     /// Returns a counter of the node. Reads it on this connection, since the node would evict another
@@ -69,10 +69,10 @@
     for discovery_mode in ["subscribe", "automatic"] {
         let (stopped, address) = StoppedDiscovery::new();
         let (draining, other) = (ScriptedServer::start(), ScriptedServer::start());
-        let known = |first_status| {
+        let endpoints = |first_status| {
             [draining.endpoint_json("s-1", first_status), other.endpoint_json("s-2", "in_service")]
         };
-        let config = node_config(address, &known("in_service"))
+        let config = node_config(address, &endpoints("in_service"))
             .replace("1024", "64")
             .replace("subscribe", discovery_mode);
         let node = Node::start_with_descriptor_limit(&config, 64);
@@ -83,7 +83,7 @@
         let (mut poller, mut client) = (Client::idle(&node), Client::idle(&node));
         let discovery = stopped.start();
         let watch = ScriptedWatch::open(&discovery);
-        watch.send_endpoints(42, true, &known("terminating"));
+        watch.send_endpoints(42, true, &endpoints("terminating"));
         poller.wait_for_counter(CHANGES, 2);
         for n in 0..4 {
             let id = format!("r{n}");
@@ -108,11 +108,12 @@
 #[test]
 fn all_connection_budgets_are_exhausted_then_new_discovery_address_is_still_used() {
     let (unresponsive, worker) = (ScriptedServer::start(), ScriptedServer::start());
-    let known: Vec<_> = (0..24).map(|n| worker.endpoint_json(&format!("s-{n}"), "in_service")).collect();
-    let config_for =
-        |discovery| node_config(discovery, &known).replace("1024", "64").replace("subscribe", "automatic");
+    let endpoints: Vec<_> = (0..24).map(|n| worker.endpoint_json(&format!("s-{n}"), "in_service")).collect();
+    let config_for = |discovery| {
+        node_config(discovery, &endpoints).replace("1024", "64").replace("subscribe", "automatic")
+    };
     let node = Node::start_with_descriptor_limit(&config_for(unresponsive.address), 64);
-    let first_watch = ScriptedWatch::open_with_endpoints(&unresponsive, &known);
+    let first_watch = ScriptedWatch::open_with_endpoints(&unresponsive, &endpoints);
     wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     // These jobs use all connections to workers: no worker accepts them, and they must not be retried at
     // another worker.
@@ -132,7 +133,7 @@
     let new_discovery = ScriptedServer::start();
     node.reload_config(&config_for(new_discovery.address));
     let watch = ScriptedWatch::open(&new_discovery);
-    watch.send_endpoints(42, true, &known);
+    watch.send_endpoints(42, true, &endpoints);
     poller.wait_for_counter(CHANGES, 3);
     assert_eq!(node.get("/ready").status(), 200);
     assert_eq!(poller.counter("curlewusher_accept_failures_total"), 0);
@@ -148,7 +149,7 @@
     other: &ScriptedServer,
     draining_status: &str,
 ) -> (Vec<String>, String) {
-    let unused_address = "127.0.0.1:9".parse().expect("a valid address");
+    let unused_address = "127.0.0.1:9".parse().expect("the address is malformed");
     let worker_name = |n: usize| format!("s-{n:0198}");
     let mut endpoints: Vec<_> =
         (2..1024).map(|n| endpoint_json(&worker_name(n), unused_address, "terminating")).collect();
@@ -165,8 +166,8 @@
     for node_count in [350, 1024] {
         let (discovery, draining, other) =
             (ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start());
-        let (known, _) = long_list(&draining, &other, "in_service");
-        let config = node_config(discovery.address, &known)
+        let (endpoints, _) = long_list(&draining, &other, "in_service");
+        let config = node_config(discovery.address, &endpoints)
             .replace(r#""balancers":1"#, &format!(r#""balancers":{node_count}"#))
             .replace(r#""memory_mb":192"#, r#""memory_mb":32"#)
             // If there are many nodes, each node waits for its time slot during a part of this duration.
@@ -185,10 +186,11 @@
         assert!(!draining.has_pending_request(), "a job was sent to the draining worker");
         assert_eq!(node.counter("curlewusher_transport_map_failures_total"), 0);
         // Peak memory of the node's process, in kB.
-        let status = std::fs::read_to_string(format!("/proc/{}/status", node.pid())).expect("the node runs");
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", node.pid())).expect("the node is not running");
         let peak_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.strip_suffix("kB"));
         let peak_kb: u64 =
-            peak_kb.and_then(|kb| kb.trim().parse().ok()).expect("the status contains the peak memory");
+            peak_kb.and_then(|kb| kb.trim().parse().ok()).expect("the status has no valid peak memory");
         assert!(peak_kb < 32 << 10, "the node used {peak_kb} kB");
     }
 }
@@ -207,7 +209,7 @@
         // The saved list has a version but no worker. The node must request a complete list, since the
         // changes since that version would list no worker either.
         assert_eq!(watch.since(), "0");
-        assert_eq!(node.get("/ready").status(), 503, "the node is ready after a watch without a list");
+        assert_eq!(node.get("/ready").status(), 503, "the node became ready after a watch without a list");
         watch.send_endpoints(42, true, &[worker.endpoint_json("s-1", "in_service")]);
         wait_until("the node did not become ready", || node.get("/ready").status() == 200);
         node.assert_serves(&worker, "r1", "view", "s-1");
@@ -217,11 +219,11 @@
 #[test]
 fn connections_exceed_descriptors_then_job_is_still_served() {
     let (discovery, worker) = (ScriptedServer::start(), ScriptedServer::start());
-    let known = [worker.endpoint_json("s-1", "in_service")];
-    let config = node_config(discovery.address, &known);
+    let endpoints = [worker.endpoint_json("s-1", "in_service")];
+    let config = node_config(discovery.address, &endpoints);
     // The node counts its connections: it closes idle ones in time and keeps descriptors for workers.
     let node = Node::start(&config.replace("1024", "64"));
-    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &known);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &endpoints);
     // Connections with a partial request are evicted as early as connections without a request.
     let clients: Vec<_> = (0..100).map(|i| open_request(node.address, ["", "POST /api"][i % 2])).collect();
     node.assert_serves(&worker, "r1", "view", "s-1");
@@ -229,7 +231,7 @@
     // If the configured limit is far above the system's, the system refuses descriptors, and the node keeps
     // serving.
     let node = Node::start_with_descriptor_limit(&config, 48);
-    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &known);
+    let _watch = ScriptedWatch::open_with_endpoints(&discovery, &endpoints);
     wait_until("the node did not become ready", || node.get("/ready").status() == 200);
     let _clients: Vec<_> = (0..100).map(|_| open_request(node.address, "")).collect();
     assert_eq!(node.get("/ready").status(), 200);
--- a/crates/node/tests/send_permits/mod.rs
+++ b/crates/node/tests/send_permits/mod.rs
@@ -16,7 +16,7 @@
 /// Duration for which a node may be stalled at any time.
 const STALL_DURATION: Duration = Duration::from_millis(150);
 const LIST_CHANGES: &str = "curlewusher_transport_map_changes_total";
-const CLIENTS_GONE: &str = "curlewusher_clients_gone_total";
+const DISCONNECTED_CLIENTS: &str = "curlewusher_clients_gone_total";
 const NEVER_SENT: &str = r#"curlewusher_delivery_attempts_ended_total{outcome="never_sent"}"#;
 
 /// Starts a node with `worker` as its only endpoint. Its connect timeout is longer than any test, so that no
@@ -126,7 +126,7 @@
     let mut callback_clients: Vec<_> = (0..300).map(|_| connect_accepted_client(&node)).collect();
     let client = submit_connecting_job(&node);
     let paused = node.pause();
-    // The notice of the disconnection is queued behind more callbacks than the dispatch task handles in one
+    // The notice of the disconnect is queued behind more callbacks than the dispatch task handles in one
     // turn.
     for client in &mut callback_clients {
         client.send(&completion_request("r0"));
@@ -141,7 +141,7 @@
         0,
         "a request was sent although its client has disconnected"
     );
-    wait_for_counter(&node, CLIENTS_GONE, 1);
+    wait_for_counter(&node, DISCONNECTED_CLIENTS, 1);
 }
 
 /// Waits for a log line with this event and returns the lines up to and including it.
@@ -191,10 +191,10 @@
 
 #[test]
 fn client_disconnects_while_node_is_stalled_before_write_then_nothing_is_sent() {
-    // Guards against attempts for clients whose disconnection has arrived and has not been read by the node:
-    // lifecycle 218.
-    let is_shown = (0..20).any(|_| disconnect_client_during_stall());
-    assert!(is_shown, "in all runs the node read the callback before it was stalled");
+    // Guards against attempts for clients whose disconnect has arrived but has not been read by the node,
+    // as in seed 218 of `randomized_lifecycle`.
+    let is_conclusive = (0..20).any(|_| disconnect_client_during_stall());
+    assert!(is_conclusive, "in all runs the node read the callback before it was stalled");
 }
 
 #[test]
@@ -216,7 +216,7 @@
     close_and_wait_for_arrival(second);
     drop(paused);
     assert_eq!(read_response(first).status(), 200);
-    wait_for_counter(&node, CLIENTS_GONE, 1);
+    wait_for_counter(&node, DISCONNECTED_CLIENTS, 1);
     assert_eq!(
         (node.counter("curlewusher_delivery_attempts_total"), node.counter(NEVER_SENT)),
         (1, 1),
--- a/crates/node/tests/shutdown/mod.rs
+++ b/crates/node/tests/shutdown/mod.rs
@@ -7,7 +7,7 @@
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
     let client = node.submit_accepted_job(&worker, "r1", "view", 9.0);
     node.signal("-TERM");
-    wait_until("the node stays ready", || node.get("/ready").status() != 200);
+    wait_until("the node did not become unready", || node.get("/ready").status() != 200);
     // The node still accepts new jobs, and redirects their clients with `Connection: close`.
     let late_client = node.submit_job("r2", "view", 9.0);
     node.complete_job(client, "r1", "s-1");
--- a/crates/node/tests/unit/connection_budget.rs
+++ b/crates/node/tests/unit/connection_budget.rs
@@ -19,12 +19,12 @@
         assert_eq!((evictions.get(), budget.target()), (1, 2));
         permits.truncate(2);
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
-        assert_eq!(budget.free(), 0, "both returned permits are removed");
+        assert_eq!(budget.free(), 0, "a returned permit was not removed");
         permits.truncate(1);
         sleep(2 * SHRINK_CHECK_INTERVAL).await;
-        assert_eq!(budget.free(), 1, "the budget has reached its target");
+        assert_eq!(budget.free(), 1, "the budget missed its target");
 
-        budget.set_share(DescriptorShare::All, || panic!("a growing budget must not request an eviction"));
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget requested an eviction"));
         assert_eq!((budget.free(), budget.target()), (3, 4));
     };
     LocalSet::new().run_until(test).await;
@@ -36,7 +36,7 @@
         let budget = ConnectionBudget::new(3, 1);
         let permits: Vec<_> = std::iter::from_fn(|| budget.try_acquire()).collect();
         budget.set_share(DescriptorShare::Half, || {});
-        budget.set_share(DescriptorShare::All, || panic!("a growing budget must not request an eviction"));
+        budget.set_share(DescriptorShare::All, || panic!("a growing budget requested an eviction"));
         drop(permits);
         sleep(Duration::from_secs(1)).await;
         assert_eq!((budget.free(), budget.target()), (3, 3));
@@ -47,7 +47,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_permit_is_free_then_a_caller_waits_until_one_is_returned() {
     let budget = ConnectionBudget::new(1, 1);
-    let permit = budget.try_acquire().expect("one permit is free");
+    let permit = budget.try_acquire().expect("no permit is free");
     let since = Instant::now();
     let hold_permit = async {
         sleep(Duration::from_secs(5)).await;
--- a/crates/node/tests/unit/handover/link.rs
+++ b/crates/node/tests/unit/handover/link.rs
@@ -44,11 +44,11 @@
             let result = link.forward_command(&AdminCommand::Drain).await;
             assert_eq!(result, Some(Err(CommandError::ShuttingDown)));
             assert!(link.claim_job("held").await.is_none());
-            let claim = link.claim_job("new").await.expect("an unclaimed id");
-            assert!(link.claim_job("new").await.is_none(), "a duplicate claim");
+            let claim = link.claim_job("new").await.expect("the id is already claimed");
+            assert!(link.claim_job("new").await.is_none(), "a duplicate claim succeeded");
             assert!(
                 predecessor.link.claim_job("new").await.is_none(),
-                "the successor has claimed the id, but does not hold it yet"
+                "an id that the successor has claimed but does not hold yet was claimed"
             );
             drop(claim);
             link.hand_back();
@@ -57,7 +57,7 @@
         predecessor.link.transfer_cancellation(([10, 0, 0, 1], 80).into(), "w");
         predecessor.link.flush().await;
         let Some(PeerRequest::CancelAttempt { worker, job_id }) = successor.requests.recv().await else {
-            panic!("no cancellation")
+            panic!("no cancellation arrived")
         };
         assert!(worker.port() == 80 && job_id == "w");
     });
@@ -69,9 +69,9 @@
         let LinkPair { predecessor, mut successor } = link_pair();
         let answer = async {
             let Some(PeerRequest::ClaimJob { is_unheld, .. }) = successor.requests.recv().await else {
-                panic!("no claim")
+                panic!("no claim arrived")
             };
-            is_unheld.send(true).expect("the claim is pending");
+            is_unheld.send(true).expect("the claim has ended");
         };
         let (first, second, ()) =
             tokio::join!(predecessor.link.claim_job("a"), successor.link.claim_job("a"), answer);
@@ -82,20 +82,24 @@
 #[test]
 fn claim_is_granted_then_peer_claim_in_the_same_read_is_rejected() {
     run(ClockMode::Paused, async {
-        let (one, other) = UnixStream::pair().expect("a pair");
+        let (one, other) = UnixStream::pair().expect("creating the socket pair failed");
         let mut successor = PeerLink::start(one, LinkRole::Successor, Decoder::default());
         let predecessor = async {
-            read_frame(&other, &mut Decoder::default()).await.expect("the claim of the successor");
+            read_frame(&other, &mut Decoder::default()).await.expect("no claim arrived");
             // Both frames arrive in one read, so no task runs between them.
             let [granted, claim] =
                 [Frame::ClaimResult(true).encode(1), Frame::ClaimJob("a".into()).encode(2)];
-            let both = [granted.expect("a short frame"), claim.expect("a short frame")].concat();
-            write_all(&other, both.into()).await.expect("a reading peer");
-            read_frame(&other, &mut Decoder::default()).await.expect("a response")
+            let both =
+                [granted.expect("the frame is too long"), claim.expect("the frame is too long")].concat();
+            write_all(&other, both.into()).await.expect("writing to the peer failed");
+            read_frame(&other, &mut Decoder::default()).await.expect("no response arrived")
         };
         let unexpected = async {
             let request = successor.requests.recv().await;
-            panic!("expected no request, link lost: {}", matches!(request, Some(PeerRequest::LinkLost)))
+            panic!(
+                "an unexpected request arrived, link lost: {}",
+                matches!(request, Some(PeerRequest::LinkLost))
+            )
         };
         let both = async { tokio::join!(successor.link.claim_job("a"), predecessor) };
         let (claim, response) = tokio::select! { both = both => both, () = unexpected => unreachable!() };
@@ -109,7 +113,7 @@
         let LinkPair { mut predecessor, mut successor } = link_pair();
         let close = async {
             let Some(PeerRequest::Callback { .. }) = predecessor.requests.recv().await else {
-                panic!("no callback")
+                panic!("no callback arrived")
             };
             predecessor.link.close();
         };
@@ -143,7 +147,7 @@
 #[test]
 fn peer_reads_nothing_then_link_is_closed_at_the_outbound_limit() {
     run(ClockMode::Advancing, async {
-        let (one, _reads_nothing) = UnixStream::pair().expect("a pair");
+        let (one, _reads_nothing) = UnixStream::pair().expect("creating the socket pair failed");
         let LinkEnds { link, requests: _requests } =
             PeerLink::start(one, LinkRole::Predecessor, Decoder::default());
         let body = Bytes::from(vec![0; 100 << 10]);
--- a/crates/node/tests/unit/handover/rendezvous.rs
+++ b/crates/node/tests/unit/handover/rendezvous.rs
@@ -18,17 +18,21 @@
         let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
         let (_rendezvous_listener, mut hellos) = listen_for_successor(&rendezvous);
         for bytes in [&b"GET / HTTP/1.1\r\n"[..], b"CW", b"CWUS\x00"] {
-            let stream = UnixStream::connect(rendezvous.path()).await.expect("a listening socket");
-            write_all(&stream, Bytes::copy_from_slice(bytes)).await.expect("a reading peer");
+            let stream = UnixStream::connect(rendezvous.path())
+                .await
+                .expect("connecting to the rendezvous socket failed");
+            write_all(&stream, Bytes::copy_from_slice(bytes)).await.expect("writing to the peer failed");
         }
         // The successor does not use a listener on another address.
-        let other = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let accept = async { hellos.recv().await.expect("a hello").accept(&other, Bytes::new()).await };
+        let other = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+        let accept =
+            async { hellos.recv().await.expect("no hello arrived").accept(&other, Bytes::new()).await };
         let (contacted, _) = tokio::join!(contact_predecessor(&rendezvous, "n", listen), accept);
         assert!(matches!(contacted, Err(HandoverError::NoListener { .. })));
-        let reject = async { hellos.recv().await.expect("a hello").reject(RejectReason::Busy).await };
+        let reject =
+            async { hellos.recv().await.expect("no hello arrived").reject(RejectReason::Busy).await };
         let (contacted, ()) = tokio::join!(contact_predecessor(&rendezvous, "n", listen), reject);
-        assert!(contacted.err().expect("an error").is_busy());
+        assert!(contacted.err().expect("the contact succeeded").is_busy());
         complete_handshake(&mut hellos, &listener, Bytes::new(), &rendezvous).await;
     });
 }
@@ -37,20 +41,27 @@
 fn second_process_binds_then_it_is_found_and_the_first_cannot_remove_its_socket() {
     run(ClockMode::Paused, async {
         let NodeFixture { directory: _directory, listener, listen, rendezvous } = NodeFixture::new();
-        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact");
-        assert!(found.is_none(), "there is no socket file");
-        drop(UnixListener::bind(rendezvous.path()).expect("a socket"));
-        let found = contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact");
-        assert!(found.is_none(), "no process listens on the socket file");
+        let found =
+            contact_predecessor(&rendezvous, "n", listen).await.expect("contacting the predecessor failed");
+        assert!(found.is_none(), "a peer was found without a socket file");
+        drop(UnixListener::bind(rendezvous.path()).expect("binding the socket failed"));
+        let found =
+            contact_predecessor(&rendezvous, "n", listen).await.expect("contacting the predecessor failed");
+        assert!(found.is_none(), "a peer was found at a stale socket file");
         let (first, _) = listen_for_successor(&rendezvous);
         let (second, mut hellos) = listen_for_successor(&rendezvous);
         first.close();
         complete_handshake(&mut hellos, &listener, Bytes::new(), &rendezvous).await;
-        let mode = fs::symlink_metadata(rendezvous.path()).expect("a socket").mode();
+        let mode = fs::symlink_metadata(rendezvous.path()).expect("reading the metadata failed").mode();
         assert_eq!(mode & 0o777, 0o600);
         second.close();
         assert!(!rendezvous.path().exists());
-        assert!(contact_predecessor(&rendezvous, "n", listen).await.expect("a completed contact").is_none());
+        assert!(
+            contact_predecessor(&rendezvous, "n", listen)
+                .await
+                .expect("contacting the predecessor failed")
+                .is_none()
+        );
     });
 }
 
@@ -64,7 +75,7 @@
             panic!("the socket was bound in a missing directory")
         };
         assert!(matches!(error, HandoverError::Rendezvous { .. }) && error.to_string().contains("$TMPDIR"));
-        fs::create_dir(&long_path).expect("a directory");
+        fs::create_dir(&long_path).expect("creating the directory failed");
         let (_rendezvous_listener, mut hellos) = listen_for_successor(&rendezvous);
         complete_handshake(&mut hellos, &listener, Bytes::new(), &rendezvous).await;
     });
@@ -74,7 +85,7 @@
 fn start_lock_is_held_then_second_start_waits_until_release_or_timeout() {
     run(ClockMode::Advancing, async {
         let NodeFixture { directory: _directory, rendezvous, .. } = NodeFixture::new();
-        let first = rendezvous.lock_start().await.expect("the lock");
+        let first = rendezvous.lock_start().await.expect("locking the start failed");
         assert!(matches!(rendezvous.lock_start().await, Err(HandoverError::LockTimedOut { .. })));
         let second = spawn_local({
             let rendezvous = rendezvous.clone();
@@ -83,6 +94,6 @@
         yield_now().await;
         assert!(!second.is_finished());
         drop(first);
-        assert!(second.await.expect("the second start completes"));
+        assert!(second.await.expect("the second start panicked"));
     });
 }
--- a/crates/node/tests/unit/handover/support.rs
+++ b/crates/node/tests/unit/handover/support.rs
@@ -35,20 +35,20 @@
 /// Runs a test on one thread, like the node.
 pub fn run<T>(clock: ClockMode, test: impl Future<Output = T>) -> T {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime.enable_all().start_paused(true).build().expect("a runtime");
+    let runtime = runtime.enable_all().start_paused(true).build().expect("building the runtime failed");
     LocalSet::new().block_on(&runtime, async {
         let hang = async {
             if clock == ClockMode::Advancing {
                 return sleep(MAX_TEST_TIME).await;
             }
-            // The clock of the runtime advances only while no task can run. Continuous yielding keeps it paused.
+            // The runtime's clock advances only while no task can run. Continuous yielding keeps it paused.
             for _ in 0..MAX_YIELDS {
                 yield_now().await;
             }
         };
         tokio::select! {
             result = test => result,
-            () = hang => panic!("the test hangs: an event for which it waits does not occur"),
+            () = hang => panic!("the test hung: an event for which it waited did not occur"),
         }
     })
 }
@@ -63,9 +63,9 @@
 
 impl NodeFixture {
     pub fn new() -> NodeFixture {
-        let directory = TempDir::new().expect("a directory");
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-        let listen = listener.local_addr().expect("bound");
+        let directory = TempDir::new().expect("creating the directory failed");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+        let listen = listener.local_addr().expect("the listener has no address");
         let rendezvous = Rendezvous::new(directory.path(), listen);
         NodeFixture { directory, listener, listen, rendezvous }
     }
@@ -74,7 +74,7 @@
 /// Binds the rendezvous socket. Returns its listener and the receiver of hellos.
 pub fn listen_for_successor(rendezvous: &Rendezvous) -> (RendezvousListener, mpsc::Receiver<SuccessorHello>) {
     let (hello_queue, hellos) = mpsc::channel(1);
-    (RendezvousListener::bind(rendezvous, hello_queue).expect("a rendezvous listener"), hellos)
+    (RendezvousListener::bind(rendezvous, hello_queue).expect("binding the rendezvous socket failed"), hellos)
 }
 
 /// Both ends of a link.
@@ -85,7 +85,7 @@
 
 /// Creates a link between two ends in this process.
 pub fn link_pair() -> LinkPair {
-    let (one, other) = UnixStream::pair().expect("a pair");
+    let (one, other) = UnixStream::pair().expect("creating the socket pair failed");
     LinkPair {
         predecessor: PeerLink::start(one, LinkRole::Predecessor, Decoder::default()),
         successor: PeerLink::start(other, LinkRole::Successor, Decoder::default()),
@@ -100,12 +100,12 @@
     snapshot: Bytes,
     rendezvous: &Rendezvous,
 ) -> (LinkEnds, Predecessor) {
-    let listen = listener.local_addr().expect("bound");
+    let listen = listener.local_addr().expect("the listener has no address");
     let accept = async {
-        let hello = hellos.recv().await.expect("a hello");
+        let hello = hellos.recv().await.expect("no hello arrived");
         assert_eq!((&*hello.node, &*hello.listen), ("n", &*listen.to_string()));
-        hello.accept(listener, snapshot).await.expect("a link")
+        hello.accept(listener, snapshot).await.expect("the hello was not accepted")
     };
     let (ends, predecessor) = tokio::join!(accept, contact_predecessor(rendezvous, "n", listen));
-    (ends, predecessor.expect("a completed contact").expect("a predecessor"))
+    (ends, predecessor.expect("contacting the predecessor failed").expect("no predecessor was found"))
 }
--- a/crates/node/tests/unit/send_permit.rs
+++ b/crates/node/tests/unit/send_permit.rs
@@ -43,13 +43,13 @@
             assert_eq!(
                 send_permit.is_valid(),
                 cause == Cause::Deadline,
-                "{cause:?} must take effect at once"
+                "{cause:?} did not take effect at once"
             );
         };
         let (woken, ()) = tokio::join!(timeout(LONG_TIMEOUT, send_permit.invalidated()), end_permit);
         assert!(woken.is_ok() && !send_permit.is_valid(), "{cause:?}");
         let woken_later = timeout(LONG_TIMEOUT, send_permit.invalidated()).await;
-        assert!(woken_later.is_ok(), "{cause:?}: a later waiter must return at once");
+        assert!(woken_later.is_ok(), "{cause:?}: a later waiter did not return at once");
     }
 }
 
@@ -88,7 +88,7 @@
         assert_eq!(
             send_permit.check_sent(now),
             Ok(()),
-            "{reason}: a write within the limits must be allowed"
+            "{reason}: a write within the limits was not allowed"
         );
         assert_eq!(send_permit.check_sent(now + over_max_stall), Err(reason));
     }
--- a/crates/node/tests/unit/serve_error.rs
+++ b/crates/node/tests/unit/serve_error.rs
@@ -8,7 +8,7 @@
 #[test]
 fn the_program_exits_then_the_message_names_cause_and_remedy() {
     let (address, io_error) =
-        ("127.0.0.1:9".parse().expect("an address"), || Error::from(ErrorKind::AddrInUse));
+        ("127.0.0.1:9".parse().expect("the address is malformed"), || Error::from(ErrorKind::AddrInUse));
     let thread_error = ServeError::AdminListener(AdminListenerError::Thread(io_error()));
     let address_error =
         ServeError::AdminListener(AdminListenerError::Address { address, source: io_error() });
--- a/crates/node/tests/versions/mod.rs
+++ b/crates/node/tests/versions/mod.rs
@@ -56,7 +56,7 @@
 fn assert_matches_payload(name: &str, payload: &str) {
     let file = format!("tests/golden/{name}");
     if std::env::var_os("CURLEWUSHER_RECORD").is_some_and(|record| record == "1") {
-        std::fs::write(&file, payload).expect("the golden file can be written");
+        std::fs::write(&file, payload).expect("writing the golden file failed");
     }
     let golden = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
     assert_eq!(mask_varying_numbers(payload), mask_varying_numbers(&golden), "{file}");
@@ -81,7 +81,7 @@
 
     /// Returns a payload with the recorded addresses in place of the actual ones.
     fn with_recorded_addresses(&self, payload: &[u8]) -> String {
-        let text = String::from_utf8(payload.to_vec()).expect("the payload is UTF-8");
+        let text = String::from_utf8(payload.to_vec()).expect("the payload is not UTF-8");
         let addresses = self.0.iter().zip(RECORDED_ADDRESSES);
         addresses.fold(text, |text, (worker, recorded)| text.replace(&worker.address.to_string(), recorded))
     }
@@ -89,15 +89,15 @@
     /// Reads a recorded payload. Replaces the recorded addresses with the actual ones, and shifts its times
     /// as if the recorded job had been accepted now.
     fn replayed_payload(&self, name: &str) -> String {
-        let read =
-            |name| std::fs::read_to_string(format!("tests/golden/{name}")).expect("the golden file exists");
+        let read = |name| {
+            std::fs::read_to_string(format!("tests/golden/{name}")).expect("reading the golden file failed")
+        };
         let job = read("older_move.json");
         let accepted_at =
             job.split(r#""taken":"#).nth(1).and_then(|rest| rest[..TIMESTAMP_DIGITS].parse::<u64>().ok());
-        let now =
-            SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past the epoch").as_micros()
-                as u64;
-        let shift = now - accepted_at.expect("the recorded job has a time");
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is before 1970").as_micros()
+            as u64;
+        let shift = now - accepted_at.expect("the recorded job has no time");
         let text = replace_numbers(&read(name), |number| match number.parse::<u64>() {
             Ok(time) if is_time(number) => (time + shift).to_string(),
             _ => number.to_owned(),
@@ -114,12 +114,12 @@
 
 /// Returns the record of an encoded job, and asserts that the request's body follows it.
 fn job_record(job: &[u8]) -> &[u8] {
-    let length = u32::from_be_bytes(job[..4].try_into().expect("the length has four bytes")) as usize;
+    let length = u32::from_be_bytes(job[..4].try_into().expect("the length is incomplete")) as usize;
     assert_eq!(&job[4 + length..], b"body");
     &job[4..4 + length]
 }
 
-/// Link on which the test plays one process of a node, with a transcript of all frames.
+/// Link on which the test acts as one process of a node, with a transcript of all frames.
 struct RecordedExchange<'a> {
     peer: ScriptedPeer,
     names: [&'static str; 2],
@@ -137,7 +137,7 @@
     /// Adds a frame to the transcript: all its bytes, or the fixed part of its header and a description of
     /// its payload if the payload varies. `sender` is an index into `names`.
     fn record(&mut self, sender: usize, seq: u64, frame: &Frame) {
-        let bytes = frame.encode(seq).expect("the frame is within its limit");
+        let bytes = frame.encode(seq).expect("the frame is too long");
         let fixed_header = bytes[..14].escape_ascii();
         let line = match frame {
             Frame::Accepted(_) | Frame::TakeoverGranted(_) => format!("{fixed_header} and what was learned"),
@@ -160,7 +160,7 @@
     fn send_job(&mut self, seq: u64, job: Bytes, client: &TcpStream) {
         let frame = Frame::MigrateJob(job);
         self.record(0, seq, &frame);
-        self.peer.send_with_descriptor(client, &frame.encode(seq).expect("the frame is within its limit"));
+        self.peer.send_with_descriptor(client, &frame.encode(seq).expect("the frame is too long"));
     }
 
     /// Waits for the next frame and records it.
@@ -221,12 +221,12 @@
     let response = spawn(move || send_request(address, &job_request("copy", "view", 8.0, "")).status());
     let seq = successor.expect_frame(&Frame::ClaimJob("copy".into()));
     successor.send(seq, &Frame::ClaimResult(false));
-    assert_eq!(response.join().expect("the request is answered"), 409);
+    assert_eq!(response.join().expect("the requesting thread panicked"), 409);
     let callback = r#"{"id":"theirs","from":"s-1","state":"failed"}"#;
     let response = spawn(move || send_request(address, &callback_request(callback)).status());
     let seq = successor.expect_frame(&Frame::Callback(callback.into()));
     successor.send(seq, &Frame::CallbackResult(true));
-    assert_eq!(response.join().expect("the request is answered"), 204);
+    assert_eq!(response.join().expect("the requesting thread panicked"), 204);
     for (command, result) in
         [(AdminCommand::Drain, Ok(())), (AdminCommand::Enable("s-2".into()), Err(CommandError::ShuttingDown))]
     {
@@ -234,7 +234,10 @@
         let response = spawn(move || send_admin_command(admin_address, &line));
         let seq = successor.expect_frame(&Frame::Command(command));
         successor.send(seq, &Frame::CommandResult(result.clone()));
-        assert_eq!(response.join().expect("the request is answered").starts_with("+OK"), result.is_ok());
+        assert_eq!(
+            response.join().expect("the requesting thread panicked").starts_with("+OK"),
+            result.is_ok()
+        );
     }
 }
 
@@ -286,8 +289,8 @@
     assert_eq!(read_response(client).body, "y");
 }
 
-/// Program that runs as the successor of a scripted predecessor, which replays the recording. The recorded job
-/// has migrated to the program.
+/// Program that runs as the successor of a scripted predecessor, which replays the recording. The recorded
+/// job has migrated to the program.
 struct ReplayedTakeover<'a> {
     predecessor: RecordedExchange<'a>,
     node: Node,
@@ -300,7 +303,7 @@
 /// Starts the program and replays the takeover up to the migration of the recorded job.
 fn replay_takeover(workers: &Workers) -> ReplayedTakeover<'_> {
     let discovery = ScriptedServer::start();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
     let config = node_config_for_handover(discovery.address, &workers.endpoints());
     let accepted = workers.replayed_payload("older_welcome.json");
     let (peer, node) = ScriptedPeer::accept_successor_with_snapshot(&config, &listener, accepted.into());
@@ -310,12 +313,12 @@
     watch.send_endpoints(42, true, &workers.endpoints());
     let seq = predecessor.expect_frame(&Frame::TakeoverRequest);
     predecessor.send(seq, &Frame::TakeoverGranted(workers.replayed_payload("older_yours.json").into()));
-    let clients = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let client = open_request(clients.local_addr().expect("the listener is bound"), "");
-    let (client_socket, _) = clients.accept().expect("the client is connected");
+    let clients = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+    let client = open_request(clients.local_addr().expect("the listener has no address"), "");
+    let (client_socket, _) = clients.accept().expect("accepting the client failed");
     predecessor.send_job(1, encode_job(&workers.replayed_payload("older_move.json")), &client_socket);
     predecessor.expect_frame(&Frame::MigrationResult(true));
-    assert_eq!(node.address, listener.local_addr().expect("the listener is bound"));
+    assert_eq!(node.address, listener.local_addr().expect("the listener has no address"));
     ReplayedTakeover { predecessor, node, admin_address, client, _discovery: (discovery, watch) }
 }
 
@@ -328,7 +331,7 @@
     let undrain = spawn(move || send_admin_command(admin_address, "UNDRAIN\n"));
     let seq = predecessor.expect_frame(&Frame::Command(AdminCommand::Undrain));
     predecessor.send(seq, &Frame::CommandResult(Ok(())));
-    assert_eq!(undrain.join().expect("the request is answered"), "+OK");
+    assert_eq!(undrain.join().expect("the requesting thread panicked"), "+OK");
     assert_eq!(send_admin_command(admin_address, "READY\n"), "+OK");
     for id in ["r1", "r2", "r3", "r4"] {
         let client = node.submit_job(id, "view", 8.0);
@@ -368,7 +371,8 @@
     node.signal("-TERM");
     predecessor.expect_frame(&Frame::HandBack);
     let (seq, Frame::MigrateJob(job)) = predecessor.next_frame() else { panic!("no job migrated") };
-    let recorded = std::fs::read_to_string("tests/golden/older_move.json").expect("the golden file exists");
+    let recorded =
+        std::fs::read_to_string("tests/golden/older_move.json").expect("reading the golden file failed");
     assert_eq!(
         mask_varying_numbers(&workers.with_recorded_addresses(job_record(&job))),
         mask_varying_numbers(&recorded)
--- a/crates/node/tests/worker_connections/mod.rs
+++ b/crates/node/tests/worker_connections/mod.rs
@@ -154,7 +154,7 @@
 #[test]
 fn cancellation_is_unacknowledged_then_client_gets_response_nevertheless() {
     let (worker, node, _watch, _discovery) = Node::start_with_worker();
-    let (client, _got) = submit_to(&node, &worker, "r1", "order", 0.5);
+    let (client, _unanswered) = submit_to(&node, &worker, "r1", "order", 0.5);
     // The client gets its response before the worker closes the connection of the cancellation.
     let first = worker.expect_cancellation("r1");
     assert_eq!(read_response(client).status(), 502);
@@ -164,8 +164,8 @@
 #[test]
 fn stray_response_arrives_late_then_it_is_not_taken_for_the_next_jobs_response() {
     // A stray response differs from the response to the next job only in that it arrives while the connection
-    // is idle. If the next job was written first, the test was too slow and shows nothing.
-    let is_shown = (0..20).any(|_| {
+    // is idle. If the next job was written first, the run was too slow and is inconclusive.
+    let is_conclusive = (0..20).any(|_| {
         let (worker, node, _watch, _discovery) = Node::start_with_worker();
         let (client, first) = submit_to(&node, &worker, "r1", "view", 8.0);
         node.serve_job(client, &first, "r1", "s-1");
@@ -186,7 +186,7 @@
         assert_eq!((node.counter(ATTEMPTS), node.counter(MALFORMED_RESPONSES)), (2, 1));
         true
     });
-    assert!(is_shown, "in all runs a connection carried a job right after a response");
+    assert!(is_conclusive, "in all runs a connection carried a job right after a response");
 }
 
 #[test]
@@ -357,7 +357,9 @@
     let watch = ScriptedWatch::open(&second);
     watch.send_endpoints(42, true, &endpoints);
     predecessor.wait_for_log_line("phase changed node=n0 phase=retired");
-    wait_until("the successor does not serve", || send_admin_command(admin_address, "READY\n") == "+OK");
+    wait_until("the successor did not become ready", || {
+        send_admin_command(admin_address, "READY\n") == "+OK"
+    });
     while worker.try_next_request().is_some() {}
     predecessor.signal("-TERM");
     assert_eq!(predecessor.wait_for_exit().status.code(), Some(0));
@@ -387,8 +389,8 @@
 #[test]
 fn worker_restarts_while_connection_is_idle_then_it_carries_no_job() {
     // The connection is idle only for a short time. If the job was written before the node had read the
-    // notice of the restart, the test was too slow and shows nothing.
-    let is_shown = (0..20).any(|_| {
+    // notice of the restart, the run was too slow and is inconclusive.
+    let is_conclusive = (0..20).any(|_| {
         let worker = ScriptedServer::start();
         let (node, watch, endpoint) = start_with_long_lived_connections(&worker);
         let (client, first) = submit_to(&node, &worker, "r1", "view", 8.0);
@@ -400,14 +402,14 @@
         node.serve_job(client, &second, "r2", "s-1");
         second.connection != first.connection
     });
-    assert!(is_shown, "in all runs a job was sent over a connection to an exited process");
+    assert!(is_conclusive, "in all runs a job was sent over a connection to an exited process");
 }
 
 #[test]
 fn client_disconnects_while_job_waits_for_idle_connection_then_worker_keeps_its_connection() {
     // The connection is idle only for a short time. If the job was written before the node had noticed the
-    // disconnection of its client, the test was too slow and shows nothing.
-    let is_shown = (0..20).any(|_| {
+    // disconnect of its client, the run was too slow and is inconclusive.
+    let is_conclusive = (0..20).any(|_| {
         let worker = ScriptedServer::start();
         let (node, _watch, _endpoint) = start_with_long_lived_connections(&worker);
         // The node opens two connections, because the response on the first one is unfinished when the second
@@ -436,13 +438,13 @@
         node.serve_job(client, &request, "r5", "s-1");
         node.counter("curlewusher_next_hop_connections_total") == 2
     });
-    assert!(is_shown, "in all runs the node closed a connection or sent a job right after a response");
+    assert!(is_conclusive, "in all runs the node closed a connection or sent a job right after a response");
 }
 
 #[test]
 fn attempt_is_cancelled_before_202_then_idle_connection_does_not_carry_the_cancellation() {
-    // A worker that accepts a new connection late reads the idle one first. It would not yet know the job
-    // when it reads the cancellation, and would run the job later.
+    // A worker that accepts a new connection late reads the idle one first. The job would still be unknown to
+    // the worker when it reads the cancellation, and the worker would run the job later.
     let worker = ScriptedServer::start();
     let (node, _watch, _endpoint) = start_with_long_lived_connections(&worker);
     let (client, first) = submit_to(&node, &worker, "r1", "order", 8.0);
