--- a/crates/control/src/takeover/state_machine.rs
+++ b/crates/control/src/takeover/state_machine.rs
@@ -59,9 +59,9 @@
 pub enum TakeoverEvent {
     /// Another process requests to become the successor.
     Hello {
-        /// Name of the node of the other process.
+        /// Name of the node of the requesting process.
         node: String,
-        /// Address at which clients reach the node of the other process.
+        /// Address at which clients reach the node of the requesting process.
         listen: String,
     },
     /// This process has obtained its own endpoint list.
@@ -70,7 +70,7 @@
     TakeoverRequested,
     /// The predecessor has granted the takeover: this process accepts the new connections from now on.
     TakeoverGranted,
-    /// The successor, which had taken over, terminates and hands the node back to this process.
+    /// The successor, which had taken over, terminates and requests a rollback: this process serves again.
     HandedBack,
     /// The link to the peer is lost.
     LinkLost,
@@ -91,15 +91,15 @@
 /// returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverCommand {
-    /// Accepts the hello: the other process becomes the successor.
+    /// Accepts the hello: the requesting process becomes the successor.
     AcceptHello,
-    /// Rejects the hello for this reason: the other process does not become the successor.
+    /// Rejects the hello for this reason: the requesting process does not become the successor.
     RejectHello(RejectReason),
     /// Requests the new connections from the predecessor.
     RequestTakeover,
     /// Grants the new connections to the successor.
     GrantTakeover,
-    /// Hands the node back: the predecessor serves again.
+    /// Requests a rollback: the predecessor serves again.
     HandBack,
     /// Closes the link.
     CloseLink,
--- a/crates/core/src/dispatcher/gossip.rs
+++ b/crates/core/src/dispatcher/gossip.rs
@@ -49,7 +49,8 @@
 }
 
 impl Dispatcher {
-    /// Reports this node's own work to the other nodes of its subset, for the workers where it has changed.
+    /// Reports this node's own work to the other nodes of its subset, for the workers at which it has
+    /// changed.
     pub(super) fn send_gossip(&mut self, now: Timestamp) {
         self.gossip.has_changes = false;
         let mut data = Vec::new();
--- a/crates/core/src/dispatcher/job_lifecycle.rs
+++ b/crates/core/src/dispatcher/job_lifecycle.rs
@@ -48,7 +48,7 @@
     }
 
     /// Closes or retries a job after an attempt has ended, or answers it without a result. `job_answered`
-    /// tells whether the client has its response.
+    /// states whether the client has its response.
     pub(super) fn close_or_retry_job(
         &mut self,
         now: Timestamp,
@@ -112,7 +112,8 @@
     }
 }
 
-/// Returns the cancellations of a job's attempts in flight, except for the one that is to continue.
+/// Returns the cancellations of a job's attempts in flight. The attempt with the number `except`
+/// continues.
 pub(super) fn cancellations(
     settings: &Settings,
     job: &Job,
--- a/crates/core/src/dispatcher/migration.rs
+++ b/crates/core/src/dispatcher/migration.rs
@@ -1,11 +1,11 @@
-//! Migration of jobs to or from the other process of this node (the peer).
+//! Migration of jobs to or from the peer, the other process of this node.
 
 use super::Dispatcher;
 use crate::{Action, JobId, MigratedJob, Timestamp};
 
 impl Dispatcher {
     /// Removes a job that has no response yet, so that the peer can adopt it. Its attempts in flight are not
-    /// cancelled. Returns None if there is no such job, or if its response has begun.
+    /// cancelled. Returns `None` if there is no such job, or if its response has begun.
     pub fn release_job(&mut self, job: JobId) -> Option<MigratedJob> {
         if !self.jobs.get(job)?.is_open() {
             return None;
--- a/crates/core/src/dispatcher/mod.rs
+++ b/crates/core/src/dispatcher/mod.rs
@@ -1,6 +1,5 @@
 //! Dispatcher: owns the state, passes each event to the records in `state`, calls the decisions in `policy`
-//! and `permission` in their order, and carries out their results. `docs/design/decisions.md` shows that
-//! order.
+//! and `permission` in their order, and applies their results. `docs/design/decisions.md` shows that order.
 //!
 //! | module | purpose |
 //! | --- | --- |
@@ -106,14 +105,14 @@
     }
 
     /// Returns the time before which all attempts that were decided on so far must be written, according to
-    /// the present lease on the endpoint list. None: the lease does not bound them. Before the first
+    /// the present lease on the endpoint list. `None`: the lease does not bound them. Before the first
     /// confirmation, the result is [`Timestamp::ORIGIN`]: nothing may be written. An attempt that is not
     /// written by then is ended with [`Outcome::NotSent`](crate::Outcome::NotSent).
     pub fn endpoint_write_deadline(&self) -> Option<Timestamp> {
         self.poll_schedule.lease().write_deadline()
     }
 
-    /// Returns the counts, by reason, of decisions without permission, which were therefore not carried out.
+    /// Returns the counts, by reason, of decisions that were not permitted and therefore not applied.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
--- a/crates/core/src/dispatcher/timers.rs
+++ b/crates/core/src/dispatcher/timers.rs
@@ -10,7 +10,7 @@
 /// Timer of the embedder.
 #[derive(Default)]
 pub(super) struct Timer {
-    /// Time at which the timer expires. None if it is not set.
+    /// Time at which the timer expires. `None` if it is not set.
     expires_at: Option<Timestamp>,
 }
 
@@ -20,8 +20,8 @@
         self.expires_at = self.expires_at.filter(|expiry| *expiry > now);
     }
 
-    /// Sets the timer, unless it already expires early enough. Returns the delay after which it is to expire;
-    /// none if it was not set.
+    /// Sets the timer, unless it already expires early enough. Returns the delay after which it expires, or
+    /// `None` if it was not set.
     fn set(&mut self, now: Timestamp, next: Timestamp) -> Option<TimeSpan> {
         if self.expires_at.is_some_and(|expiry| expiry <= next && expiry >= now) {
             return None;
@@ -33,7 +33,7 @@
 }
 
 impl Dispatcher {
-    /// Does the periodic work: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
+    /// Performs the periodic work: the poll for endpoints, the sweep over open jobs, dispatch, gossip.
     pub(super) fn handle_timer(&mut self, now: Timestamp) {
         self.timer.record_expiry(now);
         if self.poll_schedule.start_due_poll(now, &mut self.rng) {
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -16,7 +16,7 @@
         /// [`Outcome::TimedOut`](crate::Outcome::TimedOut).
         timeout: TimeSpan,
         /// Time before which the first byte must be written; otherwise the attempt ends with
-        /// [`Outcome::NotSent`](crate::Outcome::NotSent). None: only the timeout applies.
+        /// [`Outcome::NotSent`](crate::Outcome::NotSent). `None`: only the timeout applies.
         send_deadline: Option<Timestamp>,
         /// Whether the attempt must be sent over a new connection. An idle connection may have been closed
         /// unnoticed, and a retry could not make up for the loss of this attempt.
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -4,7 +4,7 @@
 
 use super::{KindId, TimeSpan, ZoneId};
 
-/// Set of workers that discard a second attempt with the same idempotency key.
+/// Set of workers that discard a duplicate attempt with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every worker.
@@ -24,7 +24,8 @@
     WithKey {
         /// Workers that discard the duplicate run.
         scope: DeduplicationScope,
-        /// Time for which they do so, from the first attempt that might have run.
+        /// Time for which these workers discard the duplicate run, from the first attempt that might have
+        /// run.
         window: TimeSpan,
     },
     /// A duplicate run does harm: no further attempt is sent once one might have run.
@@ -46,7 +47,7 @@
     pub priority_weight: f64,
     /// Total time for which a client waits.
     pub client_timeout: TimeSpan,
-    /// Only kind of machine that can run jobs of this class. None: no such restriction.
+    /// Only kind of machine that can run jobs of this class. `None`: no such restriction.
     pub required_kind: Option<KindId>,
 }
 
--- a/crates/core/src/permission/closing.rs
+++ b/crates/core/src/permission/closing.rs
@@ -45,7 +45,7 @@
     Busy,
 }
 
-/// Reason for which a connection is to be closed.
+/// Reason for closing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The time limit for a request, or between two requests, has passed.
--- a/crates/core/src/permission/endpoint_lease.rs
+++ b/crates/core/src/permission/endpoint_lease.rs
@@ -38,10 +38,10 @@
 
 /// Time up to which the endpoint list is known to be current, and the limits that follow from it.
 pub(crate) struct EndpointLease {
-    /// Duration from [`Settings::assumed_notified_after`]. None if changes count as notified by an event
+    /// Duration from [`Settings::assumed_notified_after`]. `None` if changes count as notified by an event
     /// only, so that the list needs no lease.
     assumed_notified_after: Option<TimeSpan>,
-    /// Time up to which this node has received every change that was available to it. None before the first
+    /// Time up to which this node has received every change that was available to it. `None` before the first
     /// confirmation.
     confirmed_at: Option<Timestamp>,
     /// Time of the first event.
@@ -71,8 +71,8 @@
             Some(self.confirmed_at.map_or(confirmed_at, |previous| previous.max(confirmed_at)));
     }
 
-    /// Records that a list could not be parsed. It may contain any change, so every change counts as notified
-    /// now.
+    /// Records that a list could not be parsed. The list may contain any change, so the node counts as
+    /// notified of every change now.
     pub(crate) fn record_malformed_list(&mut self, now: Timestamp) {
         self.cap_confirmation(now.saturating_sub(self.assumed_notified_after.unwrap_or_default()));
     }
@@ -90,9 +90,9 @@
         if now < confirmed_at + limit + DECISION_GRACE { Ok(()) } else { Err(Denial::EndpointsExpired) }
     }
 
-    /// Returns the time before which an attempt that was decided on with this list must be written. None: the
-    /// lease does not bound it. Before the first confirmation, the result is [`Timestamp::ORIGIN`]: nothing
-    /// may be written.
+    /// Returns the time before which an attempt that was decided on with this list must be written. `None`:
+    /// the lease does not bound it. Before the first confirmation, the result is [`Timestamp::ORIGIN`]:
+    /// nothing may be written.
     pub(crate) fn write_deadline(&self) -> Option<Timestamp> {
         let limit = self.assumed_notified_after?;
         Some(self.confirmed_at.map_or(Timestamp::ORIGIN, |confirmed_at| confirmed_at + limit + WRITE_GRACE))
--- a/crates/core/src/permission/mod.rs
+++ b/crates/core/src/permission/mod.rs
@@ -24,7 +24,7 @@
 //!
 //! Some permissions expire unless a positive confirmation arrives. Only that confirmation renews such a
 //! permission; a failure, an end, a start or the passing of time never does. A decision without permission is
-//! a violation: it is not carried out, and [`Violations`] counts it.
+//! a violation: the dispatcher does not apply it, and [`Violations`] counts it.
 
 mod answering;
 mod closing;
--- a/crates/core/src/permission/sending.rs
+++ b/crates/core/src/permission/sending.rs
@@ -89,7 +89,7 @@
 
     /// Returns the time before which the first byte of the next attempt of a job must be written: while this
     /// node may rely on its endpoint list and, if the job may have run, while workers still discard duplicate
-    /// runs. None: there is no such limit.
+    /// runs. `None`: there is no such limit.
     pub fn send_deadline(&self, job: &Job) -> Option<Timestamp> {
         let deduplicated_until = match self.settings.classes[job.class].idempotency {
             Idempotency::WithKey { window, .. } => {
--- a/crates/core/src/permission/serving.rs
+++ b/crates/core/src/permission/serving.rs
@@ -22,7 +22,7 @@
 
 impl ServingPermission {
     /// Returns the time after its start at which the process may report that it is ready without a response
-    /// of discovery. None: never. With a response, it may do so at once.
+    /// of discovery. `None`: never. With a response, it may do so at once.
     pub fn max_discovery_wait(self) -> Option<TimeSpan> {
         match self {
             ServingPermission { has_saved_endpoints: false, .. } => None,
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -75,9 +75,9 @@
         if job.is_idle() {
             return time_left < MIN_RUN_SHARE_LEFT * self.fleet.reliable_run(job);
         }
-        // Objectives grow with the true work, which may exceed the hint by as much as hints have been wrong.
-        // The fewer attempts start promptly, the less of that uncertainty counts in favour of the job, since
-        // the jobs behind it wait.
+        // The objective grows with the true work of the job, which may exceed the hint by the error that
+        // hints have had so far. The allowance for this error is lower if fewer attempts start promptly,
+        // since other jobs then wait behind this one.
         let max_error =
             (MAX_HINT_ERROR_FACTOR * self.fleet.hint_error() * self.fleet.prompt_start_share()).exp();
         let work_factor = self.settings.classes[job.class].latency_objective_work_factor;
--- a/crates/core/src/policy/ejection.rs
+++ b/crates/core/src/policy/ejection.rs
@@ -9,7 +9,7 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 /// Minimum of the random factor of an ejection time.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// Difference between the maximum and the minimum of that factor.
+/// Difference between the maximum and the minimum of the random factor of an ejection time.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
 /// Conclusion about a worker from the end of an attempt.
@@ -46,10 +46,10 @@
     }
 }
 
-/// Returns whether a worker is avoided: while it does not accept an attempt that it was sent, and while it is
-/// ejected. Afterwards, while its failure count exceeds 1, only an idempotent job may probe it, and only if
-/// no attempt is in flight there; each success halves the count. A late start is not a reason to avoid it; it
-/// increases the wait w instead.
+/// Returns whether a job avoids a worker. All jobs avoid a worker while it is ejected, and while its
+/// acceptance of an attempt is overdue. Afterwards, while the failure count of the worker exceeds 1, only an
+/// idempotent job may probe the worker, and only if no attempt is in flight there. Each success halves the
+/// count. A late start is not a reason to avoid a worker; it increases the wait w instead.
 pub(super) fn is_avoided(now: Timestamp, settings: &Settings, worker: &Worker, job: &Job) -> bool {
     let may_probe = settings.is_idempotent(job.class) && worker.is_idle();
     let awaits_probe = worker.health().consecutive_failures > 1 && !may_probe;
@@ -59,8 +59,8 @@
 }
 
 /// Returns the duration of an ejection after a failure that follows `earlier_failures` others. Exponential
-/// backoff limits the attempts that a dead worker costs, and jitter keeps nodes from returning to it
-/// simultaneously. `random_fraction` is a random number from 0 to 1.
+/// backoff limits the attempts that fail at an unavailable worker, and jitter keeps nodes from returning to
+/// it simultaneously. `random_fraction` is a random number from 0 to 1.
 pub(crate) fn ejection_duration(earlier_failures: u32, random_fraction: f64) -> TimeSpan {
     let jitter = MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * random_fraction;
     let factor = f64::from(1u32 << earlier_failures.min(MAX_EJECTION_DOUBLINGS));
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! Decisions of a dispatcher. Each module makes one kind of decision, as functions of the records in `state`.
 //! A function takes as parameters all that the decision depends on and returns the decision, which the
-//! dispatcher carries out. `docs/design/decisions.md` shows the order of the calls.
+//! dispatcher applies. `docs/design/decisions.md` shows the order of the calls.
 //!
 //! | module | decision |
 //! | --- | --- |
--- a/crates/core/src/policy/pending_queue.rs
+++ b/crates/core/src/policy/pending_queue.rs
@@ -5,19 +5,20 @@
 use crate::state::{Capacity, Demand, Fleet, Job, QueueKey};
 use crate::{Settings, TimeSpan, Timestamp};
 
-/// Margin before the last start with which a job still meets its objective. A job that can meet it is sent
-/// before that margin begins.
+/// Margin before the last start with which a job still meets its objective. A job that can meet its
+/// objective is sent before this margin begins.
 const OBJECTIVE_MARGIN: TimeSpan = TimeSpan::from_millis(100);
 /// Minimum value of the limit on the queued jobs that are skipped in one pass because no worker can take
 /// them.
 const MIN_SKIP_LIMIT: usize = 8;
-/// Number of workers of the subset for each job of that limit, if this gives a higher limit than
-/// [`MIN_SKIP_LIMIT`]. In a large fleet, a few jobs that fit no worker must not block the others.
+/// Divisor for the limit on the queued jobs that are skipped in one pass: the number of workers of the subset
+/// divided by this value, if that is more than [`MIN_SKIP_LIMIT`]. In a large fleet, a few jobs that fit no
+/// worker must not block the others.
 const WORKERS_PER_SKIPPED_JOB: usize = 2;
 /// Share of the workers that is reserved for jobs of high weight, as a multiple of the share of work that is
 /// shed.
 const SHED_RESERVE_FACTOR: f64 = 3.0;
-/// Minimum weight of jobs that are exempt from that reserve.
+/// Minimum weight of jobs that may use all workers that are reserved according to [`SHED_RESERVE_FACTOR`].
 const RESERVE_EXEMPT_WEIGHT: f64 = 0.4;
 
 /// Returns the position of a job in the queue.
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -31,8 +31,8 @@
 }
 
 /// Returns whether the next attempt of a job needs a new connection. An idle connection may have been closed
-/// unnoticed, and an attempt written to it is lost. Therefore only an attempt whose loss a retry may make up
-/// for uses an idle connection, and only one attempt of each job.
+/// unnoticed, and an attempt written to it is lost. Therefore only one attempt of each job may use an idle
+/// connection, and only if a retry may follow its loss.
 pub(crate) fn needs_new_connection(settings: &Settings, job: &Job) -> bool {
     let is_non_idempotent = settings.classes[job.class].idempotency == Idempotency::NonIdempotent;
     let is_last = job.attempt_count() + 1 >= max_attempts(settings);
--- a/crates/core/src/poll_schedule.rs
+++ b/crates/core/src/poll_schedule.rs
@@ -1,7 +1,7 @@
 //! Schedule of the polls by which a node gets the endpoint list from discovery, with the lease on that list.
 //!
 //! The schedule depends on polls, their responses and times only, not on jobs or workers.
-//! `docs/design/endpoint-lease.md` has the measurements behind it.
+//! `docs/design/endpoint-lease.md` contains the measurements on which the schedule is based.
 //!
 //! | state | left on | next state and next poll |
 //! | --- | --- | --- |
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns the time at which [`PollSchedule::start_due_poll`] is to be called next.
+    /// Returns the time at which the caller must call [`PollSchedule::start_due_poll`] next.
     pub(crate) fn next_poll_at(&self) -> Option<Timestamp> {
         self.next_poll_at
     }
@@ -170,7 +170,7 @@
     fn record_poll(&mut self, now: Timestamp) {
         self.last_poll_at = now;
         self.poll_in_flight = true;
-        // Applies if neither a response nor a failure arrives.
+        // This time applies if neither a response nor a failure of the poll arrives.
         self.next_poll_at = Some(now + self.max_poll_interval / 2);
     }
 
@@ -223,7 +223,7 @@
 /// Estimate of the time that discovery needs to answer polls.
 struct DiscoveryLoad {
     nodes: u64,
-    /// Time that discovery spends on one poll. None before any poll has been answered.
+    /// Time that discovery spends on one poll. `None` before any poll has been answered.
     poll_cost: Option<TimeSpan>,
 }
 
--- a/crates/core/src/state/estimates.rs
+++ b/crates/core/src/state/estimates.rs
@@ -104,7 +104,7 @@
         self.workers[index].estimates.wait = wait;
     }
 
-    /// Refreshes the estimates of the kinds. They stand in for values that one of many nodes cannot observe
+    /// Refreshes the estimates of the kinds. They replace values that one of many nodes cannot observe
     /// at each worker: r is derived from this node's part of the traffic, and w from the start delays of its
     /// own attempts.
     fn refresh_kinds(&mut self, now: Timestamp, settings: &Settings) {
@@ -173,8 +173,8 @@
         RELIABLE_HINT_SHARE * job.work / self.overall_speed.speed
     }
 
-    /// Returns the seconds that an attempt in flight is likely to continue to run; none if there is no record
-    /// of it.
+    /// Returns the seconds that an attempt in flight is likely to continue to run; `None` if there is no
+    /// record of it.
     pub fn remaining_run(&self, now: Timestamp, job: JobId, attempt: AttemptRef) -> Option<f64> {
         let speed = self.workers[self.find(attempt.worker)?].estimates.speed;
         Some(self.in_flight_attempt(job, attempt)?.remaining_work(now, speed) / speed)
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -64,8 +64,8 @@
     running: TimeWeightedAverage,
     /// Number of slots in use at one worker, extrapolated from `running` to all nodes.
     extrapolated: f64,
-    /// Median, over the workers, of the maximum number of concurrent slots. It stands in for workers without
-    /// samples.
+    /// Median, over the workers, of the maximum number of concurrent slots. It is the estimate for workers
+    /// without samples.
     median: f64,
 }
 
--- a/crates/core/src/state/in_flight.rs
+++ b/crates/core/src/state/in_flight.rs
@@ -29,11 +29,11 @@
     pub on_stale_connection: bool,
     /// Wait predicted when the attempt was sent, in seconds.
     pub predicted_wait: f64,
-    /// Time at which the attempt started to run; none if it has not started.
+    /// Time at which the attempt started to run; `None` if it has not started.
     pub started_at: Option<Timestamp>,
     /// Last progress report.
     pub progress: Option<Progress>,
-    /// Estimate used in place of a hint; none if the job came with a hint.
+    /// Estimate used in place of a hint; `None` if the job came with a hint.
     pub unhinted: Option<UnhintedWork>,
 }
 
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -29,7 +29,7 @@
     pub cell: CellId,
     /// Time at which the attempt was sent.
     pub sent_at: Timestamp,
-    /// Outcome of the attempt; none while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records the outcome of an attempt. Returns false if the attempt has ended before or was never sent: a
-    /// repeated report must not queue the job twice.
+    /// duplicate report must not queue the job twice.
     pub fn record_outcome(&mut self, id: AttemptId, outcome: Outcome) -> bool {
         let attempt = self.jobs.get_mut(&id.job).and_then(|job| job.attempts.get_mut(id.number as usize));
         let Some(attempt) = attempt.filter(|attempt| attempt.outcome.is_none()) else { return false };
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -57,8 +57,8 @@
 /// Estimates that are derived from the record of a worker.
 #[derive(Clone, Copy)]
 pub(crate) struct WorkerEstimates {
-    /// Time at which the estimates were derived; the origin of the clock after an event of the worker, which
-    /// invalidates them.
+    /// Time at which the estimates were derived. An event of the worker invalidates the estimates and sets
+    /// this time to [`Timestamp::ORIGIN`].
     pub derived_at: Timestamp,
     /// Lower bound of the fraction of its capacity that the worker has at its age; 1 when warm.
     pub warm_up_fraction: f64,
@@ -96,7 +96,7 @@
     pub(super) status: WorkerStatus,
     /// Whether the worker belongs to this node's subset, see [`Fleet::subset`](super::Fleet::subset).
     pub(super) in_subset: bool,
-    /// Last start of the worker, listed or inferred. The origin of the clock stands for an unknown start long
+    /// Last start of the worker, listed or inferred. [`Timestamp::ORIGIN`] represents an unknown start long
     /// ago.
     pub(super) started_at: Timestamp,
     /// Listed size in slots; 1 if the endpoint list has no sizes.
@@ -121,7 +121,7 @@
     pub(super) remote_backlogs: Vec<RemoteBacklog>,
     /// Health of the worker.
     pub(super) health: WorkerHealth,
-    /// Time at which operators enabled the worker again; none once something has been sent to it since.
+    /// Time at which operators enabled the worker again; `None` once something has been sent to it since.
     pub(super) reenabled_at: Option<Timestamp>,
     /// Whether this node's work at the worker has changed since it was last gossiped.
     pub(super) gossip_pending: bool,
@@ -190,8 +190,8 @@
         &self.estimates
     }
 
-    /// Returns the time at which operators enabled the worker again; none once something has been sent to it
-    /// since.
+    /// Returns the time at which operators enabled the worker again; `None` once something has been sent to
+    /// it since.
     pub fn reenabled_at(&self) -> Option<Timestamp> {
         self.reenabled_at
     }
@@ -255,8 +255,8 @@
         decayed.max(self.excess_wait.linearly_decayed(now)).max(self.longest_start_delay(now))
     }
 
-    /// Returns the number of other keys that were sent to the worker since `key`; none if `key` is not among
-    /// the recent keys.
+    /// Returns the number of other keys that were sent to the worker since `key`; `None` if `key` is not
+    /// among the recent keys.
     pub fn keys_sent_since(&self, key: u64) -> Option<usize> {
         self.recent_keys.iter().position(|recent| *recent == key)
     }
--- a/crates/core/src/state/worker_events.rs
+++ b/crates/core/src/state/worker_events.rs
@@ -78,8 +78,8 @@
         self.record_reachable(now);
     }
 
-    /// Records the start of an attempt. Returns the seconds by which it was later than predicted; none if the
-    /// start has been recorded before or the attempt is not in flight.
+    /// Records the start of an attempt. Returns the seconds by which it was later than predicted; `None` if
+    /// the start has been recorded before or the attempt is not in flight.
     pub fn record_start(&mut self, now: Timestamp, id: AttemptId) -> Option<f64> {
         let previous_excess = self.excess_wait.get(now, EXCESS_WAIT_TIME_CONSTANT);
         let attempt = self.attempt_mut(id).filter(|attempt| !attempt.has_started())?;
--- a/crates/node/src/attempt/interface.rs
+++ b/crates/node/src/attempt/interface.rs
@@ -36,7 +36,7 @@
     /// Whether the attempt must be sent over a new connection: if it were lost because a reused connection
     /// had closed unnoticed, it could not be retried.
     pub needs_new_connection: bool,
-    /// Channel that receives a value if the attempt is to be cancelled. Once the sender is dropped, the
+    /// Channel that receives a value as the request to cancel the attempt. Once the sender is dropped, the
     /// attempt has ended, and only its connection remains to be cleaned up.
     pub cancel: oneshot::Receiver<()>,
     /// Permit that is checked before the first byte is written. If it has been revoked, nothing is written,
--- a/crates/node/src/attempt/send_permit.rs
+++ b/crates/node/src/attempt/send_permit.rs
@@ -27,7 +27,7 @@
 pub struct SendLease(Cell<Option<Instant>>);
 
 impl SendLease {
-    /// Sets the time before which attempts that have been decided on may be written; None for no limit.
+    /// Sets the time before which attempts that have been decided on may be written; `None` for no limit.
     pub fn set_deadline(&self, deadline: Option<Instant>) {
         self.0.set(deadline);
     }
@@ -57,7 +57,7 @@
     pub request_id: Rc<str>,
     /// Connection state of the client.
     pub client: Rc<ClientPresence>,
-    /// Time before which the first byte must be sent; None if only the other parts limit it.
+    /// Time before which the first byte must be sent; `None` if only the other parts limit it.
     pub deadline: Option<Instant>,
     /// Lease on the endpoint list.
     pub lease: Rc<SendLease>,
--- a/crates/node/src/discovery/endpoint_watch.rs
+++ b/crates/node/src/discovery/endpoint_watch.rs
@@ -108,7 +108,7 @@
 pub struct ReceivedEvent {
     /// Event that was read.
     pub event: WatchEvent,
-    /// Time at which the list, with this event applied, was current. None if the event arrived after
+    /// Time at which the list, with this event applied, was current. `None` if the event arrived after
     /// [`HEARTBEAT_TIMEOUT`]: this event and later ones may have been delayed.
     pub current_as_of: Option<Instant>,
 }
--- a/crates/node/src/discovery/watch_state.rs
+++ b/crates/node/src/discovery/watch_state.rs
@@ -102,7 +102,7 @@
 pub struct ListUpdate {
     /// Content of the message.
     pub list: EndpointListMessage,
-    /// Time at which the complete list, with this update applied, was current. None if that is unknown: the
+    /// Time at which the complete list, with this update applied, was current. `None` if that is unknown: the
     /// list is from an earlier address, or arrived after a heartbeat timeout.
     pub current_as_of: Option<Instant>,
     /// Duration of the poll if this list is the first one of its watch.
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -54,7 +54,7 @@
     /// Name of the worker in the endpoint list; empty if the worker was no longer listed when the attempt was
     /// recorded.
     pub(super) worker_name: Rc<str>,
-    /// Address of the worker; None if the worker was no longer listed when the attempt was recorded.
+    /// Address of the worker; `None` if the worker was no longer listed when the attempt was recorded.
     pub(super) address: Option<SocketAddr>,
     /// State of the attempt.
     pub(super) state: AttemptState,
--- a/crates/node/src/dispatch/callbacks.rs
+++ b/crates/node/src/dispatch/callbacks.rs
@@ -44,7 +44,7 @@
 }
 
 /// Finds the attempt to which a callback applies: the latest attempt at that worker that has not ended.
-/// Returns None if there is no such attempt, or if the callback can only be a redelivery of one for an
+/// Returns `None` if there is no such attempt, or if the callback can only be a redelivery of one for an
 /// earlier attempt.
 pub(super) fn find_target(
     attempts: &[Attempt],
--- a/crates/node/src/dispatch/jobs.rs
+++ b/crates/node/src/dispatch/jobs.rs
@@ -36,7 +36,7 @@
     Local,
     /// The job is being migrated to or from the peer process.
     Migrating,
-    /// This process does not own such a job.
+    /// This process has no job with the request id.
     Unknown,
 }
 
@@ -54,7 +54,7 @@
     pub cost_hint: Option<f64>,
     /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// Hash of the key of the data that the job uses, the same at every node; None if the job has no key.
+    /// Hash of the key of the data that the job uses, the same at every node; `None` if the job has no key.
     pub affinity_key: Option<u64>,
     /// Whether the client marks the job as a retry.
     pub is_retry: bool,
@@ -87,7 +87,7 @@
         self.client.set_probe(probe);
     }
 
-    /// Returns the job id; None until the dispatch task has accepted the job.
+    /// Returns the job id; `None` until the dispatch task has accepted the job.
     pub(super) fn job_id(&self) -> Option<JobId> {
         self.id.get()
     }
--- a/crates/node/src/dispatch/messages.rs
+++ b/crates/node/src/dispatch/messages.rs
@@ -53,7 +53,7 @@
         worker_name: String,
         /// State that the worker reports.
         state: CallbackState,
-        /// Channel for the owner of the job; None unless the caller would forward the callback to the peer.
+        /// Channel for the owner of the job; `None` unless the caller would forward the callback to the peer.
         owner: Option<oneshot::Sender<JobOwner>>,
     },
     /// Query whether a job with the request id is open.
@@ -112,9 +112,9 @@
     pub endpoints: Vec<NamedEndpoint>,
     /// Type of the message: complete list or change.
     pub update: EndpointUpdate,
-    /// Time at which the complete list, with this message applied, was current; None if unknown.
+    /// Time at which the complete list, with this message applied, was current; `None` if unknown.
     pub current_as_of: Option<Instant>,
-    /// Duration of the poll to which this message is the response; None for later messages of a watch.
+    /// Duration of the poll to which this message is the response; `None` for later messages of a watch.
     pub poll_duration: Option<Duration>,
 }
 
@@ -158,7 +158,7 @@
     /// Workers that operators have disabled.
     #[serde(rename = "bans")]
     pub disabled_workers: DisabledWorkers,
-    /// State that the dispatcher has learned; None if only the commands of operators are transferred.
+    /// State that the dispatcher has learned; `None` if only the commands of operators are transferred.
     #[serde(rename = "learned")]
     pub snapshot: Option<StateSnapshot>,
 }
--- a/crates/node/src/dispatch/migration.rs
+++ b/crates/node/src/dispatch/migration.rs
@@ -116,7 +116,7 @@
     RolledBack,
 }
 
-/// A job that is to be sent to the peer process.
+/// Job to migrate to the peer process.
 pub struct OutgoingMigration<P> {
     /// Record of the job.
     pub migration: JobMigration,
--- a/crates/node/src/dispatch/permission_monitor.rs
+++ b/crates/node/src/dispatch/permission_monitor.rs
@@ -18,7 +18,7 @@
     clock: Clock,
     metrics: Metrics,
     lease: Rc<SendLease>,
-    /// Reason for which jobs are held; None while jobs are sent.
+    /// Reason for which jobs are held; `None` while jobs are sent.
     denial: Option<Denial>,
     violations: Violations,
 }
--- a/crates/node/src/dispatch/task/actions.rs
+++ b/crates/node/src/dispatch/task/actions.rs
@@ -16,12 +16,12 @@
 use crate::telemetry::logging::DISPATCH;
 use crate::telemetry::metrics::Counter;
 
-/// Parameters of an attempt that is to be sent.
+/// Parameters for sending an attempt.
 struct AttemptSpec {
     job: JobId,
     worker: WorkerId,
     timeout: TimeSpan,
-    /// Time before which the first byte must be written; None if only the timeout limits it.
+    /// Time before which the first byte must be written; `None` if only the timeout limits it.
     send_deadline: Option<Timestamp>,
     needs_new_connection: bool,
 }
@@ -127,7 +127,7 @@
         SendResult::Sent
     }
 
-    /// Records an attempt as in flight. Returns None if the job does not exist.
+    /// Records an attempt as in flight. Returns `None` if the job does not exist.
     fn record_attempt(
         &mut self,
         spec: &AttemptSpec,
--- a/crates/node/src/dispatch/task/attempt_lifecycle.rs
+++ b/crates/node/src/dispatch/task/attempt_lifecycle.rs
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Returns the attempt to which a callback applies, and the effect of the callback. None if it applies to
-    /// no attempt.
+    /// Returns the attempt to which a callback applies, and the effect of the callback. `None` if it applies
+    /// to no attempt.
     fn interpret_callback(
         &self,
         request_id: &str,
--- a/crates/node/src/handover/descriptor_stream.rs
+++ b/crates/node/src/handover/descriptor_stream.rs
@@ -19,10 +19,10 @@
 
 use crate::handover::error::HandoverError;
 
-/// Maximum time for which the other process may read nothing before it counts as ended.
+/// Maximum time for which the peer may read nothing before it counts as ended.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of received descriptors that wait for the frames to which they belong. Further descriptors
-/// are closed, so that the other process cannot use up the descriptors of this process.
+/// are closed, so that the peer cannot use up the descriptors of this process.
 const MAX_PENDING_DESCRIPTORS: usize = 16;
 /// Maximum number of bytes that one read receives.
 const READ_CHUNK_BYTES: usize = 8 << 10;
@@ -75,7 +75,7 @@
     stream.async_io(Interest::WRITABLE, send).await
 }
 
-/// Writes all bytes. Fails if the other process reads nothing for `WRITE_STALL_TIMEOUT`.
+/// Writes all bytes. Fails if the peer reads nothing for `WRITE_STALL_TIMEOUT`.
 pub(super) async fn write_all(stream: &UnixStream, mut bytes: Bytes) -> io::Result<()> {
     while bytes.has_remaining() {
         timeout(WRITE_STALL_TIMEOUT, stream.writable()).await??;
@@ -93,7 +93,7 @@
 pub(super) enum StreamState {
     /// The read has received bytes, and more may follow.
     Open,
-    /// The other process has closed its end.
+    /// The peer has closed its end.
     Closed,
 }
 
--- a/crates/node/src/handover/error.rs
+++ b/crates/node/src/handover/error.rs
@@ -60,15 +60,15 @@
         /// Client address of this process.
         listen: SocketAddr,
     },
-    /// The other process did not answer or read in time.
+    /// The peer did not answer or read in time.
     #[error(
         "the other process did not answer or read in time; end it if it hangs, the successor starts cold"
     )]
     TimedOut,
-    /// The connection to the other process was closed or failed.
+    /// The connection to the peer was closed or failed.
     #[error("the connection to the other process was lost ({0}); no action is needed")]
     Disconnected(#[source] io::Error),
-    /// The other process rejected the hello.
+    /// The peer rejected the hello.
     #[error(transparent)]
     Rejected(RejectReason),
     /// Another starting process of this node has held the start lock for too long.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the error for a connection that the other process closed where a frame was expected.
+    /// Returns the error for a connection that the peer closed while a frame was expected.
     pub(super) fn closed_by_peer() -> HandoverError {
         HandoverError::Disconnected(ErrorKind::UnexpectedEof.into())
     }
--- a/crates/node/src/handover/peer.rs
+++ b/crates/node/src/handover/peer.rs
@@ -36,7 +36,7 @@
         self.lost_process.set(link.and_then(|link| link.peer_pid()));
     }
 
-    /// Returns whether another process of this node may serve to which this process has no link.
+    /// Returns whether another process of this node may be serving to which this process is not linked.
     pub fn may_have_unknown_peer(&self) -> bool {
         // The id is removed once the process has exited, because the system may assign the id to another
         // process.
--- a/crates/node/src/handover/rendezvous.rs
+++ b/crates/node/src/handover/rendezvous.rs
@@ -87,7 +87,7 @@
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
                 Ok(None)
             }
-            // The accept queue is full, because the other process has stopped accepting connections.
+            // The accept queue is full, because the listening process has stopped accepting connections.
             Err(error) if error.kind() == ErrorKind::WouldBlock => Err(HandoverError::TimedOut),
             Err(error) => Err(file_error(error)),
         }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -26,9 +26,9 @@
         Phase::ALL[self.phase_index.load(Ordering::Relaxed)]
     }
 
-    /// Applies the table's transition for this event, and returns the new phase. If the table has no
-    /// transition, as for an endpoint list that arrives during shutdown, returns `None`, and the phase stays
-    /// unchanged. Must be called only on the node's main thread.
+    /// Applies the transition of the phase table for this event, and returns the new phase. If the table has
+    /// no transition, as for an endpoint list that arrives during shutdown, returns `None`, and the phase
+    /// stays unchanged. Must be called only on the node's main thread.
     pub fn apply(&self, event: PhaseEvent) -> Option<Phase> {
         let next_phase = self.phase().next(event)?;
         let index = Phase::ALL.iter().position(|phase| *phase == next_phase)?;
--- a/crates/node/src/runtime/shutdown.rs
+++ b/crates/node/src/runtime/shutdown.rs
@@ -71,7 +71,7 @@
     pub lifecycle: Lifecycle,
     /// Queue of the dispatch task.
     pub dispatch_queue: DispatchQueue<RequestPayload>,
-    /// Server of the clients.
+    /// HTTP server of the node.
     pub server: Server,
     /// Client of the workers.
     pub upstream: UpstreamClient,
--- a/crates/node/src/runtime/startup.rs
+++ b/crates/node/src/runtime/startup.rs
@@ -342,7 +342,7 @@
 enum StartKind {
     /// No predecessor has accepted this process, which serves immediately.
     Single,
-    /// A predecessor has accepted this process, which is to take over from it.
+    /// A predecessor has accepted this process, which will take over from it.
     Successor,
 }
 
--- a/crates/node/src/server/connection/mod.rs
+++ b/crates/node/src/server/connection/mod.rs
@@ -88,7 +88,7 @@
     /// Whether hyper reads a substitute for an incomplete request, so that the service rejects that request.
     is_request_rejected: Cell<bool>,
     /// Notification that wakes the serving task after `aborted` or `read_expired` was set. If neither is set,
-    /// the connection is to close as soon as it carries no request.
+    /// the connection closes as soon as it carries no request.
     close_requested: Notify,
     /// Waker of the reader that waits until the current request is answered.
     read_waker: RefCell<Option<Waker>>,
@@ -197,7 +197,7 @@
         self.close_requested.notified()
     }
 
-    /// Returns whether the connection is to end immediately, without further writes.
+    /// Returns whether the connection must end immediately, without further writes.
     pub fn is_aborted(&self) -> bool {
         self.aborted.get()
     }
--- a/crates/node/src/server/job_handler.rs
+++ b/crates/node/src/server/job_handler.rs
@@ -71,7 +71,7 @@
         self.await_response(&job_handle, response_receiver, &mut open_job).await
     }
 
-    /// Awaits the response to a job. While open jobs are to migrate, also tries to migrate the job. Once the
+    /// Awaits the response to a job. While open jobs should migrate, also tries to migrate the job. Once the
     /// migration has succeeded, this future is dropped together with its connection.
     async fn await_response(
         &self,
--- a/crates/node/src/server/service.rs
+++ b/crates/node/src/server/service.rs
@@ -69,7 +69,7 @@
     async fn run_http(self, connection: &Connection, read_filter: &Rc<RefCell<ReadFilter>>) -> CloseMode {
         let stream = TokioIo::new(FilteredStream::new(read_filter.clone()));
         let http = http1::Builder::new()
-            // `Connection` keeps the timeouts. The timeout of a head starts with its first byte.
+            // The server enforces the timeouts itself. The timeout of a head starts with its first byte.
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(stream, TowerToHyperService::new(self));
--- a/crates/node/src/server/state.rs
+++ b/crates/node/src/server/state.rs
@@ -71,7 +71,7 @@
     pub intake_closed: Rc<Cell<bool>>,
     /// Mode of the listener, which determines whether this process accepts new connections.
     pub listener_mode: watch::Sender<ListenerMode>,
-    /// Whether open jobs are to migrate to the peer process of this node.
+    /// Whether open jobs should migrate to the peer process of this node.
     pub migrating: watch::Sender<bool>,
 }
 
@@ -123,7 +123,7 @@
         connections.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Waits for `delay`, then returns as soon as open jobs are to migrate.
+    /// Waits for `delay`, and then until open jobs should migrate.
     pub async fn migration_requested(&self, delay: Duration) {
         sleep(delay).await;
         // This fails only if the sender has been dropped, but this state owns the sender.
--- a/crates/node/src/upstream/cancellation.rs
+++ b/crates/node/src/upstream/cancellation.rs
@@ -178,7 +178,7 @@
 ) -> Option<Acknowledgement> {
     let closed = connection_state == AttemptConnectionState::ClosedBeforeResponse;
     match outcome {
-        ExchangeOutcome::Response { status, .. } if is_cancellation_confirmed(*status) => {
+        ExchangeOutcome::Response { status, .. } if is_cancellation_acknowledged(*status) => {
             Some(Acknowledgement::Response(*status))
         }
         ExchangeOutcome::Refused if closed => Some(Acknowledgement::ClosedThenRefused),
@@ -198,12 +198,12 @@
 
 /// Returns whether a response states that the job was cancelled or is unknown to the worker. With any other
 /// status the worker may not have handled the cancellation at all.
-fn is_cancellation_confirmed(status: StatusCode) -> bool {
+fn is_cancellation_acknowledged(status: StatusCode) -> bool {
     status.is_success() || matches!(status, StatusCode::NOT_FOUND | StatusCode::GONE)
 }
 
 /// Entry of a cancellation in the list of unacknowledged cancellations. Dropping the guard removes the entry,
-/// even if the cancellation was abandoned at its deadline: a process does not hand over cancellations that it
+/// even if the cancellation was abandoned at its deadline: a process does not transfer cancellations that it
 /// has abandoned.
 struct UnacknowledgedGuard<'a> {
     list: &'a RefCell<Vec<CancellationTarget>>,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -114,8 +114,8 @@
 }
 
 impl Exchange<'_> {
-    /// Sends the request and waits for its response. Repeats this over another connection for as long as a
-    /// reused connection closes before a byte was written.
+    /// Sends the request and waits for its response. Sends the request again over another connection as
+    /// long as a reused connection closes before a byte was written.
     pub async fn run(mut self, pool: &Rc<ConnectionPool>) -> ExchangeOutcome {
         loop {
             if let Some(outcome) = self.try_once(pool).await {
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -73,8 +73,8 @@
         self.runner.pool.set_descriptor_share(share);
     }
 
-    /// Returns the cancellations in progress, none of which its worker has acknowledged yet. They are to be
-    /// handed over to the peer process.
+    /// Returns the cancellations in progress, none of which its worker has acknowledged yet. The caller
+    /// transfers them to the peer process.
     pub fn unacknowledged_cancellations(&self) -> Vec<CancellationTarget> {
         self.runner.canceller.unacknowledged()
     }
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns whether the connection has been idle for [`REUSE_DELAY`].
-    pub fn is_reuse_delay_over(&self, now: Instant) -> bool {
+    pub fn has_reuse_delay_elapsed(&self, now: Instant) -> bool {
         now.duration_since(self.idle_since) >= REUSE_DELAY
     }
 
--- a/crates/node/src/upstream/pool/generation.rs
+++ b/crates/node/src/upstream/pool/generation.rs
@@ -1,6 +1,6 @@
 //! Generations of a worker's address, which distinguish connections to a process that has exited from
-//! connections to the process that replaced it. The pool uses them as the endpoint watch uses the generations
-//! of discovery's address.
+//! connections to the process that replaced it. The endpoint watch uses generations of discovery's address in
+//! the same way.
 
 use std::rc::Rc;
 
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -60,7 +60,7 @@
     pub fn take(&mut self, now: Instant, max_idle: Duration) -> Option<Connection> {
         // If the operator's limit is not longer than the reuse delay, no connection is reused.
         self.connections.retain(|connection| max_idle > REUSE_DELAY && connection.is_usable(now, max_idle));
-        let reusable_now = |connection: &Connection| connection.is_reuse_delay_over(now);
+        let reusable_now = |connection: &Connection| connection.has_reuse_delay_elapsed(now);
         let index = self.connections.iter().rposition(reusable_now).unwrap_or(0);
         (index < self.connections.len()).then(|| self.connections.remove(index))
     }
--- a/crates/node/src/upstream/pool/socket.rs
+++ b/crates/node/src/upstream/pool/socket.rs
@@ -63,7 +63,7 @@
 ///
 /// Before the first byte of a request, the socket checks that the send permit is still valid, and that the
 /// worker has neither closed the connection nor sent anything. The task that drives the connection may not
-/// have noticed either of the latter yet.
+/// have noticed the close or the received data yet.
 pub struct Socket {
     stream: TcpStream,
     socket_state: Rc<SocketState>,
--- a/crates/settings/src/operator/options.rs
+++ b/crates/settings/src/operator/options.rs
@@ -1,8 +1,8 @@
 //! Sections of the operator's file, with their fields, bounds and defaults.
 //!
 //! The name of a field ends in its unit, unless its type determines the unit. `serde(rename)` gives the name
-//! in the file where it differs from the Rust name. `serde(expecting)` gives the name of a type in error
-//! messages where it differs from the Rust name.
+//! in the file if it differs from the Rust name. `serde(expecting)` gives the name of a type in error
+//! messages if it differs from the Rust name.
 
 use std::collections::BTreeMap;
 
--- a/crates/settings/src/wire.rs
+++ b/crates/settings/src/wire.rs
@@ -1,6 +1,6 @@
 //! Wire form of the settings object, as the platform writes it.
 //!
-//! The fields have names in the terms of this project. `serde(rename)` gives the platform's name where it
+//! The fields have names in the terms of this project. `serde(rename)` gives the platform's name if it
 //! differs. The names of the types and the numbers of their fields are part of error messages. Unknown fields
 //! are accepted, because the platform may add fields.
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -17,7 +17,7 @@
 const TOPIC_STARTED: u32 = 1;
 /// Value of the field `topic` of a progress report: a fraction of the attempt's work is done.
 const TOPIC_FRACTION_DONE: u32 = 2;
-/// Number of microseconds in a second. The wire has the work of jobs in microseconds.
+/// Number of microseconds in a second. On the wire, the work of jobs is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Simulated node.
--- a/crates/testbed/src/client_router.rs
+++ b/crates/testbed/src/client_router.rs
@@ -19,7 +19,7 @@
 /// Delay from the first readiness check with a negative response until the node gets no new connections.
 const NOT_READY_CLOSE_DELAY: TimeSpan = TimeSpan::from_millis(200);
 /// Delay from the first readiness check without a response until the node gets no new connections. It is
-/// longer, so that one lost check does not close a node.
+/// longer than [`NOT_READY_CLOSE_DELAY`], so that one lost check does not close a node.
 const NO_RESPONSE_CLOSE_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
 /// Close time of a node that is open.
--- a/crates/testbed/src/environment/crash.rs
+++ b/crates/testbed/src/environment/crash.rs
@@ -8,7 +8,7 @@
 use super::StartError;
 use crate::nodes::{Node, NodeError};
 
-/// Unexpected failure of a node's process, with the last lines of its log where they explain the failure.
+/// Unexpected failure of a node's process, with the last lines of its log if they explain the failure.
 #[derive(Debug, Error)]
 pub enum NodeCrash {
     /// The process exited although the testbed did not stop it.
--- a/crates/testbed/src/environment/signal_series.rs
+++ b/crates/testbed/src/environment/signal_series.rs
@@ -17,23 +17,24 @@
 /// first connections close, and when the process exits.
 const PAUSE_RANGES_S: [(f64, f64); 3] = [(0.55, 0.70), (0.71, 0.85), (0.86, 1.2)];
 /// Range of the times of further SIGTERM and SIGHUP signals, in seconds after the first SIGTERM.
-const REPEAT_RANGE_S: (f64, f64) = (0.0, 1.2);
+const FURTHER_SIGNAL_RANGE_S: (f64, f64) = (0.0, 1.2);
 /// Maximum number of further signals of each kind, SIGTERM and SIGHUP.
-const MAX_REPEATS: usize = 3;
+const MAX_FURTHER_SIGNALS: usize = 3;
 
 /// Signals that follow the first SIGTERM, each with its delay after the first SIGTERM, in the order of time.
 #[derive(Clone, Debug, Default)]
 pub struct SignalSeries(Vec<(Duration, Signal)>);
 
 impl SignalSeries {
-    /// Samples the signals of one shutdown from the random stream of that name, which is derived from the
+    /// Samples the signals of one shutdown from the random stream `stream_name`, which is derived from the
     /// run's seed.
     pub fn sample(seed: u64, stream_name: &str) -> Self {
         let mut random = random_stream(seed, stream_name);
         let mut signals = Vec::new();
-        for repeated in [Signal::TERM, Signal::HUP] {
-            for _ in 0..random.random_range(0..=MAX_REPEATS) {
-                signals.push((random.random_range(REPEAT_RANGE_S.0..REPEAT_RANGE_S.1), repeated));
+        for signal in [Signal::TERM, Signal::HUP] {
+            for _ in 0..random.random_range(0..=MAX_FURTHER_SIGNALS) {
+                signals
+                    .push((random.random_range(FURTHER_SIGNAL_RANGE_S.0..FURTHER_SIGNAL_RANGE_S.1), signal));
             }
         }
         for (from_s, until_s) in PAUSE_RANGES_S {
--- a/crates/testbed/src/event_log.rs
+++ b/crates/testbed/src/event_log.rs
@@ -1,7 +1,7 @@
 //! Event log: observations of the simulated clients, workers and discovery service, in order of time.
 //!
 //! The log is the only source of events for the rule checker and the report. It contains no statement of a
-//! node about itself, except answers to readiness checks and admin commands.
+//! node about itself, except responses to readiness checks and admin commands.
 //!
 //! The JSON form of the events is an interface: the file `seen.jsonl` of an earlier run stays readable. For
 //! this reason some names in the JSON form differ from the Rust names.
@@ -129,10 +129,10 @@
         #[serde(rename = "call")]
         command: String,
         #[serde(rename = "owed")]
-        expected: ExpectedAnswer,
-        /// Answer of the node without its line end, or `None` if the command failed.
+        expected: ExpectedResponse,
+        /// Response of the node without its line end, or `None` if the command failed.
         #[serde(rename = "said")]
-        answer: Option<String>,
+        response: Option<String>,
         #[serde(rename = "took_us")]
         took: TimeSpan,
     },
@@ -185,16 +185,16 @@
 pub enum Readiness {
     /// The node is ready.
     Yes,
-    /// The node gave any other answer.
+    /// The node sent any other response.
     No,
-    /// The node did not answer.
+    /// The node did not respond.
     Nothing,
 }
 
-/// Expected answer to an admin command.
+/// Expected response to an admin command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ExpectedAnswer {
+pub enum ExpectedResponse {
     /// The node must confirm the command.
     Yes,
     /// The node must reject the command.
--- a/crates/testbed/src/fleet/message.rs
+++ b/crates/testbed/src/fleet/message.rs
@@ -16,7 +16,7 @@
     Kill(WorkerIndex),
     /// Starts a worker's process.
     Start(WorkerIndex),
-    /// Sets the factor by which a worker takes longer than normal.
+    /// Sets the divisor of a worker's speed.
     SetSlowdown(WorkerIndex, f64),
     /// Drains a worker, which discovery then lists as terminating.
     Drain(WorkerIndex),
--- a/crates/testbed/src/load/clients.rs
+++ b/crates/testbed/src/load/clients.rs
@@ -16,7 +16,7 @@
 use crate::environment::Environment;
 use crate::event_log::{Event, EventLog, FailureReason};
 use crate::fleet::{RequestOrigin, SentRequests, expected_result};
-use crate::scenario::{Class, Idempotence, Scenario};
+use crate::scenario::{Class, Idempotency, Scenario};
 
 /// Time that a client waits beyond its timeout, to measure how late a late response is.
 const LATE_RESPONSE_MARGIN: Duration = Duration::from_millis(500);
@@ -154,7 +154,7 @@
             RequestOutcome::Unreachable => Some(retry_wait_s),
             // A job that may have run is retried only if its class is idempotent without a key.
             RequestOutcome::Failed | RequestOutcome::NoResponse => {
-                (class.idempotence == Idempotence::Idempotent).then_some(retry_wait_s)
+                (class.idempotency == Idempotency::Idempotent).then_some(retry_wait_s)
             }
         }
     }
--- a/crates/testbed/src/load/job_request.rs
+++ b/crates/testbed/src/load/job_request.rs
@@ -6,7 +6,7 @@
 use curlewusher_model::TimeSpan;
 use curlewusher_model::workload::PlannedJob;
 
-use crate::scenario::{Class, Idempotence};
+use crate::scenario::{Class, Idempotency};
 
 /// Body of every request.
 const BODY: &str = "interval=40-55";
@@ -41,7 +41,7 @@
             planned.slots
         );
         // Writing to a string cannot fail.
-        if class.idempotence == Idempotence::IdempotentWithKey {
+        if class.idempotency == Idempotency::IdempotentWithKey {
             let _ = write!(request, "idempotency-key: {:032x}\r\n", self.job);
         }
         if self.is_retry {
--- a/crates/testbed/src/nodes/config.rs
+++ b/crates/testbed/src/nodes/config.rs
@@ -5,7 +5,7 @@
 
 use super::spec::ProcessSpec;
 use crate::scenario::{
-    Class, DEDUPLICATION_WINDOW, Idempotence, MEMORY_LIMIT_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
+    Class, DEDUPLICATION_WINDOW, Idempotency, MEMORY_LIMIT_MB, OVERLOAD_FACTOR, OVERLOAD_WINDOW, Scenario,
 };
 
 /// Factor for the scenario's seed, which makes the nodes' seeds of adjacent scenario seeds differ in many
@@ -54,10 +54,10 @@
 
 /// Returns the settings of a job class, which is a service in the configuration file.
 fn service_settings(class: &Class) -> Value {
-    let (idempotency, key_scope, deduplication_window) = match class.idempotence {
-        Idempotence::Idempotent => ("safe", "", TimeSpan::ZERO),
-        Idempotence::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
-        Idempotence::NonIdempotent => ("unsafe", "", TimeSpan::ZERO),
+    let (idempotency, key_scope, deduplication_window) = match class.idempotency {
+        Idempotency::Idempotent => ("safe", "", TimeSpan::ZERO),
+        Idempotency::IdempotentWithKey => ("keyed", "cell", DEDUPLICATION_WINDOW),
+        Idempotency::NonIdempotent => ("unsafe", "", TimeSpan::ZERO),
     };
     json!({
         "name": class.name, "idempotency": idempotency, "keyScope": key_scope,
--- a/crates/testbed/src/operator_actions.rs
+++ b/crates/testbed/src/operator_actions.rs
@@ -9,7 +9,7 @@
 use crate::admin_command::{CommandOutcome, send_admin_command};
 use crate::client_connections::ConnectionCounts;
 use crate::environment::Environment;
-use crate::event_log::{Event, ExpectedAnswer};
+use crate::event_log::{Event, ExpectedResponse};
 use crate::fleet::{FleetCommand, worker_name};
 use crate::waiting::{join_all, wait_until};
 
@@ -25,7 +25,7 @@
     environment: &Environment,
     node: usize,
     line: &str,
-    expected: ExpectedAnswer,
+    expected: ExpectedResponse,
 ) -> Option<CommandOutcome> {
     let admin_address = environment.slot(node).await.admin_address?;
     Some(send_command_to_address(environment, admin_address, node, line, expected).await)
@@ -37,16 +37,16 @@
     admin_address: SocketAddr,
     node: usize,
     line: &str,
-    expected: ExpectedAnswer,
+    expected: ExpectedResponse,
 ) -> CommandOutcome {
     let outcome = send_admin_command(admin_address, line).await;
     // A process that has just started may not listen yet. Then the command was not sent, and is not recorded.
-    if !(outcome.is_refused && expected == ExpectedAnswer::Either) {
+    if !(outcome.is_refused && expected == ExpectedResponse::Either) {
         environment.log.record(Event::AdminCommandEnded {
             node,
             command: line.to_owned(),
             expected,
-            answer: outcome.response.clone(),
+            response: outcome.response.clone(),
             took: outcome.duration,
         });
     }
@@ -58,14 +58,14 @@
 /// not counted and the function never returns.
 pub async fn drain_node(environment: &Environment, node: usize, until: Option<Instant>) {
     let started_at = Instant::now();
-    send_command(environment, node, "DRAIN", ExpectedAnswer::Yes).await;
+    send_command(environment, node, "DRAIN", ExpectedResponse::Yes).await;
     if until.is_some_and(|until| until > started_at + CONNECTION_COUNT_DELAY) {
         sleep_until(started_at + CONNECTION_COUNT_DELAY).await;
         let ConnectionCounts { idle, fresh } = environment.router.connections.count(node);
         environment.log.record(Event::ConnectionsCounted { node, idle, fresh });
     }
     wait_until(until).await;
-    send_command(environment, node, "UNDRAIN", ExpectedAnswer::Yes).await;
+    send_command(environment, node, "UNDRAIN", ExpectedResponse::Yes).await;
 }
 
 /// Disables a worker on all nodes, restarts it after half of `duration`, and enables it at the end. Each node
@@ -87,5 +87,5 @@
 
 async fn send_to_all_nodes(environment: &Environment, line: &str) {
     let nodes = 0..environment.node_count();
-    join_all(nodes.map(|node| send_command(environment, node, line, ExpectedAnswer::Yes))).await;
+    join_all(nodes.map(|node| send_command(environment, node, line, ExpectedResponse::Yes))).await;
 }
--- a/crates/testbed/src/rules/job_rules/offered_work.rs
+++ b/crates/testbed/src/rules/job_rules/offered_work.rs
@@ -28,7 +28,7 @@
 pub(super) struct WorkByNotification {
     /// Work from nodes that had been notified.
     pub(super) seconds_from_notified: f64,
-    /// Work from the other nodes.
+    /// Work from nodes that had not been notified.
     pub(super) seconds_from_unnotified: f64,
 }
 
--- a/crates/testbed/src/rules/operations_rules/admin_command.rs
+++ b/crates/testbed/src/rules/operations_rules/admin_command.rs
@@ -1,13 +1,13 @@
-//! Admin commands: the worker that a command names, and checks of the content and time of its answer.
+//! Admin commands: the worker that a command names, and checks of the content and time of its response.
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
-use super::violation::{Answer, OperationsViolation};
-use crate::event_log::ExpectedAnswer;
+use super::violation::{CommandResponse, OperationsViolation};
+use crate::event_log::ExpectedResponse;
 
-/// Maximum time from the start of an admin command to its answer. It is also the latest time after a DISABLE
-/// at which the worker counts as disabled.
-pub(super) const ANSWER_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
+/// Maximum time from the start of an admin command to its response. It is also the latest time after a
+/// DISABLE at which the worker counts as disabled.
+pub(super) const RESPONSE_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
 
 /// Admin command that was answered or failed.
 #[derive(Debug)]
@@ -15,9 +15,9 @@
     pub(super) node: usize,
     /// Text of the command.
     pub(super) line: &'log str,
-    pub(super) expected: ExpectedAnswer,
-    /// Answer of the node, or `None` if the command failed.
-    pub(super) answer: Option<&'log str>,
+    pub(super) expected: ExpectedResponse,
+    /// Response of the node, or `None` if the command failed.
+    pub(super) response: Option<&'log str>,
     pub(super) begun_at: Timestamp,
     pub(super) ended_at: Timestamp,
 }
@@ -41,34 +41,34 @@
 
     /// Returns whether the node answered `+OK`.
     pub(super) fn is_confirmed(&self) -> bool {
-        self.answer.is_some_and(|answer| answer.starts_with("+OK"))
+        self.response.is_some_and(|response| response.starts_with("+OK"))
     }
 
     /// Returns whether the node answered `-ERR`.
     pub(super) fn is_rejected(&self) -> bool {
-        self.answer.is_some_and(|answer| answer.starts_with("-ERR"))
+        self.response.is_some_and(|response| response.starts_with("-ERR"))
     }
 
-    fn has_expected_answer(&self) -> bool {
+    fn has_expected_response(&self) -> bool {
         match self.expected {
-            ExpectedAnswer::Yes => self.is_confirmed(),
-            ExpectedAnswer::No => self.is_rejected(),
-            ExpectedAnswer::Either => self.is_confirmed() || self.is_rejected(),
+            ExpectedResponse::Yes => self.is_confirmed(),
+            ExpectedResponse::No => self.is_rejected(),
+            ExpectedResponse::Either => self.is_confirmed() || self.is_rejected(),
         }
     }
 
     /// Returns a violation if the node answered too late.
-    pub(super) fn check_answer_time(&self, tolerance: TimeSpan) -> Option<OperationsViolation<'log>> {
+    pub(super) fn check_response_time(&self, tolerance: TimeSpan) -> Option<OperationsViolation<'log>> {
         let (node, command, took) = (self.node, self.line, self.duration());
-        let is_late = self.answer.is_some() && took > ANSWER_TIMEOUT + tolerance;
-        is_late.then_some(OperationsViolation::LateAnswer { node, command, took })
+        let is_late = self.response.is_some() && took > RESPONSE_TIMEOUT + tolerance;
+        is_late.then_some(OperationsViolation::LateResponse { node, command, took })
     }
 
-    /// Returns a violation if the answer is missing or is not the expected one.
-    pub(super) fn check_answer(&self) -> Option<OperationsViolation<'log>> {
-        let AdminCommand { node, line: command, expected, answer, .. } = *self;
-        let answer = Answer(answer);
-        let violation = OperationsViolation::UnexpectedAnswer { node, command, answer, expected };
-        (!self.has_expected_answer()).then_some(violation)
+    /// Returns a violation if the response is missing or is not the expected one.
+    pub(super) fn check_response(&self) -> Option<OperationsViolation<'log>> {
+        let AdminCommand { node, line: command, expected, response, .. } = *self;
+        let response = CommandResponse(response);
+        let violation = OperationsViolation::UnexpectedResponse { node, command, response, expected };
+        (!self.has_expected_response()).then_some(violation)
     }
 }
--- a/crates/testbed/src/rules/operations_rules/maintenance.rs
+++ b/crates/testbed/src/rules/operations_rules/maintenance.rs
@@ -5,7 +5,7 @@
 
 use curlewusher_model::{TimeSpan, Timestamp};
 
-use super::admin_command::{ANSWER_TIMEOUT, AdminCommand};
+use super::admin_command::{AdminCommand, RESPONSE_TIMEOUT};
 use super::violation::{OperationsViolation, TimedViolation};
 use crate::rules::RuleParameters;
 
@@ -77,12 +77,13 @@
     }
 
     /// Records a command that disables a worker, unless the node rejected the command. The worker counts as
-    /// disabled from the answer `+OK`, and at the latest [`ANSWER_TIMEOUT`] after the start of the command.
+    /// disabled from the response `+OK`, and at the latest [`RESPONSE_TIMEOUT`] after the start of the
+    /// command.
     pub(super) fn disable(&mut self, command: &AdminCommand<'_>, worker: usize) {
         if command.is_rejected() {
             return;
         }
-        let limit = command.begun_at + ANSWER_TIMEOUT;
+        let limit = command.begun_at + RESPONSE_TIMEOUT;
         let since = if command.is_confirmed() { command.ended_at.min(limit) } else { limit };
         self.disabled.entry(WorkerAtNode { node: command.node, worker }).or_insert(since);
         self.enabled.remove(&worker);
--- a/crates/testbed/src/rules/operations_rules/mod.rs
+++ b/crates/testbed/src/rules/operations_rules/mod.rs
@@ -91,14 +91,15 @@
             Event::AttemptArrived { id, node, worker, head_at, .. } => {
                 self.observe_arrival(id, WorkerAtNode { node: *node, worker: *worker }, *head_at);
             }
-            Event::AdminCommandEnded { node, command, expected, answer, took } => {
-                let (node, line, expected, answer) = (*node, command.as_str(), *expected, answer.as_deref());
+            Event::AdminCommandEnded { node, command, expected, response, took } => {
+                let (node, line, expected, response) =
+                    (*node, command.as_str(), *expected, response.as_deref());
                 let (begun_at, ended_at) = (at - *took, at);
-                self.observe_command(&AdminCommand { node, line, expected, answer, begun_at, ended_at });
+                self.observe_command(&AdminCommand { node, line, expected, response, begun_at, ended_at });
             }
             Event::ReadinessChanged { node, readiness } => {
                 if *readiness == Readiness::No {
-                    self.upgrades.count_not_ready_answer(at, *node);
+                    self.upgrades.count_not_ready_response(at, *node);
                 }
                 self.drains.observe_readiness(at, *node, *readiness);
             }
@@ -138,11 +139,12 @@
         let figures = self.figures.commands.entry(command.verb().to_owned()).or_default();
         figures.count += 1;
         figures.slowest_ms = figures.slowest_ms.max(command.duration().as_micros() as f64 / 1e3);
-        let wrong_answers = [command.check_answer_time(self.parameters.tolerance), command.check_answer()]
-            .into_iter()
-            .flatten();
+        let wrong_responses =
+            [command.check_response_time(self.parameters.tolerance), command.check_response()]
+                .into_iter()
+                .flatten();
         self.violations
-            .extend(wrong_answers.map(|violation| TimedViolation { at: command.ended_at, violation }));
+            .extend(wrong_responses.map(|violation| TimedViolation { at: command.ended_at, violation }));
         let (node, begun_at) = (command.node, command.begun_at);
         match (command.verb(), command.worker()) {
             ("DISABLE", Some(worker)) => self.maintenance.disable(command, worker),
--- a/crates/testbed/src/rules/operations_rules/upgrades.rs
+++ b/crates/testbed/src/rules/operations_rules/upgrades.rs
@@ -85,7 +85,7 @@
     }
 
     /// Counts a change of a node's readiness check to not ready.
-    pub(super) fn count_not_ready_answer(&mut self, at: Timestamp, node: usize) {
+    pub(super) fn count_not_ready_response(&mut self, at: Timestamp, node: usize) {
         if let Some(window) = self.window_at(node, at) {
             window.figures.not_ready_answers += 1;
         }
--- a/crates/testbed/src/rules/operations_rules/violation.rs
+++ b/crates/testbed/src/rules/operations_rules/violation.rs
@@ -5,7 +5,7 @@
 use curlewusher_model::{TimeSpan, Timestamp};
 use thiserror::Error;
 
-use crate::event_log::ExpectedAnswer;
+use crate::event_log::ExpectedResponse;
 use crate::rules::{Rule, Violation};
 
 /// Maximum number of jobs that an upgrade may harm if the testbed kills neither process.
@@ -16,10 +16,15 @@
 pub(super) enum OperationsViolation<'log> {
     /// The node answered an admin command too late.
     #[error("node {node} answered {command} after {} ms", took.as_millis())]
-    LateAnswer { node: usize, command: &'log str, took: TimeSpan },
-    /// The node gave no answer to an admin command, or not the expected one.
-    #[error("node {node} said {answer} to {command}; {expected:?} was expected")]
-    UnexpectedAnswer { node: usize, command: &'log str, answer: Answer<'log>, expected: ExpectedAnswer },
+    LateResponse { node: usize, command: &'log str, took: TimeSpan },
+    /// The node sent no response to an admin command, or an unexpected one.
+    #[error("node {node} said {response} to {command}; {expected:?} was expected")]
+    UnexpectedResponse {
+        node: usize,
+        command: &'log str,
+        response: CommandResponse<'log>,
+        expected: ExpectedResponse,
+    },
     /// Clients still hold connections to the node 4 s after the command to drain it.
     #[error(
         "node {node}, 4 s after its drain: {idle} clients' connections idle, {fresh} with a job of the last 2 s"
@@ -48,14 +53,14 @@
     HarmfulUpgrade { node: usize, jobs: usize },
 }
 
-/// Answer to an admin command, or `None` if the node did not answer.
+/// Response to an admin command, or `None` if the node did not respond.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answer<'log>(pub(super) Option<&'log str>);
+pub(super) struct CommandResponse<'log>(pub(super) Option<&'log str>);
 
-impl fmt::Display for Answer<'_> {
+impl fmt::Display for CommandResponse<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Some(answer) => write!(formatter, "{answer:?}"),
+            Some(response) => write!(formatter, "{response:?}"),
             None => formatter.write_str("nothing"),
         }
     }
@@ -65,7 +70,7 @@
     /// Returns the violated rule.
     fn rule(&self) -> Rule {
         match self {
-            OperationsViolation::LateAnswer { .. } | OperationsViolation::UnexpectedAnswer { .. } => {
+            OperationsViolation::LateResponse { .. } | OperationsViolation::UnexpectedResponse { .. } => {
                 Rule::Console
             }
             OperationsViolation::ConnectionsAfterDrain { .. }
--- a/crates/testbed/src/scenario/conversion.rs
+++ b/crates/testbed/src/scenario/conversion.rs
@@ -6,7 +6,7 @@
 use curlewusher_model::worker_pool::{Machine, PoolParameters};
 use curlewusher_model::workload::{JobClass, LoadSegment, WorkloadSpec};
 
-use super::{Class, Idempotence, LoadCurveSegment, MachineKind, Scenario};
+use super::{Class, Idempotency, LoadCurveSegment, MachineKind, Scenario};
 use crate::rules::{FootprintLimits, RetryPolicy, RuleParameters};
 
 /// Tolerance that is added to each time limit of the rules.
@@ -114,7 +114,7 @@
     /// Returns the limits and tolerances of the rules.
     pub fn rule_parameters(&self) -> RuleParameters {
         RuleParameters {
-            classes: self.classes.iter().map(|class| class.idempotence.into()).collect(),
+            classes: self.classes.iter().map(|class| class.idempotency.into()).collect(),
             tolerance: TIME_TOLERANCE,
             response_tolerance: if self.needs_proxies() {
                 IMPAIRED_RESPONSE_TOLERANCE
@@ -147,12 +147,12 @@
     }
 }
 
-impl From<Idempotence> for RetryPolicy {
-    fn from(idempotence: Idempotence) -> Self {
-        match idempotence {
-            Idempotence::Idempotent => RetryPolicy::Idempotent,
-            Idempotence::IdempotentWithKey => RetryPolicy::IdempotentWithKey { window: DEDUPLICATION_WINDOW },
-            Idempotence::NonIdempotent => RetryPolicy::NonIdempotent,
+impl From<Idempotency> for RetryPolicy {
+    fn from(idempotency: Idempotency) -> Self {
+        match idempotency {
+            Idempotency::Idempotent => RetryPolicy::Idempotent,
+            Idempotency::IdempotentWithKey => RetryPolicy::IdempotentWithKey { window: DEDUPLICATION_WINDOW },
+            Idempotency::NonIdempotent => RetryPolicy::NonIdempotent,
         }
     }
 }
--- a/crates/testbed/src/scenario/fault.rs
+++ b/crates/testbed/src/scenario/fault.rs
@@ -71,7 +71,7 @@
     Kill,
     /// A worker accepts connections and requests, but sends no responses.
     Silent,
-    /// A worker is slower by `factor`.
+    /// The speed of a worker is divided by `factor`.
     Slow,
     /// A worker completes its running jobs, accepts no new ones, and is killed after 5 s. After `for_s`, the
     /// worker starts again and warms up.
@@ -113,7 +113,7 @@
     KillInUpgrade,
     /// A node's process is paused with SIGSTOP, and resumed after `for_s`.
     NodePause,
-    /// Discovery serves each call more slowly, by `factor`, so that calls are queued and dropped.
+    /// Discovery takes `factor` times as long to serve a poll, so that polls are queued and dropped.
     DiscoverySlow,
     /// The link between a node and discovery drops all bytes without an error. At the end, open connections
     /// are reset.
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -98,7 +98,7 @@
     /// Delay between a change and its publication by discovery, in seconds.
     #[serde(rename = "list_late_s")]
     pub publication_delay_s: f64,
-    /// Duration for which discovery serves a call, in seconds. It serves one call at a time.
+    /// Duration for which discovery serves a poll, in seconds. It serves one poll at a time.
     #[serde(rename = "list_call_s")]
     pub discovery_call_s: f64,
 }
@@ -242,9 +242,9 @@
     /// occupy one slot.
     #[serde(default = "Class::default_slots")]
     pub slots: u32,
-    /// Idempotence of the jobs.
+    /// Idempotency of the jobs.
     #[serde(rename = "repeats")]
-    pub idempotence: Idempotence,
+    pub idempotency: Idempotency,
     /// Fixed part of the latency objective, in seconds. The objective is the sum of this part and `stretch`
     /// times the work of the job.
     #[serde(rename = "aim_s")]
@@ -265,9 +265,9 @@
     }
 }
 
-/// Idempotence of the jobs of a class: the condition under which a job may run again.
+/// Idempotency of the jobs of a class: the condition under which a job may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Idempotence {
+pub enum Idempotency {
     /// A job may run again.
     #[serde(rename = "safe")]
     Idempotent,
--- a/crates/testbed/src/shared_classes.rs
+++ b/crates/testbed/src/shared_classes.rs
@@ -1,4 +1,4 @@
-//! Classes of jobs that soak runs and stress runs share, one for each variant of `Idempotence`.
+//! Classes of jobs that soak runs and stress runs share, one for each variant of `Idempotency`.
 
 use crate::scenario::Scenario;
 
--- a/crates/testbed/src/stress_run/mod.rs
+++ b/crates/testbed/src/stress_run/mod.rs
@@ -17,7 +17,7 @@
 pub use table::StressResults;
 
 use crate::environment::Environment;
-use crate::event_log::ExpectedAnswer;
+use crate::event_log::ExpectedResponse;
 use crate::fleet::worker_name;
 use crate::operator_actions::send_command;
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -138,13 +138,13 @@
     }
     let worker = worker_name(round % environment.scenario.worker_count());
     for (command, expected) in [
-        ("READY".to_owned(), ExpectedAnswer::Yes),
-        (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
-        (format!("DISABLE w-never-{round}"), ExpectedAnswer::No),
-        (format!("DISABLE {worker}"), ExpectedAnswer::Yes),
-        (format!("ENABLE w-never-{round}"), ExpectedAnswer::No),
-        ("RESTART".to_owned(), ExpectedAnswer::No),
-        (format!("ENABLE {worker}"), ExpectedAnswer::Yes),
+        ("READY".to_owned(), ExpectedResponse::Yes),
+        (format!("DISABLE {worker}"), ExpectedResponse::Yes),
+        (format!("DISABLE w-never-{round}"), ExpectedResponse::No),
+        (format!("DISABLE {worker}"), ExpectedResponse::Yes),
+        (format!("ENABLE w-never-{round}"), ExpectedResponse::No),
+        ("RESTART".to_owned(), ExpectedResponse::No),
+        (format!("ENABLE {worker}"), ExpectedResponse::Yes),
     ] {
         // The rule checker checks the response, which is in the event log.
         let _ = send_command(environment, 0, &command, expected).await;
--- a/crates/testbed/src/upgrade/mod.rs
+++ b/crates/testbed/src/upgrade/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::admin_command::reserve_address;
 use crate::environment::{Environment, NodeCrash};
-use crate::event_log::{Event, ExpectedAnswer};
+use crate::event_log::{Event, ExpectedResponse};
 use crate::nodes::{Node, NodeFailure, ProcessSpec};
 use crate::operator_actions::send_command_to_address;
 use crate::scenario::UpgradeProcess;
@@ -157,7 +157,7 @@
     /// command.
     async fn poll_readiness(&self, successor: SocketAddr) -> bool {
         sleep(READY_POLL_INTERVAL).await;
-        let expected = ExpectedAnswer::Either;
+        let expected = ExpectedResponse::Either;
         send_command_to_address(self.environment, successor, self.node, "READY", expected)
             .await
             .is_confirmed()
--- a/crates/testbed/src/upgrade/plan.rs
+++ b/crates/testbed/src/upgrade/plan.rs
@@ -29,7 +29,7 @@
 }
 
 impl UpgradePlan {
-    /// Samples a plan from the random stream of that name, which is derived from the scenario's seed.
+    /// Samples a plan from the random stream `stream_name`, which is derived from the scenario's seed.
     pub fn sample(scenario: &Scenario, fault: &Fault, stream_name: &str) -> UpgradePlan {
         let mut random = random_stream(scenario.seed, stream_name);
         let delay_s = random.random::<f64>() * fault.delay_s.unwrap_or(MAX_SIGTERM_DELAY_S);
--- a/crates/testbed/tests/unit/event_log.rs
+++ b/crates/testbed/tests/unit/event_log.rs
@@ -53,11 +53,11 @@
 }
 
 fn node_events() -> Vec<Event> {
-    let command = |expected, answer: Option<&str>| Event::AdminCommandEnded {
+    let command = |expected, response: Option<&str>| Event::AdminCommandEnded {
         node: 1,
         command: "READY".into(),
         expected,
-        answer: answer.map(str::to_owned),
+        response: response.map(str::to_owned),
         took: TimeSpan::from_micros(9),
     };
     vec![
@@ -67,9 +67,9 @@
         Event::ReadinessChanged { node: 1, readiness: Readiness::Yes },
         Event::ReadinessChanged { node: 1, readiness: Readiness::No },
         Event::ReadinessChanged { node: 1, readiness: Readiness::Nothing },
-        command(ExpectedAnswer::Yes, Some("yes")),
-        command(ExpectedAnswer::No, None),
-        command(ExpectedAnswer::Either, Some("no")),
+        command(ExpectedResponse::Yes, Some("yes")),
+        command(ExpectedResponse::No, None),
+        command(ExpectedResponse::Either, Some("no")),
         Event::ConnectionsCounted { node: 1, idle: 2, fresh: 3 },
         Event::UpgradeBegan { node: 1 },
         Event::SuccessorReady { node: 1 },
